--- /dev/null
+++ b/front/haproxy/transcript_test.go
@@ -0,0 +1,44 @@
+package haproxy
+
+import (
+	"strings"
+	"testing"
+
+	"cressknot/fleet"
+	"cressknot/front"
+	"cressknot/steer"
+)
+
+// TestChangesKeepTheirCommands holds the text of commands by kind of change.
+func TestChangesKeepTheirCommands(t *testing.T) {
+	f := New(Options{Classes: []front.Class{{Name: "look", Backend: "be look"}, {Name: "book", Backend: "book"}}, Map: "cressknot",
+		Names: fixedNames{"node-0", "node 1"}})
+	s := &session{link: &link{front: f}, keys: map[string]bool{"book" + front.RetryKey: true}}
+	e := encoder{s: s, seq: 1}
+	for i, c := range []steer.Change{
+		{Kind: steer.AddLine, Class: 0, Server: 1, Weight: 7, State: steer.In},
+		{Kind: steer.DelLine, Class: 1, Server: 0},
+		{Class: 1, Server: 0, Weight: 128, State: steer.In},
+		{Class: 1, Server: 0, Weight: 9, State: steer.Out, Moved: true},
+		{Class: 1, Server: 0, Weight: -1, State: steer.Drain},
+		{Class: 1, Server: 0, Weight: 256, State: steer.Stays},
+		{Kind: steer.SetLevels, Class: 1, Level: steer.Level{Amount: 500, Retry: fleet.RetryOnce}},
+		{Kind: steer.SetLevels, Class: 0, Level: steer.Level{Amount: -1}},
+		{Kind: steer.SetVersion, Class: 1, Stamp: "3.4/00ff"},
+	} {
+		e.index = i
+		e.change(&c)
+	}
+	const want = `add server be\ look/node\ 1 127.0.0.1:8080 weight 7;set server be\ look/node\ 1 state ready;del server book/node-0;` +
+		`set server book/node-0 weight 128;set server book/node-0 state ready;` +
+		`set server book/node-0 addr 127.0.0.1 port 8080;set server book/node-0 state maint;set server book/node-0 weight 9;` +
+		`set server book/node-0 state drain;set server book/node-0 weight 256;`
+	if got := string(e.out); !strings.HasPrefix(got, want) {
+		t.Errorf("commands\n%s\nwant\n%s", got, want)
+	} else if rest := got[len(want):]; rest != mapCommands {
+		t.Errorf("of the map\n%s\nwant\n%s", rest, mapCommands)
+	}
+}
+
+const mapCommands = "add map cressknot book.share 500;set map cressknot book.retry 2;" +
+	"add map cressknot look.share 1000;add map cressknot look.retry 0;add map cressknot book.version 3.4/00ff"
--- /dev/null
+++ b/front/relay/transcript_test.go
@@ -0,0 +1,77 @@
+package relay
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"cressknot/fleet"
+)
+
+// TestRequestsToTheRelayKeepTheirBytes holds the request line, headers and body of a call and of the asking for events.
+func TestRequestsToTheRelayKeepTheirBytes(t *testing.T) {
+	calls, streams := make(chan string, 10), make(chan string, 10)
+	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, _ := io.ReadAll(r.Body)
+		text := fmt.Sprintf("%s %s %s\n%s\n%d\n%s", r.Method, r.RequestURI, r.Proto, r.Header.Get("Content-Type"), r.ContentLength, body)
+		if r.URL.Path == "/api/stream" {
+			streams <- text
+			<-r.Context().Done()
+			return
+		}
+		calls <- text
+		fmt.Fprint(w, "<Response><entries><item><accepted>9</accepted></item></entries></Response>")
+	})
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := &http.Server{Handler: handler}
+	go func() { _ = server.Serve(l) }()
+	t.Cleanup(func() { _ = server.Close() })
+	f := New(Options{Addr: l.Addr().String(), Zones: []string{"a"}, Classes: classes, Proxies: 10, Log: zerolog.Nop(), Sink: func(News) {}})
+	f.Put([]Op{
+		{Order: fleet.Share{Table: 4, Weight: 1.5}, Server: "s-5"}, {Order: fleet.Share{Table: 4, Weight: 0}, Server: "s 6"},
+		{Order: fleet.Clear{Table: 3}}, {Order: fleet.Bind{Proxy: 17, Table: 4, Classes: 5}}, {Order: fleet.Withdraw{Out: true}, Server: "s-5"},
+		{Order: fleet.Withdraw{}, Server: "s-7"}, {Order: fleet.Level{Table: fleet.EveryTable, Amount: 1e6, Retry: fleet.RetryIfNeverRan}},
+		{Order: fleet.Level{Table: 4, Classes: 2, Amount: 0.9, Retry: fleet.RetryTwice}}, {Order: fleet.Mark{ID: 905, All: true}}})
+	ctx, cancel := context.WithCancel(context.Background())
+	f.Start(ctx)
+	t.Cleanup(func() { cancel(); f.Wait() })
+	const call = "POST /api/ HTTP/1.1\napplication/x-www-form-urlencoded\n224\n" +
+		"Action=CommitChanges&ops=share%2C4%2Cs-5%2C1.5%3Bshare%2C4%2Cs+6%2C0%3Bclear%2C3%3Bbind%2C17%2C4%2Clook%2Bissue%3Bwithdraw%2Cs-5" +
+		"%3Brestore%2Cs-7%3Badmit%2C%2A%2C%2A%2C1000000%2C1%3Badmit%2C4%2Cbook%2C0.9%2C3%3Bmark%2C905%2C1"
+	if got := next(t, calls); got != call {
+		t.Errorf("call\n%s\nwant\n%s", got, call)
+	}
+	if got := next(t, streams); got != "GET /api/stream HTTP/1.1\n\n0\n" {
+		t.Errorf("asked for events by %q", got)
+	}
+}
+
+// TestEventsOfTheRelayAreRead holds what each kind of line of the stream becomes.
+func TestEventsOfTheRelayAreRead(t *testing.T) {
+	s := newStandin(t)
+	_, news := started(t, s)
+	tell := next(t, s.streams)
+	tell <- strings.Join([]string{
+		"event: joined\ndata: node=7&locality=a&w=2.5&cold=1\n\n", "event:left\ndata:node=7\n\n", ":\n\n", "event: odd\ndata: x=1\n\n",
+		"event: applied\ndata: node=3&nonce=65535&latency=12.5\n\n"}, "")
+	for _, want := range []News{
+		{Stream: 1, What: Opened},
+		{Stream: 1, What: Told, Event: fleet.Joined{Proxy: 7, Weight: 2.5, Fresh: true}},
+		{Stream: 1, What: Told, Event: fleet.Left{Proxy: 7}},
+		{Stream: 1, What: Settled},
+		{Stream: 1, What: Told, Event: fleet.Applied{Proxy: 3, Mark: 65535, Took: 12_500_000}},
+	} {
+		if got := next(t, news); got != want {
+			t.Errorf("heard %+v, want %+v", got, want)
+		}
+	}
+}
--- /dev/null
+++ b/governor/transcript_test.go
@@ -0,0 +1,118 @@
+package governor
+
+import (
+	"context"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"cressknot/fleet"
+	"cressknot/front"
+	"cressknot/list"
+	"cressknot/steer"
+)
+
+const storedTranscript = "testdata/operators.golden"
+
+// varying are the parts of answers that depend on the clock.
+var varying = []struct {
+	form *regexp.Regexp
+	by   string
+}{
+	{regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z`), "TIME"},
+	{regexp.MustCompile(`(?m)^((?:Pid|Uptime_sec|List_age_ms|Turns|Steps|Turn_\w+_us|Reports_waiting|Messages_sent|Lines_sent|Changes_sent|Lines_waiting|Versions|Delta_share_percent|Lines_replaced|Guard_passed): ).*$`), "${1}N"},
+	{regexp.MustCompile(`\b[0-9a-z]{10,13}\.(\d+)`), "EPOCH.$1"},
+	{regexp.MustCompile(`(?m)^(p0 a  up look=0 \d+) \d+ \d+ \d+ \d+\.\d$`), "${1} N N N MS"},
+	{regexp.MustCompile(`(?m)^(n\d well) .* (yes|no)$`), "${1} N ${2}"},
+}
+
+// TestOperatorsSocketKeepsItsAnswers asks a governor every command, well and badly, and compares with what it answered before.
+func TestOperatorsSocketKeepsItsAnswers(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "g.sock")
+	loop := testLoop(t)
+	o, err := ServeOperators(loop, path, "1.2")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer o.Close()
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- loop.Run(ctx, time.Second) }()
+	defer func() {
+		cancel()
+		<-done
+	}()
+	ask := func(text string) string {
+		t.Helper()
+		c, err := net.Dial("unix", path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
+		if _, err := io.WriteString(c, text+"\n"); err != nil {
+			t.Fatal(err)
+		}
+		answer, err := io.ReadAll(c)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return string(answer)
+	}
+	loop.post(front.Up{Proxy: 0, Stream: 1, Held: steer.Snapshot{}})
+	for end := time.Now().Add(30 * time.Second); !strings.Contains(ask("show proxies"), "look=") || !strings.Contains(ask("table proxies"), "/"); {
+		if time.Now().After(end) {
+			t.Fatalf("no table was laid: %s", ask("show proxies"))
+		}
+		loop.acknowledge()
+		time.Sleep(50 * time.Millisecond)
+	}
+	loop.post(list.Update{Scope: fleet.ListFull, Doc: list.Document{Rev: 5, Servers: []list.Server{
+		{Name: "n1", Addr: "127.0.0.1:1", Zone: "a"}, {Name: "n3", Addr: "127.0.0.1:3", Zone: "a", State: "draining"}}}})
+	for end := time.Now().Add(30 * time.Second); !strings.Contains(ask("show servers"), "n3 127.0.0.1:3 a draining"); {
+		if time.Now().After(end) {
+			t.Fatalf("the list was not taken in: %s", ask("show servers"))
+		}
+	}
+	loop.acknowledge()
+	var b strings.Builder
+	for _, text := range []string{
+		"show info", "show servers", "show tables", "show proxies", "show doubts", "show reports", "show reports stale", "show reports odd", "show intake",
+		"show series", "show series n1", "show series n1 x", "show series n9", "top servers", "top servers age", "top servers load 2", "top servers odd",
+		"explain", "explain n1", "explain n3", "explain n9", "get weight", "get weight n1", "get weight n9", "show refusals",
+		"set weight", "set weight 0/n1 7", "set weight 0/n1 300", "set weight x/n1 7", "set weight 9/n1 7", "set weight 0/n9 7", "show refusals",
+		"clear weight 0/n1", "clear weight 0/n1", "clear weight", "table", "table proxies", "table history x", "table history 9", "table show 0",
+		"table show 0 x.y", "table show 0 zz.9", "table diff 0", "table diff 0 zz.9", "table pin 0 nonsense", "table pin 0 25h", "table pin 0 1m", "table unpin 0",
+		"table unpin 0", "table rollback 0 zz.9", "table rollback 0", "show members", "show members proxies", "show members odd", "show peers", "take",
+		"take p0 on", "take p9 on", "take p0 maybe", "retire", "retire on", "retire odd", "help", "show", "odd command", "show \x01",
+	} {
+		b.WriteString("> " + text + "\n" + ask(text))
+	}
+	answers := b.String()
+	for _, v := range varying {
+		answers = v.form.ReplaceAllString(answers, v.by)
+	}
+	if *writeFixtures {
+		if err := os.WriteFile(storedTranscript, []byte(answers), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(storedTranscript)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if answers != string(want) {
+		got, wanted := strings.Split(answers, "\n"), strings.Split(string(want), "\n")
+		for i := range min(len(got), len(wanted)) {
+			if got[i] != wanted[i] {
+				t.Fatalf("line %d: answered %q, want %q", i+1, got[i], wanted[i])
+			}
+		}
+		t.Errorf("%d lines of answers, want %d", len(got), len(wanted))
+	}
+}
--- /dev/null
+++ b/intake/series/storeddata_test.go
@@ -0,0 +1,59 @@
+package series
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"cressknot/fleet"
+	"cressknot/intake"
+)
+
+var writeFixtures = flag.Bool("write-fixtures", false, "write the stored data in testdata anew")
+
+const (
+	storedFolder  = "testdata/series"
+	storedMinutes = 4
+)
+
+// TestSeriesOfAnEarlierProgramIsRead reads a folder of time series.
+func TestSeriesOfAnEarlierProgramIsRead(t *testing.T) {
+	if *writeFixtures {
+		s, err := Open(storedFolder, names)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for minute := range fleet.Time(storedMinutes) {
+			at := (minute + 1) * step
+			s.Add(intake.Cell{At: at, Server: 1, Tries: 10 + uint64(minute), Failed: 2, Good: 8, GoodMs: 8 * 120, HasLoad: true, Load: [4]float32{0.25}})
+			s.Add(intake.Cell{At: at + fleet.Second, Server: 1, Tries: 1, Good: 1, GoodMs: 900})
+			s.Add(intake.Cell{At: at, Server: 2, Tries: 3, Good: 3, GoodMs: 30})
+		}
+		if err := s.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	folder := filepath.Join(t.TempDir(), "series")
+	if err := os.CopyFS(folder, os.DirFS(storedFolder)); err != nil {
+		t.Fatal(err)
+	}
+	s, err := Open(folder, names)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = s.Close() }()
+	points, damaged, err := s.Read(1, 0)
+	if err != nil || damaged > 0 || len(points) != storedMinutes {
+		t.Fatalf("%d rows, %d damaged, %v", len(points), damaged, err)
+	}
+	for i, p := range points {
+		if p.At != fleet.Time(i+1)*step || p.Tries != uint64(11+i) || p.Failed != 2 || p.Load != 0.25 || p.Times.TotalCount() != 9 ||
+			p.Times.ValueAtQuantile(50) != 120 || p.Times.Max() < 895 || p.Times.Max() > 905 {
+			t.Errorf("row %d: %+v, median %d ms, largest %d ms", i, p, p.Times.ValueAtQuantile(50), p.Times.Max())
+		}
+	}
+	if other, _, _ := s.Read(2, 0); len(other) != storedMinutes || other[0].Tries != 3 || other[0].Load != -1 {
+		t.Errorf("rows of the other server: %+v", other)
+	}
+}
--- a/logic/yard_test.go
+++ b/logic/yard_test.go
@@ -25,6 +25,7 @@
 	events   []fleet.Event
 	shared   int // lines set
 	broken   string
+	heard    func(fleet.Time, []fleet.Order) // of each step's orders; may be nil
 }
 
 type message struct {
@@ -256,6 +257,9 @@
 	}
 	events, y.events = append(y.events, events...), nil
 	orders := y.governor.Step(y.now, events)
+	if y.heard != nil {
+		y.heard(y.now, orders)
+	}
 	unsure, lost := y.unsure > 0 && y.rng.Float64() < y.unsure, false
 	if unsure {
 		y.events = append(y.events, fleet.Unconfirmed{Orders: slices.Clone(orders)})
--- /dev/null
+++ b/reports/read_test.go
@@ -0,0 +1,74 @@
+package reports
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"cressknot/fleet"
+	"cressknot/steer"
+)
+
+const statHeader = "# pxname,svname,status,scur,stot,dreq,econ,eresp,wretr,weight,hrsp_1xx,hrsp_2xx,hrsp_3xx,hrsp_4xx,hrsp_5xx,odd\n"
+
+func lookup(name string) (fleet.ServerID, bool) {
+	var id fleet.ServerID
+	_, err := fmt.Sscanf(name, "n%d", &id)
+	return id, err == nil
+}
+
+// TestCountersOfAProxy reads "show stat" and "show table" as a proxy prints them.
+func TestCountersOfAProxy(t *testing.T) {
+	const stat = statHeader +
+		"look,FRONTEND,OPEN,1,99,0,0,0,0,0,0,0,0,0,0,\n" +
+		"look,n1,UP,2,50,0,1,2,0,128,1,40,2,3,4,x\n" +
+		"look,n2,MAINT,0,7,0,0,0,0,256,0,7,0,0,0,x\n" +
+		"look,else,UP,0,7,0,0,0,0,9,0,7,0,0,0,x\n" +
+		"look,BACKEND,UP,2,57,0,5,6,0,0,0,0,0,0,7,x\n" +
+		"book,n1,DRAIN,0,5,0,0,0,0,1,0,5,0,0,0,x\n" +
+		"book,BACKEND,UP,0,5,0,0,0,0,0,0,5,0,0,1,x\n" +
+		"admin,n1,UP,0,5,0,0,0,0,1,0,5,0,0,0,x\n"
+	r, err := ReadCounters([]byte(stat), map[string]fleet.ClassID{"look": 0, "book": 1}, 2, lookup)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := r.ReadTracked([]byte("# table: nodes\n0x01: key=n1 use=0 gpt0=500 gpt1=1 gpt2=0 gpt3=2000 gpc0=900 gpc1=9\n0x02: key=n9 gpc0=1 gpc1=1\n"), lookup); err != nil {
+		t.Fatal(err)
+	}
+	if got, want := fmt.Sprint(r.Rows), "[{1 {58 7 9 900 [0.5 0.001 0 2] true}} {2 {7 0 0 0 [0 0 0 0] false}}]"; got != want {
+		t.Errorf("rows %s, want %s", got, want)
+	}
+	if got, want := fmt.Sprint(r.Classes), "[{57 18} {5 1}]"; got != want {
+		t.Errorf("classes %s, want %s", got, want)
+	}
+	want := []steer.SeenLine{{Class: 0, Server: 1, Weight: 128, State: steer.In}, {Class: 0, Server: 2, Weight: 256, State: steer.Out},
+		{Class: 1, Server: 1, Weight: 1, State: steer.Drain}}
+	if fmt.Sprint(r.Lines) != fmt.Sprint(want) {
+		t.Errorf("lines %v, want %v", r.Lines, want)
+	}
+	r.Release()
+	if again := NewReading(1); len(again.Rows) != 0 || len(again.Classes) != 1 || again.Row(2).Tries != 0 {
+		t.Errorf("a reading is not empty: %+v", again)
+	}
+}
+
+func TestUnreadableCountersNameTheLine(t *testing.T) {
+	for text, want := range map[string]string{
+		"":                       "show stat",
+		"pxname,svname\n":        "line 1",
+		"# pxname,svname\n":      `no column "status"`,
+		statHeader + "look,n1\n": "line 2",
+		statHeader + "look,n1,UP,x,1,1,1,1,1,1,1,1,1,1,1,\n": "line 2",
+	} {
+		if _, err := ReadCounters([]byte(text), map[string]fleet.ClassID{"look": 0}, 1, lookup); text != "" && (err == nil || !strings.Contains(err.Error(), want)) {
+			t.Errorf("%q: %v, want %q", text, err, want)
+		}
+	}
+	r := NewReading(1)
+	r.Row(1)
+	for _, text := range []string{"0x01: key=n1 gpc0=x\n", "0x01: gpc0=1\n", "nothing\n"} {
+		if err := r.ReadTracked([]byte(text), lookup); err == nil {
+			t.Errorf("%q is read", text)
+		}
+	}
+}
--- /dev/null
+++ b/service/text/transcript_test.go
@@ -0,0 +1,116 @@
+package text
+
+import (
+	"context"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"cressknot/fleet"
+	"cressknot/front"
+	"cressknot/service"
+	"cressknot/steer"
+	"cressknot/tables"
+)
+
+type names []string
+
+func (n names) Server(name string) (fleet.ServerID, bool) {
+	for i, known := range n {
+		if known == name {
+			return fleet.ServerID(i), true
+		}
+	}
+	return 0, false
+}
+
+func (n names) Learn(name, _ string) fleet.ServerID {
+	id, _ := n.Server(name)
+	return id
+}
+
+func (n names) Of(id fleet.ServerID) (string, string) { return n[id], "127.0.0.1:80" }
+
+type desk struct{}
+
+func (desk) Server(_ context.Context, name string) (service.ServerState, error) {
+	if name != "s1" {
+		return service.ServerState{}, &service.Fault{Code: service.NoServer, Text: "never heard of"}
+	}
+	return service.ServerState{Name: "s1", Addr: "x:1", Zone: "a", State: "ready", Sight: "well",
+		Weights: []service.ClassWeight{{Zone: "a", Class: "look", Weight: 12}}, Why: []string{"it drains; so says the list"}}, nil
+}
+
+func (desk) History(context.Context, string, string, int) ([]service.VersionRow, error) {
+	return []service.VersionRow{{Version: tables.Version{Epoch: 9, Count: 1}, Digest: 5, At: 7, Lines: 3, Why: "by hand"}}, nil
+}
+
+func (desk) Summary(context.Context) (service.Summary, error) {
+	return service.Summary{Governor: "g", Program: "p", Epoch: 9, ListRev: 4, ListAge: 5, Live: true, Servers: 6, Ready: 5, ProxiesAll: 4}, nil
+}
+
+// TestASessionKeepsItsBytes holds requests of the text protocol and what they are answered.
+func TestASessionKeepsItsBytes(t *testing.T) {
+	hub := service.NewHub(service.HubOptions{Governor: "g-1", Epoch: 9, Zones: []service.Zone{{Name: "a"}}, Names: names{"s0", "s1"},
+		Classes: []fleet.VisitClass{{Name: "look", Expected: fleet.Second, HardStop: 2 * fleet.Second}},
+		Now:     func() fleet.Time { return 50 * fleet.Second }})
+	if err := hub.Start(context.Background(), func(front.Event) {}); err != nil {
+		t.Fatal(err)
+	}
+	server, err := Listen("127.0.0.1:0", service.New(hub, desk{}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = hub.Stop(context.Background()); _ = server.Close(context.Background()) })
+	hub.Send(steer.Message{Seq: 1, Changes: []steer.Change{{Kind: steer.AddLine, Server: 1, Weight: 100, State: steer.In}}})
+	c, err := net.Dial("tcp", server.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
+	requests := []string{"hello 1.0 shop", "hello odd shop", "get server s1", "get server s9", "get history a look 5", "get history a look x",
+		"get summary", "get table zz", "report a 1f 3 <<\nmet server=s1 tries=3 failed=1 good=2 good_ms=90\ncame class=look visits=4 no_answer=1\n",
+		"report a zz 3", "odd", "quit"}
+	if _, err := io.WriteString(c, strings.Join(requests, "\n")+"\n"); err != nil {
+		t.Fatal(err)
+	}
+	answers, err := io.ReadAll(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(answers) != transcript {
+		t.Errorf("answered\n%s\nwant\n%s", answers, transcript)
+	}
+}
+
+const transcript = `# hello major=1 minor=0 name=g-1 epoch=9
+zone name=a
+class name=look effect=0 group=0 window_ns=0 expected_ns=1000000000 hard_stop_ns=2000000000
+
+# fault code=bad-request retry_ns=0 text=byte\ 15:\ "odd"\ is\ no\ version:\ it\ reads\ as\ MAJOR.MINOR
+
+# server minor=0 name=s1 addr=x:1 zone=a state=ready cold_ns=0 sight=well
+weight zone=a class=look weight=12
+why text=it\ drains\;\ so\ says\ the\ list
+
+# fault code=no-server retry_ns=0 text=never\ heard\ of
+
+# history minor=0
+version version=9.1 digest=0000000000000005 at_ns=7 lines=3 why=by\ hand
+
+# fault code=bad-request retry_ns=0 text=byte\ 79:\ "x"\ is\ no\ number
+
+# summary minor=0 governor=g program=p epoch=9 list_rev=4 list_age_ns=5 live=1 servers=6 ready=5 cold=0 withdrawn=0 proxies_up=0 proxies_all=4 watchers=0
+
+# fault code=no-zone retry_ns=0 text=zone\ "zz"\ is\ none\ of\ this\ governor's
+
+# counted seq=3
+
+# fault code=bad-request retry_ns=0 text=byte\ 229:\ 'report'\ expects\ a\ zone,\ a\ session\ in\ hexadecimal\ and\ a\ number
+
+# fault code=bad-request retry_ns=0 text=byte\ 243:\ no\ such\ command:\ "odd"\;\ known\ are\ hello\ VERSION\ NAME,\ get\ table\ Z,\ watch\ table\ Z\ [VERSION],\ report\ Z\ SESSION\ SEQ,\ get\ server\ S,\ get\ history\ Z\ CLASS\ N,\ get\ summary,\ quit
+
+`
