--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -123,68 +123,68 @@
 
 // VisitClass is one kind of visit, as the site states it.
 type VisitClass struct {
-	Name       string
-	Effect     Effect
-	Group      Group
-	Window     Time // how long the group drops repeats, from the first try that may have run
-	Expected   Time // an answer within this has full value
-	HardStop   Time // the client waits no longer, over all its tries
-	Value      float64
-	LateShare  float64 // part of the value that an answer past the expected time keeps
-	StaysLocal bool    // only to servers of the proxy's zone
-	Writes     bool
+	Name       string  `json:"Name"`
+	Effect     Effect  `json:"Effect"`
+	Group      Group   `json:"Group"`
+	Window     Time    `json:"Window"`   // how long the group drops repeats, from the first try that may have run
+	Expected   Time    `json:"Expected"` // an answer within this has full value
+	HardStop   Time    `json:"HardStop"` // the client waits no longer, over all its tries
+	Value      float64 `json:"Value"`
+	LateShare  float64 `json:"LateShare"`  // part of the value that an answer past the expected time keeps
+	StaysLocal bool    `json:"StaysLocal"` // only to servers of the proxy's zone
+	Writes     bool    `json:"Writes"`
 }
 
 // Site is what a governor is told at its start.
 type Site struct {
-	Me        int // this governor's number
-	Governors int
-	Zone      ZoneID
-	Zones     []string
-	Kinds     []string
-	Classes   []VisitClass
-	Tick      Time // shortest time between two batches
-
-	ListOnRequest bool
-	ListWeight    ListWeight
-	Report        ReportWay
-	LoadFields    []LoadField
-	Probes        bool // probing servers is allowed
-	Peers         bool // messages among governors are allowed
-
-	Admission      Admission
-	Proxies        int // over all governors
-	JoinByZone     bool
-	Standing       int     // most servers in a proxy's standing table
-	Slices         int     // 0: a proxy is joined to one governor at a time
-	Exclusive      bool    // a slice has just one owner
-	Tenure         Time    // exclusive: how long a proxy sends writes without its governor
-	InFlightMost   Time    // a write in hand is finished within this
-	PerTry         float64 // a try that may be followed waits this many expected times
-	RetryDefault   Retry
-	OutlierAfter   int // a proxy avoids a server after so many failures in a row; 0: never
-	ConnLeast      float64
-	ReportEvery    Time
-	ReportsPerS    float64
-	Travel         Time // mean way of a message
-	TravelMost     Time
-	LinesPerS      float64
-	MessageHead    float64 // lines that each message costs beside its own
-	BacklogMost    float64 // lines
-	MessagesMost   int     // to one proxy within MessagesOver; 0: no limit
-	MessagesOver   Time
-	BareMost       Time // a proxy may lack a line for a class so long
-	ConnectTimeout Time
-
-	ColdFrom      float64
-	ColdFor       Time
-	FallFactor    float64
-	FallFor       Time
-	DrainGrace    Time
-	AskWithin     Time // on request: without asking for so long we count as told
-	GoneDoesNot   bool // only an entry that says draining binds, not one that is gone
-	WorstClassPay float64
-	WholePay      float64
+	Me        int          `json:"Me"` // this governor's number
+	Governors int          `json:"Governors"`
+	Zone      ZoneID       `json:"Zone"`
+	Zones     []string     `json:"Zones"`
+	Kinds     []string     `json:"Kinds"`
+	Classes   []VisitClass `json:"Classes"`
+	Tick      Time         `json:"Tick"` // shortest time between two batches
+
+	ListOnRequest bool        `json:"ListOnRequest"`
+	ListWeight    ListWeight  `json:"ListWeight"`
+	Report        ReportWay   `json:"Report"`
+	LoadFields    []LoadField `json:"LoadFields"`
+	Probes        bool        `json:"Probes"` // probing servers is allowed
+	Peers         bool        `json:"Peers"`  // messages among governors are allowed
+
+	Admission      Admission `json:"Admission"`
+	Proxies        int       `json:"Proxies"` // over all governors
+	JoinByZone     bool      `json:"JoinByZone"`
+	Standing       int       `json:"Standing"`     // most servers in a proxy's standing table
+	Slices         int       `json:"Slices"`       // 0: a proxy is joined to one governor at a time
+	Exclusive      bool      `json:"Exclusive"`    // a slice has just one owner
+	Tenure         Time      `json:"Tenure"`       // exclusive: how long a proxy sends writes without its governor
+	InFlightMost   Time      `json:"InFlightMost"` // a write in hand is finished within this
+	PerTry         float64   `json:"PerTry"`       // a try that may be followed waits this many expected times
+	RetryDefault   Retry     `json:"RetryDefault"`
+	OutlierAfter   int       `json:"OutlierAfter"` // a proxy avoids a server after so many failures in a row; 0: never
+	ConnLeast      float64   `json:"ConnLeast"`
+	ReportEvery    Time      `json:"ReportEvery"`
+	ReportsPerS    float64   `json:"ReportsPerS"`
+	Travel         Time      `json:"Travel"` // mean way of a message
+	TravelMost     Time      `json:"TravelMost"`
+	LinesPerS      float64   `json:"LinesPerS"`
+	MessageHead    float64   `json:"MessageHead"`  // lines that each message costs beside its own
+	BacklogMost    float64   `json:"BacklogMost"`  // lines
+	MessagesMost   int       `json:"MessagesMost"` // to one proxy within MessagesOver; 0: no limit
+	MessagesOver   Time      `json:"MessagesOver"`
+	BareMost       Time      `json:"BareMost"` // a proxy may lack a line for a class so long
+	ConnectTimeout Time      `json:"ConnectTimeout"`
+
+	ColdFrom      float64 `json:"ColdFrom"`
+	ColdFor       Time    `json:"ColdFor"`
+	FallFactor    float64 `json:"FallFactor"`
+	FallFor       Time    `json:"FallFor"`
+	DrainGrace    Time    `json:"DrainGrace"`
+	AskWithin     Time    `json:"AskWithin"`   // on request: without asking for so long we count as told
+	GoneDoesNot   bool    `json:"GoneDoesNot"` // only an entry that says draining binds, not one that is gone
+	WorstClassPay float64 `json:"WorstClassPay"`
+	WholePay      float64 `json:"WholePay"`
 }
 
 // Belief is what a governor makes of a server at the moment, for those who watch it.
@@ -226,13 +226,13 @@
 
 // Entry is one server in a list.
 type Entry struct {
-	Server  ServerID
-	State   ServerState
-	Cell    CellID
-	Started Time // its latest start; 0: long ago
-	Zone    ZoneID
-	Kind    KindID
-	Weight  float64
+	Server  ServerID    `json:"Server"`
+	State   ServerState `json:"State"`
+	Cell    CellID      `json:"Cell"`
+	Started Time        `json:"Started"` // its latest start; 0: long ago
+	Zone    ZoneID      `json:"Zone"`
+	Kind    KindID      `json:"Kind"`
+	Weight  float64     `json:"Weight"`
 }
 
 // Outcome is how a probe ended.
@@ -256,79 +256,85 @@
 type (
 	// List tells of servers. Entries belong to the host and must not be changed.
 	List struct {
-		Scope   ListScope
-		Rev     ListRev
-		Entries []Entry
+		Scope   ListScope `json:"Scope"`
+		Rev     ListRev   `json:"Rev"`
+		Entries []Entry   `json:"Entries"`
 	}
 	// Alarm is a timer come due.
-	Alarm struct{ ID AlarmID }
+	Alarm struct {
+		ID AlarmID `json:"ID"`
+	}
 	// Probed is the result of a probe.
 	Probed struct {
-		Server  ServerID
-		Outcome Outcome
-		Took    Time
-		Load    []float32
+		Server  ServerID  `json:"Server"`
+		Outcome Outcome   `json:"Outcome"`
+		Took    Time      `json:"Took"`
+		Load    []float32 `json:"Load"`
 	}
 	// Message comes from another governor.
 	Message struct {
-		From GovernorID
-		Data []byte
+		From GovernorID `json:"From"`
+		Data []byte     `json:"Data"`
 	}
 	// Joined tells of a proxy's new stream. Fresh: it holds standing tables only.
 	Joined struct {
-		Proxy  ProxyID
-		Zone   ZoneID
-		Weight float64 // visits a second that it usually gets
-		Fresh  bool
+		Proxy  ProxyID `json:"Proxy"`
+		Zone   ZoneID  `json:"Zone"`
+		Weight float64 `json:"Weight"` // visits a second that it usually gets
+		Fresh  bool    `json:"Fresh"`
 	}
 	// Left tells of a broken stream.
-	Left struct{ Proxy ProxyID }
+	Left struct {
+		Proxy ProxyID `json:"Proxy"`
+	}
 	// Heard sums up what the proxies of a zone met at a server.
 	Heard struct {
-		Server  ServerID
-		Failed  uint32
-		Tries   uint32
-		Latency Time // mean of the good ones
-		Span    Time
-		Zone    ZoneID
-		Load    []float32
+		Server  ServerID  `json:"Server"`
+		Failed  uint32    `json:"Failed"`
+		Tries   uint32    `json:"Tries"`
+		Latency Time      `json:"Latency"` // mean of the good ones
+		Span    Time      `json:"Span"`
+		Zone    ZoneID    `json:"Zone"`
+		Load    []float32 `json:"Load"`
 	}
 	// Usage sums up the visits of a class that came to a proxy.
 	Usage struct {
-		Proxy    ProxyID
-		Class    ClassID
-		Visits   uint32
-		NoAnswer uint32
-		Span     Time
+		Proxy    ProxyID `json:"Proxy"`
+		Class    ClassID `json:"Class"`
+		Visits   uint32  `json:"Visits"`
+		NoAnswer uint32  `json:"NoAnswer"`
+		Span     Time    `json:"Span"`
 	}
 	// SliceUsage sums up the visits of a class that came for a slice.
 	SliceUsage struct {
-		Slice    TableID
-		Class    ClassID
-		Visits   uint32
-		NoAnswer uint32
-		Span     Time
+		Slice    TableID `json:"Slice"`
+		Class    ClassID `json:"Class"`
+		Visits   uint32  `json:"Visits"`
+		NoAnswer uint32  `json:"NoAnswer"`
+		Span     Time    `json:"Span"`
 	}
 	// Charge hands a slice to this governor or takes it back.
 	Charge struct {
-		Slice TableID
-		Given bool
+		Slice TableID `json:"Slice"`
+		Given bool    `json:"Given"`
 	}
 	// StoredLine is one line of a slice just given.
 	StoredLine struct {
-		Slice  TableID
-		Server ServerID
-		Weight float64
+		Slice  TableID  `json:"Slice"`
+		Server ServerID `json:"Server"`
+		Weight float64  `json:"Weight"`
 	}
 	// Applied tells that a proxy has taken in a marked message.
 	Applied struct {
-		Proxy ProxyID
-		Mark  MarkID
-		Took  Time
+		Proxy ProxyID `json:"Proxy"`
+		Mark  MarkID  `json:"Mark"`
+		Took  Time    `json:"Took"`
 	}
 	// Unconfirmed tells that these orders were carried out or not, nobody knows which, and that the host doesn't
 	// send them again: that may cost their lines a second time.
-	Unconfirmed struct{ Orders []Order }
+	Unconfirmed struct {
+		Orders []Order `json:"Orders"`
+	}
 )
 
 func (List) event()        {}
@@ -355,52 +361,60 @@
 type (
 	// SetAlarm asks for an Alarm after a while.
 	SetAlarm struct {
-		After Time
-		ID    AlarmID
+		After Time    `json:"After"`
+		ID    AlarmID `json:"ID"`
 	}
 	// Probe checks a server.
-	Probe struct{ Server ServerID }
+	Probe struct {
+		Server ServerID `json:"Server"`
+	}
 	// Tell sends up to 256 bytes to a peer.
 	Tell struct {
-		To   PeerID
-		Data []byte
+		To   PeerID `json:"To"`
+		Data []byte `json:"Data"`
 	}
 	// Log adds a line to the report.
-	Log struct{ Text string }
+	Log struct {
+		Text string `json:"Text"`
+	}
 	// Watch asks the list for changes from now on, or no more.
-	Watch struct{ On bool }
+	Watch struct {
+		On bool `json:"On"`
+	}
 	// Fetch asks for the whole list once.
 	Fetch struct{}
 	// Share sets a line of a table; weight 0 removes it.
 	Share struct {
-		Table  TableID
-		Server ServerID
-		Weight float32
+		Table  TableID  `json:"Table"`
+		Server ServerID `json:"Server"`
+		Weight float32  `json:"Weight"`
 	}
 	// Clear empties a table.
-	Clear struct{ Table TableID }
+	Clear struct {
+		Table TableID `json:"Table"`
+	}
 	// Withdraw shuts a server out of all tables that joined proxies hold, or lets it in again.
 	Withdraw struct {
-		Server ServerID
-		Out    bool
+		Server ServerID `json:"Server"`
+		Out    bool     `json:"Out"`
 	}
 	// Bind puts a proxy on a table for some classes.
 	Bind struct {
-		Proxy   ProxyID
-		Table   TableID
-		Classes ClassSet
+		Proxy   ProxyID  `json:"Proxy"`
+		Table   TableID  `json:"Table"`
+		Classes ClassSet `json:"Classes"`
 	}
 	// Level sets how much of some classes is let in and when proxies try again.
 	Level struct {
-		Table   TableID
-		Classes ClassSet
-		Amount  float32
-		Retry   Retry
+		Table   TableID  `json:"Table"`
+		Classes ClassSet `json:"Classes"`
+		Amount  float32  `json:"Amount"`
+		Retry   Retry    `json:"Retry"`
 	}
 	// Mark asks for an Applied. All: also from proxies that this reply doesn't reach.
 	Mark struct {
-		ID  MarkID
-		All bool
+		ID  MarkID `json:"ID"`
+		All bool   `json:"All"`
 	}
 )
 
--- a/records/records.go
+++ b/records/records.go
@@ -10,7 +10,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"reflect"
 
 	"cressknot/fleet"
 	"cressknot/logic"
@@ -23,43 +22,125 @@
 
 // Start is the first line.
 type Start struct {
-	Format   int
-	Governor string
-	Site     fleet.Site
-	Seed     uint64
+	Format   int        `json:"Format"`
+	Governor string     `json:"Governor"`
+	Site     fleet.Site `json:"Site"`
+	Seed     uint64     `json:"Seed"`
 }
 
 // Step is each further line. Names tells the servers that became known since the step before.
 type Step struct {
-	Now    fleet.Time
-	Names  map[fleet.ServerID]string `json:",omitempty"`
-	Events []Item                    `json:",omitempty"`
-	Orders []Item                    `json:",omitempty"`
+	Now    fleet.Time                `json:"Now"`
+	Names  map[fleet.ServerID]string `json:"Names,omitempty"`
+	Events []Item                    `json:"Events,omitempty"`
+	Orders []Item                    `json:"Orders,omitempty"`
 }
 
-// Item is an event or an order with the name of its type.
+// Item is an event or an order with its kind.
 type Item struct {
-	Is string
-	V  json.RawMessage
+	Is string          `json:"Is"`
+	V  json.RawMessage `json:"V"`
 }
 
-var eventTypes = types(fleet.List{}, fleet.Alarm{}, fleet.Probed{}, fleet.Message{}, fleet.Joined{}, fleet.Left{},
-	fleet.Heard{}, fleet.Usage{}, fleet.SliceUsage{}, fleet.Charge{}, fleet.StoredLine{}, fleet.Applied{})
+// eventDecoders reads the events that records may hold, by kind.
+var eventDecoders = map[string]func([]byte) (fleet.Event, error){
+	"List":       decodeEvent[fleet.List],
+	"Alarm":      decodeEvent[fleet.Alarm],
+	"Probed":     decodeEvent[fleet.Probed],
+	"Message":    decodeEvent[fleet.Message],
+	"Joined":     decodeEvent[fleet.Joined],
+	"Left":       decodeEvent[fleet.Left],
+	"Heard":      decodeEvent[fleet.Heard],
+	"Usage":      decodeEvent[fleet.Usage],
+	"SliceUsage": decodeEvent[fleet.SliceUsage],
+	"Charge":     decodeEvent[fleet.Charge],
+	"StoredLine": decodeEvent[fleet.StoredLine],
+	"Applied":    decodeEvent[fleet.Applied],
+}
+
+func decodeEvent[E fleet.Event](text []byte) (fleet.Event, error) {
+	var event E
+	err := json.Unmarshal(text, &event)
+	return event, err
+}
+
+// eventKind gives the kind that an event has on disk, "" for none. Kinds never change: files outlast programs.
+func eventKind(event fleet.Event) string {
+	switch event.(type) {
+	case fleet.List:
+		return "List"
+	case fleet.Alarm:
+		return "Alarm"
+	case fleet.Probed:
+		return "Probed"
+	case fleet.Message:
+		return "Message"
+	case fleet.Joined:
+		return "Joined"
+	case fleet.Left:
+		return "Left"
+	case fleet.Heard:
+		return "Heard"
+	case fleet.Usage:
+		return "Usage"
+	case fleet.SliceUsage:
+		return "SliceUsage"
+	case fleet.Charge:
+		return "Charge"
+	case fleet.StoredLine:
+		return "StoredLine"
+	case fleet.Applied:
+		return "Applied"
+	case fleet.Unconfirmed:
+		return "Unconfirmed"
+	}
+	return ""
+}
 
-func types(of ...any) map[string]reflect.Type {
-	m := map[string]reflect.Type{}
-	for _, v := range of {
-		m[reflect.TypeOf(v).Name()] = reflect.TypeOf(v)
+// orderKind gives the kind that an order has on disk, "" for none.
+func orderKind(order fleet.Order) string {
+	switch order.(type) {
+	case fleet.SetAlarm:
+		return "SetAlarm"
+	case fleet.Probe:
+		return "Probe"
+	case fleet.Tell:
+		return "Tell"
+	case fleet.Log:
+		return "Log"
+	case fleet.Watch:
+		return "Watch"
+	case fleet.Fetch:
+		return "Fetch"
+	case fleet.Share:
+		return "Share"
+	case fleet.Clear:
+		return "Clear"
+	case fleet.Withdraw:
+		return "Withdraw"
+	case fleet.Bind:
+		return "Bind"
+	case fleet.Level:
+		return "Level"
+	case fleet.Mark:
+		return "Mark"
 	}
-	return m
+	return ""
 }
 
-func item(v any) (Item, error) {
+func eventItem(event fleet.Event) (Item, error) { return item(eventKind(event), event) }
+
+func orderItem(order fleet.Order) (Item, error) { return item(orderKind(order), order) }
+
+func item(kind string, v any) (Item, error) {
+	if kind == "" {
+		return Item{}, fmt.Errorf("records: %T has no kind", v)
+	}
 	text, err := json.Marshal(v)
 	if err != nil {
 		return Item{}, fmt.Errorf("records: %T: %w", v, err)
 	}
-	return Item{reflect.TypeOf(v).Name(), text}, nil
+	return Item{kind, text}, nil
 }
 
 // Writer writes records. After an error it writes no more; Err tells it.
@@ -99,12 +180,12 @@
 		s.Names[w.known] = name(w.known)
 	}
 	for _, e := range events {
-		it, err := item(e)
+		it, err := eventItem(e)
 		w.err = errors.Join(w.err, err)
 		s.Events = append(s.Events, it)
 	}
 	for _, o := range orders {
-		it, err := item(o)
+		it, err := orderItem(o)
 		w.err = errors.Join(w.err, err)
 		s.Orders = append(s.Orders, it)
 	}
@@ -169,15 +250,15 @@
 	}
 	var events []fleet.Event
 	for i, it := range s.Events {
-		t, ok := eventTypes[it.Is]
+		decode, ok := eventDecoders[it.Is]
 		if !ok {
 			return s, nil, fmt.Errorf("%s:%d: event %d: %q is no event", r.name, r.line, i, it.Is)
 		}
-		v := reflect.New(t)
-		if err := json.Unmarshal(it.V, v.Interface()); err != nil {
+		event, err := decode(it.V)
+		if err != nil {
 			return s, nil, fmt.Errorf("%s:%d: event %d: %w", r.name, r.line, i, err)
 		}
-		events = append(events, v.Elem().Interface().(fleet.Event))
+		events = append(events, event)
 	}
 	return s, events, nil
 }
@@ -205,7 +286,7 @@
 		for i := range max(len(got), len(s.Orders)) {
 			var have, want Item
 			if i < len(got) {
-				if have, err = item(got[i]); err != nil {
+				if have, err = orderItem(got[i]); err != nil {
 					return steps, orders, err
 				}
 			}
--- a/records/records_test.go
+++ b/records/records_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"math/rand"
 	"os"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -145,13 +146,40 @@
 		`{"Table":65535,"Classes":2,"Amount":4,"Retry":3}`: fleet.Level{Table: fleet.EveryTable, Classes: 2, Amount: 4, Retry: fleet.RetryTwice},
 		`{"ID":12,"All":true}`:                             fleet.Mark{ID: 12, All: true},
 	} {
-		it, err := item(order)
+		it, err := orderItem(order)
 		if err != nil || string(it.V) != want {
 			t.Errorf("%T: %s, %v; want %s", order, it.V, err, want)
 		}
 	}
 }
 
+// TestRecordedTypesHaveTags: what is written by a field's Go name would change on disk when the field is renamed.
+func TestRecordedTypesHaveTags(t *testing.T) {
+	seen := map[reflect.Type]bool{}
+	var look func(of reflect.Type)
+	look = func(of reflect.Type) {
+		for of.Kind() == reflect.Slice || of.Kind() == reflect.Pointer || of.Kind() == reflect.Map {
+			of = of.Elem()
+		}
+		if of.Kind() != reflect.Struct || seen[of] {
+			return
+		}
+		seen[of] = true
+		for i := range of.NumField() {
+			f := of.Field(i)
+			if f.Tag.Get("json") == "" && !f.Anonymous {
+				t.Errorf("%s.%s has no tag", of, f.Name)
+			}
+			look(f.Type)
+		}
+	}
+	for _, v := range []any{Start{}, Step{}, fleet.List{}, fleet.Alarm{}, fleet.Probed{}, fleet.Message{}, fleet.Joined{}, fleet.Left{}, fleet.Heard{},
+		fleet.Usage{}, fleet.SliceUsage{}, fleet.Charge{}, fleet.StoredLine{}, fleet.Applied{}, fleet.Unconfirmed{}, fleet.SetAlarm{}, fleet.Probe{},
+		fleet.Tell{}, fleet.Log{}, fleet.Watch{}, fleet.Fetch{}, fleet.Share{}, fleet.Clear{}, fleet.Withdraw{}, fleet.Bind{}, fleet.Level{}, fleet.Mark{}} {
+		look(reflect.TypeOf(v))
+	}
+}
+
 // TestReaderEndsAndNamesLines: the end is io.EOF; what can't be read is told with file and line.
 func TestReaderEndsAndNamesLines(t *testing.T) {
 	day := recordedDay(t)
--- a/tables/tables.go
+++ b/tables/tables.go
@@ -19,8 +19,8 @@
 // Version orders tables: by the start of the governor that made them, then by a counter. A governor that starts later, or
 // takes over later, has the larger epoch, so that its versions come after all before.
 type Version struct {
-	Epoch uint64 // of the governor's start: nanoseconds of the wall clock
-	Count uint64 // from 1
+	Epoch uint64 `json:"Epoch"` // of the governor's start: nanoseconds of the wall clock
+	Count uint64 `json:"Count"` // from 1
 }
 
 // None is the version of a proxy that holds no table of any governor.
