--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -12,12 +12,12 @@
 	"google.golang.org/protobuf/proto"
 
 	"cressknot/client"
-	"cressknot/fleet"
-	"cressknot/service"
-	overrpc "cressknot/service/rpc"
-	"cressknot/service/text"
-	"cressknot/steer"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/service"
+	overrpc "cressknot/internal/service/rpc"
+	"cressknot/internal/service/text"
+	"cressknot/internal/tableversion"
 )
 
 // bench starts a governor of 700 servers in three classes.
@@ -29,7 +29,7 @@
 		all[i] = i
 	}
 	g.open(1, all...)
-	g.lay(steer.AddLine, steer.In, 128, all...)
+	g.lay(reconcile.AddLine, reconcile.In, 128, all...)
 	return g
 }
 
@@ -62,7 +62,7 @@
 					if via.name == "runtime" { // a watch has a connection of its own; sockets of one process are bounded
 						conn.Close()
 					}
-					holds := tables.None
+					holds := tableversion.None
 					for ctx.Err() == nil {
 						if err := conn.Watch(ctx, "a", holds, func(u *service.Update) error {
 							if holds = u.To; !u.Beat && got.Add(1) == goal.Load() {
@@ -91,7 +91,7 @@
 				for k := range servers {
 					servers[k] = (n*20 + k) % 700
 				}
-				g.lay(steer.SetLine, steer.Stays, int16(n%250+1), servers...)
+				g.lay(reconcile.SetLine, reconcile.Stays, int16(n%250+1), servers...)
 				select {
 				case <-reached:
 				case <-time.After(20 * time.Second):
@@ -111,20 +111,20 @@
 // BenchmarkSizes prints what one change of 20 servers in three classes, and a whole of 700, take on each wire.
 func BenchmarkSizes(b *testing.B) {
 	v := service.NewView("g1", "a", 1, []string{"look", "book", "issue"})
-	var all []steer.Change
+	var all []reconcile.Change
 	for c := range 3 {
 		for s := range 700 {
-			all = append(all, steer.Change{Kind: steer.AddLine, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 128, State: steer.In})
+			all = append(all, reconcile.Change{Kind: reconcile.AddLine, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 128, State: reconcile.In})
 		}
 	}
 	v.Apply(all, names{1000}.Of)
 	from := v.Version()
 	for c := range 3 {
 		for s := range 20 {
-			v.Apply([]steer.Change{{Kind: steer.SetLine, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 64}}, names{1000}.Of)
+			v.Apply([]reconcile.Change{{Kind: reconcile.SetLine, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 64}}, names{1000}.Of)
 		}
 	}
-	for name, u := range map[string]service.Update{"change": v.Since(from), "whole": v.Since(tables.None)} {
+	for name, u := range map[string]service.Update{"change": v.Since(from), "whole": v.Since(tableversion.None)} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
 				b.ReportMetric(float64(proto.Size(overrpc.UpdateTo(&u))), "rpc_bytes")
--- a/client/client.go
+++ b/client/client.go
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"time"
 
-	"cressknot/fleet"
-	"cressknot/service"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/service"
+	"cressknot/internal/tableversion"
 )
 
 // Transport connects to governors over one protocol.
@@ -30,7 +30,7 @@
 	Greet(ctx context.Context, h service.Hello) (service.Hello, error)
 	// Watch gives each update to take until the context ends, the connection breaks or take fails; what take has returned from well is
 	// acknowledged.
-	Watch(ctx context.Context, zone string, holds tables.Version, take func(*service.Update) error) error
+	Watch(ctx context.Context, zone string, holds tableversion.Version, take func(*service.Update) error) error
 	Table(ctx context.Context, zone string) (service.Update, error)
 	Report(ctx context.Context, r *service.Report) (uint64, error)
 	Server(ctx context.Context, name string) (service.ServerState, error)
@@ -51,7 +51,7 @@
 
 	// OnTable hears of each table that is taken in, with how many lines came; OnStream of the watch, whether a governor is
 	// followed. Both may be nil, and must not call back.
-	OnTable  func(version tables.Version, lines int)
+	OnTable  func(version tableversion.Version, lines int)
 	OnStream func(up bool, governor string)
 	Clock    func() fleet.Time // for tests; nil: the system's
 }
@@ -110,7 +110,7 @@
 		cfg.Clock = func() fleet.Time { return fleet.Time(began.UnixNano()) + fleet.Time(time.Since(began)) }
 	}
 	if cfg.OnTable == nil {
-		cfg.OnTable = func(tables.Version, int) {}
+		cfg.OnTable = func(tableversion.Version, int) {}
 	}
 	if cfg.OnStream == nil {
 		cfg.OnStream = func(bool, string) {}
@@ -405,7 +405,7 @@
 // State is what a client goes by.
 type State struct {
 	Governor string // whose table it is
-	Version  tables.Version
+	Version  tableversion.Version
 	ListRev  uint64
 	Up       bool  // a governor is followed now
 	Why      error // why none is
--- a/client/do.go
+++ b/client/do.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"time"
 
-	"cressknot/fleet"
-	"cressknot/service"
+	"cressknot/internal/fleet"
+	"cressknot/internal/service"
 )
 
 // Try is one try of a visit, to be sent to a server. N counts from 0; MayHaveRun tells that an earlier one may have had its effect.
--- a/client/finder.go
+++ b/client/finder.go
@@ -3,8 +3,8 @@
 import (
 	"math/rand/v2"
 
-	"cressknot/fleet"
-	"cressknot/service"
+	"cressknot/internal/fleet"
+	"cressknot/internal/service"
 )
 
 const (
--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -10,12 +10,12 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"cressknot/fleet"
-	"cressknot/service"
-	overrpc "cressknot/service/rpc"
-	"cressknot/service/rpc/pb"
-	"cressknot/service/text"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/service"
+	overrpc "cressknot/internal/service/rpc"
+	"cressknot/internal/service/rpc/pb"
+	"cressknot/internal/service/text"
+	"cressknot/internal/tableversion"
 )
 
 var update = flag.Bool("update", false, "write the golden files of this version, and those of one to come")
@@ -30,7 +30,7 @@
 	of    func(proto.Message) any
 	read  func([]byte) (any, error)
 }{
-	{"update", service.Update{Governor: "g-1", ListRev: 7, Live: true, Zone: "a", From: tables.Version{Epoch: 3, Count: 4}, To: tables.Version{Epoch: 3, Count: 6}, Shut: true, Open: []string{"s1", "s 2"},
+	{"update", service.Update{Governor: "g-1", ListRev: 7, Live: true, Zone: "a", From: tableversion.Version{Epoch: 3, Count: 4}, To: tableversion.Version{Epoch: 3, Count: 6}, Shut: true, Open: []string{"s1", "s 2"},
 		Classes: []service.ClassTable{{Class: "look", Laid: true, Amount: -1, Retry: fleet.RetryIfNeverRan, Digest: 0xfeed, Lines: []service.Line{{Server: "s1", Addr: "x:1", Weight: 256}, {Server: "s2"}}}, {Class: "book", Amount: 500}}},
 		func(v any) proto.Message { u := v.(service.Update); return overrpc.UpdateTo(&u) }, func(v any) []byte { u := v.(service.Update); return text.PrintUpdate(&u) },
 		func() proto.Message { return &pb.Update{} }, func(m proto.Message) any { return overrpc.UpdateOf(m.(*pb.Update)) }, func(b []byte) (any, error) { return text.ReadUpdate(b) }},
@@ -40,7 +40,7 @@
 	{"server", service.ServerState{Name: "s1", Addr: "x:1", Zone: "a", State: "ready", ColdFor: 5, Withdrawn: true, Sight: "mute", Weights: []service.ClassWeight{{Zone: "a", Class: "look", Weight: 9}}, Why: []string{"because; a = b"}},
 		func(v any) proto.Message { return overrpc.ServerTo(v.(service.ServerState)) }, func(v any) []byte { return text.PrintServer(v.(service.ServerState)) },
 		func() proto.Message { return &pb.ServerState{} }, func(m proto.Message) any { return overrpc.ServerOf(m.(*pb.ServerState)) }, func(b []byte) (any, error) { return text.ReadServer(b) }},
-	{"history", service.History{Versions: []service.VersionRow{{Version: tables.Version{Epoch: 3, Count: 4}, Digest: 5, At: -6, Lines: 7, Why: "set by hand"}}},
+	{"history", service.History{Versions: []service.VersionRow{{Version: tableversion.Version{Epoch: 3, Count: 4}, Digest: 5, At: -6, Lines: 7, Why: "set by hand"}}},
 		func(v any) proto.Message { return overrpc.HistoryTo(v.(service.History)) }, func(v any) []byte { return text.PrintHistory(v.(service.History)) },
 		func() proto.Message { return &pb.HistoryReply{} }, func(m proto.Message) any { return overrpc.HistoryOf(m.(*pb.HistoryReply)) }, func(b []byte) (any, error) { return text.ReadHistory(b) }},
 	{"summary", service.Summary{Governor: "g", Program: "1 2", Epoch: 3, ListRev: 4, ListAge: 5, Live: true, Servers: 6, Ready: 5, Cold: 4, Withdrawn: 3, ProxiesUp: 2, ProxiesAll: 1, Watchers: 9},
--- a/client/held.go
+++ b/client/held.go
@@ -5,9 +5,9 @@
 	"maps"
 	"slices"
 
-	"cressknot/fleet"
-	"cressknot/service"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/service"
+	"cressknot/internal/tableversion"
 )
 
 const (
@@ -46,20 +46,20 @@
 	classes  map[string]*heldClass
 	open     map[string]bool // nil: all
 	governor string
-	version  tables.Version
+	version  tableversion.Version
 	listRev  uint64
-	newest   map[string]tables.Version // by governor: told last
-	at       fleet.Time                // of the last word that counted
-	newer    bool                      // some word was written for a newer version of the protocol
+	newest   map[string]tableversion.Version // by governor: told last
+	at       fleet.Time                      // of the last word that counted
+	newer    bool                            // some word was written for a newer version of the protocol
 }
 
 // NewHeld holds nothing.
 func NewHeld() *Held {
-	return &Held{classes: map[string]*heldClass{}, newest: map[string]tables.Version{}}
+	return &Held{classes: map[string]*heldClass{}, newest: map[string]tableversion.Version{}}
 }
 
 // Holds tells which version is held, and of which governor.
-func (h *Held) Holds() (governor string, version tables.Version) { return h.governor, h.version }
+func (h *Held) Holds() (governor string, version tableversion.Version) { return h.governor, h.version }
 
 // ListRev tells by which list it was decided.
 func (h *Held) ListRev() uint64 { return h.listRev }
@@ -71,15 +71,15 @@
 func (h *Held) Newer() bool { return h.newer }
 
 // Asks tells what a watch of a governor asks from: what is held of it, else the whole.
-func (h *Held) Asks(governor string) tables.Version {
+func (h *Held) Asks(governor string) tableversion.Version {
 	if governor == h.governor {
 		return h.version
 	}
-	return tables.None
+	return tableversion.None
 }
 
 // Forget lets the next watch ask for the whole.
-func (h *Held) Forget() { h.version = tables.None }
+func (h *Held) Forget() { h.version = tableversion.None }
 
 // Update takes an update in. Why tells what was wrong with one that isn't taken.
 func (h *Held) Update(now fleet.Time, u *service.Update) (v Verdict, why string) {
@@ -98,7 +98,7 @@
 		h.at, h.listRev = now, u.ListRev
 		return Same, ""
 	}
-	whole := u.From == tables.None
+	whole := u.From == tableversion.None
 	if !whole && (u.Governor != h.governor || u.From != h.version) {
 		return Resync, fmt.Sprintf("a change from version %s, version %s is held", u.From, h.version)
 	}
@@ -135,9 +135,9 @@
 				c.lines[l.Server] = l
 			}
 		}
-		sum := tables.Digest(0)
+		sum := tableversion.Digest(0)
 		for _, l := range c.lines {
-			sum += tables.LineDigest(l.Server, l.Weight)
+			sum += tableversion.LineDigest(l.Server, l.Weight)
 		}
 		if sum != t.Digest {
 			if whole {
--- a/client/pick.go
+++ b/client/pick.go
@@ -4,8 +4,8 @@
 	"math/rand/v2"
 	"sync/atomic"
 
-	"cressknot/fleet"
-	"cressknot/service"
+	"cressknot/internal/fleet"
+	"cressknot/internal/service"
 )
 
 // Node is a server that visits may be sent to. It stays the same while its name and address do.
--- a/client/pure_test.go
+++ b/client/pure_test.go
@@ -12,10 +12,10 @@
 
 	"pgregory.net/rapid"
 
-	"cressknot/fleet"
-	"cressknot/service"
-	"cressknot/steer"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/service"
+	"cressknot/internal/tableversion"
 )
 
 const sec = fleet.Second
@@ -32,13 +32,13 @@
 		told := map[string]bool{} // states, by what shows of them
 		show := func(lines []service.Line) string { return fmt.Sprint(lines) }
 		stateOf := func(v *service.View) string {
-			u := v.Since(tables.None)
+			u := v.Since(tableversion.None)
 			return show(u.Classes[0].Lines)
 		}
 		var late []service.Update
 		highest, heard := uint64(0), fleet.Time(0)
 		deliver := func(u service.Update) {
-			before, version := "", tables.None
+			before, version := "", tableversion.None
 			lines, _, _, _ := h.Lines("look")
 			before = show(lines)
 			_, version = h.Holds()
@@ -70,8 +70,8 @@
 			case 0, 1:
 				id := fleet.ServerID(rapid.IntRange(0, 5).Draw(t, "server"))
 				w := int16(rapid.IntRange(0, 256).Draw(t, "weight"))
-				for _, k := range []steer.Kind{steer.AddLine, steer.SetLine} {
-					v.Apply([]steer.Change{{Kind: k, Server: id, Weight: w, State: steer.State(rapid.IntRange(1, 3).Draw(t, "state"))}}, nameOf)
+				for _, k := range []reconcile.Kind{reconcile.AddLine, reconcile.SetLine} {
+					v.Apply([]reconcile.Change{{Kind: k, Server: id, Weight: w, State: reconcile.State(rapid.IntRange(1, 3).Draw(t, "state"))}}, nameOf)
 				}
 				told[stateOf(v)] = true
 			case 2:
@@ -92,7 +92,7 @@
 		}
 		now += olderAfter
 		views[0].Facts(service.Facts{ListRev: revs[0]})
-		u := views[0].Since(tables.None)
+		u := views[0].Since(tableversion.None)
 		if verdict, why := h.Update(now, &u); verdict != Taken {
 			t.Fatalf("the whole is not taken: %s", why)
 		}
@@ -105,9 +105,9 @@
 // TestBrokenUpdates: what makes no sense changes nothing.
 func TestBrokenUpdates(t *testing.T) {
 	v := service.NewView("g", "a", 5, []string{"look"})
-	v.Apply([]steer.Change{{Kind: steer.AddLine, Server: 1, Weight: 9, State: steer.In}}, nameOf)
+	v.Apply([]reconcile.Change{{Kind: reconcile.AddLine, Server: 1, Weight: 9, State: reconcile.In}}, nameOf)
 	h := NewHeld()
-	good := v.Since(tables.None)
+	good := v.Since(tableversion.None)
 	if verdict, why := h.Update(sec, &good); verdict != Taken {
 		t.Fatal(why)
 	}
@@ -120,10 +120,10 @@
 		"no address":                      {func(u *service.Update) { u.Classes[0].Lines[0].Addr = "" }, Broken},
 		"no class":                        {func(u *service.Update) { u.Classes[0].Class = "" }, Broken},
 		"too many lines":                  {func(u *service.Update) { u.Classes[0].Lines = make([]service.Line, linesMost+1) }, Broken},
-		"a change from elsewhere":         {func(u *service.Update) { u.From = tables.Version{Epoch: 4, Count: 1} }, Resync},
-		"an older version":                {func(u *service.Update) { u.To = tables.Version{Epoch: 4, Count: 1} }, Behind},
+		"a change from elsewhere":         {func(u *service.Update) { u.From = tableversion.Version{Epoch: 4, Count: 1} }, Resync},
+		"an older version":                {func(u *service.Update) { u.To = tableversion.Version{Epoch: 4, Count: 1} }, Behind},
 	} {
-		u := v.Since(tables.None)
+		u := v.Since(tableversion.None)
 		c.change(&u)
 		if verdict, _ := h.Update(2*sec, &u); verdict != c.want {
 			t.Errorf("%s: verdict %d", name, verdict)
@@ -138,7 +138,7 @@
 // one, without asking for the whole; a whole without a class ends it.
 func TestChanges(t *testing.T) {
 	v := service.NewView("g", "a", 5, []string{"look", "book"})
-	v.Apply([]steer.Change{{Kind: steer.AddLine, Server: 1, Weight: 9, State: steer.In}, {Kind: steer.AddLine, Class: 1, Server: 1, Weight: 9, State: steer.In}}, nameOf)
+	v.Apply([]reconcile.Change{{Kind: reconcile.AddLine, Server: 1, Weight: 9, State: reconcile.In}, {Kind: reconcile.AddLine, Class: 1, Server: 1, Weight: 9, State: reconcile.In}}, nameOf)
 	h := NewHeld()
 	held := func() string {
 		look, _, _, _ := h.Lines("look")
@@ -151,9 +151,9 @@
 			t.Errorf("%d: %s", verdict, why)
 		}
 	}
-	take(v.Since(tables.None), Taken)
+	take(v.Since(tableversion.None), Taken)
 	before, from := held(), v.Version()
-	v.Apply([]steer.Change{{Kind: steer.SetLine, Server: 1, Weight: 4}, {Kind: steer.AddLine, Server: 2, Weight: 4, State: steer.In}}, nameOf)
+	v.Apply([]reconcile.Change{{Kind: reconcile.SetLine, Server: 1, Weight: 4}, {Kind: reconcile.AddLine, Server: 2, Weight: 4, State: reconcile.In}}, nameOf)
 	wrong := v.Since(from)
 	wrong.Classes[0].Digest++
 	if take(wrong, Resync); held() != before {
@@ -163,16 +163,16 @@
 
 	next := service.NewView("g", "a", 6, []string{"look", "book"})
 	next.Facts(service.Facts{Open: []string{"s1"}})
-	take(next.Since(tables.None), Taken)
+	take(next.Since(tableversion.None), Taken)
 	if is := held(); is != "[{s1 x:1 4}] [{s1 x:1 9}] true" {
 		t.Errorf("holds %s, s1 alone is open", is)
 	}
 	from = next.Version()
-	next.Apply([]steer.Change{{Kind: steer.AddLine, Server: 3, Weight: 7, State: steer.In}}, nameOf)
+	next.Apply([]reconcile.Change{{Kind: reconcile.AddLine, Server: 3, Weight: 7, State: reconcile.In}}, nameOf)
 	if take(next.Since(from), Taken); held() != "[{s3 x:3 7}] [{s1 x:1 9}] true" {
 		t.Errorf("holds %s", held())
 	}
-	one := next.Since(tables.None)
+	one := next.Since(tableversion.None)
 	one.Classes = one.Classes[:1]
 	if take(one, Taken); held() != "[{s3 x:3 7}] [] false" {
 		t.Errorf("holds %s", held())
--- a/client/rpc/rpc.go
+++ b/client/rpc/rpc.go
@@ -11,10 +11,10 @@
 	"google.golang.org/grpc/keepalive"
 
 	"cressknot/client"
-	"cressknot/service"
-	"cressknot/service/rpc"
-	"cressknot/service/rpc/pb"
-	"cressknot/tables"
+	"cressknot/internal/service"
+	"cressknot/internal/service/rpc"
+	"cressknot/internal/service/rpc/pb"
+	"cressknot/internal/tableversion"
 )
 
 // New makes a client whose governors are asked over gRPC at host:port.
@@ -87,7 +87,7 @@
 	return got(p, err, rpc.SummaryOf)
 }
 
-func (c *conn) Watch(ctx context.Context, zone string, holds tables.Version, take func(*service.Update) error) error {
+func (c *conn) Watch(ctx context.Context, zone string, holds tableversion.Version, take func(*service.Update) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream, err := c.to.Watch(ctx)
--- a/client/runtime/runtime.go
+++ b/client/runtime/runtime.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"cressknot/client"
-	"cressknot/runtimeapi"
-	"cressknot/service"
-	"cressknot/service/text"
-	"cressknot/tables"
+	"cressknot/internal/haproxyapi"
+	"cressknot/internal/service"
+	"cressknot/internal/service/text"
+	"cressknot/internal/tableversion"
 )
 
 const readBytes = 64 << 10
@@ -42,7 +42,7 @@
 // line is one connection.
 type line struct {
 	net.Conn
-	answers runtimeapi.Answers
+	answers haproxyapi.Answers
 	buffer  []byte
 	ready   [][]byte
 }
@@ -148,7 +148,7 @@
 	return text, err
 }
 
-func request(words ...string) []byte { return append(runtimeapi.AppendCommand(nil, words...), '\n') }
+func request(words ...string) []byte { return append(haproxyapi.AppendCommand(nil, words...), '\n') }
 
 // got reads an answer.
 func got[T any](text []byte, err error, read func([]byte) (T, error)) (v T, fault error) {
@@ -182,7 +182,7 @@
 const payloadEnd = "end-of-batch" // no row reads like it
 
 func (c *conn) Report(ctx context.Context, r *service.Report) (uint64, error) {
-	q := runtimeapi.AppendCommand(nil, "report", r.Zone, strconv.FormatUint(r.Session, 16), strconv.FormatUint(r.Seq, 10))
+	q := haproxyapi.AppendCommand(nil, "report", r.Zone, strconv.FormatUint(r.Session, 16), strconv.FormatUint(r.Seq, 10))
 	q = append(append(q, " <<"+payloadEnd+"\n"...), text.PrintReport(r)...)
 	answer, err := c.question(ctx, append(q, payloadEnd+"\n"...))
 	return got(answer, err, text.ReadCounted)
@@ -203,7 +203,7 @@
 	return got(answer, err, text.ReadSummary)
 }
 
-func (c *conn) Watch(ctx context.Context, zone string, holds tables.Version, take func(*service.Update) error) error {
+func (c *conn) Watch(ctx context.Context, zone string, holds tableversion.Version, take func(*service.Update) error) error {
 	l, err := c.dial(ctx)
 	if err != nil {
 		return err
@@ -221,7 +221,7 @@
 		_ = l.SetDeadline(time.Time{})
 	}
 	from := "-"
-	if holds != tables.None {
+	if holds != tableversion.None {
 		from = holds.String()
 	}
 	if _, err := l.Write(request("watch", "table", zone, from)); err != nil {
--- a/client/suite_test.go
+++ b/client/suite_test.go
@@ -15,14 +15,14 @@
 	"cressknot/client"
 	"cressknot/client/rpc"
 	"cressknot/client/runtime"
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/internal/standin"
-	"cressknot/service"
-	overrpc "cressknot/service/rpc"
-	"cressknot/service/text"
-	"cressknot/steer"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/service"
+	overrpc "cressknot/internal/service/rpc"
+	"cressknot/internal/service/text"
+	"cressknot/internal/tableversion"
+	"cressknot/internal/testing/fakes"
+	"cressknot/internal/transport"
 )
 
 const waitMost = 30 * time.Second // for anything that must happen: a loaded machine's worst
@@ -66,7 +66,7 @@
 		return nil, &service.Fault{Code: service.NoClass, Text: "no class"}
 	}
 	for i := range most {
-		rows = append(rows, service.VersionRow{Version: tables.Version{Epoch: 9, Count: uint64(i + 1)}, Digest: tables.Digest(i), At: fleet.Time(i), Lines: i, Why: "by hand"})
+		rows = append(rows, service.VersionRow{Version: tableversion.Version{Epoch: 9, Count: uint64(i + 1)}, Digest: tableversion.Digest(i), At: fleet.Time(i), Lines: i, Why: "by hand"})
 	}
 	return rows, nil
 }
@@ -82,7 +82,7 @@
 	fronts  [2]interface{ Close(context.Context) error }
 	addrs   [2]string
 	mu      sync.Mutex
-	events  []front.Event
+	events  []transport.Event
 	seq     uint64
 	stopped bool
 }
@@ -93,7 +93,7 @@
 	began := time.Now()
 	g.hub = service.NewHub(service.HubOptions{Governor: name, Epoch: epoch, Zones: []service.Zone{{Name: "a"}}, Classes: classes, Names: names{1000}, Minor: minor,
 		Now: func() fleet.Time { return fleet.Time(began.UnixNano()) + fleet.Time(time.Since(began)) }})
-	if err := g.hub.Start(context.Background(), func(e front.Event) {
+	if err := g.hub.Start(context.Background(), func(e transport.Event) {
 		g.mu.Lock()
 		g.events = append(g.events, e)
 		g.mu.Unlock()
@@ -127,12 +127,12 @@
 }
 
 // lay gives servers weights in all classes, as one message.
-func (g *governor) lay(kind steer.Kind, state steer.State, weight int16, servers ...int) {
+func (g *governor) lay(kind reconcile.Kind, state reconcile.State, weight int16, servers ...int) {
 	g.seq++
-	m := steer.Message{Seq: g.seq}
+	m := reconcile.Message{Seq: g.seq}
 	for c := range classes {
 		for _, s := range servers {
-			m.Changes = append(m.Changes, steer.Change{Kind: kind, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: weight, State: state})
+			m.Changes = append(m.Changes, reconcile.Change{Kind: kind, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: weight, State: state})
 		}
 	}
 	g.hub.Send(m)
@@ -151,7 +151,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, e := range g.events {
-		if _, is := e.(front.Answer); is {
+		if _, is := e.(transport.Answer); is {
 			n++
 		}
 	}
@@ -161,7 +161,7 @@
 // pair is a library on each protocol, each behind a relay of its own.
 type pair struct {
 	t      *testing.T
-	relays [2]*standin.Relay
+	relays [2]*fakes.Relay
 	of     [2]*client.Client
 }
 
@@ -169,7 +169,7 @@
 	t.Helper()
 	p := &pair{t: t}
 	for i, via := range transports {
-		r, err := standin.NewRelay(governors[0].addrs[i])
+		r, err := fakes.NewRelay(governors[0].addrs[i])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -257,10 +257,10 @@
 	p.agree("greeted", up)
 	same("nothing is laid", service.Unready, table)
 	g.open(5, 0, 1, 2, 3)
-	g.lay(steer.AddLine, steer.In, 128, 0, 1, 2)
+	g.lay(reconcile.AddLine, reconcile.In, 128, 0, 1, 2)
 	p.agree("laid", shows("s0=128 s1=128 s2=128 "))
-	g.lay(steer.SetLine, steer.Drain, -1, 1)
-	g.lay(steer.SetLine, steer.Stays, 64, 2)
+	g.lay(reconcile.SetLine, reconcile.Drain, -1, 1)
+	g.lay(reconcile.SetLine, reconcile.Stays, 64, 2)
 	p.agree("one drains, one is cut", shows("s0=128 s2=64 "))
 	same("the whole", "", table)
 	same("a server", "", func(c *client.Client) (any, error) { return c.Server(ctx, "s1") })
@@ -290,9 +290,9 @@
 		}
 	}
 	same("nobody answers", service.Unreachable, func(c *client.Client) (any, error) { _, err := c.Summary(ctx); return nil, err })
-	g.lay(steer.SetLine, steer.In, -1, 1)
-	g.lay(steer.SetLine, steer.Stays, 32, 2)
-	g.lay(steer.SetLine, steer.Stays, 16, 0)
+	g.lay(reconcile.SetLine, reconcile.In, -1, 1)
+	g.lay(reconcile.SetLine, reconcile.Stays, 32, 2)
+	g.lay(reconcile.SetLine, reconcile.Stays, 16, 0)
 	for _, r := range p.relays {
 		r.Refuse(false)
 	}
@@ -320,7 +320,7 @@
 	p.agree("what was held stands, less what is not open", func(c *client.Client) bool { return shows("s0=16 s2=32 ")(c) && c.State().Newer })
 	g.open(7, 5)
 	p.agree("nobody open: nobody is left without", shows("s0=16 s1=128 s2=32 "))
-	g.lay(steer.AddLine, steer.In, 100, 5, 6)
+	g.lay(reconcile.AddLine, reconcile.In, 100, 5, 6)
 	p.agree("laid anew", shows("s5=100 s6=100 "))
 	if n := g.answered(); n != 1 {
 		t.Errorf("%d messages are answered", n)
@@ -344,7 +344,7 @@
 		g.hub.Poll(0)
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		r := g.events[len(g.events)-1].(front.Polled).Reading
+		r := g.events[len(g.events)-1].(transport.Polled).Reading
 		tries, failed := uint64(0), uint64(0)
 		for _, row := range r.Rows {
 			tries, failed = tries+row.Tries, failed+row.Failed
@@ -363,12 +363,12 @@
 	defer one.stop()
 	defer other.stop()
 	one.open(10, 0, 1)
-	one.lay(steer.AddLine, steer.In, 100, 0)
+	one.lay(reconcile.AddLine, reconcile.In, 100, 0)
 	p := newPair(t, one)
 	defer p.close()
 	p.agree("follows", func(c *client.Client) bool { return c.State().ListRev == 10 })
 	other.open(9, 0, 1)
-	other.lay(steer.AddLine, steer.In, 100, 0, 1)
+	other.lay(reconcile.AddLine, reconcile.In, 100, 0, 1)
 	for i, r := range p.relays {
 		r.To(other.addrs[i])
 		r.Cut()
@@ -378,7 +378,7 @@
 		return s.Governor == "g1" && s.Why != nil && len(c.Lines("look")) == 1
 	})
 	other.open(10, 0, 1)
-	other.lay(steer.SetLine, steer.Stays, 50, 1)
+	other.lay(reconcile.SetLine, reconcile.Stays, 50, 1)
 	p.agree("caught up", func(c *client.Client) bool { return c.State().Governor == "g2" && len(c.Lines("look")) == 2 })
 }
 
@@ -388,7 +388,7 @@
 	g := start(t, "g1", 100, 0)
 	defer g.stop()
 	g.open(1, 0)
-	g.lay(steer.AddLine, steer.In, 100, 0)
+	g.lay(reconcile.AddLine, reconcile.In, 100, 0)
 	p := newPair(t, g)
 	defer p.close()
 	p.agree("follows", func(c *client.Client) bool { return weights(c) != "" })
@@ -430,6 +430,6 @@
 		conn.Close()
 		cancel()
 	}
-	g.lay(steer.SetLine, steer.Stays, 50, 0)
+	g.lay(reconcile.SetLine, reconcile.Stays, 50, 0)
 	p.agree("others go on", func(c *client.Client) bool { return c.State().Up && weights(c) == "s0=50 " })
 }
--- a/client/tries.go
+++ b/client/tries.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const (
--- a/cmd/cressknot/main.go
+++ b/cmd/cressknot/main.go
@@ -12,11 +12,11 @@
 
 	"github.com/spf13/cobra"
 
-	"cressknot/config"
-	"cressknot/guard"
-	"cressknot/records"
-	"cressknot/rolling"
-	"cressknot/serve"
+	"cressknot/internal/config"
+	"cressknot/internal/eventlog"
+	"cressknot/internal/rollingrestart"
+	"cressknot/internal/safety"
+	"cressknot/internal/server"
 )
 
 // usage is an error of the command line itself; the program then exits with 2.
@@ -55,12 +55,12 @@
   cressknot serve --config governor.cue
   cressknot show servers --socket /run/cressknot.sock
   cressknot explain node-07 --socket /run/cressknot.sock`,
-		SilenceErrors: true, SilenceUsage: true, Version: serve.Version,
+		SilenceErrors: true, SilenceUsage: true, Version: server.Version,
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage{err} })
 	root.AddCommand(serveCommand(), nodeCommand(), checkCommand(), showCommand(), topCommand(), explainCommand(), guardCommand(), tableCommand(), storeCommand(), retireCommand(), takeCommand(), planCommand(), rollingCommand(), replayCommand(),
 		&cobra.Command{Use: "version", Short: "Print the version", Args: args(cobra.NoArgs),
-			Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), serve.Version) }})
+			Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), server.Version) }})
 	return root
 }
 
@@ -75,7 +75,7 @@
 			if path == "" {
 				return usage{errors.New("serve needs --config FILE")}
 			}
-			return serve.Governor(path)
+			return server.Governor(path)
 		}}
 	c.Flags().StringVarP(&path, "config", "c", "", "settings: CUE, JSON or YAML")
 	return c
@@ -86,7 +86,7 @@
 		Long: `Run a governor as the platform's variables say, RELAY_CONFIG before all. SIGHUP reads the configuration
 again and goes to its addresses; SIGTERM ends it once the call in the air is done. docs/operate/node.md has more.`,
 		Args: args(cobra.NoArgs),
-		RunE: func(*cobra.Command, []string) error { return serve.Node(os.Getenv) }}
+		RunE: func(*cobra.Command, []string) error { return server.Node(os.Getenv) }}
 }
 
 func checkCommand() *cobra.Command {
@@ -191,7 +191,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := rolling.Ask(addr, words...)
+	text, err := rollingrestart.Ask(addr, words...)
 	if err == nil {
 		_, err = io.WriteString(out, text)
 	}
@@ -217,7 +217,7 @@
 			if err != nil {
 				return err
 			}
-			harms, err := guard.Check(table, tableText, state, stateText)
+			harms, err := safety.Check(table, tableText, state, stateText)
 			if err != nil {
 				return err
 			}
@@ -272,7 +272,7 @@
 				return err
 			}
 			defer f.Close()
-			steps, orders, err := records.Replay(a[0], f)
+			steps, orders, err := eventlog.Replay(a[0], f)
 			fmt.Fprintf(c.OutOrStdout(), "%d steps, %d orders the same\n", steps, orders)
 			return err
 		}}
--- a/cmd/cressknot/sharing.go
+++ b/cmd/cressknot/sharing.go
@@ -12,9 +12,9 @@
 
 	"github.com/spf13/cobra"
 
-	"cressknot/assign"
-	"cressknot/config"
-	"cressknot/rolling"
+	"cressknot/internal/config"
+	"cressknot/internal/lease"
+	"cressknot/internal/rollingrestart"
 )
 
 // Commands about governors that share proxies.
@@ -37,7 +37,7 @@
 		if err != nil {
 			return err
 		}
-		return rolling.Until(c.Context(), path, *wait, rolling.Members.HandedOn)
+		return rollingrestart.Until(c.Context(), path, *wait, rollingrestart.Members.HandedOn)
 	}
 	return c
 }
@@ -77,7 +77,7 @@
 			return usage{errors.New("nobody is left")}
 		}
 		shares := s.Shares()
-		before, after := assign.Plan(shares, s.Sharing.Governors), assign.Plan(shares, governors)
+		before, after := lease.Plan(shares, s.Sharing.Governors), lease.Plan(shares, governors)
 		visits, proxies, moved := map[string]float64{}, map[string]int{}, 0
 		for _, p := range shares {
 			g := after[p.Proxy][0]
@@ -110,7 +110,7 @@
 		if len(*sockets) == 0 {
 			return usage{errors.New("rolling needs --sockets")}
 		}
-		return rolling.Restart(c.Context(), *sockets, *within, func(ctx context.Context, socket string) error {
+		return rollingrestart.Restart(c.Context(), *sockets, *within, func(ctx context.Context, socket string) error {
 			run := exec.CommandContext(ctx, command[0], command[1:]...)
 			run.Env = append(os.Environ(), "CRESSKNOT_SOCKET="+socket)
 			run.Stdout, run.Stderr = c.OutOrStdout(), os.Stderr
--- a/cmd/cressknot/store.go
+++ b/cmd/cressknot/store.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"cressknot/store"
+	"cressknot/internal/store"
 )
 
 // storeCommand looks at the store of a governor that is stopped, or copies it.
--- a/cmd/drill/main.go
+++ b/cmd/faultdrill/main.go
@@ -14,8 +14,8 @@
 
 	"github.com/spf13/cobra"
 
-	"cressknot/internal/drill"
-	"cressknot/serve"
+	"cressknot/internal/server"
+	"cressknot/internal/testing/scenario"
 )
 
 var errBroken = errors.New("a rule broke")
@@ -37,7 +37,7 @@
 	c := &cobra.Command{
 		Use:   "drill [DAY]",
 		Short: "Play a scripted bad day through real governors and judge the rules",
-		Long: `Play a day: one that the program holds (` + strings.Join(drill.Days(), ", ") + `) or a day file.
+		Long: `Play a day: one that the program holds (` + strings.Join(scenario.Days(), ", ") + `) or a day file.
 Stand-ins and governors run on loopback only and end with the day. Exit code 1 when a rule broke.`,
 		Args: cobra.MaximumNArgs(1), SilenceErrors: true, SilenceUsage: true,
 		RunE: func(c *cobra.Command, args []string) error {
@@ -45,7 +45,7 @@
 			if len(args) > 0 {
 				name = args[0]
 			}
-			day, err := drill.Load(name)
+			day, err := scenario.Load(name)
 			if err != nil {
 				return err
 			}
@@ -68,12 +68,12 @@
 			if err != nil {
 				return err
 			}
-			o := drill.Options{Day: day, Keep: keep, Records: records,
+			o := scenario.Options{Day: day, Keep: keep, Records: records,
 				Launch: func(config string) *exec.Cmd { return exec.Command(self, "governor", config) }}
 			if !quiet {
 				o.Progress = os.Stderr
 			}
-			r, err := drill.Play(c.Context(), o)
+			r, err := scenario.Play(c.Context(), o)
 			if !quiet {
 				fmt.Fprintln(os.Stderr)
 			}
@@ -107,6 +107,6 @@
 	f.IntVar(&governors, "governors", 0, "governors, in place of the day's")
 	f.Float64Var(&visits, "visits", 0, "visits a second, in place of the day's")
 	c.AddCommand(&cobra.Command{Use: "governor CONFIG", Hidden: true, Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, a []string) error { return serve.Governor(a[0]) }})
+		RunE: func(_ *cobra.Command, a []string) error { return server.Governor(a[0]) }})
 	return c
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -9,9 +9,9 @@
 	"io"
 	"os"
 
-	"cressknot/fleet"
-	"cressknot/internal/wire"
-	"cressknot/logic"
+	"cressknot/internal/balancer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/simwire"
 )
 
 func main() {
@@ -24,20 +24,20 @@
 // hosted is one instance and what the current batch holds for it.
 type hosted struct {
 	id       fleet.GovernorID
-	governor *logic.Governor
+	governor *balancer.Governor
 	events   []fleet.Event
 	waiting  bool // has its place in the order of this batch
 }
 
 type host struct {
-	out       wire.Writer
+	out       simwire.Writer
 	instances map[fleet.GovernorID]*hosted
 	turn      []*hosted // instances with events in this batch, in order of their first
 }
 
 // serve answers every batch until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	reader := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
+	reader := simwire.NewReader(bufio.NewReaderSize(in, 1<<16))
 	h := host{instances: make(map[fleet.GovernorID]*hosted)}
 	for {
 		batch, err := reader.Next()
@@ -57,20 +57,20 @@
 	}
 }
 
-func (h *host) answer(batch wire.Batch) ([]byte, error) {
+func (h *host) answer(batch simwire.Batch) ([]byte, error) {
 	h.out.Begin()
 	h.turn = h.turn[:0]
 	for _, item := range batch.Items {
 		switch what := item.What.(type) {
-		case wire.Start:
-			site, err := wire.ParseSite(what.Options)
+		case simwire.Start:
+			site, err := simwire.ParseSite(what.Options)
 			if err != nil {
 				return nil, fmt.Errorf("governor %d: %w", item.Governor, err)
 			}
-			fresh := &hosted{id: item.Governor, governor: logic.New(site, what.Seed), waiting: true}
+			fresh := &hosted{id: item.Governor, governor: balancer.New(site, what.Seed), waiting: true}
 			h.instances[item.Governor] = fresh
 			h.turn = append(h.turn, fresh)
-		case wire.Stop:
+		case simwire.Stop:
 			// A dead instance orders nothing more, whatever it heard earlier in this batch.
 			if old := h.instances[item.Governor]; old != nil {
 				old.governor, old.events = nil, nil
--- a/logic/beliefs.go
+++ b/internal/balancer/beliefs.go
@@ -1,6 +1,6 @@
-package logic
+package balancer
 
-import "cressknot/fleet"
+import "cressknot/internal/fleet"
 
 // Beliefs tells what the governor makes of each server that is ready.
 func (g *Governor) Beliefs() (told []fleet.Belief) {
--- a/logic/digest_test.go
+++ b/internal/balancer/digest_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"crypto/sha256"
@@ -10,7 +10,7 @@
 	"math/rand"
 	"testing"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // orderDigest sums up a stream of orders. Its encoding depends on no name of a Go type or field, so that it stays the
--- a/logic/logic.go
+++ b/internal/balancer/logic.go
@@ -1,7 +1,7 @@
 // Package logic decides which servers the proxies of a fleet send their visits to. A host makes a Governor by
 // New(site, seed) and calls Step(now, events) for every batch of events; Step gives the orders to carry out.
 // Site, events and orders live in package fleet. There is no clock, file or net: same events, same orders.
-package logic
+package balancer
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"math"
 	"slices"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const (
--- a/logic/logic_test.go
+++ b/internal/balancer/logic_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"testing/quick"
 	"time"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // quickly runs a property over fixed seeds.
--- a/logic/yard_test.go
+++ b/internal/balancer/yard_test.go
@@ -1,11 +1,11 @@
-package logic
+package balancer
 
 import (
 	"fmt"
 	"math/rand"
 	"slices"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // yard keeps account of the tables that proxies hold by the orders given, and checks the five rules after every
--- a/config/config.go
+++ b/internal/config/config.go
@@ -20,9 +20,9 @@
 	cueformat "cuelang.org/go/cue/format"
 	"cuelang.org/go/encoding/yaml"
 
-	"cressknot/assign"
-	"cressknot/fleet"
-	"cressknot/front"
+	"cressknot/internal/fleet"
+	"cressknot/internal/lease"
+	"cressknot/internal/transport"
 )
 
 //go:embed schema.cue
@@ -457,10 +457,10 @@
 }
 
 // Fleet gives the proxies that this governor serves.
-func (s *Settings) Fleet() []front.Proxy {
-	var all []front.Proxy
+func (s *Settings) Fleet() []transport.Proxy {
+	var all []transport.Proxy
 	for i, p := range s.Proxies {
-		all = append(all, front.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Zone: s.ZoneID(p.Zone), Visits: p.Visits,
+		all = append(all, transport.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Zone: s.ZoneID(p.Zone), Visits: p.Visits,
 			Addr: p.Addr})
 	}
 	return all
@@ -470,29 +470,29 @@
 func (s *Settings) Serves() bool { return s.Service.RPC != "" || s.Service.Text != "" }
 
 // Callers gives what stands for the programs of each zone, one proxy a zone, where the service serves any.
-func (s *Settings) Callers() (all []front.Proxy) {
+func (s *Settings) Callers() (all []transport.Proxy) {
 	if !s.Serves() {
 		return nil
 	}
 	for i, z := range s.Zones {
-		all = append(all, front.Proxy{ID: fleet.ProxyID(len(s.Proxies) + i), Name: "callers." + z, Zone: fleet.ZoneID(i), Visits: s.Service.Visits, Addr: "-"})
+		all = append(all, transport.Proxy{ID: fleet.ProxyID(len(s.Proxies) + i), Name: "callers." + z, Zone: fleet.ZoneID(i), Visits: s.Service.Visits, Addr: "-"})
 	}
 	return all
 }
 
 // Shares gives the proxies as governors plan who serves them.
-func (s *Settings) Shares() (all []assign.Share) {
+func (s *Settings) Shares() (all []lease.Share) {
 	for _, p := range s.Proxies {
-		all = append(all, assign.Share{Proxy: p.Name, Visits: p.Visits})
+		all = append(all, lease.Share{Proxy: p.Name, Visits: p.Visits})
 	}
 	return all
 }
 
 // Backends gives how the classes are called at proxies.
-func (s *Settings) Backends() []front.Class {
-	var all []front.Class
+func (s *Settings) Backends() []transport.Class {
+	var all []transport.Class
 	for _, c := range s.Classes {
-		all = append(all, front.Class{Name: c.Name, Backend: c.Backend})
+		all = append(all, transport.Class{Name: c.Name, Backend: c.Backend})
 	}
 	return all
 }
--- a/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const small = `name: "g1"
--- a/config/relay.go
+++ b/internal/config/relay.go
@@ -10,9 +10,9 @@
 	"os"
 	"strconv"
 
-	"cressknot/fleet"
-	"cressknot/internal/wire"
-	"cressknot/list"
+	"cressknot/internal/discovery"
+	"cressknot/internal/fleet"
+	"cressknot/internal/simwire"
 )
 
 // namesMost is the longest name of a zone or kind, in bytes: DNS has 253, and a collector's first message is bounded.
@@ -29,7 +29,7 @@
 	Cores     float64
 	MemoryMB  int
 	Sockets   int
-	Known     list.Document // the list as this governor last had it
+	Known     discovery.Document // the list as this governor last had it
 	Site      fleet.Site
 }
 
@@ -77,7 +77,7 @@
 		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &o); err != nil {
-		return nil, wire.JSONFault(err)
+		return nil, simwire.JSONFault(err)
 	}
 	for _, stand := range []struct {
 		key  *string
@@ -109,14 +109,14 @@
 	if r.Seed, err = strconv.ParseUint(o.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("key seed: %.40q is not a number in hexadecimal", o.Seed)
 	}
-	if r.Site, err = wire.ParseSite(o.Settings); err != nil {
+	if r.Site, err = simwire.ParseSite(o.Settings); err != nil {
 		return nil, err
 	}
 	if err := servable(r.Site); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if len(o.Known) > 0 && string(o.Known) != "null" {
-		p := list.Platform{Zones: r.Site.Zones, Kinds: r.Site.Kinds}
+		p := discovery.Platform{Zones: r.Site.Zones, Kinds: r.Site.Kinds}
 		doc, err := p.Decode(o.Known)
 		if err != nil {
 			return nil, fmt.Errorf("key known: %w", err)
--- a/governor/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/list"
-	"cressknot/reports"
-	"cressknot/steer"
+	"cressknot/internal/discovery"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest/counters"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/transport"
 )
 
 // BenchmarkLoop runs the whole loop, without sockets, at a fleet's size: each op is a second of its life with polls of
@@ -30,23 +30,23 @@
 					{Value: 2, Expected: fleet.Second, HardStop: 4 * fleet.Second, Effect: fleet.Keyed, Window: 5 * fleet.Second},
 					{Value: 2, Expected: 2 * fleet.Second, HardStop: 6 * fleet.Second, Effect: fleet.Unsafe}}}
 			names := NewNames()
-			var all []front.Proxy
+			var all []transport.Proxy
 			for i := range proxies {
-				all = append(all, front.Proxy{ID: fleet.ProxyID(i), Name: fmt.Sprint("p", i), Zone: fleet.ZoneID(i % 4), Visits: 3})
+				all = append(all, transport.Proxy{ID: fleet.ProxyID(i), Name: fmt.Sprint("p", i), Zone: fleet.ZoneID(i % 4), Visits: 3})
 			}
 			core := NewCore(site, 1, all, names)
 			core.Guarded()
 			now := 1000 * fleet.Second
-			doc := list.Document{Rev: 1}
+			doc := discovery.Document{Rev: 1}
 			for i := range servers {
-				doc.Servers = append(doc.Servers, list.Server{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: site.Zones[i%4]})
+				doc.Servers = append(doc.Servers, discovery.Server{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: site.Zones[i%4]})
 			}
-			in := []Input{list.Update{Scope: fleet.ListFull, Doc: doc}}
-			counters := make([][]reports.Met, proxies)
-			came := make([][]reports.Came, proxies)
+			in := []Input{discovery.Update{Scope: fleet.ListFull, Doc: doc}}
+			met := make([][]counters.Met, proxies)
+			came := make([][]counters.Came, proxies)
 			for i := range proxies {
-				in = append(in, front.Up{Proxy: fleet.ProxyID(i), Stream: 1, Held: steer.Snapshot{Zone: fleet.ZoneID(i % 4), Weight: 3, Fresh: true}})
-				counters[i], came[i] = make([]reports.Met, servers), make([]reports.Came, 3)
+				in = append(in, transport.Up{Proxy: fleet.ProxyID(i), Stream: 1, Held: reconcile.Snapshot{Zone: fleet.ZoneID(i % 4), Weight: 3, Fresh: true}})
+				met[i], came[i] = make([]counters.Met, servers), make([]counters.Came, 3)
 			}
 			rng := rand.New(rand.NewPCG(1, 1))
 			took, decided := hdrhistogram.New(1000, int64(time.Minute), 3), hdrhistogram.New(1000, int64(time.Minute), 3)
@@ -60,23 +60,23 @@
 				}
 				in = in[:0]
 				for _, m := range out.Messages {
-					in = append(in, front.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
+					in = append(in, transport.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
 				}
 				for _, id := range out.Polls {
 					for range 9 { // visits of a second
 						s := fleet.ServerID(rng.IntN(servers))
-						m := &counters[id][s]
+						m := &met[id][s]
 						m.Tries, m.Good, m.GoodMs, m.HasLoad = m.Tries+1, m.Good+1, m.GoodMs+200, true
 						m.Load[0] = 0.4 + 0.3*rng.Float32()
 						came[id][rng.IntN(3)].Visits++
 					}
-					r := reports.NewReading(3)
+					r := counters.NewReading(3)
 					r.At = now
 					copy(r.Classes, came[id])
-					for s, m := range counters[id] {
+					for s, m := range met[id] {
 						r.Row(fleet.ServerID(s)).Met = m
 					}
-					in = append(in, front.Polled{Proxy: id, Stream: 1, Reading: r})
+					in = append(in, transport.Polled{Proxy: id, Stream: 1, Reading: r})
 				}
 				now = max(now+fleet.Millisecond, min(out.Wake, now+10*fleet.Millisecond))
 			}
--- a/governor/core.go
+++ b/internal/controller/core.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"cmp"
@@ -10,17 +10,17 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cressknot/boot"
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/guard"
-	"cressknot/intake"
-	"cressknot/list"
-	"cressknot/logic"
-	"cressknot/peers"
-	"cressknot/service"
-	"cressknot/steer"
-	"cressknot/store"
+	"cressknot/internal/balancer"
+	"cressknot/internal/discovery"
+	"cressknot/internal/discovery/verification"
+	"cressknot/internal/fleet"
+	"cressknot/internal/gossip"
+	"cressknot/internal/ingest"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/safety"
+	"cressknot/internal/service"
+	"cressknot/internal/store"
+	"cressknot/internal/transport"
 )
 
 const (
@@ -34,22 +34,22 @@
 type Input any
 
 // Pushed are records that servers pushed. The turn keeps none of them.
-type Pushed []intake.Record
+type Pushed []ingest.Record
 
 // Output is what a turn wants done.
 type Output struct {
-	Messages []steer.Message
+	Messages []reconcile.Message
 	Drops    []fleet.ProxyID
 	Polls    []fleet.ProxyID
 	Probes   []fleet.ServerID
 	Watch    *bool // of the list
 	Fetch    bool
-	Proves   []fleet.ServerID // of a kept list: are they there?
-	List     *list.Document   // a whole list that is worth keeping, and when its source stood to it last
+	Proves   []fleet.ServerID    // of a kept list: are they there?
+	List     *discovery.Document // a whole list that is worth keeping, and when its source stood to it last
 	ListAt   fleet.Time
 	Keep     []store.Change // what has to last
 	Logs     []Line
-	News     *peers.News      // for other governors
+	News     *gossip.News     // for other governors
 	Facts    *service.Facts   // what callers of the service are told beside tables, where it has changed
 	Distrust []fleet.ServerID // sources that are not believed from now on
 	Wake     fleet.Time       // next turn at the latest
@@ -73,11 +73,11 @@
 	names     *Names
 	zones     map[string]fleet.ZoneID
 	kinds     map[string]fleet.KindID
-	proxies   map[fleet.ProxyID]front.Proxy
-	module    *logic.Governor
-	plane     *steer.Plane
-	intake    *intake.Intake
-	guard     *guard.Guard // knows what staff are told even where it doesn't judge
+	proxies   map[fleet.ProxyID]transport.Proxy
+	module    *balancer.Governor
+	plane     *reconcile.Plane
+	intake    *ingest.Intake
+	guard     *safety.Guard // knows what staff are told even where it doesn't judge
 	guarded   bool
 	tokens    int
 	broken    map[string]bool
@@ -88,17 +88,17 @@
 	started   fleet.Time
 	epoch     uint64
 	keeper    keeper
-	gate      *boot.Gate
-	doubts    *boot.Doubts
-	live      bool        // the list's source was heard
-	confirmed fleet.Time  // when it stood to its list last
-	listKept  fleet.Time  // what was kept of that
-	heldList  list.Update // by the gate
+	gate      *verification.Gate
+	doubts    *verification.Doubts
+	live      bool             // the list's source was heard
+	confirmed fleet.Time       // when it stood to its list last
+	listKept  fleet.Time       // what was kept of that
+	heldList  discovery.Update // by the gate
 	entries   map[fleet.ServerID]fleet.Entry
-	docs      map[string]list.Server // the whole list as told, for the cache
+	docs      map[string]discovery.Server // the whole list as told, for the cache
 	rev       uint64
-	listed    fleet.Time   // last list
-	board     *peers.Board // nil: no peers are heard
+	listed    fleet.Time    // last list
+	board     *gossip.Board // nil: no peers are heard
 	boardAt   fleet.Time
 	callers   []service.Zone // zones whose programs ask the service
 	factsDue  bool
@@ -116,12 +116,12 @@
 }
 
 // NewCore makes a governor for a site and its proxies.
-func NewCore(site fleet.Site, seed uint64, proxies []front.Proxy, names *Names) *Core {
+func NewCore(site fleet.Site, seed uint64, proxies []transport.Proxy, names *Names) *Core {
 	c := &Core{site: site, names: names, zones: map[string]fleet.ZoneID{}, kinds: map[string]fleet.KindID{},
-		proxies: map[fleet.ProxyID]front.Proxy{}, module: logic.New(site, seed), plane: steer.New(site),
-		intake: intake.New(site), streams: map[fleet.ProxyID]uint64{}, unreached: map[fleet.ProxyID]string{}, started: -1,
-		guard: guard.New(site), keeper: newKeeper(), gate: boot.NewGate(site.DrainGrace),
-		doubts: boot.NewDoubts(site, true), broken: map[string]bool{}, forces: map[string]force{}, entries: map[fleet.ServerID]fleet.Entry{}, docs: map[string]list.Server{}}
+		proxies: map[fleet.ProxyID]transport.Proxy{}, module: balancer.New(site, seed), plane: reconcile.New(site),
+		intake: ingest.New(site), streams: map[fleet.ProxyID]uint64{}, unreached: map[fleet.ProxyID]string{}, started: -1,
+		guard: safety.New(site), keeper: newKeeper(), gate: verification.NewGate(site.DrainGrace),
+		doubts: verification.NewDoubts(site, true), broken: map[string]bool{}, forces: map[string]force{}, entries: map[fleet.ServerID]fleet.Entry{}, docs: map[string]discovery.Server{}}
 	for i, z := range site.Zones {
 		c.zones[z] = fleet.ZoneID(i)
 	}
@@ -144,7 +144,7 @@
 func (c *Core) PushedLoads() { c.intake.PushedLoads() }
 
 // AnswersOnly lets only what proxies meet tell of servers of a kept list: they aren't asked themselves.
-func (c *Core) AnswersOnly() { c.doubts = boot.NewDoubts(c.site, false) }
+func (c *Core) AnswersOnly() { c.doubts = verification.NewDoubts(c.site, false) }
 
 // Epoch tells the epoch of versions; 0 before it has begun.
 func (c *Core) Epoch() uint64 { return c.epoch }
@@ -245,7 +245,7 @@
 	for _, a := range c.plane.Alarms() {
 		if a.Refused != nil {
 			name, _ := c.names.Of(a.Refused.Server)
-			c.log(&out, Line{now, "warn", "guard", "held back: " + guard.Say(*a.Refused, name)})
+			c.log(&out, Line{now, "warn", "guard", "held back: " + safety.Say(*a.Refused, name)})
 			continue
 		}
 		if a.Table {
@@ -270,7 +270,7 @@
 	if len(c.held) > 0 {
 		out.Wake = now
 	}
-	if out.List == nil && c.live && c.confirmed >= c.listKept+boot.ConfirmGap {
+	if out.List == nil && c.live && c.confirmed >= c.listKept+verification.ConfirmGap {
 		out.List = c.document()
 	}
 	if out.List != nil {
@@ -282,7 +282,7 @@
 }
 
 // Settle lets what is in hand leave, without any further decision; idle tells that nothing is left.
-func (c *Core) Settle(now fleet.Time, inputs []Input) (messages []steer.Message, wake fleet.Time, idle bool) {
+func (c *Core) Settle(now fleet.Time, inputs []Input) (messages []reconcile.Message, wake fleet.Time, idle bool) {
 	var out Output
 	c.events = c.events[:0]
 	for _, in := range inputs {
@@ -296,45 +296,45 @@
 func (c *Core) take(now fleet.Time, in Input, out *Output) {
 	stale := func(id fleet.ProxyID, stream uint64) bool { return c.streams[id] != stream }
 	switch in := in.(type) {
-	case front.Up:
+	case transport.Up:
 		c.streams[in.Proxy] = in.Stream
-		c.after(now, steer.LatestEpoch(in.Held.Stamps), out)
+		c.after(now, reconcile.LatestEpoch(in.Held.Stamps), out)
 		delete(c.unreached, in.Proxy)
 		c.plane.Join(now, in.Proxy, in.Held)
 		c.intake.Join(now, in.Proxy, in.Held.Zone, in.Held.Fresh)
 		c.log(out, Line{now, "info", "proxy", fmt.Sprintf("proxy %s joined: %d lines held, fresh %v",
 			c.proxies[in.Proxy].Name, len(in.Held.Lines), in.Held.Fresh)})
-	case front.Down:
+	case transport.Down:
 		if !stale(in.Proxy, in.Stream) {
 			delete(c.streams, in.Proxy)
 			c.plane.Leave(in.Proxy)
 			c.intake.Leave(in.Proxy)
 			c.log(out, Line{now, "warn", "proxy", fmt.Sprintf("proxy %s left: %v", c.proxies[in.Proxy].Name, in.Why)})
 		}
-	case front.Unreached:
+	case transport.Unreached:
 		if why := in.Why.Error(); c.unreached[in.Proxy] != why { // once for each reason
 			c.unreached[in.Proxy] = why
 			c.log(out, Line{now, "warn", "proxy", fmt.Sprintf("proxy %s can't be reached: %s", c.proxies[in.Proxy].Name, why)})
 		}
-	case front.Progress:
+	case transport.Progress:
 		if !stale(in.Proxy, in.Stream) {
 			c.plane.Progress(now, in.Proxy)
 		}
-	case front.Answer:
+	case transport.Answer:
 		if !stale(in.Proxy, in.Stream) {
 			c.plane.Answer(now, in.Proxy, in.Seq, in.Failures)
 		}
-	case front.Polled:
+	case transport.Polled:
 		if !stale(in.Proxy, in.Stream) {
 			c.intake.Polled(now, in.Proxy, in.Reading)
 			c.plane.Seen(now, in.Proxy, in.Reading.Lines)
 			in.Reading.Release()
 		}
-	case list.Update:
+	case discovery.Update:
 		c.list(now, in, out)
 	case Proof:
 		c.doubts.Asked(now, in.Server, in.Of)
-	case peers.News:
+	case gossip.News:
 		if c.board != nil {
 			if err := c.board.Hear(now, in); err != nil {
 				c.log(out, Line{now, "warn", "peers", err.Error()})
@@ -393,7 +393,7 @@
 }
 
 // list turns names into ids and hands the list on.
-func (c *Core) list(now fleet.Time, u list.Update, out *Output) {
+func (c *Core) list(now fleet.Time, u discovery.Update, out *Output) {
 	if u.Err == nil {
 		c.listErr = ""
 	} else if why := u.Err.Error(); why != c.listErr { // once for each reason: it may be away for hours
@@ -420,13 +420,13 @@
 	if u.Scope == fleet.ListDelta && c.heldList.Scope == fleet.ListFull && c.heldList.Doc.Rev > 0 { // it goes on from the one held
 		c.gate.Drop()
 		c.takeList(now, c.heldList, out)
-		c.heldList = list.Update{}
+		c.heldList = discovery.Update{}
 	}
 	c.takeList(now, u, out)
 }
 
 // gated tells whether a whole list is held back, as it names too few to be believed at once.
-func (c *Core) gated(now fleet.Time, u list.Update, out *Output) bool {
+func (c *Core) gated(now fleet.Time, u discovery.Update, out *Output) bool {
 	stay, digest := 0, xxhash.New()
 	for _, s := range u.Doc.Servers {
 		if _, known := c.docs[s.Name]; known && s.State != "gone" {
@@ -435,8 +435,8 @@
 		_, _ = fmt.Fprintln(digest, s.Name, s.State)
 	}
 	known := len(c.docs) - c.doubts.Refuted() // those are known to be gone already
-	if c.gate.Whole(now, known, stay, digest.Sum64()) == boot.Take {
-		c.heldList = list.Update{}
+	if c.gate.Whole(now, known, stay, digest.Sum64()) == verification.Take {
+		c.heldList = discovery.Update{}
 		return false
 	}
 	c.heldList = u
@@ -451,12 +451,12 @@
 	if obey {
 		c.log(out, Line{now, "warn", "list", fmt.Sprintf("rev %d is obeyed: nothing better came", c.heldList.Doc.Rev)})
 		c.takeList(now, c.heldList, out)
-		c.heldList = list.Update{}
+		c.heldList = discovery.Update{}
 	}
 	return wake
 }
 
-func (c *Core) takeList(now fleet.Time, u list.Update, out *Output) {
+func (c *Core) takeList(now fleet.Time, u discovery.Update, out *Output) {
 	l := fleet.List{Scope: u.Scope, Rev: fleet.ListRev(u.Doc.Rev)}
 	if u.Scope != fleet.ListDelta {
 		clear(c.docs)
@@ -509,12 +509,12 @@
 }
 
 // document gives the whole list.
-func (c *Core) document() *list.Document {
-	doc := list.Document{Rev: c.rev}
+func (c *Core) document() *discovery.Document {
+	doc := discovery.Document{Rev: c.rev}
 	for _, s := range c.docs {
 		doc.Servers = append(doc.Servers, s)
 	}
-	slices.SortFunc(doc.Servers, func(a, b list.Server) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(doc.Servers, func(a, b discovery.Server) int { return strings.Compare(a.Name, b.Name) })
 	return &doc
 }
 
@@ -607,4 +607,4 @@
 }
 
 // ProxyViews gives what operators see of the proxies that are joined.
-func (c *Core) ProxyViews() []steer.ProxyView { return c.plane.Proxies() }
+func (c *Core) ProxyViews() []reconcile.ProxyView { return c.plane.Proxies() }
--- a/governor/dark_test.go
+++ b/internal/controller/dark_test.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"context"
@@ -9,13 +9,13 @@
 	"testing"
 	"time"
 
-	"cressknot/boot"
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/list"
-	"cressknot/peers"
-	"cressknot/steer"
-	"cressknot/tables"
+	"cressknot/internal/discovery"
+	"cressknot/internal/discovery/verification"
+	"cressknot/internal/fleet"
+	"cressknot/internal/gossip"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/tableversion"
+	"cressknot/internal/transport"
 )
 
 // dark is a core with two proxies that join fresh, on time of its own. Servers answer asks if they are up; proxies take what they
@@ -25,7 +25,7 @@
 	now  fleet.Time
 	up   map[string]bool
 	held [2]map[string]int16 // by proxy: weights of lines that may be picked
-	doc  *list.Document      // kept last, and its time
+	doc  *discovery.Document // kept last, and its time
 	at   fleet.Time
 	logs []string
 }
@@ -35,7 +35,7 @@
 		DrainGrace: 3 * fleet.Second, LinesPerS: 1e6, BacklogMost: 1e6, ReportsPerS: 500, ReportEvery: fleet.Second, Proxies: 2, BareMost: 5 * fleet.Second,
 		Travel: fleet.Millisecond, TravelMost: 10 * fleet.Millisecond, LoadFields: []fleet.LoadField{fleet.FieldBusy}, Report: fleet.ReportInline}
 	d := &dark{now: 1_000_000 * fleet.Second, up: up, held: [2]map[string]int16{{}, {}}}
-	d.core = NewCore(site, 1, []front.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}}, NewNames())
+	d.core = NewCore(site, 1, []transport.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}}, NewNames())
 	return d
 }
 
@@ -62,22 +62,22 @@
 		for _, m := range out.Messages {
 			for _, c := range m.Changes {
 				name, _ := d.core.names.Of(c.Server)
-				if c.Kind == steer.SetLine || c.Kind == steer.AddLine {
+				if c.Kind == reconcile.SetLine || c.Kind == reconcile.AddLine {
 					if c.Weight >= 0 {
 						d.held[m.Proxy][name] = c.Weight
 					}
-					if c.State == steer.Out || c.State == steer.Drain {
+					if c.State == reconcile.Out || c.State == reconcile.Drain {
 						d.held[m.Proxy][name] = 0
 					}
 				}
 			}
-			next = append(next, front.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
+			next = append(next, transport.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
 		}
 		for _, id := range out.Proves {
 			name, _ := d.core.names.Of(id)
 			p := Proof{Server: id}
 			if d.up[name] {
-				p.Of = boot.Someone
+				p.Of = verification.Someone
 			}
 			next = append(next, p)
 		}
@@ -85,17 +85,17 @@
 }
 
 func (d *dark) join() {
-	d.turn(front.Up{Proxy: 0, Stream: 1, Held: steer.Snapshot{Weight: 5, Fresh: true}}, front.Up{Proxy: 1, Stream: 1, Held: steer.Snapshot{Weight: 5, Fresh: true}})
+	d.turn(transport.Up{Proxy: 0, Stream: 1, Held: reconcile.Snapshot{Weight: 5, Fresh: true}}, transport.Up{Proxy: 1, Stream: 1, Held: reconcile.Snapshot{Weight: 5, Fresh: true}})
 }
 
 func (d *dark) logged(text string) bool {
 	return strings.Contains(strings.Join(d.logs, "\n"), text)
 }
 
-func docOf(rev uint64, names ...string) list.Document {
-	d := list.Document{Rev: rev}
+func docOf(rev uint64, names ...string) discovery.Document {
+	d := discovery.Document{Rev: rev}
 	for i, n := range names {
-		d.Servers = append(d.Servers, list.Server{Name: n, Addr: fmt.Sprint("x:", i), Zone: "a"})
+		d.Servers = append(d.Servers, discovery.Server{Name: n, Addr: fmt.Sprint("x:", i), Zone: "a"})
 	}
 	return d
 }
@@ -106,7 +106,7 @@
 // truncated list on the source's return is measured against those that are left, and held.
 func TestOldListServes(t *testing.T) {
 	d := newDark(map[string]bool{"s0": true, "s1": true, "s2": true, "s3": true})
-	u := list.Update{Scope: fleet.ListCached, Doc: docOf(4, "s0", "s1", "s2", "s3", "g0", "g1", "g2", "g3", "g4", "g5"), At: d.now - aDay}
+	u := discovery.Update{Scope: fleet.ListCached, Doc: docOf(4, "s0", "s1", "s2", "s3", "g0", "g1", "g2", "g3", "g4", "g5"), At: d.now - aDay}
 	d.turn(u)
 	d.join()
 	d.run(d.now+10*fleet.Second, nil)
@@ -117,7 +117,7 @@
 			}
 		}
 	}
-	d.turn(list.Update{Scope: fleet.ListFull, Doc: docOf(5, "s0", "s1", "s2")}) // over half of those that are left
+	d.turn(discovery.Update{Scope: fleet.ListFull, Doc: docOf(5, "s0", "s1", "s2")}) // over half of those that are left
 	if len(d.core.entries) != 3 || d.logged("asked for again") {
 		t.Errorf("%d are listed: %v", len(d.core.entries), d.logs)
 	}
@@ -128,30 +128,30 @@
 func TestSourceFlaps(t *testing.T) {
 	d := newDark(map[string]bool{"s0": true, "s1": true, "s2": true})
 	doc := docOf(4, "s0", "s1", "s2")
-	d.turn(list.Update{Scope: fleet.ListCached, Doc: doc, At: d.now - 3600*fleet.Second})
+	d.turn(discovery.Update{Scope: fleet.ListCached, Doc: doc, At: d.now - 3600*fleet.Second})
 	d.join()
 	d.run(d.now+8*fleet.Second, nil)
 	before := fmt.Sprint(d.held)
 	for i := range 40 {
 		switch i % 4 {
 		case 0:
-			d.turn(list.Update{Scope: fleet.ListFull, Doc: doc})
+			d.turn(discovery.Update{Scope: fleet.ListFull, Doc: doc})
 		case 2:
-			d.turn(list.Update{Scope: fleet.ListDelta, Doc: list.Document{Rev: 4, Changes: true}})
+			d.turn(discovery.Update{Scope: fleet.ListDelta, Doc: discovery.Document{Rev: 4, Changes: true}})
 		default:
-			d.turn(list.Update{Scope: fleet.ListFailed, Err: fmt.Errorf("list: away")})
+			d.turn(discovery.Update{Scope: fleet.ListFailed, Err: fmt.Errorf("list: away")})
 		}
 		d.run(d.now+fleet.Second, nil)
 	}
 	if is := fmt.Sprint(d.held); is != before || strings.Count(strings.Join(d.logs, "\n"), "list: away") > 20 {
 		t.Errorf("from %s to %s\n%v", before, is, d.logs)
 	}
-	if d.doc == nil || d.at < d.now-boot.ConfirmGap-4*fleet.Second {
+	if d.doc == nil || d.at < d.now-verification.ConfirmGap-4*fleet.Second {
 		t.Errorf("kept %.0f s before", (d.now - d.at).Seconds())
 	}
 	kept := d.at
-	d.run(d.now+2*boot.ConfirmGap, func() { d.core.list(d.now, list.Update{Same: true}, &Output{}) })
-	if d.at < kept+boot.ConfirmGap {
+	d.run(d.now+2*verification.ConfirmGap, func() { d.core.list(d.now, discovery.Update{Same: true}, &Output{}) })
+	if d.at < kept+verification.ConfirmGap {
 		t.Error("a source that says that nothing has changed does not count")
 	}
 }
@@ -159,12 +159,12 @@
 // TestEmptyAndLateLists: an empty kept list takes nobody out, one that comes after the source's own is none.
 func TestEmptyAndLateLists(t *testing.T) {
 	d := newDark(nil)
-	d.turn(list.Update{Scope: fleet.ListCached, At: d.now})
+	d.turn(discovery.Update{Scope: fleet.ListCached, At: d.now})
 	if len(d.core.entries) != 0 || !d.logged("the kept list is empty") || d.core.rev != 0 {
 		t.Error(d.logs)
 	}
-	d.turn(list.Update{Scope: fleet.ListFull, Doc: docOf(4, "s0")})
-	d.turn(list.Update{Scope: fleet.ListCached, Doc: docOf(3, "s0", "s1"), At: d.now})
+	d.turn(discovery.Update{Scope: fleet.ListFull, Doc: docOf(4, "s0")})
+	d.turn(discovery.Update{Scope: fleet.ListCached, Doc: docOf(3, "s0", "s1"), At: d.now})
 	if len(d.core.entries) != 1 || d.core.rev != 4 {
 		t.Errorf("%d are listed, rev %d", len(d.core.entries), d.core.rev)
 	}
@@ -174,7 +174,7 @@
 func TestProofs(t *testing.T) {
 	names := NewNames()
 	l := &Loop{names: names, ctx: context.Background(), probe: "/probe", notify: make(chan struct{}, 1), wall: time.Now()}
-	for says, want := range map[string][2]boot.Proof{"a": {boot.Someone, boot.Itself}, "b": {boot.Someone, boot.Another}, "": {boot.Someone, boot.Someone}, "nobody": {}} {
+	for says, want := range map[string][2]verification.Proof{"a": {verification.Someone, verification.Itself}, "b": {verification.Someone, verification.Another}, "": {verification.Someone, verification.Someone}, "nobody": {}} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Server", says) }))
 		names.Listed("a", strings.TrimPrefix(s.URL, "http://"))
 		if says == "nobody" {
@@ -195,15 +195,15 @@
 	l := NewLoop(Parts{Core: newDark(nil).core, Names: NewNames()})
 	for seq := range uint64(1000) {
 		for g := range 200 {
-			l.Peer(peers.News{Governor: fmt.Sprint("g", g), Epoch: 1, Seq: (seq*7)%1000 + 1})
+			l.Peer(gossip.News{Governor: fmt.Sprint("g", g), Epoch: 1, Seq: (seq*7)%1000 + 1})
 		}
 	}
 	inputs, _ := l.collect(0, 0)
-	if len(inputs) != peers.GovernorsMost {
+	if len(inputs) != gossip.GovernorsMost {
 		t.Errorf("a turn takes %d", len(inputs))
 	}
 	for _, in := range inputs {
-		if in.(peers.News).Seq != 1000 {
+		if in.(gossip.News).Seq != 1000 {
 			t.Errorf("%+v is not the newest", in)
 		}
 	}
@@ -216,12 +216,12 @@
 // and so is all that other proxies are told from then on. A version that no clock could have made changes nothing.
 func TestVersionsNeverGoBack(t *testing.T) {
 	d := newDark(nil)
-	d.turn(list.Update{Scope: fleet.ListFull, Doc: docOf(1, "s0", "s1")})
+	d.turn(discovery.Update{Scope: fleet.ListFull, Doc: docOf(1, "s0", "s1")})
 	d.join()
 	d.run(d.now+8*fleet.Second, nil)
 	before := d.core.plane.Book(0).Version()
-	later := tables.Version{Epoch: before.Epoch + 5_000_000_000, Count: 7}
-	d.turn(front.Up{Proxy: 1, Stream: 1, Held: steer.Snapshot{Weight: 5, Stamps: []string{later.String() + "/00"}}})
+	later := tableversion.Version{Epoch: before.Epoch + 5_000_000_000, Count: 7}
+	d.turn(transport.Up{Proxy: 1, Stream: 1, Held: reconcile.Snapshot{Weight: 5, Stamps: []string{later.String() + "/00"}}})
 	if v := d.core.plane.Book(0).Version(); v.Compare(later) <= 0 {
 		t.Errorf("%s is what the proxy is told, %s is what it holds", v, later)
 	}
@@ -230,7 +230,7 @@
 		t.Errorf("%s follows %s at the proxy", v, later)
 	}
 	epoch := d.core.epoch
-	d.turn(front.Up{Proxy: 1, Stream: 1, Held: steer.Snapshot{Weight: 5, Stamps: []string{tables.Version{Epoch: 1<<64 - 1, Count: 7}.String() + "/00", "x"}}})
+	d.turn(transport.Up{Proxy: 1, Stream: 1, Held: reconcile.Snapshot{Weight: 5, Stamps: []string{tableversion.Version{Epoch: 1<<64 - 1, Count: 7}.String() + "/00", "x"}}})
 	if d.core.epoch != epoch {
 		t.Errorf("epoch %d by a version that nobody made", d.core.epoch)
 	}
--- a/governor/doubts.go
+++ b/internal/controller/doubts.go
@@ -1,13 +1,13 @@
-package governor
+package controller
 
 import (
 	"fmt"
 	"strings"
 
-	"cressknot/boot"
-	"cressknot/fleet"
-	"cressknot/list"
-	"cressknot/steer"
+	"cressknot/internal/discovery"
+	"cressknot/internal/discovery/verification"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
 )
 
 // Starting without discovery: what package boot decides of a kept list is carried out here.
@@ -15,11 +15,11 @@
 // Proof is an Input: what came of asking a server of a kept list whether it is there.
 type Proof struct {
 	Server fleet.ServerID
-	Of     boot.Proof
+	Of     verification.Proof
 }
 
 // cached takes a kept list up, unless the source itself was quicker.
-func (c *Core) cached(now fleet.Time, u list.Update, out *Output) {
+func (c *Core) cached(now fleet.Time, u discovery.Update, out *Output) {
 	switch {
 	case c.live:
 		return
@@ -28,18 +28,18 @@
 		return
 	}
 	c.takeList(now, u, out)
-	age, known := boot.Age(now, u.At)
-	var names []boot.Name
+	age, known := verification.Age(now, u.At)
+	var names []verification.Name
 	for id, e := range c.entries {
 		name, addr := c.names.Of(id)
-		names = append(names, boot.Name{Entry: e, Addr: addr, Doubtful: u.Doubtful[name]})
+		names = append(names, verification.Name{Entry: e, Addr: addr, Doubtful: u.Doubtful[name]})
 	}
 	c.doubts.Begin(now, age, names)
 	text := fmt.Sprintf("starts from a list of %d servers that is %.0f s old", len(names), age.Seconds())
 	if !known {
 		text = fmt.Sprintf("starts from a list of %d servers whose age can't be told", len(names))
 	}
-	c.log(out, Line{now, "info", "list", fmt.Sprintf("%s; a name is worth %.2f", text, boot.Trust(age))})
+	c.log(out, Line{now, "info", "list", fmt.Sprintf("%s; a name is worth %.2f", text, verification.Trust(age))})
 }
 
 // doubting carries out what is to be done about servers of a kept list.
@@ -58,9 +58,9 @@
 		c.tell(now, l)
 	}
 	if len(p.Parts) > 0 {
-		var parts []steer.Part
+		var parts []reconcile.Part
 		for _, one := range p.Parts {
-			parts = append(parts, steer.Part(one))
+			parts = append(parts, reconcile.Part(one))
 		}
 		c.plane.Parts(now, parts, "a kept list's names")
 	}
--- a/governor/files_test.go
+++ b/internal/controller/files_test.go
@@ -1,4 +1,4 @@
-package governor_test
+package controller_test
 
 import (
 	"errors"
@@ -12,13 +12,13 @@
 	"testing"
 	"time"
 
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/front/files"
-	"cressknot/governor"
-	"cressknot/internal/rules"
-	"cressknot/internal/standin"
-	"cressknot/steer"
+	"cressknot/internal/controller"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/testing/fakes"
+	"cressknot/internal/testing/invariants"
+	"cressknot/internal/transport"
+	"cressknot/internal/transport/files"
 )
 
 // memoryDir gives a folder in memory where the machine has one: syncing a file may take seconds on a disk that builds
@@ -36,17 +36,17 @@
 // newFolders is a yard whose proxies go by files.
 func newFolders(t *testing.T, proxies, servers int) *yard {
 	t.Helper()
-	y := &yard{t: t, names: governor.NewNames(), watch: rules.NewWatch(), dir: memoryDir(t), start: time.Now()}
+	y := &yard{t: t, names: controller.NewNames(), watch: invariants.NewWatch(), dir: memoryDir(t), start: time.Now()}
 	for i := range proxies {
 		name := fmt.Sprintf("p%d", i)
-		p := standin.NewProxy(standin.ProxySetup{Name: name, Map: "cressknot", Folder: filepath.Join(y.dir, name),
-			Classes: []standin.ProxyClass{{Name: backend, Backend: backend, HardStop: time.Second}}}, standing(min(3, servers)), y.watch, 1)
+		p := fakes.NewProxy(fakes.ProxySetup{Name: name, Map: "cressknot", Folder: filepath.Join(y.dir, name),
+			Classes: []fakes.ProxyClass{{Name: backend, Backend: backend, HardStop: time.Second}}}, standing(min(3, servers)), y.watch, 1)
 		if err := p.Up(); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(p.Down)
 		y.proxies = append(y.proxies, p)
-		y.to = append(y.to, front.Proxy{ID: fleet.ProxyID(i), Name: name, Addr: p.Folder})
+		y.to = append(y.to, transport.Proxy{ID: fleet.ProxyID(i), Name: name, Addr: p.Folder})
 	}
 	return y
 }
@@ -54,7 +54,7 @@
 // govern starts over with a new plane and front, as a governor's process does.
 func (y *yard) govern(servers int, fault func(string, int) error) {
 	y.t.Helper()
-	y.plane, y.events = steer.New(testSite()), make(chan front.Event, 1<<16)
+	y.plane, y.events = reconcile.New(testSite()), make(chan transport.Event, 1<<16)
 	y.streams, y.why, y.joins = map[fleet.ProxyID]uint64{}, map[fleet.ProxyID]string{}, map[fleet.ProxyID]int{}
 	y.plane.Epoch(uint64(time.Now().UnixNano()), func(id fleet.ServerID) string { name, _ := y.names.Of(id); return name })
 	l := fleet.List{Scope: fleet.ListFull}
@@ -63,7 +63,7 @@
 		l.Entries = append(l.Entries, fleet.Entry{Server: id})
 	}
 	y.plane.List(1, l)
-	y.begin(files.New(files.Options{Proxies: y.to, Classes: []front.Class{{Name: backend, Backend: backend}},
+	y.begin(files.New(files.Options{Proxies: y.to, Classes: []transport.Class{{Name: backend, Backend: backend}},
 		Admission: fleet.AdmitShare, Names: y.names, Fault: fault}))
 	y.until("joined", y.allJoined)
 }
--- a/governor/flood_test.go
+++ b/internal/controller/flood_test.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"fmt"
@@ -6,18 +6,18 @@
 	"math/rand/v2"
 	"testing"
 
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/intake"
-	"cressknot/list"
-	"cressknot/reports"
-	"cressknot/steer"
+	"cressknot/internal/discovery"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest"
+	"cressknot/internal/ingest/counters"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/transport"
 )
 
 // floodDay plays half a minute of 30 servers of three sizes and 16 proxies in its own time: visits go by the weights that were
 // sent, servers push their loads, and a crowd sends so many records a second beside. It gives the last weights, how long the
 // longest wait of an honest record was, and where the sums went.
-func floodDay(t *testing.T, flood int) (weights map[string]float64, waited fleet.Time, sums intake.Totals) {
+func floodDay(t *testing.T, flood int) (weights map[string]float64, waited fleet.Time, sums ingest.Totals) {
 	const servers, proxies = 30, 16
 	s := fleet.Second
 	site := fleet.Site{Zones: []string{"a", "b"}, Governors: 1, Proxies: proxies, LinesPerS: 15000, MessageHead: 6, BacklogMost: 30000,
@@ -25,23 +25,23 @@
 		FallFor: 2 * s, DrainGrace: 3 * s, Report: fleet.ReportInline, OutlierAfter: 3, LoadFields: []fleet.LoadField{fleet.FieldBusy},
 		Classes: []fleet.VisitClass{{Value: 3, Expected: s, HardStop: 4 * s}, {Value: 2, Expected: s, HardStop: 4 * s, Effect: fleet.Unsafe}}}
 	names, crowd := NewNames(), rand.New(rand.NewPCG(4, 4))
-	var all []front.Proxy
+	var all []transport.Proxy
 	for i := range proxies {
-		all = append(all, front.Proxy{ID: fleet.ProxyID(i), Name: fmt.Sprint("p", i), Zone: fleet.ZoneID(i % 2), Visits: 20})
+		all = append(all, transport.Proxy{ID: fleet.ProxyID(i), Name: fmt.Sprint("p", i), Zone: fleet.ZoneID(i % 2), Visits: 20})
 	}
-	core, box := NewCore(site, 1, all, names), &intake.Box{}
+	core, box := NewCore(site, 1, all, names), &ingest.Box{}
 	core.Guarded()
 	core.PushedLoads()
 	now := 1000 * s
-	doc := list.Document{Rev: 1}
+	doc := discovery.Document{Rev: 1}
 	for i := range servers {
-		doc.Servers = append(doc.Servers, list.Server{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: site.Zones[i%2]})
+		doc.Servers = append(doc.Servers, discovery.Server{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: site.Zones[i%2]})
 	}
-	in := []Input{list.Update{Scope: fleet.ListFull, Doc: doc}}
-	met, came := make([][]reports.Met, proxies), make([]uint64, proxies)
+	in := []Input{discovery.Update{Scope: fleet.ListFull, Doc: doc}}
+	met, came := make([][]counters.Met, proxies), make([]uint64, proxies)
 	for i := range proxies {
-		in = append(in, front.Up{Proxy: fleet.ProxyID(i), Stream: 1, Held: steer.Snapshot{Zone: fleet.ZoneID(i % 2), Weight: 20, Fresh: true}})
-		met[i] = make([]reports.Met, servers)
+		in = append(in, transport.Up{Proxy: fleet.ProxyID(i), Stream: 1, Held: reconcile.Snapshot{Zone: fleet.ZoneID(i % 2), Weight: 20, Fresh: true}})
+		met[i] = make([]counters.Met, servers)
 	}
 	var share, handled, load [servers]float64
 	var parts [proxies][servers]float64
@@ -51,7 +51,7 @@
 			parts[p][i] = float64(p*7%proxies) / proxies
 		}
 	}
-	var taken []intake.Record
+	var taken []ingest.Record
 	const tick = 10 * fleet.Millisecond
 	for end := now + 40*s; now < end; now += tick {
 		second := now%s == 0
@@ -77,12 +77,12 @@
 		}
 		for i := range servers { // each pushes once a second, at its own time
 			if int(now/tick)%100 == i*3 {
-				box.Put(now, []intake.Record{{Server: fleet.ServerID(i), Stated: now, Arrived: now, Tries: uint64(handled[i]), HasLoad: true, Load: [4]float32{float32(load[i])}}})
+				box.Put(now, []ingest.Record{{Server: fleet.ServerID(i), Stated: now, Arrived: now, Tries: uint64(handled[i]), HasLoad: true, Load: [4]float32{float32(load[i])}}})
 			}
 		}
 		for range flood / 100 { // reporters in a loop, late and repeated ones, servers that nothing lists, figures that can't be
 			i := crowd.IntN(300)
-			r := intake.Record{Server: fleet.ServerID(i), Stated: now, Arrived: now, HasLoad: true}
+			r := ingest.Record{Server: fleet.ServerID(i), Stated: now, Arrived: now, HasLoad: true}
 			if crowd.IntN(2) == 0 {
 				r.Server = 7
 			}
@@ -94,7 +94,7 @@
 			} else if r.Tries = crowd.Uint64(); crowd.IntN(2) == 0 {
 				r.Load[0] = float32(math.NaN())
 			}
-			box.Put(now, []intake.Record{r})
+			box.Put(now, []ingest.Record{r})
 		}
 		pushed, _ := core.intake.Room()
 		taken = box.Take(pushed, taken[:0])
@@ -106,16 +106,16 @@
 		out := core.Turn(now, append(in, Pushed(taken)))
 		in = in[:0]
 		for _, m := range out.Messages {
-			in = append(in, front.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
+			in = append(in, transport.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
 		}
 		for _, id := range out.Polls {
-			r := reports.NewReading(2)
+			r := counters.NewReading(2)
 			r.At = now
 			r.Classes[0].Visits = came[id]
 			for i, m := range met[id] {
 				r.Row(fleet.ServerID(i)).Met = m
 			}
-			in = append(in, front.Polled{Proxy: id, Stream: 1, Reading: r})
+			in = append(in, transport.Polled{Proxy: id, Stream: 1, Reading: r})
 		}
 		for i, l := range core.plane.Tables() {
 			if i == 0 {
--- a/governor/governor_test.go
+++ b/internal/controller/governor_test.go
@@ -1,4 +1,4 @@
-package governor_test
+package controller_test
 
 import (
 	"context"
@@ -16,15 +16,15 @@
 
 	"github.com/rs/zerolog"
 
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/front/haproxy"
-	"cressknot/governor"
-	"cressknot/internal/rules"
-	"cressknot/internal/standin"
-	"cressknot/list"
-	"cressknot/steer"
-	"cressknot/tables"
+	"cressknot/internal/controller"
+	"cressknot/internal/discovery"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/tableversion"
+	"cressknot/internal/testing/fakes"
+	"cressknot/internal/testing/invariants"
+	"cressknot/internal/transport"
+	"cressknot/internal/transport/haproxy"
 )
 
 const (
@@ -35,18 +35,18 @@
 // yard is a front over sockets with stand-in proxies, driven by a plane alone, so that tests choose the orders.
 type yard struct {
 	t       *testing.T
-	plane   *steer.Plane
-	names   *governor.Names
-	front   front.Front
+	plane   *reconcile.Plane
+	names   *controller.Names
+	front   transport.Front
 	dir     string
-	to      []front.Proxy
-	proxies []*standin.Proxy
-	events  chan front.Event
+	to      []transport.Proxy
+	proxies []*fakes.Proxy
+	events  chan transport.Event
 	streams map[fleet.ProxyID]uint64
 	why     map[fleet.ProxyID]string
 	joins   map[fleet.ProxyID]int
 	start   time.Time
-	watch   *rules.Watch
+	watch   *invariants.Watch
 	parted  map[fleet.ProxyID]time.Time
 }
 
@@ -56,25 +56,25 @@
 		Admission: fleet.AdmitShare}
 }
 
-func standing(n int) (entries []standin.Entry) {
+func standing(n int) (entries []fakes.Entry) {
 	for i := range n {
-		entries = append(entries, standin.Entry{Name: fmt.Sprintf("n%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 9000+i)})
+		entries = append(entries, fakes.Entry{Name: fmt.Sprintf("n%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 9000+i)})
 	}
 	return entries
 }
 
-func newProxy(t *testing.T, dir, name string, watch *rules.Watch, servers int) *standin.Proxy {
+func newProxy(t *testing.T, dir, name string, watch *invariants.Watch, servers int) *fakes.Proxy {
 	t.Helper()
-	return standin.NewProxy(standin.ProxySetup{Name: name, Map: "cressknot", Table: "nodes",
-		Classes: []standin.ProxyClass{{Name: backend, Backend: backend, HardStop: time.Second}},
+	return fakes.NewProxy(fakes.ProxySetup{Name: name, Map: "cressknot", Table: "nodes",
+		Classes: []fakes.ProxyClass{{Name: backend, Backend: backend, HardStop: time.Second}},
 		Runtime: filepath.Join(dir, name+".sock")}, standing(servers), watch, 1)
 }
 
-func newYard(t *testing.T, proxies, servers int, prepare func(i int, p *standin.Proxy)) *yard {
+func newYard(t *testing.T, proxies, servers int, prepare func(i int, p *fakes.Proxy)) *yard {
 	t.Helper()
-	y := &yard{t: t, plane: steer.New(testSite()), names: governor.NewNames(), events: make(chan front.Event, 1<<16),
+	y := &yard{t: t, plane: reconcile.New(testSite()), names: controller.NewNames(), events: make(chan transport.Event, 1<<16),
 		streams: map[fleet.ProxyID]uint64{}, why: map[fleet.ProxyID]string{}, joins: map[fleet.ProxyID]int{},
-		start: time.Now(), watch: rules.NewWatch(), parted: map[fleet.ProxyID]time.Time{}}
+		start: time.Now(), watch: invariants.NewWatch(), parted: map[fleet.ProxyID]time.Time{}}
 	y.plane.Epoch(7, func(id fleet.ServerID) string { name, _ := y.names.Of(id); return name })
 	dir := t.TempDir()
 	l := fleet.List{Scope: fleet.ListFull}
@@ -83,7 +83,7 @@
 		l.Entries = append(l.Entries, fleet.Entry{Server: id})
 	}
 	y.plane.List(1, l)
-	var to []front.Proxy
+	var to []transport.Proxy
 	for i := range proxies {
 		p := newProxy(t, dir, fmt.Sprintf("p%d", i), y.watch, min(3, servers))
 		if prepare != nil {
@@ -94,19 +94,19 @@
 		}
 		t.Cleanup(p.Down)
 		y.proxies = append(y.proxies, p)
-		to = append(to, front.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Addr: p.Runtime})
+		to = append(to, transport.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Addr: p.Runtime})
 	}
 	y.dir, y.to = dir, to
-	y.begin(haproxy.New(haproxy.Options{Proxies: to, Classes: []front.Class{{Name: backend, Backend: backend}},
+	y.begin(haproxy.New(haproxy.Options{Proxies: to, Classes: []transport.Class{{Name: backend, Backend: backend}},
 		Map: "cressknot", Table: "nodes", Admission: fleet.AdmitShare, Names: y.names}))
 	return y
 }
 
 // begin starts a front and ends it with the test.
-func (y *yard) begin(f front.Front) {
+func (y *yard) begin(f transport.Front) {
 	y.front = f
 	events := y.events // the next front of this yard has others
-	if err := f.Start(context.Background(), func(e front.Event) { events <- e }); err != nil {
+	if err := f.Start(context.Background(), func(e transport.Event) { events <- e }); err != nil {
 		y.t.Fatal(err)
 	}
 	y.t.Cleanup(func() {
@@ -149,22 +149,22 @@
 	}
 }
 
-func (y *yard) take(e front.Event) {
+func (y *yard) take(e transport.Event) {
 	switch e := e.(type) {
-	case front.Up:
+	case transport.Up:
 		y.streams[e.Proxy] = e.Stream
 		y.joins[e.Proxy]++
 		y.plane.Join(y.now(), e.Proxy, e.Held)
-	case front.Down:
+	case transport.Down:
 		y.why[e.Proxy] = e.Why.Error()
 		y.plane.Leave(e.Proxy)
-	case front.Unreached:
+	case transport.Unreached:
 		y.why[e.Proxy] = e.Why.Error()
-	case front.Progress:
+	case transport.Progress:
 		y.plane.Progress(y.now(), e.Proxy)
-	case front.Polled:
+	case transport.Polled:
 		y.plane.Seen(y.now(), e.Proxy, e.Reading.Lines)
-	case front.Answer:
+	case transport.Answer:
 		if y.streams[e.Proxy] == e.Stream {
 			y.plane.Answer(y.now(), e.Proxy, e.Seq, e.Failures)
 		}
@@ -185,7 +185,7 @@
 }
 
 // wants tells whether a proxy holds what lay ordered.
-func (y *yard) wants(p *standin.Proxy, servers int) bool {
+func (y *yard) wants(p *fakes.Proxy, servers int) bool {
 	for _, l := range y.plane.Tables() {
 		state := "ready"
 		if l.Withdrawn {
@@ -211,7 +211,7 @@
 	whole.until("laid", func() bool { return whole.wants(whole.proxies[0], servers) && whole.plane.Idle() })
 	_, commands := whole.proxies[0].Commands()
 	bytes := 100 + len(strings.Join(commands, ";")) // of the reading back, and of the order
-	y := newYard(t, bytes, servers, func(i int, p *standin.Proxy) { p.CutOnce(i) })
+	y := newYard(t, bytes, servers, func(i int, p *fakes.Proxy) { p.CutOnce(i) })
 	y.until("joined", y.allJoined)
 	again := map[fleet.ProxyID]bool{}
 	y.lay(servers)
@@ -338,13 +338,13 @@
 }
 
 // onNewest tells whether a proxy holds the newest version, by what it says and by what it really holds.
-func (y *yard) onNewest(p *standin.Proxy, servers int) bool {
+func (y *yard) onNewest(p *fakes.Proxy, servers int) bool {
 	book := y.plane.Book(0)
-	digest := tables.Digest(0)
+	digest := tableversion.Digest(0)
 	for i := range servers {
 		name := fmt.Sprint("n", i)
 		weight, _ := strconv.Atoi(strings.Fields(p.Held(backend, name) + " x")[0])
-		digest += tables.LineDigest(name, weight)
+		digest += tableversion.LineDigest(name, weight)
 	}
 	return digest == book.Digest() && p.Level(backend+".version") == book.Version().String()+"/"+book.Digest().String()
 }
@@ -374,7 +374,7 @@
 			}
 			all := func() bool {
 				bind()
-				return !slices.ContainsFunc(y.proxies, func(p *standin.Proxy) bool { return !y.onNewest(p, servers) })
+				return !slices.ContainsFunc(y.proxies, func(p *fakes.Proxy) bool { return !y.onNewest(p, servers) })
 			}
 			y.lay(servers)
 			y.until("laid", all)
@@ -468,7 +468,7 @@
 // name and reason, and a sound one beside them is served.
 func TestOddFarEnds(t *testing.T) {
 	dir := t.TempDir()
-	scripted := func(name, answer string) front.Proxy {
+	scripted := func(name, answer string) transport.Proxy {
 		path := filepath.Join(dir, name+".sock")
 		l, err := net.Listen("unix", path)
 		if err != nil {
@@ -494,15 +494,15 @@
 				}()
 			}
 		}()
-		return front.Proxy{Name: name, Addr: path}
+		return transport.Proxy{Name: name, Addr: path}
 	}
-	sound := newProxy(t, dir, "sound", rules.NewWatch(), 3)
+	sound := newProxy(t, dir, "sound", invariants.NewWatch(), 3)
 	if err := sound.Up(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(sound.Down)
 	state := "1\n# be_id be_name srv_id srv_name srv_addr srv_op_state srv_admin_state srv_uweight srv_port\n\n"
-	proxies := []front.Proxy{
+	proxies := []transport.Proxy{
 		scripted("garbage", "\n> HTTP/1.1 400 Bad request\n\n"),
 		scripted("half", "\n> node: half\n\n> 1\n# be_id srv_id\n\n"),
 		scripted("twin", "\n> node: sound\n\n"),
@@ -514,11 +514,11 @@
 	for i := range proxies {
 		proxies[i].ID = fleet.ProxyID(i)
 	}
-	y := &yard{t: t, plane: steer.New(testSite()), names: governor.NewNames(), events: make(chan front.Event, 1<<16),
+	y := &yard{t: t, plane: reconcile.New(testSite()), names: controller.NewNames(), events: make(chan transport.Event, 1<<16),
 		streams: map[fleet.ProxyID]uint64{}, why: map[fleet.ProxyID]string{}, joins: map[fleet.ProxyID]int{}, start: time.Now()}
-	y.front = haproxy.New(haproxy.Options{Proxies: proxies, Classes: []front.Class{{Name: backend, Backend: backend}},
+	y.front = haproxy.New(haproxy.Options{Proxies: proxies, Classes: []transport.Class{{Name: backend, Backend: backend}},
 		Map: "cressknot", Names: y.names})
-	if err := y.front.Start(context.Background(), func(e front.Event) { y.events <- e }); err != nil {
+	if err := y.front.Start(context.Background(), func(e transport.Event) { y.events <- e }); err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = y.front.Stop(context.Background()) }()
@@ -544,15 +544,15 @@
 // memory is a list source that tests feed.
 type memory struct {
 	mu   sync.Mutex
-	sink func(list.Update)
-	doc  list.Document
+	sink func(discovery.Update)
+	doc  discovery.Document
 }
 
-func (m *memory) Start(_ context.Context, sink func(list.Update)) error {
+func (m *memory) Start(_ context.Context, sink func(discovery.Update)) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.sink = sink
-	sink(list.Update{Scope: fleet.ListFull, Doc: m.doc})
+	sink(discovery.Update{Scope: fleet.ListFull, Doc: m.doc})
 	return nil
 }
 func (m *memory) Watch(bool) {}
@@ -561,9 +561,9 @@
 // TestGovernorKilledOutright: a governor lays tables and dies without a word; proxies keep what they hold; a new one
 // starts over, is told that they are not fresh, and at no moment does a proxy lack a line.
 func TestGovernorKilledOutright(t *testing.T) {
-	dir, watch := t.TempDir(), rules.NewWatch()
-	var to []front.Proxy
-	var proxies []*standin.Proxy
+	dir, watch := t.TempDir(), invariants.NewWatch()
+	var to []transport.Proxy
+	var proxies []*fakes.Proxy
 	for i := range 3 {
 		p := newProxy(t, dir, fmt.Sprintf("p%d", i), watch, 3)
 		if err := p.Up(); err != nil {
@@ -571,33 +571,33 @@
 		}
 		t.Cleanup(p.Down)
 		proxies = append(proxies, p)
-		to = append(to, front.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Addr: p.Runtime, Visits: 1})
+		to = append(to, transport.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Addr: p.Runtime, Visits: 1})
 		watch.Owner(p.Name, "g")
 	}
-	doc := list.Document{Rev: 1}
+	doc := discovery.Document{Rev: 1}
 	for _, e := range standing(6) {
 		watch.Told("g", e.Name, "ready", time.Time{})
-		doc.Servers = append(doc.Servers, list.Server{Name: e.Name, Addr: e.Addr, Zone: "a"})
+		doc.Servers = append(doc.Servers, discovery.Server{Name: e.Name, Addr: e.Addr, Zone: "a"})
 	}
 	site := testSite()
 	site.Classes[0] = fleet.VisitClass{Name: backend, Value: 1, Expected: fleet.Second, HardStop: 2 * fleet.Second}
 	site.ReportEvery, site.ReportsPerS, site.BareMost, site.DrainGrace = 200*fleet.Millisecond, 1000, 2*fleet.Second, fleet.Second
 	site.Proxies, site.Governors, site.LoadFields = 3, 1, []fleet.LoadField{fleet.FieldBusy}
-	run := func(seed uint64) (loop *governor.Loop, kill func()) {
-		names := governor.NewNames()
-		f := haproxy.New(haproxy.Options{Proxies: to, Classes: []front.Class{{Name: backend, Backend: backend}}, Map: "cressknot",
+	run := func(seed uint64) (loop *controller.Loop, kill func()) {
+		names := controller.NewNames()
+		f := haproxy.New(haproxy.Options{Proxies: to, Classes: []transport.Class{{Name: backend, Backend: backend}}, Map: "cressknot",
 			Table: "nodes", Admission: site.Admission, Names: names})
-		loop = governor.NewLoop(governor.Parts{Core: governor.NewCore(site, seed, to, names), Names: names, Front: f,
+		loop = controller.NewLoop(controller.Parts{Core: controller.NewCore(site, seed, to, names), Names: names, Front: f,
 			Source: &memory{doc: doc}, Log: zerolog.Nop()})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go func() { done <- loop.Run(ctx, 0) }()
 		return loop, func() { cancel(); <-done }
 	}
-	bound := func(loop *governor.Loop) bool {
+	bound := func(loop *controller.Loop) bool {
 		all := false
-		_ = loop.Ask(context.Background(), func(c *governor.Core) {
-			all = !slices.ContainsFunc(c.ProxyViews(), func(v steer.ProxyView) bool { return !v.Bound[0] || v.Flying > 0 }) &&
+		_ = loop.Ask(context.Background(), func(c *controller.Core) {
+			all = !slices.ContainsFunc(c.ProxyViews(), func(v reconcile.ProxyView) bool { return !v.Bound[0] || v.Flying > 0 }) &&
 				len(c.ProxyViews()) == 3
 		})
 		return all
@@ -624,8 +624,8 @@
 	loop, kill = run(2)
 	defer kill()
 	wait("taken over", func() bool { return bound(loop) })
-	_ = loop.Ask(context.Background(), func(c *governor.Core) {
-		if slices.ContainsFunc(c.ProxyViews(), func(v steer.ProxyView) bool { return v.Fresh }) {
+	_ = loop.Ask(context.Background(), func(c *controller.Core) {
+		if slices.ContainsFunc(c.ProxyViews(), func(v reconcile.ProxyView) bool { return v.Fresh }) {
 			t.Error("a proxy that the governor before steered counts as fresh")
 		}
 	})
@@ -634,7 +634,7 @@
 			t.Errorf("%s was sent %d commands for tables that it held: %q", p.Name, n, log)
 		}
 	}
-	for _, v := range watch.Judge(rules.Figures{Bare: time.Millisecond, Grace: time.Second, LinesPerS: 1e6, Backlog: 1e6, Head: 4}) {
+	for _, v := range watch.Judge(invariants.Figures{Bare: time.Millisecond, Grace: time.Second, LinesPerS: 1e6, Backlog: 1e6, Head: 4}) {
 		if len(v.Breaks) > 0 {
 			t.Errorf("%s: %v", v.Rule, v.Breaks)
 		}
--- a/governor/intake.go
+++ b/internal/controller/intake.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"cmp"
@@ -7,10 +7,10 @@
 	"strconv"
 	"strings"
 
-	"cressknot/fleet"
-	"cressknot/intake"
-	"cressknot/intake/series"
-	"cressknot/runtimeapi"
+	"cressknot/internal/fleet"
+	"cressknot/internal/haproxyapi"
+	"cressknot/internal/ingest"
+	"cressknot/internal/ingest/timeseries"
 )
 
 const (
@@ -38,7 +38,7 @@
 	var b strings.Builder
 	b.WriteString("# server sight since_s report_age_s met_age_s tries failed served erred clock_off_s believed\n")
 	for _, v := range c.intake.Views(now) {
-		if stale && v.Sight == intake.Well && v.Distrust == 0 {
+		if stale && v.Sight == ingest.Well && v.Distrust == 0 {
 			continue
 		}
 		name, _ := c.names.Of(v.Server)
@@ -46,7 +46,7 @@
 		if v.Reports {
 			age = fmt.Sprintf("%.1f", v.Age.Seconds())
 		}
-		if v.Sight != intake.Well {
+		if v.Sight != ingest.Well {
 			since = seconds(now - v.Since)
 		}
 		if v.Distrust > 0 {
@@ -95,10 +95,10 @@
 }
 
 func (o *Operators) topServers(c *Core, args []string) string {
-	by := map[string]func(v *intake.View) float64{
-		"age":      func(v *intake.View) float64 { return v.Age.Seconds() },
-		"load":     func(v *intake.View) float64 { return float64(v.Load[0]) },
-		"failures": func(v *intake.View) float64 { return float64(v.Failed) },
+	by := map[string]func(v *ingest.View) float64{
+		"age":      func(v *ingest.View) float64 { return v.Age.Seconds() },
+		"load":     func(v *ingest.View) float64 { return float64(v.Load[0]) },
+		"failures": func(v *ingest.View) float64 { return float64(v.Failed) },
 	}
 	most := topShown
 	if len(args) == 2 {
@@ -112,7 +112,7 @@
 		return "'top servers' expects age, load or failures, and how many.\n"
 	}
 	views := c.intake.Views(o.loop.now())
-	slices.SortStableFunc(views, func(a, b intake.View) int { return cmp.Compare(by[args[0]](&b), by[args[0]](&a)) })
+	slices.SortStableFunc(views, func(a, b ingest.View) int { return cmp.Compare(by[args[0]](&b), by[args[0]](&a)) })
 	var b strings.Builder
 	fmt.Fprintf(&b, "# server %s sight tries failed\n", args[0])
 	for _, v := range views[:min(most, len(views))] {
@@ -128,7 +128,7 @@
 	}
 	id, ok := c.names.Server(args[0])
 	if !ok {
-		return runtimeapi.NoServer
+		return haproxyapi.NoServer
 	}
 	minutes := minutesShown
 	if len(args) == 2 {
@@ -147,13 +147,13 @@
 	}
 	var b strings.Builder
 	b.WriteString("# minute tries failed p50_ms p99_ms most_ms load\n")
-	row := func(at string, p *series.Point) {
+	row := func(at string, p *timeseries.Point) {
 		fmt.Fprintf(&b, "%s %d %d %d %d %d %.3f\n", at, p.Tries, p.Failed, p.Times.ValueAtQuantile(50), p.Times.ValueAtQuantile(99), p.Times.Max(), p.Load)
 	}
 	for i := range points {
 		row(stamp(points[i].At), &points[i])
 	}
-	all := series.Sum(points)
+	all := timeseries.Sum(points)
 	row("all", &all)
 	if damaged > 0 {
 		fmt.Fprintf(&b, "# %d rows could not be read\n", damaged)
--- a/governor/kept.go
+++ b/internal/controller/kept.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"cmp"
@@ -11,12 +11,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cressknot/boot"
-	"cressknot/fleet"
-	"cressknot/list"
-	"cressknot/steer"
-	"cressknot/store"
-	"cressknot/tables"
+	"cressknot/internal/discovery"
+	"cressknot/internal/discovery/verification"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/store"
+	"cressknot/internal/tableversion"
 )
 
 const (
@@ -35,18 +35,18 @@
 		Was    int    `json:"was,omitempty"`
 	}
 	keptWhole struct {
-		Version tables.Version `json:"version"`
-		Digest  tables.Digest  `json:"digest"`
-		Lines   []keptLine     `json:"lines"`
+		Version tableversion.Version `json:"version"`
+		Digest  tableversion.Digest  `json:"digest"`
+		Lines   []keptLine           `json:"lines"`
 	}
 	keptDelta struct {
-		From       tables.Version `json:"from"`
-		To         tables.Version `json:"to"`
-		FromDigest tables.Digest  `json:"fromDigest"`
-		ToDigest   tables.Digest  `json:"toDigest"`
-		Lines      []keptLine     `json:"lines"`
-		At         fleet.Time     `json:"at"`
-		Why        string         `json:"why,omitempty"`
+		From       tableversion.Version `json:"from"`
+		To         tableversion.Version `json:"to"`
+		FromDigest tableversion.Digest  `json:"fromDigest"`
+		ToDigest   tableversion.Digest  `json:"toDigest"`
+		Lines      []keptLine           `json:"lines"`
+		At         fleet.Time           `json:"at"`
+		Why        string               `json:"why,omitempty"`
 	}
 	keptPin struct {
 		Lines []keptLine `json:"lines"`
@@ -70,33 +70,33 @@
 type keeper struct {
 	on      bool
 	tables  map[fleet.TableID]*keptTable
-	pins    map[fleet.TableID]steer.Pin
+	pins    map[fleet.TableID]reconcile.Pin
 	hands   map[string]keptHand
 	list    keptList
-	entries [2]map[string]list.Server // by generation's parity: what its records hold
+	entries [2]map[string]discovery.Server // by generation's parity: what its records hold
 }
 
 type keptTable struct {
-	at     tables.Version // the newest that is kept
-	whole  tables.Version
+	at     tableversion.Version // the newest that is kept
+	whole  tableversion.Version
 	since  int // deltas since the whole
 	deltas []string
 }
 
 func newKeeper() keeper {
-	return keeper{tables: map[fleet.TableID]*keptTable{}, pins: map[fleet.TableID]steer.Pin{}, hands: map[string]keptHand{},
-		entries: [2]map[string]list.Server{{}, {}}}
+	return keeper{tables: map[fleet.TableID]*keptTable{}, pins: map[fleet.TableID]reconcile.Pin{}, hands: map[string]keptHand{},
+		entries: [2]map[string]discovery.Server{{}, {}}}
 }
 
 func tableKey(id fleet.TableID, parts ...string) string {
 	return store.Join(append([]string{"table", fmt.Sprintf("%05d", id)}, parts...)...)
 }
 
-func deltaKey(id fleet.TableID, v tables.Version) string {
+func deltaKey(id fleet.TableID, v tableversion.Version) string {
 	return tableKey(id, "delta", fmt.Sprintf("%020d.%020d", v.Epoch, v.Count))
 }
 
-func (c *Core) namedLines(lines []tables.Line) []keptLine {
+func (c *Core) namedLines(lines []tableversion.Line) []keptLine {
 	out := make([]keptLine, len(lines))
 	for i, l := range lines {
 		name, _ := c.names.Of(l.Server)
@@ -105,10 +105,10 @@
 	return out
 }
 
-func (c *Core) lines(named []keptLine) []tables.Line {
-	out := make([]tables.Line, len(named))
+func (c *Core) lines(named []keptLine) []tableversion.Line {
+	out := make([]tableversion.Line, len(named))
 	for i, l := range named {
-		out[i] = tables.Line{Server: c.names.Learn(l.Server, ""), Weight: l.Weight, Was: l.Was}
+		out[i] = tableversion.Line{Server: c.names.Learn(l.Server, ""), Weight: l.Weight, Was: l.Was}
 	}
 	return out
 }
@@ -157,7 +157,7 @@
 	return changes
 }
 
-func (c *Core) keepTable(changes []store.Change, id fleet.TableID, book *tables.Table) []store.Change {
+func (c *Core) keepTable(changes []store.Change, id fleet.TableID, book *tableversion.Table) []store.Change {
 	t := c.keeper.tables[id]
 	if t == nil {
 		t = &keptTable{}
@@ -181,7 +181,7 @@
 		changes = append(changes, store.Change{Key: t.deltas[0]})
 		t.deltas = t.deltas[1:]
 	}
-	if t.since >= wholeEvery || t.whole == tables.None || len(history) > 0 && t.whole.Compare(history[0].From) < 0 {
+	if t.since >= wholeEvery || t.whole == tableversion.None || len(history) > 0 && t.whole.Compare(history[0].From) < 0 {
 		t.whole, t.since = t.at, 0
 		changes = append(changes, store.Change{Key: tableKey(id, "whole"), Value: keptWhole{t.at, book.Digest(), c.namedLines(book.Lines())}})
 	}
@@ -190,7 +190,7 @@
 
 // keepList keeps a list beside the one before: an entry a record, so that a damaged one costs itself only, and last the head that
 // makes it count.
-func (c *Core) keepList(now fleet.Time, doc *list.Document) (changes []store.Change) {
+func (c *Core) keepList(now fleet.Time, doc *discovery.Document) (changes []store.Change) {
 	k := &c.keeper
 	if !k.on {
 		return nil
@@ -220,7 +220,7 @@
 }
 
 // digestOf gives a checksum of a whole list, whatever the order of its entries.
-func digestOf(servers []list.Server) string {
+func digestOf(servers []discovery.Server) string {
 	all := uint64(0)
 	for _, s := range servers {
 		text, _ := json.Marshal(s) // of strings and numbers
@@ -232,8 +232,8 @@
 // Woken is what a governor woke with.
 type Woken struct {
 	Epoch  keptEpoch
-	Lists  []boot.Generation[list.Server] // as they were kept
-	Lost   []string                       // what was there and can't be believed
+	Lists  []verification.Generation[discovery.Server] // as they were kept
+	Lost   []string                                    // what was there and can't be believed
 	Tables int
 	Pins   int
 	Hands  int
@@ -246,7 +246,7 @@
 	keys := map[fleet.TableID][]string{}
 	pins, hands := map[fleet.TableID]keptPin{}, map[string]keptHand{}
 	var heads [2]keptList
-	var entries [2][]list.Server
+	var entries [2][]discovery.Server
 	damage, err := s.Read("", func(key string, payload []byte) error {
 		var table fleet.TableID
 		var slot int
@@ -275,7 +275,7 @@
 		case scan(key, "list/%1d/%s", &slot, &rest) && slot < 2 && rest == "head":
 			read(&heads[slot])
 		case scan(key, "list/%1d/%s", &slot, &rest) && slot < 2:
-			var one list.Server
+			var one discovery.Server
 			if read(&one); bad == nil {
 				entries[slot] = append(entries[slot], one)
 			}
@@ -303,9 +303,9 @@
 func (c *Core) wakeTables(now fleet.Time, w *Woken, wholes map[fleet.TableID]keptWhole, deltas map[fleet.TableID][]keptDelta, keys map[fleet.TableID][]string, pins map[fleet.TableID]keptPin) {
 	for _, id := range slices.Sorted(maps.Keys(wholes)) { // so that ids of names are the same each time
 		whole := wholes[id]
-		var ds []tables.Delta
+		var ds []tableversion.Delta
 		for _, d := range deltas[id] {
-			ds = append(ds, tables.Delta{From: d.From, To: d.To, FromDigest: d.FromDigest, ToDigest: d.ToDigest, Lines: c.lines(d.Lines), At: d.At, Why: d.Why})
+			ds = append(ds, tableversion.Delta{From: d.From, To: d.To, FromDigest: d.FromDigest, ToDigest: d.ToDigest, Lines: c.lines(d.Lines), At: d.At, Why: d.Why})
 		}
 		book, err := c.plane.NewBook(whole.Version, whole.Digest, c.lines(whole.Lines), ds)
 		if err != nil { // its versions begin anew; proxies are read back as always
@@ -318,8 +318,8 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(pins)) {
 		p := pins[id]
-		one := steer.Pin{Table: id, Weights: c.lines(p.Lines), Until: p.Until, Why: p.Why}
-		if c.keeper.pins[id] = one; now < p.Until && p.Until <= now+steer.PinMost { // a clock that went back makes none longer
+		one := reconcile.Pin{Table: id, Weights: c.lines(p.Lines), Until: p.Until, Why: p.Why}
+		if c.keeper.pins[id] = one; now < p.Until && p.Until <= now+reconcile.PinMost { // a clock that went back makes none longer
 			c.plane.Restore(id, nil, &one)
 			w.Pins++
 		}
@@ -332,15 +332,15 @@
 		var table fleet.TableID
 		var name string
 		c.keeper.hands[key] = h
-		if scan(key, "hand/%05d/%s", &table, &name) && now < h.Until && h.Until <= now+steer.PushFor {
-			c.plane.RestorePush(steer.Pushed{Table: table, Server: c.names.Learn(name, ""), Weight: h.Weight, Until: h.Until})
+		if scan(key, "hand/%05d/%s", &table, &name) && now < h.Until && h.Until <= now+reconcile.PushFor {
+			c.plane.RestorePush(reconcile.Pushed{Table: table, Server: c.names.Learn(name, ""), Weight: h.Weight, Until: h.Until})
 			w.Hands++
 		}
 	}
 }
 
 // wakeList gives both generations with what is left of them, and goes on from the newer one.
-func (c *Core) wakeList(w *Woken, heads [2]keptList, entries [2][]list.Server) {
+func (c *Core) wakeList(w *Woken, heads [2]keptList, entries [2][]discovery.Server) {
 	for slot, h := range heads {
 		for _, s := range entries[slot] {
 			c.keeper.entries[slot][s.Name] = s
@@ -351,11 +351,11 @@
 		if h.Generation > c.keeper.list.Generation {
 			c.keeper.list = h
 		}
-		g := boot.Generation[list.Server]{From: "store", At: h.At, Rev: h.Rev, Stated: h.Entries,
+		g := verification.Generation[discovery.Server]{From: "store", At: h.At, Rev: h.Rev, Stated: h.Entries,
 			Whole: h.Digest == "" || h.Digest == digestOf(entries[slot]), Entries: maps.Clone(c.keeper.entries[slot])}
 		w.Lists = append(w.Lists, g)
 	}
-	slices.SortFunc(w.Lists, func(a, b boot.Generation[list.Server]) int { return cmp.Compare(b.At, a.At) })
+	slices.SortFunc(w.Lists, func(a, b verification.Generation[discovery.Server]) int { return cmp.Compare(b.At, a.At) })
 }
 
 func scan(key, form string, into ...any) bool {
--- a/governor/kept_test.go
+++ b/internal/controller/kept_test.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"encoding/json"
@@ -10,12 +10,12 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"cressknot/boot"
-	"cressknot/fleet"
-	"cressknot/list"
-	"cressknot/steer"
-	"cressknot/store"
-	"cressknot/tables"
+	"cressknot/internal/discovery"
+	"cressknot/internal/discovery/verification"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/store"
+	"cressknot/internal/tableversion"
 )
 
 // life is a governor with its store, without sockets: what it must keep is kept at once.
@@ -89,7 +89,7 @@
 		rng := rand.New(rand.NewPCG(seed, 9))
 		mem := vfs.NewCrashableMem()
 		now, before := 1000*fleet.Second, ""
-		newest := map[fleet.TableID]tables.Version{}
+		newest := map[fleet.TableID]tableversion.Version{}
 		for range 6 {
 			l := live(t, mem, now)
 			if got := l.state(); got != before || len(l.woken.Lost) > 0 {
@@ -104,7 +104,7 @@
 				server := l.core.names.Learn(fmt.Sprint("s", rng.IntN(12)), "x:1")
 				switch rng.IntN(8) {
 				case 0:
-					l.core.plane.Push(now, id, server, int16(rng.IntN(256)), now+steer.PushFor)
+					l.core.plane.Push(now, id, server, int16(rng.IntN(256)), now+reconcile.PushFor)
 				case 1:
 					l.core.plane.Unpush(now, id, server)
 				case 2:
@@ -147,9 +147,9 @@
 func TestListsOfTheStore(t *testing.T) {
 	mem := vfs.NewCrashableMem()
 	l := live(t, mem, fleet.Second)
-	doc := list.Document{Rev: 7}
+	doc := discovery.Document{Rev: 7}
 	for i := range 5 {
-		doc.Servers = append(doc.Servers, list.Server{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: "a"})
+		doc.Servers = append(doc.Servers, discovery.Server{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: "a"})
 	}
 	l.keep(t, l.core.keepList(2*fleet.Second, &doc))
 	doc.Rev, doc.Servers = 8, doc.Servers[:4]
@@ -161,7 +161,7 @@
 		_ = l.store.Close()
 		mem = clone
 		n := live(t, mem, 10*fleet.Second)
-		got, ok := boot.Choose(10*fleet.Second, n.woken.Lists)
+		got, ok := verification.Choose(10*fleet.Second, n.woken.Lists)
 		if !ok || got.Rev != rev || len(got.Entries) != servers || len(n.woken.Lost) != lost || len(got.Doubtful) != doubtful || (len(got.Says) > 0) != (doubtful > 0) {
 			t.Errorf("woke with %+v, lost %v", got, n.woken.Lost)
 		}
@@ -197,9 +197,9 @@
 	if _, err := c.Wake(now, s); err != nil {
 		b.Fatal(err)
 	}
-	doc := list.Document{Rev: 1}
+	doc := discovery.Document{Rev: 1}
 	for i := range 700 {
-		doc.Servers = append(doc.Servers, list.Server{Name: fmt.Sprintf("node-%04d", i), Addr: "127.0.0.1:80", Zone: "a"})
+		doc.Servers = append(doc.Servers, discovery.Server{Name: fmt.Sprintf("node-%04d", i), Addr: "127.0.0.1:80", Zone: "a"})
 	}
 	put := func(changes []store.Change) {
 		done := make(chan error, 1)
--- a/governor/loop.go
+++ b/internal/controller/loop.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"context"
@@ -19,17 +19,17 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/rs/zerolog"
 
-	"cressknot/boot"
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/intake"
-	"cressknot/intake/series"
-	"cressknot/list"
-	"cressknot/peers"
-	"cressknot/records"
-	"cressknot/service"
-	"cressknot/steer"
-	"cressknot/store"
+	"cressknot/internal/discovery"
+	"cressknot/internal/discovery/verification"
+	"cressknot/internal/eventlog"
+	"cressknot/internal/fleet"
+	"cressknot/internal/gossip"
+	"cressknot/internal/ingest"
+	"cressknot/internal/ingest/timeseries"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/service"
+	"cressknot/internal/store"
+	"cressknot/internal/transport"
 )
 
 const (
@@ -43,33 +43,33 @@
 type Loop struct {
 	core    *Core
 	names   *Names
-	front   front.Front
-	source  list.Source
+	front   transport.Front
+	source  discovery.Source
 	log     zerolog.Logger
 	name    string
 	facts   func(service.Facts)
-	sharing front.Sharer
-	tell    func(peers.News)
+	sharing transport.Sharer
+	tell    func(gossip.News)
 	wall    time.Time // at the start; the clock goes on by the monotonic one
 	cache   string
 	probe   string // path of probes
 	prove   string // how servers of a kept list are asked
 
 	mu     sync.Mutex
-	mail   []Input        // lists, joins, leaves, answers, probes: never shed, never folded
-	polled []front.Polled // readings, at most one of each proxy, oldest first
+	mail   []Input            // lists, joins, leaves, answers, probes: never shed, never folded
+	polled []transport.Polled // readings, at most one of each proxy, oldest first
 	place  map[fleet.ProxyID]int
-	box    *intake.Box // what servers pushed
-	pushed []intake.Record
+	box    *ingest.Box // what servers pushed
+	pushed []ingest.Record
 	inputs []Input
 	folded uint64
-	news   map[string]peers.News // of other governors, by name
-	shed   uint64                // of them, those that were not heard
+	news   map[string]gossip.News // of other governors, by name
+	shed   uint64                 // of them, those that were not heard
 	notify chan struct{}
 	asks   chan func(*Core)
 
 	recMu   sync.Mutex
-	records *records.Writer
+	records *eventlog.Writer
 	recFile io.Closer
 
 	series Series       // may be nil
@@ -84,31 +84,31 @@
 type Parts struct {
 	Core      *Core
 	Names     *Names
-	Front     front.Front
-	Source    list.Source
+	Front     transport.Front
+	Source    discovery.Source
 	Log       zerolog.Logger
-	Cache     string       // file that keeps the last list; "" for none
-	Cached    *list.Update // a kept list to start from, if any
-	Prove     string       // how servers of it are asked: "connect", "probe", "answers" (not at all)
+	Cache     string            // file that keeps the last list; "" for none
+	Cached    *discovery.Update // a kept list to start from, if any
+	Prove     string            // how servers of it are asked: "connect", "probe", "answers" (not at all)
 	ProbePath string
 	Series    Series              // of reports, for operators; may be nil
 	Store     *store.Store        // what must last; may be nil
-	Tell      func(peers.News)    // carries news to other governors; may be nil
-	Sharing   front.Sharer        // where other governors may serve the same proxies; else nil
+	Tell      func(gossip.News)   // carries news to other governors; may be nil
+	Sharing   transport.Sharer    // where other governors may serve the same proxies; else nil
 	Name      string              // of the governor
 	Facts     func(service.Facts) // hears what callers of the service are told; may be nil
 }
 
 // Series keeps what proxies met over time.
 type Series interface {
-	Add(intake.Cell)
-	Read(server fleet.ServerID, from fleet.Time) (points []series.Point, damaged int, err error)
+	Add(ingest.Cell)
+	Read(server fleet.ServerID, from fleet.Time) (points []timeseries.Point, damaged int, err error)
 }
 
 // NewLoop makes a loop that Run runs.
 func NewLoop(p Parts) *Loop {
 	l := &Loop{core: p.Core, names: p.Names, front: p.Front, source: p.Source, log: p.Log, wall: time.Now(),
-		cache: p.Cache, probe: p.ProbePath, place: map[fleet.ProxyID]int{}, news: map[string]peers.News{}, box: &intake.Box{}, notify: make(chan struct{}, 1),
+		cache: p.Cache, probe: p.ProbePath, place: map[fleet.ProxyID]int{}, news: map[string]gossip.News{}, box: &ingest.Box{}, notify: make(chan struct{}, 1),
 		asks: make(chan func(*Core)), took: hdrhistogram.New(1000, tookMost, 3)}
 	l.sharing, l.tell = p.Sharing, p.Tell
 	l.store, l.name, l.facts = p.Store, p.Name, p.Facts
@@ -133,7 +133,7 @@
 // same stream, as counters are sums.
 func (l *Loop) post(in Input) {
 	l.mu.Lock()
-	if p, ok := in.(front.Polled); ok {
+	if p, ok := in.(transport.Polled); ok {
 		p.Reading.At = l.now()
 		if at, waits := l.place[p.Proxy]; waits && l.polled[at].Stream == p.Stream {
 			l.polled[at].Reading.Release()
@@ -158,16 +158,16 @@
 }
 
 // Push takes in what servers pushed, and says what they are to be told.
-func (l *Loop) Push(records []intake.Record) intake.Reply {
+func (l *Loop) Push(records []ingest.Record) ingest.Reply {
 	reply := l.box.Put(l.now(), records)
 	l.wake()
 	return reply
 }
 
 // Peer takes in what another governor tells. Of each only the newest waits, and of so many governors: a flood fills no mailbox.
-func (l *Loop) Peer(n peers.News) {
+func (l *Loop) Peer(n gossip.News) {
 	l.mu.Lock()
-	if old, waits := l.news[n.Governor]; waits && n.Epoch == old.Epoch && n.Seq < old.Seq || !waits && len(l.news) >= peers.GovernorsMost {
+	if old, waits := l.news[n.Governor]; waits && n.Epoch == old.Epoch && n.Seq < old.Seq || !waits && len(l.news) >= gossip.GovernorsMost {
 		l.shed++
 	} else {
 		l.news[n.Governor] = n
@@ -234,10 +234,10 @@
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	l.ctx = inner
-	if err := l.front.Start(inner, func(e front.Event) { l.post(e) }); err != nil {
+	if err := l.front.Start(inner, func(e transport.Event) { l.post(e) }); err != nil {
 		return fmt.Errorf("front: %w", err)
 	}
-	if err := l.source.Start(inner, func(u list.Update) { l.post(u) }); err != nil {
+	if err := l.source.Start(inner, func(u discovery.Update) { l.post(u) }); err != nil {
 		return errors.Join(err, l.front.Stop(inner))
 	}
 	timer := time.NewTimer(0)
@@ -299,7 +299,7 @@
 		l.say(line)
 	}
 	if out.List != nil && l.cache != "" {
-		if err := list.Cache(l.cache, *out.List, out.ListAt); err != nil {
+		if err := discovery.Cache(l.cache, *out.List, out.ListAt); err != nil {
 			l.log.Error().Err(err).Msg("the list was not kept; the governor goes on without")
 		}
 	}
@@ -364,7 +364,7 @@
 func (l *Loop) ask(id fleet.ServerID) {
 	_, addr := l.names.Of(id)
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(steer.DialWithin))
+	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(reconcile.DialWithin))
 	defer cancel()
 	p := fleet.Probed{Server: id, Outcome: fleet.Unreachable}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+l.probe, nil)
@@ -392,14 +392,14 @@
 // proof asks a server of a kept list whether it is there: by a connection, or by a probe whose answer may say in X-Server who answers.
 func (l *Loop) proof(id fleet.ServerID) {
 	name, addr := l.names.Of(id)
-	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(steer.DialWithin))
+	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(reconcile.DialWithin))
 	defer cancel()
 	p := Proof{Server: id}
 	if l.prove != "probe" {
 		var dialer net.Dialer
 		if conn, err := dialer.DialContext(ctx, "tcp", addr); err == nil {
 			conn.Close()
-			p.Of = boot.Someone
+			p.Of = verification.Someone
 		}
 	} else if req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+l.probe, nil); err == nil {
 		if res, err := http.DefaultClient.Do(req); err == nil {
@@ -407,11 +407,11 @@
 			res.Body.Close()
 			switch says := res.Header.Get("X-Server"); {
 			case says == name:
-				p.Of = boot.Itself
+				p.Of = verification.Itself
 			case says != "":
-				p.Of = boot.Another
+				p.Of = verification.Another
 			default:
-				p.Of = boot.Someone
+				p.Of = verification.Someone
 			}
 		}
 	}
@@ -459,7 +459,7 @@
 
 // RecordTo begins to record steps to a file made by open, or ends it with nil. Replay needs the start of the
 // governor, so that recording begun later serves to read, not to replay.
-func (l *Loop) RecordTo(path string, start records.Start) error {
+func (l *Loop) RecordTo(path string, start eventlog.Start) error {
 	if err := l.closeRecords(); err != nil {
 		l.log.Error().Err(err).Msg("records were not closed")
 	}
@@ -470,7 +470,7 @@
 	if err != nil {
 		return fmt.Errorf("records: %w", err)
 	}
-	w, err := records.NewWriter(f, start)
+	w, err := eventlog.NewWriter(f, start)
 	if err != nil {
 		f.Close()
 		return fmt.Errorf("records: %s: %w", path, err)
--- a/governor/names.go
+++ b/internal/controller/names.go
@@ -1,12 +1,12 @@
 // Package governor is one governor: a loop that owns all decision state, hears what fronts, list and timers bring,
 // lets the module decide, and hands its orders to the front through package steer.
-package governor
+package controller
 
 import (
 	"sync"
 
-	"cressknot/fleet"
-	"cressknot/front"
+	"cressknot/internal/fleet"
+	"cressknot/internal/transport"
 )
 
 // Names keeps the ids of servers, which live as long as the governor. Fronts look names up from their own
@@ -19,7 +19,7 @@
 
 type named struct{ name, addr string }
 
-var _ front.Names = (*Names)(nil)
+var _ transport.Names = (*Names)(nil)
 
 // NewNames makes an empty register.
 func NewNames() *Names { return &Names{byName: map[string]fleet.ServerID{}} }
--- a/governor/operators.go
+++ b/internal/controller/operators.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"cmp"
@@ -14,8 +14,8 @@
 	"github.com/lesismal/nbio"
 	"github.com/lesismal/nbio/logging"
 
-	"cressknot/fleet"
-	"cressknot/runtimeapi"
+	"cressknot/internal/fleet"
+	"cressknot/internal/haproxyapi"
 )
 
 const (
@@ -41,9 +41,9 @@
 		network, o.path = "unix", addr
 	}
 	o.engine = nbio.NewEngine(nbio.Config{Name: "operators", Network: network, Addrs: []string{addr}, NPoller: 1,
-		Listen: runtimeapi.Listen})
+		Listen: haproxyapi.Listen})
 	o.engine.OnOpen(func(c *nbio.Conn) {
-		o.sessions.Store(c, &runtimeapi.Session{Answer: o.answer})
+		o.sessions.Store(c, &haproxyapi.Session{Answer: o.answer})
 		_ = c.SetReadDeadline(time.Now().Add(idleClose))
 	})
 	o.engine.OnData(func(c *nbio.Conn, data []byte) {
@@ -52,7 +52,7 @@
 			c.Close()
 			return
 		}
-		s := held.(*runtimeapi.Session)
+		s := held.(*haproxyapi.Session)
 		_ = c.SetReadDeadline(time.Now().Add(idleClose))
 		reply, done := s.Feed(data)
 		_, _ = c.Write(reply)
@@ -120,7 +120,7 @@
 	return b.String()
 }
 
-func (o *Operators) answer(c runtimeapi.Command) []byte {
+func (o *Operators) answer(c haproxyapi.Command) []byte {
 	for _, known := range commands {
 		n := len(known.words)
 		if len(c.Words) < n || !slices.Equal(c.Words[:n], known.words) {
@@ -139,7 +139,7 @@
 		}
 		return []byte(text)
 	}
-	return fmt.Appendf(nil, "%s'%s'. Known are:\n%s", runtimeapi.UnknownPrefix, strings.Join(c.Words, " "), helpText())
+	return fmt.Appendf(nil, "%s'%s'. Known are:\n%s", haproxyapi.UnknownPrefix, strings.Join(c.Words, " "), helpText())
 }
 
 func (o *Operators) showInfo(c *Core, _ []string) string {
@@ -263,7 +263,7 @@
 	}
 	id, ok := c.names.Server(args[0])
 	if !ok {
-		return runtimeapi.NoServer
+		return haproxyapi.NoServer
 	}
 	var b strings.Builder
 	name, addr := c.names.Of(id)
@@ -309,7 +309,7 @@
 	}
 	id, ok := c.names.Server(args[0])
 	if !ok {
-		return runtimeapi.NoServer
+		return haproxyapi.NoServer
 	}
 	var b strings.Builder
 	for _, l := range c.plane.Tables() {
--- a/governor/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"bytes"
@@ -14,19 +14,19 @@
 
 	"github.com/rs/zerolog"
 
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/intake"
-	"cressknot/list"
-	"cressknot/records"
-	"cressknot/reports"
-	"cressknot/steer"
+	"cressknot/internal/discovery"
+	"cressknot/internal/eventlog"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest"
+	"cressknot/internal/ingest/counters"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/transport"
 )
 
 // still is a front that reaches nobody; what it is sent is answered by acknowledge.
 type still struct {
 	mu   sync.Mutex
-	sent []steer.Message
+	sent []reconcile.Message
 }
 
 func (l *Loop) acknowledge() {
@@ -34,13 +34,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.sent {
-		l.post(front.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
+		l.post(transport.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
 	}
 	s.sent = nil
 }
 
-func (s *still) Start(context.Context, front.Sink) error { return nil }
-func (s *still) Send(m steer.Message) {
+func (s *still) Start(context.Context, transport.Sink) error { return nil }
+func (s *still) Send(m reconcile.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sent = append(s.sent, m)
@@ -49,10 +49,10 @@
 func (s *still) Drop(fleet.ProxyID)         {}
 func (s *still) Stop(context.Context) error { return nil }
 
-type fixedList struct{ doc list.Document }
+type fixedList struct{ doc discovery.Document }
 
-func (f fixedList) Start(_ context.Context, sink func(list.Update)) error {
-	sink(list.Update{Scope: fleet.ListFull, Doc: f.doc})
+func (f fixedList) Start(_ context.Context, sink func(discovery.Update)) error {
+	sink(discovery.Update{Scope: fleet.ListFull, Doc: f.doc})
 	return nil
 }
 func (fixedList) Watch(bool) {}
@@ -62,9 +62,9 @@
 	names := NewNames()
 	site := fleet.Site{Zones: []string{"a"}, Classes: []fleet.VisitClass{{Name: "look", Value: 1, Expected: fleet.Second}},
 		LinesPerS: 1000, BacklogMost: 2000, ReportEvery: fleet.Second, ReportsPerS: 100, BareMost: 5 * fleet.Second}
-	doc := list.Document{Rev: 4, Servers: []list.Server{{Name: "n1", Addr: "127.0.0.1:1", Zone: "a"},
+	doc := discovery.Document{Rev: 4, Servers: []discovery.Server{{Name: "n1", Addr: "127.0.0.1:1", Zone: "a"},
 		{Name: "n2", Addr: "127.0.0.1:2", Zone: "nowhere"}}}
-	return NewLoop(Parts{Core: NewCore(site, 1, []front.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}}, names), Names: names,
+	return NewLoop(Parts{Core: NewCore(site, 1, []transport.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}}, names), Names: names,
 		Front: &still{}, Source: fixedList{doc}, Log: zerolog.Nop()})
 }
 
@@ -93,8 +93,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- loop.Run(ctx, time.Second) }()
-	loop.post(front.Up{Proxy: 0, Stream: 1, Held: steer.Snapshot{Lines: []steer.SnapshotLine{
-		{Server: loop.names.Learn("n9", "127.0.0.1:9"), Cell: steer.Cell{Weight: 3, State: steer.In}}}}})
+	loop.post(transport.Up{Proxy: 0, Stream: 1, Held: reconcile.Snapshot{Lines: []reconcile.SnapshotLine{
+		{Server: loop.names.Learn("n9", "127.0.0.1:9"), Cell: reconcile.Cell{Weight: 3, State: reconcile.In}}}}})
 	ask := func(text string) string {
 		t.Helper()
 		c, err := net.Dial("unix", path)
@@ -170,13 +170,13 @@
 	loop := testLoop(t)
 	const many = 5000
 	for i := range many {
-		r := reports.NewReading(1)
+		r := counters.NewReading(1)
 		r.Row(3).Tries, r.Classes[0].Visits = 1, uint64(i)
-		loop.post(front.Polled{Proxy: fleet.ProxyID(i % 2), Stream: 1, Reading: r})
-		loop.post(front.Progress{Proxy: 0, Stream: 1})
-		loop.Push([]intake.Record{{Server: fleet.ServerID(i % 3), Tries: uint64(i)}})
+		loop.post(transport.Polled{Proxy: fleet.ProxyID(i % 2), Stream: 1, Reading: r})
+		loop.post(transport.Progress{Proxy: 0, Stream: 1})
+		loop.Push([]ingest.Record{{Server: fleet.ServerID(i % 3), Tries: uint64(i)}})
 	}
-	loop.post(front.Polled{Proxy: 0, Stream: 2, Reading: reports.NewReading(0)}) // of another stream: not the same counters
+	loop.post(transport.Polled{Proxy: 0, Stream: 2, Reading: counters.NewReading(0)}) // of another stream: not the same counters
 	progress, streams, pushed, turns := 0, 0, 0, 0
 	last := map[fleet.ProxyID]uint64{}
 	for more := true; more; turns++ {
@@ -184,11 +184,11 @@
 		inputs, more = loop.collect(1, 1)
 		for _, in := range inputs {
 			switch in := in.(type) {
-			case front.Progress:
+			case transport.Progress:
 				progress++
 			case Pushed:
 				pushed += len(in)
-			case front.Polled:
+			case transport.Polled:
 				if in.Stream == 2 {
 					streams++
 				} else {
@@ -210,19 +210,19 @@
 func TestReplayNamesWhatDiffers(t *testing.T) {
 	loop := testLoop(t)
 	var text bytes.Buffer
-	w, err := records.NewWriter(&text, records.Start{Governor: "g", Site: loop.core.site, Seed: 1})
+	w, err := eventlog.NewWriter(&text, eventlog.Start{Governor: "g", Site: loop.core.site, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := fleet.Second
-	in := []Input{list.Update{Scope: fleet.ListFull, Doc: loop.source.(fixedList).doc}, front.Up{Proxy: 0, Stream: 1, Held: steer.Snapshot{Weight: 5}}}
+	in := []Input{discovery.Update{Scope: fleet.ListFull, Doc: loop.source.(fixedList).doc}, transport.Up{Proxy: 0, Stream: 1, Held: reconcile.Snapshot{Weight: 5}}}
 	for range 400 {
 		out := loop.core.Turn(now, in)
 		if in = nil; out.Stepped {
 			w.Step(now, out.Events, out.Orders, loop.names.Count(), func(id fleet.ServerID) string { n, _ := loop.names.Of(id); return n })
 		}
 		for _, m := range out.Messages {
-			in = append(in, front.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
+			in = append(in, transport.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
 		}
 		now += 50 * fleet.Millisecond
 	}
@@ -230,7 +230,7 @@
 		t.Fatal(err)
 	}
 	whole := text.String()
-	steps, orders, err := records.Replay("r", strings.NewReader(whole))
+	steps, orders, err := eventlog.Replay("r", strings.NewReader(whole))
 	if err != nil || steps < 50 || orders < 50 {
 		t.Fatalf("%d steps, %d orders: %v", steps, orders, err)
 	}
@@ -243,7 +243,7 @@
 		strings.Replace(whole, `"Format":1`, `"Format":9`, 1):                    "r:1: format 9 is not known",
 		"": "r: is empty",
 	} {
-		if _, _, err := records.Replay("r", strings.NewReader(bad)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, _, err := eventlog.Replay("r", strings.NewReader(bad)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
--- a/governor/peers.go
+++ b/internal/controller/peers.go
@@ -1,12 +1,12 @@
-package governor
+package controller
 
 import (
 	"cmp"
 	"fmt"
 	"strings"
 
-	"cressknot/fleet"
-	"cressknot/peers"
+	"cressknot/internal/fleet"
+	"cressknot/internal/gossip"
 )
 
 // What other governors tell: package peers decides what is made of it, here it is carried out.
@@ -14,16 +14,16 @@
 const heedEvery = fleet.Second / 4 // between two looks at peers' news: as often as a turn comes in any case
 
 // Peers lets the governor hear others, and tell them.
-func (c *Core) Peers(me string) { c.board = peers.NewBoard(me, c.epoch) }
+func (c *Core) Peers(me string) { c.board = gossip.NewBoard(me, c.epoch) }
 
 // ownList tells the board what our list says.
 func (c *Core) ownList(now fleet.Time) {
 	if c.board == nil {
 		return
 	}
-	own := make(map[string]peers.Own, len(c.docs))
+	own := make(map[string]gossip.Own, len(c.docs))
 	for name, s := range c.docs {
-		o := peers.Own{State: stateNames[s.State]}
+		o := gossip.Own{State: stateNames[s.State]}
 		if !s.Started.IsZero() {
 			o.Started = fleet.Time(s.Started.UnixNano())
 		}
--- a/governor/push.go
+++ b/internal/controller/push.go
@@ -1,14 +1,14 @@
-package governor
+package controller
 
 import (
 	"fmt"
 	"strconv"
 	"strings"
 
-	"cressknot/fleet"
-	"cressknot/guard"
-	"cressknot/runtimeapi"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/haproxyapi"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/safety"
 )
 
 // force is a push that was refused and may be forced.
@@ -27,8 +27,8 @@
 		return text
 	}
 	weight, err := strconv.Atoi(args[1])
-	if err != nil || weight < 0 || weight > runtimeapi.WeightMost {
-		return runtimeapi.BadWeight
+	if err != nil || weight < 0 || weight > haproxyapi.WeightMost {
+		return haproxyapi.BadWeight
 	}
 	now := o.loop.now()
 	harms := c.judgePush(now, table, server, weight)
@@ -48,12 +48,12 @@
 	if len(harms) > 0 && !(may && forced) {
 		return c.refusal(now, what, harms, may)
 	}
-	c.plane.Push(now, table, server, int16(weight), now+steer.PushFor)
+	c.plane.Push(now, table, server, int16(weight), now+reconcile.PushFor)
 	note := ""
 	if forced {
 		note = ", forced"
 	}
-	c.logs = append(c.logs, Line{now, "warn", "staff", fmt.Sprintf("%s was set to %d by hand for %.0f s%s", args[0], weight, steer.PushFor.Seconds(), note)})
+	c.logs = append(c.logs, Line{now, "warn", "staff", fmt.Sprintf("%s was set to %d by hand for %.0f s%s", args[0], weight, reconcile.PushFor.Seconds(), note)})
 	return ""
 }
 
@@ -80,13 +80,13 @@
 	}
 	id, known := c.names.Server(name)
 	if !known {
-		return 0, 0, runtimeapi.NoServer
+		return 0, 0, haproxyapi.NoServer
 	}
 	return fleet.TableID(n), id, ""
 }
 
 // judgePush tells what harm a line set by hand would do to its table.
-func (c *Core) judgePush(now fleet.Time, table fleet.TableID, server fleet.ServerID, weight int) []guard.Harm {
+func (c *Core) judgePush(now fleet.Time, table fleet.TableID, server fleet.ServerID, weight int) []safety.Harm {
 	if !c.guarded {
 		return nil
 	}
@@ -97,14 +97,14 @@
 		}
 	}
 	if !found {
-		lines = append(lines, guard.TableLine{Server: server, Weight: float64(weight), Withdrawn: c.plane.Withdrawn(server)})
+		lines = append(lines, safety.TableLine{Server: server, Weight: float64(weight), Withdrawn: c.plane.Withdrawn(server)})
 	}
 	demand := 0.0
 	c.plane.Users(table, func(p fleet.ProxyID, class fleet.ClassID) { demand += c.guard.Demand(p, class) })
 	return c.guard.Table(now, lines, demand)
 }
 
-func (c *Core) tableLines(table fleet.TableID) (lines []guard.TableLine) {
+func (c *Core) tableLines(table fleet.TableID) (lines []safety.TableLine) {
 	by := map[fleet.ServerID]int16{}
 	for _, p := range c.plane.Pushes() {
 		if p.Table == table {
@@ -119,12 +119,12 @@
 		if w, pushed := by[l.Server]; pushed {
 			weight = w
 		}
-		lines = append(lines, guard.TableLine{Server: l.Server, Weight: float64(weight), Withdrawn: l.Withdrawn})
+		lines = append(lines, safety.TableLine{Server: l.Server, Weight: float64(weight), Withdrawn: l.Withdrawn})
 	}
 	return lines
 }
 
-func (c *Core) refusal(now fleet.Time, what string, harms []guard.Harm, may bool) string {
+func (c *Core) refusal(now fleet.Time, what string, harms []safety.Harm, may bool) string {
 	var b strings.Builder
 	for _, h := range harms {
 		name, _ := c.names.Of(h.Server)
@@ -142,14 +142,14 @@
 			delete(c.forces, token)
 		}
 	}
-	if len(c.forces) >= guard.ForceMost {
+	if len(c.forces) >= safety.ForceMost {
 		b.WriteString("Too many refusals wait to be forced.\n")
 		return b.String()
 	}
 	c.tokens++
 	token := fmt.Sprintf("f%d", c.tokens)
-	c.forces[token] = force{what, now + guard.ForceFor}
-	fmt.Fprintf(&b, "To force it all the same, within %.0f s: set weight %s force %s\n", guard.ForceFor.Seconds(), what, token)
+	c.forces[token] = force{what, now + safety.ForceFor}
+	fmt.Fprintf(&b, "To force it all the same, within %.0f s: set weight %s force %s\n", safety.ForceFor.Seconds(), what, token)
 	return b.String()
 }
 
@@ -158,7 +158,7 @@
 	b.WriteString("# since proxies what\n")
 	for _, r := range c.plane.Refusals() {
 		name, _ := c.names.Of(r.Server)
-		fmt.Fprintf(&b, "%s %d %s\n", stamp(r.Since), r.Proxies, guard.Say(r, name))
+		fmt.Fprintf(&b, "%s %d %s\n", stamp(r.Since), r.Proxies, safety.Say(r, name))
 	}
 	for _, p := range c.plane.Pushes() {
 		name, _ := c.names.Of(p.Server)
--- a/governor/service.go
+++ b/internal/controller/service.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 
-	"cressknot/fleet"
-	"cressknot/service"
+	"cressknot/internal/fleet"
+	"cressknot/internal/service"
 )
 
 const (
--- a/governor/sharing.go
+++ b/internal/controller/sharing.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // member is what is seen of a governor at the proxies.
--- a/governor/storeddata_test.go
+++ b/internal/controller/storeddata_test.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"flag"
@@ -12,10 +12,10 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"cressknot/fleet"
-	"cressknot/list"
-	"cressknot/steer"
-	"cressknot/store"
+	"cressknot/internal/discovery"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/store"
 )
 
 var writeFixtures = flag.Bool("write-fixtures", false, "write the stored data in testdata anew")
@@ -31,9 +31,9 @@
 func storedLife(t *testing.T, fs vfs.FS) *life {
 	t.Helper()
 	l := live(t, fs, 4000*fleet.Second)
-	doc := list.Document{Rev: 41}
+	doc := discovery.Document{Rev: 41}
 	for i := range 5 {
-		doc.Servers = append(doc.Servers, list.Server{Name: fmt.Sprint("node-", i), Addr: fmt.Sprint("10.0.0.", i, ":80"), Zone: "a", Kind: "m2",
+		doc.Servers = append(doc.Servers, discovery.Server{Name: fmt.Sprint("node-", i), Addr: fmt.Sprint("10.0.0.", i, ":80"), Zone: "a", Kind: "m2",
 			Cell: uint16(i), Weight: 1.5})
 	}
 	doc.Servers[1].State = "draining"
@@ -53,8 +53,8 @@
 	now = storedNow
 	first, _ := l.core.names.Server("node-1")
 	second, _ := l.core.names.Server("node-2")
-	l.core.plane.Push(now, 0, first, 7, now+steer.PushFor)
-	l.core.plane.Push(now, 1, second, 0, now+steer.PushFor/2)
+	l.core.plane.Push(now, 0, first, 7, now+reconcile.PushFor)
+	l.core.plane.Push(now, 1, second, 0, now+reconcile.PushFor/2)
 	if err := l.core.plane.Pin(now, 1, now+600*fleet.Second); err != nil {
 		t.Fatal(err)
 	}
--- a/governor/tables.go
+++ b/internal/controller/tables.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"cressknot/fleet"
-	"cressknot/steer"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/tableversion"
 )
 
 // tableCommand is "table history|show|diff|rollback|pin|unpin|proxies ...".
@@ -31,8 +31,8 @@
 	if book == nil {
 		return fmt.Sprintf("Table %d is not there.\n", id)
 	}
-	version := func(text string) (tables.Version, string) {
-		v, err := tables.ParseVersion(text)
+	version := func(text string) (tableversion.Version, string) {
+		v, err := tableversion.ParseVersion(text)
 		if err != nil {
 			return v, err.Error() + ".\n"
 		}
@@ -40,10 +40,10 @@
 	}
 	until := func(text []string) (fleet.Time, string) {
 		if len(text) == 0 {
-			return now + steer.PinFor, ""
+			return now + reconcile.PinFor, ""
 		}
 		d, err := time.ParseDuration(text[0])
-		if t := fleet.Time(d); err != nil || t <= 0 || t > steer.PinMost {
+		if t := fleet.Time(d); err != nil || t <= 0 || t > reconcile.PinMost {
 			return 0, fmt.Sprintf("'%s' is no time from 1s to 24h.\n", text[0])
 		}
 		return now + fleet.Time(d), ""
@@ -110,7 +110,7 @@
 	return usage
 }
 
-func (c *Core) tableHistory(id fleet.TableID, book *tables.Table) string {
+func (c *Core) tableHistory(id fleet.TableID, book *tableversion.Table) string {
 	var b strings.Builder
 	b.WriteString("# time version digest lines why\n")
 	for _, d := range book.History() {
@@ -126,8 +126,8 @@
 	return b.String()
 }
 
-func (c *Core) tableDiff(id fleet.TableID, book *tables.Table, rest []string, parse func(string) (tables.Version, string)) string {
-	whole := func(v tables.Version) (map[string]int, string) {
+func (c *Core) tableDiff(id fleet.TableID, book *tableversion.Table, rest []string, parse func(string) (tableversion.Version, string)) string {
+	whole := func(v tableversion.Version) (map[string]int, string) {
 		lines, err := book.At(v)
 		if err != nil {
 			return nil, err.Error() + ".\n"
--- a/governor/transcript_test.go
+++ b/internal/controller/transcript_test.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/list"
-	"cressknot/steer"
+	"cressknot/internal/discovery"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/transport"
 )
 
 const storedTranscript = "testdata/operators.golden"
@@ -64,7 +64,7 @@
 		}
 		return string(answer)
 	}
-	loop.post(front.Up{Proxy: 0, Stream: 1, Held: steer.Snapshot{}})
+	loop.post(transport.Up{Proxy: 0, Stream: 1, Held: reconcile.Snapshot{}})
 	for end := time.Now().Add(30 * time.Second); !strings.Contains(ask("show proxies"), "look=") || !strings.Contains(ask("table proxies"), "/"); {
 		if time.Now().After(end) {
 			t.Fatalf("no table was laid: %s", ask("show proxies"))
@@ -72,7 +72,7 @@
 		loop.acknowledge()
 		time.Sleep(50 * time.Millisecond)
 	}
-	loop.post(list.Update{Scope: fleet.ListFull, Doc: list.Document{Rev: 5, Servers: []list.Server{
+	loop.post(discovery.Update{Scope: fleet.ListFull, Doc: discovery.Document{Rev: 5, Servers: []discovery.Server{
 		{Name: "n1", Addr: "127.0.0.1:1", Zone: "a"}, {Name: "n3", Addr: "127.0.0.1:3", Zone: "a", State: "draining"}}}})
 	for end := time.Now().Add(30 * time.Second); !strings.Contains(ask("show servers"), "n3 127.0.0.1:3 a draining"); {
 		if time.Now().After(end) {
--- a/list/cache.go
+++ b/internal/discovery/cache.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cressknot/boot"
-	"cressknot/fleet"
+	"cressknot/internal/discovery/verification"
+	"cressknot/internal/fleet"
 )
 
 const (
@@ -96,7 +96,7 @@
 
 // ReadCache reads the generations that Cache kept, as far as they can be believed, for a start without the list's source. Errors name
 // file and line; what else is there is given all the same.
-func ReadCache(path string) (kept []boot.Generation[Server], wrong []error) {
+func ReadCache(path string) (kept []verification.Generation[Server], wrong []error) {
 	for _, p := range []string{path, path + older} {
 		g, errs := readGeneration(p)
 		if wrong = append(wrong, errs...); g.Stated > 0 || g.Rev > 0 {
@@ -106,7 +106,7 @@
 	return kept, wrong
 }
 
-func readGeneration(path string) (g boot.Generation[Server], wrong []error) {
+func readGeneration(path string) (g verification.Generation[Server], wrong []error) {
 	g.From = path
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/list/cache_test.go
+++ b/internal/discovery/cache_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"bytes"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"cressknot/boot"
-	"cressknot/fleet"
+	"cressknot/internal/discovery/verification"
+	"cressknot/internal/fleet"
 )
 
 func kept(rev uint64, n int) Document {
@@ -76,7 +76,7 @@
 				t.Fatalf("byte %d: %d entries are left, whole %v", at, n, got[0].Whole)
 			}
 		}
-		if c, ok := boot.Choose(10*fleet.Second, got); !ok || len(c.Entries) < 5 {
+		if c, ok := verification.Choose(10*fleet.Second, got); !ok || len(c.Entries) < 5 {
 			t.Fatalf("byte %d: starts from %+v", at, c)
 		}
 	}
--- a/list/list.go
+++ b/internal/discovery/list.go
@@ -1,7 +1,7 @@
 // Package list is where a governor's list of servers comes from: a file that is watched, or a service over HTTP
 // that is asked by long poll. Both tell whole lists and changes with a revision, and failures only to those who
 // asked; what to do then is the module's to decide.
-package list
+package discovery
 
 import (
 	"bytes"
@@ -21,9 +21,9 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fsnotify/fsnotify"
 
-	"cressknot/boot"
-	"cressknot/fleet"
-	"cressknot/steer"
+	"cressknot/internal/discovery/verification"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
 )
 
 const (
@@ -150,7 +150,7 @@
 	}
 	go func() {
 		defer w.Close()
-		look := time.NewTicker(time.Duration(boot.LookAgain))
+		look := time.NewTicker(time.Duration(verification.LookAgain))
 		defer look.Stop()
 		f.read(false)
 		for {
@@ -258,7 +258,7 @@
 }
 
 func (h *HTTP) follow(ctx context.Context) {
-	redial := steer.NewRedial(uint64(time.Now().UnixNano()))
+	redial := reconcile.NewRedial(uint64(time.Now().UnixNano()))
 	first := true
 	for ctx.Err() == nil {
 		wait := h.Wait
@@ -335,7 +335,7 @@
 }
 
 func (h *HTTP) get(ctx context.Context, rev uint64, wait fleet.Time) (d Document, changed bool, err error) {
-	within, cancel := context.WithTimeout(ctx, time.Duration(wait+steer.AnswerWithin))
+	within, cancel := context.WithTimeout(ctx, time.Duration(wait+reconcile.AnswerWithin))
 	defer cancel()
 	to, err := url.Parse(h.URL)
 	if err != nil {
--- a/list/list_test.go
+++ b/internal/discovery/list_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 func TestBadListsNameThePlace(t *testing.T) {
--- a/list/platform.go
+++ b/internal/discovery/platform.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"bufio"
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
-	"cressknot/fleet"
-	"cressknot/internal/wire"
+	"cressknot/internal/fleet"
+	"cressknot/internal/simwire"
 )
 
 // Bounds of the talk with the platform's discovery.
@@ -321,7 +321,7 @@
 		} `json:"targets"`
 	}
 	if err := json.Unmarshal(text, &o); err != nil {
-		return nil, wire.JSONFault(err)
+		return nil, simwire.JSONFault(err)
 	}
 	switch {
 	case o.Rev == nil:
--- a/list/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const target = `{"uid":"%s","endpoint":"10.1.0.18:7070","az":"a","model":"m2","pod_group":3,"state":"%s","capacity_hint":1.0,"boot_ms":%d}`
--- a/list/storeddata_test.go
+++ b/internal/discovery/storeddata_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"reflect"
 	"testing"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 var writeFixtures = flag.Bool("write-fixtures", false, "write the stored data in testdata anew")
--- a/list/transcript_test.go
+++ b/internal/discovery/transcript_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // TestRequestsToDiscoveryKeepTheirBytes holds the requests for a watch and a whole list, and what an object becomes.
--- a/boot/doubts.go
+++ b/internal/discovery/verification/doubts.go
@@ -1,11 +1,11 @@
-package boot
+package verification
 
 import (
 	"cmp"
 	"fmt"
 	"slices"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const (
--- a/boot/doubts_test.go
+++ b/internal/discovery/verification/doubts_test.go
@@ -1,4 +1,4 @@
-package boot
+package verification
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // yard is a fleet of servers, some of them gone, that a kept list names.
--- a/boot/gate.go
+++ b/internal/discovery/verification/gate.go
@@ -1,8 +1,8 @@
 // Package boot decides what to make of lists that come when little is sure: now a whole list that names fewer than half of
 // the servers that the one before named. It is pure: no I/O, no clock.
-package boot
+package verification
 
-import "cressknot/fleet"
+import "cressknot/internal/fleet"
 
 const (
 	fewest    = 4    // servers listed before: of fewer, half may well go
--- a/boot/gate_test.go
+++ b/internal/discovery/verification/gate_test.go
@@ -1,11 +1,11 @@
-package boot
+package verification
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const s = fleet.Second
--- a/boot/trust.go
+++ b/internal/discovery/verification/trust.go
@@ -1,11 +1,11 @@
-package boot
+package verification
 
 import (
 	"fmt"
 	"math"
 	"slices"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const (
--- a/boot/trust_test.go
+++ b/internal/discovery/verification/trust_test.go
@@ -1,10 +1,10 @@
-package boot
+package verification
 
 import (
 	"strings"
 	"testing"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 func gen(from string, at fleet.Time, rev uint64, stated int, names ...string) Generation[string] {
--- a/records/records.go
+++ b/internal/eventlog/records.go
@@ -1,7 +1,7 @@
 // Package records writes what a governor heard and ordered, one step a line, and plays it again: the module must
 // then give the same orders to the byte. The first line holds what the module was told at its start. Staff read
 // the same lines after an incident.
-package records
+package eventlog
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"fmt"
 	"io"
 
-	"cressknot/fleet"
-	"cressknot/logic"
+	"cressknot/internal/balancer"
+	"cressknot/internal/fleet"
 )
 
 // Format is the version of the lines' form.
@@ -273,7 +273,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	module := logic.New(r.Start.Site, r.Start.Seed)
+	module := balancer.New(r.Start.Site, r.Start.Seed)
 	for {
 		s, events, err := r.Next()
 		if errors.Is(err, io.EOF) {
--- a/records/records_test.go
+++ b/internal/eventlog/records_test.go
@@ -1,4 +1,4 @@
-package records
+package eventlog
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"strings"
 	"testing"
 
-	"cressknot/fleet"
-	"cressknot/logic"
+	"cressknot/internal/balancer"
+	"cressknot/internal/fleet"
 )
 
 var writeFixtures = flag.Bool("write-fixtures", false, "write the stored data in testdata anew")
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	module := logic.New(storedSite(), 77)
+	module := balancer.New(storedSite(), 77)
 	for i := range 90 {
 		now := 50*fleet.Second + fleet.Time(i)*fleet.Second/4
 		events := storedEvents(rng, i)
--- a/peers/peers.go
+++ b/internal/gossip/peers.go
@@ -2,7 +2,7 @@
 // has, and whether a server that is bad for this governor is bad for all. News may be lost, late or doubled; older ones lose. Peers can only
 // keep visits away from servers or make them careful, never send any: a peer that is wrong costs capacity, bounded, and no rule. It is
 // pure. docs/design/peers.md tells the ways weighed.
-package peers
+package gossip
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"slices"
 	"strings"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const (
--- a/peers/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const s = fleet.Second
--- a/peers/transcript_test.go
+++ b/internal/gossip/transcript_test.go
@@ -1,11 +1,11 @@
-package peers
+package gossip
 
 import (
 	"encoding/json"
 	"reflect"
 	"testing"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // TestNewsKeepTheirBytes holds the text that governors tell each other.
--- a/runtimeapi/request.go
+++ b/internal/haproxyapi/request.go
@@ -3,7 +3,7 @@
 // separated by ";", words separated by spaces, backslashes that keep a space or a semicolon, a payload
 // after "<<", answers that end with an empty line, and the tables that such answers hold. But for Listen it does no I/O:
 // bytes come in by Feed in whatever pieces they arrive, bytes go out by the Append functions.
-package runtimeapi
+package haproxyapi
 
 import (
 	"bytes"
--- a/runtimeapi/tables.go
+++ b/internal/haproxyapi/tables.go
@@ -1,4 +1,4 @@
-package runtimeapi
+package haproxyapi
 
 import (
 	"bytes"
--- a/intake/box.go
+++ b/internal/ingest/box.go
@@ -1,10 +1,10 @@
-package intake
+package ingest
 
 import (
 	"fmt"
 	"sync"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const (
--- a/intake/collector/collector_test.go
+++ b/internal/ingest/collector/collector_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/rs/zerolog"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 var words = Words{Zones: []string{"a", "b"}, Classes: []string{"look", "book"}, Proxies: 20,
--- a/intake/collector/decode.go
+++ b/internal/ingest/collector/decode.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"strings"
 
-	"cressknot/fleet"
-	"cressknot/internal/wire"
+	"cressknot/internal/fleet"
+	"cressknot/internal/simwire"
 )
 
 // What a report may say. Past these it is spoilt, and is dropped alone.
@@ -173,7 +173,7 @@
 		v, err := strconv.ParseFloat(value, 64)
 		field, known := loadWords[name]
 		if !known {
-			field, known = wire.LoadFields[name]
+			field, known = simwire.LoadFields[name]
 		}
 		if err != nil || !(v >= 0 && v <= loadMost) || known && field == fleet.FieldBusy && v > busyShareMax {
 			l.fail("field metrics: %.40q is out of range", part)
--- a/intake/collector/server.go
+++ b/internal/ingest/collector/server.go
@@ -14,7 +14,7 @@
 	"github.com/lesismal/nbio/logging"
 	"github.com/rs/zerolog"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // Bounds of the listening address.
--- a/intake/collector/transcript_test.go
+++ b/internal/ingest/collector/transcript_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // TestASessionKeepsItsBytes holds what a collector is answered and what its lines become.
--- a/reports/read.go
+++ b/internal/ingest/counters/read.go
@@ -1,14 +1,14 @@
 // Package reports reads what proxies count: the answers to "show stat" and "show table" become one typed reading, which
 // package intake folds into sums. It holds no clock and no socket.
-package reports
+package counters
 
 import (
 	"bytes"
 	"sync"
 
-	"cressknot/fleet"
-	"cressknot/runtimeapi"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/haproxyapi"
+	"cressknot/internal/reconcile"
 )
 
 // Met is what a proxy counts of one server over all classes, since the proxy's start.
@@ -37,8 +37,8 @@
 	At      fleet.Time // stamped by the loop that takes it in
 	Rows    []Row
 	Classes []Came
-	Lines   []steer.SeenLine // what the proxy holds; may be empty
-	place   []int32          // by server: its row plus 1, 0 for none
+	Lines   []reconcile.SeenLine // what the proxy holds; may be empty
+	place   []int32              // by server: its row plus 1, 0 for none
 }
 
 var pool = sync.Pool{New: func() any { return new(Reading) }}
@@ -77,7 +77,7 @@
 // line of a backend gives what came to its class. Servers that lookup doesn't know are left out.
 func ReadCounters(text []byte, backends map[string]fleet.ClassID, classes int, lookup func(string) (fleet.ServerID, bool)) (*Reading, error) {
 	r := NewReading(classes)
-	err := runtimeapi.ReadStat(text, func(row *runtimeapi.Stat) error {
+	err := haproxyapi.ReadStat(text, func(row *haproxyapi.Stat) error {
 		class, ours := backends[string(row.Proxy)]
 		if !ours || string(row.Server) == "FRONTEND" {
 			return nil
@@ -88,7 +88,7 @@
 			return nil
 		}
 		if server, known := lookup(string(row.Server)); known {
-			r.Lines = append(r.Lines, steer.SeenLine{Class: class, Server: server, Weight: int16(min(row.Weight, runtimeapi.WeightMost)),
+			r.Lines = append(r.Lines, reconcile.SeenLine{Class: class, Server: server, Weight: int16(min(row.Weight, haproxyapi.WeightMost)),
 				State: stateOf(row.Status)})
 			m := r.Row(server)
 			m.Tries, m.Failed = m.Tries+row.Good+failed, m.Failed+failed
@@ -99,20 +99,20 @@
 }
 
 // stateOf reads the status of a server; health checks of the proxy's own change nothing of what a governor has set.
-func stateOf(status []byte) steer.State {
+func stateOf(status []byte) reconcile.State {
 	switch {
 	case bytes.HasPrefix(status, []byte("MAINT")):
-		return steer.Out
+		return reconcile.Out
 	case bytes.HasPrefix(status, []byte("DRAIN")):
-		return steer.Drain
+		return reconcile.Drain
 	}
-	return steer.In
+	return reconcile.In
 }
 
 // ReadTracked adds what "show table" prints: times of good answers and the load that the newest ones told.
 func (r *Reading) ReadTracked(text []byte, lookup func(string) (fleet.ServerID, bool)) error {
 	const unit = 1000 // loads stand in thousandths
-	return runtimeapi.ReadTable(text, func(t *runtimeapi.Tracked) error {
+	return haproxyapi.ReadTable(text, func(t *haproxyapi.Tracked) error {
 		server, known := lookup(string(t.Key))
 		if !known || int(server) >= len(r.place) || r.place[server] == 0 {
 			return nil
--- a/reports/read_test.go
+++ b/internal/ingest/counters/read_test.go
@@ -1,12 +1,12 @@
-package reports
+package counters
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"cressknot/fleet"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
 )
 
 const statHeader = "# pxname,svname,status,scur,stot,dreq,econ,eresp,wretr,weight,hrsp_1xx,hrsp_2xx,hrsp_3xx,hrsp_4xx,hrsp_5xx,odd\n"
@@ -41,8 +41,8 @@
 	if got, want := fmt.Sprint(r.Classes), "[{57 18} {5 1}]"; got != want {
 		t.Errorf("classes %s, want %s", got, want)
 	}
-	want := []steer.SeenLine{{Class: 0, Server: 1, Weight: 128, State: steer.In}, {Class: 0, Server: 2, Weight: 256, State: steer.Out},
-		{Class: 1, Server: 1, Weight: 1, State: steer.Drain}}
+	want := []reconcile.SeenLine{{Class: 0, Server: 1, Weight: 128, State: reconcile.In}, {Class: 0, Server: 2, Weight: 256, State: reconcile.Out},
+		{Class: 1, Server: 1, Weight: 1, State: reconcile.Drain}}
 	if fmt.Sprint(r.Lines) != fmt.Sprint(want) {
 		t.Errorf("lines %v, want %v", r.Lines, want)
 	}
--- a/intake/intake.go
+++ b/internal/ingest/intake.go
@@ -3,11 +3,11 @@
 // told, how they fold and age, whom to believe, when a source is silent and what that means, and what is shed when turns
 // take too long. All of it is pure: no I/O, no clock; only Box may be called from several goroutines.
 // docs/design/intake.md tells the ways weighed.
-package intake
+package ingest
 
 import (
-	"cressknot/fleet"
-	"cressknot/reports"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest/counters"
 )
 
 const (
@@ -130,7 +130,7 @@
 }
 
 // Polled takes a reading of a proxy in. It keeps nothing of it.
-func (k *Intake) Polled(now fleet.Time, id fleet.ProxyID, r *reports.Reading) {
+func (k *Intake) Polled(now fleet.Time, id fleet.ProxyID, r *counters.Reading) {
 	k.at = max(k.at, now)
 	w := k.proxies[id]
 	if w == nil {
@@ -253,7 +253,7 @@
 }
 
 // restarted tells whether any counter fell or jumped past belief: then the difference means nothing.
-func (k *Intake) restarted(w *watched, r *reports.Reading) bool {
+func (k *Intake) restarted(w *watched, r *counters.Reading) bool {
 	odd := func(now, was uint64) bool { return now < was || now-was > impossible }
 	for i := range r.Rows {
 		m, o := &r.Rows[i], w.of(r.Rows[i].Server)
--- a/intake/intake_test.go
+++ b/internal/ingest/intake_test.go
@@ -1,4 +1,4 @@
-package intake
+package ingest
 
 import (
 	"flag"
@@ -11,8 +11,8 @@
 
 	"pgregory.net/rapid"
 
-	"cressknot/fleet"
-	"cressknot/reports"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest/counters"
 )
 
 const s = fleet.Second
@@ -36,12 +36,12 @@
 
 // far is a proxy with its counters.
 type far struct {
-	met    map[fleet.ServerID]reports.Met
+	met    map[fleet.ServerID]counters.Met
 	visits uint64
 }
 
-func (f *far) reading(at fleet.Time) *reports.Reading {
-	r := reports.NewReading(2)
+func (f *far) reading(at fleet.Time) *counters.Reading {
+	r := counters.NewReading(2)
 	r.At = at
 	for id := range fleet.ServerID(4) {
 		if m, ok := f.met[id]; ok {
@@ -70,7 +70,7 @@
 		due, told, lines, began := uint64(0), uint64(0), 0, now
 		gone, last := map[fleet.ServerID]bool{}, map[string]fleet.Time{}
 		for i := range fars {
-			fars[i].met = map[fleet.ServerID]reports.Met{}
+			fars[i].met = map[fleet.ServerID]counters.Met{}
 			k.Join(now, fleet.ProxyID(i), fleet.ZoneID(i%2), true)
 		}
 		tell := func() {
@@ -116,7 +116,7 @@
 				k.Leave(id)
 				fresh := rapid.Bool().Draw(t, "fresh")
 				if fresh {
-					f.met, f.visits, known[i] = map[fleet.ServerID]reports.Met{}, 0, false
+					f.met, f.visits, known[i] = map[fleet.ServerID]counters.Met{}, 0, false
 				}
 				k.Join(now, id, fleet.ZoneID(i%2), fresh)
 			case 6:
@@ -142,9 +142,9 @@
 func TestFallenCountersTellNothing(t *testing.T) {
 	k := New(site())
 	k.Join(s, 1, 0, true)
-	f := far{met: map[fleet.ServerID]reports.Met{}}
+	f := far{met: map[fleet.ServerID]counters.Met{}}
 	for i, n := range []uint64{100, 40, 60, 1 << 62, 80, 90} {
-		f.met[2] = reports.Met{Tries: n, Failed: n}
+		f.met[2] = counters.Met{Tries: n, Failed: n}
 		k.Polled(fleet.Time(i+2)*s, 1, f.reading(fleet.Time(i+2)*s))
 	}
 	if k.Resets() != 3 || k.totals.Counted != 30 {
@@ -156,7 +156,7 @@
 // crowd of this second, and the rest is booked as aged.
 func TestLateNewsIsNoCrowd(t *testing.T) {
 	k := New(site())
-	f := far{met: map[fleet.ServerID]reports.Met{}}
+	f := far{met: map[fleet.ServerID]counters.Met{}}
 	k.Join(0, 1, 0, true)
 	now := fleet.Time(0)
 	for range 10 { // ten tries a second
@@ -191,7 +191,7 @@
 	k := New(st)
 	var fars [5]far
 	for i := range fars {
-		fars[i].met = map[fleet.ServerID]reports.Met{}
+		fars[i].met = map[fleet.ServerID]counters.Met{}
 		k.Join(0, fleet.ProxyID(i), 0, true)
 	}
 	told := 0
@@ -223,7 +223,7 @@
 // TestOneTellingAPeriod: a line that changes all the time is told about once a period, and each time goes on where the last ended.
 func TestOneTellingAPeriod(t *testing.T) {
 	k := New(site())
-	f := far{met: map[fleet.ServerID]reports.Met{}}
+	f := far{met: map[fleet.ServerID]counters.Met{}}
 	k.Join(0, 1, 0, true)
 	told, span := 0, fleet.Time(0)
 	for now := s; now < 11*s; now += s / 10 {
@@ -266,7 +266,7 @@
 func TestFloodStarvesNobody(t *testing.T) {
 	run := func(perTick int) (heard map[fleet.ServerID]fleet.Time, worst fleet.Time, totals Totals, most int) {
 		k, box, rng := New(site()), &Box{}, rand.New(rand.NewPCG(5, 5))
-		f := far{met: map[fleet.ServerID]reports.Met{}}
+		f := far{met: map[fleet.ServerID]counters.Met{}}
 		k.Join(0, 1, 0, true)
 		for id := range fleet.ServerID(700) {
 			k.Listed(id, false)
@@ -395,7 +395,7 @@
 	k.Listed(1, false)
 	k.Join(0, 1, 0, true)
 	const off = 90 * s // ahead of us
-	f := far{met: map[fleet.ServerID]reports.Met{}}
+	f := far{met: map[fleet.ServerID]counters.Met{}}
 	push := func(now, taken fleet.Time) {
 		k.Pushed(now, Record{Server: 1, Stated: taken + off, Arrived: now, HasLoad: true, Load: [4]float32{0.5}})
 	}
@@ -482,7 +482,7 @@
 			k := New(site())
 			fars := [4]far{}
 			for i := range fars {
-				fars[i].met = map[fleet.ServerID]reports.Met{}
+				fars[i].met = map[fleet.ServerID]counters.Met{}
 				k.Join(0, fleet.ProxyID(i), fleet.ZoneID(i%2), true)
 			}
 			for id := range fleet.ServerID(4) {
@@ -540,7 +540,7 @@
 // a proxy that stops to answer polls is told apart.
 func TestOurOwnSideIsCut(t *testing.T) {
 	k := New(site())
-	f := far{met: map[fleet.ServerID]reports.Met{}}
+	f := far{met: map[fleet.ServerID]counters.Met{}}
 	k.Join(0, 0, 0, true)
 	k.Join(0, 1, 1, true)
 	for id := range fleet.ServerID(4) {
@@ -617,7 +617,7 @@
 				asked[id]++
 				zones[id%2][now/s]++
 				if rows > 0 {
-					r := reports.NewReading(2)
+					r := counters.NewReading(2)
 					r.At = now
 					for i := range rows {
 						r.Row(fleet.ServerID(i)).Tries = uint64(now / s)
@@ -672,7 +672,7 @@
 			for i := range 930 {
 				k.Join(0, fleet.ProxyID(i), 0, true)
 			}
-			r := reports.NewReading(2)
+			r := counters.NewReading(2)
 			for id := range servers {
 				r.Row(fleet.ServerID(id))
 			}
--- a/intake/polls.go
+++ b/internal/ingest/polls.go
@@ -1,11 +1,11 @@
-package intake
+package ingest
 
 import (
 	"container/heap"
 	"math"
 
-	"cressknot/fleet"
-	"cressknot/reports"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest/counters"
 )
 
 // watched is a proxy that is polled.
@@ -18,14 +18,14 @@
 	rows  int // of its last reading
 	read  bool
 	since fleet.Time // of the last reading
-	met   []reports.Met
-	came  []reports.Came
+	met   []counters.Met
+	came  []counters.Came
 	mute  bool // told as not answering
 }
 
-func (w *watched) of(server fleet.ServerID) *reports.Met {
+func (w *watched) of(server fleet.ServerID) *counters.Met {
 	for int(server) >= len(w.met) {
-		w.met = append(w.met, make([]reports.Met, max(16, int(server)+1-len(w.met)))...)
+		w.met = append(w.met, make([]counters.Met, max(16, int(server)+1-len(w.met)))...)
 	}
 	return &w.met[server]
 }
@@ -93,7 +93,7 @@
 	return ask, wake
 }
 
-func (k *Intake) answered(w *watched, r *reports.Reading) {
+func (k *Intake) answered(w *watched, r *counters.Reading) {
 	n := max(len(r.Lines), len(r.Rows)) // "show stat" has a row for each class
 	k.rows += n - w.rows
 	w.rows = n
--- a/intake/push/decode.go
+++ b/internal/ingest/push/decode.go
@@ -10,8 +10,8 @@
 
 	"github.com/influxdata/line-protocol/v2/lineprotocol"
 
-	"cressknot/fleet"
-	"cressknot/intake"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest"
 )
 
 const (
@@ -49,12 +49,12 @@
 //
 // Sums are whole numbers since the start of the process, started is that start in nanoseconds; load figures are called as in
 // the settings; fields that aren't known are left alone. Without a time of its own a line is of when it came.
-func Decode(into []intake.Record, body []byte, w *Words, unit lineprotocol.Precision, now fleet.Time) ([]intake.Record, Ignored, error) {
+func Decode(into []ingest.Record, body []byte, w *Words, unit lineprotocol.Precision, now fleet.Time) ([]ingest.Record, Ignored, error) {
 	var ignored Ignored
 	keep := into
 	d := lineprotocol.NewDecoderWithBytes(body)
 	for n := 1; d.Next(); n++ {
-		r := intake.Record{Arrived: now}
+		r := ingest.Record{Arrived: now}
 		known, ours, err := line(d, &r, w, unit)
 		if err == nil && n > linesMost {
 			err = fmt.Errorf("%d lines are the most in a batch", linesMost)
@@ -78,7 +78,7 @@
 	return into, ignored, nil
 }
 
-func line(d *lineprotocol.Decoder, r *intake.Record, w *Words, unit lineprotocol.Precision) (known, ours bool, err error) {
+func line(d *lineprotocol.Decoder, r *ingest.Record, w *Words, unit lineprotocol.Precision) (known, ours bool, err error) {
 	what, err := d.Measurement()
 	if err != nil {
 		return false, false, err
@@ -128,7 +128,7 @@
 }
 
 // field takes one field.
-func field(r *intake.Record, key []byte, v lineprotocol.Value, w *Words) error {
+func field(r *ingest.Record, key []byte, v lineprotocol.Value, w *Words) error {
 	sum := func(to *uint64) error {
 		switch {
 		case v.Kind() == lineprotocol.Uint:
--- a/intake/push/push_test.go
+++ b/internal/ingest/push/push_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/influxdata/line-protocol/v2/lineprotocol"
 
-	"cressknot/fleet"
-	"cressknot/intake"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest"
 )
 
 var words = Words{Loads: []string{"busy", "held"}, Lookup: func(name []byte) (fleet.ServerID, bool) {
@@ -24,15 +24,15 @@
 	return id, n == 1 && err == nil && id < 1000
 }}
 
-func decode(text string) ([]intake.Record, Ignored, error) {
+func decode(text string) ([]ingest.Record, Ignored, error) {
 	return Decode(nil, []byte(text), &words, lineprotocol.Nanosecond, 77)
 }
 
 func TestDecode(t *testing.T) {
 	records, ignored, err := decode("# of an agent\ncpu,host=x idle=3\nserver,name=node-7,zone=a started=5i,tries=12i,failed=3u,good=9i,good_ms=1800i,busy=0.5,held=4i,more=\"x\" 99\n" +
 		"server,name=other tries=1i\n\nserver,name=node-8 tries=1i\n")
-	want := intake.Record{Server: 7, Started: 5, Stated: 99, Arrived: 77, Tries: 12, Failed: 3, Good: 9, GoodMs: 1800, Load: [4]float32{0.5, 4}, HasLoad: true}
-	if err != nil || len(records) != 2 || records[0] != want || records[1] != (intake.Record{Server: 8, Arrived: 77, Tries: 1}) || ignored != (Ignored{1, 1}) {
+	want := ingest.Record{Server: 7, Started: 5, Stated: 99, Arrived: 77, Tries: 12, Failed: 3, Good: 9, GoodMs: 1800, Load: [4]float32{0.5, 4}, HasLoad: true}
+	if err != nil || len(records) != 2 || records[0] != want || records[1] != (ingest.Record{Server: 8, Arrived: 77, Tries: 1}) || ignored != (Ignored{1, 1}) {
 		t.Errorf("%+v %+v %v", records, ignored, err)
 	}
 	good := "server,name=node-1 tries=1i\n"
@@ -75,13 +75,13 @@
 // sink stands for a governor.
 type sink struct {
 	mu      sync.Mutex
-	reply   intake.Reply
+	reply   ingest.Reply
 	records int
 	hold    chan struct{}
 }
 
 func (s *sink) Now() fleet.Time { return 77 }
-func (s *sink) Push(r []intake.Record) intake.Reply {
+func (s *sink) Push(r []ingest.Record) ingest.Reply {
 	if s.hold != nil {
 		<-s.hold
 	}
@@ -110,21 +110,21 @@
 	z.Close()
 	for _, c := range []struct {
 		path, body, encoding string
-		reply                intake.Reply
+		reply                ingest.Reply
 		status, records      int
 		text, wait           string
 	}{
-		{"/api/v2/write?bucket=x&precision=ms", good, "", intake.Reply{}, 204, 1, "", ""},
-		{"/write", packed.String(), "gzip", intake.Reply{}, 204, 1, "", ""},
-		{"/write", good + "server x", "", intake.Reply{}, 400, 0, "line 2: ", ""},
-		{"/write?precision=h", good, "", intake.Reply{}, 400, 0, "precision", ""},
-		{"/write", good, "br", intake.Reply{}, 415, 0, "encoding", ""},
-		{"/write", good, "gzip", intake.Reply{}, 400, 0, "not packed", ""},
-		{"/write", bomb.String(), "gzip", intake.Reply{}, 413, 0, "1048576 bytes at most", ""},
-		{"/write", strings.Repeat("#", bodyMost+1), "", intake.Reply{}, 413, 0, "bytes at most", ""},
-		{"/write", good, "", intake.Reply{Text: "too many", Wait: fleet.Second / 4}, 429, 1, "too many", "1"},
-		{"/write", good, "", intake.Reply{Text: "not believed", Distrust: 77 + 30*fleet.Second}, 403, 1, "not believed", "30"},
-		{"/elsewhere", good, "", intake.Reply{}, 404, 0, "", ""},
+		{"/api/v2/write?bucket=x&precision=ms", good, "", ingest.Reply{}, 204, 1, "", ""},
+		{"/write", packed.String(), "gzip", ingest.Reply{}, 204, 1, "", ""},
+		{"/write", good + "server x", "", ingest.Reply{}, 400, 0, "line 2: ", ""},
+		{"/write?precision=h", good, "", ingest.Reply{}, 400, 0, "precision", ""},
+		{"/write", good, "br", ingest.Reply{}, 415, 0, "encoding", ""},
+		{"/write", good, "gzip", ingest.Reply{}, 400, 0, "not packed", ""},
+		{"/write", bomb.String(), "gzip", ingest.Reply{}, 413, 0, "1048576 bytes at most", ""},
+		{"/write", strings.Repeat("#", bodyMost+1), "", ingest.Reply{}, 413, 0, "bytes at most", ""},
+		{"/write", good, "", ingest.Reply{Text: "too many", Wait: fleet.Second / 4}, 429, 1, "too many", "1"},
+		{"/write", good, "", ingest.Reply{Text: "not believed", Distrust: 77 + 30*fleet.Second}, 403, 1, "not believed", "30"},
+		{"/elsewhere", good, "", ingest.Reply{}, 404, 0, "", ""},
 	} {
 		k.reply, k.records = c.reply, 0
 		req, _ := http.NewRequest(http.MethodPost, "http://"+s.Addr()+c.path, strings.NewReader(c.body))
@@ -196,7 +196,7 @@
 		ids[fmt.Sprint("node-", i)] = fleet.ServerID(i)
 	}
 	w.Lookup = func(name []byte) (fleet.ServerID, bool) { id, ok := ids[string(name)]; return id, ok }
-	var records []intake.Record
+	var records []ingest.Record
 	b.ReportAllocs()
 	for n := 0; n < b.N; n += 700 {
 		var err error
--- a/intake/push/server.go
+++ b/internal/ingest/push/server.go
@@ -21,8 +21,8 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/semaphore"
 
-	"cressknot/fleet"
-	"cressknot/intake"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest"
 )
 
 const (
@@ -39,7 +39,7 @@
 // Sink takes records and says what their source is told.
 type Sink interface {
 	Now() fleet.Time
-	Push(records []intake.Record) intake.Reply
+	Push(records []ingest.Record) ingest.Reply
 }
 
 // Counts tell what came, for operators.
@@ -95,7 +95,7 @@
 // room is what a batch is read into.
 type room struct {
 	body    bytes.Buffer
-	records []intake.Record
+	records []ingest.Record
 }
 
 var rooms = sync.Pool{New: func() any { return new(room) }}
@@ -136,7 +136,7 @@
 	}
 	s.unknown.Add(uint64(ignored.Unknown))
 	s.ignored.Add(uint64(ignored.Lines))
-	reply := intake.Reply{}
+	reply := ingest.Reply{}
 	if len(records) > 0 {
 		reply = s.sink.Push(records)
 	}
--- a/intake/silence.go
+++ b/internal/ingest/silence.go
@@ -1,11 +1,11 @@
-package intake
+package ingest
 
 import (
 	"cmp"
 	"fmt"
 	"slices"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const (
--- a/intake/series/series.go
+++ b/internal/ingest/timeseries/series.go
@@ -1,7 +1,7 @@
 // Package series keeps what proxies met at each server as a time series for operators: a row a minute and server, for a day,
 // in an embedded store on disk or in memory. Times of answers are kept as histograms, which add up exactly over minutes,
 // zones and servers; no figure is a mean of means. Nothing that is decided reads it.
-package series
+package timeseries
 
 import (
 	"bytes"
@@ -17,8 +17,8 @@
 	"github.com/cockroachdb/pebble/v2"
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"cressknot/fleet"
-	"cressknot/intake"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest"
 )
 
 const (
@@ -85,7 +85,7 @@
 }
 
 // Add takes what a proxy met at a server. It never waits for the disk.
-func (s *Store) Add(c intake.Cell) {
+func (s *Store) Add(c ingest.Cell) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if at := c.At / step * step; at > s.at { // rows of the step before are whole
--- a/intake/series/series_test.go
+++ b/internal/ingest/timeseries/series_test.go
@@ -1,4 +1,4 @@
-package series
+package timeseries
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 
 	"github.com/cockroachdb/pebble/v2"
 
-	"cressknot/fleet"
-	"cressknot/intake"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest"
 )
 
 func names(id fleet.ServerID) string { return fmt.Sprintf("node-%03d", id) }
@@ -23,8 +23,8 @@
 	end := 25 * 3600 * fleet.Second
 	for at := step; at < end; at += step {
 		for id := range fleet.ServerID(2) {
-			s.Add(intake.Cell{At: at, Server: id, Tries: 10, Failed: uint64(id), Good: 9, GoodMs: 9 * 100})
-			s.Add(intake.Cell{At: at, Server: id, Tries: 1, Good: 1, GoodMs: 5000, HasLoad: true, Load: [4]float32{0.5}})
+			s.Add(ingest.Cell{At: at, Server: id, Tries: 10, Failed: uint64(id), Good: 9, GoodMs: 9 * 100})
+			s.Add(ingest.Cell{At: at, Server: id, Tries: 1, Good: 1, GoodMs: 5000, HasLoad: true, Load: [4]float32{0.5}})
 		}
 	}
 	check := func(s *Store, bad int) {
@@ -70,7 +70,7 @@
 	defer s.Close()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		s.Add(intake.Cell{At: step + fleet.Time(i)*fleet.Millisecond, Server: fleet.ServerID(i % 700), Tries: 3, Good: 3, GoodMs: uint64(i % 900)})
+		s.Add(ingest.Cell{At: step + fleet.Time(i)*fleet.Millisecond, Server: fleet.ServerID(i % 700), Tries: 3, Good: 3, GoodMs: uint64(i % 900)})
 	}
 	b.ReportMetric(float64(s.Size())/float64(1+b.N/60_000), "B-a-minute")
 }
--- a/intake/series/storeddata_test.go
+++ b/internal/ingest/timeseries/storeddata_test.go
@@ -1,4 +1,4 @@
-package series
+package timeseries
 
 import (
 	"flag"
@@ -6,8 +6,8 @@
 	"path/filepath"
 	"testing"
 
-	"cressknot/fleet"
-	"cressknot/intake"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest"
 )
 
 var writeFixtures = flag.Bool("write-fixtures", false, "write the stored data in testdata anew")
@@ -26,9 +26,9 @@
 		}
 		for minute := range fleet.Time(storedMinutes) {
 			at := (minute + 1) * step
-			s.Add(intake.Cell{At: at, Server: 1, Tries: 10 + uint64(minute), Failed: 2, Good: 8, GoodMs: 8 * 120, HasLoad: true, Load: [4]float32{0.25}})
-			s.Add(intake.Cell{At: at + fleet.Second, Server: 1, Tries: 1, Good: 1, GoodMs: 900})
-			s.Add(intake.Cell{At: at, Server: 2, Tries: 3, Good: 3, GoodMs: 30})
+			s.Add(ingest.Cell{At: at, Server: 1, Tries: 10 + uint64(minute), Failed: 2, Good: 8, GoodMs: 8 * 120, HasLoad: true, Load: [4]float32{0.25}})
+			s.Add(ingest.Cell{At: at + fleet.Second, Server: 1, Tries: 1, Good: 1, GoodMs: 900})
+			s.Add(ingest.Cell{At: at, Server: 2, Tries: 3, Good: 3, GoodMs: 30})
 		}
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
--- a/intake/trust.go
+++ b/internal/ingest/trust.go
@@ -1,9 +1,9 @@
-package intake
+package ingest
 
 import (
 	"fmt"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const (
--- a/assign/assign.go
+++ b/internal/lease/assign.go
@@ -3,7 +3,7 @@
 // its entry, then ending all other sessions at the proxy, then reading the entries again: what an earlier holder had under way ends with
 // its session, and a session that came later sees the entry. So nothing that governors know of each other is needed for two of them never to
 // steer one proxy. It is pure. docs/design/assign.md tells the ways weighed, and what was searched.
-package assign
+package lease
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const (
--- a/assign/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -1,4 +1,4 @@
-package assign
+package lease
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const sec = fleet.Second
--- a/assign/model_test.go
+++ b/internal/lease/model_test.go
@@ -1,10 +1,10 @@
-package assign
+package lease
 
 import (
 	"flag"
 	"testing"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // The model: three governors at one proxy, any of which may decide at any time that it is to take over (so nothing depends on clocks), be
--- a/members/members.go
+++ b/internal/membership/members.go
@@ -1,6 +1,6 @@
 // Package members lets governors find each other and carry news among them, on hashicorp/memberlist: who is there, suspicion and its
 // refutation, leaving on purpose, encrypted where a key is set. What news mean is decided in package peers.
-package members
+package membership
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"cressknot/peers"
+	"cressknot/internal/gossip"
 )
 
 // Protocol is the version of what governors tell each other: Major.Minor. Another major version is not listened to.
@@ -31,7 +31,7 @@
 	Listen string   // host:port
 	Join   []string // host:port of others; any that is up will do
 	Key    []byte   // 16, 24 or 32 bytes; nil: not encrypted
-	News   func(peers.News)
+	News   func(gossip.News)
 	Wrong  func(error) // what can't be read, and from whom
 	Change func(name string, here bool)
 	major  int // of the protocol, for tests; 0: this program's
@@ -74,7 +74,7 @@
 	cfg := memberlist.DefaultLANConfig()
 	cfg.Name, cfg.BindAddr, cfg.BindPort, cfg.AdvertiseAddr, cfg.AdvertisePort = o.Name, host, int(n), host, int(n)
 	cfg.Delegate, cfg.Events, cfg.SecretKey = &delegate{m}, &events{m}, o.Key
-	cfg.DeadNodeReclaimTime = time.Duration(peers.DeadKeeps)
+	cfg.DeadNodeReclaimTime = time.Duration(gossip.DeadKeeps)
 	cfg.Logger = log.New(io.Discard, "", 0) // what matters comes as errors and changes
 	if m.list, err = memberlist.Create(cfg); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
@@ -96,21 +96,21 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Duration(peers.JoinEvery)):
+		case <-time.After(time.Duration(gossip.JoinEvery)):
 		}
 	}
 }
 
 // Tell sends our news to all that are here. It waits for no one of them.
-func (m *Members) Tell(n peers.News) {
+func (m *Members) Tell(n gossip.News) {
 	text, err := json.Marshal(n)
-	if err != nil || len(text) > peers.NewsMost {
+	if err != nil || len(text) > gossip.NewsMost {
 		return // peers bounds what there is to tell
 	}
 	m.mu.Lock()
 	m.newest = text
 	m.mu.Unlock()
-	limit := make(chan struct{}, peers.SendAtOnce)
+	limit := make(chan struct{}, gossip.SendAtOnce)
 	for _, node := range m.list.Members() {
 		if node.Name == m.opt.Name || !m.speaks(node) {
 			continue
@@ -118,7 +118,7 @@
 		m.mu.Lock()
 		m.sent += uint64(len(text))
 		m.mu.Unlock()
-		if len(text) <= peers.SmallMost {
+		if len(text) <= gossip.SmallMost {
 			_ = m.list.SendBestEffort(node, text) // the next telling makes up for one that is lost
 			continue
 		}
@@ -155,7 +155,7 @@
 func (m *Members) Close() error {
 	m.cancel()
 	m.done.Wait()
-	return errors.Join(m.list.Leave(time.Duration(peers.LeaveWithin)), m.list.Shutdown())
+	return errors.Join(m.list.Leave(time.Duration(gossip.LeaveWithin)), m.list.Shutdown())
 }
 
 func (d *delegate) NodeMeta(limit int) []byte {
@@ -166,10 +166,10 @@
 func (d *delegate) NotifyMsg(text []byte) { d.m.take(text) }
 
 func (m *Members) take(text []byte) {
-	var n peers.News
+	var n gossip.News
 	err := error(nil)
-	if len(text) > peers.NewsMost {
-		err = fmt.Errorf("news of %d bytes, %d are the most", len(text), peers.NewsMost)
+	if len(text) > gossip.NewsMost {
+		err = fmt.Errorf("news of %d bytes, %d are the most", len(text), gossip.NewsMost)
 	} else if err = json.Unmarshal(text, &n); err == nil {
 		err = n.Check()
 	}
--- a/members/members_test.go
+++ b/internal/membership/members_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"cressknot/fleet"
-	"cressknot/peers"
+	"cressknot/internal/fleet"
+	"cressknot/internal/gossip"
 )
 
 const waitMost = 30 * time.Second
@@ -19,7 +19,7 @@
 type node struct {
 	*Members
 	mu    sync.Mutex
-	news  []peers.News
+	news  []gossip.News
 	wrong []error
 	addr  string
 }
@@ -38,7 +38,7 @@
 	n := &node{addr: l.Addr().String()}
 	l.Close()
 	n.Members, err = Start(Options{Name: name, Listen: n.addr, Join: join, Key: key, major: major, Change: func(string, bool) {},
-		News: func(got peers.News) {
+		News: func(got gossip.News) {
 			n.mu.Lock()
 			n.news = append(n.news, got)
 			n.mu.Unlock()
@@ -66,7 +66,7 @@
 func (n *node) heard(governor string, servers int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.ContainsFunc(n.news, func(g peers.News) bool { return g.Governor == governor && len(g.Servers) == servers })
+	return slices.ContainsFunc(n.news, func(g gossip.News) bool { return g.Governor == governor && len(g.Servers) == servers })
 }
 
 // TestGovernorsFindEachOther: three that know one address each find all, hear small and large news, and are told of one that leaves; one
@@ -81,12 +81,12 @@
 	defer c.Close()
 	defer other.Close()
 	until(t, "they don't find each other", func() bool { return len(a.Names()) == 3 && len(b.Names()) == 3 && len(c.Names()) == 3 })
-	large := peers.News{Governor: "c", Epoch: 1, Seq: 2}
+	large := gossip.News{Governor: "c", Epoch: 1, Seq: 2}
 	for i := range 1500 {
-		large.Servers = append(large.Servers, peers.Server{Name: fmt.Sprint("server-", i), State: fleet.Draining})
+		large.Servers = append(large.Servers, gossip.Server{Name: fmt.Sprint("server-", i), State: fleet.Draining})
 	}
 	until(t, "news don't come", func() bool {
-		c.Tell(peers.News{Governor: "c", Epoch: 1, Seq: 1, Servers: large.Servers[:2]})
+		c.Tell(gossip.News{Governor: "c", Epoch: 1, Seq: 1, Servers: large.Servers[:2]})
 		return a.heard("c", 2) && b.heard("c", 2)
 	})
 	c.Tell(large)
@@ -117,7 +117,7 @@
 		defer a.mu.Unlock()
 		return len(a.wrong) == 1 && strings.Contains(a.wrong[0].Error(), `"b" speaks another version`)
 	})
-	a.Tell(peers.News{Governor: "a", Epoch: 1, Seq: 1})
+	a.Tell(gossip.News{Governor: "a", Epoch: 1, Seq: 1})
 	if a.Sent() != 0 {
 		t.Error("it is told news that it can't read")
 	}
@@ -142,10 +142,10 @@
 				}
 				took, sent := time.Since(began), uint64(0)
 				for i, m := range all {
-					news := peers.News{Governor: fmt.Sprint("g", i), Epoch: 1 << 60, Seq: 1}
+					news := gossip.News{Governor: fmt.Sprint("g", i), Epoch: 1 << 60, Seq: 1}
 					for k := range 10 {
-						news.Servers = append(news.Servers, peers.Server{Name: fmt.Sprint("server-", k), State: fleet.Draining})
-						news.Views = append(news.Views, peers.View{Name: fmt.Sprint("server-", k), Tries: 90, Failed: 60})
+						news.Servers = append(news.Servers, gossip.Server{Name: fmt.Sprint("server-", k), State: fleet.Draining})
+						news.Views = append(news.Views, gossip.View{Name: fmt.Sprint("server-", k), Tries: 90, Failed: 60})
 					}
 					m.Tell(news)
 					sent += m.Sent()
--- a/node/core.go
+++ b/internal/platform/core.go
@@ -1,6 +1,6 @@
 // Package node is a governor on the users' platform: one goroutine owns the module, its alarms, and the ids that stand for
 // names. The translation is pure and time is an input; what comes in and goes out on sockets is other packages' work.
-package node
+package platform
 
 import (
 	"container/heap"
@@ -9,11 +9,11 @@
 	"strconv"
 	"strings"
 
-	"cressknot/fleet"
-	"cressknot/front/relay"
-	"cressknot/intake/collector"
-	"cressknot/list"
-	"cressknot/logic"
+	"cressknot/internal/balancer"
+	"cressknot/internal/discovery"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest/collector"
+	"cressknot/internal/transport/relay"
 )
 
 const owedMost = 4096 // names kept of servers that may be shut out still: some hundred releases of lost calls
@@ -35,7 +35,7 @@
 // Core translates between the platform and the module.
 type Core struct {
 	site     fleet.Site
-	governor *logic.Governor
+	governor *balancer.Governor
 	ids      map[string]fleet.ServerID
 	names    map[fleet.ServerID]string
 	lastID   fleet.ServerID          // ids are never used again
@@ -50,10 +50,10 @@
 }
 
 // NewCore makes a core that starts from the list as it was held last.
-func NewCore(site fleet.Site, seed uint64, known list.Document) *Core {
-	c := &Core{site: site, governor: logic.New(site, seed), ids: map[string]fleet.ServerID{},
+func NewCore(site fleet.Site, seed uint64, known discovery.Document) *Core {
+	c := &Core{site: site, governor: balancer.New(site, seed), ids: map[string]fleet.ServerID{},
 		names: map[fleet.ServerID]string{}, fresh: map[fleet.ServerID]bool{}, joined: map[fleet.ProxyID]bool{}, owed: map[string]bool{}}
-	c.list(list.Update{Scope: fleet.ListCached, Doc: known})
+	c.list(discovery.Update{Scope: fleet.ListCached, Doc: known})
 	return c
 }
 
@@ -65,7 +65,7 @@
 			c.news(v, &fx)
 		case relay.Unconfirmed:
 			c.unconfirmed(v.Ops)
-		case list.Update:
+		case discovery.Update:
 			c.list(v)
 		case collector.Report:
 			c.report(v, &fx)
@@ -232,7 +232,7 @@
 
 var states = map[string]fleet.ServerState{"": fleet.Ready, "ready": fleet.Ready, "draining": fleet.Draining, "gone": fleet.Gone}
 
-func (c *Core) list(u list.Update) {
+func (c *Core) list(u discovery.Update) {
 	if u.Same {
 		return
 	}
--- a/node/core_test.go
+++ b/internal/platform/core_test.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"cressknot/fleet"
-	"cressknot/front/relay"
-	"cressknot/intake/collector"
-	"cressknot/list"
+	"cressknot/internal/discovery"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest/collector"
+	"cressknot/internal/transport/relay"
 )
 
 func site() fleet.Site {
@@ -32,9 +32,9 @@
 const start = 1_700_000_000 * fleet.Second
 
 func newDay(t *testing.T, servers ...string) *day {
-	d := list.Document{Rev: 1}
+	d := discovery.Document{Rev: 1}
 	for _, s := range servers {
-		d.Servers = append(d.Servers, list.Server{Name: s, Zone: "a", Kind: "m"})
+		d.Servers = append(d.Servers, discovery.Server{Name: s, Zone: "a", Kind: "m"})
 	}
 	return &day{T: t, core: NewCore(site(), 1, d), now: start}
 }
@@ -124,8 +124,8 @@
 func TestForgottenServerComesBackUnderItsName(t *testing.T) {
 	d := newDay(t, "s-1", "s-2")
 	d.turn(10*fleet.Second, append([]Input{opened(1, false)}, append(joined(1, 1, 2), settled(1))...)...)
-	told := func(state string, rev uint64) list.Update {
-		return list.Update{Scope: fleet.ListDelta, Doc: list.Document{Rev: rev, Changes: true, Servers: []list.Server{{Name: "s-2", Zone: "a", Kind: "m", State: state}}}}
+	told := func(state string, rev uint64) discovery.Update {
+		return discovery.Update{Scope: fleet.ListDelta, Doc: discovery.Document{Rev: rev, Changes: true, Servers: []discovery.Server{{Name: "s-2", Zone: "a", Kind: "m", State: state}}}}
 	}
 	var lost []relay.Op
 	for _, o := range d.turn(30*fleet.Second, told("gone", 2)) {
@@ -136,7 +136,7 @@
 	if len(lost) != 1 {
 		t.Fatalf("%d orders let it in again as it is forgotten", len(lost))
 	}
-	d.turn(fleet.Second, relay.Unconfirmed{Ops: lost}, list.Update{Scope: fleet.ListDelta, Doc: list.Document{Rev: 3, Changes: true}})
+	d.turn(fleet.Second, relay.Unconfirmed{Ops: lost}, discovery.Update{Scope: fleet.ListDelta, Doc: discovery.Document{Rev: 3, Changes: true}})
 	for _, o := range d.turn(5*fleet.Second, told("ready", 4)) {
 		if w, is := o.Order.(fleet.Withdraw); is && o.Server == "s-2" && !w.Out {
 			return
@@ -149,7 +149,7 @@
 func TestNamesAndIds(t *testing.T) {
 	d := newDay(t, "s-1")
 	ops := d.turn(fleet.Second, append([]Input{opened(1, false)}, joined(1, 1)...)...)
-	ops = append(ops, d.turn(20*fleet.Second, list.Update{Scope: fleet.ListDelta, Doc: list.Document{Rev: 2, Changes: true, Servers: []list.Server{
+	ops = append(ops, d.turn(20*fleet.Second, discovery.Update{Scope: fleet.ListDelta, Doc: discovery.Document{Rev: 2, Changes: true, Servers: []discovery.Server{
 		{Name: "s-2", Zone: "b", Kind: "m", Started: time.Unix(0, int64(d.now))}, {Name: "s-9", State: "gone"}}}})...)
 	named := map[string]bool{}
 	for _, o := range ops {
@@ -201,11 +201,11 @@
 		for i := from; i < to; i++ {
 			rev++
 			name, old := fmt.Sprint("s-", i), fmt.Sprint("s-", i-1)
-			d.turn(8*fleet.Second, list.Update{Scope: fleet.ListDelta, Doc: list.Document{Rev: rev, Changes: true, Servers: []list.Server{
+			d.turn(8*fleet.Second, discovery.Update{Scope: fleet.ListDelta, Doc: discovery.Document{Rev: rev, Changes: true, Servers: []discovery.Server{
 				{Name: name, Zone: "a", Kind: "m", Started: time.Unix(0, int64(d.now))}, {Name: old, Zone: "a", Kind: "m", State: "draining"}}}},
 				collector.Report{Server: old, Heard: fleet.Heard{Tries: uint32(10 + rng.Intn(9)), Span: fleet.Second, Latency: fleet.Second / 5, Load: []float32{0.5}}})
 			rev++
-			d.turn(2*fleet.Second, list.Update{Scope: fleet.ListDelta, Doc: list.Document{Rev: rev, Changes: true, Servers: []list.Server{{Name: old, State: "gone"}}}})
+			d.turn(2*fleet.Second, discovery.Update{Scope: fleet.ListDelta, Doc: discovery.Document{Rev: rev, Changes: true, Servers: []discovery.Server{{Name: old, State: "gone"}}}})
 		}
 	}
 	replace(1, 300)
--- a/node/loop.go
+++ b/internal/platform/loop.go
@@ -1,4 +1,4 @@
-package node
+package platform
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 
 	"github.com/rs/zerolog"
 
-	"cressknot/fleet"
-	"cressknot/front/relay"
-	"cressknot/intake/collector"
-	"cressknot/list"
+	"cressknot/internal/discovery"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest/collector"
+	"cressknot/internal/transport/relay"
 )
 
 // Bounds of the mailbox.
@@ -113,7 +113,7 @@
 		Put([]relay.Op)
 		Left(fleet.ProxyID)
 	}
-	Source list.Source
+	Source discovery.Source
 	Tick   fleet.Time // shortest time between two turns
 	Log    zerolog.Logger
 }
@@ -148,7 +148,7 @@
 		fx := p.Core.Turn(now, inputs)
 		for _, in := range inputs {
 			switch v := in.(type) {
-			case list.Update:
+			case discovery.Update:
 				tellList(p.Log, now, v)
 			case relay.News:
 				if v.What != relay.Told {
@@ -194,7 +194,7 @@
 }
 
 // tellList writes down what the list said.
-func tellList(log zerolog.Logger, now fleet.Time, u list.Update) {
+func tellList(log zerolog.Logger, now fleet.Time, u discovery.Update) {
 	if u.Err != nil {
 		log.Warn().Err(u.Err).Msg("list")
 	}
--- a/steer/arrange.go
+++ b/internal/reconcile/arrange.go
@@ -1,9 +1,9 @@
-package steer
+package reconcile
 
 import (
 	"slices"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // Proposal is one change that a message would make, with what the proxy holds of it before and after. A judge may
--- a/steer/channel.go
+++ b/internal/reconcile/channel.go
@@ -1,10 +1,10 @@
-package steer
+package reconcile
 
 import (
 	"cmp"
 	"slices"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // The channel: all that leaves goes through one queue at the stated pace, first in first out. What a message
--- a/steer/push.go
+++ b/internal/reconcile/push.go
@@ -1,10 +1,10 @@
-package steer
+package reconcile
 
 import (
 	"cmp"
 	"slices"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // How long what staff set lasts.
--- a/steer/redial.go
+++ b/internal/reconcile/redial.go
@@ -1,6 +1,6 @@
-package steer
+package reconcile
 
-import "cressknot/fleet"
+import "cressknot/internal/fleet"
 
 // Bounds of a front's patience. They stand here because a front decides nothing.
 const (
--- a/steer/refuse.go
+++ b/internal/reconcile/refuse.go
@@ -1,11 +1,11 @@
-package steer
+package reconcile
 
 import (
 	"cmp"
 	"fmt"
 	"slices"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 const againAfter = fleet.Second / 2 // what a judge held back is proposed again: as often as messages to all go
--- a/steer/steer.go
+++ b/internal/reconcile/steer.go
@@ -3,15 +3,15 @@
 // what the proxies say goes in by Join, Leave, Answer and Progress, and Next gives the messages that may leave by
 // now. It holds no socket, clock or goroutine; the same calls give the same messages. docs/design/governor.md
 // tells the ways weighed.
-package steer
+package reconcile
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
-	"cressknot/fleet"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/tableversion"
 )
 
 const (
@@ -162,8 +162,8 @@
 	refused   map[refusalOf]*Refusal
 	pushes    map[push]pushed
 	epoch     uint64
-	name      tables.Names // nil: tables have no versions
-	lines     []tables.Line
+	name      tableversion.Names // nil: tables have no versions
+	lines     []tableversion.Line
 	changed   map[fleet.TableID]bool // by the orders of this step
 	deferrals uint64
 	swept     fleet.Time
@@ -184,7 +184,7 @@
 	weights []float64 // by server index
 	scale   float64   // weight of the runtime API for a weight of 1; 0: not laid
 	levels  []level   // by class
-	book    *tables.Table
+	book    *tableversion.Table
 	pin     *pin // nil: goes by the module
 }
 
--- a/steer/steer_test.go
+++ b/internal/reconcile/steer_test.go
@@ -1,4 +1,4 @@
-package steer
+package reconcile
 
 import (
 	"flag"
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 func site() fleet.Site {
--- a/steer/versions.go
+++ b/internal/reconcile/versions.go
@@ -1,12 +1,12 @@
-package steer
+package reconcile
 
 import (
 	"fmt"
 	"math"
 	"strings"
 
-	"cressknot/fleet"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/tableversion"
 )
 
 const (
@@ -23,7 +23,7 @@
 
 // Epoch begins versions of tables in an epoch, with the names of servers that digests are made of. Without it tables
 // have none.
-func (p *Plane) Epoch(epoch uint64, name tables.Names) { p.epoch, p.name = epoch, name }
+func (p *Plane) Epoch(epoch uint64, name tableversion.Names) { p.epoch, p.name = epoch, name }
 
 // Raise goes on in a later epoch, with all tables as they are.
 func (p *Plane) Raise(now fleet.Time, epoch uint64, why string) {
@@ -39,7 +39,7 @@
 func LatestEpoch(stamps []string) (epoch uint64) {
 	for _, s := range stamps {
 		text, _, _ := strings.Cut(s, "/")
-		if v, err := tables.ParseVersion(text); err == nil {
+		if v, err := tableversion.ParseVersion(text); err == nil {
 			epoch = max(epoch, v.Epoch)
 		}
 	}
@@ -99,12 +99,12 @@
 		return
 	}
 	if t.book == nil {
-		t.book = tables.New(p.epoch, p.name, tables.Bounds{Lines: keptLines, Age: keptFor})
+		t.book = tableversion.New(p.epoch, p.name, tableversion.Bounds{Lines: keptLines, Age: keptFor})
 	}
 	lines := p.lines[:0]
 	for i := range p.servers {
 		if w := int(p.published(id, t, int32(i))); w != t.book.Weight(p.servers[i].id) {
-			lines = append(lines, tables.Line{Server: p.servers[i].id, Weight: w})
+			lines = append(lines, tableversion.Line{Server: p.servers[i].id, Weight: w})
 		}
 	}
 	p.lines = lines
@@ -115,7 +115,7 @@
 func (p *Plane) TableIDs() []fleet.TableID { return p.tableIDs() }
 
 // Book gives a table's versions, nil where it has none.
-func (p *Plane) Book(id fleet.TableID) *tables.Table {
+func (p *Plane) Book(id fleet.TableID) *tableversion.Table {
 	if t := p.tables[id]; t != nil {
 		return t.book
 	}
@@ -152,7 +152,7 @@
 
 // Rollback makes a new version of a table with the content of an earlier one, as far as today's servers allow, and pins it
 // until a time. It tells in which lines it had to differ.
-func (p *Plane) Rollback(now fleet.Time, id fleet.TableID, to tables.Version, until fleet.Time) ([]tables.Difference, error) {
+func (p *Plane) Rollback(now fleet.Time, id fleet.TableID, to tableversion.Version, until fleet.Time) ([]tableversion.Difference, error) {
 	t := p.tables[id]
 	if t == nil || t.book == nil {
 		return nil, fmt.Errorf("table %d has no versions", id)
@@ -264,10 +264,10 @@
 		if !ok {
 			continue
 		}
-		held := tables.Digest(0)
+		held := tableversion.Digest(0)
 		for _, l := range lines {
 			if int(l.Class) == c {
-				held += tables.LineDigest(p.name(l.Server), int(l.Cell.Weight))
+				held += tableversion.LineDigest(p.name(l.Server), int(l.Cell.Weight))
 			}
 		}
 		if held.String() != digest {
@@ -353,7 +353,7 @@
 // Pin tells of a table that is held against the module.
 type Pin struct {
 	Table   fleet.TableID
-	Weights []tables.Line
+	Weights []tableversion.Line
 	Until   fleet.Time
 	Why     string
 }
@@ -366,7 +366,7 @@
 			one := Pin{Table: id, Until: t.pin.until, Why: t.pin.why}
 			for i, w := range t.pin.weights {
 				if w > 0 {
-					one.Weights = append(one.Weights, tables.Line{Server: p.servers[i].id, Weight: int(w)})
+					one.Weights = append(one.Weights, tableversion.Line{Server: p.servers[i].id, Weight: int(w)})
 				}
 			}
 			all = append(all, one)
@@ -376,12 +376,12 @@
 }
 
 // NewBook gives what a table's versions are kept in, for Restore.
-func (p *Plane) NewBook(at tables.Version, digest tables.Digest, whole []tables.Line, deltas []tables.Delta) (*tables.Table, error) {
-	return tables.Restore(p.epoch, p.name, tables.Bounds{Lines: keptLines, Age: keptFor}, at, digest, whole, deltas)
+func (p *Plane) NewBook(at tableversion.Version, digest tableversion.Digest, whole []tableversion.Line, deltas []tableversion.Delta) (*tableversion.Table, error) {
+	return tableversion.Restore(p.epoch, p.name, tableversion.Bounds{Lines: keptLines, Age: keptFor}, at, digest, whole, deltas)
 }
 
 // Restore gives a table the versions that were kept of it, and its pin if one stood. It is for a plane that has no orders yet.
-func (p *Plane) Restore(id fleet.TableID, book *tables.Table, pinned *Pin) {
+func (p *Plane) Restore(id fleet.TableID, book *tableversion.Table, pinned *Pin) {
 	t := p.table(id)
 	if book != nil {
 		t.book = book
--- a/rolling/rolling.go
+++ b/internal/rollingrestart/rolling.go
@@ -1,5 +1,5 @@
 // Package rolling asks running governors on their operators' sockets, and restarts those that share proxies one after the other.
-package rolling
+package rollingrestart
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"cressknot/assign"
-	"cressknot/runtimeapi"
+	"cressknot/internal/haproxyapi"
+	"cressknot/internal/lease"
 )
 
 const askWithin = 5 * time.Second // for an answer of a running governor
@@ -32,10 +32,10 @@
 	if err := conn.SetDeadline(time.Now().Add(askWithin)); err != nil {
 		return "", err
 	}
-	if _, err := conn.Write(append(runtimeapi.AppendCommand(nil, words...), '\n')); err != nil {
+	if _, err := conn.Write(append(haproxyapi.AppendCommand(nil, words...), '\n')); err != nil {
 		return "", fmt.Errorf("asking the governor: %w", err)
 	}
-	var answers runtimeapi.Answers
+	var answers haproxyapi.Answers
 	var text string
 	done := errors.New("done")
 	buffer := make([]byte, 1<<16)
@@ -47,7 +47,7 @@
 			return "", fmt.Errorf("the governor's answer: %w", err)
 		}
 	}
-	if strings.HasPrefix(text, runtimeapi.UnknownPrefix) || text == runtimeapi.NoServer || strings.Contains(text, "Refused: ") {
+	if strings.HasPrefix(text, haproxyapi.UnknownPrefix) || text == haproxyapi.NoServer || strings.Contains(text, "Refused: ") {
 		return "", errors.New(strings.TrimSpace(text))
 	}
 	return text, nil
@@ -126,7 +126,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(time.Duration(assign.LookEvery) / 2):
+		case <-time.After(time.Duration(lease.LookEvery) / 2):
 		}
 	}
 }
--- a/rolling/rolling_test.go
+++ b/internal/rollingrestart/rolling_test.go
@@ -1,4 +1,4 @@
-package rolling
+package rollingrestart
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cressknot/runtimeapi"
+	"cressknot/internal/haproxyapi"
 )
 
 // governor answers on a socket as its script says, and notes what it was asked.
@@ -26,7 +26,7 @@
 	stuck   bool // hands nothing on
 }
 
-func (g *governor) answer(c runtimeapi.Command) []byte {
+func (g *governor) answer(c haproxyapi.Command) []byte {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	text := strings.Join(c.Words, " ")
@@ -46,7 +46,7 @@
 		g.retired = text == "retire on"
 		return []byte("Done.\n")
 	}
-	return []byte(runtimeapi.UnknownPrefix + text + "'.\n")
+	return []byte(haproxyapi.UnknownPrefix + text + "'.\n")
 }
 
 func serve(t *testing.T, g *governor) *governor {
@@ -65,7 +65,7 @@
 			}
 			go func() {
 				defer conn.Close()
-				s := runtimeapi.Session{Answer: g.answer}
+				s := haproxyapi.Session{Answer: g.answer}
 				buffer := make([]byte, 1<<10)
 				for {
 					n, err := conn.Read(buffer)
@@ -104,7 +104,7 @@
 	if text, err := Ask(g.addr, "show", "members"); err != nil || !strings.Contains(text, "g-2 4 7") {
 		t.Errorf("%q, %v", text, err)
 	}
-	if _, err := Ask(g.addr, "odd words"); err == nil || !strings.HasPrefix(err.Error(), strings.TrimSpace(runtimeapi.UnknownPrefix)) {
+	if _, err := Ask(g.addr, "odd words"); err == nil || !strings.HasPrefix(err.Error(), strings.TrimSpace(haproxyapi.UnknownPrefix)) {
 		t.Errorf("%v", err)
 	}
 	if _, err := Ask(filepath.Join(t.TempDir(), "none.sock"), "show", "members"); err == nil || !strings.Contains(err.Error(), "no governor answers") {
