--- a/guard/guard.go
+++ b/internal/safety/guard.go
@@ -2,7 +2,7 @@
 // without a ready server, push a cold server over, bring a draining or gone server back, or let an effect happen
 // twice. It is pure: it hears the events that the module hears, and is asked by package steer. It also judges tables
 // that staff push or ask about. docs/design/guard.md defines each harm and which rule goes before which.
-package guard
+package safety
 
 import (
 	"cmp"
@@ -10,8 +10,8 @@
 	"math"
 	"slices"
 
-	"cressknot/fleet"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
 )
 
 const (
@@ -79,7 +79,7 @@
 	stopped uint64
 }
 
-var _ steer.Judge = (*Guard)(nil)
+var _ reconcile.Judge = (*Guard)(nil)
 
 // New makes a guard that knows nothing yet.
 func New(site fleet.Site) *Guard {
@@ -316,13 +316,13 @@
 
 // line is a cold line as it will be after a message.
 type line struct {
-	steer.ColdLine
+	reconcile.ColdLine
 	weight   int // after
 	proposal int // its place among the proposals, -1: it is not among them
 }
 
 // commit notes what a proxy may send to each cold server. Afresh: nothing of before counts any more.
-func (g *Guard) commit(d *steer.Draft, loads map[fleet.ServerID]float64, afresh bool) {
+func (g *Guard) commit(d *reconcile.Draft, loads map[fleet.ServerID]float64, afresh bool) {
 	for id, load := range loads {
 		s := g.servers[id]
 		if s == nil {
@@ -335,10 +335,10 @@
 }
 
 // Joined takes in what a proxy holds.
-func (g *Guard) Joined(now fleet.Time, d *steer.Draft) { g.Answered(now, d) }
+func (g *Guard) Joined(now fleet.Time, d *reconcile.Draft) { g.Answered(now, d) }
 
 // Answered takes in that a proxy holds what it was sent, and, if nothing else is on its way, nothing else any more.
-func (g *Guard) Answered(now fleet.Time, d *steer.Draft) {
+func (g *Guard) Answered(now fleet.Time, d *reconcile.Draft) {
 	loads := g.loads(d, coldLines(d, false), d.Sum)
 	if d.Alone {
 		for id, s := range g.servers {
@@ -351,7 +351,7 @@
 }
 
 // coldLines gives the cold lines of a draft as they are before it or will be after it.
-func coldLines(d *steer.Draft, after bool) []line {
+func coldLines(d *reconcile.Draft, after bool) []line {
 	var lines []line
 	for _, c := range d.Cold {
 		lines = append(lines, line{c, int(c.Cell.Weight), -1})
@@ -361,7 +361,7 @@
 	}
 	for i := range d.Proposals {
 		p := &d.Proposals[i]
-		if !p.Cold || !p.Ready || p.Kind == steer.SetLevels {
+		if !p.Cold || !p.Ready || p.Kind == reconcile.SetLevels {
 			continue
 		}
 		weight := 0
@@ -375,7 +375,7 @@
 		}
 		at := slices.IndexFunc(lines, func(l line) bool { return l.Server == p.Server && l.Class == p.Class })
 		if at < 0 {
-			lines = append(lines, line{steer.ColdLine{Class: p.Class, Server: p.Server, Cell: p.Want}, 0, i})
+			lines = append(lines, line{reconcile.ColdLine{Class: p.Class, Server: p.Server, Cell: p.Want}, 0, i})
 			at = len(lines) - 1
 		}
 		lines[at].weight, lines[at].proposal = weight, i
@@ -384,7 +384,7 @@
 }
 
 // loads gives the visits a second that a proxy's cold lines bring to each server.
-func (g *Guard) loads(d *steer.Draft, lines []line, sums []int) map[fleet.ServerID]float64 {
+func (g *Guard) loads(d *reconcile.Draft, lines []line, sums []int) map[fleet.ServerID]float64 {
 	loads := map[fleet.ServerID]float64{}
 	for _, l := range lines {
 		if l.weight > 0 {
@@ -396,11 +396,11 @@
 
 // Message judges one message. The order in which rules go: drains bind even where the last server goes; then nobody
 // bare; then cold.
-func (g *Guard) Message(now fleet.Time, d *steer.Draft) {
+func (g *Guard) Message(now fleet.Time, d *reconcile.Draft) {
 	for i := range d.Proposals {
 		p := &d.Proposals[i]
 		switch {
-		case p.Kind == steer.SetLevels:
+		case p.Kind == reconcile.SetLevels:
 			if most := g.RetryMost(p.Class); p.Level.Retry > most {
 				p.Level.Retry, p.Lowered = most, WhyTwice
 			}
@@ -427,7 +427,7 @@
 
 // bare holds back what would take a class's last line of a ready server: of the lines that the message takes, the one
 // with the largest weight stays, a warm one before a cold one.
-func (g *Guard) bare(d *steer.Draft) {
+func (g *Guard) bare(d *reconcile.Draft) {
 	for c := range d.Lines {
 		left, keep := d.Lines[c], -1
 		if left == 0 {
@@ -435,7 +435,7 @@
 		}
 		for i := range d.Proposals {
 			p := &d.Proposals[i]
-			if int(p.Class) != c || p.Kind == steer.SetLevels {
+			if int(p.Class) != c || p.Kind == reconcile.SetLevels {
 				continue
 			}
 			gives := p.Gives()
@@ -456,7 +456,7 @@
 // crowd lowers lines of cold servers until each bears what all proxies may send it: this one at each moment while it
 // reads the message, the others as much as they hold or as is on its way to them, whichever is more. What lowering
 // does not mend is held back.
-func (g *Guard) crowd(now fleet.Time, d *steer.Draft) {
+func (g *Guard) crowd(now fleet.Time, d *reconcile.Draft) {
 	if g.harmless(now, d) {
 		return
 	}
@@ -499,9 +499,9 @@
 // harmless passes what is plainly so, at a cost of the proxy's cold lines only: nothing raises a cold line, and after the
 // message none brings its server more than there is room for. As Arrange keeps every share within what it was before
 // and will be after, nothing between is worse.
-func (g *Guard) harmless(now fleet.Time, d *steer.Draft) bool {
+func (g *Guard) harmless(now fleet.Time, d *reconcile.Draft) bool {
 	for i := range d.Proposals {
-		if p := &d.Proposals[i]; p.Cold && p.Ready && p.Kind != steer.SetLevels {
+		if p := &d.Proposals[i]; p.Cold && p.Ready && p.Kind != reconcile.SetLevels {
 			return false
 		}
 	}
@@ -510,7 +510,7 @@
 	}
 	g.sums = append(g.sums[:0], d.Sum...)
 	for i := range d.Proposals {
-		if p := &d.Proposals[i]; p.Kind != steer.SetLevels {
+		if p := &d.Proposals[i]; p.Kind != reconcile.SetLevels {
 			g.sums[p.Class] += p.Adds()
 		}
 	}
@@ -539,10 +539,10 @@
 
 // peaks gives the most that a proxy's cold lines bring to each server at any moment while it reads a message, and the
 // most from the server's own last cut on.
-func (g *Guard) peaks(d *steer.Draft) (most, cut map[fleet.ServerID]float64) {
+func (g *Guard) peaks(d *reconcile.Draft) (most, cut map[fleet.ServerID]float64) {
 	order := *d
 	order.Proposals = slices.Clone(d.Proposals)
-	steer.Arrange(&order)
+	reconcile.Arrange(&order)
 	lines, sums := coldLines(d, false), slices.Clone(d.Sum)
 	most, cut = g.loads(d, lines, sums), map[fleet.ServerID]float64{}
 	for i := range order.Proposals {
@@ -555,7 +555,7 @@
 		if p.Cold {
 			at := slices.IndexFunc(lines, func(l line) bool { return l.Server == p.Server && l.Class == p.Class })
 			if at < 0 {
-				lines, at = append(lines, line{steer.ColdLine{Class: p.Class, Server: p.Server}, 0, -1}), len(lines)
+				lines, at = append(lines, line{reconcile.ColdLine{Class: p.Class, Server: p.Server}, 0, -1}), len(lines)
 			}
 			lines[at].weight += adds
 		}
@@ -582,7 +582,7 @@
 }
 
 // sumsAfter gives the weights of each class's usable lines of ready servers after the message.
-func (g *Guard) sumsAfter(d *steer.Draft, lines []line) []int {
+func (g *Guard) sumsAfter(d *reconcile.Draft, lines []line) []int {
 	sums := slices.Clone(d.Sum)
 	for i := range d.Proposals {
 		if p := &d.Proposals[i]; !p.Cold {
@@ -600,7 +600,7 @@
 
 // lower gives a cold line so little that its share is no more than a part of what it would be, whatever becomes of other
 // cold lines. It can't where the class would have cold lines only: those stand in for each other.
-func (g *Guard) lower(d *steer.Draft, l *line, lines []line, sums []int, part float64) bool {
+func (g *Guard) lower(d *reconcile.Draft, l *line, lines []line, sums []int, part float64) bool {
 	warm := sums[l.Class]
 	for _, o := range lines {
 		if o.Class == l.Class {
@@ -630,16 +630,16 @@
 
 // revert holds back all that a message changes for a class's ready servers, so that what stood stays. Where nothing is
 // left to hold back the class has cold servers only, and nobody bare goes before cold.
-func (g *Guard) revert(d *steer.Draft, class fleet.ClassID) {
+func (g *Guard) revert(d *reconcile.Draft, class fleet.ClassID) {
 	for i := range d.Proposals {
-		if p := &d.Proposals[i]; p.Class == class && p.Ready && p.Kind != steer.SetLevels && p.Hold == "" && p.Adds() != 0 {
+		if p := &d.Proposals[i]; p.Class == class && p.Ready && p.Kind != reconcile.SetLevels && p.Hold == "" && p.Adds() != 0 {
 			p.Hold = WhyCold
 		}
 	}
 }
 
 // Say tells a refusal in words.
-func Say(r steer.Refusal, server string) string {
+func Say(r reconcile.Refusal, server string) string {
 	if r.Level {
 		return fmt.Sprintf("class %d: further tries: %s", r.Class, r.Why)
 	}
--- a/guard/guard_test.go
+++ b/internal/safety/guard_test.go
@@ -1,4 +1,4 @@
-package guard
+package safety
 
 import (
 	"flag"
@@ -11,8 +11,8 @@
 
 	"pgregory.net/rapid"
 
-	"cressknot/fleet"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
 )
 
 func TestMain(m *testing.M) {
@@ -52,7 +52,7 @@
 	classes = 2
 )
 
-type table [classes][servers]steer.Cell
+type table [classes][servers]reconcile.Cell
 
 func (w *world) cold(s int) bool { return w.started[s] > 0 && now < w.started[s]+10*fleet.Second }
 
@@ -85,19 +85,19 @@
 	return w
 }
 
-func drawCell(t *rapid.T) steer.Cell {
-	c := steer.Cell{Present: rapid.IntRange(0, 4).Draw(t, "present") > 0}
+func drawCell(t *rapid.T) reconcile.Cell {
+	c := reconcile.Cell{Present: rapid.IntRange(0, 4).Draw(t, "present") > 0}
 	if c.Present {
 		c.Weight = int16(rapid.SampledFrom([]int{0, 1, 20, 128, 256}).Draw(t, "weight"))
-		c.State = steer.State(1 + max(0, rapid.IntRange(-3, 2).Draw(t, "out")))
+		c.State = reconcile.State(1 + max(0, rapid.IntRange(-3, 2).Draw(t, "out")))
 	}
 	return c
 }
 
 // draft makes the draft of a message to a proxy that wants some other cells.
-func (w *world) draft(p int, proposals []steer.Proposal) *steer.Draft {
+func (w *world) draft(p int, proposals []reconcile.Proposal) *reconcile.Draft {
 	last := w.instants[p][len(w.instants[p])-1]
-	d := &steer.Draft{Proxy: fleet.ProxyID(p), Lines: make([]int, classes), Sum: make([]int, classes), Alone: len(w.instants[p]) == 1,
+	d := &reconcile.Draft{Proxy: fleet.ProxyID(p), Lines: make([]int, classes), Sum: make([]int, classes), Alone: len(w.instants[p]) == 1,
 		Proposals: proposals}
 	for s := range servers {
 		for c := range classes {
@@ -105,7 +105,7 @@
 				d.Lines[c]++
 				d.Sum[c] += int(cell.Weight)
 				if w.cold(s) {
-					d.Cold = append(d.Cold, steer.ColdLine{Class: fleet.ClassID(c), Server: fleet.ServerID(s), Cell: cell})
+					d.Cold = append(d.Cold, reconcile.ColdLine{Class: fleet.ClassID(c), Server: fleet.ServerID(s), Cell: cell})
 				}
 			}
 		}
@@ -113,26 +113,26 @@
 	return d
 }
 
-func (w *world) propose(t *rapid.T, p int) (proposals []steer.Proposal) {
+func (w *world) propose(t *rapid.T, p int) (proposals []reconcile.Proposal) {
 	last := w.instants[p][len(w.instants[p])-1]
 	for range rapid.IntRange(1, 4).Draw(t, "changes") {
 		c, s := rapid.IntRange(0, classes-1).Draw(t, "class"), rapid.IntRange(0, servers-1).Draw(t, "server")
 		want := drawCell(t)
-		same := func(q steer.Proposal) bool { return int(q.Class) == c && int(q.Server) == s }
+		same := func(q reconcile.Proposal) bool { return int(q.Class) == c && int(q.Server) == s }
 		if want.Present = true; want == last[c][s] || slices.ContainsFunc(proposals, same) {
 			continue
 		}
-		if want.State == steer.Stays {
-			want.State = steer.In
+		if want.State == reconcile.Stays {
+			want.State = reconcile.In
 		}
-		proposals = append(proposals, steer.Proposal{Change: steer.Change{Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: want.Weight},
-			Have: last[c][s], Want: want, Ready: w.states[s] == fleet.Ready, Cold: w.cold(s), Urgent: want.State != steer.In})
+		proposals = append(proposals, reconcile.Proposal{Change: reconcile.Change{Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: want.Weight},
+			Have: last[c][s], Want: want, Ready: w.states[s] == fleet.Ready, Cold: w.cold(s), Urgent: want.State != reconcile.In})
 	}
 	return proposals
 }
 
 // after gives what a proxy may hold after each of the proposals in their order.
-func after(from table, proposals []steer.Proposal) (all []table) {
+func after(from table, proposals []reconcile.Proposal) (all []table) {
 	for _, q := range proposals {
 		if q.Hold == "" {
 			from[q.Class][q.Server] = q.Want
@@ -152,7 +152,7 @@
 }
 
 // harm tells what the oracle sees wrong: it plays out every order of arrival, from first principles.
-func (w *world) harm(p int, proposals []steer.Proposal, tables []table) string {
+func (w *world) harm(p int, proposals []reconcile.Proposal, tables []table) string {
 	before := w.instants[p][len(w.instants[p])-1]
 	for _, q := range proposals {
 		if q.Hold == "" && w.states[q.Server] != fleet.Ready && q.Want.Usable() && !q.Have.Usable() {
@@ -284,13 +284,13 @@
 			plain := w.draft(p, w.propose(t, p))
 			judgedDraft := w.draft(p, slices.Clone(plain.Proposals))
 			last := w.instants[p][len(w.instants[p])-1]
-			steer.Arrange(plain)
+			reconcile.Arrange(plain)
 			harm := w.harm(p, plain.Proposals, after(last, plain.Proposals))
 			if harm == WhyCold && slices.ContainsFunc(after(last, plain.Proposals), func(at table) bool { return w.endsBare(last, at) }) {
 				return // a class that was bare gets lines, cold ones only: nobody bare goes before cold
 			}
 			w.g.Message(now, judgedDraft)
-			is := slices.ContainsFunc(judgedDraft.Proposals, func(q steer.Proposal) bool { return q.Hold != "" || q.Lowered != "" })
+			is := slices.ContainsFunc(judgedDraft.Proposals, func(q reconcile.Proposal) bool { return q.Hold != "" || q.Lowered != "" })
 			judged++
 			if why[harm]++; is {
 				stopped++
@@ -303,7 +303,7 @@
 				wronglyPassed++
 				t.Errorf("passed, though %s: %+v", harm, judgedDraft.Proposals)
 			}
-			steer.Arrange(judgedDraft)
+			reconcile.Arrange(judgedDraft)
 			tables := after(last, judgedDraft.Proposals)
 			if left := w.harm(p, judgedDraft.Proposals, tables); left != "" {
 				if left == WhyCold && slices.ContainsFunc(append(tables, last), w.allCold) {
@@ -362,8 +362,8 @@
 	g := New(s)
 	for class, want := range []fleet.Retry{fleet.RetryTwice, fleet.RetryIfNeverRan, fleet.RetryTwice, fleet.RetryOnce, fleet.RetryIfNeverRan} {
 		for _, asked := range []fleet.Retry{fleet.RetryNever, fleet.RetryIfNeverRan, fleet.RetryOnce, fleet.RetryTwice} {
-			d := &steer.Draft{Lines: make([]int, 5), Sum: make([]int, 5), Proposals: []steer.Proposal{{Change: steer.Change{
-				Kind: steer.SetLevels, Class: fleet.ClassID(class), Level: steer.Level{Known: true, Retry: asked}}}}}
+			d := &reconcile.Draft{Lines: make([]int, 5), Sum: make([]int, 5), Proposals: []reconcile.Proposal{{Change: reconcile.Change{
+				Kind: reconcile.SetLevels, Class: fleet.ClassID(class), Level: reconcile.Level{Known: true, Retry: asked}}}}}
 			if g.Message(now, d); d.Proposals[0].Level.Retry != min(asked, want) || (asked > want) != (d.Proposals[0].Lowered != "") {
 				t.Errorf("class %d asked for %d: %+v, the most is %d", class, asked, d.Proposals[0], want)
 			}
@@ -373,11 +373,11 @@
 
 // fleetOf makes a guard and a plane that asks it, with so many proxies bound to one table over three servers that can do
 // 20 visits a second each; 24 come in all.
-func fleetOf(t *testing.T, proxies int) (*Guard, *steer.Plane) {
+func fleetOf(t *testing.T, proxies int) (*Guard, *reconcile.Plane) {
 	t.Helper()
 	s := site()
 	s.Classes, s.LinesPerS, s.BacklogMost = s.Classes[:1], 1e6, 1e6
-	g, p := New(s), steer.New(s)
+	g, p := New(s), reconcile.New(s)
 	p.Ask(g)
 	l := fleet.List{Entries: []fleet.Entry{{Server: 1}, {Server: 2}, {Server: 3}}}
 	g.Hear(now, l)
@@ -387,7 +387,7 @@
 	}
 	orders := []fleet.Order{fleet.Share{Server: 1, Weight: 1}, fleet.Share{Server: 2, Weight: 1}, fleet.Share{Server: 3, Weight: 1}}
 	for i := range proxies {
-		p.Join(now, fleet.ProxyID(i), steer.Snapshot{})
+		p.Join(now, fleet.ProxyID(i), reconcile.Snapshot{})
 		g.Hear(now, fleet.Joined{Proxy: fleet.ProxyID(i)})
 		g.Hear(now, fleet.Usage{Proxy: fleet.ProxyID(i), Visits: uint32(2400 / proxies), Span: 100 * fleet.Second})
 		orders = append(orders, fleet.Bind{Proxy: fleet.ProxyID(i)})
@@ -398,7 +398,7 @@
 }
 
 // settle lets all that may leave arrive, for 400 ms.
-func settle(p *steer.Plane, from fleet.Time) (changes []steer.Change) {
+func settle(p *reconcile.Plane, from fleet.Time) (changes []reconcile.Change) {
 	for at := from; at < from+400*fleet.Millisecond; at += 50 * fleet.Millisecond {
 		out, _, _, _ := p.Next(at)
 		for _, m := range out {
@@ -484,8 +484,8 @@
 	g := New(site())
 	g.Hear(now, fleet.List{Entries: []fleet.Entry{{Server: 1}, {Server: 2, Started: now}}})
 	g.Hear(now, fleet.Joined{Proxy: 1, Weight: 20})
-	in := func(w int16) steer.Cell { return steer.Cell{Present: true, State: steer.In, Weight: w} }
-	d := &steer.Draft{Proxy: 1, Alone: true, Lines: []int{2, 2}, Sum: []int{200, 200}, Cold: []steer.ColdLine{{Server: 2, Cell: in(100)}}}
+	in := func(w int16) reconcile.Cell { return reconcile.Cell{Present: true, State: reconcile.In, Weight: w} }
+	d := &reconcile.Draft{Proxy: 1, Alone: true, Lines: []int{2, 2}, Sum: []int{200, 200}, Cold: []reconcile.ColdLine{{Server: 2, Cell: in(100)}}}
 	g.Joined(now, d)
 	if got := g.others(2, 9); math.Abs(got-5) > 1e-9 {
 		t.Errorf("%v counted, not 5", got)
@@ -587,10 +587,10 @@
 				l.Entries = append(l.Entries, e)
 			}
 			g.Hear(now, l)
-			d := &steer.Draft{Lines: []int{700, 700, 700}, Sum: []int{70000, 70000, 70000}}
+			d := &reconcile.Draft{Lines: []int{700, 700, 700}, Sum: []int{70000, 70000, 70000}}
 			for i := range colds {
 				for c := range 3 {
-					d.Cold = append(d.Cold, steer.ColdLine{Class: fleet.ClassID(c), Server: fleet.ServerID(i), Cell: steer.Cell{Present: true, State: steer.In, Weight: 10}})
+					d.Cold = append(d.Cold, reconcile.ColdLine{Class: fleet.ClassID(c), Server: fleet.ServerID(i), Cell: reconcile.Cell{Present: true, State: reconcile.In, Weight: 10}})
 				}
 			}
 			for p := range 930 {
@@ -604,10 +604,10 @@
 				for p := range 930 {
 					d.Proxy, d.Proposals = fleet.ProxyID(p), d.Proposals[:0]
 					for c := range 3 {
-						have := steer.Cell{Present: true, State: steer.In, Weight: 100}
+						have := reconcile.Cell{Present: true, State: reconcile.In, Weight: 100}
 						want := have
 						want.Weight = 90
-						d.Proposals = append(d.Proposals, steer.Proposal{Change: steer.Change{Class: fleet.ClassID(c), Server: 650, Weight: 90}, Have: have, Want: want, Ready: true})
+						d.Proposals = append(d.Proposals, reconcile.Proposal{Change: reconcile.Change{Class: fleet.ClassID(c), Server: 650, Weight: 90}, Have: have, Want: want, Ready: true})
 					}
 					g.Message(now, d)
 				}
--- a/guard/state.go
+++ b/internal/safety/state.go
@@ -1,4 +1,4 @@
-package guard
+package safety
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"io"
 	"time"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // State is what a table is judged against offline, as a file: the servers of a class and its visits.
--- a/guard/table.go
+++ b/internal/safety/table.go
@@ -1,9 +1,9 @@
-package guard
+package safety
 
 import (
 	"fmt"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // Bounds of forcing what was refused.
--- a/serve/node.go
+++ b/internal/server/node.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"context"
@@ -16,11 +16,11 @@
 
 	"github.com/rs/zerolog"
 
-	"cressknot/config"
-	"cressknot/front/relay"
-	"cressknot/intake/collector"
-	"cressknot/list"
-	"cressknot/node"
+	"cressknot/internal/config"
+	"cressknot/internal/discovery"
+	"cressknot/internal/ingest/collector"
+	"cressknot/internal/platform"
+	"cressknot/internal/transport/relay"
 )
 
 // How a governor on the users' platform keeps within its limits.
@@ -55,7 +55,7 @@
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	mailbox := node.NewMailbox()
+	mailbox := platform.NewMailbox()
 	var classes []string
 	for _, v := range c.Site.Classes {
 		classes = append(classes, v.Name)
@@ -72,9 +72,9 @@
 				whenReady()
 			}
 		}, Unsure: func(u relay.Unconfirmed) { mailbox.Post(u) }, Log: log, Seed: c.Seed})
-	source := &list.Platform{Addr: c.Discovery, Rev: c.Known.Rev, Zones: c.Site.Zones, Kinds: c.Site.Kinds,
+	source := &discovery.Platform{Addr: c.Discovery, Rev: c.Known.Rev, Zones: c.Site.Zones, Kinds: c.Site.Kinds,
 		Notice: func(err error) { log.Warn().Err(err).Msg("list") }}
-	if err := source.Start(ctx, func(u list.Update) {
+	if err := source.Start(ctx, func(u discovery.Update) {
 		mailbox.Post(u)
 		if len(u.Doc.Servers) > 0 {
 			if listed.Store(true); opened.Load() {
@@ -84,12 +84,12 @@
 	}); err != nil {
 		return err
 	}
-	clock := node.NewClock()
+	clock := platform.NewClock()
 	over := make(chan struct{})
-	core := node.NewCore(c.Site, c.Seed, c.Known)
+	core := platform.NewCore(c.Site, c.Seed, c.Known)
 	go func() {
 		defer close(over)
-		node.Run(ctx, node.Parts{Core: core, Mailbox: mailbox, Front: front, Source: source, Tick: c.Site.Tick, Log: log}, clock)
+		platform.Run(ctx, platform.Parts{Core: core, Mailbox: mailbox, Front: front, Source: source, Tick: c.Site.Tick, Log: log}, clock)
 	}()
 	front.Start(ctx)
 	idle := time.AfterFunc(idleMost, whenReady)
@@ -170,7 +170,7 @@
 
 // renew reads the configuration again and goes to its addresses. An error is of a file that can't be read, which may be written half
 // way. One that asks for what needs a restart changes nothing.
-func renew(getenv func(string) string, c *config.Relay, log zerolog.Logger, front *relay.Front, source *list.Platform) (*config.Relay, error) {
+func renew(getenv func(string) string, c *config.Relay, log zerolog.Logger, front *relay.Front, source *discovery.Platform) (*config.Relay, error) {
 	fresh, err := config.LoadRelay(getenv)
 	if err != nil {
 		return c, err
--- a/serve/node_test.go
+++ b/internal/server/node_test.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"bufio"
@@ -27,16 +27,16 @@
 	os.Exit(m.Run())
 }
 
-// platform is a stand-in of relay and discovery at one address.
-type platform struct {
+// fakePlatform is a stand-in of relay and discovery at one address.
+type fakePlatform struct {
 	*httptest.Server
 	came chan string
 	gate chan struct{} // if there is one, calls are answered when it is closed
 	list chan string   // if there is one, what a watch tells
 }
 
-func newPlatform(t *testing.T) *platform {
-	p := &platform{came: make(chan string, 1000)}
+func newPlatform(t *testing.T) *fakePlatform {
+	p := &fakePlatform{came: make(chan string, 1000)}
 	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.URL.Path == "/api/stream":
@@ -72,7 +72,7 @@
 }
 
 // expect waits for something of which the text is a part.
-func (p *platform) expect(t *testing.T, part string) {
+func (p *fakePlatform) expect(t *testing.T, part string) {
 	t.Helper()
 	late := time.After(30 * time.Second)
 	for {
@@ -203,7 +203,7 @@
 // file and one that needs a restart, takes one that is completed after the signal, and ends by itself at SIGTERM.
 func TestNodeStartsRenewsAndEnds(t *testing.T) {
 	first, second := newPlatform(t), newPlatform(t)
-	at := func(p *platform) string { return p.Listener.Addr().String() }
+	at := func(p *fakePlatform) string { return p.Listener.Addr().String() }
 	p := newProcess(t)
 	p.write(at(first), at(first), 0)
 	p.start()
--- a/serve/serve.go
+++ b/internal/server/serve.go
@@ -1,5 +1,5 @@
 // Package serve puts a governor together from its settings and runs it until it is told to stop.
-package serve
+package server
 
 import (
 	"context"
@@ -17,24 +17,24 @@
 
 	"github.com/rs/zerolog"
 
-	"cressknot/assign"
-	"cressknot/boot"
-	"cressknot/config"
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/front/files"
-	"cressknot/front/haproxy"
-	"cressknot/governor"
-	"cressknot/intake/push"
-	"cressknot/intake/series"
-	"cressknot/list"
-	"cressknot/members"
-	"cressknot/peers"
-	"cressknot/records"
-	"cressknot/service"
-	"cressknot/service/rpc"
-	"cressknot/service/text"
-	"cressknot/store"
+	"cressknot/internal/config"
+	"cressknot/internal/controller"
+	"cressknot/internal/discovery"
+	"cressknot/internal/discovery/verification"
+	"cressknot/internal/eventlog"
+	"cressknot/internal/fleet"
+	"cressknot/internal/gossip"
+	"cressknot/internal/ingest/push"
+	"cressknot/internal/ingest/timeseries"
+	"cressknot/internal/lease"
+	"cressknot/internal/membership"
+	"cressknot/internal/service"
+	"cressknot/internal/service/rpc"
+	"cressknot/internal/service/text"
+	"cressknot/internal/store"
+	"cressknot/internal/transport"
+	"cressknot/internal/transport/files"
+	"cressknot/internal/transport/haproxy"
 )
 
 // Version is the program's.
@@ -62,11 +62,11 @@
 	log := zerolog.New(out).With().Timestamp().Str("governor", s.Name).Logger()
 	setLevel(s)
 
-	names := governor.NewNames()
+	names := controller.NewNames()
 	proxies := s.Fleet()
 	site := s.Site()
 	callers := s.Callers()
-	core := governor.NewCore(site, s.Seed, append(slices.Clone(proxies), callers...), names)
+	core := controller.NewCore(site, s.Seed, append(slices.Clone(proxies), callers...), names)
 	if s.Guard {
 		core.Guarded()
 	} else {
@@ -80,18 +80,18 @@
 		core.Break(f)
 	}
 	carrier := frontOf(s, site, proxies, names)
-	parts := governor.Parts{Core: core, Names: names, Front: carrier, Source: sourceOf(s), Log: log,
+	parts := controller.Parts{Core: core, Names: names, Front: carrier, Source: sourceOf(s), Log: log,
 		Cache: s.List.Cache, ProbePath: s.Reports.ProbePath, Prove: s.List.Prove}
-	var lists []boot.Generation[list.Server]
+	var lists []verification.Generation[discovery.Server]
 	if s.List.Cache != "" {
 		var wrong []error
-		lists, wrong = list.ReadCache(s.List.Cache)
+		lists, wrong = discovery.ReadCache(s.List.Cache)
 		for _, err := range wrong {
 			log.Warn().Err(err).Msg("damaged in the list kept on disk")
 		}
 	}
 	parts.Name = s.Name
-	if shares, is := carrier.(front.Sharer); is && len(s.Sharing.Governors) > 0 {
+	if shares, is := carrier.(transport.Sharer); is && len(s.Sharing.Governors) > 0 {
 		parts.Sharing = shares
 	}
 	if s.Store.Folder != "" {
@@ -110,7 +110,7 @@
 		}
 	}
 	parts.Cached = startFrom(lists, log)
-	kept, err := series.Open(s.Reports.Series, func(id fleet.ServerID) string { name, _ := names.Of(id); return name })
+	kept, err := timeseries.Open(s.Reports.Series, func(id fleet.ServerID) string { name, _ := names.Of(id); return name })
 	if err != nil { // nothing that is decided needs them
 		log.Error().Err(err).Msg("time series of reports are not kept")
 	} else {
@@ -122,13 +122,13 @@
 		}()
 	}
 	asked := serving(s, core, callers, &parts)
-	var loop *governor.Loop
+	var loop *controller.Loop
 	if s.Peers.Listen != "" {
 		if core.Epoch() == 0 {
 			core.Serve(nil, uint64(time.Now().UnixNano()))
 		}
 		core.Peers(s.Name)
-		here, err := meet(s, func() *governor.Loop { return loop })
+		here, err := meet(s, func() *controller.Loop { return loop })
 		if err != nil {
 			return err
 		}
@@ -136,7 +136,7 @@
 		parts.Tell = here.Tell
 		log.Info().Str("addr", s.Peers.Listen).Bool("encrypted", s.Peers.KeyFile != "").Msg("hears other governors")
 	}
-	loop = governor.NewLoop(parts)
+	loop = controller.NewLoop(parts)
 	if asked != nil {
 		stop, err := listen(s, loop, asked, log)
 		if err != nil {
@@ -156,12 +156,12 @@
 			_ = taker.Close(ctx)
 		}()
 	}
-	start := records.Start{Governor: s.Name, Site: site, Seed: s.Seed}
+	start := eventlog.Start{Governor: s.Name, Site: site, Seed: s.Seed}
 	if err := loop.RecordTo(s.Records, start); err != nil {
 		return err
 	}
 	if s.Operators.Socket != "" {
-		o, err := governor.ServeOperators(loop, s.Operators.Socket, Version)
+		o, err := controller.ServeOperators(loop, s.Operators.Socket, Version)
 		if err != nil {
 			return err
 		}
@@ -192,7 +192,7 @@
 // wake opens the store and lets the core wake with what was kept. A store that another process has, or that a newer program
 // wrote, stops the start: going on would make two governors of one, or lose what that one kept. Any other trouble costs
 // the store only.
-func wake(s *config.Settings, core *governor.Core, log zerolog.Logger) (*store.Store, []boot.Generation[list.Server], error) {
+func wake(s *config.Settings, core *controller.Core, log zerolog.Logger) (*store.Store, []verification.Generation[discovery.Server], error) {
 	lasting, err := store.Open(store.Options{Folder: s.Store.Folder, Told: func(failing bool, err error) {
 		if failing {
 			log.Error().Err(err).Msg("what must last can't be kept; the governor goes on, and keeps it when that is possible again")
@@ -225,8 +225,8 @@
 }
 
 // meet joins the other governors. The loop is there once they have something to say.
-func meet(s *config.Settings, loop func() *governor.Loop) (*members.Members, error) {
-	o := members.Options{Name: s.Name, Listen: s.Peers.Listen, Join: s.Peers.Join}
+func meet(s *config.Settings, loop func() *controller.Loop) (*membership.Members, error) {
+	o := membership.Options{Name: s.Name, Listen: s.Peers.Listen, Join: s.Peers.Join}
 	if s.Peers.KeyFile != "" {
 		text, err := os.ReadFile(s.Peers.KeyFile)
 		if err != nil {
@@ -236,7 +236,7 @@
 			return nil, fmt.Errorf("peers.keyFile: %s: %w", s.Peers.KeyFile, err)
 		}
 	}
-	o.News = func(n peers.News) {
+	o.News = func(n gossip.News) {
 		if l := loop(); l != nil {
 			l.Peer(n)
 		}
@@ -251,11 +251,11 @@
 			l.Note("info", "peers", fmt.Sprintf("governor %s %s", name, map[bool]string{true: "is here", false: "left"}[here]))
 		}
 	}
-	return members.Start(o)
+	return membership.Start(o)
 }
 
 // serving lets the programs of zones be proxies of the governor, nil where nobody may ask it.
-func serving(s *config.Settings, core *governor.Core, callers []front.Proxy, parts *governor.Parts) *service.Hub {
+func serving(s *config.Settings, core *controller.Core, callers []transport.Proxy, parts *controller.Parts) *service.Hub {
 	if len(callers) == 0 {
 		return nil
 	}
@@ -268,7 +268,7 @@
 	core.Serve(o.Zones, uint64(began.UnixNano()))
 	o.Epoch = core.Epoch()
 	hub := service.NewHub(o)
-	mux := &front.Mux{Most: parts.Front, Of: map[fleet.ProxyID]front.Front{}}
+	mux := &transport.Mux{Most: parts.Front, Of: map[fleet.ProxyID]transport.Front{}}
 	for _, p := range callers {
 		mux.Of[p.ID] = hub
 	}
@@ -277,8 +277,8 @@
 }
 
 // listen opens the service's sockets.
-func listen(s *config.Settings, loop *governor.Loop, hub *service.Hub, log zerolog.Logger) (stop func(), err error) {
-	core := service.New(hub, governor.Desk{Loop: loop, Program: Version})
+func listen(s *config.Settings, loop *controller.Loop, hub *service.Hub, log zerolog.Logger) (stop func(), err error) {
+	core := service.New(hub, controller.Desk{Loop: loop, Program: Version})
 	var closers []interface{ Close(context.Context) error }
 	stop = func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.Operators.Stop))
@@ -309,15 +309,15 @@
 }
 
 // startFrom makes one list of those that were kept, nil for none.
-func startFrom(kept []boot.Generation[list.Server], log zerolog.Logger) *list.Update {
-	chosen, ok := boot.Choose(fleet.Time(time.Now().UnixNano()), kept)
+func startFrom(kept []verification.Generation[discovery.Server], log zerolog.Logger) *discovery.Update {
+	chosen, ok := verification.Choose(fleet.Time(time.Now().UnixNano()), kept)
 	for _, s := range chosen.Says {
 		log.Warn().Str("from", "list").Msg(s)
 	}
 	if !ok {
 		return nil
 	}
-	u := &list.Update{Scope: fleet.ListCached, Doc: list.Document{Rev: chosen.Rev}, At: chosen.At, Doubtful: chosen.Doubtful}
+	u := &discovery.Update{Scope: fleet.ListCached, Doc: discovery.Document{Rev: chosen.Rev}, At: chosen.At, Doubtful: chosen.Doubtful}
 	for _, name := range slices.Sorted(maps.Keys(chosen.Entries)) {
 		u.Doc.Servers = append(u.Doc.Servers, chosen.Entries[name])
 	}
@@ -326,7 +326,7 @@
 }
 
 // reload takes over what may change and refuses a file that asks for more, whole.
-func reload(path string, s *config.Settings, log zerolog.Logger, loop *governor.Loop, start records.Start) *config.Settings {
+func reload(path string, s *config.Settings, log zerolog.Logger, loop *controller.Loop, start eventlog.Start) *config.Settings {
 	fresh, err := config.Load(path)
 	if err != nil {
 		log.Error().Err(err).Msg("settings not reloaded: what stood stays")
@@ -375,20 +375,20 @@
 	return out, done, nil
 }
 
-func sourceOf(s *config.Settings) list.Source {
+func sourceOf(s *config.Settings) discovery.Source {
 	if s.List.Source == "http" {
-		return &list.HTTP{URL: s.List.URL, Wait: fleet.Time(s.List.Wait), OnRequest: s.List.OnRequest}
+		return &discovery.HTTP{URL: s.List.URL, Wait: fleet.Time(s.List.Wait), OnRequest: s.List.OnRequest}
 	}
-	return &list.File{Path: s.List.Path, OnRequest: s.List.OnRequest}
+	return &discovery.File{Path: s.List.Path, OnRequest: s.List.OnRequest}
 }
 
-func frontOf(s *config.Settings, site fleet.Site, proxies []front.Proxy, names *governor.Names) front.Front {
+func frontOf(s *config.Settings, site fleet.Site, proxies []transport.Proxy, names *controller.Names) transport.Front {
 	if s.Front.Kind == "runtime" {
 		o := haproxy.Options{Proxies: proxies, Classes: s.Backends(), Map: s.Front.Map, Table: s.Front.Table, Admission: site.Admission, Names: names,
 			Me: s.Name, Clock: func() fleet.Time { return fleet.Time(time.Now().UnixNano()) }}
 		if len(s.Sharing.Governors) > 0 {
-			plan := assign.Plan(s.Shares(), s.Sharing.Governors)
-			o.Lease = func(p front.Proxy) *assign.Lease { return assign.NewLease(s.Name, plan[p.Name]) }
+			plan := lease.Plan(s.Shares(), s.Sharing.Governors)
+			o.Lease = func(p transport.Proxy) *lease.Lease { return lease.NewLease(s.Name, plan[p.Name]) }
 		}
 		return haproxy.New(o)
 	}
--- a/serve/serve_test.go
+++ b/internal/server/serve_test.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"cressknot/config"
+	"cressknot/internal/config"
 )
 
 // TestReloadAndStop: SIGHUP takes over what may change and refuses the rest whole; a signal to stop ends it in order.
--- a/service/hub.go
+++ b/internal/service/hub.go
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/reports"
-	"cressknot/steer"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest/counters"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/tableversion"
+	"cressknot/internal/transport"
 )
 
 const (
@@ -38,7 +38,7 @@
 	Epoch    uint64
 	Zones    []Zone
 	Classes  []fleet.VisitClass
-	Names    front.Names
+	Names    transport.Names
 	Now      func() fleet.Time
 	Minor    uint32 // of the protocol that updates say they are written for; 0: this program's
 }
@@ -53,13 +53,13 @@
 	byProxy  map[fleet.ProxyID]*zoneHub
 	sessions map[uint64]*session
 	watchers int
-	sink     front.Sink
+	sink     transport.Sink
 	closing  bool
 	quit     chan struct{}
 	done     sync.WaitGroup
 }
 
-var _ front.Front = (*Hub)(nil)
+var _ transport.Front = (*Hub)(nil)
 
 type session struct {
 	seq uint64
@@ -72,20 +72,20 @@
 	watchers map[*Watcher]struct{}
 	n        uint64 // messages so far
 	pending  []*pending
-	shared   map[tables.Version]*Shared // of the present version, by what a watcher holds
+	shared   map[tableversion.Version]*Shared // of the present version, by what a watcher holds
 	beat     *Shared
 	stream   uint64
-	met      map[fleet.ServerID]*reports.Met
-	came     []reports.Came
+	met      map[fleet.ServerID]*counters.Met
+	came     []counters.Came
 }
 
 // pending is a message that some watchers have not taken in yet.
 type pending struct {
 	n, seq   uint64
 	at       fleet.Time
-	version  tables.Version
+	version  tableversion.Version
 	waiting  int
-	failures []steer.Failure
+	failures []reconcile.Failure
 }
 
 // Shared is an update that goes to many watchers: each wire makes its own form of it once.
@@ -116,8 +116,8 @@
 	zone    *zoneHub
 	wake    func()
 	started bool // the first update was given
-	sent    tables.Version
-	acked   tables.Version
+	sent    tableversion.Version
+	acked   tableversion.Version
 	waits   []sent // not acknowledged, oldest first
 	base    uint64 // messages before it that it holds up none of
 	free    bool   // nobody waits for it
@@ -127,7 +127,7 @@
 }
 
 type sent struct {
-	version tables.Version
+	version tableversion.Version
 	at      fleet.Time
 }
 
@@ -140,7 +140,7 @@
 	}
 	for _, z := range o.Zones {
 		one := &zoneHub{Zone: z, view: NewView(o.Governor, z.Name, o.Epoch, classes), watchers: map[*Watcher]struct{}{},
-			shared: map[tables.Version]*Shared{}, met: map[fleet.ServerID]*reports.Met{}, came: make([]reports.Came, len(classes))}
+			shared: map[tableversion.Version]*Shared{}, met: map[fleet.ServerID]*counters.Met{}, came: make([]counters.Came, len(classes))}
 		one.view.origin.Minor = max(Minor, o.Minor)
 		h.zones = append(h.zones, one)
 		h.byName[z.Name], h.byProxy[z.Proxy] = one, one
@@ -149,7 +149,7 @@
 }
 
 // Start joins the zones' proxies. They hold nothing: what callers hold from before they keep until it is laid anew.
-func (h *Hub) Start(_ context.Context, sink front.Sink) error {
+func (h *Hub) Start(_ context.Context, sink transport.Sink) error {
 	h.mu.Lock()
 	h.sink = sink
 	for _, z := range h.zones {
@@ -175,11 +175,11 @@
 
 func (h *Hub) join(z *zoneHub) {
 	z.stream++
-	h.sink(front.Up{Proxy: z.Proxy, Stream: z.stream, Held: steer.Snapshot{Zone: z.ID, Weight: z.Visits, Fresh: true}})
+	h.sink(transport.Up{Proxy: z.Proxy, Stream: z.stream, Held: reconcile.Snapshot{Zone: z.ID, Weight: z.Visits, Fresh: true}})
 }
 
 // Send takes a message in and wakes the zone's watchers.
-func (h *Hub) Send(m steer.Message) {
+func (h *Hub) Send(m reconcile.Message) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	z := h.byProxy[m.Proxy]
@@ -214,7 +214,7 @@
 	for len(z.pending) > 0 && z.pending[0].waiting <= 0 {
 		p := z.pending[0]
 		z.pending = z.pending[1:]
-		h.sink(front.Answer{Proxy: z.Proxy, Stream: z.stream, Seq: p.seq, Failures: p.failures})
+		h.sink(transport.Answer{Proxy: z.Proxy, Stream: z.stream, Seq: p.seq, Failures: p.failures})
 	}
 }
 
@@ -295,7 +295,7 @@
 
 // Watch begins to follow a zone from what a caller holds. Wake is called whenever Next may have something, from any goroutine; it
 // must not block and not call back.
-func (h *Hub) Watch(zone string, holds tables.Version, wake func()) (*Watcher, *Fault) {
+func (h *Hub) Watch(zone string, holds tableversion.Version, wake func()) (*Watcher, *Fault) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	z, f := h.zone(zone)
@@ -359,7 +359,7 @@
 }
 
 // Ack tells that the caller has taken in all up to a version.
-func (w *Watcher) Ack(version tables.Version) {
+func (w *Watcher) Ack(version tableversion.Version) {
 	h := w.hub
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -414,10 +414,10 @@
 	if !z.view.Any() {
 		return nil, &Fault{Unready, "no table is laid yet", fleet.Second}
 	}
-	s := z.shared[tables.None]
+	s := z.shared[tableversion.None]
 	if s == nil {
-		s = &Shared{Update: z.view.Since(tables.None)}
-		z.shared[tables.None] = s
+		s = &Shared{Update: z.view.Since(tableversion.None)}
+		z.shared[tableversion.None] = s
 	}
 	return s, nil
 }
@@ -441,7 +441,7 @@
 			servers[i] = noServer
 		}
 		switch {
-		case m.Tries > countMost || m.Failed > m.Tries || m.Good > m.Tries || m.GoodMs > countMost*1000 || len(m.Load) > len(reports.Met{}.Load):
+		case m.Tries > countMost || m.Failed > m.Tries || m.Good > m.Tries || m.GoodMs > countMost*1000 || len(m.Load) > len(counters.Met{}.Load):
 			return 0, fault(BadRequest, "met[%d]: %q: counts that don't add up", i, m.Server)
 		}
 	}
@@ -477,7 +477,7 @@
 		}
 		c := z.met[servers[i]]
 		if c == nil {
-			c = &reports.Met{}
+			c = &counters.Met{}
 			z.met[servers[i]] = c
 		}
 		c.Tries, c.Failed, c.Good, c.GoodMs = c.Tries+m.Tries, c.Failed+m.Failed, c.Good+m.Good, c.GoodMs+m.GoodMs
@@ -505,12 +505,12 @@
 	if z == nil || h.sink == nil {
 		return
 	}
-	r := reports.NewReading(len(z.came))
+	r := counters.NewReading(len(z.came))
 	for server, m := range z.met {
 		r.Row(server).Met = *m
 	}
 	copy(r.Classes, z.came)
-	h.sink(front.Polled{Proxy: id, Stream: z.stream, Reading: r})
+	h.sink(transport.Polled{Proxy: id, Stream: z.stream, Reading: r})
 }
 
 // Drop ends the watches that hold messages up, and joins the zone's proxy anew.
@@ -527,7 +527,7 @@
 		}
 	}
 	z.pending = nil
-	h.sink(front.Down{Proxy: id, Stream: z.stream, Why: errors.New("its callers took too long")})
+	h.sink(transport.Down{Proxy: id, Stream: z.stream, Why: errors.New("its callers took too long")})
 	h.join(z)
 }
 
--- a/service/hub_test.go
+++ b/internal/service/hub_test.go
@@ -7,10 +7,10 @@
 
 	"pgregory.net/rapid"
 
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/steer"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/tableversion"
+	"cressknot/internal/transport"
 )
 
 type names struct{}
@@ -29,7 +29,7 @@
 type yard struct {
 	hub    *Hub
 	now    fleet.Time
-	events []front.Event
+	events []transport.Event
 	seq    uint64
 }
 
@@ -37,28 +37,28 @@
 	y := &yard{now: 1000 * fleet.Second}
 	y.hub = NewHub(HubOptions{Governor: "g", Epoch: 7, Zones: []Zone{{Name: "a", Proxy: 3}}, Classes: []fleet.VisitClass{{Name: "look"}, {Name: "book"}}, Names: names{},
 		Now: func() fleet.Time { return y.now }})
-	y.hub.sink = func(e front.Event) { y.events = append(y.events, e) }
+	y.hub.sink = func(e transport.Event) { y.events = append(y.events, e) }
 	y.hub.join(y.hub.zones[0])
 	y.hub.Facts(Facts{ListRev: 1, Open: []string{"s0"}})
 	return y
 }
 
-func (y *yard) send(changes ...steer.Change) {
+func (y *yard) send(changes ...reconcile.Change) {
 	y.seq++
-	y.hub.Send(steer.Message{Proxy: 3, Seq: y.seq, Changes: changes})
+	y.hub.Send(reconcile.Message{Proxy: 3, Seq: y.seq, Changes: changes})
 }
 
 func (y *yard) answers() (seqs []uint64) {
 	for _, e := range y.events {
-		if a, is := e.(front.Answer); is {
+		if a, is := e.(transport.Answer); is {
 			seqs = append(seqs, a.Seq)
 		}
 	}
 	return seqs
 }
 
-func add(server int, weight int16) steer.Change {
-	return steer.Change{Kind: steer.AddLine, Server: fleet.ServerID(server), Weight: weight, State: steer.In}
+func add(server int, weight int16) reconcile.Change {
+	return reconcile.Change{Kind: reconcile.AddLine, Server: fleet.ServerID(server), Weight: weight, State: reconcile.In}
 }
 
 // TestMessagesAreAnsweredWhenTakenIn: whatever watchers come, leave, take in and fall asleep when, each message is answered once, in
@@ -69,18 +69,18 @@
 		y := newYard()
 		type watch struct {
 			*Watcher
-			got    []tables.Version // not acknowledged
-			acked  tables.Version
+			got    []tableversion.Version // not acknowledged
+			acked  tableversion.Version
 			since  fleet.Time // of the oldest of got
 			asleep bool
 		}
 		var all []*watch
 		sentAt := map[uint64]fleet.Time{}
-		version := map[uint64]tables.Version{}
+		version := map[uint64]tableversion.Version{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
 			case what == 0 && len(all) < 4:
-				w, f := y.hub.Watch("a", tables.None, func() {})
+				w, f := y.hub.Watch("a", tableversion.None, func() {})
 				if f != nil {
 					t.Fatal(f)
 				}
@@ -158,15 +158,15 @@
 func TestSlowWatcherGetsOneChange(t *testing.T) {
 	y := newYard()
 	y.send(add(0, 10), add(1, 10))
-	a, _ := y.hub.Watch("a", tables.None, func() {})
-	b, _ := y.hub.Watch("a", tables.None, func() {})
+	a, _ := y.hub.Watch("a", tableversion.None, func() {})
+	b, _ := y.hub.Watch("a", tableversion.None, func() {})
 	first, _ := a.Next()
-	if second, _ := b.Next(); first != second || first.From != tables.None || len(first.Classes[0].Lines) != 2 {
+	if second, _ := b.Next(); first != second || first.From != tableversion.None || len(first.Classes[0].Lines) != 2 {
 		t.Fatalf("%+v", first)
 	}
 	for i := range 3 {
 		y.send(add(2+i, 20))
-		y.send(steer.Change{Kind: steer.SetLine, Server: 0, Weight: int16(11 + i)})
+		y.send(reconcile.Change{Kind: reconcile.SetLine, Server: 0, Weight: int16(11 + i)})
 	}
 	ua, _ := a.Next()
 	ub, _ := b.Next()
@@ -192,7 +192,7 @@
 	if _, f := b.Next(); f == nil || f.Code != TooSlow {
 		t.Errorf("%v", f)
 	}
-	if up := y.events[len(y.events)-1].(front.Up); up.Stream != 2 {
+	if up := y.events[len(y.events)-1].(transport.Up); up.Stream != 2 {
 		t.Errorf("%+v", up)
 	}
 }
@@ -200,9 +200,9 @@
 // TestFailuresAreToldAsAProxyWould: a line to be set that isn't there, one to be added that is.
 func TestFailuresAreToldAsAProxyWould(t *testing.T) {
 	y := newYard()
-	y.send(add(0, 10), add(0, 20), steer.Change{Kind: steer.SetLine, Server: 5, Weight: 3}, steer.Change{Class: 9})
-	a := y.events[len(y.events)-1].(front.Answer)
-	if len(a.Failures) != 3 || a.Failures[0] != (steer.Failure{Index: 1, Fault: steer.LineExists, Text: "already exists"}) || a.Failures[1].Fault != steer.NoLine {
+	y.send(add(0, 10), add(0, 20), reconcile.Change{Kind: reconcile.SetLine, Server: 5, Weight: 3}, reconcile.Change{Class: 9})
+	a := y.events[len(y.events)-1].(transport.Answer)
+	if len(a.Failures) != 3 || a.Failures[0] != (reconcile.Failure{Index: 1, Fault: reconcile.LineExists, Text: "already exists"}) || a.Failures[1].Fault != reconcile.NoLine {
 		t.Errorf("%+v", a.Failures)
 	}
 }
@@ -228,7 +228,7 @@
 		}
 	}
 	y.hub.Poll(3)
-	r := y.events[len(y.events)-1].(front.Polled).Reading
+	r := y.events[len(y.events)-1].(transport.Polled).Reading
 	if len(r.Rows) != 1 || r.Rows[0].Tries != 6 || r.Rows[0].Load[0] != 0.5 || r.Classes[0].Visits != 4 || r.Classes[0].NoAnswer != 2 {
 		t.Errorf("%+v", r)
 	}
--- a/service/limits.go
+++ b/internal/service/limits.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // Kind is a kind of question.
--- a/service/rpc/server.go
+++ b/internal/service/rpc/server.go
@@ -11,8 +11,8 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/peer"
 
-	"cressknot/service"
-	"cressknot/service/rpc/pb"
+	"cressknot/internal/service"
+	"cressknot/internal/service/rpc/pb"
 )
 
 // Server is the gRPC front of a service.
--- a/service/rpc/words.go
+++ b/internal/service/rpc/words.go
@@ -5,10 +5,10 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"cressknot/fleet"
-	"cressknot/service"
-	"cressknot/service/rpc/pb"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/service"
+	"cressknot/internal/service/rpc/pb"
+	"cressknot/internal/tableversion"
 )
 
 // codesOf are the statuses that go with codes of faults: what a reader who knows only gRPC makes of them.
@@ -51,13 +51,13 @@
 }
 
 // VersionOf and VersionTo turn versions.
-func VersionOf(v *pb.Version) tables.Version {
-	return tables.Version{Epoch: v.GetEpoch(), Count: v.GetCount()}
+func VersionOf(v *pb.Version) tableversion.Version {
+	return tableversion.Version{Epoch: v.GetEpoch(), Count: v.GetCount()}
 }
 
 // VersionTo puts a version on the wire, None as absent.
-func VersionTo(v tables.Version) *pb.Version {
-	if v == tables.None {
+func VersionTo(v tableversion.Version) *pb.Version {
+	if v == tableversion.None {
 		return nil
 	}
 	return &pb.Version{Epoch: v.Epoch, Count: v.Count}
@@ -82,7 +82,7 @@
 	u := service.Update{Minor: p.Minor, Governor: p.Governor, ListRev: p.ListRev, Live: p.Live, Zone: p.Zone, From: VersionOf(p.From), To: VersionOf(p.To),
 		Shut: p.LimitsOpen, Open: p.Open, Beat: p.Beat}
 	for _, c := range p.Classes {
-		t := service.ClassTable{Class: c.Class, Laid: c.Laid, Amount: int(c.Amount), Retry: fleet.Retry(c.Retry), Digest: tables.Digest(c.Digest)}
+		t := service.ClassTable{Class: c.Class, Laid: c.Laid, Amount: int(c.Amount), Retry: fleet.Retry(c.Retry), Digest: tableversion.Digest(c.Digest)}
 		for _, l := range c.Lines {
 			t.Lines = append(t.Lines, service.Line{Server: l.Server, Addr: l.Addr, Weight: int(l.Weight)})
 		}
@@ -166,7 +166,7 @@
 func HistoryOf(p *pb.HistoryReply) service.History {
 	h := service.History{Minor: p.Minor}
 	for _, v := range p.Versions {
-		h.Versions = append(h.Versions, service.VersionRow{Version: VersionOf(v.Version), Digest: tables.Digest(v.Digest), At: fleet.Time(v.AtNs), Lines: int(v.Lines), Why: v.Why})
+		h.Versions = append(h.Versions, service.VersionRow{Version: VersionOf(v.Version), Digest: tableversion.Digest(v.Digest), At: fleet.Time(v.AtNs), Lines: int(v.Lines), Why: v.Why})
 	}
 	return h
 }
--- a/service/service.go
+++ b/internal/service/service.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"cressknot/fleet"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/tableversion"
 )
 
 const (
@@ -64,7 +64,7 @@
 }
 
 // Watch follows a zone.
-func (s *Service) Watch(caller, zone string, holds tables.Version, wake func()) (*Watcher, *Fault) {
+func (s *Service) Watch(caller, zone string, holds tableversion.Version, wake func()) (*Watcher, *Fault) {
 	done, f := s.take(caller, AskWatch)
 	if f != nil {
 		return nil, f
--- a/service/text/server.go
+++ b/internal/service/text/server.go
@@ -14,9 +14,9 @@
 	"github.com/lesismal/nbio"
 	"github.com/lesismal/nbio/logging"
 
-	"cressknot/runtimeapi"
-	"cressknot/service"
-	"cressknot/tables"
+	"cressknot/internal/haproxyapi"
+	"cressknot/internal/service"
+	"cressknot/internal/tableversion"
 )
 
 // Server is the text front of a service.
@@ -33,13 +33,13 @@
 type link struct {
 	server   *Server
 	conn     *nbio.Conn
-	requests runtimeapi.Requests
+	requests haproxyapi.Requests
 	watcher  atomic.Pointer[service.Watcher]
 	closed   atomic.Bool
 	sending  sync.Mutex // orders what is written
 	name     string     // of the goroutine that answers
 	mu       sync.Mutex
-	asked    []runtimeapi.Command // not answered yet
+	asked    []haproxyapi.Command // not answered yet
 	answers  bool                 // a goroutine answers them
 }
 
@@ -64,7 +64,7 @@
 	srv.pump = pump{due: map[*link]bool{}, wake: make(chan struct{}, 1), quit: make(chan struct{})}
 	srv.engine = nbio.NewEngine(nbio.Config{Name: "service", Network: srv.network, Addrs: []string{addr}, MaxWriteBufferSize: service.UnsentMost,
 		Listen: func(network, addr string) (net.Listener, error) {
-			l, err := runtimeapi.Listen(network, addr)
+			l, err := haproxyapi.Listen(network, addr)
 			if err == nil {
 				srv.addr = l.Addr().String()
 			}
@@ -115,7 +115,7 @@
 
 func (l *link) feed(data []byte) {
 	_ = l.conn.SetReadDeadline(time.Now().Add(service.IdleMost))
-	err := l.requests.Feed(data, func(commands []runtimeapi.Command) error {
+	err := l.requests.Feed(data, func(commands []haproxyapi.Command) error {
 		for _, c := range commands {
 			if err := l.ask(c); err != nil {
 				return err
@@ -131,21 +131,21 @@
 
 // ask puts a command behind those that are being answered: an event loop serves many connections and waits for none. What a
 // watcher acknowledges needs no answer.
-func (l *link) ask(c runtimeapi.Command) error {
+func (l *link) ask(c haproxyapi.Command) error {
 	if w := l.watcher.Load(); w != nil {
 		if len(c.Words) == 2 && c.Words[0] == "ack" {
-			if v, err := tables.ParseVersion(c.Words[1]); err == nil {
+			if v, err := tableversion.ParseVersion(c.Words[1]); err == nil {
 				w.Ack(v)
 				return nil
 			}
 		}
-		return &runtimeapi.SyntaxError{At: c.At, What: "a connection that watches takes 'ack VERSION' only"}
+		return &haproxyapi.SyntaxError{At: c.At, What: "a connection that watches takes 'ack VERSION' only"}
 	}
 	c.Payload = bytes.Clone(c.Payload)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.asked) >= service.AskedMost {
-		return &runtimeapi.SyntaxError{At: c.At, What: fmt.Sprintf("over %d commands wait for their answers", service.AskedMost)}
+		return &haproxyapi.SyntaxError{At: c.At, What: fmt.Sprintf("over %d commands wait for their answers", service.AskedMost)}
 	}
 	if l.asked = append(l.asked, c); !l.answers {
 		l.answers = true
@@ -178,7 +178,7 @@
 
 func (l *link) write(text []byte) {
 	if !l.closed.Load() {
-		_, _ = l.conn.Write(runtimeapi.AppendAnswer(make([]byte, 0, len(text)+1), text))
+		_, _ = l.conn.Write(haproxyapi.AppendAnswer(make([]byte, 0, len(text)+1), text))
 	}
 }
 
@@ -196,7 +196,7 @@
 }
 
 // command carries one command out.
-func (l *link) command(c runtimeapi.Command) {
+func (l *link) command(c haproxyapi.Command) {
 	words, name := c.Words, l.name
 	is := func(form ...string) bool { // a word in capitals stands for any
 		if len(words) != len(form) {
@@ -278,10 +278,10 @@
 }
 
 func (l *link) watch(words []string, at int64) {
-	holds := tables.None
+	holds := tableversion.None
 	if len(words) == 2 && words[1] != "-" {
 		var err error
-		if holds, err = tables.ParseVersion(words[1]); err != nil {
+		if holds, err = tableversion.ParseVersion(words[1]); err != nil {
 			l.fault(service.BadRequest, "byte %d: %v", at, err)
 			return
 		}
--- a/service/text/transcript_test.go
+++ b/internal/service/text/transcript_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/service"
-	"cressknot/steer"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/service"
+	"cressknot/internal/tableversion"
+	"cressknot/internal/transport"
 )
 
 type names []string
@@ -44,7 +44,7 @@
 }
 
 func (desk) History(context.Context, string, string, int) ([]service.VersionRow, error) {
-	return []service.VersionRow{{Version: tables.Version{Epoch: 9, Count: 1}, Digest: 5, At: 7, Lines: 3, Why: "by hand"}}, nil
+	return []service.VersionRow{{Version: tableversion.Version{Epoch: 9, Count: 1}, Digest: 5, At: 7, Lines: 3, Why: "by hand"}}, nil
 }
 
 func (desk) Summary(context.Context) (service.Summary, error) {
@@ -56,7 +56,7 @@
 	hub := service.NewHub(service.HubOptions{Governor: "g-1", Epoch: 9, Zones: []service.Zone{{Name: "a"}}, Names: names{"s0", "s1"},
 		Classes: []fleet.VisitClass{{Name: "look", Expected: fleet.Second, HardStop: 2 * fleet.Second}},
 		Now:     func() fleet.Time { return 50 * fleet.Second }})
-	if err := hub.Start(context.Background(), func(front.Event) {}); err != nil {
+	if err := hub.Start(context.Background(), func(transport.Event) {}); err != nil {
 		t.Fatal(err)
 	}
 	server, err := Listen("127.0.0.1:0", service.New(hub, desk{}))
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = hub.Stop(context.Background()); _ = server.Close(context.Background()) })
-	hub.Send(steer.Message{Seq: 1, Changes: []steer.Change{{Kind: steer.AddLine, Server: 1, Weight: 100, State: steer.In}}})
+	hub.Send(reconcile.Message{Seq: 1, Changes: []reconcile.Change{{Kind: reconcile.AddLine, Server: 1, Weight: 100, State: reconcile.In}}})
 	c, err := net.Dial("tcp", server.Addr())
 	if err != nil {
 		t.Fatal(err)
--- a/service/text/words.go
+++ b/internal/service/text/words.go
@@ -10,10 +10,10 @@
 	"strconv"
 	"strings"
 
-	"cressknot/fleet"
-	"cressknot/runtimeapi"
-	"cressknot/service"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/haproxyapi"
+	"cressknot/internal/service"
+	"cressknot/internal/tableversion"
 )
 
 // out builds an answer.
@@ -30,7 +30,7 @@
 func (o *out) text(key, value string) *out {
 	o.b = append(append(append(o.b, ' '), key...), '=')
 	at := len(o.b)
-	o.b = runtimeapi.AppendWord(o.b, value)
+	o.b = haproxyapi.AppendWord(o.b, value)
 	for i := at; i < len(o.b); i++ { // a line holds none
 		if o.b[i] < ' ' || o.b[i] == 0x7f {
 			o.b[i] = '?'
@@ -54,8 +54,8 @@
 
 func (o *out) bytes() []byte { return append(o.b, '\n') }
 
-func versionText(v tables.Version) string {
-	if v == tables.None {
+func versionText(v tableversion.Version) string {
+	if v == tableversion.None {
 		return "-"
 	}
 	return v.String()
@@ -178,24 +178,24 @@
 	return n
 }
 
-func (r row) version(key string) (v tables.Version) {
+func (r row) version(key string) (v tableversion.Version) {
 	text, is := r.values[key]
 	if !is || text == "-" {
-		return tables.None
+		return tableversion.None
 	}
-	v, err := tables.ParseVersion(text)
+	v, err := tableversion.ParseVersion(text)
 	if err != nil {
 		r.bad(key)
 	}
 	return v
 }
 
-func (r row) digest(key string) tables.Digest {
+func (r row) digest(key string) tableversion.Digest {
 	n, err := strconv.ParseUint(r.values[key], 16, 64)
 	if err != nil {
 		r.bad(key)
 	}
-	return tables.Digest(n)
+	return tableversion.Digest(n)
 }
 
 func (r row) bad(key string) {
@@ -213,7 +213,7 @@
 		if len(line) == 0 {
 			continue
 		}
-		commands, split := runtimeapi.Split(line, 0)
+		commands, split := haproxyapi.Split(line, 0)
 		if split != nil {
 			return fmt.Errorf("line %d: %w", n, split)
 		}
--- a/service/view.go
+++ b/internal/service/view.go
@@ -5,9 +5,9 @@
 	"slices"
 	"strings"
 
-	"cressknot/fleet"
-	"cressknot/steer"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/tableversion"
 )
 
 const historyLines = 20_000 // of all changes of a zone that are kept: some minutes of a rough day at 700 servers
@@ -16,11 +16,11 @@
 type cell struct {
 	addr   string
 	weight int16
-	state  steer.State
+	state  reconcile.State
 }
 
 func (c cell) usable() int {
-	if c.state == steer.In {
+	if c.state == reconcile.In {
 		return int(c.weight)
 	}
 	return 0
@@ -30,13 +30,13 @@
 	name   string
 	laid   bool
 	cells  map[string]cell
-	level  steer.Level
-	digest tables.Digest
+	level  reconcile.Level
+	digest tableversion.Digest
 }
 
 // change is what a version changed.
 type change struct {
-	to      tables.Version
+	to      tableversion.Version
 	servers []map[string]bool // by class
 	levels  []bool
 	size    int
@@ -45,7 +45,7 @@
 // View is what the visits of a zone go by, with its versions. It is pure.
 type View struct {
 	zone    string
-	version tables.Version
+	version tableversion.Version
 	classes []*classView
 	history []change // oldest first, without gaps
 	kept    int
@@ -55,15 +55,15 @@
 
 // NewView makes a view in an epoch in which nothing is laid.
 func NewView(governor, zone string, epoch uint64, classes []string) *View {
-	v := &View{zone: zone, version: tables.Version{Epoch: epoch}, origin: Update{Minor: Minor, Governor: governor, Zone: zone}}
+	v := &View{zone: zone, version: tableversion.Version{Epoch: epoch}, origin: Update{Minor: Minor, Governor: governor, Zone: zone}}
 	for _, c := range classes {
-		v.classes = append(v.classes, &classView{name: c, cells: map[string]cell{}, level: steer.Level{Amount: -1}})
+		v.classes = append(v.classes, &classView{name: c, cells: map[string]cell{}, level: reconcile.Level{Amount: -1}})
 	}
 	return v
 }
 
 // Version tells which one this is.
-func (v *View) Version() tables.Version { return v.version }
+func (v *View) Version() tableversion.Version { return v.version }
 
 // Laid tells whether all classes are.
 func (v *View) Laid() bool {
@@ -79,18 +79,18 @@
 type Name func(fleet.ServerID) (name, addr string)
 
 // Apply takes a message's changes in and makes the next version of them. What could not be done is told as a proxy would tell it.
-func (v *View) Apply(changes []steer.Change, name Name) (failures []steer.Failure, changed bool) {
+func (v *View) Apply(changes []reconcile.Change, name Name) (failures []reconcile.Failure, changed bool) {
 	one := v.begin()
 	for i, ch := range changes {
 		if int(ch.Class) >= len(v.classes) {
-			failures = append(failures, steer.Failure{Index: i, Text: "no such class"})
+			failures = append(failures, reconcile.Failure{Index: i, Text: "no such class"})
 			continue
 		}
 		c := v.classes[ch.Class]
-		if ch.Kind == steer.SetVersion {
+		if ch.Kind == reconcile.SetVersion {
 			continue
 		}
-		if ch.Kind == steer.SetLevels {
+		if ch.Kind == reconcile.SetLevels {
 			if c.level != ch.Level {
 				c.level, one.levels[ch.Class] = ch.Level, true
 			}
@@ -99,13 +99,13 @@
 		server, addr := name(ch.Server)
 		have, there := c.cells[server]
 		switch {
-		case ch.Kind == steer.DelLine && there:
+		case ch.Kind == reconcile.DelLine && there:
 			delete(c.cells, server)
-		case ch.Kind == steer.AddLine && there:
-			failures = append(failures, steer.Failure{Index: i, Fault: steer.LineExists, Text: "already exists"})
+		case ch.Kind == reconcile.AddLine && there:
+			failures = append(failures, reconcile.Failure{Index: i, Fault: reconcile.LineExists, Text: "already exists"})
 			continue
-		case ch.Kind != steer.AddLine && !there:
-			failures = append(failures, steer.Failure{Index: i, Fault: steer.NoLine, Text: "no such server"})
+		case ch.Kind != reconcile.AddLine && !there:
+			failures = append(failures, reconcile.Failure{Index: i, Fault: reconcile.NoLine, Text: "no such server"})
 			continue
 		default:
 			if !there || ch.Moved {
@@ -114,10 +114,10 @@
 			if ch.Weight >= 0 {
 				have.weight = ch.Weight
 			}
-			if ch.State != steer.Stays {
+			if ch.State != reconcile.Stays {
 				have.state = ch.State
 			} else if !there {
-				have.state = steer.In
+				have.state = reconcile.In
 			}
 			c.cells[server] = have
 		}
@@ -129,7 +129,7 @@
 		}
 		c.digest = 0
 		for server, cell := range c.cells {
-			c.digest += tables.LineDigest(server, cell.usable())
+			c.digest += tableversion.LineDigest(server, cell.usable())
 			c.laid = c.laid || cell.usable() > 0
 		}
 	}
@@ -187,14 +187,14 @@
 }
 
 // Since gives what has changed since a version: whole if it is not known here.
-func (v *View) Since(from tables.Version) Update {
+func (v *View) Since(from tableversion.Version) Update {
 	u := v.origin
 	u.To = v.version
 	if !v.Laid() {
 		u.Shut, u.Open = true, v.facts.Open
 	}
 	at := slices.IndexFunc(v.history, func(c change) bool { return c.to == from })
-	if at < 0 && from != v.version || from == tables.None {
+	if at < 0 && from != v.version || from == tableversion.None {
 		for _, c := range v.classes {
 			t := c.head()
 			for server, cell := range c.cells {
--- a/service/words.go
+++ b/internal/service/words.go
@@ -9,8 +9,8 @@
 	"context"
 	"fmt"
 
-	"cressknot/fleet"
-	"cressknot/tables"
+	"cressknot/internal/fleet"
+	"cressknot/internal/tableversion"
 )
 
 // Major and Minor are the version of the protocols that this program speaks. Minor steps add what older readers leave out without harm.
@@ -65,8 +65,8 @@
 	Laid   bool
 	Amount int // thousandths of the visits to let in; negative: all
 	Retry  fleet.Retry
-	Digest tables.Digest // of the whole
-	Lines  []Line        // by server; in a change those that differ
+	Digest tableversion.Digest // of the whole
+	Lines  []Line              // by server; in a change those that differ
 }
 
 // Update is the whole of a zone, what has changed of it, or a sign of life.
@@ -76,8 +76,8 @@
 	ListRev  uint64 // of the list that it was decided by
 	Live     bool   // that list came from its source since the governor started
 	Zone     string
-	From     tables.Version // None: the whole
-	To       tables.Version
+	From     tableversion.Version // None: the whole
+	To       tableversion.Version
 	Classes  []ClassTable
 	Shut     bool     // Open is told
 	Open     []string // servers that a caller may go on using where a class is not laid, by name
@@ -134,8 +134,8 @@
 
 // VersionRow is one version of a table.
 type VersionRow struct {
-	Version tables.Version
-	Digest  tables.Digest
+	Version tableversion.Version
+	Digest  tableversion.Digest
 	At      fleet.Time
 	Lines   int // that it changed
 	Why     string
--- a/internal/wire/read.go
+++ b/internal/simwire/read.go
@@ -1,6 +1,6 @@
 // Package wire speaks the simulator's wire: it turns frames into events of package fleet and orders into
 // frames. The wire's own names end here, and nothing here decides anything.
-package wire
+package simwire
 
 import (
 	"encoding/binary"
@@ -9,7 +9,7 @@
 	"io"
 	"math"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // Event codes.
--- a/internal/wire/site.go
+++ b/internal/simwire/site.go
@@ -1,10 +1,10 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
 	"fmt"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // options is the JSON of enlist. Pointers mark the keys that a rule needs: without them we refuse to start.
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 func unhex(t testing.TB, text string) []byte {
--- a/internal/wire/write.go
+++ b/internal/simwire/write.go
@@ -1,11 +1,11 @@
-package wire
+package simwire
 
 import (
 	"encoding/binary"
 	"fmt"
 	"math"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // Action codes.
--- a/tables/tables.go
+++ b/internal/tableversion/tables.go
@@ -1,7 +1,7 @@
 // Package tables gives every class table versions: what changed from one to the next, a digest of the whole by which
 // anyone can tell that he holds the right one, a bounded history, and a way back. It is pure: no I/O, no clock.
 // docs/design/versions.md has the canonical form of a digest.
-package tables
+package tableversion
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // Version orders tables: by the start of the governor that made them, then by a counter. A governor that starts later, or
--- a/tables/tables_test.go
+++ b/internal/tableversion/tables_test.go
@@ -1,4 +1,4 @@
-package tables
+package tableversion
 
 import (
 	"errors"
@@ -14,7 +14,7 @@
 
 	"pgregory.net/rapid"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 func TestMain(m *testing.M) {
--- a/internal/standin/files.go
+++ b/internal/testing/fakes/files.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"errors"
@@ -14,8 +14,8 @@
 
 	"github.com/fsnotify/fsnotify"
 
-	"cressknot/front/files"
-	"cressknot/runtimeapi"
+	"cressknot/internal/haproxyapi"
+	"cressknot/internal/transport/files"
 )
 
 // filesState is what a proxy on the files front keeps besides its tables.
@@ -120,7 +120,7 @@
 			return !stays
 		})
 		for _, e := range ends {
-			admin := map[string]uint64{"DRAINING": runtimeapi.AdminDrain, "UNHEALTHY": runtimeapi.AdminMaint}[e.Health]
+			admin := map[string]uint64{"DRAINING": haproxyapi.AdminDrain, "UNHEALTHY": haproxyapi.AdminMaint}[e.Health]
 			l, _ := p.find(backend + "/" + e.Name)
 			if l == nil {
 				p.add(backend, e.Name, e.Addr, e.Weight, admin)
@@ -183,7 +183,7 @@
 		ends := []files.Endpoint{}
 		for _, l := range p.backends[c.Backend] {
 			if _, _, err := net.SplitHostPort(l.addr); err == nil && l.weight > 0 {
-				health := map[uint64]string{0: "HEALTHY", runtimeapi.AdminDrain: "DRAINING", runtimeapi.AdminMaint: "UNHEALTHY"}[l.admin]
+				health := map[uint64]string{0: "HEALTHY", haproxyapi.AdminDrain: "DRAINING", haproxyapi.AdminMaint: "UNHEALTHY"}[l.admin]
 				ends = append(ends, files.Endpoint{Name: l.name, Addr: l.addr, Health: health, Weight: l.weight})
 			}
 		}
@@ -206,7 +206,7 @@
 	stat := p.shown("stat", p.stat())
 	nodes := fmt.Appendf(nil, "# table: nodes, type: string, size:10240, used:%d\n", len(p.tracks))
 	for i, name := range p.tracks {
-		nodes = runtimeapi.AppendTracked(nodes, i+1, p.tracked[name])
+		nodes = haproxyapi.AppendTracked(nodes, i+1, p.tracked[name])
 	}
 	nodes = p.shown("table", nodes)
 	p.mu.Unlock()
--- a/internal/standin/lister.go
+++ b/internal/testing/fakes/lister.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"cressknot/internal/rules"
+	"cressknot/internal/testing/invariants"
 )
 
 // Entry is a server as the list service has it, in the form that package list reads.
@@ -27,7 +27,7 @@
 // Lister is the list service: GET /list?governor=G&rev=N&wait=S.
 type Lister struct {
 	URL     string
-	watch   *rules.Watch
+	watch   *invariants.Watch
 	mu      sync.Mutex
 	rev     uint64
 	entries map[string]Entry
@@ -42,7 +42,7 @@
 }
 
 // NewLister starts the service.
-func NewLister(watch *rules.Watch) (*Lister, error) {
+func NewLister(watch *invariants.Watch) (*Lister, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("list service: %w", err)
--- a/internal/standin/node.go
+++ b/internal/testing/fakes/node.go
@@ -1,6 +1,6 @@
 // Package standin has the small stand-ins that governors are run against: booking nodes, proxies, the list service
 // and callers. They speak on loopback sockets only and tell a rules.Watch what they see.
-package standin
+package fakes
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"cressknot/internal/rules"
+	"cressknot/internal/testing/invariants"
 )
 
 // Load says how a node works.
@@ -54,7 +54,7 @@
 	Name  string
 	Addr  string
 	load  Load
-	watch *rules.Watch
+	watch *invariants.Watch
 
 	mu       sync.Mutex
 	troubles []*Trouble
@@ -82,7 +82,7 @@
 }
 
 // NewNode makes a node that is warm and not yet up.
-func NewNode(name string, load Load, watch *rules.Watch, seed uint64) *Node {
+func NewNode(name string, load Load, watch *invariants.Watch, seed uint64) *Node {
 	return &Node{Name: name, load: load, watch: watch, rng: rand.New(rand.NewPCG(seed, 1)), slots: make(chan struct{}, load.Cores)}
 }
 
--- a/internal/standin/proxy.go
+++ b/internal/testing/fakes/proxy.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
-	"cressknot/internal/rules"
-	"cressknot/runtimeapi"
+	"cressknot/internal/haproxyapi"
+	"cressknot/internal/testing/invariants"
 )
 
 // ProxyClass is a class as a proxy is set up for it.
@@ -49,7 +49,7 @@
 	weight     int
 	admin      uint64
 	id         int
-	row        runtimeapi.Stat
+	row        haproxyapi.Stat
 	inARow     int
 	shunned    time.Time
 	open       int
@@ -66,17 +66,17 @@
 type Proxy struct {
 	ProxySetup
 	Visit string // address of its visits' socket
-	watch *rules.Watch
+	watch *invariants.Watch
 	http  http.Client
 
 	mu       sync.Mutex
 	rng      *rand.Rand
 	standing []Entry
 	backends map[string][]*line // by class
-	totals   map[string]*runtimeapi.Stat
+	totals   map[string]*haproxyapi.Stat
 	levels   map[string]string // the map
 	order    []string          // its keys
-	tracked  map[string]*runtimeapi.Tracked
+	tracked  map[string]*haproxyapi.Tracked
 	tracks   []string
 	started  time.Time
 	stall    time.Time // stands still until
@@ -95,7 +95,7 @@
 }
 
 // NewProxy makes a proxy that is not up. Standing is what its own configuration lists.
-func NewProxy(setup ProxySetup, standing []Entry, watch *rules.Watch, seed uint64) *Proxy {
+func NewProxy(setup ProxySetup, standing []Entry, watch *invariants.Watch, seed uint64) *Proxy {
 	p := &Proxy{ProxySetup: setup, watch: watch, rng: rand.New(rand.NewPCG(seed, 2)), standing: standing, cut: -1}
 	p.http.Transport = &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 15 * time.Second, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: 400 * time.Millisecond}).DialContext}
@@ -128,10 +128,10 @@
 		p.Visit = v.Addr().String()
 	}
 	p.lister, p.started = l, time.Now()
-	p.backends, p.totals, p.levels, p.order = map[string][]*line{}, map[string]*runtimeapi.Stat{}, map[string]string{}, nil
-	p.tracked, p.tracks, p.conns = map[string]*runtimeapi.Tracked{}, nil, map[net.Conn]*control{}
+	p.backends, p.totals, p.levels, p.order = map[string][]*line{}, map[string]*haproxyapi.Stat{}, map[string]string{}, nil
+	p.tracked, p.tracks, p.conns = map[string]*haproxyapi.Tracked{}, nil, map[net.Conn]*control{}
 	for _, c := range p.Classes {
-		p.totals[c.Backend] = &runtimeapi.Stat{Proxy: []byte(c.Backend), Server: []byte("BACKEND")}
+		p.totals[c.Backend] = &haproxyapi.Stat{Proxy: []byte(c.Backend), Server: []byte("BACKEND")}
 		for _, e := range p.standing {
 			p.add(c.Backend, e.Name, e.Addr, 100, 0)
 		}
@@ -150,7 +150,7 @@
 func (p *Proxy) add(backend, name, addr string, weight int, admin uint64) *line {
 	p.nextID++
 	l := &line{name: name, addr: addr, weight: weight, admin: admin, id: p.nextID,
-		row: runtimeapi.Stat{Proxy: []byte(backend), Server: []byte(name)}}
+		row: haproxyapi.Stat{Proxy: []byte(backend), Server: []byte(name)}}
 	p.backends[backend] = append(p.backends[backend], l)
 	return l
 }
@@ -213,7 +213,7 @@
 	if l == nil {
 		return strings.TrimSpace(err)
 	}
-	return fmt.Sprintf("%d %s", l.weight, map[uint64]string{0: "ready", runtimeapi.AdminDrain: "drain", runtimeapi.AdminMaint: "maint"}[l.admin])
+	return fmt.Sprintf("%d %s", l.weight, map[uint64]string{0: "ready", haproxyapi.AdminDrain: "drain", haproxyapi.AdminMaint: "maint"}[l.admin])
 }
 
 // Addr gives where a line sends to.
@@ -235,7 +235,7 @@
 
 // ByHand carries out a command as staff would at the proxy itself.
 func (p *Proxy) ByHand(words ...string) string {
-	return string(p.command(runtimeapi.Command{Words: words}, map[string]bool{}, &control{}))
+	return string(p.command(haproxyapi.Command{Words: words}, map[string]bool{}, &control{}))
 }
 
 // ReportLate lets it show counters as they were so long ago; 0: no more.
@@ -347,7 +347,7 @@
 			p.watch.Parted(p.Name)
 		}
 	}()
-	s := runtimeapi.Session{Answer: func(cmd runtimeapi.Command) []byte {
+	s := haproxyapi.Session{Answer: func(cmd haproxyapi.Command) []byte {
 		if p.NoneStands {
 			select {}
 		}
@@ -402,22 +402,22 @@
 func (p *Proxy) find(target string) (*line, string) {
 	backend, server, ok := strings.Cut(target, "/")
 	if !ok {
-		return nil, runtimeapi.NeedServer
+		return nil, haproxyapi.NeedServer
 	}
 	lines, known := p.backends[backend]
 	if _, set := p.totals[backend]; !known && !set {
-		return nil, runtimeapi.NoBackend
+		return nil, haproxyapi.NoBackend
 	}
 	for _, l := range lines {
 		if l.name == server {
 			return l, ""
 		}
 	}
-	return nil, runtimeapi.NoServer
+	return nil, haproxyapi.NoServer
 }
 
 // command answers one command, under the specification's rules.
-func (p *Proxy) command(c runtimeapi.Command, touched map[string]bool, of *control) []byte {
+func (p *Proxy) command(c haproxyapi.Command, touched map[string]bool, of *control) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	words := c.Words
@@ -469,19 +469,19 @@
 		return []byte("No such session (use 'show sess').\n")
 	case is("show", "servers", "state"):
 		of.steers = true
-		out := runtimeapi.AppendServersStateHeader(nil)
+		out := haproxyapi.AppendServersStateHeader(nil)
 		for i, class := range p.Classes {
 			for _, l := range p.backends[class.Backend] {
 				host, port, _ := net.SplitHostPort(l.addr)
 				n, _ := strconv.ParseUint(port, 10, 16)
-				out = runtimeapi.AppendServerState(out, i+1, l.id, &runtimeapi.ServerState{Backend: []byte(class.Backend),
+				out = haproxyapi.AppendServerState(out, i+1, l.id, &haproxyapi.ServerState{Backend: []byte(class.Backend),
 					Server: []byte(l.name), Addr: []byte(host), Port: n, Operational: 2, Admin: l.admin, Weight: uint64(l.weight)})
 			}
 		}
 		return out
 	case is("show", "map") && len(words) == 1:
 		if words[0] != p.Map {
-			return []byte(runtimeapi.NoMap)
+			return []byte(haproxyapi.NoMap)
 		}
 		var out []byte
 		for i, k := range p.order {
@@ -490,20 +490,20 @@
 		return out
 	case is("show", "table") && len(words) == 1:
 		if words[0] != p.Table {
-			return []byte(runtimeapi.NoTable)
+			return []byte(haproxyapi.NoTable)
 		}
 		out := fmt.Appendf(nil, "# table: %s, type: string, size:10240, used:%d\n", p.Table, len(p.tracks))
 		for i, name := range p.tracks {
-			out = runtimeapi.AppendTracked(out, i+1, p.tracked[name])
+			out = haproxyapi.AppendTracked(out, i+1, p.tracked[name])
 		}
 		return p.shown("table", out)
 	case (is("set", "map") || is("add", "map")) && len(words) == 3:
 		if words[0] != p.Map {
-			return []byte(runtimeapi.NoMap)
+			return []byte(haproxyapi.NoMap)
 		}
 		_, known := p.levels[words[1]]
 		if !known && c.Words[0] == "set" {
-			return []byte(runtimeapi.NoKey)
+			return []byte(haproxyapi.NoKey)
 		}
 		if !known {
 			p.order = append(p.order, words[1])
@@ -516,7 +516,7 @@
 		return nil
 	case is("del", "map") && len(words) == 2:
 		if _, known := p.levels[words[1]]; !known {
-			return []byte(runtimeapi.NoKey)
+			return []byte(haproxyapi.NoKey)
 		}
 		delete(p.levels, words[1])
 		p.order = slices.DeleteFunc(p.order, func(k string) bool { return k == words[1] })
@@ -533,8 +533,8 @@
 			return []byte(err)
 		}
 		n, bad := strconv.Atoi(words[len(words)-1])
-		if bad != nil || n < 0 || n > runtimeapi.WeightMost {
-			return []byte(runtimeapi.BadWeight)
+		if bad != nil || n < 0 || n > haproxyapi.WeightMost {
+			return []byte(haproxyapi.BadWeight)
 		}
 		l.weight = n
 		changes(words[0])
@@ -545,9 +545,9 @@
 		if l == nil {
 			return []byte(err)
 		}
-		admin, ok := map[string]uint64{"ready": 0, "drain": runtimeapi.AdminDrain, "maint": runtimeapi.AdminMaint}[words[2]]
+		admin, ok := map[string]uint64{"ready": 0, "drain": haproxyapi.AdminDrain, "maint": haproxyapi.AdminMaint}[words[2]]
 		if !ok {
-			return []byte(runtimeapi.BadState)
+			return []byte(haproxyapi.BadState)
 		}
 		l.admin = admin
 		changes(words[0])
@@ -564,16 +564,16 @@
 		}
 		to := net.JoinHostPort(words[2], port)
 		if to == l.addr {
-			return []byte(runtimeapi.AddrStays + " the addr, port\n")
+			return []byte(haproxyapi.AddrStays + " the addr, port\n")
 		}
 		l.addr = to
-		return []byte(runtimeapi.AddrChanged + " by 'stats socket command'\n")
+		return []byte(haproxyapi.AddrChanged + " by 'stats socket command'\n")
 	case is("add", "server") && len(words) >= 2:
 		l, err := p.find(words[0])
 		if l != nil {
-			return []byte(runtimeapi.Exists)
+			return []byte(haproxyapi.Exists)
 		}
-		if err != runtimeapi.NoServer {
+		if err != haproxyapi.NoServer {
 			return []byte(err)
 		}
 		weight := 1
@@ -583,35 +583,35 @@
 			}
 		}
 		backend, server, _ := strings.Cut(words[0], "/")
-		p.add(backend, server, words[1], weight, runtimeapi.AdminMaint)
+		p.add(backend, server, words[1], weight, haproxyapi.AdminMaint)
 		changes(words[0])
-		return []byte(runtimeapi.Registered)
+		return []byte(haproxyapi.Registered)
 	case is("del", "server") && len(words) == 1:
 		l, err := p.find(words[0])
 		switch {
 		case l == nil:
 			return []byte(err)
-		case l.admin&runtimeapi.AdminMaint == 0:
-			return []byte(runtimeapi.NotInMaint)
+		case l.admin&haproxyapi.AdminMaint == 0:
+			return []byte(haproxyapi.NotInMaint)
 		case l.open > 0:
-			return []byte(runtimeapi.HasConns)
+			return []byte(haproxyapi.HasConns)
 		}
 		backend, _, _ := strings.Cut(words[0], "/")
 		p.backends[backend] = slices.DeleteFunc(p.backends[backend], func(o *line) bool { return o == l })
-		return []byte(runtimeapi.Deleted)
+		return []byte(haproxyapi.Deleted)
 	}
-	return fmt.Appendf(nil, "%s'%s'.\n", runtimeapi.UnknownPrefix, strings.Join(c.Words, " "))
+	return fmt.Appendf(nil, "%s'%s'.\n", haproxyapi.UnknownPrefix, strings.Join(c.Words, " "))
 }
 
 func (p *Proxy) stat() []byte {
-	out := runtimeapi.AppendStatHeader(nil)
+	out := haproxyapi.AppendStatHeader(nil)
 	for _, class := range p.Classes {
 		for _, l := range p.backends[class.Backend] {
 			l.row.Weight = uint64(l.weight)
-			l.row.Status = []byte(map[uint64]string{0: "UP", runtimeapi.AdminDrain: "DRAIN", runtimeapi.AdminMaint: "MAINT"}[l.admin])
-			out = runtimeapi.AppendStat(out, &l.row)
+			l.row.Status = []byte(map[uint64]string{0: "UP", haproxyapi.AdminDrain: "DRAIN", haproxyapi.AdminMaint: "MAINT"}[l.admin])
+			out = haproxyapi.AppendStat(out, &l.row)
 		}
-		out = runtimeapi.AppendStat(out, p.totals[class.Backend])
+		out = haproxyapi.AppendStat(out, p.totals[class.Backend])
 	}
 	return out
 }
@@ -743,7 +743,7 @@
 		l.inARow = 0
 		t := p.tracked[l.name]
 		if t == nil {
-			t = &runtimeapi.Tracked{Key: []byte(l.name)}
+			t = &haproxyapi.Tracked{Key: []byte(l.name)}
 			p.tracked[l.name] = t
 			p.tracks = append(p.tracks, l.name)
 		}
--- a/internal/standin/shares_test.go
+++ b/internal/testing/fakes/shares_test.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"flag"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cressknot/internal/rules"
+	"cressknot/internal/testing/invariants"
 )
 
 var requests = flag.Int("requests", 12_000, "visits of the shares' test; 100,000 for the stated bound of two percent")
@@ -17,7 +17,7 @@
 // TestSharesFollowWeights: the shares of visits that nodes meet match the published weights: within two percent of
 // each at 100,000 visits, and as much more as chance needs at fewer.
 func TestSharesFollowWeights(t *testing.T) {
-	watch := rules.NewWatch()
+	watch := invariants.NewWatch()
 	weights := []int{256, 192, 128, 224, 160}
 	seen := map[string]int{}
 	sum := 0
--- a/internal/rules/rules.go
+++ b/internal/testing/invariants/rules.go
@@ -1,7 +1,7 @@
 // Package rules judges the five rules from what stand-in proxies and nodes saw on their sockets, and from what the
 // list service answered. It never reads a governor's own records. Stand-ins write into a Watch while they run;
 // Judge works it out afterwards.
-package rules
+package invariants
 
 import (
 	"cmp"
--- a/internal/drill/dark.go
+++ b/internal/testing/scenario/dark.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"cressknot/fleet"
-	"cressknot/list"
+	"cressknot/internal/discovery"
+	"cressknot/internal/fleet"
 )
 
 const (
@@ -127,11 +127,11 @@
 
 // age makes a kept list a day old.
 func (p *play) age(path string) error {
-	kept, wrong := list.ReadCache(path)
+	kept, wrong := discovery.ReadCache(path)
 	if len(kept) == 0 {
 		return fmt.Errorf("no list was kept at %s: %v", path, wrong)
 	}
-	doc := list.Document{Rev: kept[0].Rev}
+	doc := discovery.Document{Rev: kept[0].Rev}
 	i := 0
 	for _, s := range kept[0].Entries {
 		doc.Servers = append(doc.Servers, s)
@@ -145,9 +145,9 @@
 		doc.Servers = append(doc.Servers, ghost)
 		i++
 	}
-	doc.Servers = append(doc.Servers, list.Server{Name: "zz-damaged", Addr: "127.0.1.251:1", Zone: doc.Servers[0].Zone})
-	slices.SortFunc(doc.Servers, func(a, b list.Server) int { return strings.Compare(a.Name, b.Name) })
-	if err := list.Cache(path, doc, fleet.Time(time.Now().Add(-dayOld).UnixNano())); err != nil {
+	doc.Servers = append(doc.Servers, discovery.Server{Name: "zz-damaged", Addr: "127.0.1.251:1", Zone: doc.Servers[0].Zone})
+	slices.SortFunc(doc.Servers, func(a, b discovery.Server) int { return strings.Compare(a.Name, b.Name) })
+	if err := discovery.Cache(path, doc, fleet.Time(time.Now().Add(-dayOld).UnixNano())); err != nil {
 		return err
 	}
 	if err := os.Remove(path + ".before"); err != nil && !errors.Is(err, os.ErrNotExist) { // the true one
--- a/internal/drill/day.go
+++ b/internal/testing/scenario/day.go
@@ -1,6 +1,6 @@
 // Package drill plays scripted days: stand-in nodes, proxies, callers and list service on loopback, real governors
 // as processes of their own, and the rules judged from what passed on the sockets.
-package drill
+package scenario
 
 import (
 	"embed"
@@ -15,7 +15,7 @@
 	"cuelang.org/go/cue/cuecontext"
 	cueerrors "cuelang.org/go/cue/errors"
 
-	"cressknot/config"
+	"cressknot/internal/config"
 )
 
 //go:embed day.cue
--- a/internal/drill/drill.go
+++ b/internal/testing/scenario/drill.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"context"
@@ -20,8 +20,8 @@
 	"syscall"
 	"time"
 
-	"cressknot/internal/rules"
-	"cressknot/internal/standin"
+	"cressknot/internal/testing/fakes"
+	"cressknot/internal/testing/invariants"
 )
 
 const (
@@ -39,7 +39,7 @@
 	Progress io.Writer                     // a line while it runs; nil: none
 	Keep     string                        // folder that keeps settings, logs and records; "": a temporary one
 	Alter    func(settings map[string]any) // breaks a governor on purpose, for tests of the rules
-	Strict   func(*rules.Figures)          // judges by other figures
+	Strict   func(*invariants.Figures)     // judges by other figures
 	Records  bool
 
 	// Faults at the front, for tests of the rules: what a broken governor would have done.
@@ -62,11 +62,11 @@
 type play struct {
 	Options
 	dir        string
-	watch      *rules.Watch
-	lister     *standin.Lister
-	nodes      []*standin.Node
+	watch      *invariants.Watch
+	lister     *fakes.Lister
+	nodes      []*fakes.Node
 	zoneOf     map[string]string
-	proxies    []*standin.Proxy
+	proxies    []*fakes.Proxy
 	zones      []string // by proxy
 	governors  []*governor
 	libraries  []*library
@@ -86,7 +86,7 @@
 
 // Play plays a day and judges it.
 func Play(ctx context.Context, o Options) (*Report, error) {
-	p := &play{Options: o, watch: rules.NewWatch(), zoneOf: map[string]string{}, ailing: map[string]bool{},
+	p := &play{Options: o, watch: invariants.NewWatch(), zoneOf: map[string]string{}, ailing: map[string]bool{},
 		rng: rand.New(rand.NewPCG(o.Day.Seed, 7)), report: &Report{Day: o.Day.Name}}
 	p.burst.Store(math.Float64bits(1))
 	p.hot.Store(-1)
@@ -127,21 +127,21 @@
 func (p *play) raise() error {
 	d := p.Day
 	var err error
-	if p.lister, err = standin.NewLister(p.watch); err != nil {
+	if p.lister, err = fakes.NewLister(p.watch); err != nil {
 		return err
 	}
 	work := map[string]time.Duration{}
-	var classes []standin.ProxyClass
+	var classes []fakes.ProxyClass
 	for _, c := range d.Classes {
 		work[c.Name] = time.Duration(c.Work)
-		classes = append(classes, standin.ProxyClass{Name: c.Name, Backend: c.Name, HardStop: time.Duration(c.HardStop),
+		classes = append(classes, fakes.ProxyClass{Name: c.Name, Backend: c.Name, HardStop: time.Duration(c.HardStop),
 			PerTry: time.Duration(perTryPart * float64(c.Expected))})
 	}
 	speeds := []float64{1.5, 1, 0.6}
-	var entries []standin.Entry
+	var entries []fakes.Entry
 	for i := range d.Nodes {
 		name, zone := nodeName(i), d.Zones[i%len(d.Zones)]
-		n := standin.NewNode(name, standin.Load{Cores: 2, Speed: speeds[i%len(speeds)] * (0.9 + 0.2*p.rng.Float64()), Queue: 24,
+		n := fakes.NewNode(name, fakes.Load{Cores: 2, Speed: speeds[i%len(speeds)] * (0.9 + 0.2*p.rng.Float64()), Queue: 24,
 			ColdFrom: d.Servers.ColdFrom, ColdFor: time.Duration(d.Servers.ColdFor), FallFactor: d.Servers.FallFactor,
 			FallFor: time.Duration(d.Servers.FallFor), Work: work}, p.watch, d.Seed*1000+uint64(i))
 		if err := n.Up(); err != nil {
@@ -154,13 +154,13 @@
 	p.lister.Deaf(p.Deaf)
 	for i := range d.Proxies {
 		zone := d.Zones[i%len(d.Zones)]
-		var standing []standin.Entry
+		var standing []fakes.Entry
 		for _, at := range p.rng.Perm(len(entries)) {
 			if e := entries[at]; len(standing) < d.Standing && (e.Zone == zone || d.Nodes < 3*len(d.Zones)) {
 				standing = append(standing, e)
 			}
 		}
-		x := standin.NewProxy(standin.ProxySetup{Name: fmt.Sprintf("proxy-%02d", i+1), Zone: zone, Classes: classes,
+		x := fakes.NewProxy(fakes.ProxySetup{Name: fmt.Sprintf("proxy-%02d", i+1), Zone: zone, Classes: classes,
 			Map: "cressknot", Table: "nodes", ShunAfter: 3, ShunFor: 4 * time.Second, LineDelay: time.Duration(d.LineDelay),
 			Runtime: filepath.Join(p.dir, fmt.Sprintf("p%d.sock", i+1)), Folder: p.folder(i)}, standing, p.watch, d.Seed*2000+uint64(i))
 		if err := x.Up(); err != nil {
@@ -221,7 +221,7 @@
 			if !p.Crowd {
 				continue
 			}
-			newest := slices.MaxFunc(p.nodes, func(a, b *standin.Node) int { return a.Started().Compare(b.Started()) })
+			newest := slices.MaxFunc(p.nodes, func(a, b *fakes.Node) int { return a.Started().Compare(b.Started()) })
 			// Only once the governors have been told of the start: what comes before is nobody's order.
 			if newest.Started().IsZero() || time.Since(newest.Started()) < 2*listed || time.Since(newest.Started()) > time.Duration(p.Day.Servers.ColdFor) {
 				continue
@@ -243,8 +243,8 @@
 	}()
 }
 
-func (p *play) entry(n *standin.Node, state string) standin.Entry {
-	return standin.Entry{Name: n.Name, Addr: n.Addr, Zone: p.zoneOf[n.Name], State: state, Started: n.Started()}
+func (p *play) entry(n *fakes.Node, state string) fakes.Entry {
+	return fakes.Entry{Name: n.Name, Addr: n.Addr, Zone: p.zoneOf[n.Name], State: state, Started: n.Started()}
 }
 
 // settings writes a governor's settings.
@@ -567,12 +567,12 @@
 		}
 	}
 	d := p.Day
-	f := rules.Figures{Bare: time.Duration(d.Channel.Bare), Grace: time.Duration(d.Servers.Grace),
+	f := invariants.Figures{Bare: time.Duration(d.Channel.Bare), Grace: time.Duration(d.Servers.Grace),
 		ColdFor: time.Duration(d.Servers.ColdFor), ColdFrom: d.Servers.ColdFrom, FallFactor: d.Servers.FallFactor,
 		FallFor: time.Duration(d.Servers.FallFor), LinesPerS: d.Channel.LinesPerS, Backlog: d.Channel.Backlog, Head: 6,
 		MessagesOver: 10 * time.Second, Slack: 250 * time.Millisecond}
 	for _, c := range d.Classes {
-		f.Classes = append(f.Classes, rules.Class{Name: c.Name, Effect: effects[c.Effect], Window: time.Duration(c.Window)})
+		f.Classes = append(f.Classes, invariants.Class{Name: c.Name, Effect: effects[c.Effect], Window: time.Duration(c.Window)})
 	}
 	if p.Strict != nil {
 		p.Strict(&f)
@@ -594,4 +594,4 @@
 	slices.Sort(r.Falls.FromTold)
 }
 
-var effects = map[string]rules.Effect{"safe": rules.Safe, "keyed": rules.Keyed, "unsafe": rules.Unsafe}
+var effects = map[string]invariants.Effect{"safe": invariants.Safe, "keyed": invariants.Keyed, "unsafe": invariants.Unsafe}
--- a/internal/drill/drill_test.go
+++ b/internal/testing/scenario/drill_test.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"context"
@@ -12,15 +12,15 @@
 	"testing"
 	"time"
 
-	"cressknot/internal/rules"
-	"cressknot/records"
-	"cressknot/serve"
+	"cressknot/internal/eventlog"
+	"cressknot/internal/server"
+	"cressknot/internal/testing/invariants"
 )
 
 // TestMain lets the test binary be a governor's process.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("DRILL_GOVERNOR"); path != "" {
-		if err := serve.Governor(path); err != nil {
+		if err := server.Governor(path); err != nil {
 			os.Stderr.WriteString(err.Error() + "\n")
 			os.Exit(1)
 		}
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	steps, orders, err := records.Replay("records", f)
+	steps, orders, err := eventlog.Replay("records", f)
 	if err != nil || steps < 20 || orders < 20 {
 		t.Errorf("replayed %d steps, %d orders: %v", steps, orders, err)
 	}
@@ -103,17 +103,17 @@
 func TestBrokenGovernorsAreCaught(t *testing.T) {
 	broken := map[string]func(*Options){
 		// A governor that is told nothing of drains: its list stays as it was, while the service has told it.
-		rules.RuleDrain: func(o *Options) {
+		invariants.RuleDrain: func(o *Options) {
 			o.Day.Troubles = []Trouble{{At: Span(2 * time.Second), For: Span(8 * time.Second), What: "drain"}}
 			o.Deaf = true
 		},
 		// One that lets proxies try again after any failure, whatever the class.
-		rules.RuleTwice: func(o *Options) {
+		invariants.RuleTwice: func(o *Options) {
 			o.Day.Troubles = []Trouble{{At: Span(time.Second), For: Span(6 * time.Second), What: "answers-lost", Part: 1, Size: 0.6}}
 			o.Force = []string{"add map cressknot bag-issue.retry 2", "set map cressknot bag-issue.retry 2"}
 		},
 		// One that shuts out every server of a class.
-		rules.RuleBare: func(o *Options) {
+		invariants.RuleBare: func(o *Options) {
 			o.Day.Troubles = nil
 			for i := range o.Day.Nodes {
 				o.Force = append(o.Force, "set server slot-look/"+nodeName(i)+" state maint")
@@ -123,15 +123,15 @@
 			}
 		},
 		// One that gives a cold server all visits.
-		rules.RuleCold: func(o *Options) {
+		invariants.RuleCold: func(o *Options) {
 			o.Day.Troubles = []Trouble{{At: Span(time.Second), For: Span(2 * time.Second), What: "crash"}}
 			o.Day.Visits = 160
 			o.Crowd = true
 		},
 		// One that sends its whole table anew to all, again and again, past what may wait.
-		rules.RuleQueue: func(o *Options) {
+		invariants.RuleQueue: func(o *Options) {
 			o.Day.Troubles = nil
-			o.Strict = func(f *rules.Figures) { f.Backlog = 20 }
+			o.Strict = func(f *invariants.Figures) { f.Backlog = 20 }
 		},
 	}
 	for rule, change := range broken {
@@ -228,7 +228,7 @@
 		if len(v.Breaks) > 0 {
 			t.Errorf("%s: %v", v.Rule, v.Breaks)
 		}
-		one = one || v.Rule == rules.RuleOne && v.Tried > 0
+		one = one || v.Rule == invariants.RuleOne && v.Tried > 0
 	}
 	if !one || len(r.Troubles) > 0 {
 		t.Errorf("judged %v, %v", one, r.Troubles)
--- a/internal/drill/library.go
+++ b/internal/testing/scenario/library.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"cressknot/client"
 	"cressknot/client/rpc"
 	"cressknot/client/runtime"
-	"cressknot/internal/standin"
-	"cressknot/tables"
+	"cressknot/internal/tableversion"
+	"cressknot/internal/testing/fakes"
 )
 
 // library is a program that sends its visits itself, by one of the client libraries; to the rules it is a proxy.
@@ -51,7 +51,7 @@
 			DialContext: (&net.Dialer{Timeout: 400 * time.Millisecond}).DialContext}
 		p.watch.Owner(l.name, g.name)
 		cfg := client.Config{Name: l.name, Zone: l.zone, Governors: []string{[]string{g.rpc, g.text}[i%2]}, Seed: p.Day.Seed + uint64(i), Hedge: true,
-			OnTable: func(_ tables.Version, lines int) { p.watch.Message(l.name, lines) },
+			OnTable: func(_ tableversion.Version, lines int) { p.watch.Message(l.name, lines) },
 			OnStream: func(up bool, _ string) {
 				at := int64(time.Since(p.started))
 				if up {
@@ -120,7 +120,7 @@
 	began := time.Now()
 	err = l.client.Do(context.Background(), at, func(ctx context.Context, t client.Try) client.Result {
 		p.watch.Sent(l.name, t.Node.Name, c.Name, id, t.N, t.MayHaveRun)
-		good, neverRan, load, err := standin.SendVisit(ctx, &l.http, t.Node.Addr, l.name, c.Name, id)
+		good, neverRan, load, err := fakes.SendVisit(ctx, &l.http, t.Node.Addr, l.name, c.Name, id)
 		r := client.Result{Outcome: client.Failed, Err: err}
 		switch {
 		case good:
--- a/internal/drill/report.go
+++ b/internal/testing/scenario/report.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"fmt"
@@ -13,30 +13,30 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"cressknot/internal/rules"
+	"cressknot/internal/testing/invariants"
 )
 
 // Report is what a day came to.
 type Report struct {
-	Day           string          `json:"day"`
-	Length        float64         `json:"length_s"`
-	Rules         []rules.Verdict `json:"rules"`
-	Classes       []Class         `json:"classes"`
-	Weights       []Weights       `json:"weights"`
-	Governors     []Governor      `json:"governors"`
-	Falls         Falls           `json:"falls"`
-	Flood         [3]int64        `json:"flood,omitempty"`        // reports nobody asked for: taken, refused, lost
-	Mutes         []float64       `json:"mutes_s,omitempty"`      // from a reporter's end until a governor told it from a death
-	Unnoticed     int             `json:"unnoticed,omitempty"`    // those that it did not
-	Backs         []float64       `json:"backs_s,omitempty"`      // from a way back until a proxy held it, sorted
-	Unattended    []float64       `json:"unattended_s,omitempty"` // proxies without a governor's session between two, sorted
-	Rolled        float64         `json:"rolled_s,omitempty"`     // that a rolling restart of all governors took
-	Libraries     []LibraryRow    `json:"libraries,omitempty"`
-	Dark          *Dark           `json:"dark,omitempty"`
-	Versions      map[string]int  `json:"versions"`    // of the first class's tables that proxies ended on
-	PushesTaken   int             `json:"PushesTaken"` // weights that staff set by hand
-	PushesRefused int             `json:"PushesRefused"`
-	Troubles      []string        `json:"troubles,omitempty"` // of the drill itself: such a run counts for nothing
+	Day           string               `json:"day"`
+	Length        float64              `json:"length_s"`
+	Rules         []invariants.Verdict `json:"rules"`
+	Classes       []Class              `json:"classes"`
+	Weights       []Weights            `json:"weights"`
+	Governors     []Governor           `json:"governors"`
+	Falls         Falls                `json:"falls"`
+	Flood         [3]int64             `json:"flood,omitempty"`        // reports nobody asked for: taken, refused, lost
+	Mutes         []float64            `json:"mutes_s,omitempty"`      // from a reporter's end until a governor told it from a death
+	Unnoticed     int                  `json:"unnoticed,omitempty"`    // those that it did not
+	Backs         []float64            `json:"backs_s,omitempty"`      // from a way back until a proxy held it, sorted
+	Unattended    []float64            `json:"unattended_s,omitempty"` // proxies without a governor's session between two, sorted
+	Rolled        float64              `json:"rolled_s,omitempty"`     // that a rolling restart of all governors took
+	Libraries     []LibraryRow         `json:"libraries,omitempty"`
+	Dark          *Dark                `json:"dark,omitempty"`
+	Versions      map[string]int       `json:"versions"`    // of the first class's tables that proxies ended on
+	PushesTaken   int                  `json:"PushesTaken"` // weights that staff set by hand
+	PushesRefused int                  `json:"PushesRefused"`
+	Troubles      []string             `json:"troubles,omitempty"` // of the drill itself: such a run counts for nothing
 }
 
 // Class is how a class fared.
@@ -85,7 +85,7 @@
 
 // Kept tells whether all rules were kept and the drill itself went well.
 func (r *Report) Kept() bool {
-	return len(r.Troubles) == 0 && !slices.ContainsFunc(r.Rules, func(v rules.Verdict) bool { return len(v.Breaks) > 0 })
+	return len(r.Troubles) == 0 && !slices.ContainsFunc(r.Rules, func(v invariants.Verdict) bool { return len(v.Breaks) > 0 })
 }
 
 type classTally struct {
--- a/internal/drill/troubles.go
+++ b/internal/testing/scenario/troubles.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"cressknot/front/files"
-	"cressknot/internal/standin"
-	"cressknot/rolling"
+	"cressknot/internal/rollingrestart"
+	"cressknot/internal/testing/fakes"
+	"cressknot/internal/transport/files"
 )
 
 // Kinds tells each kind of trouble and what it does, as docs/operate/drill.md has it.
@@ -23,28 +23,28 @@
 	"drain":        func(p *play, ctx context.Context, t Trouble) { p.drain(ctx, t, time.Duration(t.For)/2) },
 	"preempt":      func(p *play, ctx context.Context, t Trouble) { p.drain(ctx, t, 3*time.Second) },
 	"ageing":       (*play).ageing,
-	"slow":         func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, standin.Trouble{Slow: or(t.Size, 5)}) },
-	"hang":         func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, standin.Trouble{Hang: true}) },
-	"errors":       func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, standin.Trouble{Errors: or(t.Size, 0.6)}) },
-	"answers-lost": func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, standin.Trouble{Lost: or(t.Size, 0.3)}) },
+	"slow":         func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, fakes.Trouble{Slow: or(t.Size, 5)}) },
+	"hang":         func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, fakes.Trouble{Hang: true}) },
+	"errors":       func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, fakes.Trouble{Errors: or(t.Size, 0.6)}) },
+	"answers-lost": func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, fakes.Trouble{Lost: or(t.Size, 0.3)}) },
 	"class-fails": func(p *play, ctx context.Context, t Trouble) {
-		p.ail(ctx, t, standin.Trouble{Errors: or(t.Size, 0.6), Class: p.class(t)})
+		p.ail(ctx, t, fakes.Trouble{Errors: or(t.Size, 0.6), Class: p.class(t)})
 	},
 	"heavy-tail": func(p *play, ctx context.Context, t Trouble) {
 		t.Part = 1
-		p.ail(ctx, t, standin.Trouble{Heavy: 0.02, HeavyBy: or(t.Size, 15), Class: p.class(t)})
+		p.ail(ctx, t, fakes.Trouble{Heavy: 0.02, HeavyBy: or(t.Size, 15), Class: p.class(t)})
 	},
 	"shared-slow": func(p *play, ctx context.Context, t Trouble) {
 		t.Part = 1
-		p.ail(ctx, t, standin.Trouble{Slow: or(t.Size, 2)})
+		p.ail(ctx, t, fakes.Trouble{Slow: or(t.Size, 2)})
 	},
 	"one-sided": (*play).oneSided,
 	"slow-link": (*play).slowLink,
 	"pauses": func(p *play, ctx context.Context, t Trouble) {
-		p.onOff(ctx, t, standin.Trouble{Pause: true}, time.Duration(or(t.Size, 300))*time.Millisecond)
+		p.onOff(ctx, t, fakes.Trouble{Pause: true}, time.Duration(or(t.Size, 300))*time.Millisecond)
 	},
 	"neighbour": func(p *play, ctx context.Context, t Trouble) {
-		p.onOff(ctx, t, standin.Trouble{Slow: or(t.Size, 2)}, time.Duration(t.Every))
+		p.onOff(ctx, t, fakes.Trouble{Slow: or(t.Size, 2)}, time.Duration(t.Every))
 	},
 	"reports-late":   (*play).reportsLate,
 	"burst":          (*play).burstVisits,
@@ -115,7 +115,7 @@
 func count(part float64, of int) int { return min(of, max(1, int(math.Round(part*float64(of))))) }
 
 // some draws nodes that nothing else ails.
-func (p *play) some(part float64) (nodes []*standin.Node, release func()) {
+func (p *play) some(part float64) (nodes []*fakes.Node, release func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := count(part, len(p.nodes))
@@ -147,7 +147,7 @@
 	return p.Day.Classes[0].Name
 }
 
-func (p *play) ail(ctx context.Context, t Trouble, what standin.Trouble) {
+func (p *play) ail(ctx context.Context, t Trouble, what fakes.Trouble) {
 	nodes, release := p.some(t.Part)
 	defer release()
 	for _, n := range nodes {
@@ -156,7 +156,7 @@
 	wait(ctx, t.For)
 }
 
-func (p *play) onOff(ctx context.Context, t Trouble, what standin.Trouble, on time.Duration) {
+func (p *play) onOff(ctx context.Context, t Trouble, what fakes.Trouble, on time.Duration) {
 	nodes, release := p.some(t.Part)
 	defer release()
 	for end := time.Now().Add(time.Duration(t.For)); time.Now().Before(end) && ctx.Err() == nil; {
@@ -173,7 +173,7 @@
 }
 
 // fall lets nodes die at once; the list hears of it later, and measures when each proxy has shut them out.
-func (p *play) fall(ctx context.Context, nodes []*standin.Node) {
+func (p *play) fall(ctx context.Context, nodes []*fakes.Node) {
 	fell := time.Now()
 	for _, n := range nodes {
 		n.Crash()
@@ -213,7 +213,7 @@
 }
 
 // back starts nodes again: they are cold.
-func (p *play) back(ctx context.Context, nodes []*standin.Node) {
+func (p *play) back(ctx context.Context, nodes []*fakes.Node) {
 	for _, n := range nodes {
 		if err := n.Up(); err != nil {
 			p.trouble("%v", err)
@@ -273,7 +273,7 @@
 	for i := range steps {
 		by := 1 + (or(t.Size, 8)-1)*float64(i+1)/steps
 		for _, n := range nodes {
-			defer n.Ail(standin.Trouble{Slow: by * float64(steps) / steps})()
+			defer n.Ail(fakes.Trouble{Slow: by * float64(steps) / steps})()
 		}
 		if !sleep(ctx, time.Duration(t.For)/steps) {
 			return
@@ -291,7 +291,7 @@
 			hit[x.Name] = true
 		}
 	}
-	p.ail(ctx, t, standin.Trouble{Errors: or(t.Size, 0.6), Proxies: hit})
+	p.ail(ctx, t, fakes.Trouble{Errors: or(t.Size, 0.6), Proxies: hit})
 }
 
 func (p *play) slowLink(ctx context.Context, t Trouble) {
@@ -304,7 +304,7 @@
 	link := time.Duration(or(t.Size, 400)) * time.Millisecond
 	for _, n := range p.nodes {
 		if p.zoneOf[n.Name] == p.Day.Zones[0] {
-			defer n.Ail(standin.Trouble{Link: link, Proxies: hit})()
+			defer n.Ail(fakes.Trouble{Link: link, Proxies: hit})()
 		}
 	}
 	wait(ctx, t.For)
@@ -366,7 +366,7 @@
 		sockets = append(sockets, g.socket)
 	}
 	began := time.Now()
-	err := rolling.Restart(ctx, sockets, 30*time.Second, func(ctx context.Context, socket string) error {
+	err := rollingrestart.Restart(ctx, sockets, 30*time.Second, func(ctx context.Context, socket string) error {
 		g := p.governors[slices.Index(sockets, socket)]
 		if err := g.end(syscall.SIGTERM); err != nil {
 			return err
@@ -461,7 +461,7 @@
 // pushTables sets weights by hand through the operators' sockets, again and again, and counts what was refused.
 func (p *play) pushTables(ctx context.Context, t Trouble) {
 	for end := time.Now().Add(time.Duration(t.For)); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, 300*time.Millisecond) {
-		newest := slices.MaxFunc(p.nodes, func(a, b *standin.Node) int { return a.Started().Compare(b.Started()) })
+		newest := slices.MaxFunc(p.nodes, func(a, b *fakes.Node) int { return a.Started().Compare(b.Started()) })
 		isCold := time.Since(newest.Started()) < time.Duration(p.Day.Servers.ColdFor)
 		for _, g := range p.governors {
 			for _, n := range p.nodes {
@@ -576,7 +576,7 @@
 	for _, n := range nodes {
 		names = append(names, n.Name)
 	}
-	var f standin.Flood
+	var f fakes.Flood
 	for i, g := range p.governors {
 		if g.reports != "" {
 			f.Run(ctx, "http://"+g.reports+"/write", names, int(or(t.Size, 10_000)), p.Day.Seed+uint64(i))
--- a/front/files/format.go
+++ b/internal/transport/files/format.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"cressknot/front"
+	"cressknot/internal/transport"
 )
 
 // Names of the files in a proxy's folder. The governor writes the first two, the proxy the others; every one is written
@@ -175,7 +175,7 @@
 		all[k] = v
 	}
 	for class, stamp := range stamps {
-		all[class+front.VersionKey] = stamp
+		all[class+transport.VersionKey] = stamp
 	}
 	text, err := json.Marshal(runtimeLayer{rtdsType, layer, all})
 	if err != nil {
@@ -202,7 +202,7 @@
 	}
 	levels, stamps = map[string]int{}, map[string]string{}
 	for k, v := range l.Layer {
-		class, isVersion := strings.CutSuffix(k, front.VersionKey)
+		class, isVersion := strings.CutSuffix(k, transport.VersionKey)
 		switch v := v.(type) {
 		case string:
 			if isVersion {
--- a/front/files/front.go
+++ b/internal/transport/files/front.go
@@ -19,19 +19,19 @@
 
 	"github.com/fsnotify/fsnotify"
 
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/reports"
-	"cressknot/runtimeapi"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/haproxyapi"
+	"cressknot/internal/ingest/counters"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/transport"
 )
 
 // Options say how the proxies are set up; Addr of a proxy is its folder.
 type Options struct {
-	Proxies   []front.Proxy
-	Classes   []front.Class
+	Proxies   []transport.Proxy
+	Classes   []transport.Class
 	Admission fleet.Admission
-	Names     front.Names
+	Names     transport.Names
 	// Fault, in tests, is asked before each step of a swap (0 to 4: create, write, sync, rename, sync the folder) and
 	// fails it: as a full disk does, or, with ErrCut, as a kill does.
 	Fault func(path string, step int) error
@@ -46,19 +46,19 @@
 	byID     map[fleet.ProxyID]*folder
 	epoch    string // of this run: tells its versions from those of a run before
 	watcher  *fsnotify.Watcher
-	sink     front.Sink
+	sink     transport.Sink
 	ctx      context.Context
 	cancel   context.CancelFunc
 	running  sync.WaitGroup
 	seed     maphash.Seed
 }
 
-var _ front.Front = (*Front)(nil)
+var _ transport.Front = (*Front)(nil)
 
 // folder is one proxy's.
 type folder struct {
 	front *Front
-	proxy front.Proxy
+	proxy transport.Proxy
 	path  string
 
 	mu       sync.Mutex
@@ -77,7 +77,7 @@
 	levelsAt uint64
 	polling  bool
 	heard    time.Time // last file of the proxy's
-	redial   steer.Redial
+	redial   reconcile.Redial
 	retry    *time.Timer
 }
 
@@ -96,14 +96,14 @@
 	for _, p := range opt.Proxies {
 		path := filepath.Clean(p.Addr)
 		o := &folder{front: f, proxy: p, path: path, wrote: map[string][]byte{},
-			redial: steer.NewRedial(maphash.String(f.seed, p.Name))}
+			redial: reconcile.NewRedial(maphash.String(f.seed, p.Name))}
 		f.folders[path], f.byID[p.ID] = o, o
 	}
 	return f
 }
 
 // Start makes the folders, tidies what a cut left, and follows them.
-func (f *Front) Start(ctx context.Context, sink front.Sink) (err error) {
+func (f *Front) Start(ctx context.Context, sink transport.Sink) (err error) {
 	f.sink = sink
 	f.ctx, f.cancel = context.WithCancel(ctx)
 	if f.watcher, err = fsnotify.NewWatcher(); err != nil {
@@ -161,7 +161,7 @@
 		return
 	}
 	o.mu.Lock()
-	var events []front.Event
+	var events []transport.Event
 	var err error
 	switch name {
 	case AckFile:
@@ -172,7 +172,7 @@
 		}
 		if o.up && o.polling {
 			o.polling = false
-			var e front.Event
+			var e transport.Event
 			if e, err = o.polled(); err == nil {
 				events = append(events, e)
 			}
@@ -181,7 +181,7 @@
 		o.guard(name)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		events = append(events, front.Unreached{Proxy: o.proxy.ID, Why: err})
+		events = append(events, transport.Unreached{Proxy: o.proxy.ID, Why: err})
 	}
 	o.mu.Unlock()
 	for _, e := range events {
@@ -204,7 +204,7 @@
 }
 
 // acknowledged takes in what the proxy says that it holds.
-func (o *folder) acknowledged() (events []front.Event, err error) {
+func (o *folder) acknowledged() (events []transport.Event, err error) {
 	text, err := readFile(filepath.Join(o.path, AckFile))
 	if err != nil {
 		return nil, err
@@ -219,7 +219,7 @@
 	o.heard = time.Now()
 	if o.up && ack.Started != o.started {
 		o.up = false
-		events = append(events, front.Down{Proxy: o.proxy.ID, Stream: o.stream, Why: errors.New("the proxy has started anew")})
+		events = append(events, transport.Down{Proxy: o.proxy.ID, Stream: o.stream, Why: errors.New("the proxy has started anew")})
 	}
 	if !o.up {
 		if string(text) == o.shut && !o.inPlace(ack) {
@@ -228,13 +228,13 @@
 		return append(events, o.begin(ack)), nil
 	}
 	if ack.Error != "" { // it could not take a file: what is wanted is put in place again
-		events = append(events, front.Unreached{Proxy: o.proxy.ID, Why: errors.New(ack.Error)})
+		events = append(events, transport.Unreached{Proxy: o.proxy.ID, Why: errors.New(ack.Error)})
 		o.wrote[TablesFile], o.wrote[LevelsFile], o.dirty = nil, nil, true
 		o.write()
 	}
 	tables, levels := o.front.number(ack.Tables), o.front.number(ack.Levels)
 	for len(o.sent) > 0 && o.sent[0].tables <= tables && o.sent[0].levels <= levels {
-		events = append(events, front.Answer{Proxy: o.proxy.ID, Stream: o.stream, Seq: o.sent[0].seq})
+		events = append(events, transport.Answer{Proxy: o.proxy.ID, Stream: o.stream, Seq: o.sent[0].seq})
 		o.sent = o.sent[1:]
 	}
 	return events, nil
@@ -270,14 +270,14 @@
 func (f *Front) versionOf(n uint64) string { return f.epoch + "." + strconv.FormatUint(n, 10) }
 
 // begin makes a stream: what the proxy holds is what the files say, if it says that it holds those.
-func (o *folder) begin(ack Ack) front.Event {
+func (o *folder) begin(ack Ack) transport.Event {
 	f := o.front
 	o.stream++
 	o.up, o.started, o.shut, o.sent, o.polling = true, ack.Started, "", nil, false
 	o.tables, o.levels, o.stamps = map[string]map[string]Endpoint{}, map[string]int{}, map[string]string{}
 	o.wrote, o.laid = map[string][]byte{}, map[string]bool{}
-	snap := steer.Snapshot{Zone: o.proxy.Zone, Weight: o.proxy.Visits, Fresh: ack.Tables == "",
-		Levels: make([]steer.Level, len(f.opt.Classes))}
+	snap := reconcile.Snapshot{Zone: o.proxy.Zone, Weight: o.proxy.Visits, Fresh: ack.Tables == "",
+		Levels: make([]reconcile.Level, len(f.opt.Classes))}
 	for _, c := range f.opt.Classes {
 		o.tables[c.Backend] = map[string]Endpoint{}
 	}
@@ -294,8 +294,8 @@
 		o.laid[backend] = ack.Tables != ""
 		for _, l := range lines {
 			o.tables[backend][l.Name] = l
-			snap.Lines = append(snap.Lines, steer.SnapshotLine{Class: class, Server: f.opt.Names.Learn(l.Name, l.Addr),
-				Cell: steer.Cell{Present: true, Weight: int16(min(l.Weight, runtimeapi.WeightMost)), State: states[l.Health]}})
+			snap.Lines = append(snap.Lines, reconcile.SnapshotLine{Class: class, Server: f.opt.Names.Learn(l.Name, l.Addr),
+				Cell: reconcile.Cell{Present: true, Weight: int16(min(l.Weight, haproxyapi.WeightMost)), State: states[l.Health]}})
 		}
 	}
 	if text, err := readFile(filepath.Join(o.path, LevelsFile)); err == nil {
@@ -303,33 +303,33 @@
 			o.levels, o.stamps = levels, stamps
 			for c, class := range f.opt.Classes {
 				amount, told := levels[f.amountKey(class.Name)]
-				retry, too := levels[class.Name+front.RetryKey]
+				retry, too := levels[class.Name+transport.RetryKey]
 				if amount == f.amountAll() {
 					amount = -1
 				}
 				snap.Stamps = append(snap.Stamps, stamps[class.Name])
-				snap.Levels[c] = steer.Level{Known: told && too, Amount: int32(amount), Retry: fleet.Retry(retry)}
+				snap.Levels[c] = reconcile.Level{Known: told && too, Amount: int32(amount), Retry: fleet.Retry(retry)}
 			}
 		}
 	}
-	return front.Up{Proxy: o.proxy.ID, Stream: o.stream, Held: snap}
+	return transport.Up{Proxy: o.proxy.ID, Stream: o.stream, Held: snap}
 }
 
-var states = map[string]steer.State{healthIn: steer.In, healthEnds: steer.Drain, healthSick: steer.Out}
-var healths = map[steer.State]string{steer.In: healthIn, steer.Drain: healthEnds, steer.Out: healthSick}
+var states = map[string]reconcile.State{healthIn: reconcile.In, healthEnds: reconcile.Drain, healthSick: reconcile.Out}
+var healths = map[reconcile.State]string{reconcile.In: healthIn, reconcile.Drain: healthEnds, reconcile.Out: healthSick}
 
-func (f *Front) amountKey(class string) string { return front.AmountKey(f.opt.Admission, class) }
+func (f *Front) amountKey(class string) string { return transport.AmountKey(f.opt.Admission, class) }
 
-func (f *Front) amountAll() int { return int(front.AmountAll(f.opt.Admission)) }
+func (f *Front) amountAll() int { return int(transport.AmountAll(f.opt.Admission)) }
 
 // silent ends a stream whose proxy has written nothing for long.
 func (o *folder) silent(now time.Time) {
 	o.mu.Lock()
-	if !o.up || now.Sub(o.heard) < time.Duration(steer.SilentAfter) {
+	if !o.up || now.Sub(o.heard) < time.Duration(reconcile.SilentAfter) {
 		o.mu.Unlock()
 		return
 	}
-	e := front.Down{Proxy: o.proxy.ID, Stream: o.stream, Why: errors.New("it writes no counters any more")}
+	e := transport.Down{Proxy: o.proxy.ID, Stream: o.stream, Why: errors.New("it writes no counters any more")}
 	o.end()
 	o.mu.Unlock()
 	o.front.sink(e)
@@ -346,13 +346,13 @@
 }
 
 // polled reads the counters.
-func (o *folder) polled() (front.Event, error) {
+func (o *folder) polled() (transport.Event, error) {
 	f := o.front
 	text, err := readFile(filepath.Join(o.path, StatFile))
 	if err != nil {
 		return nil, err
 	}
-	r, err := reports.ReadCounters(text, f.backends, len(f.opt.Classes), f.opt.Names.Server)
+	r, err := counters.ReadCounters(text, f.backends, len(f.opt.Classes), f.opt.Names.Server)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", StatFile, err)
 	}
@@ -362,11 +362,11 @@
 			return nil, fmt.Errorf("%s: %w", NodesFile, err)
 		}
 	}
-	return front.Polled{Proxy: o.proxy.ID, Stream: o.stream, Reading: r}, nil
+	return transport.Polled{Proxy: o.proxy.ID, Stream: o.stream, Reading: r}, nil
 }
 
 // Send puts a message's changes into the files.
-func (f *Front) Send(m steer.Message) {
+func (f *Front) Send(m reconcile.Message) {
 	o := f.byID[m.Proxy]
 	if o == nil {
 		return
@@ -378,18 +378,18 @@
 	}
 	o.version++
 	for _, c := range m.Changes {
-		if c.Kind == steer.SetVersion {
+		if c.Kind == reconcile.SetVersion {
 			o.stamps[f.opt.Classes[c.Class].Name] = c.Stamp
 			o.levelsAt = o.version
 			continue
 		}
-		if c.Kind == steer.SetLevels {
+		if c.Kind == reconcile.SetLevels {
 			amount := int(c.Level.Amount)
 			if amount < 0 {
 				amount = f.amountAll()
 			}
 			name := f.opt.Classes[c.Class].Name
-			o.levels[f.amountKey(name)], o.levels[name+front.RetryKey] = amount, int(c.Level.Retry)
+			o.levels[f.amountKey(name)], o.levels[name+transport.RetryKey] = amount, int(c.Level.Retry)
 			o.levelsAt = o.version
 			continue
 		}
@@ -398,14 +398,14 @@
 		o.laid[backend] = true
 		name, addr := f.opt.Names.Of(c.Server)
 		l := lines[name]
-		if l.Name, l.Addr = name, addr; c.Kind == steer.DelLine {
+		if l.Name, l.Addr = name, addr; c.Kind == reconcile.DelLine {
 			delete(lines, name)
 			continue
 		}
 		if c.Weight >= 0 {
 			l.Weight = int(c.Weight)
 		}
-		if c.State != steer.Stays {
+		if c.State != reconcile.Stays {
 			l.Health = healths[c.State]
 		}
 		lines[name] = l
@@ -447,7 +447,7 @@
 	f.running.Add(1) // Stop waits for it: nothing is posted after
 	go func() {
 		defer f.running.Done()
-		f.sink(front.Unreached{Proxy: o.proxy.ID, Why: why})
+		f.sink(transport.Unreached{Proxy: o.proxy.ID, Why: why})
 	}()
 	o.retry = time.AfterFunc(time.Duration(o.redial.Failed()), func() {
 		o.mu.Lock()
@@ -497,7 +497,7 @@
 
 // Stop waits for acknowledgements for as long as the context stands. The files stay: proxies go on by them.
 func (f *Front) Stop(ctx context.Context) error {
-	front.Settle(ctx, f.busy)
+	transport.Settle(ctx, f.busy)
 	f.cancel()
 	for _, o := range f.folders {
 		o.mu.Lock()
--- a/front/front.go
+++ b/internal/transport/front.go
@@ -1,13 +1,13 @@
 // Package front says what a front is: what carries the governor's messages to proxies and brings back what they
 // answer. The governor's loop owns all state; a front posts to it and never decides.
-package front
+package transport
 
 import (
 	"context"
 
-	"cressknot/fleet"
-	"cressknot/reports"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest/counters"
+	"cressknot/internal/reconcile"
 )
 
 // Event is something that a front tells the governor.
@@ -19,7 +19,7 @@
 	Up struct {
 		Proxy  fleet.ProxyID
 		Stream uint64 // number of the stream; what comes of an older one is dropped
-		Held   steer.Snapshot
+		Held   reconcile.Snapshot
 	}
 	// Down tells that a stream is gone, and why.
 	Down struct {
@@ -42,14 +42,14 @@
 		Proxy    fleet.ProxyID
 		Stream   uint64
 		Seq      uint64
-		Failures []steer.Failure
+		Failures []reconcile.Failure
 	}
 	// Polled brings a reading of a proxy's counters. They are sums since the proxy's start, so that a newer
 	// reading makes an older one needless.
 	Polled struct {
 		Proxy   fleet.ProxyID
 		Stream  uint64
-		Reading *reports.Reading
+		Reading *counters.Reading
 	}
 )
 
@@ -68,7 +68,7 @@
 	// Start begins to reach the proxies and posts what happens to the sink until Stop.
 	Start(ctx context.Context, sink Sink) error
 	// Send carries a message. An error is told by Down, not here.
-	Send(m steer.Message)
+	Send(m reconcile.Message)
 	// Poll asks a proxy for its counters.
 	Poll(id fleet.ProxyID)
 	// Drop breaks a proxy's stream; the front dials again by itself.
--- a/front/haproxy/encode.go
+++ b/internal/transport/haproxy/encode.go
@@ -4,10 +4,10 @@
 	"net"
 	"strconv"
 
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/runtimeapi"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/haproxyapi"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/transport"
 )
 
 // encoder turns changes into commands. It allocates only when its buffers grow.
@@ -26,7 +26,7 @@
 	switch {
 	case e.n == 0:
 		e.line = len(e.out)
-	case len(e.out)-e.line > runtimeapi.LineMost-roomForOne:
+	case len(e.out)-e.line > haproxyapi.LineMost-roomForOne:
 		e.out = append(e.out, '\n')
 		e.line = len(e.out)
 	default:
@@ -37,9 +37,9 @@
 }
 
 func (e *encoder) target(class fleet.ClassID, name string) {
-	e.out = runtimeapi.AppendWord(e.out, e.s.link.front.opt.Classes[class].Backend)
+	e.out = haproxyapi.AppendWord(e.out, e.s.link.front.opt.Classes[class].Backend)
 	e.out = append(e.out, '/')
-	e.out = runtimeapi.AppendWord(e.out, name)
+	e.out = haproxyapi.AppendWord(e.out, name)
 }
 
 func (e *encoder) weight(class fleet.ClassID, name string, weight int16) {
@@ -50,14 +50,14 @@
 	e.out = strconv.AppendInt(e.out, int64(weight), 10)
 }
 
-func (e *encoder) state(class fleet.ClassID, name string, state steer.State) {
+func (e *encoder) state(class fleet.ClassID, name string, state reconcile.State) {
 	e.next("")
 	e.out = append(e.out, "set server "...)
 	e.target(class, name)
 	switch state {
-	case steer.In:
+	case reconcile.In:
 		e.out = append(e.out, " state ready"...)
-	case steer.Drain:
+	case reconcile.Drain:
 		e.out = append(e.out, " state drain"...)
 	default:
 		e.out = append(e.out, " state maint"...)
@@ -71,40 +71,40 @@
 		verb = "set map "
 	}
 	e.out = append(e.out, verb...)
-	e.out = runtimeapi.AppendWord(e.out, e.s.link.front.opt.Map)
+	e.out = haproxyapi.AppendWord(e.out, e.s.link.front.opt.Map)
 	e.out = append(e.out, ' ')
-	e.out = runtimeapi.AppendWord(e.out, key)
+	e.out = haproxyapi.AppendWord(e.out, key)
 	e.out = append(e.out, ' ')
-	e.out = runtimeapi.AppendWord(e.out, value)
+	e.out = haproxyapi.AppendWord(e.out, value)
 }
 
-func (e *encoder) change(c *steer.Change) {
-	if c.Kind == steer.SetLevels {
+func (e *encoder) change(c *reconcile.Change) {
+	if c.Kind == reconcile.SetLevels {
 		class := e.s.link.front.opt.Classes[c.Class].Name
 		amount := c.Level.Amount
 		if amount < 0 {
 			amount = e.s.amountAll()
 		}
 		e.pair(e.s.amountKey(class), strconv.Itoa(int(amount)))
-		e.pair(class+front.RetryKey, strconv.Itoa(int(c.Level.Retry)))
+		e.pair(class+transport.RetryKey, strconv.Itoa(int(c.Level.Retry)))
 		return
 	}
-	if c.Kind == steer.SetVersion {
-		e.pair(e.s.link.front.opt.Classes[c.Class].Name+front.VersionKey, c.Stamp)
+	if c.Kind == reconcile.SetVersion {
+		e.pair(e.s.link.front.opt.Classes[c.Class].Name+transport.VersionKey, c.Stamp)
 		return
 	}
 	name, addr := e.s.link.front.opt.Names.Of(c.Server)
 	switch c.Kind {
-	case steer.AddLine:
+	case reconcile.AddLine:
 		e.next("")
 		e.out = append(e.out, "add server "...)
 		e.target(c.Class, name)
 		e.out = append(e.out, ' ')
-		e.out = runtimeapi.AppendWord(e.out, addr)
+		e.out = haproxyapi.AppendWord(e.out, addr)
 		e.out = append(e.out, " weight "...)
 		e.out = strconv.AppendInt(e.out, int64(c.Weight), 10)
 		e.state(c.Class, name, c.State) // a new server is in maintenance
-	case steer.DelLine:
+	case reconcile.DelLine:
 		e.next("")
 		e.out = append(e.out, "del server "...)
 		e.target(c.Class, name)
@@ -114,18 +114,18 @@
 			e.out = append(e.out, "set server "...)
 			e.target(c.Class, name)
 			e.out = append(e.out, " addr "...)
-			e.out = runtimeapi.AppendWord(e.out, host)
+			e.out = haproxyapi.AppendWord(e.out, host)
 			e.out = append(e.out, " port "...)
-			e.out = runtimeapi.AppendWord(e.out, port)
+			e.out = haproxyapi.AppendWord(e.out, port)
 		}
 		// What shuts out goes before the weight, what lets in after it.
-		if c.State != steer.Stays && c.State != steer.In {
+		if c.State != reconcile.Stays && c.State != reconcile.In {
 			e.state(c.Class, name, c.State)
 		}
 		if c.Weight >= 0 {
 			e.weight(c.Class, name, c.Weight)
 		}
-		if c.State == steer.In {
+		if c.State == reconcile.In {
 			e.state(c.Class, name, c.State)
 		}
 	}
--- a/front/haproxy/encode_test.go
+++ b/internal/transport/haproxy/encode_test.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"testing"
 
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/transport"
 )
 
 type fixedNames []string
@@ -18,14 +18,14 @@
 // BenchmarkEncode writes a table of 700 lines in three classes as commands.
 func BenchmarkEncode(b *testing.B) {
 	var names fixedNames
-	var m steer.Message
+	var m reconcile.Message
 	for i := range 700 {
 		names = append(names, fmt.Sprintf("node-%03d", i))
 		for c := range 3 {
-			m.Changes = append(m.Changes, steer.Change{Class: fleet.ClassID(c), Server: fleet.ServerID(i), Weight: int16(i % 256)})
+			m.Changes = append(m.Changes, reconcile.Change{Class: fleet.ClassID(c), Server: fleet.ServerID(i), Weight: int16(i % 256)})
 		}
 	}
-	f := New(Options{Classes: []front.Class{{Name: "look", Backend: "look"}, {Name: "book", Backend: "book"}, {Name: "issue", Backend: "issue"}},
+	f := New(Options{Classes: []transport.Class{{Name: "look", Backend: "look"}, {Name: "book", Backend: "book"}, {Name: "issue", Backend: "issue"}},
 		Map: "cressknot", Names: names})
 	s := &session{link: &link{front: f}, keys: map[string]bool{}}
 	b.ReportAllocs()
--- a/front/haproxy/front.go
+++ b/internal/transport/haproxy/front.go
@@ -17,25 +17,25 @@
 	"github.com/lesismal/nbio"
 	"github.com/lesismal/nbio/logging"
 
-	"cressknot/assign"
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/lease"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/transport"
 )
 
 // Options say how the proxies are set up; docs/operate/proxies.md has their side of it.
 type Options struct {
-	Proxies   []front.Proxy
-	Classes   []front.Class
+	Proxies   []transport.Proxy
+	Classes   []transport.Class
 	Map       string // file or #id of the map that holds levels
 	Table     string // stick table that holds what answers told, "" for none
 	Admission fleet.Admission
-	Names     front.Names
+	Names     transport.Names
 	Pollers   int // event loops of sockets; 0: the library's own choice
 
 	// Where several governors may serve a proxy: this one's name and its part of the protocol by which they agree at the proxy.
 	Me    string
-	Lease func(front.Proxy) *assign.Lease // nil: no other governor does
+	Lease func(transport.Proxy) *lease.Lease // nil: no other governor does
 	Clock func() fleet.Time
 }
 
@@ -45,7 +45,7 @@
 	engine       *nbio.Engine
 	backends     map[string]fleet.ClassID
 	links        map[fleet.ProxyID]*link
-	sink         front.Sink
+	sink         transport.Sink
 	ctx          context.Context
 	cancel       context.CancelFunc
 	dials        sync.WaitGroup
@@ -54,21 +54,21 @@
 	answerWithin time.Duration // steer.AnswerWithin, but in tests
 	stopping     atomic.Bool
 	moving       sync.Mutex
-	moves        assign.Moves
+	moves        lease.Moves
 }
 
-var _ front.Front = (*Front)(nil)
+var _ transport.Front = (*Front)(nil)
 
 // link is the standing relation to one proxy; its sessions come and go.
 type link struct {
 	front  *Front
-	proxy  front.Proxy
-	redial steer.Redial // of the dialing goroutine only
-	stood  atomic.Bool  // the last session could be read back
+	proxy  transport.Proxy
+	redial reconcile.Redial // of the dialing goroutine only
+	stood  atomic.Bool      // the last session could be read back
 
 	leasing sync.Mutex
-	lease   *assign.Lease // nil: no other governor serves the proxy
-	ending  []string      // sessions there that the next session ends, as it takes the proxy over
+	lease   *lease.Lease // nil: no other governor serves the proxy
+	ending  []string     // sessions there that the next session ends, as it takes the proxy over
 
 	mu      sync.Mutex
 	current *session
@@ -78,13 +78,13 @@
 // New makes a front. It dials nobody before Start.
 func New(opt Options) *Front {
 	logging.SetLevel(logging.LevelNone) // the library's own log; what matters comes as errors
-	f := &Front{opt: opt, answerWithin: time.Duration(steer.AnswerWithin), backends: map[string]fleet.ClassID{}, links: map[fleet.ProxyID]*link{}}
+	f := &Front{opt: opt, answerWithin: time.Duration(reconcile.AnswerWithin), backends: map[string]fleet.ClassID{}, links: map[fleet.ProxyID]*link{}}
 	for i, c := range opt.Classes {
 		f.backends[c.Backend] = fleet.ClassID(i)
 	}
 	for _, p := range opt.Proxies {
 		f.links[p.ID] = &link{front: f, proxy: p, kick: make(chan struct{}, 1),
-			redial: steer.NewRedial(maphash.String(maphash.MakeSeed(), p.Name))}
+			redial: reconcile.NewRedial(maphash.String(maphash.MakeSeed(), p.Name))}
 		if opt.Lease != nil {
 			f.links[p.ID].lease = opt.Lease(p)
 		}
@@ -93,7 +93,7 @@
 }
 
 // Start dials all proxies and keeps dialing until Stop.
-func (f *Front) Start(ctx context.Context, sink front.Sink) error {
+func (f *Front) Start(ctx context.Context, sink transport.Sink) error {
 	f.sink = sink
 	f.ctx, f.cancel = context.WithCancel(ctx)
 	f.engine = nbio.NewEngine(nbio.Config{Name: "runtime", NPoller: f.opt.Pollers, ReadBufferSize: 64 << 10,
@@ -141,7 +141,7 @@
 func (l *link) run() {
 	f := l.front
 	defer f.dials.Done()
-	dialer := net.Dialer{Timeout: time.Duration(steer.DialWithin)}
+	dialer := net.Dialer{Timeout: time.Duration(reconcile.DialWithin)}
 	for f.ctx.Err() == nil {
 		conn, err := dialer.DialContext(f.ctx, network(l.proxy.Addr), l.proxy.Addr)
 		if err == nil {
@@ -154,7 +154,7 @@
 				return
 			}
 		} else if f.ctx.Err() == nil {
-			f.sink(front.Unreached{Proxy: l.proxy.ID, Why: err})
+			f.sink(transport.Unreached{Proxy: l.proxy.ID, Why: err})
 		}
 		if l.stood.Swap(false) {
 			l.redial.Stood()
@@ -211,7 +211,7 @@
 }
 
 // Send carries a message over the proxy's present session.
-func (f *Front) Send(m steer.Message) {
+func (f *Front) Send(m reconcile.Message) {
 	if s := f.session(m.Proxy); s != nil {
 		s.send(m)
 	}
@@ -236,7 +236,7 @@
 // Stop waits until what was sent is answered, for as long as the context stands, then closes all sessions.
 func (f *Front) Stop(ctx context.Context) error {
 	f.stopping.Store(true)
-	front.Settle(ctx, f.busy)
+	transport.Settle(ctx, f.busy)
 	f.cancel()
 	f.dials.Wait()
 	for id, l := range f.links {
@@ -244,7 +244,7 @@
 			s.handOn() // another one need not wait for the lease to end
 		}
 	}
-	front.Settle(ctx, f.busy)
+	transport.Settle(ctx, f.busy)
 	for id := range f.links {
 		f.Drop(id)
 	}
--- a/front/haproxy/lease.go
+++ b/internal/transport/haproxy/lease.go
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
-	"cressknot/assign"
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/runtimeapi"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/haproxyapi"
+	"cressknot/internal/lease"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/transport"
 )
 
 // How governors agree at a proxy who serves it: package assign decides, here it is carried out by the commands that a runtime API has. Entries
@@ -33,13 +33,13 @@
 )
 
 // entries reads what governors have written.
-func entries(text []byte) (all []assign.Entry, keys map[string]bool, err error) {
+func entries(text []byte) (all []lease.Entry, keys map[string]bool, err error) {
 	keys = map[string]bool{}
 	wants := map[string]string{}
-	err = runtimeapi.ReadMap(text, func(key, value []byte) error {
+	err = haproxyapi.ReadMap(text, func(key, value []byte) error {
 		k := string(key)
 		if g, is := strings.CutPrefix(k, leaseKey); is {
-			all = append(all, assign.ParseEntry(g, string(value)))
+			all = append(all, lease.ParseEntry(g, string(value)))
 			keys[k] = true
 		} else if g, is := strings.CutPrefix(k, wantKey); is {
 			wants[g] = string(value)
@@ -48,12 +48,12 @@
 		return nil
 	})
 	for i := range all {
-		all[i].Want, all[i].WantHand = assign.ParseWant(wants[all[i].Governor])
+		all[i].Want, all[i].WantHand = lease.ParseWant(wants[all[i].Governor])
 		delete(wants, all[i].Governor)
 	}
 	for g, w := range wants {
-		e := assign.Entry{Governor: g}
-		e.Want, e.WantHand = assign.ParseWant(w)
+		e := lease.Entry{Governor: g}
+		e.Want, e.WantHand = lease.ParseWant(w)
 		all = append(all, e)
 	}
 	return all, keys, wrap("show map", err)
@@ -66,12 +66,12 @@
 		verb = "set"
 	}
 	s.keys[key] = true
-	s.out = append(runtimeapi.AppendCommand(s.out, verb, "map", s.link.front.opt.Map, key, value), '\n')
+	s.out = append(haproxyapi.AppendCommand(s.out, verb, "map", s.link.front.opt.Map, key, value), '\n')
 	s.expect = append(s.expect, expectation{what: to, key: key})
 }
 
 func (s *session) showMap(to what) {
-	s.out = append(runtimeapi.AppendCommand(s.out, "show", "map", s.link.front.opt.Map), '\n')
+	s.out = append(haproxyapi.AppendCommand(s.out, "show", "map", s.link.front.opt.Map), '\n')
 	s.expect = append(s.expect, expectation{what: to})
 }
 
@@ -98,7 +98,7 @@
 	l.ending = nil
 	l.leasing.Unlock()
 	for _, id := range ending {
-		s.out = append(runtimeapi.AppendCommand(s.out, "shutdown", "session", id), '\n')
+		s.out = append(haproxyapi.AppendCommand(s.out, "shutdown", "session", id), '\n')
 		s.expect = append(s.expect, expectation{what: toShut})
 	}
 	s.keys[leaseKey+l.front.opt.Me] = true
@@ -124,7 +124,7 @@
 }
 
 // takeLease makes of an answer what it is to.
-func (s *session) takeLease(e expectation, text []byte) (front.Event, error) {
+func (s *session) takeLease(e expectation, text []byte) (transport.Event, error) {
 	l := s.link
 	l.leasing.Lock()
 	defer l.leasing.Unlock()
@@ -132,7 +132,7 @@
 	s.out = s.out[:0]
 	switch e.what {
 	case toLook:
-		if string(text) == runtimeapi.NoMap {
+		if string(text) == haproxyapi.NoMap {
 			return nil, fmt.Errorf("the proxy has no map %s", l.front.opt.Map)
 		}
 		all, keys, err := entries(text)
@@ -142,15 +142,15 @@
 		s.keys = keys
 		act, again := l.lease.Look(now, all)
 		switch act {
-		case assign.Claim:
+		case lease.Claim:
 			bid := l.lease.Begin(now, all)
 			s.put(leaseKey+l.front.opt.Me, bid.String(), toBid)
 			s.out = append(s.out, "show sess\n"...)
 			s.expect = append(s.expect, expectation{what: toRivals})
-		case assign.Want:
+		case lease.Want:
 			s.put(wantKey+l.front.opt.Me, l.lease.Ask(), toBeat)
 		}
-		if act != assign.Claim {
+		if act != lease.Claim {
 			s.again = time.AfterFunc(time.Duration(max(1, again-now)), s.lookAgain)
 		}
 	case toRivals:
@@ -169,13 +169,13 @@
 		act := l.lease.Holding(now, all, &l.front.moves)
 		l.front.moving.Unlock()
 		switch act {
-		case assign.Lost:
+		case lease.Lost:
 			return nil, errLost
-		case assign.Release:
+		case lease.Release:
 			s.release(l.lease.Leave(false))
 		}
 	case toBid, toBeat:
-		if string(text) == runtimeapi.NoKey { // somebody took it away
+		if string(text) == haproxyapi.NoKey { // somebody took it away
 			delete(s.keys, e.key)
 			if e.what == toBid || s.up {
 				return nil, errLost
@@ -214,7 +214,7 @@
 	if over { // what it began ended with it; the next look begins anew
 		return
 	}
-	dialer := net.Dialer{Timeout: time.Duration(steer.DialWithin)}
+	dialer := net.Dialer{Timeout: time.Duration(reconcile.DialWithin)}
 	conn, err := dialer.DialContext(l.front.ctx, network(l.proxy.Addr), l.proxy.Addr)
 	if err == nil {
 		err = l.open(conn, before)
@@ -250,7 +250,7 @@
 }
 
 // release sends nothing more and writes that we hold it no more, after all that was sent: the proxy reads in order.
-func (s *session) release(left assign.Entry) {
+func (s *session) release(left lease.Entry) {
 	s.handing = true
 	s.put(leaseKey+s.link.front.opt.Me, left.String(), toHandOn)
 }
@@ -295,7 +295,7 @@
 }
 
 // Holders tells who serves each proxy, by id.
-func (f *Front) Holders() (all []front.Holder) {
+func (f *Front) Holders() (all []transport.Holder) {
 	for id, l := range f.links {
 		if l.lease == nil {
 			continue
@@ -304,9 +304,9 @@
 		h, moved := l.lease.Seen()
 		l.leasing.Unlock()
 		s := f.session(id)
-		all = append(all, front.Holder{Proxy: id, Governor: h.Governor, Epoch: h.Epoch, Moved: moved, Mine: s != nil && s.steers()})
+		all = append(all, transport.Holder{Proxy: id, Governor: h.Governor, Epoch: h.Epoch, Moved: moved, Mine: s != nil && s.steers()})
 	}
-	slices.SortFunc(all, func(a, b front.Holder) int { return cmp.Compare(a.Proxy, b.Proxy) })
+	slices.SortFunc(all, func(a, b transport.Holder) int { return cmp.Compare(a.Proxy, b.Proxy) })
 	return all
 }
 
--- a/front/haproxy/session.go
+++ b/internal/transport/haproxy/session.go
@@ -12,11 +12,11 @@
 
 	"github.com/lesismal/nbio"
 
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/reports"
-	"cressknot/runtimeapi"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/haproxyapi"
+	"cressknot/internal/ingest/counters"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/transport"
 )
 
 // what an answer is to.
@@ -55,12 +55,12 @@
 	stream uint64
 
 	mu       sync.Mutex
-	answers  runtimeapi.Answers
+	answers  haproxyapi.Answers
 	expect   []expectation // oldest first
 	keys     map[string]bool
-	held     steer.Snapshot
-	reading  *reports.Reading
-	failures []steer.Failure
+	held     reconcile.Snapshot
+	reading  *counters.Reading
+	failures []reconcile.Failure
 	up, over bool
 	polling  bool
 	out      []byte
@@ -92,10 +92,10 @@
 		s.complete()
 	}
 	s.out = append(s.out, "show servers state\n"...)
-	s.out = append(runtimeapi.AppendCommand(s.out, "show", "map", s.link.front.opt.Map), '\n')
+	s.out = append(haproxyapi.AppendCommand(s.out, "show", "map", s.link.front.opt.Map), '\n')
 	s.expect = append(s.expect, expectation{what: toState}, expectation{what: toMap})
-	s.held = steer.Snapshot{Zone: s.link.proxy.Zone, Weight: s.link.proxy.Visits, Fresh: true,
-		Levels: make([]steer.Level, len(s.link.front.opt.Classes)), Stamps: make([]string, len(s.link.front.opt.Classes))}
+	s.held = reconcile.Snapshot{Zone: s.link.proxy.Zone, Weight: s.link.proxy.Visits, Fresh: true,
+		Levels: make([]reconcile.Level, len(s.link.front.opt.Classes)), Stamps: make([]string, len(s.link.front.opt.Classes))}
 	s.flush()
 }
 
@@ -152,9 +152,9 @@
 	}
 	switch {
 	case up:
-		l.front.sink(front.Down{Proxy: l.proxy.ID, Stream: s.stream, Why: err})
+		l.front.sink(transport.Down{Proxy: l.proxy.ID, Stream: s.stream, Why: err})
 	case !errors.Is(err, errLost):
-		l.front.sink(front.Unreached{Proxy: l.proxy.ID, Why: err})
+		l.front.sink(transport.Unreached{Proxy: l.proxy.ID, Why: err})
 	}
 	select {
 	case l.kick <- struct{}{}:
@@ -176,7 +176,7 @@
 // feed takes bytes from the proxy.
 func (s *session) feed(data []byte) {
 	s.mu.Lock()
-	var events []front.Event
+	var events []transport.Event
 	progress := false
 	err := s.answers.Feed(data, func(text []byte) error {
 		if len(s.expect) == 0 {
@@ -198,7 +198,7 @@
 			s.expect = nil
 		}
 		if s.up {
-			events = append(events, front.Progress{Proxy: s.link.proxy.ID, Stream: s.stream})
+			events = append(events, transport.Progress{Proxy: s.link.proxy.ID, Stream: s.stream})
 		}
 	}
 	s.mu.Unlock()
@@ -211,14 +211,14 @@
 }
 
 // take makes of one answer what it is to.
-func (s *session) take(e expectation, text []byte) (front.Event, error) {
+func (s *session) take(e expectation, text []byte) (transport.Event, error) {
 	opt, id := &s.link.front.opt, s.link.proxy.ID
 	switch e.what {
 	case toPrompt:
 		return nil, nil
 	case toInfo:
 		node := []byte(nil)
-		err := runtimeapi.ReadPairs(text, func(name, value []byte) error {
+		err := haproxyapi.ReadPairs(text, func(name, value []byte) error {
 			if string(name) == "node" || string(name) == "Node" {
 				node = append(node, value...)
 			}
@@ -229,7 +229,7 @@
 		}
 		return nil, wrap("show info", err)
 	case toState:
-		return nil, wrap("show servers state", runtimeapi.ReadServersState(text, func(r *runtimeapi.ServerState) error {
+		return nil, wrap("show servers state", haproxyapi.ReadServersState(text, func(r *haproxyapi.ServerState) error {
 			class, ours := s.link.front.backends[string(r.Backend)]
 			if !ours {
 				return nil
@@ -237,20 +237,20 @@
 			held := net.JoinHostPort(string(r.Addr), strconv.FormatUint(r.Port, 10))
 			server := opt.Names.Learn(string(r.Server), held)
 			_, addr := opt.Names.Of(server)
-			cell := steer.Cell{Present: true, Astray: addr != held, Weight: int16(min(r.Weight, runtimeapi.WeightMost)), State: steer.In}
-			if r.Admin&runtimeapi.AdminMaint != 0 {
-				cell.State = steer.Out
-			} else if r.Admin&runtimeapi.AdminDrain != 0 {
-				cell.State = steer.Drain
+			cell := reconcile.Cell{Present: true, Astray: addr != held, Weight: int16(min(r.Weight, haproxyapi.WeightMost)), State: reconcile.In}
+			if r.Admin&haproxyapi.AdminMaint != 0 {
+				cell.State = reconcile.Out
+			} else if r.Admin&haproxyapi.AdminDrain != 0 {
+				cell.State = reconcile.Drain
 			}
-			s.held.Lines = append(s.held.Lines, steer.SnapshotLine{Class: class, Server: server, Cell: cell})
+			s.held.Lines = append(s.held.Lines, reconcile.SnapshotLine{Class: class, Server: server, Cell: cell})
 			return nil
 		}))
 	case toMap:
-		if string(text) == runtimeapi.NoMap {
+		if string(text) == haproxyapi.NoMap {
 			return nil, fmt.Errorf("the proxy has no map %s", opt.Map)
 		}
-		err := runtimeapi.ReadMap(text, func(key, value []byte) error { s.readLevel(string(key), value); return nil })
+		err := haproxyapi.ReadMap(text, func(key, value []byte) error { s.readLevel(string(key), value); return nil })
 		if err != nil {
 			return nil, wrap("show map", err)
 		}
@@ -259,9 +259,9 @@
 		}
 		s.up = true
 		s.link.stood.Store(true)
-		return front.Up{Proxy: id, Stream: s.stream, Held: s.held}, nil
+		return transport.Up{Proxy: id, Stream: s.stream, Held: s.held}, nil
 	case toStat:
-		r, err := reports.ReadCounters(text, s.link.front.backends, len(opt.Classes), opt.Names.Server)
+		r, err := counters.ReadCounters(text, s.link.front.backends, len(opt.Classes), opt.Names.Server)
 		if s.reading = r; opt.Table == "" && err == nil {
 			return s.polled(), nil
 		}
@@ -275,8 +275,8 @@
 		return s.takeLease(e, text)
 	}
 	if f, ok := fault(text); !ok {
-		s.failures = append(s.failures, steer.Failure{Index: e.index, Fault: f, Text: string(bytes.TrimSpace(text))})
-		if string(text) == runtimeapi.NoKey {
+		s.failures = append(s.failures, reconcile.Failure{Index: e.index, Fault: f, Text: string(bytes.TrimSpace(text))})
+		if string(text) == haproxyapi.NoKey {
 			delete(s.keys, e.key)
 		}
 	} else if e.key != "" {
@@ -287,7 +287,7 @@
 	}
 	failures := s.failures
 	s.failures = nil
-	return front.Answer{Proxy: id, Stream: s.stream, Seq: e.seq, Failures: failures}, nil
+	return transport.Answer{Proxy: id, Stream: s.stream, Seq: e.seq, Failures: failures}, nil
 }
 
 func wrap(command string, err error) error {
@@ -298,21 +298,21 @@
 }
 
 // fault tells whether a change was done, and else what kept it.
-func fault(text []byte) (steer.Fault, bool) {
-	if bytes.HasPrefix(text, []byte(runtimeapi.AddrChanged)) || bytes.HasPrefix(text, []byte(runtimeapi.AddrStays)) {
+func fault(text []byte) (reconcile.Fault, bool) {
+	if bytes.HasPrefix(text, []byte(haproxyapi.AddrChanged)) || bytes.HasPrefix(text, []byte(haproxyapi.AddrStays)) {
 		return 0, true
 	}
 	switch string(text) {
-	case runtimeapi.Done, runtimeapi.Registered, runtimeapi.Deleted:
+	case haproxyapi.Done, haproxyapi.Registered, haproxyapi.Deleted:
 		return 0, true
-	case runtimeapi.NoServer:
-		return steer.NoLine, false
-	case runtimeapi.Exists:
-		return steer.LineExists, false
-	case runtimeapi.NotInMaint, runtimeapi.HasConns:
-		return steer.InUse, false
+	case haproxyapi.NoServer:
+		return reconcile.NoLine, false
+	case haproxyapi.Exists:
+		return reconcile.LineExists, false
+	case haproxyapi.NotInMaint, haproxyapi.HasConns:
+		return reconcile.InUse, false
 	}
-	return steer.OtherFault, false
+	return reconcile.OtherFault, false
 }
 
 // readLevel takes one entry of the map of levels: "class.share", "class.rate" and "class.retry".
@@ -322,7 +322,7 @@
 		s.held.Fresh = false
 		return
 	}
-	if name, is := strings.CutSuffix(key, front.VersionKey); is {
+	if name, is := strings.CutSuffix(key, transport.VersionKey); is {
 		for c, class := range s.link.front.opt.Classes {
 			if class.Name == name {
 				s.held.Stamps[c] = string(value)
@@ -340,23 +340,23 @@
 			if n == int64(s.amountAll()) {
 				l.Amount = -1
 			}
-		case key == class.Name+front.RetryKey:
+		case key == class.Name+transport.RetryKey:
 			l.Retry = fleet.Retry(n)
 		}
-		l.Known = s.keys[s.amountKey(class.Name)] && s.keys[class.Name+front.RetryKey]
+		l.Known = s.keys[s.amountKey(class.Name)] && s.keys[class.Name+transport.RetryKey]
 	}
 }
 
 func (s *session) amountKey(class string) string {
-	return front.AmountKey(s.link.front.opt.Admission, class)
+	return transport.AmountKey(s.link.front.opt.Admission, class)
 }
 
-func (s *session) amountAll() int32 { return front.AmountAll(s.link.front.opt.Admission) }
+func (s *session) amountAll() int32 { return transport.AmountAll(s.link.front.opt.Admission) }
 
-func (s *session) polled() front.Event {
+func (s *session) polled() transport.Event {
 	r := s.reading
 	s.reading, s.polling = nil, false
-	return front.Polled{Proxy: s.link.proxy.ID, Stream: s.stream, Reading: r}
+	return transport.Polled{Proxy: s.link.proxy.ID, Stream: s.stream, Reading: r}
 }
 
 // poll asks for the counters; an earlier poll without answer is not repeated.
@@ -372,7 +372,7 @@
 	s.out = append(s.out, "show stat\n"...)
 	s.expect = append(s.expect, expectation{what: toStat})
 	if t := s.link.front.opt.Table; t != "" {
-		s.out = append(runtimeapi.AppendCommand(s.out, "show", "table", t), '\n')
+		s.out = append(haproxyapi.AppendCommand(s.out, "show", "table", t), '\n')
 		s.expect = append(s.expect, expectation{what: toTable})
 	}
 	s.flush()
@@ -385,7 +385,7 @@
 }
 
 // send writes a message as commands, several in a line as far as the protocol's line goes.
-func (s *session) send(m steer.Message) {
+func (s *session) send(m reconcile.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.up || s.over || s.handing {
--- a/front/haproxy/session_test.go
+++ b/internal/transport/haproxy/session_test.go
@@ -4,14 +4,14 @@
 	"errors"
 	"testing"
 
-	"cressknot/front"
+	"cressknot/internal/transport"
 )
 
 // TestClosedBeforeItBegan: a connection that is closed before its session has begun is told, and the session is not left locked.
 func TestClosedBeforeItBegan(t *testing.T) {
 	f := New(Options{})
-	var told []front.Event
-	f.sink = func(e front.Event) { told = append(told, e) }
+	var told []transport.Event
+	f.sink = func(e transport.Event) { told = append(told, e) }
 	l := &link{front: f, kick: make(chan struct{}, 1)}
 	s := l.session(nil, nil)
 	s.closed(errors.New("gone"))
--- a/front/haproxy/transcript_test.go
+++ b/internal/transport/haproxy/transcript_test.go
@@ -4,27 +4,27 @@
 	"strings"
 	"testing"
 
-	"cressknot/fleet"
-	"cressknot/front"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/transport"
 )
 
 // TestChangesKeepTheirCommands holds the text of commands by kind of change.
 func TestChangesKeepTheirCommands(t *testing.T) {
-	f := New(Options{Classes: []front.Class{{Name: "look", Backend: "be look"}, {Name: "book", Backend: "book"}}, Map: "cressknot",
+	f := New(Options{Classes: []transport.Class{{Name: "look", Backend: "be look"}, {Name: "book", Backend: "book"}}, Map: "cressknot",
 		Names: fixedNames{"node-0", "node 1"}})
-	s := &session{link: &link{front: f}, keys: map[string]bool{"book" + front.RetryKey: true}}
+	s := &session{link: &link{front: f}, keys: map[string]bool{"book" + transport.RetryKey: true}}
 	e := encoder{s: s, seq: 1}
-	for i, c := range []steer.Change{
-		{Kind: steer.AddLine, Class: 0, Server: 1, Weight: 7, State: steer.In},
-		{Kind: steer.DelLine, Class: 1, Server: 0},
-		{Class: 1, Server: 0, Weight: 128, State: steer.In},
-		{Class: 1, Server: 0, Weight: 9, State: steer.Out, Moved: true},
-		{Class: 1, Server: 0, Weight: -1, State: steer.Drain},
-		{Class: 1, Server: 0, Weight: 256, State: steer.Stays},
-		{Kind: steer.SetLevels, Class: 1, Level: steer.Level{Amount: 500, Retry: fleet.RetryOnce}},
-		{Kind: steer.SetLevels, Class: 0, Level: steer.Level{Amount: -1}},
-		{Kind: steer.SetVersion, Class: 1, Stamp: "3.4/00ff"},
+	for i, c := range []reconcile.Change{
+		{Kind: reconcile.AddLine, Class: 0, Server: 1, Weight: 7, State: reconcile.In},
+		{Kind: reconcile.DelLine, Class: 1, Server: 0},
+		{Class: 1, Server: 0, Weight: 128, State: reconcile.In},
+		{Class: 1, Server: 0, Weight: 9, State: reconcile.Out, Moved: true},
+		{Class: 1, Server: 0, Weight: -1, State: reconcile.Drain},
+		{Class: 1, Server: 0, Weight: 256, State: reconcile.Stays},
+		{Kind: reconcile.SetLevels, Class: 1, Level: reconcile.Level{Amount: 500, Retry: fleet.RetryOnce}},
+		{Kind: reconcile.SetLevels, Class: 0, Level: reconcile.Level{Amount: -1}},
+		{Kind: reconcile.SetVersion, Class: 1, Stamp: "3.4/00ff"},
 	} {
 		e.index = i
 		e.change(&c)
--- a/front/levels.go
+++ b/internal/transport/levels.go
@@ -1,10 +1,10 @@
-package front
+package transport
 
 import (
 	"context"
 	"time"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // Names and values of levels, which all fronts write alike: "CLASS.share" in thousandths of the visits, or "CLASS.rate" in
--- a/front/mux.go
+++ b/internal/transport/mux.go
@@ -1,11 +1,11 @@
-package front
+package transport
 
 import (
 	"context"
 	"errors"
 
-	"cressknot/fleet"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
 )
 
 // Mux lets some proxies go by a front of their own.
@@ -48,7 +48,7 @@
 }
 
 // Send, Poll and Drop go to the proxy's front.
-func (m *Mux) Send(msg steer.Message) { m.of(msg.Proxy).Send(msg) }
+func (m *Mux) Send(msg reconcile.Message) { m.of(msg.Proxy).Send(msg) }
 
 // Poll asks a proxy for its counters.
 func (m *Mux) Poll(id fleet.ProxyID) { m.of(id).Poll(id) }
--- a/front/relay/answer.go
+++ b/internal/transport/relay/answer.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // Read makes out what an answer says of a call with so many orders.
--- a/front/relay/front.go
+++ b/internal/transport/relay/front.go
@@ -15,8 +15,8 @@
 
 	"github.com/rs/zerolog"
 
-	"cressknot/fleet"
-	"cressknot/steer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
 )
 
 // Bounds of the talk with the relay.
@@ -233,7 +233,7 @@
 // follow keeps a stream of news. After a move the old stream goes on until the new one stands.
 func (f *Front) follow(ctx context.Context) {
 	defer f.done.Done()
-	redial := steer.NewRedial(f.opt.Seed)
+	redial := reconcile.NewRedial(f.opt.Seed)
 	var last, current, dialing uint64
 	stop := map[uint64]context.CancelFunc{}
 	opened, over := make(chan opening), make(chan ended)
--- a/front/relay/queue.go
+++ b/internal/transport/relay/queue.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // callMost is the relay's bound, in bytes of the orders of one call.
--- a/front/relay/relay_test.go
+++ b/internal/transport/relay/relay_test.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 	"pgregory.net/rapid"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 var classes = []string{"look", "book", "issue"}
--- a/front/relay/transcript_test.go
+++ b/internal/transport/relay/transcript_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/rs/zerolog"
 
-	"cressknot/fleet"
+	"cressknot/internal/fleet"
 )
 
 // TestRequestsToTheRelayKeepTheirBytes holds the request line, headers and body of a call and of the asking for events.
