--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -597,8 +597,22 @@
 		return fmt.Sprintf("level table=%d classes=%#x amount=%.4g retry=%d", o.Table, o.Classes, o.Amount, o.Retry)
 	case fleet.Log:
 		return "log " + o.Text
-	}
-	return fmt.Sprintf("%T %+v", o, o)
+	case fleet.SetAlarm:
+		return fmt.Sprintf("fleet.SetAlarm {After:%d ID:%d}", o.After, o.ID)
+	case fleet.Probe:
+		return fmt.Sprintf("fleet.Probe {Server:%d}", o.Server)
+	case fleet.Tell:
+		return fmt.Sprintf("fleet.Tell {To:%d Data:%d}", o.To, o.Data)
+	case fleet.Watch:
+		return fmt.Sprintf("fleet.Watch {On:%v}", o.On)
+	case fleet.Fetch:
+		return "fleet.Fetch {}"
+	case fleet.Clear:
+		return fmt.Sprintf("fleet.Clear {Table:%d}", o.Table)
+	case fleet.Mark:
+		return fmt.Sprintf("fleet.Mark {ID:%d All:%v}", o.ID, o.All)
+	}
+	return ""
 }
 
 func (c *Core) log(out *Output, l Line) {
