--- a/internal/safety/guard.go
+++ b/internal/safety/guard.go
@@ -47,7 +47,7 @@
 }
 
 type server struct {
-	fleet.Entry
+	fleet.Endpoint
 	samples  []sample
 	capacity float64    // visits a second of ours at a busy share of 1, as last measured
 	carried  float64    // visits a second of ours that it was seen to handle when that was measured
@@ -84,44 +84,44 @@
 // New makes a guard that knows nothing yet.
 func New(site fleet.Site) *Guard {
 	return &Guard{site: site, kindsAt: -1, servers: map[fleet.ServerID]*server{}, proxies: map[fleet.ProxyID]*proxy{},
-		busyAt: slices.Index(site.LoadFields, fleet.FieldBusy)}
+		busyAt: slices.Index(site.LoadFields, fleet.LoadFieldUtilization)}
 }
 
 // Hear takes in what the module hears.
 func (g *Guard) Hear(now fleet.Time, event fleet.Event) {
 	switch e := event.(type) {
-	case fleet.List:
+	case fleet.EndpointList:
 		g.list(now, e)
-	case fleet.Joined:
-		g.proxies[e.Proxy] = &proxy{usual: e.Weight, usage: make([][]float64, len(g.site.Classes))}
-	case fleet.Left:
+	case fleet.ProxyJoined:
+		g.proxies[e.Proxy] = &proxy{usual: e.RequestRate, usage: make([][]float64, len(g.site.Classes))}
+	case fleet.ProxyLeft:
 		if p := g.proxies[e.Proxy]; p != nil {
 			p.left = now
 		}
-	case fleet.Usage:
-		if p := g.proxies[e.Proxy]; p != nil && int(e.Class) < len(p.usage) && e.Span > 0 {
+	case fleet.DemandReport:
+		if p := g.proxies[e.Proxy]; p != nil && int(e.Class) < len(p.usage) && e.Interval > 0 {
 			u := p.usage[e.Class]
-			p.usage[e.Class] = append(u[max(0, len(u)+1-usageKept):], float64(e.Visits)/e.Span.Seconds())
+			p.usage[e.Class] = append(u[max(0, len(u)+1-usageKept):], float64(e.Requests)/e.Interval.Seconds())
 		}
-	case fleet.Heard:
-		if s := g.servers[e.Server]; s != nil && e.Tries >= e.Failed {
+	case fleet.OutcomeReport:
+		if s := g.servers[e.Server]; s != nil && e.Attempts >= e.Failures {
 			busy := -1.0
 			if g.busyAt >= 0 && g.busyAt < len(e.Load) {
 				busy = float64(e.Load[g.busyAt])
 			}
 			s.samples = append(s.samples[max(0, len(s.samples)+1-samplesKept):],
-				sample{now, e.Span, e.Zone, float64(e.Tries - e.Failed), busy})
+				sample{now, e.Interval, e.Zone, float64(e.Attempts - e.Failures), busy})
 			g.measure(now, s)
 		}
 	}
 }
 
-func (g *Guard) list(now fleet.Time, l fleet.List) {
+func (g *Guard) list(now fleet.Time, l fleet.EndpointList) {
 	if l.Scope == fleet.ListFailed {
 		return
 	}
 	listed := map[fleet.ServerID]bool{}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		s := g.servers[e.Server]
 		if s == nil {
 			s = &server{}
@@ -130,19 +130,19 @@
 		if listed[e.Server] = true; e.Started != s.Started { // started anew, perhaps while it was still warming
 			s.samples, s.bearsAt = nil, 0 // what proxies may send it stands: they hold the same lines
 			for id := range s.loads {     // but for those gone so long that they are another's, or none
-				if p := g.proxies[fleet.ProxyID(id)]; p != nil && p.left > 0 && now > p.left+g.site.ColdFor {
+				if p := g.proxies[fleet.ProxyID(id)]; p != nil && p.left > 0 && now > p.left+g.site.SlowStart.Duration {
 					s.send(fleet.ProxyID(id), 0)
 				}
 			}
 		}
-		s.Entry = e
+		s.Endpoint = e
 	}
 	g.ready, g.kindsAt = 0, -1
 	for id, s := range g.servers {
 		if l.Scope != fleet.ListDelta && !listed[id] {
-			s.State = fleet.Gone
+			s.State = fleet.ServerGone
 		}
-		if s.State == fleet.Ready {
+		if s.State == fleet.ServerReady {
 			g.ready++
 		}
 	}
@@ -195,7 +195,7 @@
 }
 
 func (g *Guard) cold(now fleet.Time, s *server) bool {
-	return s.Started > 0 && now < s.Started+g.site.ColdFor
+	return s.Started > 0 && now < s.Started+g.site.SlowStart.Duration
 }
 
 // trust tells how much a measured capacity counts at its age. A clock that went back makes nothing younger than new.
@@ -217,7 +217,7 @@
 		g.kindsAt, g.kinds = now, map[fleet.KindID]float64{}
 		same, all := map[fleet.KindID][]float64{}, []float64{}
 		for _, s := range g.servers {
-			if c, known := s.can(now); known && s.State == fleet.Ready && !g.cold(now, s) {
+			if c, known := s.can(now); known && s.State == fleet.ServerReady && !g.cold(now, s) {
 				same[s.Kind], all = append(same[s.Kind], c), append(all, c)
 			}
 		}
@@ -262,10 +262,10 @@
 	if s.bearsAt == now && g.kindsAt == now {
 		return s.bears
 	}
-	grown := max(0, min(1, (now-s.Started).Seconds()/max(none, g.site.ColdFor.Seconds())))
-	part := g.site.ColdFrom + (1-g.site.ColdFrom)*grown
-	span := max(none, g.site.FallFor.Seconds())
-	budget := g.site.FallFactor * part * g.coldCan(now, s) * span
+	grown := max(0, min(1, (now-s.Started).Seconds()/max(none, g.site.SlowStart.Duration.Seconds())))
+	part := g.site.SlowStart.InitialFraction + (1-g.site.SlowStart.InitialFraction)*grown
+	span := max(none, g.site.RecoveryRamp.Duration.Seconds())
+	budget := g.site.RecoveryRamp.OverloadFactor * part * g.coldCan(now, s) * span
 	s.bears, s.bearsAt = bearable(budget, span), now
 	return s.bears
 }
@@ -290,22 +290,22 @@
 }
 
 // RetryMost gives the most that a class's visits may be tried again without an effect happening twice.
-func (g *Guard) RetryMost(class fleet.ClassID) fleet.Retry {
+func (g *Guard) RetryMost(class fleet.ClassID) fleet.RetryMode {
 	c := g.site.Classes[class]
 	switch {
-	case c.Effect == fleet.Safe:
+	case c.Idempotency == fleet.Idempotent:
 		return fleet.RetryTwice
-	case c.Effect == fleet.Unsafe, c.Group == fleet.GroupCell, c.Group == fleet.GroupZone && !c.StaysLocal:
-		return fleet.RetryIfNeverRan
+	case c.Idempotency == fleet.NotIdempotent, c.DeduplicationScope == fleet.DeduplicationCell, c.DeduplicationScope == fleet.DeduplicationZone && !c.ZoneLocal:
+		return fleet.RetryIfNotExecuted
 	}
-	again := c.Expected.Scale(g.site.PerTry) + stall // a further try begins this long after the first at most
+	again := c.LatencyObjective.Scale(g.site.AttemptTimeoutFactor) + stall // a further try begins this long after the first at most
 	switch {
-	case 2*again < c.Window:
+	case 2*again < c.DeduplicationWindow:
 		return fleet.RetryTwice
-	case again < c.Window:
+	case again < c.DeduplicationWindow:
 		return fleet.RetryOnce
 	}
-	return fleet.RetryIfNeverRan
+	return fleet.RetryIfNotExecuted
 }
 
 // Counts tells how many proposals passed and how many were held back or lowered.
@@ -422,7 +422,7 @@
 // binds tells whether nothing may be sent to a server that is not ready.
 func (g *Guard) binds(id fleet.ServerID) bool {
 	s := g.servers[id]
-	return s != nil && (s.State == fleet.Draining || s.State == fleet.Gone && !g.site.GoneDoesNot)
+	return s != nil && (s.State == fleet.ServerDraining || s.State == fleet.ServerGone && !g.site.RemovalNotBinding)
 }
 
 // bare holds back what would take a class's last line of a ready server: of the lines that the message takes, the one
--- a/internal/safety/guard_test.go
+++ b/internal/safety/guard_test.go
@@ -30,9 +30,9 @@
 const now = 1000 * fleet.Second
 
 func site() fleet.Site {
-	return fleet.Site{Zones: []string{"a"}, LoadFields: []fleet.LoadField{fleet.FieldBusy}, Proxies: 2, PerTry: 1,
-		ColdFrom: 0.2, ColdFor: 10 * fleet.Second, FallFactor: 2, FallFor: 2 * fleet.Second,
-		Classes: []fleet.VisitClass{{Effect: fleet.Safe, Expected: fleet.Second}, {Effect: fleet.Unsafe, Expected: fleet.Second}}}
+	return fleet.Site{Zones: []string{"a"}, LoadFields: []fleet.LoadField{fleet.LoadFieldUtilization}, ProxyCount: 2, AttemptTimeoutFactor: 1,
+		SlowStart: fleet.SlowStart{InitialFraction: 0.2, Duration: 10 * fleet.Second}, RecoveryRamp: fleet.RecoveryRamp{OverloadFactor: 2, Duration: 2 * fleet.Second},
+		Classes: []fleet.RequestClass{{Idempotency: fleet.Idempotent, LatencyObjective: fleet.Second}, {Idempotency: fleet.NotIdempotent, LatencyObjective: fleet.Second}}}
 }
 
 // world is a small fleet of which the oracle knows all. A cell is known by proxy, class and server.
@@ -59,27 +59,27 @@
 // draw makes a fleet and tells a guard of it.
 func draw(t *rapid.T) *world {
 	w := &world{g: New(site())}
-	l := fleet.List{Scope: fleet.ListFull}
+	l := fleet.EndpointList{Scope: fleet.ListFull}
 	for s := range servers {
 		w.states[s] = fleet.ServerState(max(0, rapid.IntRange(-4, 2).Draw(t, "state")))
 		if rapid.IntRange(0, 2).Draw(t, "cold") == 0 {
 			w.started[s] = now - fleet.Time(rapid.IntRange(0, 12).Draw(t, "age"))*fleet.Second
 		}
-		l.Entries = append(l.Entries, fleet.Entry{Server: fleet.ServerID(s), State: w.states[s], Started: w.started[s]})
+		l.Endpoints = append(l.Endpoints, fleet.Endpoint{Server: fleet.ServerID(s), State: w.states[s], Started: w.started[s]})
 	}
 	w.g.Hear(now, l)
 	for s := range servers {
 		w.caps[s] = float64(rapid.IntRange(2, 40).Draw(t, "capacity"))
 		if !w.cold(s) { // it handles half of that at a busy share of a half
-			w.g.Hear(now, fleet.Heard{Server: fleet.ServerID(s), Tries: uint32(10 * w.caps[s]), Span: 20 * fleet.Second, Load: []float32{0.5}})
+			w.g.Hear(now, fleet.OutcomeReport{Server: fleet.ServerID(s), Attempts: uint32(10 * w.caps[s]), Interval: 20 * fleet.Second, Load: []float32{0.5}})
 		}
 	}
 	for p := range proxies {
-		w.g.Hear(now, fleet.Joined{Proxy: fleet.ProxyID(p)})
+		w.g.Hear(now, fleet.ProxyJoined{Proxy: fleet.ProxyID(p)})
 		for c := range classes {
 			n := rapid.IntRange(0, 30).Draw(t, "visits")
 			w.demand[p][c] = float64(n) / 2
-			w.g.Hear(now, fleet.Usage{Proxy: fleet.ProxyID(p), Class: fleet.ClassID(c), Visits: uint32(n), Span: 2 * fleet.Second})
+			w.g.Hear(now, fleet.DemandReport{Proxy: fleet.ProxyID(p), Class: fleet.ClassID(c), Requests: uint32(n), Interval: 2 * fleet.Second})
 		}
 	}
 	return w
@@ -101,7 +101,7 @@
 		Proposals: proposals}
 	for s := range servers {
 		for c := range classes {
-			if cell := last[c][s]; cell.Usable() && w.states[s] == fleet.Ready {
+			if cell := last[c][s]; cell.Usable() && w.states[s] == fleet.ServerReady {
 				d.Lines[c]++
 				d.Sum[c] += int(cell.Weight)
 				if w.cold(s) {
@@ -126,7 +126,7 @@
 			want.State = reconcile.In
 		}
 		proposals = append(proposals, reconcile.Proposal{Change: reconcile.Change{Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: want.Weight},
-			Have: last[c][s], Want: want, Ready: w.states[s] == fleet.Ready, Cold: w.cold(s), Urgent: want.State != reconcile.In})
+			Have: last[c][s], Want: want, Ready: w.states[s] == fleet.ServerReady, Cold: w.cold(s), Urgent: want.State != reconcile.In})
 	}
 	return proposals
 }
@@ -144,7 +144,7 @@
 
 func (w *world) lines(at table, c int) (n, sum int) {
 	for s := range servers {
-		if at[c][s].Usable() && w.states[s] == fleet.Ready {
+		if at[c][s].Usable() && w.states[s] == fleet.ServerReady {
 			n, sum = n+1, sum+int(at[c][s].Weight)
 		}
 	}
@@ -155,7 +155,7 @@
 func (w *world) harm(p int, proposals []reconcile.Proposal, tables []table) string {
 	before := w.instants[p][len(w.instants[p])-1]
 	for _, q := range proposals {
-		if q.Hold == "" && w.states[q.Server] != fleet.Ready && q.Want.Usable() && !q.Have.Usable() {
+		if q.Hold == "" && w.states[q.Server] != fleet.ServerReady && q.Want.Usable() && !q.Have.Usable() {
 			return WhyGone
 		}
 	}
@@ -171,7 +171,7 @@
 	each = w.instants
 	each[p] = append(slices.Clone(each[p]), tables...)
 	for s := range servers {
-		if !w.cold(s) || w.states[s] != fleet.Ready {
+		if !w.cold(s) || w.states[s] != fleet.ServerReady {
 			continue
 		}
 		for _, a := range each[0] {
@@ -197,7 +197,7 @@
 func (w *world) bears(s int) float64 {
 	var known []float64
 	for o := range servers {
-		if !w.cold(o) && w.states[o] == fleet.Ready {
+		if !w.cold(o) && w.states[o] == fleet.ServerReady {
 			known = append(known, w.caps[o])
 		}
 	}
@@ -240,7 +240,7 @@
 	for c := range classes {
 		n, warm := 0, 0
 		for s := range servers {
-			if at[c][s].Usable() && w.states[s] == fleet.Ready {
+			if at[c][s].Usable() && w.states[s] == fleet.ServerReady {
 				if n++; !w.cold(s) {
 					warm++
 				}
@@ -328,8 +328,8 @@
 // goes back makes nothing younger.
 func TestTrustFallsWithAge(t *testing.T) {
 	g := New(site())
-	g.Hear(now, fleet.List{Entries: []fleet.Entry{{Server: 1}}})
-	g.Hear(now, fleet.Heard{Server: 1, Tries: 100, Span: 10 * fleet.Second, Load: []float32{0.25}})
+	g.Hear(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}}})
+	g.Hear(now, fleet.OutcomeReport{Server: 1, Attempts: 100, Interval: 10 * fleet.Second, Load: []float32{0.25}})
 	for age, want := range map[fleet.Time]float64{-fleet.Second: 40, 0: 40, trustFull: 40, (trustFull + trustGone) / 2: 25, trustGone: 10, 10 * trustGone: 10} {
 		if got, known := g.servers[1].can(now + age); math.Abs(got-want) > 1e-6 || !known {
 			t.Errorf("at an age of %v s: %v, not %v", age.Seconds(), got, want)
@@ -340,10 +340,10 @@
 // TestStartedAgainWhileWarming: a second start makes a server as cold as the first did, whatever was counted between.
 func TestStartedAgainWhileWarming(t *testing.T) {
 	g := New(site())
-	g.Hear(now, fleet.List{Entries: []fleet.Entry{{Server: 1}, {Server: 2, Started: now - 9*fleet.Second}}})
-	g.Hear(now, fleet.Heard{Server: 1, Tries: 200, Span: 10 * fleet.Second, Load: []float32{0.5}})
+	g.Hear(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2, Started: now - 9*fleet.Second}}})
+	g.Hear(now, fleet.OutcomeReport{Server: 1, Attempts: 200, Interval: 10 * fleet.Second, Load: []float32{0.5}})
 	before := g.Bearable(now, 2)
-	g.Hear(now, fleet.List{Scope: fleet.ListDelta, Entries: []fleet.Entry{{Server: 2, Started: now}}})
+	g.Hear(now, fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 2, Started: now}}})
 	if after := g.Bearable(now, 2); after > before/2 {
 		t.Errorf("it bears %v after its second start, %v before", after, before)
 	}
@@ -355,13 +355,13 @@
 // TestRetryModes: no class is tried again where that could run it twice.
 func TestRetryModes(t *testing.T) {
 	s := site()
-	keyed := fleet.VisitClass{Effect: fleet.Keyed, Window: 20 * fleet.Second, Expected: fleet.Second}
+	keyed := fleet.RequestClass{Idempotency: fleet.IdempotentWithKey, DeduplicationWindow: 20 * fleet.Second, LatencyObjective: fleet.Second}
 	short, zone := keyed, keyed
-	short.Window, zone.Group = 4*fleet.Second, fleet.GroupZone
+	short.DeduplicationWindow, zone.DeduplicationScope = 4*fleet.Second, fleet.DeduplicationZone
 	s.Classes = append(s.Classes, keyed, short, zone)
 	g := New(s)
-	for class, want := range []fleet.Retry{fleet.RetryTwice, fleet.RetryIfNeverRan, fleet.RetryTwice, fleet.RetryOnce, fleet.RetryIfNeverRan} {
-		for _, asked := range []fleet.Retry{fleet.RetryNever, fleet.RetryIfNeverRan, fleet.RetryOnce, fleet.RetryTwice} {
+	for class, want := range []fleet.RetryMode{fleet.RetryTwice, fleet.RetryIfNotExecuted, fleet.RetryTwice, fleet.RetryOnce, fleet.RetryIfNotExecuted} {
+		for _, asked := range []fleet.RetryMode{fleet.RetryNever, fleet.RetryIfNotExecuted, fleet.RetryOnce, fleet.RetryTwice} {
 			d := &reconcile.Draft{Lines: make([]int, 5), Sum: make([]int, 5), Proposals: []reconcile.Proposal{{Change: reconcile.Change{
 				Kind: reconcile.SetLevels, Class: fleet.ClassID(class), Level: reconcile.Level{Known: true, Retry: asked}}}}}
 			if g.Message(now, d); d.Proposals[0].Level.Retry != min(asked, want) || (asked > want) != (d.Proposals[0].Lowered != "") {
@@ -376,21 +376,21 @@
 func fleetOf(t *testing.T, proxies int) (*Guard, *reconcile.Plane) {
 	t.Helper()
 	s := site()
-	s.Classes, s.LinesPerS, s.BacklogMost = s.Classes[:1], 1e6, 1e6
+	s.Classes, s.EntriesPerSecond, s.MaxBacklog = s.Classes[:1], 1e6, 1e6
 	g, p := New(s), reconcile.New(s)
 	p.Ask(g)
-	l := fleet.List{Entries: []fleet.Entry{{Server: 1}, {Server: 2}, {Server: 3}}}
+	l := fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2}, {Server: 3}}}
 	g.Hear(now, l)
 	p.List(now, l)
 	for id := range fleet.ServerID(3) {
-		g.Hear(now, fleet.Heard{Server: id + 1, Tries: 100, Span: 10 * fleet.Second, Load: []float32{0.5}})
+		g.Hear(now, fleet.OutcomeReport{Server: id + 1, Attempts: 100, Interval: 10 * fleet.Second, Load: []float32{0.5}})
 	}
-	orders := []fleet.Order{fleet.Share{Server: 1, Weight: 1}, fleet.Share{Server: 2, Weight: 1}, fleet.Share{Server: 3, Weight: 1}}
+	orders := []fleet.Order{fleet.SetWeight{Server: 1, Weight: 1}, fleet.SetWeight{Server: 2, Weight: 1}, fleet.SetWeight{Server: 3, Weight: 1}}
 	for i := range proxies {
 		p.Join(now, fleet.ProxyID(i), reconcile.Snapshot{})
-		g.Hear(now, fleet.Joined{Proxy: fleet.ProxyID(i)})
-		g.Hear(now, fleet.Usage{Proxy: fleet.ProxyID(i), Visits: uint32(2400 / proxies), Span: 100 * fleet.Second})
-		orders = append(orders, fleet.Bind{Proxy: fleet.ProxyID(i)})
+		g.Hear(now, fleet.ProxyJoined{Proxy: fleet.ProxyID(i)})
+		g.Hear(now, fleet.DemandReport{Proxy: fleet.ProxyID(i), Requests: uint32(2400 / proxies), Interval: 100 * fleet.Second})
+		orders = append(orders, fleet.AssignTable{Proxy: fleet.ProxyID(i)})
 	}
 	p.Order(now, orders)
 	settle(p, now)
@@ -413,14 +413,14 @@
 // the next message to each; when those are answered there is room for as much as it bears.
 func TestLinesOfARestartedServer(t *testing.T) {
 	g, p := fleetOf(t, 3)
-	l := fleet.List{Scope: fleet.ListDelta, Entries: []fleet.Entry{{Server: 2, Started: now}}}
+	l := fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 2, Started: now}}}
 	g.Hear(now, l)
 	p.List(now, l)
 	if got := g.others(2, 99); math.Abs(got-8) > 0.2 {
 		t.Errorf("its standing lines count as %v visits a second, not 8", got)
 	}
 	bears := g.Bearable(now, 2)
-	p.Order(now, []fleet.Order{fleet.Share{Server: 1, Weight: 1.1}}) // that alone would lower its share, but not enough
+	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 1.1}}) // that alone would lower its share, but not enough
 	settle(p, now)
 	if got := g.others(2, 99); got > bears || got < bears/2 {
 		t.Errorf("%v visits a second after the cut, it bears %v", got, bears)
@@ -437,28 +437,28 @@
 // and the rest passes; what the module wants comes by itself once it is safe.
 func TestLeastChange(t *testing.T) {
 	_, p := fleetOf(t, 1)
-	p.Order(now, []fleet.Order{fleet.Share{Server: 1}, fleet.Share{Server: 2, Weight: 0.5}, fleet.Share{Server: 3}})
+	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 1}, fleet.SetWeight{Server: 2, Weight: 0.5}, fleet.SetWeight{Server: 3}})
 	settle(p, now)
-	p.Order(now, []fleet.Order{fleet.Share{Server: 2}, fleet.Share{Server: 3, Weight: 0.6}, fleet.Share{Server: 1, Weight: 0.2}})
+	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 2}, fleet.SetWeight{Server: 3, Weight: 0.6}, fleet.SetWeight{Server: 1, Weight: 0.2}})
 	settle(p, now)
-	p.Order(now, []fleet.Order{fleet.Share{Server: 1}, fleet.Share{Server: 3}})
+	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 1}, fleet.SetWeight{Server: 3}})
 	settle(p, now)
 	if v := p.Proxies()[0]; v.Lines != 1 || len(p.Refusals()) != 1 || p.Refusals()[0].Server != 3 || p.Refusals()[0].Why != WhyBare {
 		t.Errorf("%d lines, refusals %+v", v.Lines, p.Refusals())
 	}
-	p.Order(now, []fleet.Order{fleet.Share{Server: 2, Weight: 1}})
+	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 1}})
 	settle(p, now)
 	settle(p, now+2*fleet.Second) // held back lines are proposed again
 	if v := p.Proxies()[0]; v.Lines != 1 || len(p.Refusals()) != 0 {
 		t.Errorf("once another line is there: %d lines, refusals %+v", v.Lines, p.Refusals())
 	}
 	g, p := fleetOf(t, 1)
-	l := fleet.List{Scope: fleet.ListDelta, Entries: []fleet.Entry{{Server: 2, Started: now}}}
+	l := fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 2, Started: now}}}
 	g.Hear(now, l)
 	p.List(now, l)
-	p.Order(now, []fleet.Order{fleet.Share{Server: 2, Weight: 0.05}})
+	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.05}})
 	settle(p, now)
-	p.Order(now, []fleet.Order{fleet.Share{Server: 1, Weight: 0}})
+	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 0}})
 	cut, took := false, false
 	for _, c := range settle(p, now+2*fleet.Second) {
 		cut = cut || c.Server == 2 && c.Weight >= 0
@@ -472,8 +472,8 @@
 // TestColdReportsTellNothing: what a server handles while it is cold is no capacity.
 func TestColdReportsTellNothing(t *testing.T) {
 	g := New(site())
-	g.Hear(now, fleet.List{Entries: []fleet.Entry{{Server: 1, Started: now}}})
-	g.Hear(now, fleet.Heard{Server: 1, Tries: 100, Span: 10 * fleet.Second, Load: []float32{0.5}})
+	g.Hear(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1, Started: now}}})
+	g.Hear(now, fleet.OutcomeReport{Server: 1, Attempts: 100, Interval: 10 * fleet.Second, Load: []float32{0.5}})
 	if _, known := g.servers[1].can(now); known {
 		t.Error("a cold server's reports were taken as its capacity")
 	}
@@ -482,17 +482,17 @@
 // TestAnsweredFreesRoom: a proxy that has answered a cut leaves its room to the others.
 func TestAnsweredFreesRoom(t *testing.T) {
 	g := New(site())
-	g.Hear(now, fleet.List{Entries: []fleet.Entry{{Server: 1}, {Server: 2, Started: now}}})
-	g.Hear(now, fleet.Joined{Proxy: 1, Weight: 20})
+	g.Hear(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2, Started: now}}})
+	g.Hear(now, fleet.ProxyJoined{Proxy: 1, RequestRate: 20})
 	in := func(w int16) reconcile.Cell { return reconcile.Cell{Present: true, State: reconcile.In, Weight: w} }
 	d := &reconcile.Draft{Proxy: 1, Alone: true, Lines: []int{2, 2}, Sum: []int{200, 200}, Cold: []reconcile.ColdLine{{Server: 2, Cell: in(100)}}}
 	g.Joined(now, d)
 	if got := g.others(2, 9); math.Abs(got-5) > 1e-9 {
 		t.Errorf("%v counted, not 5", got)
 	}
-	g.Hear(now, fleet.Left{Proxy: 1})
+	g.Hear(now, fleet.ProxyLeft{Proxy: 1})
 	again := func(at fleet.Time) {
-		g.Hear(at, fleet.List{Scope: fleet.ListDelta, Entries: []fleet.Entry{{Server: 2, Started: at}}})
+		g.Hear(at, fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 2, Started: at}}})
 	}
 	if again(now + 5*fleet.Second); g.others(2, 9) == 0 {
 		t.Error("a proxy that just left goes on with what it holds, but is not counted")
@@ -511,11 +511,11 @@
 // TestTables: whole tables as staff push them.
 func TestTables(t *testing.T) {
 	g := New(site())
-	g.Hear(now, fleet.List{Entries: []fleet.Entry{{Server: 1}, {Server: 2}, {Server: 3, State: fleet.Draining}, {Server: 4, Started: now - fleet.Second}}})
+	g.Hear(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2}, {Server: 3, State: fleet.ServerDraining}, {Server: 4, Started: now - fleet.Second}}})
 	for id := range fleet.ServerID(2) {
-		g.Hear(now, fleet.Heard{Server: id + 1, Tries: 100, Span: 10 * fleet.Second, Load: []float32{0.5}})
+		g.Hear(now, fleet.OutcomeReport{Server: id + 1, Attempts: 100, Interval: 10 * fleet.Second, Load: []float32{0.5}})
 	}
-	g.Hear(now, fleet.Heard{Server: 4, Tries: 10, Span: 10 * fleet.Second})
+	g.Hear(now, fleet.OutcomeReport{Server: 4, Attempts: 10, Interval: 10 * fleet.Second})
 	g.servers[4].at = now // it was heard of, though cold
 	for _, c := range []struct {
 		weights map[fleet.ServerID]float64
@@ -576,15 +576,15 @@
 	for _, colds := range []int{0, 20, 200} {
 		b.Run(fmt.Sprint("cold=", colds), func(b *testing.B) {
 			s := site()
-			s.Classes = append(s.Classes, fleet.VisitClass{})
+			s.Classes = append(s.Classes, fleet.RequestClass{})
 			g := New(s)
-			l := fleet.List{}
+			l := fleet.EndpointList{}
 			for i := range 700 {
-				e := fleet.Entry{Server: fleet.ServerID(i)}
+				e := fleet.Endpoint{Server: fleet.ServerID(i)}
 				if i < colds {
 					e.Started = now - fleet.Second
 				}
-				l.Entries = append(l.Entries, e)
+				l.Endpoints = append(l.Endpoints, e)
 			}
 			g.Hear(now, l)
 			d := &reconcile.Draft{Lines: []int{700, 700, 700}, Sum: []int{70000, 70000, 70000}}
@@ -594,10 +594,10 @@
 				}
 			}
 			for p := range 930 {
-				g.Hear(now, fleet.Joined{Proxy: fleet.ProxyID(p), Weight: 3})
+				g.Hear(now, fleet.ProxyJoined{Proxy: fleet.ProxyID(p), RequestRate: 3})
 			}
 			for i := 699; i > 600; i-- {
-				g.Hear(now, fleet.Heard{Server: fleet.ServerID(i), Tries: 1000, Span: 10 * fleet.Second, Load: []float32{0.5}})
+				g.Hear(now, fleet.OutcomeReport{Server: fleet.ServerID(i), Attempts: 1000, Interval: 10 * fleet.Second, Load: []float32{0.5}})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/safety/state.go
+++ b/internal/safety/state.go
@@ -65,21 +65,21 @@
 	}
 	seconds := func(v float64) fleet.Time { return fleet.Second.Scale(v) }
 	at := fleet.Time(s.Now.UnixNano())
-	g := New(fleet.Site{Zones: []string{""}, Classes: make([]fleet.VisitClass, 1), ColdFrom: s.Cold.From, ColdFor: seconds(s.Cold.ForS),
-		FallFactor: s.Cold.FallFactor, FallFor: seconds(s.Cold.FallForS)})
+	g := New(fleet.Site{Zones: []string{""}, Classes: make([]fleet.RequestClass, 1), SlowStart: fleet.SlowStart{InitialFraction: s.Cold.From, Duration: seconds(s.Cold.ForS)},
+		RecoveryRamp: fleet.RecoveryRamp{OverloadFactor: s.Cold.FallFactor, Duration: seconds(s.Cold.FallForS)}})
 	ids, names := map[string]fleet.ServerID{}, []string{}
-	var l fleet.List
+	var l fleet.EndpointList
 	for i, e := range s.Servers {
-		state, ok := map[string]fleet.ServerState{"": fleet.Ready, "ready": fleet.Ready, "draining": fleet.Draining, "gone": fleet.Gone}[e.State]
+		state, ok := map[string]fleet.ServerState{"": fleet.ServerReady, "ready": fleet.ServerReady, "draining": fleet.ServerDraining, "gone": fleet.ServerGone}[e.State]
 		if !ok {
 			return nil, fmt.Errorf("%s: servers[%d].state: %q is none of ready, draining, gone", stateName, i, e.State)
 		}
-		entry := fleet.Entry{Server: fleet.ServerID(i), State: state}
+		entry := fleet.Endpoint{Server: fleet.ServerID(i), State: state}
 		if !e.Started.IsZero() {
 			entry.Started = fleet.Time(e.Started.UnixNano())
 		}
 		ids[e.Name], names = entry.Server, append(names, e.Name)
-		l.Entries = append(l.Entries, entry)
+		l.Endpoints = append(l.Endpoints, entry)
 	}
 	g.Hear(at, l)
 	for i, e := range s.Servers {
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -34,7 +34,7 @@
 	sum, can, all, warmReady := 0.0, 0.0, 0.0, 0
 	known := true
 	for _, s := range g.servers {
-		if s.State == fleet.Ready {
+		if s.State == fleet.ServerReady {
 			c, heard := s.can(now)
 			if !heard {
 				known = false
@@ -51,7 +51,7 @@
 		case l.Weight <= 0 || l.Withdrawn:
 		case s == nil || g.binds(l.Server):
 			harms = append(harms, Harm{Why: WhyGone, Server: l.Server, Text: "visits would go to a server that is draining, gone or not listed"})
-		case s.State == fleet.Ready:
+		case s.State == fleet.ServerReady:
 			usable++
 			sum += l.Weight
 			c, _ := s.can(now)
@@ -62,7 +62,7 @@
 		return append(harms, Harm{Why: WhyBare, None: true, Text: fmt.Sprintf("no ready server would have a line; %d ready and warm ones are listed", warmReady)})
 	}
 	for _, l := range lines {
-		if s := g.servers[l.Server]; s == nil || l.Weight <= 0 || l.Withdrawn || s.State != fleet.Ready {
+		if s := g.servers[l.Server]; s == nil || l.Weight <= 0 || l.Withdrawn || s.State != fleet.ServerReady {
 			continue
 		}
 		load, bears := demand*l.Weight/sum, g.Bearable(now, l.Server)
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -65,7 +65,7 @@
 	var opened, listed atomic.Bool
 	whenReady := sync.OnceFunc(func() { close(ready) })
 	listed.Store(len(c.Known.Servers) > 0)
-	front := relay.New(relay.Options{Addr: c.Store, Zones: c.Site.Zones, Classes: classes, Proxies: c.Site.Proxies,
+	front := relay.New(relay.Options{Addr: c.Store, Zones: c.Site.Zones, Classes: classes, Proxies: c.Site.ProxyCount,
 		Sink: func(n relay.News) {
 			mailbox.Post(n)
 			if opened.Store(true); listed.Load() {
@@ -99,7 +99,7 @@
 	var again <-chan time.Time // to listen
 	listen := func() (err error) {
 		heard, err = collector.Listen(collector.Options{Addr: c.Listen, Sockets: c.Sockets, Log: log, Sink: mailbox.Report,
-			Words: collector.Words{Zones: c.Site.Zones, Classes: classes, Proxies: c.Site.Proxies, Load: c.Site.LoadFields}})
+			Words: collector.Words{Zones: c.Site.Zones, Classes: classes, Proxies: c.Site.ProxyCount, Load: c.Site.LoadFields}})
 		if again = nil; errors.Is(err, syscall.EADDRINUSE) && time.Since(began) < listenMost+idleMost {
 			again = time.After(listenAgain)
 			return nil
@@ -110,7 +110,7 @@
 		return err
 	}
 	log.Info().Str("version", Version).Str("listen", c.Listen).Str("relay", c.Store).Str("discovery", c.Discovery).
-		Int("memory_mb", c.MemoryMB).Int("sockets", c.Sockets).Float64("cores", c.Cores).Int("proxies", c.Site.Proxies).
+		Int("memory_mb", c.MemoryMB).Int("sockets", c.Sockets).Float64("cores", c.Cores).Int("proxies", c.Site.ProxyCount).
 		Int("known", len(c.Known.Servers)).Interface("site", c.Site).Msg("governs")
 	counts := time.NewTicker(countsEvery)
 	defer counts.Stop()
--- a/internal/service/hub.go
+++ b/internal/service/hub.go
@@ -37,7 +37,7 @@
 	Governor string
 	Epoch    uint64
 	Zones    []Zone
-	Classes  []fleet.VisitClass
+	Classes  []fleet.RequestClass
 	Names    transport.Names
 	Now      func() fleet.Time
 	Minor    uint32 // of the protocol that updates say they are written for; 0: this program's
--- a/internal/service/hub_test.go
+++ b/internal/service/hub_test.go
@@ -35,7 +35,7 @@
 
 func newYard() *yard {
 	y := &yard{now: 1000 * fleet.Second}
-	y.hub = NewHub(HubOptions{Governor: "g", Epoch: 7, Zones: []Zone{{Name: "a", Proxy: 3}}, Classes: []fleet.VisitClass{{Name: "look"}, {Name: "book"}}, Names: names{},
+	y.hub = NewHub(HubOptions{Governor: "g", Epoch: 7, Zones: []Zone{{Name: "a", Proxy: 3}}, Classes: []fleet.RequestClass{{Name: "look"}, {Name: "book"}}, Names: names{},
 		Now: func() fleet.Time { return y.now }})
 	y.hub.sink = func(e transport.Event) { y.events = append(y.events, e) }
 	y.hub.join(y.hub.zones[0])
--- a/internal/service/rpc/words.go
+++ b/internal/service/rpc/words.go
@@ -82,7 +82,7 @@
 	u := service.Update{Minor: p.Minor, Governor: p.Governor, ListRev: p.ListRev, Live: p.Live, Zone: p.Zone, From: VersionOf(p.From), To: VersionOf(p.To),
 		Shut: p.LimitsOpen, Open: p.Open, Beat: p.Beat}
 	for _, c := range p.Classes {
-		t := service.ClassTable{Class: c.Class, Laid: c.Laid, Amount: int(c.Amount), Retry: fleet.Retry(c.Retry), Digest: tableversion.Digest(c.Digest)}
+		t := service.ClassTable{Class: c.Class, Laid: c.Laid, Amount: int(c.Amount), Retry: fleet.RetryMode(c.Retry), Digest: tableversion.Digest(c.Digest)}
 		for _, l := range c.Lines {
 			t.Lines = append(t.Lines, service.Line{Server: l.Server, Addr: l.Addr, Weight: int(l.Weight)})
 		}
@@ -95,8 +95,8 @@
 func HelloTo(h service.Hello) *pb.Hello {
 	p := &pb.Hello{Major: h.Major, Minor: h.Minor, Name: h.Name, Epoch: h.Epoch, Zones: h.Zones}
 	for _, c := range h.Classes {
-		p.Classes = append(p.Classes, &pb.Class{Name: c.Name, Effect: uint32(c.Effect), Group: uint32(c.Group), WindowNs: uint64(c.Window),
-			ExpectedNs: uint64(c.Expected), HardStopNs: uint64(c.HardStop)})
+		p.Classes = append(p.Classes, &pb.Class{Name: c.Name, Effect: uint32(c.Idempotency), Group: uint32(c.DeduplicationScope), WindowNs: uint64(c.DeduplicationWindow),
+			ExpectedNs: uint64(c.LatencyObjective), HardStopNs: uint64(c.Deadline)})
 	}
 	return p
 }
@@ -105,8 +105,8 @@
 func HelloOf(p *pb.Hello) service.Hello {
 	h := service.Hello{Major: p.Major, Minor: p.Minor, Name: p.Name, Epoch: p.Epoch, Zones: p.Zones}
 	for _, c := range p.Classes {
-		h.Classes = append(h.Classes, fleet.VisitClass{Name: c.Name, Effect: fleet.Effect(c.Effect), Group: fleet.Group(c.Group), Window: fleet.Time(c.WindowNs),
-			Expected: fleet.Time(c.ExpectedNs), HardStop: fleet.Time(c.HardStopNs)})
+		h.Classes = append(h.Classes, fleet.RequestClass{Name: c.Name, Idempotency: fleet.Idempotency(c.Effect), DeduplicationScope: fleet.DeduplicationScope(c.Group), DeduplicationWindow: fleet.Time(c.WindowNs),
+			LatencyObjective: fleet.Time(c.ExpectedNs), Deadline: fleet.Time(c.HardStopNs)})
 	}
 	return h
 }
--- a/internal/service/text/transcript_test.go
+++ b/internal/service/text/transcript_test.go
@@ -54,7 +54,7 @@
 // TestASessionKeepsItsBytes holds requests of the text protocol and what they are answered.
 func TestASessionKeepsItsBytes(t *testing.T) {
 	hub := service.NewHub(service.HubOptions{Governor: "g-1", Epoch: 9, Zones: []service.Zone{{Name: "a"}}, Names: names{"s0", "s1"},
-		Classes: []fleet.VisitClass{{Name: "look", Expected: fleet.Second, HardStop: 2 * fleet.Second}},
+		Classes: []fleet.RequestClass{{Name: "look", LatencyObjective: fleet.Second, Deadline: 2 * fleet.Second}},
 		Now:     func() fleet.Time { return 50 * fleet.Second }})
 	if err := hub.Start(context.Background(), func(transport.Event) {}); err != nil {
 		t.Fatal(err)
--- a/internal/service/text/words.go
+++ b/internal/service/text/words.go
@@ -89,8 +89,8 @@
 		o.row("zone").text("name", z)
 	}
 	for _, c := range h.Classes {
-		o.row("class").text("name", c.Name).num("effect", uint64(c.Effect)).num("group", uint64(c.Group)).num("window_ns", uint64(c.Window)).
-			num("expected_ns", uint64(c.Expected)).num("hard_stop_ns", uint64(c.HardStop))
+		o.row("class").text("name", c.Name).num("effect", uint64(c.Idempotency)).num("group", uint64(c.DeduplicationScope)).num("window_ns", uint64(c.DeduplicationWindow)).
+			num("expected_ns", uint64(c.LatencyObjective)).num("hard_stop_ns", uint64(c.Deadline))
 	}
 	return o.bytes()
 }
@@ -273,7 +273,7 @@
 			u = service.Update{Minor: uint32(r.num("minor", 32)), Governor: r.text("governor"), ListRev: r.num("list_rev", 64), Live: r.num("live", 1) == 1, Zone: r.text("zone"),
 				From: r.version("from"), To: r.version("to"), Shut: r.num("shut", 1) == 1, Beat: r.num("beat", 1) == 1}
 		case "class":
-			u.Classes = append(u.Classes, service.ClassTable{Class: r.text("name"), Laid: r.num("laid", 1) == 1, Amount: int(r.int("amount")), Retry: fleet.Retry(r.num("retry", 8)), Digest: r.digest("digest")})
+			u.Classes = append(u.Classes, service.ClassTable{Class: r.text("name"), Laid: r.num("laid", 1) == 1, Amount: int(r.int("amount")), Retry: fleet.RetryMode(r.num("retry", 8)), Digest: r.digest("digest")})
 		case "line":
 			if n := len(u.Classes); n > 0 {
 				c := &u.Classes[n-1]
@@ -297,8 +297,8 @@
 		case "zone":
 			h.Zones = append(h.Zones, r.text("name"))
 		case "class":
-			h.Classes = append(h.Classes, fleet.VisitClass{Name: r.text("name"), Effect: fleet.Effect(r.num("effect", 8)), Group: fleet.Group(r.num("group", 8)), Window: fleet.Time(r.num("window_ns", 63)),
-				Expected: fleet.Time(r.num("expected_ns", 63)), HardStop: fleet.Time(r.num("hard_stop_ns", 63))})
+			h.Classes = append(h.Classes, fleet.RequestClass{Name: r.text("name"), Idempotency: fleet.Idempotency(r.num("effect", 8)), DeduplicationScope: fleet.DeduplicationScope(r.num("group", 8)), DeduplicationWindow: fleet.Time(r.num("window_ns", 63)),
+				LatencyObjective: fleet.Time(r.num("expected_ns", 63)), Deadline: fleet.Time(r.num("hard_stop_ns", 63))})
 		}
 	})
 	return h, err
--- a/internal/service/words.go
+++ b/internal/service/words.go
@@ -64,7 +64,7 @@
 	Class  string
 	Laid   bool
 	Amount int // thousandths of the visits to let in; negative: all
-	Retry  fleet.Retry
+	Retry  fleet.RetryMode
 	Digest tableversion.Digest // of the whole
 	Lines  []Line              // by server; in a change those that differ
 }
@@ -90,7 +90,7 @@
 	Name         string
 	Epoch        uint64
 	Zones        []string
-	Classes      []fleet.VisitClass
+	Classes      []fleet.RequestClass
 }
 
 // Met is what a caller met at a server since its last report.
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -50,7 +50,7 @@
 
 // Item is one thing that befalls one instance: a Start, a Stop or a fleet.Event.
 type Item struct {
-	Governor fleet.GovernorID
+	Governor fleet.ControllerID
 	What     any
 }
 
@@ -65,7 +65,7 @@
 	in    io.Reader
 	at    int64 // bytes read before the current frame
 	frame []byte
-	pages [pageCount][]fleet.Entry
+	pages [pageCount][]fleet.Endpoint
 	known [pageCount]bool
 	items []Item
 }
@@ -138,7 +138,7 @@
 	if code == codeRegister {
 		r.register(&f)
 	} else {
-		governor := fleet.GovernorID(f.u16("governor"))
+		governor := fleet.ControllerID(f.u16("governor"))
 		what := r.event(code, &f, start)
 		if f.err == nil {
 			r.items = append(r.items, Item{governor, what})
@@ -156,16 +156,16 @@
 	if c.err != nil {
 		return
 	}
-	entries := make([]fleet.Entry, 0, n)
+	entries := make([]fleet.Endpoint, 0, n)
 	for ; n > 0 && c.err == nil; n-- {
-		e := fleet.Entry{}
+		e := fleet.Endpoint{}
 		switch state := c.u8("state"); state {
 		case 0:
-			e.State = fleet.Ready
+			e.State = fleet.ServerReady
 		case 1:
-			e.State = fleet.Draining
+			e.State = fleet.ServerDraining
 		case 2:
-			e.State = fleet.Gone
+			e.State = fleet.ServerGone
 		default:
 			c.fail("server state %d is unknown", state)
 		}
@@ -185,51 +185,51 @@
 func (r *Reader) event(code uint16, c *cursor, start int) any {
 	switch code {
 	case codePong:
-		return fleet.Probed{
+		return fleet.ProbeResult{
 			Server: fleet.ServerID(c.u32("replica")), Outcome: outcome(c.u16("result")),
-			Took: c.millis("durationMs"), Load: c.load(),
+			Duration: c.millis("durationMs"), Load: c.load(),
 		}
 	case codeCrashNow:
 		return Stop{}
 	case codeTimer:
-		return fleet.Alarm{ID: fleet.AlarmID(c.u32("token"))}
+		return fleet.TimerFired{ID: fleet.TimerID(c.u32("token"))}
 	case codeEnlist:
 		seed := c.u64("randomSeed")
 		return Start{Seed: seed, Options: c.bytes(c.count32("options", 1))}
 	case codeStoredLine:
-		return fleet.StoredLine{
+		return fleet.StoredEntry{
 			Slice: fleet.TableID(c.u16("sheet")), Server: fleet.ServerID(c.u32("replica")), Weight: c.f32("heft"),
 		}
 	case codeParted:
-		return fleet.Left{Proxy: fleet.ProxyID(c.u16("agent"))}
+		return fleet.ProxyLeft{Proxy: fleet.ProxyID(c.u16("agent"))}
 	case codeMessage:
-		from := fleet.GovernorID(c.u16("neighbour"))
-		return fleet.Message{From: from, Data: c.bytes(int(c.u16("octets")))}
+		from := fleet.ControllerID(c.u16("neighbour"))
+		return fleet.PeerMessage{From: from, Data: c.bytes(int(c.u16("octets")))}
 	case codeAcked:
 		took := c.millis("durationMs")
-		return fleet.Applied{Took: took, Proxy: fleet.ProxyID(c.u16("agent")), Mark: fleet.MarkID(c.u64("rev"))}
+		return fleet.BarrierReached{Delay: took, Proxy: fleet.ProxyID(c.u16("agent")), Barrier: fleet.BarrierID(c.u64("rev"))}
 	case codeCustody:
-		return fleet.Charge{Slice: fleet.TableID(c.u16("sheet")), Given: c.flag("active")}
+		return fleet.SliceAssigned{Slice: fleet.TableID(c.u16("sheet")), Assigned: c.flag("active")}
 	case codeAttached:
 		weight, zone := c.f32("heft"), fleet.ZoneID(c.u8("az"))
-		return fleet.Joined{
-			Weight: weight, Zone: zone, Proxy: fleet.ProxyID(c.u16("agent")), Fresh: c.flag("active"),
+		return fleet.ProxyJoined{
+			RequestRate: weight, Zone: zone, Proxy: fleet.ProxyID(c.u16("agent")), Fresh: c.flag("active"),
 		}
 	case codeSync:
 		return r.sync(c)
 	case codeRoundup:
-		e := fleet.Heard{Server: fleet.ServerID(c.u32("replica"))}
-		e.Failed, e.Tries = c.u32("unanswered"), c.u32("total")
-		e.Latency, e.Span = c.millis("durationMs"), c.millis("spanMs")
+		e := fleet.OutcomeReport{Server: fleet.ServerID(c.u32("replica"))}
+		e.Failures, e.Attempts = c.u32("unanswered"), c.u32("total")
+		e.Latency, e.Interval = c.millis("durationMs"), c.millis("spanMs")
 		e.Zone, e.Load = fleet.ZoneID(c.u8("az")), c.load()
 		return e
 	case codeRangeLoad:
-		e := fleet.SliceUsage{Slice: fleet.TableID(c.u16("sheet")), Class: fleet.ClassID(c.u8("profile"))}
-		e.Visits, e.NoAnswer, e.Span = c.u32("total"), c.u32("unanswered"), c.millis("spanMs")
+		e := fleet.SliceDemandReport{Slice: fleet.TableID(c.u16("sheet")), Class: fleet.ClassID(c.u8("profile"))}
+		e.Requests, e.Unanswered, e.Interval = c.u32("total"), c.u32("unanswered"), c.millis("spanMs")
 		return e
 	case codeProxyStats:
-		e := fleet.Usage{Proxy: fleet.ProxyID(c.u16("agent")), Class: fleet.ClassID(c.u8("profile"))}
-		e.Visits, e.NoAnswer, e.Span = c.u32("total"), c.u32("unanswered"), c.millis("spanMs")
+		e := fleet.DemandReport{Proxy: fleet.ProxyID(c.u16("agent")), Class: fleet.ClassID(c.u8("profile"))}
+		e.Requests, e.Unanswered, e.Interval = c.u32("total"), c.u32("unanswered"), c.millis("spanMs")
 		return e
 	}
 	c.pos = start
@@ -237,8 +237,8 @@
 	return nil
 }
 
-func (r *Reader) sync(c *cursor) fleet.List {
-	var list fleet.List
+func (r *Reader) sync(c *cursor) fleet.EndpointList {
+	var list fleet.EndpointList
 	scope := c.u8("scope")
 	switch scope {
 	case 0:
@@ -259,28 +259,28 @@
 		if !r.known[page] {
 			c.fail("list %d was never registered", page)
 		}
-		list.Entries = r.pages[page]
+		list.Endpoints = r.pages[page]
 	}
-	list.Rev = fleet.ListRev(c.u64("rev"))
+	list.Revision = fleet.ListRevision(c.u64("rev"))
 	return list
 }
 
-func outcome(code uint16) fleet.Outcome {
+func outcome(code uint16) fleet.ProbeOutcome {
 	switch code {
 	case 0:
-		return fleet.Answered
+		return fleet.ProbeAnswered
 	case 13:
-		return fleet.Failed
+		return fleet.ProbeFailed
 	case 8:
-		return fleet.TurnedAway
+		return fleet.ProbeRejected
 	case 4:
-		return fleet.NoAnswer
+		return fleet.ProbeTimedOut
 	case 14:
-		return fleet.Unreachable
+		return fleet.ProbeUnreachable
 	case 10:
-		return fleet.Broken
+		return fleet.ProbeConnectionBroken
 	}
-	return fleet.OtherOutcome
+	return fleet.ProbeOtherOutcome
 }
 
 // cursor walks over the fields of one frame and keeps the first thing that went wrong.
--- a/internal/simwire/site.go
+++ b/internal/simwire/site.go
@@ -86,31 +86,29 @@
 	p := parser{}
 	f := &o.Family
 	s := fleet.Site{
-		Me: o.Me, Governors: max(1, o.Balancers), Zone: fleet.ZoneID(o.Az), Zones: o.Dcs, Kinds: o.Kinds,
+		ControllerIndex: o.Me, Controllers: max(1, o.Balancers), Zone: fleet.ZoneID(o.Az), Zones: o.Dcs, Kinds: o.Kinds,
 		Tick:          millis(o.TickMs),
 		ListOnRequest: pick(&p, "discovery", o.Discovery, onRequest),
 		ListWeight:    pick(&p, "weightSource", o.Weights, listWeights),
-		Report:        pick(&p, "report.how", o.Report.How, reportWays),
-		Probes:        o.Limits.Probes, Peers: o.Limits.Peers,
-		Admission: pick(&p, "familyInfo.admission", f.Admission, admissions),
-		Proxies:   f.Agents, JoinByZone: f.ByZone, Standing: f.Bootstrap, Slices: f.Shards, Exclusive: f.Exclusive,
-		Tenure: millis(f.TenureMs), InFlightMost: millis(f.InFlightMaxMs), PerTry: f.PerTry,
-		RetryDefault: fleet.Retry(f.RetryDefault), OutlierAfter: f.OutlierAfter, ConnLeast: f.SmallestConn,
-		ReportEvery: millis(f.IntervalMs), ReportsPerS: f.ReportsPerS,
-		Travel: millis(f.PropagationMs), TravelMost: millis(f.PushDelayMax),
-		LinesPerS: p.need("familyInfo.egressPerS", f.EgressPerS), MessageHead: p.need("familyInfo.envelope", f.Envelope),
-		BacklogMost:  p.need("familyInfo.mostWaiting", f.MostWaiting),
-		MessagesMost: f.ReloadsMax, MessagesOver: millis(f.CountedOverMs),
-		BareMost:       millis(p.need("familyInfo.unservedMaxMs", f.UnservedMaxMs)),
-		ConnectTimeout: millis(o.Limits.ConnectTimeoutMs),
-		ColdFrom:       p.need("rules.coldFrom", o.Rules.ColdFrom),
-		ColdFor:        millis(p.need("rules.coldMs", o.Rules.ColdMs)),
-		FallFactor:     p.need("rules.overloadFactor", o.Rules.OverloadFactor),
-		FallFor:        millis(p.need("rules.fallMs", o.Rules.FallMs)),
-		DrainGrace:     millis(p.need("rules.drainGraceMs", o.Rules.DrainGraceMs)),
-		AskWithin:      millis(o.Rules.AskWithinMs),
-		GoneDoesNot:    o.Rules.RemovalNotBinding,
-		WorstClassPay:  o.Goal.WorstClass, WholePay: o.Goal.Whole,
+		LoadReports:   pick(&p, "report.how", o.Report.How, reportWays),
+		ProbesAllowed: o.Limits.Probes, PeersAllowed: o.Limits.Peers,
+		Admission:  pick(&p, "familyInfo.admission", f.Admission, admissions),
+		ProxyCount: f.Agents, JoinByZone: f.ByZone, StandingTableSize: f.Bootstrap, SliceCount: f.Shards, ExclusiveSlices: f.Exclusive,
+		WriteLeaseDuration: millis(f.TenureMs), MaxWriteDuration: millis(f.InFlightMaxMs), AttemptTimeoutFactor: f.PerTry,
+		DefaultRetry: fleet.RetryMode(f.RetryDefault), ProxyOutlierFailures: f.OutlierAfter, MinServerConnections: f.SmallestConn,
+		ReportInterval: millis(f.IntervalMs), ReportsPerSecond: f.ReportsPerS,
+		MeanUpdateDelay: millis(f.PropagationMs), MaxUpdateDelay: millis(f.PushDelayMax),
+		EntriesPerSecond: p.need("familyInfo.egressPerS", f.EgressPerS), MessageOverhead: p.need("familyInfo.envelope", f.Envelope),
+		MaxBacklog:  p.need("familyInfo.mostWaiting", f.MostWaiting),
+		MaxMessages: f.ReloadsMax, MessageWindow: millis(f.CountedOverMs),
+		MaxUnservedDuration: millis(p.need("familyInfo.unservedMaxMs", f.UnservedMaxMs)),
+		ConnectTimeout:      millis(o.Limits.ConnectTimeoutMs),
+		SlowStart:           fleet.SlowStart{InitialFraction: p.need("rules.coldFrom", o.Rules.ColdFrom), Duration: millis(p.need("rules.coldMs", o.Rules.ColdMs))},
+		RecoveryRamp:        fleet.RecoveryRamp{OverloadFactor: p.need("rules.overloadFactor", o.Rules.OverloadFactor), Duration: millis(p.need("rules.fallMs", o.Rules.FallMs))},
+		DrainTimeout:        millis(p.need("rules.drainGraceMs", o.Rules.DrainGraceMs)),
+		MaxPollInterval:     millis(o.Rules.AskWithinMs),
+		RemovalNotBinding:   o.Rules.RemovalNotBinding,
+		WorstClassWeight:    o.Goal.WorstClass, OverallWeight: o.Goal.Whole,
 	}
 	if len(s.Zones) == 0 {
 		s.Zones = []string{""} // a site that names no zones is one
@@ -123,20 +121,20 @@
 	}
 	for i, g := range o.Grades {
 		key := fmt.Sprintf("grades[%d]", i)
-		c := fleet.VisitClass{
-			Name: g.Name, Window: millis(g.WindowMs), Value: g.Worth, LateShare: g.LateShare,
-			Expected: millis(p.need(key+".targetMs", g.TargetMs)),
-			HardStop: millis(p.need(key+".deadlineMs", g.DeadlineMs)),
+		c := fleet.RequestClass{
+			Name: g.Name, DeduplicationWindow: millis(g.WindowMs), PriorityWeight: g.Worth, LateValueFraction: g.LateShare,
+			LatencyObjective: millis(p.need(key+".targetMs", g.TargetMs)),
+			Deadline:         millis(p.need(key+".deadlineMs", g.DeadlineMs)),
 		}
 		if g.Effect == nil {
 			p.fail(key+".effect", "is missing")
 		} else {
-			c.Effect = pick(&p, key+".effect", *g.Effect, effects)
+			c.Idempotency = pick(&p, key+".effect", *g.Effect, effects)
 		}
-		if c.Effect == fleet.Keyed {
-			c.Group = pick(&p, key+".group", g.Group, groups)
+		if c.Idempotency == fleet.IdempotentWithKey {
+			c.DeduplicationScope = pick(&p, key+".group", g.Group, groups)
 		}
-		c.StaysLocal = i < len(f.StaysLocal) && f.StaysLocal[i]
+		c.ZoneLocal = i < len(f.StaysLocal) && f.StaysLocal[i]
 		c.Writes = i < len(f.ClassWrites) && f.ClassWrites[i]
 		s.Classes = append(s.Classes, c)
 	}
@@ -145,18 +143,18 @@
 
 var (
 	onRequest   = map[string]bool{"pushed": false, "on_request": true}
-	listWeights = map[string]fleet.ListWeight{"": fleet.WeightNone, "off": fleet.WeightNone,
-		"nominal": fleet.WeightNominal, "rough": fleet.WeightRough, "live": fleet.WeightLive}
-	reportWays = map[string]fleet.ReportWay{"": fleet.ReportNever, "off": fleet.ReportNever,
-		"inline": fleet.ReportInline, "on_probe": fleet.ReportOnProbe}
-	admissions = map[string]fleet.Admission{"": fleet.AdmitAll, "off": fleet.AdmitAll,
-		"ratio": fleet.AdmitShare, "rps": fleet.AdmitRate}
-	effects = map[string]fleet.Effect{"read_like": fleet.Safe, "idempotency_key": fleet.Keyed,
-		"non_idempotent": fleet.Unsafe}
-	groups = map[string]fleet.Group{"all": fleet.GroupAll, "zone": fleet.GroupZone, "cell": fleet.GroupCell}
+	listWeights = map[string]fleet.ListWeight{"": fleet.ListWeightNone, "off": fleet.ListWeightNone,
+		"nominal": fleet.ListWeightNominal, "rough": fleet.ListWeightApproximate, "live": fleet.ListWeightLive}
+	reportWays = map[string]fleet.LoadReportMode{"": fleet.LoadReportNone, "off": fleet.LoadReportNone,
+		"inline": fleet.LoadReportInline, "on_probe": fleet.LoadReportOnProbe}
+	admissions = map[string]fleet.AdmissionMode{"": fleet.AdmissionUnlimited, "off": fleet.AdmissionUnlimited,
+		"ratio": fleet.AdmissionFraction, "rps": fleet.AdmissionRate}
+	effects = map[string]fleet.Idempotency{"read_like": fleet.Idempotent, "idempotency_key": fleet.IdempotentWithKey,
+		"non_idempotent": fleet.NotIdempotent}
+	groups = map[string]fleet.DeduplicationScope{"all": fleet.DeduplicationFleet, "zone": fleet.DeduplicationZone, "cell": fleet.DeduplicationCell}
 	// LoadFields are the wire's names of the figures of a load report.
-	LoadFields = map[string]fleet.LoadField{"rif": fleet.FieldHeld, "q": fleet.FieldQueue, "busy": fleet.FieldBusy,
-		"lat_ms": fleet.FieldServiceMs, "rate": fleet.FieldRate, "fail_rate": fleet.FieldErrorRate}
+	LoadFields = map[string]fleet.LoadField{"rif": fleet.LoadFieldInFlight, "q": fleet.LoadFieldQueueLength, "busy": fleet.LoadFieldUtilization,
+		"lat_ms": fleet.LoadFieldServiceTimeMs, "rate": fleet.LoadFieldRequestRate, "fail_rate": fleet.LoadFieldErrorRate}
 )
 
 // parser keeps the first thing that was wrong.
@@ -184,4 +182,4 @@
 	return v
 }
 
-func millis(ms float64) fleet.Time { return fleet.Millis(ms) }
+func millis(ms float64) fleet.Time { return fleet.Milliseconds(ms) }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -35,23 +35,23 @@
 	what  any
 }{
 	{"0101 02000000 0300", Stop{}},
-	{"0201 06000000 0300 4d000000", fleet.Alarm{ID: 77}},
+	{"0201 06000000 0300 4d000000", fleet.TimerFired{ID: 77}},
 	{"0001 1d000000 0300 f211902c 0000 666666666666f63f 03 52b81e3f0000e04000006841",
-		fleet.Probed{Server: 0x2c9011f2, Took: 1_400_000, Load: []float32{0.62, 7, 14.5}}},
-	{"0601 0a000000 0300 0200 0400 68692037", fleet.Message{From: 2, Data: []byte("hi 7")}},
-	{"0901 0a000000 0300 0000d040 00 2900 01", fleet.Joined{Proxy: 41, Weight: 6.5, Fresh: true}},
-	{"0501 04000000 0300 2900", fleet.Left{Proxy: 41}},
+		fleet.ProbeResult{Server: 0x2c9011f2, Duration: 1_400_000, Load: []float32{0.62, 7, 14.5}}},
+	{"0601 0a000000 0300 0200 0400 68692037", fleet.PeerMessage{From: 2, Data: []byte("hi 7")}},
+	{"0901 0a000000 0300 0000d040 00 2900 01", fleet.ProxyJoined{Proxy: 41, RequestRate: 6.5, Fresh: true}},
+	{"0501 04000000 0300 2900", fleet.ProxyLeft{Proxy: 41}},
 	{"0b01 2c000000 0300 074a1203 01000000 0e000000 0000000000204840 0000000000408f40 00 03 52b81e3f0000e04000006841",
-		fleet.Heard{Server: 0x03124a07, Failed: 1, Tries: 14, Latency: 48_250_000, Span: fleet.Second,
+		fleet.OutcomeReport{Server: 0x03124a07, Failures: 1, Attempts: 14, Latency: 48_250_000, Interval: fleet.Second,
 			Load: []float32{0.62, 7, 14.5}}},
 	{"0e01 15000000 0300 2900 00 09000000 00000000 0000000000409f40",
-		fleet.Usage{Proxy: 41, Visits: 9, Span: 2 * fleet.Second}},
+		fleet.DemandReport{Proxy: 41, Requests: 9, Interval: 2 * fleet.Second}},
 	{"0d01 15000000 0300 7500 00 17000000 02000000 0000000000408f40",
-		fleet.SliceUsage{Slice: 117, Visits: 23, NoAnswer: 2, Span: fleet.Second}},
-	{"0801 05000000 0300 7500 01", fleet.Charge{Slice: 117, Given: true}},
-	{"0401 0c000000 0300 7500 f211902c 0000803f", fleet.StoredLine{Slice: 117, Server: 0x2c9011f2, Weight: 1}},
+		fleet.SliceDemandReport{Slice: 117, Requests: 23, Unanswered: 2, Interval: fleet.Second}},
+	{"0801 05000000 0300 7500 01", fleet.SliceAssigned{Slice: 117, Assigned: true}},
+	{"0401 0c000000 0300 7500 f211902c 0000803f", fleet.StoredEntry{Slice: 117, Server: 0x2c9011f2, Weight: 1}},
 	{"0701 14000000 0300 0000000000c87940 2900 0c00000000000000",
-		fleet.Applied{Proxy: 41, Mark: 12, Took: 412_500_000}},
+		fleet.BarrierReached{Proxy: 41, Barrier: 12, Delay: 412_500_000}},
 }
 
 func TestEventsOfThePage(t *testing.T) {
@@ -79,11 +79,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, second := batch.Items[0].What.(fleet.List), batch.Items[1].What.(fleet.List)
-	if len(first.Entries) != 2 || first.Entries[1].Started != 6100*fleet.Millisecond || first.Rev != 41 {
+	first, second := batch.Items[0].What.(fleet.EndpointList), batch.Items[1].What.(fleet.EndpointList)
+	if len(first.Endpoints) != 2 || first.Endpoints[1].Started != 6100*fleet.Millisecond || first.Revision != 41 {
 		t.Errorf("first list is %+v", first)
 	}
-	if len(second.Entries) != 1 || second.Entries[0].State != fleet.Draining {
+	if len(second.Endpoints) != 1 || second.Endpoints[0].State != fleet.ServerDraining {
 		t.Errorf("second list is %+v", second)
 	}
 	if batch, err = r.Next(); err != nil || len(batch.Items) != 0 {
@@ -114,19 +114,19 @@
 
 func TestOrdersOfThePage(t *testing.T) {
 	for want, order := range map[string]fleet.Order{
-		"0001 0e000000 0300 0000000000407f40 4d000000": fleet.SetAlarm{After: 500 * fleet.Millisecond, ID: 77},
-		"0101 06000000 0300 f211902c":                  fleet.Probe{Server: 0x2c9011f2},
-		"0201 0c000000 0300 ffffffff 0400 68692037":    fleet.Tell{To: fleet.EveryPeer, Data: []byte("hi 7")},
-		"0501 03000000 0300 01":                        fleet.Watch{On: true},
-		"0601 02000000 0300":                           fleet.Fetch{},
-		"0701 0c000000 0300 7500 f211902c 0000403f":    fleet.Share{Table: 117, Server: 0x2c9011f2, Weight: 0.75},
-		"0801 04000000 0300 7500":                      fleet.Clear{Table: 117},
-		"0a01 08000000 0300 2900 7500 0000":            fleet.Bind{Proxy: 41, Table: 117},
-		"0901 07000000 0300 f211902c 01":               fleet.Withdraw{Server: 0x2c9011f2, Out: true},
-		"0b01 0b000000 0300 01 0000403f 0200 7500": fleet.Level{
-			Table: 117, Classes: 2, Amount: 0.75, Retry: fleet.RetryIfNeverRan},
-		"0c01 0b000000 0300 0c00000000000000 00":                     fleet.Mark{ID: 12},
-		"0301 15000000 0300 1100 74776f2073657276657273206b6e6f776e": fleet.Log{Text: "two servers known"},
+		"0001 0e000000 0300 0000000000407f40 4d000000": fleet.SetTimer{Delay: 500 * fleet.Millisecond, ID: 77},
+		"0101 06000000 0300 f211902c":                  fleet.ProbeServer{Server: 0x2c9011f2},
+		"0201 0c000000 0300 ffffffff 0400 68692037":    fleet.SendToPeer{To: fleet.AllPeers, Data: []byte("hi 7")},
+		"0501 03000000 0300 01":                        fleet.WatchEndpoints{Enabled: true},
+		"0601 02000000 0300":                           fleet.FetchEndpoints{},
+		"0701 0c000000 0300 7500 f211902c 0000403f":    fleet.SetWeight{Table: 117, Server: 0x2c9011f2, Weight: 0.75},
+		"0801 04000000 0300 7500":                      fleet.ClearTable{Table: 117},
+		"0a01 08000000 0300 2900 7500 0000":            fleet.AssignTable{Proxy: 41, Table: 117},
+		"0901 07000000 0300 f211902c 01":               fleet.WithdrawServer{Server: 0x2c9011f2, Withdrawn: true},
+		"0b01 0b000000 0300 01 0000403f 0200 7500": fleet.SetAdmission{
+			Table: 117, Classes: 2, Limit: 0.75, Retry: fleet.RetryIfNotExecuted},
+		"0c01 0b000000 0300 0c00000000000000 00":                     fleet.Barrier{ID: 12},
+		"0301 15000000 0300 1100 74776f2073657276657273206b6e6f776e": fleet.LogMessage{Text: "two servers known"},
 	} {
 		var w Writer
 		w.Begin()
@@ -152,9 +152,9 @@
 		t.Fatal(err)
 	}
 	c := site.Classes[0]
-	if !site.ListOnRequest || site.ListWeight != fleet.WeightLive || site.Admission != fleet.AdmitRate ||
-		site.DrainGrace != 3500500*fleet.Millisecond/1000 || site.LoadFields[0] != fleet.FieldBusy ||
-		c.Effect != fleet.Keyed || c.Group != fleet.GroupZone || !c.StaysLocal || c.Expected != 1500*fleet.Millisecond {
+	if !site.ListOnRequest || site.ListWeight != fleet.ListWeightLive || site.Admission != fleet.AdmissionRate ||
+		site.DrainTimeout != 3500500*fleet.Millisecond/1000 || site.LoadFields[0] != fleet.LoadFieldUtilization ||
+		c.Idempotency != fleet.IdempotentWithKey || c.DeduplicationScope != fleet.DeduplicationZone || !c.ZoneLocal || c.LatencyObjective != 1500*fleet.Millisecond {
 		t.Errorf("read %+v", site)
 	}
 	for _, key := range []string{"mostWaiting", "coldFrom", "drainGraceMs", "overloadFactor", "targetMs", "effect"} {
--- a/internal/simwire/write.go
+++ b/internal/simwire/write.go
@@ -47,42 +47,42 @@
 }
 
 // Crash says that an instance's decision code has failed.
-func (w *Writer) Crash(governor fleet.GovernorID, text string) {
+func (w *Writer) Crash(governor fleet.ControllerID, text string) {
 	w.open(codeCrash, governor, func() { w.text(text) })
 }
 
 // Order adds one order of an instance.
-func (w *Writer) Order(governor fleet.GovernorID, order fleet.Order) error {
+func (w *Writer) Order(governor fleet.ControllerID, order fleet.Order) error {
 	switch o := order.(type) {
-	case fleet.SetAlarm:
-		w.open(codeSetAlarm, governor, func() { w.millis(o.After); w.u32(uint32(o.ID)) })
-	case fleet.Probe:
+	case fleet.SetTimer:
+		w.open(codeSetAlarm, governor, func() { w.millis(o.Delay); w.u32(uint32(o.ID)) })
+	case fleet.ProbeServer:
 		w.open(codeProbe, governor, func() { w.u32(uint32(o.Server)) })
-	case fleet.Tell:
+	case fleet.SendToPeer:
 		w.open(codePublish, governor, func() { w.u32(uint32(o.To)); w.text(string(o.Data)) })
-	case fleet.Log:
+	case fleet.LogMessage:
 		w.open(codeLog, governor, func() { w.text(o.Text) })
-	case fleet.Watch:
-		w.open(codeTrack, governor, func() { w.flag(o.On) })
-	case fleet.Fetch:
+	case fleet.WatchEndpoints:
+		w.open(codeTrack, governor, func() { w.flag(o.Enabled) })
+	case fleet.FetchEndpoints:
 		w.open(codeSnapshot, governor, func() {})
-	case fleet.Share:
+	case fleet.SetWeight:
 		w.open(codeWeigh, governor, func() { w.u16(uint16(o.Table)); w.u32(uint32(o.Server)); w.f32(o.Weight) })
-	case fleet.Clear:
+	case fleet.ClearTable:
 		w.open(codeEmpty, governor, func() { w.u16(uint16(o.Table)) })
-	case fleet.Withdraw:
-		w.open(codeMask, governor, func() { w.u32(uint32(o.Server)); w.flag(o.Out) })
-	case fleet.Bind:
+	case fleet.WithdrawServer:
+		w.open(codeMask, governor, func() { w.u32(uint32(o.Server)); w.flag(o.Withdrawn) })
+	case fleet.AssignTable:
 		w.open(codePin, governor, func() { w.u16(uint16(o.Proxy)); w.u16(uint16(o.Table)); w.u16(uint16(o.Classes)) })
-	case fleet.Level:
+	case fleet.SetAdmission:
 		w.open(codeLevel, governor, func() {
 			w.u8(uint8(o.Retry))
-			w.f32(o.Amount)
+			w.f32(o.Limit)
 			w.u16(uint16(o.Classes))
 			w.u16(uint16(o.Table))
 		})
-	case fleet.Mark:
-		w.open(codeBarrier, governor, func() { w.u64(uint64(o.ID)); w.flag(o.All) })
+	case fleet.Barrier:
+		w.open(codeBarrier, governor, func() { w.u64(uint64(o.ID)); w.flag(o.AllProxies) })
 	default:
 		return fmt.Errorf("order %T has no form on this wire", order)
 	}
@@ -90,7 +90,7 @@
 }
 
 // open writes a record's head, lets fields write the rest and fills in the length.
-func (w *Writer) open(code uint16, governor fleet.GovernorID, fields func()) {
+func (w *Writer) open(code uint16, governor fleet.ControllerID, fields func()) {
 	start := len(w.buf)
 	w.u16(code)
 	w.u32(0)
--- a/internal/transport/files/front.go
+++ b/internal/transport/files/front.go
@@ -30,7 +30,7 @@
 type Options struct {
 	Proxies   []transport.Proxy
 	Classes   []transport.Class
-	Admission fleet.Admission
+	Admission fleet.AdmissionMode
 	Names     transport.Names
 	// Fault, in tests, is asked before each step of a swap (0 to 4: create, write, sync, rename, sync the folder) and
 	// fails it: as a full disk does, or, with ErrCut, as a kill does.
@@ -308,7 +308,7 @@
 					amount = -1
 				}
 				snap.Stamps = append(snap.Stamps, stamps[class.Name])
-				snap.Levels[c] = reconcile.Level{Known: told && too, Amount: int32(amount), Retry: fleet.Retry(retry)}
+				snap.Levels[c] = reconcile.Level{Known: told && too, Amount: int32(amount), Retry: fleet.RetryMode(retry)}
 			}
 		}
 	}
--- a/internal/transport/haproxy/front.go
+++ b/internal/transport/haproxy/front.go
@@ -29,7 +29,7 @@
 	Classes   []transport.Class
 	Map       string // file or #id of the map that holds levels
 	Table     string // stick table that holds what answers told, "" for none
-	Admission fleet.Admission
+	Admission fleet.AdmissionMode
 	Names     transport.Names
 	Pollers   int // event loops of sockets; 0: the library's own choice
 
--- a/internal/transport/haproxy/session.go
+++ b/internal/transport/haproxy/session.go
@@ -341,7 +341,7 @@
 				l.Amount = -1
 			}
 		case key == class.Name+transport.RetryKey:
-			l.Retry = fleet.Retry(n)
+			l.Retry = fleet.RetryMode(n)
 		}
 		l.Known = s.keys[s.amountKey(class.Name)] && s.keys[class.Name+transport.RetryKey]
 	}
--- a/internal/transport/levels.go
+++ b/internal/transport/levels.go
@@ -17,16 +17,16 @@
 )
 
 // AmountKey names a class's amount.
-func AmountKey(how fleet.Admission, class string) string {
-	if how == fleet.AdmitRate {
+func AmountKey(how fleet.AdmissionMode, class string) string {
+	if how == fleet.AdmissionRate {
 		return class + ".rate"
 	}
 	return class + ".share"
 }
 
 // AmountAll is the amount that lets all in.
-func AmountAll(how fleet.Admission) int32 {
-	if how == fleet.AdmitRate {
+func AmountAll(how fleet.AdmissionMode) int32 {
+	if how == fleet.AdmissionRate {
 		return rateAll
 	}
 	return shareAll
--- a/internal/transport/relay/answer.go
+++ b/internal/transport/relay/answer.go
@@ -104,12 +104,12 @@
 		if zone < 0 {
 			r.err = errors.Join(r.err, fmt.Errorf("locality %.40q is unknown", fields.Get("locality")))
 		}
-		e = fleet.Joined{Proxy: node, Zone: fleet.ZoneID(zone), Weight: r.number("w", 1e9), Fresh: r.number("cold", 1) == 1}
+		e = fleet.ProxyJoined{Proxy: node, Zone: fleet.ZoneID(zone), RequestRate: r.number("w", 1e9), Fresh: r.number("cold", 1) == 1}
 	case "left":
-		e = fleet.Left{Proxy: node}
+		e = fleet.ProxyLeft{Proxy: node}
 	case "applied":
-		e = fleet.Applied{Proxy: node, Mark: fleet.MarkID(r.number("nonce", 65535)),
-			Took: fleet.Millisecond.Scale(r.number("latency", 1e9))}
+		e = fleet.BarrierReached{Proxy: node, Barrier: fleet.BarrierID(r.number("nonce", 65535)),
+			Delay: fleet.Millisecond.Scale(r.number("latency", 1e9))}
 	default:
 		return nil, nil // of a later protocol
 	}
--- a/internal/transport/relay/queue.go
+++ b/internal/transport/relay/queue.go
@@ -24,25 +24,25 @@
 // Text prints an order as the relay reads it. Classes are named by the site.
 func (o Op) Text(classes []string) string {
 	switch v := o.Order.(type) {
-	case fleet.Share:
+	case fleet.SetWeight:
 		return "share," + number(v.Table) + "," + o.Server + "," + figure(v.Weight)
-	case fleet.Clear:
+	case fleet.ClearTable:
 		return "clear," + number(v.Table)
-	case fleet.Bind:
+	case fleet.AssignTable:
 		return "bind," + number(v.Proxy) + "," + number(v.Table) + "," + set(v.Classes, classes)
-	case fleet.Withdraw:
-		if v.Out {
+	case fleet.WithdrawServer:
+		if v.Withdrawn {
 			return "withdraw," + o.Server
 		}
 		return "restore," + o.Server
-	case fleet.Level:
+	case fleet.SetAdmission:
 		table := "*"
-		if v.Table != fleet.EveryTable {
+		if v.Table != fleet.AllTables {
 			table = number(v.Table)
 		}
-		return "admit," + table + "," + set(v.Classes, classes) + "," + figure(v.Amount) + "," + number(v.Retry)
-	case fleet.Mark:
-		return "mark," + number(v.ID) + "," + map[bool]string{false: "0", true: "1"}[v.All]
+		return "admit," + table + "," + set(v.Classes, classes) + "," + figure(v.Limit) + "," + number(v.Retry)
+	case fleet.Barrier:
+		return "mark," + number(v.ID) + "," + map[bool]string{false: "0", true: "1"}[v.AllProxies]
 	}
 	return ""
 }
@@ -87,15 +87,15 @@
 
 func (o Op) key() key {
 	switch v := o.Order.(type) {
-	case fleet.Share:
+	case fleet.SetWeight:
 		return key{kind: placeShare, table: uint16(v.Table), server: o.Server}
-	case fleet.Clear:
+	case fleet.ClearTable:
 		return key{kind: placeClear, table: uint16(v.Table)}
-	case fleet.Bind:
+	case fleet.AssignTable:
 		return key{kind: placeBind, number: uint16(v.Proxy), classes: v.Classes}
-	case fleet.Withdraw:
+	case fleet.WithdrawServer:
 		return key{kind: placeWithdraw, server: o.Server}
-	case fleet.Level:
+	case fleet.SetAdmission:
 		return key{kind: placeLevel, table: uint16(v.Table), classes: v.Classes}
 	}
 	return key{kind: placeMark}
@@ -103,12 +103,12 @@
 
 func (o Op) place() uint8 {
 	switch v := o.Order.(type) {
-	case fleet.Share:
+	case fleet.SetWeight:
 		if v.Weight == 0 {
 			return placeRemove
 		}
-	case fleet.Withdraw:
-		if !v.Out {
+	case fleet.WithdrawServer:
+		if !v.Withdrawn {
 			return placeRestore
 		}
 	}
@@ -122,7 +122,7 @@
 	cleared := map[uint16]int{}
 	for i, o := range ops {
 		last[o.key()] = i
-		if c, is := o.Order.(fleet.Clear); is {
+		if c, is := o.Order.(fleet.ClearTable); is {
 			cleared[uint16(c.Table)] = i
 		}
 	}
@@ -168,7 +168,7 @@
 // Put adds the orders of a step.
 func (q *Queue) Put(ops []Op) {
 	for _, o := range ops {
-		if b, is := o.Order.(fleet.Bind); is {
+		if b, is := o.Order.(fleet.AssignTable); is {
 			delete(q.left, b.Proxy)
 		}
 	}
@@ -188,7 +188,7 @@
 		clear(q.left)
 	}
 	q.waiting = slices.DeleteFunc(q.waiting, func(o Op) bool {
-		b, is := o.Order.(fleet.Bind)
+		b, is := o.Order.(fleet.AssignTable)
 		return is && b.Proxy == id
 	})
 }
@@ -229,7 +229,7 @@
 			newer[o.key()] = true
 		}
 		for _, o := range q.call {
-			if b, is := o.Order.(fleet.Bind); !newer[o.key()] && !(is && q.left[b.Proxy]) {
+			if b, is := o.Order.(fleet.AssignTable); !newer[o.key()] && !(is && q.left[b.Proxy]) {
 				unconfirmed = append(unconfirmed, o)
 			}
 		}
@@ -248,7 +248,7 @@
 		}
 	}
 	q.call = slices.DeleteFunc(q.call, func(o Op) bool {
-		b, is := o.Order.(fleet.Bind)
+		b, is := o.Order.(fleet.AssignTable)
 		return is && q.left[b.Proxy]
 	})
 	if len(q.call) == 0 {
--- a/internal/transport/relay/relay_test.go
+++ b/internal/transport/relay/relay_test.go
@@ -88,13 +88,13 @@
 func (d *desk) anew(o Op) (ops []Op) {
 	line := func(table fleet.TableID, server, weight string) {
 		w, _ := strconv.ParseFloat(weight, 32)
-		ops = append(ops, Op{Order: fleet.Share{Table: table, Weight: float32(w)}, Server: server})
+		ops = append(ops, Op{Order: fleet.SetWeight{Table: table, Weight: float32(w)}, Server: server})
 	}
 	level := func(table fleet.TableID, class int) {
 		var amount float32
-		var retry fleet.Retry
+		var retry fleet.RetryMode
 		if n, _ := fmt.Sscan(d.levels[fmt.Sprint(table, " ", classes[class])], &amount, &retry); n == 2 {
-			ops = append(ops, Op{Order: fleet.Level{Table: table, Classes: 1 << class, Amount: amount, Retry: retry}})
+			ops = append(ops, Op{Order: fleet.SetAdmission{Table: table, Classes: 1 << class, Limit: amount, Retry: retry}})
 		}
 	}
 	each := func(set fleet.ClassSet, do func(class int)) {
@@ -105,18 +105,18 @@
 		}
 	}
 	switch v := o.Order.(type) {
-	case fleet.Share:
+	case fleet.SetWeight:
 		line(v.Table, o.Server, d.shares[fmt.Sprint(v.Table, " ", o.Server)])
-	case fleet.Withdraw:
-		ops = []Op{{Order: fleet.Withdraw{Out: d.out[o.Server]}, Server: o.Server}}
-	case fleet.Level:
+	case fleet.WithdrawServer:
+		ops = []Op{{Order: fleet.WithdrawServer{Withdrawn: d.out[o.Server]}, Server: o.Server}}
+	case fleet.SetAdmission:
 		each(v.Classes, func(class int) { level(v.Table, class) })
-	case fleet.Bind:
+	case fleet.AssignTable:
 		each(v.Classes, func(class int) {
 			table, _ := strconv.Atoi(d.binds[fmt.Sprint(v.Proxy, " ", classes[class])])
-			ops = append(ops, Op{Order: fleet.Bind{Proxy: v.Proxy, Table: fleet.TableID(table), Classes: 1 << class}})
+			ops = append(ops, Op{Order: fleet.AssignTable{Proxy: v.Proxy, Table: fleet.TableID(table), Classes: 1 << class}})
 		})
-	case fleet.Clear:
+	case fleet.ClearTable:
 		ops = []Op{o}
 		for k, weight := range d.shares {
 			if table, server, _ := strings.Cut(k, " "); table == fmt.Sprint(v.Table) {
@@ -133,17 +133,17 @@
 	set := fleet.ClassSet(rapid.IntRange(0, 7).Draw(t, "classes"))
 	switch rapid.IntRange(0, 7).Draw(t, "kind") {
 	case 0:
-		return Op{Order: fleet.Clear{Table: table}}
+		return Op{Order: fleet.ClearTable{Table: table}}
 	case 1:
-		return Op{Order: fleet.Bind{Proxy: fleet.ProxyID(rapid.IntRange(0, 2).Draw(t, "proxy")), Table: table, Classes: set}}
+		return Op{Order: fleet.AssignTable{Proxy: fleet.ProxyID(rapid.IntRange(0, 2).Draw(t, "proxy")), Table: table, Classes: set}}
 	case 2:
-		return Op{Order: fleet.Withdraw{Out: rapid.Bool().Draw(t, "out")}, Server: server}
+		return Op{Order: fleet.WithdrawServer{Withdrawn: rapid.Bool().Draw(t, "out")}, Server: server}
 	case 3:
-		return Op{Order: fleet.Level{Table: table, Classes: set, Amount: rapid.Float32Range(0, 1e6).Draw(t, "amount"), Retry: 2}}
+		return Op{Order: fleet.SetAdmission{Table: table, Classes: set, Limit: rapid.Float32Range(0, 1e6).Draw(t, "amount"), Retry: 2}}
 	case 4:
-		return Op{Order: fleet.Mark{ID: 7}}
+		return Op{Order: fleet.Barrier{ID: 7}}
 	}
-	return Op{Order: fleet.Share{Table: table, Weight: float32(rapid.IntRange(0, 3).Draw(t, "weight"))}, Server: server}
+	return Op{Order: fleet.SetWeight{Table: table, Weight: float32(rapid.IntRange(0, 3).Draw(t, "weight"))}, Server: server}
 }
 
 // Whatever becomes of calls, in the end what holds is what holds after all orders in turn, if what nobody knows of is ordered again;
@@ -183,7 +183,7 @@
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			ops := rapid.SliceOfN(rapid.Custom(anyOp), 1, 6).Draw(t, "ops")
 			if rapid.IntRange(0, 9).Draw(t, "spoil") == 0 {
-				ops = append(ops, Op{Order: fleet.Share{Weight: -1}, Server: "s-9"})
+				ops = append(ops, Op{Order: fleet.SetWeight{Weight: -1}, Server: "s-9"})
 			}
 			for _, o := range ops {
 				want.carryOut(o.Text(classes))
@@ -211,8 +211,8 @@
 // What adds stands before what takes away: no table that a proxy is on is empty on the way, also where a call is cut in two.
 func TestFoldKeepsATableFilled(t *testing.T) {
 	folded := fold([]Op{
-		{Order: fleet.Share{Table: 1, Weight: 0}, Server: "old"}, {Order: fleet.Withdraw{Out: true}, Server: "old"},
-		{Order: fleet.Mark{ID: 1}}, {Order: fleet.Share{Table: 1, Weight: 1}, Server: "new"}, {Order: fleet.Mark{ID: 2}}})
+		{Order: fleet.SetWeight{Table: 1, Weight: 0}, Server: "old"}, {Order: fleet.WithdrawServer{Withdrawn: true}, Server: "old"},
+		{Order: fleet.Barrier{ID: 1}}, {Order: fleet.SetWeight{Table: 1, Weight: 1}, Server: "new"}, {Order: fleet.Barrier{ID: 2}}})
 	var text []string
 	for _, o := range folded {
 		text = append(text, o.Text(classes))
@@ -224,14 +224,14 @@
 
 func TestOrdersPrint(t *testing.T) {
 	for want, op := range map[string]Op{
-		"share,4,s-5,1.5":              {Order: fleet.Share{Table: 4, Weight: 1.5}, Server: "s-5"},
-		"share,4,s-5,0.00000012345679": {Order: fleet.Share{Table: 4, Weight: 1.2345679e-7}, Server: "s-5"},
-		"bind,17,4,look+issue":         {Order: fleet.Bind{Proxy: 17, Table: 4, Classes: 5}},
-		"admit,*,*,1000000,1":          {Order: fleet.Level{Table: fleet.EveryTable, Amount: 1e6, Retry: fleet.RetryIfNeverRan}},
-		"mark,905,1":                   {Order: fleet.Mark{ID: 905, All: true}},
-		"restore,s-5":                  {Order: fleet.Withdraw{}, Server: "s-5"},
-		"admit,4,book,0.9,2":           {Order: fleet.Level{Table: 4, Classes: 2, Amount: 0.9, Retry: 2}},
-		"share,65534,s-5,340282350000000000000000000000000000000": {Order: fleet.Share{Table: 65534, Weight: 3.4028235e38}, Server: "s-5"},
+		"share,4,s-5,1.5":              {Order: fleet.SetWeight{Table: 4, Weight: 1.5}, Server: "s-5"},
+		"share,4,s-5,0.00000012345679": {Order: fleet.SetWeight{Table: 4, Weight: 1.2345679e-7}, Server: "s-5"},
+		"bind,17,4,look+issue":         {Order: fleet.AssignTable{Proxy: 17, Table: 4, Classes: 5}},
+		"admit,*,*,1000000,1":          {Order: fleet.SetAdmission{Table: fleet.AllTables, Limit: 1e6, Retry: fleet.RetryIfNotExecuted}},
+		"mark,905,1":                   {Order: fleet.Barrier{ID: 905, AllProxies: true}},
+		"restore,s-5":                  {Order: fleet.WithdrawServer{}, Server: "s-5"},
+		"admit,4,book,0.9,2":           {Order: fleet.SetAdmission{Table: 4, Classes: 2, Limit: 0.9, Retry: 2}},
+		"share,65534,s-5,340282350000000000000000000000000000000": {Order: fleet.SetWeight{Table: 65534, Weight: 3.4028235e38}, Server: "s-5"},
 	} {
 		if got := op.Text(classes); got != want {
 			t.Errorf("printed %s, not %s", got, want)
@@ -274,7 +274,7 @@
 func TestNewsAreRead(t *testing.T) {
 	zones := []string{"a", "b"}
 	e, err := event("joined", "node=17&locality=b&w=21.5&cold=1", zones, 20)
-	if want := (fleet.Joined{Proxy: 17, Zone: 1, Weight: 21.5, Fresh: true}); err != nil || e != want {
+	if want := (fleet.ProxyJoined{Proxy: 17, Zone: 1, RequestRate: 21.5, Fresh: true}); err != nil || e != want {
 		t.Errorf("%v, %v", e, err)
 	}
 	for _, data := range []string{"node=20&locality=a&w=1&cold=0", "node=1&locality=c&w=1&cold=0", "node=1&locality=a&w=NaN&cold=0", "locality=a", "%zz"} {
@@ -395,8 +395,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	f.Start(ctx)
 	t.Cleanup(func() { cancel(); f.Wait() })
-	x := func(weight float32) Op { return Op{Order: fleet.Share{Table: 1, Weight: weight}, Server: "x"} }
-	y := Op{Order: fleet.Share{Table: 1, Weight: 4}, Server: "y"}
+	x := func(weight float32) Op { return Op{Order: fleet.SetWeight{Table: 1, Weight: weight}, Server: "x"} }
+	y := Op{Order: fleet.SetWeight{Table: 1, Weight: 4}, Server: "y"}
 	f.Put([]Op{x(1), y})
 	for _, fate := range []string{"limit", "break"} {
 		if got := next(t, s.seen); got != fate+": share,1,x,1;share,1,y,4" {
@@ -435,7 +435,7 @@
 	s := newStandin(t)
 	s.desk.joined = func(p string) bool { return p != "3" }
 	f, _ := started(t, s)
-	f.Put([]Op{{Order: fleet.Bind{Proxy: 2, Table: 1}}, {Order: fleet.Bind{Proxy: 3, Table: 1}}, {Order: fleet.Bind{Proxy: 4, Table: 1}}})
+	f.Put([]Op{{Order: fleet.AssignTable{Proxy: 2, Table: 1}}, {Order: fleet.AssignTable{Proxy: 3, Table: 1}}, {Order: fleet.AssignTable{Proxy: 4, Table: 1}}})
 	for _, want := range []string{": bind,2,1,*;bind,3,1,*;bind,4,1,*", ": bind,3,1,*;bind,4,1,*", ": bind,4,1,*"} {
 		if got := next(t, s.seen); got != want {
 			t.Errorf("call %q, not %q", got, want)
@@ -472,7 +472,7 @@
 	f.Move(moved.addr())
 	tell := next(t, moved.streams)
 	second <- "event: left\ndata: node=1\n\n"
-	if n := next(t, news); n.What != Told || n.Stream != 2 || n.Event != (fleet.Left{Proxy: 1}) {
+	if n := next(t, news); n.What != Told || n.Stream != 2 || n.Event != (fleet.ProxyLeft{Proxy: 1}) {
 		t.Fatalf("%+v, not what the old stream told last", n)
 	}
 	if n := next(t, news); n.What != Opened || n.Stream != 3 || !n.Whole {
@@ -549,9 +549,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	f.Start(ctx)
 	t.Cleanup(func() { cancel(); f.Wait() })
-	f.Put([]Op{{Order: fleet.Withdraw{Out: true}, Server: "x"}})
+	f.Put([]Op{{Order: fleet.WithdrawServer{Withdrawn: true}, Server: "x"}})
 	next(t, s.seen)
-	f.Put([]Op{{Order: fleet.Withdraw{Out: true}, Server: "y"}})
+	f.Put([]Op{{Order: fleet.WithdrawServer{Withdrawn: true}, Server: "y"}})
 	for range 5 {
 		s.gate <- struct{}{}
 	}
@@ -598,7 +598,7 @@
 	l.Close()
 	f := New(Options{Addr: addr, Classes: classes, Proxies: 10, Log: zerolog.Nop(), Sink: func(News) {}})
 	for i := range 10_000 {
-		f.Put([]Op{{Order: fleet.Share{Table: 1, Weight: float32(i)}, Server: fmt.Sprint(i % 7)}, {Order: fleet.Mark{ID: fleet.MarkID(i % 9)}}})
+		f.Put([]Op{{Order: fleet.SetWeight{Table: 1, Weight: float32(i)}, Server: fmt.Sprint(i % 7)}, {Order: fleet.Barrier{ID: fleet.BarrierID(i % 9)}}})
 	}
 	if n := len(f.queue.waiting); n > 8 {
 		t.Errorf("%d orders wait, of seven lines and a mark", n)
--- a/internal/transport/relay/transcript_test.go
+++ b/internal/transport/relay/transcript_test.go
@@ -37,10 +37,10 @@
 	t.Cleanup(func() { _ = server.Close() })
 	f := New(Options{Addr: l.Addr().String(), Zones: []string{"a"}, Classes: classes, Proxies: 10, Log: zerolog.Nop(), Sink: func(News) {}})
 	f.Put([]Op{
-		{Order: fleet.Share{Table: 4, Weight: 1.5}, Server: "s-5"}, {Order: fleet.Share{Table: 4, Weight: 0}, Server: "s 6"},
-		{Order: fleet.Clear{Table: 3}}, {Order: fleet.Bind{Proxy: 17, Table: 4, Classes: 5}}, {Order: fleet.Withdraw{Out: true}, Server: "s-5"},
-		{Order: fleet.Withdraw{}, Server: "s-7"}, {Order: fleet.Level{Table: fleet.EveryTable, Amount: 1e6, Retry: fleet.RetryIfNeverRan}},
-		{Order: fleet.Level{Table: 4, Classes: 2, Amount: 0.9, Retry: fleet.RetryTwice}}, {Order: fleet.Mark{ID: 905, All: true}}})
+		{Order: fleet.SetWeight{Table: 4, Weight: 1.5}, Server: "s-5"}, {Order: fleet.SetWeight{Table: 4, Weight: 0}, Server: "s 6"},
+		{Order: fleet.ClearTable{Table: 3}}, {Order: fleet.AssignTable{Proxy: 17, Table: 4, Classes: 5}}, {Order: fleet.WithdrawServer{Withdrawn: true}, Server: "s-5"},
+		{Order: fleet.WithdrawServer{}, Server: "s-7"}, {Order: fleet.SetAdmission{Table: fleet.AllTables, Limit: 1e6, Retry: fleet.RetryIfNotExecuted}},
+		{Order: fleet.SetAdmission{Table: 4, Classes: 2, Limit: 0.9, Retry: fleet.RetryTwice}}, {Order: fleet.Barrier{ID: 905, AllProxies: true}}})
 	ctx, cancel := context.WithCancel(context.Background())
 	f.Start(ctx)
 	t.Cleanup(func() { cancel(); f.Wait() })
@@ -65,10 +65,10 @@
 		"event: applied\ndata: node=3&nonce=65535&latency=12.5\n\n"}, "")
 	for _, want := range []News{
 		{Stream: 1, What: Opened},
-		{Stream: 1, What: Told, Event: fleet.Joined{Proxy: 7, Weight: 2.5, Fresh: true}},
-		{Stream: 1, What: Told, Event: fleet.Left{Proxy: 7}},
+		{Stream: 1, What: Told, Event: fleet.ProxyJoined{Proxy: 7, RequestRate: 2.5, Fresh: true}},
+		{Stream: 1, What: Told, Event: fleet.ProxyLeft{Proxy: 7}},
 		{Stream: 1, What: Settled},
-		{Stream: 1, What: Told, Event: fleet.Applied{Proxy: 3, Mark: 65535, Took: 12_500_000}},
+		{Stream: 1, What: Told, Event: fleet.BarrierReached{Proxy: 3, Barrier: 65535, Delay: 12_500_000}},
 	} {
 		if got := next(t, news); got != want {
 			t.Errorf("heard %+v, want %+v", got, want)
