--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -29,7 +29,7 @@
 		all[i] = i
 	}
 	g.open(1, all...)
-	g.lay(reconcile.AddLine, reconcile.In, 128, all...)
+	g.lay(reconcile.AddEntry, reconcile.StateReady, 128, all...)
 	return g
 }
 
@@ -62,10 +62,10 @@
 					if via.name == "runtime" { // a watch has a connection of its own; sockets of one process are bounded
 						conn.Close()
 					}
-					holds := tableversion.None
+					holds := tableversion.NoVersion
 					for ctx.Err() == nil {
 						if err := conn.Watch(ctx, "a", holds, func(u *service.Update) error {
-							if holds = u.To; !u.Beat && got.Add(1) == goal.Load() {
+							if holds = u.To; !u.Heartbeat && got.Add(1) == goal.Load() {
 								reached <- struct{}{}
 							}
 							return nil
@@ -91,7 +91,7 @@
 				for k := range servers {
 					servers[k] = (n*20 + k) % 700
 				}
-				g.lay(reconcile.SetLine, reconcile.Stays, int16(n%250+1), servers...)
+				g.lay(reconcile.UpdateEntry, reconcile.StateUnchanged, int16(n%250+1), servers...)
 				select {
 				case <-reached:
 				case <-time.After(20 * time.Second):
@@ -114,17 +114,17 @@
 	var all []reconcile.Change
 	for c := range 3 {
 		for s := range 700 {
-			all = append(all, reconcile.Change{Kind: reconcile.AddLine, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 128, State: reconcile.In})
+			all = append(all, reconcile.Change{Kind: reconcile.AddEntry, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 128, State: reconcile.StateReady})
 		}
 	}
 	v.Apply(all, names{1000}.Of)
 	from := v.Version()
 	for c := range 3 {
 		for s := range 20 {
-			v.Apply([]reconcile.Change{{Kind: reconcile.SetLine, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 64}}, names{1000}.Of)
+			v.Apply([]reconcile.Change{{Kind: reconcile.UpdateEntry, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 64}}, names{1000}.Of)
 		}
 	}
-	for name, u := range map[string]service.Update{"change": v.Since(from), "whole": v.Since(tableversion.None)} {
+	for name, u := range map[string]service.Update{"change": v.Since(from), "whole": v.Since(tableversion.NoVersion)} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
 				b.ReportMetric(float64(proto.Size(overrpc.UpdateTo(&u))), "rpc_bytes")
--- a/client/client.go
+++ b/client/client.go
@@ -300,7 +300,7 @@
 	c.word.Store(int64(now))
 	lines := 0
 	for _, t := range u.Classes {
-		lines += len(t.Lines)
+		lines += len(t.Endpoints)
 	}
 	c.lay(now)
 	c.cfg.OnTable(u.To, lines)
@@ -425,7 +425,7 @@
 }
 
 // Lines gives what a class's visits go by.
-func (c *Client) Lines(class string) []service.Line {
+func (c *Client) Lines(class string) []service.Endpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	lines, _, _, _ := c.held.Lines(class)
--- a/client/do.go
+++ b/client/do.go
@@ -186,11 +186,11 @@
 func (c *Client) gather() {
 	r := &service.Report{}
 	flush := func() {
-		if len(r.Met)+len(r.Came) == 0 {
+		if len(r.Outcomes)+len(r.Demands) == 0 {
 			return
 		}
 		c.seq++
-		r.Zone, r.Session, r.Seq = c.cfg.Zone, c.session, c.seq
+		r.Zone, r.Session, r.Sequence = c.cfg.Zone, c.session, c.seq
 		c.pending = append(c.pending, r)
 		r = &service.Report{}
 	}
@@ -200,16 +200,16 @@
 			continue
 		}
 		// Good and failed ones are counted after tries: what is taken here of them is of tries that are, so sums stay in bounds.
-		m := service.Met{Server: name, Good: n.counts.good.Swap(0), Failed: n.counts.failed.Swap(0), GoodMs: n.counts.goodMs.Swap(0)}
-		m.Tries = m.Good + m.Failed
-		n.counts.tries.Add(-m.Tries)
+		m := service.ServerOutcome{Server: name, Successes: n.counts.good.Swap(0), Failures: n.counts.failed.Swap(0), SuccessMillis: n.counts.goodMs.Swap(0)}
+		m.Attempts = m.Successes + m.Failures
+		n.counts.tries.Add(-m.Attempts)
 		for i := range n.counts.loads.Load() {
 			m.Load = append(m.Load, n.counts.load[i].Load())
 		}
-		if m.Tries == 0 {
+		if m.Attempts == 0 {
 			continue
 		}
-		if r.Met = append(r.Met, m); len(r.Met) >= batchRows {
+		if r.Outcomes = append(r.Outcomes, m); len(r.Outcomes) >= batchRows {
 			flush()
 		}
 	}
@@ -223,7 +223,7 @@
 			none := min(came[i].noAnswer.Load(), visits)
 			came[i].visits.Add(-visits)
 			came[i].noAnswer.Add(-none)
-			r.Came = append(r.Came, service.Came{Class: k.Name, Visits: visits, NoAnswer: none})
+			r.Demands = append(r.Demands, service.ClassDemand{Class: k.Name, Requests: visits, Unanswered: none})
 		}
 	}
 	flush()
--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -30,20 +30,20 @@
 	of    func(proto.Message) any
 	read  func([]byte) (any, error)
 }{
-	{"update", service.Update{Governor: "g-1", ListRev: 7, Live: true, Zone: "a", From: tableversion.Version{Epoch: 3, Count: 4}, To: tableversion.Version{Epoch: 3, Count: 6}, Shut: true, Open: []string{"s1", "s 2"},
-		Classes: []service.ClassTable{{Class: "look", Laid: true, Amount: -1, Retry: fleet.RetryIfNotExecuted, Digest: 0xfeed, Lines: []service.Line{{Server: "s1", Addr: "x:1", Weight: 256}, {Server: "s2"}}}, {Class: "book", Amount: 500}}},
+	{"update", service.Update{Controller: "g-1", ListRevision: 7, Live: true, Zone: "a", From: tableversion.Version{Epoch: 3, Count: 4}, To: tableversion.Version{Epoch: 3, Count: 6}, Shut: true, Open: []string{"s1", "s 2"},
+		Classes: []service.ClassTable{{Class: "look", Published: true, AdmissionLimit: -1, Retry: fleet.RetryIfNotExecuted, Digest: 0xfeed, Endpoints: []service.Endpoint{{Server: "s1", Addr: "x:1", Weight: 256}, {Server: "s2"}}}, {Class: "book", AdmissionLimit: 500}}},
 		func(v any) proto.Message { u := v.(service.Update); return overrpc.UpdateTo(&u) }, func(v any) []byte { u := v.(service.Update); return text.PrintUpdate(&u) },
 		func() proto.Message { return &pb.Update{} }, func(m proto.Message) any { return overrpc.UpdateOf(m.(*pb.Update)) }, func(b []byte) (any, error) { return text.ReadUpdate(b) }},
 	{"hello", service.Hello{Major: 1, Name: "g-1", Epoch: 9, Zones: []string{"a", "b"}, Classes: []fleet.RequestClass{{Name: "look", Idempotency: fleet.IdempotentWithKey, DeduplicationScope: fleet.DeduplicationZone, DeduplicationWindow: 5, LatencyObjective: 6, Deadline: 7}}},
 		func(v any) proto.Message { return overrpc.HelloTo(v.(service.Hello)) }, func(v any) []byte { return text.PrintHello(v.(service.Hello)) },
 		func() proto.Message { return &pb.Hello{} }, func(m proto.Message) any { return overrpc.HelloOf(m.(*pb.Hello)) }, func(b []byte) (any, error) { return text.ReadHello(b) }},
-	{"server", service.ServerState{Name: "s1", Addr: "x:1", Zone: "a", State: "ready", ColdFor: 5, Withdrawn: true, Sight: "mute", Weights: []service.ClassWeight{{Zone: "a", Class: "look", Weight: 9}}, Why: []string{"because; a = b"}},
+	{"server", service.ServerState{Name: "s1", Addr: "x:1", Zone: "a", State: "ready", SlowStartRemaining: 5, Withdrawn: true, Verdict: "mute", Weights: []service.ClassWeight{{Zone: "a", Class: "look", Weight: 9}}, Reasons: []string{"because; a = b"}},
 		func(v any) proto.Message { return overrpc.ServerTo(v.(service.ServerState)) }, func(v any) []byte { return text.PrintServer(v.(service.ServerState)) },
 		func() proto.Message { return &pb.ServerState{} }, func(m proto.Message) any { return overrpc.ServerOf(m.(*pb.ServerState)) }, func(b []byte) (any, error) { return text.ReadServer(b) }},
-	{"history", service.History{Versions: []service.VersionRow{{Version: tableversion.Version{Epoch: 3, Count: 4}, Digest: 5, At: -6, Lines: 7, Why: "set by hand"}}},
+	{"history", service.History{Versions: []service.VersionRow{{Version: tableversion.Version{Epoch: 3, Count: 4}, Digest: 5, CreatedAt: -6, Entries: 7, Reason: "set by hand"}}},
 		func(v any) proto.Message { return overrpc.HistoryTo(v.(service.History)) }, func(v any) []byte { return text.PrintHistory(v.(service.History)) },
 		func() proto.Message { return &pb.HistoryReply{} }, func(m proto.Message) any { return overrpc.HistoryOf(m.(*pb.HistoryReply)) }, func(b []byte) (any, error) { return text.ReadHistory(b) }},
-	{"summary", service.Summary{Governor: "g", Program: "1 2", Epoch: 3, ListRev: 4, ListAge: 5, Live: true, Servers: 6, Ready: 5, Cold: 4, Withdrawn: 3, ProxiesUp: 2, ProxiesAll: 1, Watchers: 9},
+	{"summary", service.Summary{Controller: "g", Program: "1 2", Epoch: 3, ListRevision: 4, ListAge: 5, Live: true, Servers: 6, Ready: 5, WarmingUp: 4, Withdrawn: 3, ProxiesUp: 2, ProxiesAll: 1, Watchers: 9},
 		func(v any) proto.Message { return overrpc.SummaryTo(v.(service.Summary)) }, func(v any) []byte { return text.PrintSummary(v.(service.Summary)) },
 		func() proto.Message { return &pb.SummaryReply{} }, func(m proto.Message) any { return overrpc.SummaryOf(m.(*pb.SummaryReply)) }, func(b []byte) (any, error) { return text.ReadSummary(b) }},
 }
--- a/client/held.go
+++ b/client/held.go
@@ -30,7 +30,7 @@
 
 // heldClass is what is held of a class.
 type heldClass struct {
-	lines  map[string]service.Line
+	lines  map[string]service.Endpoint
 	laid   bool // by the governor that is followed
 	amount int
 	retry  fleet.RetryMode
@@ -75,31 +75,31 @@
 	if governor == h.governor {
 		return h.version
 	}
-	return tableversion.None
+	return tableversion.NoVersion
 }
 
 // Forget lets the next watch ask for the whole.
-func (h *Held) Forget() { h.version = tableversion.None }
+func (h *Held) Forget() { h.version = tableversion.NoVersion }
 
 // Update takes an update in. Why tells what was wrong with one that isn't taken.
 func (h *Held) Update(now fleet.Time, u *service.Update) (v Verdict, why string) {
 	h.newer = h.newer || u.Minor > service.Minor
 	patient := h.at > 0 && now < h.at+olderAfter
-	if last := h.newest[u.Governor]; u.To.Compare(last) < 0 && patient {
-		return Behind, fmt.Sprintf("governor %s told version %s before %s", u.Governor, last, u.To)
+	if last := h.newest[u.Controller]; u.To.Compare(last) < 0 && patient {
+		return Behind, fmt.Sprintf("governor %s told version %s before %s", u.Controller, last, u.To)
 	}
-	if u.ListRev < h.listRev && patient {
-		return Behind, fmt.Sprintf("governor %s goes by list %d, list %d was told before", u.Governor, u.ListRev, h.listRev)
+	if u.ListRevision < h.listRev && patient {
+		return Behind, fmt.Sprintf("governor %s goes by list %d, list %d was told before", u.Controller, u.ListRevision, h.listRev)
 	}
-	if u.Beat {
-		if u.Governor != h.governor || u.To != h.version {
+	if u.Heartbeat {
+		if u.Controller != h.governor || u.To != h.version {
 			return Resync, "a sign of life of a version that is not held"
 		}
-		h.at, h.listRev = now, u.ListRev
+		h.at, h.listRev = now, u.ListRevision
 		return Same, ""
 	}
-	whole := u.From == tableversion.None
-	if !whole && (u.Governor != h.governor || u.From != h.version) {
+	whole := u.From == tableversion.NoVersion
+	if !whole && (u.Controller != h.governor || u.From != h.version) {
 		return Resync, fmt.Sprintf("a change from version %s, version %s is held", u.From, h.version)
 	}
 	next := map[string]*heldClass{}
@@ -108,24 +108,24 @@
 	}
 	for i := range u.Classes {
 		t := &u.Classes[i]
-		if t.Class == "" || len(t.Lines) > linesMost || t.Retry > fleet.RetryTwice {
-			return Broken, fmt.Sprintf("classes[%d]: %d lines, retry mode %d", i, len(t.Lines), t.Retry)
+		if t.Class == "" || len(t.Endpoints) > linesMost || t.Retry > fleet.RetryTwice {
+			return Broken, fmt.Sprintf("classes[%d]: %d lines, retry mode %d", i, len(t.Endpoints), t.Retry)
 		}
 		c := next[t.Class]
 		switch {
 		case c == nil:
-			c = &heldClass{lines: map[string]service.Line{}}
-		case t.Laid && (whole || !c.laid): // what it held was another's
-			c = &heldClass{lines: map[string]service.Line{}}
+			c = &heldClass{lines: map[string]service.Endpoint{}}
+		case t.Published && (whole || !c.laid): // what it held was another's
+			c = &heldClass{lines: map[string]service.Endpoint{}}
 		default:
 			c = c.clone()
 		}
-		c.laid, c.amount, c.retry = t.Laid, t.Amount, t.Retry
+		c.laid, c.amount, c.retry = t.Published, t.AdmissionLimit, t.Retry
 		next[t.Class] = c
-		if !t.Laid {
+		if !t.Published {
 			continue // what is held stands
 		}
-		for k, l := range t.Lines {
+		for k, l := range t.Endpoints {
 			switch {
 			case l.Server == "" || l.Weight < 0 || l.Weight > weightMost || l.Weight > 0 && l.Addr == "":
 				return Broken, fmt.Sprintf("classes[%d].lines[%d]: server %q at %q, weight %d", i, k, l.Server, l.Addr, l.Weight)
@@ -137,7 +137,7 @@
 		}
 		sum := tableversion.Digest(0)
 		for _, l := range c.lines {
-			sum += tableversion.LineDigest(l.Server, l.Weight)
+			sum += tableversion.EntryDigest(l.Server, l.Weight)
 		}
 		if sum != t.Digest {
 			if whole {
@@ -153,8 +153,8 @@
 			}
 		}
 	}
-	h.classes, h.governor, h.version, h.listRev, h.at = next, u.Governor, u.To, u.ListRev, now
-	h.newest[u.Governor] = u.To
+	h.classes, h.governor, h.version, h.listRev, h.at = next, u.Controller, u.To, u.ListRevision, now
+	h.newest[u.Controller] = u.To
 	if h.open = nil; u.Shut {
 		h.open = map[string]bool{}
 		for _, s := range u.Open {
@@ -166,7 +166,7 @@
 
 // Lines gives what a class's visits may use, by server. What the governor has not laid is what was held, less servers that are not
 // open, unless none would be left.
-func (h *Held) Lines(class string) (lines []service.Line, amount int, retry fleet.RetryMode, known bool) {
+func (h *Held) Lines(class string) (lines []service.Endpoint, amount int, retry fleet.RetryMode, known bool) {
 	c := h.classes[class]
 	if c == nil {
 		return nil, 0, 0, false
--- a/client/pick.go
+++ b/client/pick.go
@@ -39,7 +39,7 @@
 }
 
 // newClassTable lays an alias table (Vose's method): a pick costs one draw however many servers there are.
-func newClassTable(lines []service.Line, amount int, retry fleet.RetryMode, node func(name, addr string) *Node) classTable {
+func newClassTable(lines []service.Endpoint, amount int, retry fleet.RetryMode, node func(name, addr string) *Node) classTable {
 	t := classTable{amount: amount, retry: retry, known: true, cut: make([]uint32, len(lines)), other: make([]int32, len(lines))}
 	sum := 0
 	for _, l := range lines {
--- a/client/pure_test.go
+++ b/client/pure_test.go
@@ -30,15 +30,15 @@
 		revs := []uint64{1, 1}
 		h, now := NewHeld(), 100*sec
 		told := map[string]bool{} // states, by what shows of them
-		show := func(lines []service.Line) string { return fmt.Sprint(lines) }
+		show := func(lines []service.Endpoint) string { return fmt.Sprint(lines) }
 		stateOf := func(v *service.View) string {
-			u := v.Since(tableversion.None)
-			return show(u.Classes[0].Lines)
+			u := v.Since(tableversion.NoVersion)
+			return show(u.Classes[0].Endpoints)
 		}
 		var late []service.Update
 		highest, heard := uint64(0), fleet.Time(0)
 		deliver := func(u service.Update) {
-			before, version := "", tableversion.None
+			before, version := "", tableversion.NoVersion
 			lines, _, _, _ := h.Lines("look")
 			before = show(lines)
 			_, version = h.Holds()
@@ -49,12 +49,12 @@
 				if known && len(lines) > 0 && !told[show(lines)] {
 					t.Fatalf("holds %v, which nobody told", lines)
 				}
-				if u.ListRev < highest && now < heard+olderAfter {
-					t.Fatalf("goes by list %d after %d", u.ListRev, highest)
+				if u.ListRevision < highest && now < heard+olderAfter {
+					t.Fatalf("goes by list %d after %d", u.ListRevision, highest)
 				}
-				highest, heard = u.ListRev, now
+				highest, heard = u.ListRevision, now
 			case Same:
-				highest, heard = u.ListRev, now
+				highest, heard = u.ListRevision, now
 			case Broken:
 				t.Fatalf("%s: %+v", why, u)
 			default:
@@ -70,13 +70,13 @@
 			case 0, 1:
 				id := fleet.ServerID(rapid.IntRange(0, 5).Draw(t, "server"))
 				w := int16(rapid.IntRange(0, 256).Draw(t, "weight"))
-				for _, k := range []reconcile.Kind{reconcile.AddLine, reconcile.SetLine} {
+				for _, k := range []reconcile.ChangeKind{reconcile.AddEntry, reconcile.UpdateEntry} {
 					v.Apply([]reconcile.Change{{Kind: k, Server: id, Weight: w, State: reconcile.State(rapid.IntRange(1, 3).Draw(t, "state"))}}, nameOf)
 				}
 				told[stateOf(v)] = true
 			case 2:
 				revs[g] += uint64(rapid.IntRange(0, 2).Draw(t, "rev"))
-				v.Facts(service.Facts{ListRev: revs[g], Open: []string{"s0", "s1", "s2", "s3", "s4", "s5"}})
+				v.Facts(service.PublishedState{ListRevision: revs[g], Open: []string{"s0", "s1", "s2", "s3", "s4", "s5"}})
 			case 3:
 				deliver(v.Beat())
 			case 4:
@@ -91,12 +91,12 @@
 			now += fleet.Time(rapid.IntRange(0, 3000).Draw(t, "ms")) * fleet.Millisecond
 		}
 		now += olderAfter
-		views[0].Facts(service.Facts{ListRev: revs[0]})
-		u := views[0].Since(tableversion.None)
+		views[0].Facts(service.PublishedState{ListRevision: revs[0]})
+		u := views[0].Since(tableversion.NoVersion)
 		if verdict, why := h.Update(now, &u); verdict != Taken {
 			t.Fatalf("the whole is not taken: %s", why)
 		}
-		if lines, _, _, _ := h.Lines("look"); u.Classes[0].Laid && show(lines) != stateOf(views[0]) {
+		if lines, _, _, _ := h.Lines("look"); u.Classes[0].Published && show(lines) != stateOf(views[0]) {
 			t.Fatalf("holds %v of %s", lines, stateOf(views[0]))
 		}
 	})
@@ -105,9 +105,9 @@
 // TestBrokenUpdates: what makes no sense changes nothing.
 func TestBrokenUpdates(t *testing.T) {
 	v := service.NewView("g", "a", 5, []string{"look"})
-	v.Apply([]reconcile.Change{{Kind: reconcile.AddLine, Server: 1, Weight: 9, State: reconcile.In}}, nameOf)
+	v.Apply([]reconcile.Change{{Kind: reconcile.AddEntry, Server: 1, Weight: 9, State: reconcile.StateReady}}, nameOf)
 	h := NewHeld()
-	good := v.Since(tableversion.None)
+	good := v.Since(tableversion.NoVersion)
 	if verdict, why := h.Update(sec, &good); verdict != Taken {
 		t.Fatal(why)
 	}
@@ -116,14 +116,14 @@
 		want   Verdict
 	}{
 		"a digest that is not its lines'": {func(u *service.Update) { u.Classes[0].Digest++ }, Broken},
-		"a weight over all":               {func(u *service.Update) { u.Classes[0].Lines[0].Weight = 300 }, Broken},
-		"no address":                      {func(u *service.Update) { u.Classes[0].Lines[0].Addr = "" }, Broken},
+		"a weight over all":               {func(u *service.Update) { u.Classes[0].Endpoints[0].Weight = 300 }, Broken},
+		"no address":                      {func(u *service.Update) { u.Classes[0].Endpoints[0].Addr = "" }, Broken},
 		"no class":                        {func(u *service.Update) { u.Classes[0].Class = "" }, Broken},
-		"too many lines":                  {func(u *service.Update) { u.Classes[0].Lines = make([]service.Line, linesMost+1) }, Broken},
+		"too many lines":                  {func(u *service.Update) { u.Classes[0].Endpoints = make([]service.Endpoint, linesMost+1) }, Broken},
 		"a change from elsewhere":         {func(u *service.Update) { u.From = tableversion.Version{Epoch: 4, Count: 1} }, Resync},
 		"an older version":                {func(u *service.Update) { u.To = tableversion.Version{Epoch: 4, Count: 1} }, Behind},
 	} {
-		u := v.Since(tableversion.None)
+		u := v.Since(tableversion.NoVersion)
 		c.change(&u)
 		if verdict, _ := h.Update(2*sec, &u); verdict != c.want {
 			t.Errorf("%s: verdict %d", name, verdict)
@@ -138,7 +138,7 @@
 // one, without asking for the whole; a whole without a class ends it.
 func TestChanges(t *testing.T) {
 	v := service.NewView("g", "a", 5, []string{"look", "book"})
-	v.Apply([]reconcile.Change{{Kind: reconcile.AddLine, Server: 1, Weight: 9, State: reconcile.In}, {Kind: reconcile.AddLine, Class: 1, Server: 1, Weight: 9, State: reconcile.In}}, nameOf)
+	v.Apply([]reconcile.Change{{Kind: reconcile.AddEntry, Server: 1, Weight: 9, State: reconcile.StateReady}, {Kind: reconcile.AddEntry, Class: 1, Server: 1, Weight: 9, State: reconcile.StateReady}}, nameOf)
 	h := NewHeld()
 	held := func() string {
 		look, _, _, _ := h.Lines("look")
@@ -151,9 +151,9 @@
 			t.Errorf("%d: %s", verdict, why)
 		}
 	}
-	take(v.Since(tableversion.None), Taken)
+	take(v.Since(tableversion.NoVersion), Taken)
 	before, from := held(), v.Version()
-	v.Apply([]reconcile.Change{{Kind: reconcile.SetLine, Server: 1, Weight: 4}, {Kind: reconcile.AddLine, Server: 2, Weight: 4, State: reconcile.In}}, nameOf)
+	v.Apply([]reconcile.Change{{Kind: reconcile.UpdateEntry, Server: 1, Weight: 4}, {Kind: reconcile.AddEntry, Server: 2, Weight: 4, State: reconcile.StateReady}}, nameOf)
 	wrong := v.Since(from)
 	wrong.Classes[0].Digest++
 	if take(wrong, Resync); held() != before {
@@ -162,17 +162,17 @@
 	take(v.Since(from), Taken)
 
 	next := service.NewView("g", "a", 6, []string{"look", "book"})
-	next.Facts(service.Facts{Open: []string{"s1"}})
-	take(next.Since(tableversion.None), Taken)
+	next.Facts(service.PublishedState{Open: []string{"s1"}})
+	take(next.Since(tableversion.NoVersion), Taken)
 	if is := held(); is != "[{s1 x:1 4}] [{s1 x:1 9}] true" {
 		t.Errorf("holds %s, s1 alone is open", is)
 	}
 	from = next.Version()
-	next.Apply([]reconcile.Change{{Kind: reconcile.AddLine, Server: 3, Weight: 7, State: reconcile.In}}, nameOf)
+	next.Apply([]reconcile.Change{{Kind: reconcile.AddEntry, Server: 3, Weight: 7, State: reconcile.StateReady}}, nameOf)
 	if take(next.Since(from), Taken); held() != "[{s3 x:3 7}] [{s1 x:1 9}] true" {
 		t.Errorf("holds %s", held())
 	}
-	one := next.Since(tableversion.None)
+	one := next.Since(tableversion.NoVersion)
 	one.Classes = one.Classes[:1]
 	if take(one, Taken); held() != "[{s3 x:3 7}] [] false" {
 		t.Errorf("holds %s", held())
@@ -218,9 +218,9 @@
 	c.learn([]fleet.RequestClass{{Name: "look", Deadline: 60 * sec}, {Name: "issue", Idempotency: fleet.NotIdempotent, Deadline: 60 * sec}})
 	t0 := &table{}
 	for range 2 {
-		var lines []service.Line
+		var lines []service.Endpoint
 		for i, w := range weights {
-			lines = append(lines, service.Line{Server: fmt.Sprint("s", i), Weight: w})
+			lines = append(lines, service.Endpoint{Server: fmt.Sprint("s", i), Weight: w})
 		}
 		t0.classes = append(t0.classes, newClassTable(lines, -1, mode, func(name, addr string) *Node {
 			if c.nodes[name] == nil {
--- a/client/rpc/rpc.go
+++ b/client/rpc/rpc.go
@@ -36,8 +36,8 @@
 // Dial makes ready to ask; the connection itself is made by the first question.
 func (t Transport) Dial(_ context.Context, addr, caller string) (client.Conn, error) {
 	options := append([]grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(service.AnswerMost)),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: service.PingAfter, Timeout: service.PingWithin}), grpc.WithNoProxy()}, t.Options...)
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(service.MaxAnswerSize)),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: service.PingInterval, Timeout: service.PingTimeout}), grpc.WithNoProxy()}, t.Options...)
 	c, err := grpc.NewClient("passthrough:///"+addr, options...)
 	if err != nil {
 		return nil, &service.Fault{Code: service.Unreachable, Text: err.Error()}
--- a/client/runtime/runtime.go
+++ b/client/runtime/runtime.go
@@ -182,7 +182,7 @@
 const payloadEnd = "end-of-batch" // no row reads like it
 
 func (c *conn) Report(ctx context.Context, r *service.Report) (uint64, error) {
-	q := haproxyapi.AppendCommand(nil, "report", r.Zone, strconv.FormatUint(r.Session, 16), strconv.FormatUint(r.Seq, 10))
+	q := haproxyapi.AppendCommand(nil, "report", r.Zone, strconv.FormatUint(r.Session, 16), strconv.FormatUint(r.Sequence, 10))
 	q = append(append(q, " <<"+payloadEnd+"\n"...), text.PrintReport(r)...)
 	answer, err := c.question(ctx, append(q, payloadEnd+"\n"...))
 	return got(answer, err, text.ReadCounted)
@@ -221,7 +221,7 @@
 		_ = l.SetDeadline(time.Time{})
 	}
 	from := "-"
-	if holds != tableversion.None {
+	if holds != tableversion.NoVersion {
 		from = holds.String()
 	}
 	if _, err := l.Write(request("watch", "table", zone, from)); err != nil {
--- a/client/suite_test.go
+++ b/client/suite_test.go
@@ -57,8 +57,8 @@
 	if name != "s1" {
 		return service.ServerState{}, &service.Fault{Code: service.NoServer, Text: fmt.Sprintf("%q was never heard of", name)}
 	}
-	return service.ServerState{Name: "s1", Addr: "127.0.0.1:7001", Zone: "a", State: "draining", ColdFor: 3 * fleet.Second, Withdrawn: true, Sight: "well",
-		Weights: []service.ClassWeight{{Zone: "a", Class: "look", Weight: 12}}, Why: []string{"it drains; so says the list", "= \\ 100%"}}, nil
+	return service.ServerState{Name: "s1", Addr: "127.0.0.1:7001", Zone: "a", State: "draining", SlowStartRemaining: 3 * fleet.Second, Withdrawn: true, Verdict: "well",
+		Weights: []service.ClassWeight{{Zone: "a", Class: "look", Weight: 12}}, Reasons: []string{"it drains; so says the list", "= \\ 100%"}}, nil
 }
 
 func (desk) History(_ context.Context, zone, class string, most int) (rows []service.VersionRow, err error) {
@@ -66,13 +66,13 @@
 		return nil, &service.Fault{Code: service.NoClass, Text: "no class"}
 	}
 	for i := range most {
-		rows = append(rows, service.VersionRow{Version: tableversion.Version{Epoch: 9, Count: uint64(i + 1)}, Digest: tableversion.Digest(i), At: fleet.Time(i), Lines: i, Why: "by hand"})
+		rows = append(rows, service.VersionRow{Version: tableversion.Version{Epoch: 9, Count: uint64(i + 1)}, Digest: tableversion.Digest(i), CreatedAt: fleet.Time(i), Entries: i, Reason: "by hand"})
 	}
 	return rows, nil
 }
 
 func (desk) Summary(context.Context) (service.Summary, error) {
-	return service.Summary{Governor: "g", Program: "p", Epoch: 9, ListRev: 4, ListAge: 5, Live: true, Servers: 6, Ready: 5, Cold: 1, Withdrawn: 2, ProxiesUp: 3, ProxiesAll: 4}, nil
+	return service.Summary{Controller: "g", Program: "p", Epoch: 9, ListRevision: 4, ListAge: 5, Live: true, Servers: 6, Ready: 5, WarmingUp: 1, Withdrawn: 2, ProxiesUp: 3, ProxiesAll: 4}, nil
 }
 
 // governor is a hub behind both fronts, without a governor's loop: tests give the messages.
@@ -91,7 +91,7 @@
 	t.Helper()
 	g := &governor{t: t}
 	began := time.Now()
-	g.hub = service.NewHub(service.HubOptions{Governor: name, Epoch: epoch, Zones: []service.Zone{{Name: "a"}}, Classes: classes, Names: names{1000}, Minor: minor,
+	g.hub = service.NewHub(service.HubOptions{Controller: name, Epoch: epoch, Zones: []service.Zone{{Name: "a"}}, Classes: classes, Names: names{1000}, Minor: minor,
 		Now: func() fleet.Time { return fleet.Time(began.UnixNano()) + fleet.Time(time.Since(began)) }})
 	if err := g.hub.Start(context.Background(), func(e transport.Event) {
 		g.mu.Lock()
@@ -127,9 +127,9 @@
 }
 
 // lay gives servers weights in all classes, as one message.
-func (g *governor) lay(kind reconcile.Kind, state reconcile.State, weight int16, servers ...int) {
+func (g *governor) lay(kind reconcile.ChangeKind, state reconcile.State, weight int16, servers ...int) {
 	g.seq++
-	m := reconcile.Message{Seq: g.seq}
+	m := reconcile.Message{Sequence: g.seq}
 	for c := range classes {
 		for _, s := range servers {
 			m.Changes = append(m.Changes, reconcile.Change{Kind: kind, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: weight, State: state})
@@ -139,7 +139,7 @@
 }
 
 func (g *governor) open(rev uint64, servers ...int) {
-	f := service.Facts{ListRev: rev, Live: true, Open: []string{}}
+	f := service.PublishedState{ListRevision: rev, Live: true, Open: []string{}}
 	for _, s := range servers {
 		f.Open = append(f.Open, fmt.Sprint("s", s))
 	}
@@ -151,7 +151,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, e := range g.events {
-		if _, is := e.(transport.Answer); is {
+		if _, is := e.(transport.Answered); is {
 			n++
 		}
 	}
@@ -257,10 +257,10 @@
 	p.agree("greeted", up)
 	same("nothing is laid", service.Unready, table)
 	g.open(5, 0, 1, 2, 3)
-	g.lay(reconcile.AddLine, reconcile.In, 128, 0, 1, 2)
+	g.lay(reconcile.AddEntry, reconcile.StateReady, 128, 0, 1, 2)
 	p.agree("laid", shows("s0=128 s1=128 s2=128 "))
-	g.lay(reconcile.SetLine, reconcile.Drain, -1, 1)
-	g.lay(reconcile.SetLine, reconcile.Stays, 64, 2)
+	g.lay(reconcile.UpdateEntry, reconcile.StateDrain, -1, 1)
+	g.lay(reconcile.UpdateEntry, reconcile.StateUnchanged, 64, 2)
 	p.agree("one drains, one is cut", shows("s0=128 s2=64 "))
 	same("the whole", "", table)
 	same("a server", "", func(c *client.Client) (any, error) { return c.Server(ctx, "s1") })
@@ -290,9 +290,9 @@
 		}
 	}
 	same("nobody answers", service.Unreachable, func(c *client.Client) (any, error) { _, err := c.Summary(ctx); return nil, err })
-	g.lay(reconcile.SetLine, reconcile.In, -1, 1)
-	g.lay(reconcile.SetLine, reconcile.Stays, 32, 2)
-	g.lay(reconcile.SetLine, reconcile.Stays, 16, 0)
+	g.lay(reconcile.UpdateEntry, reconcile.StateReady, -1, 1)
+	g.lay(reconcile.UpdateEntry, reconcile.StateUnchanged, 32, 2)
+	g.lay(reconcile.UpdateEntry, reconcile.StateUnchanged, 16, 0)
 	for _, r := range p.relays {
 		r.Refuse(false)
 	}
@@ -320,7 +320,7 @@
 	p.agree("what was held stands, less what is not open", func(c *client.Client) bool { return shows("s0=16 s2=32 ")(c) && c.State().Newer })
 	g.open(7, 5)
 	p.agree("nobody open: nobody is left without", shows("s0=16 s1=128 s2=32 "))
-	g.lay(reconcile.AddLine, reconcile.In, 100, 5, 6)
+	g.lay(reconcile.AddEntry, reconcile.StateReady, 100, 5, 6)
 	p.agree("laid anew", shows("s5=100 s6=100 "))
 	if n := g.answered(); n != 1 {
 		t.Errorf("%d messages are answered", n)
@@ -344,15 +344,15 @@
 		g.hub.Poll(0)
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		r := g.events[len(g.events)-1].(transport.Polled).Reading
+		r := g.events[len(g.events)-1].(transport.CountersPolled).Reading
 		tries, failed := uint64(0), uint64(0)
 		for _, row := range r.Rows {
-			tries, failed = tries+row.Tries, failed+row.Failed
+			tries, failed = tries+row.Attempts, failed+row.Failures
 		}
-		if tries > 600 || failed > 200 || r.Classes[2].Visits > 600 {
-			t.Fatalf("counted twice: %d tries, %d failed, %d visits", tries, failed, r.Classes[2].Visits)
+		if tries > 600 || failed > 200 || r.Classes[2].Requests > 600 {
+			t.Fatalf("counted twice: %d tries, %d failed, %d visits", tries, failed, r.Classes[2].Requests)
 		}
-		return tries == 600 && failed == 200 && r.Classes[2].Visits == 600 && r.Classes[2].NoAnswer == 200
+		return tries == 600 && failed == 200 && r.Classes[2].Requests == 600 && r.Classes[2].Unanswered == 200
 	})
 }
 
@@ -363,12 +363,12 @@
 	defer one.stop()
 	defer other.stop()
 	one.open(10, 0, 1)
-	one.lay(reconcile.AddLine, reconcile.In, 100, 0)
+	one.lay(reconcile.AddEntry, reconcile.StateReady, 100, 0)
 	p := newPair(t, one)
 	defer p.close()
 	p.agree("follows", func(c *client.Client) bool { return c.State().ListRev == 10 })
 	other.open(9, 0, 1)
-	other.lay(reconcile.AddLine, reconcile.In, 100, 0, 1)
+	other.lay(reconcile.AddEntry, reconcile.StateReady, 100, 0, 1)
 	for i, r := range p.relays {
 		r.To(other.addrs[i])
 		r.Cut()
@@ -378,7 +378,7 @@
 		return s.Governor == "g1" && s.Why != nil && len(c.Lines("look")) == 1
 	})
 	other.open(10, 0, 1)
-	other.lay(reconcile.SetLine, reconcile.Stays, 50, 1)
+	other.lay(reconcile.UpdateEntry, reconcile.StateUnchanged, 50, 1)
 	p.agree("caught up", func(c *client.Client) bool { return c.State().Governor == "g2" && len(c.Lines("look")) == 2 })
 }
 
@@ -388,7 +388,7 @@
 	g := start(t, "g1", 100, 0)
 	defer g.stop()
 	g.open(1, 0)
-	g.lay(reconcile.AddLine, reconcile.In, 100, 0)
+	g.lay(reconcile.AddEntry, reconcile.StateReady, 100, 0)
 	p := newPair(t, g)
 	defer p.close()
 	p.agree("follows", func(c *client.Client) bool { return weights(c) != "" })
@@ -423,13 +423,13 @@
 		if is, _ := code(err); is != service.OtherMajor {
 			t.Errorf("%s: another major version: %v", via.name, err)
 		}
-		_, err = conn.Report(ctx, &service.Report{Zone: "a", Session: 1, Seq: 1, Met: make([]service.Met, 5000)})
+		_, err = conn.Report(ctx, &service.Report{Zone: "a", Session: 1, Sequence: 1, Outcomes: make([]service.ServerOutcome, 5000)})
 		if is, _ := code(err); is != service.TooLarge && is != service.BadRequest && is != service.Unreachable {
 			t.Errorf("%s: a huge batch: %v", via.name, err)
 		}
 		conn.Close()
 		cancel()
 	}
-	g.lay(reconcile.SetLine, reconcile.Stays, 50, 0)
+	g.lay(reconcile.UpdateEntry, reconcile.StateUnchanged, 50, 0)
 	p.agree("others go on", func(c *client.Client) bool { return c.State().Up && weights(c) == "s0=50 " })
 }
--- a/cmd/cressknot/main.go
+++ b/cmd/cressknot/main.go
@@ -75,7 +75,7 @@
 			if path == "" {
 				return usage{errors.New("serve needs --config FILE")}
 			}
-			return server.Governor(path)
+			return server.RunController(path)
 		}}
 	c.Flags().StringVarP(&path, "config", "c", "", "settings: CUE, JSON or YAML")
 	return c
@@ -86,7 +86,7 @@
 		Long: `Run a governor as the platform's variables say, RELAY_CONFIG before all. SIGHUP reads the configuration
 again and goes to its addresses; SIGTERM ends it once the call in the air is done. docs/operate/node.md has more.`,
 		Args: args(cobra.NoArgs),
-		RunE: func(*cobra.Command, []string) error { return server.Node(os.Getenv) }}
+		RunE: func(*cobra.Command, []string) error { return server.RunPlatform(os.Getenv) }}
 }
 
 func checkCommand() *cobra.Command {
--- a/cmd/cressknot/sharing.go
+++ b/cmd/cressknot/sharing.go
@@ -82,7 +82,7 @@
 		for _, p := range shares {
 			g := after[p.Proxy][0]
 			proxies[g]++
-			visits[g] += p.Visits
+			visits[g] += p.RequestRate
 			if before[p.Proxy][0] != g {
 				moved++
 			}
--- a/cmd/cressknot/store.go
+++ b/cmd/cressknot/store.go
@@ -18,7 +18,7 @@
 		if !store.Exists(folder) {
 			return fmt.Errorf("%s holds no store", folder)
 		}
-		s, err := store.Open(store.Options{Folder: folder, ReadOnly: readOnly})
+		s, err := store.Open(store.Options{Directory: folder, ReadOnly: readOnly})
 		if err != nil {
 			return err
 		}
@@ -49,7 +49,7 @@
 						return nil
 					})
 					if err == nil {
-						fmt.Fprintf(c.OutOrStdout(), "%d records, %d bytes, %d bytes on disk: all whole\n", n, size, s.Figures().OnDisk)
+						fmt.Fprintf(c.OutOrStdout(), "%d records, %d bytes, %d bytes on disk: all whole\n", n, size, s.Statistics().OnDisk)
 					}
 					return err
 				})
@@ -71,11 +71,11 @@
 		&cobra.Command{Use: "compact FOLDER", Short: "Rewrite a store without what was replaced", Args: args(cobra.ExactArgs(1)),
 			RunE: func(c *cobra.Command, a []string) error {
 				return with(a[0], false, func(s *store.Store) error {
-					before := s.Figures().OnDisk
+					before := s.Statistics().OnDisk
 					if err := s.Compact(); err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%d bytes were %d\n", s.Figures().OnDisk, before)
+					fmt.Fprintf(c.OutOrStdout(), "%d bytes were %d\n", s.Statistics().OnDisk, before)
 					return nil
 				})
 			}},
--- a/cmd/faultdrill/main.go
+++ b/cmd/faultdrill/main.go
@@ -107,6 +107,6 @@
 	f.IntVar(&governors, "governors", 0, "governors, in place of the day's")
 	f.Float64Var(&visits, "visits", 0, "visits a second, in place of the day's")
 	c.AddCommand(&cobra.Command{Use: "governor CONFIG", Hidden: true, Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, a []string) error { return server.Governor(a[0]) }})
+		RunE: func(_ *cobra.Command, a []string) error { return server.RunController(a[0]) }})
 	return c
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -24,7 +24,7 @@
 // hosted is one instance and what the current batch holds for it.
 type hosted struct {
 	id       fleet.ControllerID
-	governor *balancer.Governor
+	governor *balancer.Balancer
 	events   []fleet.Event
 	waiting  bool // has its place in the order of this batch
 }
--- a/internal/balancer/beliefs.go
+++ b/internal/balancer/beliefs.go
@@ -2,8 +2,8 @@
 
 import "cressknot/internal/fleet"
 
-// Beliefs tells what the governor makes of each server that is ready.
-func (g *Governor) Beliefs() (told []fleet.ServerEstimate) {
+// Estimates tells what the governor makes of each server that is ready.
+func (g *Balancer) Estimates() (told []fleet.ServerEstimate) {
 	for _, s := range g.ready {
 		shares := []float64{}
 		for t, b := range g.tables {
--- a/internal/balancer/logic.go
+++ b/internal/balancer/logic.go
@@ -99,7 +99,7 @@
 	usage        [][]sample // by class
 }
 
-type Governor struct { // decides for the proxies that are joined to it
+type Balancer struct { // decides for the proxies that are joined to it
 	site                      fleet.Site
 	chance                    chance
 	classes                   []visitClass
@@ -140,8 +140,8 @@
 	return float64(c.x) / (1 << 32)
 }
 
-func New(site fleet.Site, seed uint64) *Governor {
-	g := &Governor{
+func New(site fleet.Site, seed uint64) *Balancer {
+	g := &Balancer{
 		site: site, chance: chance{uint32(seed) | 1, uint32(seed>>33) | 1}, askWait: 2 * heartbeat, started: -1,
 		known: map[fleet.ServerID]*server{}, marks: map[fleet.BarrierID]*marked{},
 		joined: map[fleet.ProxyID]*proxy{}, watching: true, target: busyMost,
@@ -168,7 +168,7 @@
 }
 
 // Step hears events and gives the orders to carry out now. The orders are good until the next Step.
-func (g *Governor) Step(now fleet.Time, events []fleet.Event) []fleet.Order {
+func (g *Balancer) Step(now fleet.Time, events []fleet.Event) []fleet.Order {
 	g.now, g.orders = now, g.orders[:0]
 	if g.started < 0 {
 		g.started, g.judged, g.countedAt, g.wroteAt = now, now, now, now-interval
@@ -217,7 +217,7 @@
 	return g.orders
 }
 
-func (g *Governor) observe(event fleet.Event) {
+func (g *Balancer) observe(event fleet.Event) {
 	switch e := event.(type) {
 	case fleet.EndpointList:
 		g.list(e)
@@ -271,7 +271,7 @@
 	}
 }
 
-func (g *Governor) busyIn(load []float32) float64 {
+func (g *Balancer) busyIn(load []float32) float64 {
 	if g.busyAt < 0 || g.busyAt >= len(load) {
 		return -1
 	}
@@ -279,7 +279,7 @@
 }
 
 // doubt takes in that orders may not be out. They go again as all others do, when the channel has room.
-func (g *Governor) doubt(orders []fleet.Order) {
+func (g *Balancer) doubt(orders []fleet.Order) {
 	g.pieceAt = g.now
 	for _, order := range orders {
 		switch o := order.(type) {
@@ -303,12 +303,12 @@
 	}
 }
 
-func (g *Governor) leave(id fleet.ProxyID) {
+func (g *Balancer) leave(id fleet.ProxyID) {
 	delete(g.joined, id)
 	g.proxies = slices.DeleteFunc(g.proxies, func(p *proxy) bool { return p.id == id })
 }
 
-func (g *Governor) list(e fleet.EndpointList) {
+func (g *Balancer) list(e fleet.EndpointList) {
 	if e.Scope == fleet.ListFailed {
 		g.askAt = g.now + g.askWait.Scale(0.5+g.chance.next())
 		g.askWait = min(max(2*heartbeat, g.site.MaxPollInterval/2), 2*g.askWait)
@@ -353,12 +353,12 @@
 	slices.SortFunc(g.servers, func(a, b *server) int { return cmp.Compare(a.Server, b.Server) })
 }
 
-// Knows tells whether a server is one that the governor still has to do with.
-func (g *Governor) Knows(id fleet.ServerID) bool { return g.known[id] != nil }
+// Tracks tells whether a server is one that the governor still has to do with.
+func (g *Balancer) Tracks(id fleet.ServerID) bool { return g.known[id] != nil }
 
 // forget drops servers that are gone and in no table of ours: each that starts has a new id, without end.
 // Proxies that come with former tables may still send there, so it waits for these to be on ours.
-func (g *Governor) forget() {
+func (g *Balancer) forget() {
 	g.servers = slices.DeleteFunc(g.servers, func(s *server) bool {
 		old := s.State == fleet.ServerGone && s.withdrawn && g.now > s.told+longestHold
 		if !old || s.doubted || g.astray > 0 || slices.Max(s.out) > 0 || slices.Contains(s.unsure, true) {
@@ -370,24 +370,24 @@
 	})
 }
 
-func (g *Governor) cold(s *server) bool {
+func (g *Balancer) cold(s *server) bool {
 	return s.Started > 0 && g.now < s.Started+g.site.SlowStart.Duration
 }
 
-func (g *Governor) can(s *server) float64 { // the part of its capacity that it surely has
+func (g *Balancer) can(s *server) float64 { // the part of its capacity that it surely has
 	if !g.cold(s) {
 		return 1
 	}
 	return g.site.SlowStart.InitialFraction + (1-g.site.SlowStart.InitialFraction)*max(0, (g.now-s.Started).Seconds()/g.site.SlowStart.Duration.Seconds())
 }
 
-func (g *Governor) carries(s *server) bool { return s.held > 0 && !s.refuge && !g.cold(s) }
+func (g *Balancer) carries(s *server) bool { return s.held > 0 && !s.refuge && !g.cold(s) }
 
-func (g *Governor) open(s *server, t int) bool {
+func (g *Balancer) open(s *server, t int) bool {
 	return s.State == fleet.ServerReady && (g.tables[t].group < 2 || s.part/g.cells == g.tables[t].part/g.cells)
 }
 
-func (g *Governor) tableOf(c, part int) int {
+func (g *Balancer) tableOf(c, part int) int {
 	row := &g.classes[c]
 	if row.group < 2 && !g.near {
 		part = 0
@@ -396,7 +396,7 @@
 }
 
 // count works out demand, what comes to each table and who is on it.
-func (g *Governor) count() {
+func (g *Balancer) count() {
 	lines := float64(len(g.proxies) * len(g.classes))
 	g.ready, g.home, g.astray = nil, make([]bool, len(g.site.Zones)), 0
 	anew := 0.0
@@ -458,7 +458,7 @@
 }
 
 // measure works out the figures; the fewer tries a server had, the more it counts as average of its kind.
-func (g *Governor) measure() {
+func (g *Balancer) measure() {
 	load, capacity, tries, good := 0.0, 0.0, 0.0, 0.0
 	kinds, warm := map[fleet.KindID][]float64{}, []float64{}
 	for _, s := range g.ready {
@@ -501,7 +501,7 @@
 
 // visits a second of a class that come to a proxy. Lines tell of times with visits only, so the silence since
 // the last one counts too: where few come, three visits over the three waits before them are half too many.
-func (g *Governor) visits(p *proxy, class int) float64 {
+func (g *Balancer) visits(p *proxy, class int) float64 {
 	u := p.usage[class]
 	if len(u) == 0 {
 		return 0
@@ -546,7 +546,7 @@
 
 // judge sets what health leaves each server of its weight. None is blamed for what the fleet does; who fails
 // a part of its tries still helps, and is cut off only if the others can carry it.
-func (g *Governor) judge() {
+func (g *Balancer) judge() {
 	zeroed, carry := 0.0, 0.0
 	for _, s := range g.ready {
 		if carry += s.capacity * s.held; s.held == 0 {
@@ -588,7 +588,7 @@
 }
 
 // balance is the design's ordinary path: cut by saturation overload, spread the cut evenly and normalise.
-func (g *Governor) balance() {
+func (g *Balancer) balance() {
 	density, agreed := make([]float64, len(g.ready)), make([]float64, len(g.ready))
 	stay := func(s *server) float64 { return 1 + s.long.latency.Seconds()/interval.Seconds() }
 	for i, s := range g.ready {
@@ -637,7 +637,7 @@
 }
 
 // admit lets in what the fleet can handle on time, least value cut first; strained, it gets no further tries.
-func (g *Governor) admit() {
+func (g *Balancer) admit() {
 	handled, busy, carry, coming, demand := 0.0, 0.0, 0.0, 0.0, 0.0
 	for _, s := range g.ready {
 		if can := min(1, s.held+quarter) * g.can(s); s.held > 0 && (s.rate > none || g.watching) {
@@ -675,7 +675,7 @@
 }
 
 // squeeze, where all is let in, gives the classes of least value a few servers to share, as a last resort.
-func (g *Governor) squeeze(load, carry float64) {
+func (g *Balancer) squeeze(load, carry float64) {
 	if g.site.Admission != fleet.AdmissionUnlimited {
 		return
 	}
@@ -717,7 +717,7 @@
 	}
 }
 
-func (g *Governor) amount(class int) float64 { // its level: a share, or a rate at each proxy
+func (g *Balancer) amount(class int) float64 { // its level: a share, or a rate at each proxy
 	c, rates := g.classes[class], []float64{}
 	if g.site.Admission == fleet.AdmissionFraction && c.level < 1 {
 		return c.level
@@ -740,7 +740,7 @@
 }
 
 // wish works out the lines that should be out. Nobody goes bare: with no warm server left, all share.
-func (g *Governor) wish() {
+func (g *Balancer) wish() {
 	for t := range g.tables {
 		b := &g.tables[t]
 		for pass := 0; pass < 2 && b.warm == 0; pass++ {
@@ -777,7 +777,7 @@
 }
 
 // reconcile emits the difference between what is wanted and what is out.
-func (g *Governor) reconcile() {
+func (g *Balancer) reconcile() {
 	g.left = min(g.lines, g.left+(g.now-g.countedAt).Seconds()*g.site.EntriesPerSecond*pace)
 	if g.countedAt = g.now; g.alarmAt <= g.now {
 		g.alarmAt = g.now + heartbeat
@@ -809,11 +809,11 @@
 	}
 }
 
-func (g *Governor) waiting() float64 { // lines neither known to have arrived nor on their way
+func (g *Balancer) waiting() float64 { // lines neither known to have arrived nor on their way
 	return max(0, g.lines-g.left-g.site.MeanUpdateDelay.Seconds()*g.site.EntriesPerSecond*pace)
 }
 
-func (g *Governor) head() float64 { return g.site.MessageOverhead + float64(len(g.classes)) + 1 } // and a mark
+func (g *Balancer) head() float64 { return g.site.MessageOverhead + float64(len(g.classes)) + 1 } // and a mark
 
 // line is a changed line, with the size of its change by which lines go.
 type line struct {
@@ -823,7 +823,7 @@
 
 // publish emits what goes to all. Urgent lines need no room; ordinary ones go once an interval, the largest
 // changes first, and what the channel has no room for follows in pieces.
-func (g *Governor) publish() {
+func (g *Balancer) publish() {
 	users := float64(len(g.proxies))
 	fit := room*g.site.MaxBacklog - g.waiting() - g.head()*users
 	last := -(room - tenth/2) * g.site.MaxBacklog // of fit, for withdrawals
@@ -908,7 +908,7 @@
 	}
 }
 
-func (g *Governor) toAll(order fleet.Order, users float64) { // costs a line at each of so many proxies
+func (g *Balancer) toAll(order fleet.Order, users float64) { // costs a line at each of so many proxies
 	if g.lines += users; users > 0 && g.wroteAt != g.now {
 		g.wroteAt, g.lines = g.now, g.lines+g.head()*float64(len(g.proxies))
 	}
@@ -916,7 +916,7 @@
 }
 
 // join puts proxies on their tables, those with most visits first, as many as the channel has room for.
-func (g *Governor) join() (bound int) {
+func (g *Balancer) join() (bound int) {
 	for t := range g.tables { // as they are now that lines went out
 		for _, s := range g.servers {
 			if s.out[t] > 0 {
--- a/internal/balancer/logic_test.go
+++ b/internal/balancer/logic_test.go
@@ -33,7 +33,7 @@
 }
 
 // calm gives a governor with servers that carry given rates at given busy shares, on one shared table.
-func calm(rates, busy []float64) *Governor {
+func calm(rates, busy []float64) *Balancer {
 	g := New(fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1),
 		LoadFields: []fleet.LoadField{fleet.LoadFieldUtilization}, MaxBacklog: 1e6, EntriesPerSecond: 1e6}, 1)
 	list := fleet.EndpointList{Scope: fleet.ListFull}
@@ -235,7 +235,7 @@
 	gone := y.servers[0].Server
 	y.servers[0].State = fleet.ServerGone
 	y.step([]fleet.Event{y.list(fleet.ListFull)})
-	if y.run(10, 0); !y.governor.Knows(gone) {
+	if y.run(10, 0); !y.governor.Tracks(gone) {
 		t.Error("forgotten while proxies may come with former tables")
 	}
 	y.run(30, 0)
@@ -244,8 +244,8 @@
 			t.Error("its withdrawal stands")
 		}
 	}
-	if y.governor.Knows(gone) || len(y.governor.servers) != 5 || y.broken != "" {
-		t.Errorf("known %v, %d left; %s", y.governor.Knows(gone), len(y.governor.servers), y.broken)
+	if y.governor.Tracks(gone) || len(y.governor.servers) != 5 || y.broken != "" {
+		t.Errorf("known %v, %d left; %s", y.governor.Tracks(gone), len(y.governor.servers), y.broken)
 	}
 }
 
--- a/internal/balancer/yard_test.go
+++ b/internal/balancer/yard_test.go
@@ -13,7 +13,7 @@
 type yard struct {
 	rng      *rand.Rand
 	site     fleet.Site
-	governor *Governor
+	governor *Balancer
 	now      fleet.Time
 	tables   map[fleet.TableID]map[fleet.ServerID]float64
 	levels   map[int]float64 // by class
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -459,7 +459,7 @@
 func (s *Settings) Fleet() []transport.Proxy {
 	var all []transport.Proxy
 	for i, p := range s.Proxies {
-		all = append(all, transport.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Zone: s.ZoneID(p.Zone), Visits: p.Visits,
+		all = append(all, transport.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Zone: s.ZoneID(p.Zone), RequestRate: p.Visits,
 			Addr: p.Addr})
 	}
 	return all
@@ -474,15 +474,15 @@
 		return nil
 	}
 	for i, z := range s.Zones {
-		all = append(all, transport.Proxy{ID: fleet.ProxyID(len(s.Proxies) + i), Name: "callers." + z, Zone: fleet.ZoneID(i), Visits: s.Service.Visits, Addr: "-"})
+		all = append(all, transport.Proxy{ID: fleet.ProxyID(len(s.Proxies) + i), Name: "callers." + z, Zone: fleet.ZoneID(i), RequestRate: s.Service.Visits, Addr: "-"})
 	}
 	return all
 }
 
 // Shares gives the proxies as governors plan who serves them.
-func (s *Settings) Shares() (all []lease.Share) {
+func (s *Settings) Shares() (all []lease.ProxyLoad) {
 	for _, p := range s.Proxies {
-		all = append(all, lease.Share{Proxy: p.Name, Visits: p.Visits})
+		all = append(all, lease.ProxyLoad{Proxy: p.Name, RequestRate: p.Visits})
 	}
 	return all
 }
--- a/internal/config/relay.go
+++ b/internal/config/relay.go
@@ -18,23 +18,23 @@
 // namesMost is the longest name of a zone or kind, in bytes: DNS has 253, and a collector's first message is bounded.
 const namesMost = 256
 
-// Relay is what a governor on the users' platform is told at its start: RELAY_CONFIG names a JSON file; RELAY_NAME,
+// Platform is what a governor on the users' platform is told at its start: RELAY_CONFIG names a JSON file; RELAY_NAME,
 // RELAY_LISTEN and RELAY_DISCOVERY stand in where the file lacks their keys.
-type Relay struct {
-	Name      string
-	Listen    string // where proxies' collectors connect
-	Discovery string
-	Store     string // the relay's address
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int
-	Sockets   int
-	Known     discovery.Document // the list as this governor last had it
-	Site      fleet.Site
+type Platform struct {
+	Name           string
+	Listen         string // where proxies' collectors connect
+	Discovery      string
+	RelayAddr      string // the relay's address
+	Seed           uint64
+	Cores          float64
+	MemoryMB       int
+	MaxSockets     int
+	KnownEndpoints discovery.EndpointList // the list as this governor last had it
+	Site           fleet.Site
 }
 
-// LoadRelay reads it. The first thing that is wrong is told, with its key.
-func LoadRelay(getenv func(string) string) (*Relay, error) {
+// LoadPlatform reads it. The first thing that is wrong is told, with its key.
+func LoadPlatform(getenv func(string) string) (*Platform, error) {
 	path := getenv("RELAY_CONFIG")
 	if path == "" {
 		return nil, errors.New("RELAY_CONFIG is not set")
@@ -51,15 +51,15 @@
 	if len(text) > sizeMost {
 		return nil, fmt.Errorf("%s: over %d bytes", path, sizeMost)
 	}
-	r, err := ParseRelay(text, getenv)
+	r, err := ParsePlatform(text, getenv)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return r, nil
 }
 
-// ParseRelay reads the file's text.
-func ParseRelay(text []byte, getenv func(string) string) (*Relay, error) {
+// ParsePlatform reads the file's text.
+func ParsePlatform(text []byte, getenv func(string) string) (*Platform, error) {
 	var o struct {
 		Name      string `json:"name"`
 		Listen    string `json:"listen"`
@@ -87,10 +87,10 @@
 			*stand.key = getenv(stand.name)
 		}
 	}
-	r := &Relay{Name: o.Name, Listen: o.Listen, Discovery: o.Discovery, Store: o.Store.Address,
-		Cores: o.Limits.Cores, MemoryMB: int(o.Limits.MemoryMB), Sockets: o.Limits.Sockets}
+	r := &Platform{Name: o.Name, Listen: o.Listen, Discovery: o.Discovery, RelayAddr: o.Store.Address,
+		Cores: o.Limits.Cores, MemoryMB: int(o.Limits.MemoryMB), MaxSockets: o.Limits.Sockets}
 	for _, a := range []struct{ key, addr string }{
-		{"listen", r.Listen}, {"discovery", r.Discovery}, {"store.address", r.Store}} {
+		{"listen", r.Listen}, {"discovery", r.Discovery}, {"store.address", r.RelayAddr}} {
 		if _, err := netip.ParseAddrPort(a.addr); err != nil {
 			return nil, fmt.Errorf("key %s: %.60q is not address:port", a.key, a.addr)
 		}
@@ -100,8 +100,8 @@
 		return nil, errors.New("key name is missing")
 	case !(o.Limits.MemoryMB >= 16 && o.Limits.MemoryMB < math.MaxInt32):
 		return nil, fmt.Errorf("key limits.memory_mb: %g is not 16 or more", o.Limits.MemoryMB)
-	case r.Sockets < 64 || r.Sockets > 1<<20:
-		return nil, fmt.Errorf("key limits.sockets: %d is not between 64 and %d", r.Sockets, 1<<20)
+	case r.MaxSockets < 64 || r.MaxSockets > 1<<20:
+		return nil, fmt.Errorf("key limits.sockets: %d is not between 64 and %d", r.MaxSockets, 1<<20)
 	case len(o.Settings) == 0:
 		return nil, errors.New("key settings is missing")
 	}
@@ -116,12 +116,12 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if len(o.Known) > 0 && string(o.Known) != "null" {
-		p := discovery.Platform{Zones: r.Site.Zones, Kinds: r.Site.Kinds}
+		p := discovery.PlatformSource{Zones: r.Site.Zones, Kinds: r.Site.Kinds}
 		doc, err := p.Decode(o.Known)
 		if err != nil {
 			return nil, fmt.Errorf("key known: %w", err)
 		}
-		r.Known = *doc
+		r.KnownEndpoints = *doc
 	}
 	return r, nil
 }
--- a/internal/config/relay_test.go
+++ b/internal/config/relay_test.go
@@ -22,15 +22,15 @@
 	if err := os.WriteFile(path, []byte(strings.Replace(relayFile, `"name":"n3",`, "", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, err := LoadRelay(func(name string) string { return map[string]string{"RELAY_CONFIG": path, "RELAY_NAME": "n4"}[name] })
+	c, err := LoadPlatform(func(name string) string { return map[string]string{"RELAY_CONFIG": path, "RELAY_NAME": "n4"}[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n4" || c.Store != "127.0.0.2:6400" || c.Seed != 0x8c1f30d27a5be964 || c.MemoryMB != 192 || c.Sockets != 1024 ||
-		c.Known.Rev != 41 || len(c.Known.Servers) != 1 || c.Site.EntriesPerSecond != 15000 || c.Site.ProxyCount != 60 {
+	if c.Name != "n4" || c.RelayAddr != "127.0.0.2:6400" || c.Seed != 0x8c1f30d27a5be964 || c.MemoryMB != 192 || c.MaxSockets != 1024 ||
+		c.KnownEndpoints.Revision != 41 || len(c.KnownEndpoints.Endpoints) != 1 || c.Site.EntriesPerSecond != 15000 || c.Site.ProxyCount != 60 {
 		t.Errorf("%+v", c)
 	}
-	if _, err := LoadRelay(nothing); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
+	if _, err := LoadPlatform(nothing); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
 		t.Error(err)
 	}
 }
@@ -59,7 +59,7 @@
 		if text == relayFile {
 			t.Fatalf("%s: not found", c.from)
 		}
-		if _, err := ParseRelay([]byte(text), nothing); err == nil || !strings.Contains(err.Error(), c.tells) {
+		if _, err := ParsePlatform([]byte(text), nothing); err == nil || !strings.Contains(err.Error(), c.tells) {
 			t.Errorf("%s for %s: %v", c.to, c.from, err)
 		}
 	}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -31,21 +31,21 @@
 			names := NewNames()
 			var all []transport.Proxy
 			for i := range proxies {
-				all = append(all, transport.Proxy{ID: fleet.ProxyID(i), Name: fmt.Sprint("p", i), Zone: fleet.ZoneID(i % 4), Visits: 3})
+				all = append(all, transport.Proxy{ID: fleet.ProxyID(i), Name: fmt.Sprint("p", i), Zone: fleet.ZoneID(i % 4), RequestRate: 3})
 			}
 			core := NewCore(site, 1, all, names)
 			core.Guarded()
 			now := 1000 * fleet.Second
-			doc := discovery.Document{Rev: 1}
+			doc := discovery.EndpointList{Revision: 1}
 			for i := range servers {
-				doc.Servers = append(doc.Servers, discovery.Server{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: site.Zones[i%4]})
+				doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: site.Zones[i%4]})
 			}
-			in := []Input{discovery.Update{Scope: fleet.ListFull, Doc: doc}}
-			met := make([][]counters.Met, proxies)
-			came := make([][]counters.Came, proxies)
+			in := []Input{discovery.Update{Scope: fleet.ListFull, List: doc}}
+			met := make([][]counters.ServerCounters, proxies)
+			came := make([][]counters.ClassCounters, proxies)
 			for i := range proxies {
-				in = append(in, transport.Up{Proxy: fleet.ProxyID(i), Stream: 1, Held: reconcile.Snapshot{Zone: fleet.ZoneID(i % 4), Weight: 3, Fresh: true}})
-				met[i], came[i] = make([]counters.Met, servers), make([]counters.Came, 3)
+				in = append(in, transport.Connected{Proxy: fleet.ProxyID(i), Stream: 1, Snapshot: reconcile.Snapshot{Zone: fleet.ZoneID(i % 4), RequestRate: 3, Fresh: true}})
+				met[i], came[i] = make([]counters.ServerCounters, servers), make([]counters.ClassCounters, 3)
 			}
 			rng := rand.New(rand.NewPCG(1, 1))
 			took, decided := hdrhistogram.New(1000, int64(time.Minute), 3), hdrhistogram.New(1000, int64(time.Minute), 3)
@@ -59,23 +59,23 @@
 				}
 				in = in[:0]
 				for _, m := range out.Messages {
-					in = append(in, transport.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
+					in = append(in, transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence})
 				}
 				for _, id := range out.Polls {
 					for range 9 { // visits of a second
 						s := fleet.ServerID(rng.IntN(servers))
 						m := &met[id][s]
-						m.Tries, m.Good, m.GoodMs, m.HasLoad = m.Tries+1, m.Good+1, m.GoodMs+200, true
+						m.Attempts, m.Successes, m.SuccessMillis, m.HasLoad = m.Attempts+1, m.Successes+1, m.SuccessMillis+200, true
 						m.Load[0] = 0.4 + 0.3*rng.Float32()
-						came[id][rng.IntN(3)].Visits++
+						came[id][rng.IntN(3)].Requests++
 					}
 					r := counters.NewReading(3)
 					r.At = now
 					copy(r.Classes, came[id])
 					for s, m := range met[id] {
-						r.Row(fleet.ServerID(s)).Met = m
+						r.Row(fleet.ServerID(s)).ServerCounters = m
 					}
-					in = append(in, transport.Polled{Proxy: id, Stream: 1, Reading: r})
+					in = append(in, transport.CountersPolled{Proxy: id, Stream: 1, Reading: r})
 				}
 				now = max(now+fleet.Millisecond, min(out.Wake, now+10*fleet.Millisecond))
 			}
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -44,15 +44,15 @@
 	Probes   []fleet.ServerID
 	Watch    *bool // of the list
 	Fetch    bool
-	Proves   []fleet.ServerID    // of a kept list: are they there?
-	List     *discovery.Document // a whole list that is worth keeping, and when its source stood to it last
+	Proves   []fleet.ServerID        // of a kept list: are they there?
+	List     *discovery.EndpointList // a whole list that is worth keeping, and when its source stood to it last
 	ListAt   fleet.Time
 	Keep     []store.Change // what has to last
 	Logs     []Line
-	News     *gossip.News     // for other governors
-	Facts    *service.Facts   // what callers of the service are told beside tables, where it has changed
-	Distrust []fleet.ServerID // sources that are not believed from now on
-	Wake     fleet.Time       // next turn at the latest
+	News     *gossip.Message         // for other governors
+	Facts    *service.PublishedState // what callers of the service are told beside tables, where it has changed
+	Distrust []fleet.ServerID        // sources that are not believed from now on
+	Wake     fleet.Time              // next turn at the latest
 	// What the module heard and ordered, for records; good until the next turn.
 	Stepped bool
 	Events  []fleet.Event
@@ -74,9 +74,9 @@
 	zones     map[string]fleet.ZoneID
 	kinds     map[string]fleet.KindID
 	proxies   map[fleet.ProxyID]transport.Proxy
-	module    *balancer.Governor
-	plane     *reconcile.Plane
-	intake    *ingest.Intake
+	module    *balancer.Balancer
+	plane     *reconcile.Reconciler
+	intake    *ingest.Pipeline
 	guard     *safety.Guard // knows what staff are told even where it doesn't judge
 	guarded   bool
 	tokens    int
@@ -88,17 +88,17 @@
 	started   fleet.Time
 	epoch     uint64
 	keeper    keeper
-	gate      *verification.Gate
-	doubts    *verification.Doubts
+	gate      *verification.ShrinkGate
+	doubts    *verification.Verifier
 	live      bool             // the list's source was heard
 	confirmed fleet.Time       // when it stood to its list last
 	listKept  fleet.Time       // what was kept of that
 	heldList  discovery.Update // by the gate
 	entries   map[fleet.ServerID]fleet.Endpoint
-	docs      map[string]discovery.Server // the whole list as told, for the cache
+	docs      map[string]discovery.Endpoint // the whole list as told, for the cache
 	rev       uint64
-	listed    fleet.Time    // last list
-	board     *gossip.Board // nil: no peers are heard
+	listed    fleet.Time        // last list
+	board     *gossip.PeerState // nil: no peers are heard
 	boardAt   fleet.Time
 	callers   []service.Zone // zones whose programs ask the service
 	factsDue  bool
@@ -120,8 +120,8 @@
 	c := &Core{site: site, names: names, zones: map[string]fleet.ZoneID{}, kinds: map[string]fleet.KindID{},
 		proxies: map[fleet.ProxyID]transport.Proxy{}, module: balancer.New(site, seed), plane: reconcile.New(site),
 		intake: ingest.New(site), streams: map[fleet.ProxyID]uint64{}, unreached: map[fleet.ProxyID]string{}, started: -1,
-		guard: safety.New(site), keeper: newKeeper(), gate: verification.NewGate(site.DrainTimeout),
-		doubts: verification.NewDoubts(site, true), broken: map[string]bool{}, forces: map[string]force{}, entries: map[fleet.ServerID]fleet.Endpoint{}, docs: map[string]discovery.Server{}}
+		guard: safety.New(site), keeper: newKeeper(), gate: verification.NewShrinkGate(site.DrainTimeout),
+		doubts: verification.NewVerifier(site, true), broken: map[string]bool{}, forces: map[string]force{}, entries: map[fleet.ServerID]fleet.Endpoint{}, docs: map[string]discovery.Endpoint{}}
 	for i, z := range site.Zones {
 		c.zones[z] = fleet.ZoneID(i)
 	}
@@ -137,14 +137,14 @@
 // Guarded has every message judged from here on.
 func (c *Core) Guarded() {
 	c.guarded = true
-	c.plane.Ask(c.guard)
+	c.plane.UseSafetyCheck(c.guard)
 }
 
 // PushedLoads takes load figures from what servers push.
 func (c *Core) PushedLoads() { c.intake.PushedLoads() }
 
 // AnswersOnly lets only what proxies meet tell of servers of a kept list: they aren't asked themselves.
-func (c *Core) AnswersOnly() { c.doubts = verification.NewDoubts(c.site, false) }
+func (c *Core) AnswersOnly() { c.doubts = verification.NewVerifier(c.site, false) }
 
 // Epoch tells the epoch of versions; 0 before it has begun.
 func (c *Core) Epoch() uint64 { return c.epoch }
@@ -162,7 +162,7 @@
 // unbound gives cold servers full lines, as a module without its bound on them would.
 func (c *Core) unbound(now fleet.Time, orders []fleet.Order) []fleet.Order {
 	tables := map[fleet.TableID]float32{}
-	for _, l := range c.plane.Tables() {
+	for _, l := range c.plane.Entries() {
 		tables[l.Table] = max(tables[l.Table], float32(l.Weight))
 	}
 	for i, o := range orders {
@@ -182,7 +182,7 @@
 // begin begins an epoch of versions.
 func (c *Core) begin(epoch uint64) {
 	c.epoch = epoch
-	c.plane.Epoch(epoch, func(id fleet.ServerID) string { name, _ := c.names.Of(id); return name })
+	c.plane.SetEpoch(epoch, func(id fleet.ServerID) string { name, _ := c.names.Of(id); return name })
 }
 
 // after begins a new epoch where a proxy that is taken over holds versions of a later one: versions at a proxy never go back, though a
@@ -192,7 +192,7 @@
 		return
 	}
 	c.epoch = epoch + 1
-	c.plane.Raise(now, c.epoch, "a proxy holds versions of a later governor")
+	c.plane.RaiseEpoch(now, c.epoch, "a proxy holds versions of a later governor")
 	if c.keeper.on {
 		out.Keep = append(out.Keep, store.Change{Key: "epoch", Value: keptEpoch{c.epoch, now}})
 	}
@@ -242,7 +242,7 @@
 			c.later(now, e)
 		}
 	}
-	for _, a := range c.plane.Alarms() {
+	for _, a := range c.plane.Notices() {
 		if a.Refused != nil {
 			name, _ := c.names.Of(a.Refused.Server)
 			c.log(&out, Line{now, "warn", "guard", "held back: " + safety.Say(*a.Refused, name)})
@@ -296,23 +296,23 @@
 func (c *Core) take(now fleet.Time, in Input, out *Output) {
 	stale := func(id fleet.ProxyID, stream uint64) bool { return c.streams[id] != stream }
 	switch in := in.(type) {
-	case transport.Up:
+	case transport.Connected:
 		c.streams[in.Proxy] = in.Stream
-		c.after(now, reconcile.LatestEpoch(in.Held.Stamps), out)
+		c.after(now, reconcile.LatestEpoch(in.Snapshot.VersionStamps), out)
 		delete(c.unreached, in.Proxy)
-		c.plane.Join(now, in.Proxy, in.Held)
-		c.intake.Join(now, in.Proxy, in.Held.Zone, in.Held.Fresh)
+		c.plane.Join(now, in.Proxy, in.Snapshot)
+		c.intake.Join(now, in.Proxy, in.Snapshot.Zone, in.Snapshot.Fresh)
 		c.log(out, Line{now, "info", "proxy", fmt.Sprintf("proxy %s joined: %d lines held, fresh %v",
-			c.proxies[in.Proxy].Name, len(in.Held.Lines), in.Held.Fresh)})
-	case transport.Down:
+			c.proxies[in.Proxy].Name, len(in.Snapshot.Entries), in.Snapshot.Fresh)})
+	case transport.Disconnected:
 		if !stale(in.Proxy, in.Stream) {
 			delete(c.streams, in.Proxy)
 			c.plane.Leave(in.Proxy)
 			c.intake.Leave(in.Proxy)
-			c.log(out, Line{now, "warn", "proxy", fmt.Sprintf("proxy %s left: %v", c.proxies[in.Proxy].Name, in.Why)})
+			c.log(out, Line{now, "warn", "proxy", fmt.Sprintf("proxy %s left: %v", c.proxies[in.Proxy].Name, in.Err)})
 		}
-	case transport.Unreached:
-		if why := in.Why.Error(); c.unreached[in.Proxy] != why { // once for each reason
+	case transport.Unreachable:
+		if why := in.Err.Error(); c.unreached[in.Proxy] != why { // once for each reason
 			c.unreached[in.Proxy] = why
 			c.log(out, Line{now, "warn", "proxy", fmt.Sprintf("proxy %s can't be reached: %s", c.proxies[in.Proxy].Name, why)})
 		}
@@ -320,23 +320,23 @@
 		if !stale(in.Proxy, in.Stream) {
 			c.plane.Progress(now, in.Proxy)
 		}
-	case transport.Answer:
+	case transport.Answered:
 		if !stale(in.Proxy, in.Stream) {
-			c.plane.Answer(now, in.Proxy, in.Seq, in.Failures)
+			c.plane.Acknowledge(now, in.Proxy, in.Sequence, in.Failures)
 		}
-	case transport.Polled:
+	case transport.CountersPolled:
 		if !stale(in.Proxy, in.Stream) {
 			c.intake.Polled(now, in.Proxy, in.Reading)
-			c.plane.Seen(now, in.Proxy, in.Reading.Lines)
+			c.plane.ObserveEntries(now, in.Proxy, in.Reading.Entries)
 			in.Reading.Release()
 		}
 	case discovery.Update:
 		c.list(now, in, out)
 	case Proof:
 		c.doubts.Asked(now, in.Server, in.Of)
-	case gossip.News:
+	case gossip.Message:
 		if c.board != nil {
-			if err := c.board.Hear(now, in); err != nil {
+			if err := c.board.Merge(now, in); err != nil {
 				c.log(out, Line{now, "warn", "peers", err.Error()})
 			}
 		}
@@ -367,7 +367,7 @@
 			l.Text = fmt.Sprintf("server %s: %s", name, n.Text)
 		case !n.OfAll:
 			name, _ := c.names.Of(n.Server)
-			l.Text = fmt.Sprintf("server %s %s: %s", name, n.Sight, n.Text)
+			l.Text = fmt.Sprintf("server %s %s: %s", name, n.Verdict, n.Text)
 		}
 		c.log(out, l)
 	}
@@ -406,7 +406,7 @@
 		}
 		return
 	}
-	if u.Same {
+	if u.Unchanged {
 		c.confirmed = now
 		return
 	}
@@ -417,7 +417,7 @@
 	if u.Scope == fleet.ListFull && c.gated(now, u, out) {
 		return
 	}
-	if u.Scope == fleet.ListDelta && c.heldList.Scope == fleet.ListFull && c.heldList.Doc.Rev > 0 { // it goes on from the one held
+	if u.Scope == fleet.ListDelta && c.heldList.Scope == fleet.ListFull && c.heldList.List.Revision > 0 { // it goes on from the one held
 		c.gate.Drop()
 		c.takeList(now, c.heldList, out)
 		c.heldList = discovery.Update{}
@@ -428,7 +428,7 @@
 // gated tells whether a whole list is held back, as it names too few to be believed at once.
 func (c *Core) gated(now fleet.Time, u discovery.Update, out *Output) bool {
 	stay, digest := 0, xxhash.New()
-	for _, s := range u.Doc.Servers {
+	for _, s := range u.List.Endpoints {
 		if _, known := c.docs[s.Name]; known && s.State != "gone" {
 			stay++
 		}
@@ -440,7 +440,7 @@
 		return false
 	}
 	c.heldList = u
-	c.log(out, Line{now, "warn", "list", fmt.Sprintf("rev %d names only %d of %d servers: it is asked for again before it is obeyed", u.Doc.Rev, stay, known)})
+	c.log(out, Line{now, "warn", "list", fmt.Sprintf("rev %d names only %d of %d servers: it is asked for again before it is obeyed", u.List.Revision, stay, known)})
 	return true
 }
 
@@ -449,7 +449,7 @@
 	obey, ask, wake := c.gate.Due(now)
 	out.Fetch = out.Fetch || ask
 	if obey {
-		c.log(out, Line{now, "warn", "list", fmt.Sprintf("rev %d is obeyed: nothing better came", c.heldList.Doc.Rev)})
+		c.log(out, Line{now, "warn", "list", fmt.Sprintf("rev %d is obeyed: nothing better came", c.heldList.List.Revision)})
 		c.takeList(now, c.heldList, out)
 		c.heldList = discovery.Update{}
 	}
@@ -457,12 +457,12 @@
 }
 
 func (c *Core) takeList(now fleet.Time, u discovery.Update, out *Output) {
-	l := fleet.EndpointList{Scope: u.Scope, Revision: fleet.ListRevision(u.Doc.Rev)}
+	l := fleet.EndpointList{Scope: u.Scope, Revision: fleet.ListRevision(u.List.Revision)}
 	if u.Scope != fleet.ListDelta {
 		clear(c.docs)
 		clear(c.entries)
 	}
-	for _, s := range u.Doc.Servers {
+	for _, s := range u.List.Endpoints {
 		zone, ok := c.zones[s.Zone]
 		if !ok && s.State != "gone" { // one that is gone needs no place
 			c.log(out, Line{now, "error", "list", fmt.Sprintf("server %s: zone %q is none of this site's; left out", s.Name, s.Zone)})
@@ -470,7 +470,7 @@
 		}
 		id, moved := c.names.Listed(s.Name, s.Addr)
 		if moved {
-			c.plane.Moved(id)
+			c.plane.AddressChanged(id)
 		}
 		e := fleet.Endpoint{Server: id, Zone: zone, Kind: c.kinds[s.Kind],
 			Cell: fleet.CellID(s.Cell), Weight: cmp.Or(s.Weight, 1), State: stateNames[s.State]}
@@ -489,7 +489,7 @@
 		}
 		l.Endpoints = append(l.Endpoints, e)
 	}
-	c.rev, c.listed = u.Doc.Rev, now
+	c.rev, c.listed = u.List.Revision, now
 	if u.Scope != fleet.ListCached {
 		c.live, c.confirmed = true, now
 		c.doubts.Live(now, l)
@@ -504,17 +504,17 @@
 	c.factsDue = true
 	c.sources(l)
 	c.guard.Hear(now, l) // before the plane asks it what the list makes of lines that stand
-	c.plane.List(now, l)
+	c.plane.SetEndpoints(now, l)
 	c.events = append(c.events, l)
 }
 
 // document gives the whole list.
-func (c *Core) document() *discovery.Document {
-	doc := discovery.Document{Rev: c.rev}
+func (c *Core) document() *discovery.EndpointList {
+	doc := discovery.EndpointList{Revision: c.rev}
 	for _, s := range c.docs {
-		doc.Servers = append(doc.Servers, s)
+		doc.Endpoints = append(doc.Endpoints, s)
 	}
-	slices.SortFunc(doc.Servers, func(a, b discovery.Server) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(doc.Endpoints, func(a, b discovery.Endpoint) int { return strings.Compare(a.Name, b.Name) })
 	return &doc
 }
 
@@ -581,7 +581,7 @@
 	if c.broken["cold-unbound"] {
 		orders = c.unbound(now, slices.Clone(orders))
 	}
-	c.plane.Order(now, orders)
+	c.plane.Apply(now, orders)
 }
 
 func (c *Core) say(o fleet.Order) string {
--- a/internal/controller/dark_test.go
+++ b/internal/controller/dark_test.go
@@ -24,8 +24,8 @@
 	core *Core
 	now  fleet.Time
 	up   map[string]bool
-	held [2]map[string]int16 // by proxy: weights of lines that may be picked
-	doc  *discovery.Document // kept last, and its time
+	held [2]map[string]int16     // by proxy: weights of lines that may be picked
+	doc  *discovery.EndpointList // kept last, and its time
 	at   fleet.Time
 	logs []string
 }
@@ -62,16 +62,16 @@
 		for _, m := range out.Messages {
 			for _, c := range m.Changes {
 				name, _ := d.core.names.Of(c.Server)
-				if c.Kind == reconcile.SetLine || c.Kind == reconcile.AddLine {
+				if c.Kind == reconcile.UpdateEntry || c.Kind == reconcile.AddEntry {
 					if c.Weight >= 0 {
 						d.held[m.Proxy][name] = c.Weight
 					}
-					if c.State == reconcile.Out || c.State == reconcile.Drain {
+					if c.State == reconcile.StateMaintenance || c.State == reconcile.StateDrain {
 						d.held[m.Proxy][name] = 0
 					}
 				}
 			}
-			next = append(next, transport.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
+			next = append(next, transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence})
 		}
 		for _, id := range out.Proves {
 			name, _ := d.core.names.Of(id)
@@ -85,17 +85,17 @@
 }
 
 func (d *dark) join() {
-	d.turn(transport.Up{Proxy: 0, Stream: 1, Held: reconcile.Snapshot{Weight: 5, Fresh: true}}, transport.Up{Proxy: 1, Stream: 1, Held: reconcile.Snapshot{Weight: 5, Fresh: true}})
+	d.turn(transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{RequestRate: 5, Fresh: true}}, transport.Connected{Proxy: 1, Stream: 1, Snapshot: reconcile.Snapshot{RequestRate: 5, Fresh: true}})
 }
 
 func (d *dark) logged(text string) bool {
 	return strings.Contains(strings.Join(d.logs, "\n"), text)
 }
 
-func docOf(rev uint64, names ...string) discovery.Document {
-	d := discovery.Document{Rev: rev}
+func docOf(rev uint64, names ...string) discovery.EndpointList {
+	d := discovery.EndpointList{Revision: rev}
 	for i, n := range names {
-		d.Servers = append(d.Servers, discovery.Server{Name: n, Addr: fmt.Sprint("x:", i), Zone: "a"})
+		d.Endpoints = append(d.Endpoints, discovery.Endpoint{Name: n, Addr: fmt.Sprint("x:", i), Zone: "a"})
 	}
 	return d
 }
@@ -106,7 +106,7 @@
 // truncated list on the source's return is measured against those that are left, and held.
 func TestOldListServes(t *testing.T) {
 	d := newDark(map[string]bool{"s0": true, "s1": true, "s2": true, "s3": true})
-	u := discovery.Update{Scope: fleet.ListCached, Doc: docOf(4, "s0", "s1", "s2", "s3", "g0", "g1", "g2", "g3", "g4", "g5"), At: d.now - aDay}
+	u := discovery.Update{Scope: fleet.ListCached, List: docOf(4, "s0", "s1", "s2", "s3", "g0", "g1", "g2", "g3", "g4", "g5"), ConfirmedAt: d.now - aDay}
 	d.turn(u)
 	d.join()
 	d.run(d.now+10*fleet.Second, nil)
@@ -117,7 +117,7 @@
 			}
 		}
 	}
-	d.turn(discovery.Update{Scope: fleet.ListFull, Doc: docOf(5, "s0", "s1", "s2")}) // over half of those that are left
+	d.turn(discovery.Update{Scope: fleet.ListFull, List: docOf(5, "s0", "s1", "s2")}) // over half of those that are left
 	if len(d.core.entries) != 3 || d.logged("asked for again") {
 		t.Errorf("%d are listed: %v", len(d.core.entries), d.logs)
 	}
@@ -128,16 +128,16 @@
 func TestSourceFlaps(t *testing.T) {
 	d := newDark(map[string]bool{"s0": true, "s1": true, "s2": true})
 	doc := docOf(4, "s0", "s1", "s2")
-	d.turn(discovery.Update{Scope: fleet.ListCached, Doc: doc, At: d.now - 3600*fleet.Second})
+	d.turn(discovery.Update{Scope: fleet.ListCached, List: doc, ConfirmedAt: d.now - 3600*fleet.Second})
 	d.join()
 	d.run(d.now+8*fleet.Second, nil)
 	before := fmt.Sprint(d.held)
 	for i := range 40 {
 		switch i % 4 {
 		case 0:
-			d.turn(discovery.Update{Scope: fleet.ListFull, Doc: doc})
+			d.turn(discovery.Update{Scope: fleet.ListFull, List: doc})
 		case 2:
-			d.turn(discovery.Update{Scope: fleet.ListDelta, Doc: discovery.Document{Rev: 4, Changes: true}})
+			d.turn(discovery.Update{Scope: fleet.ListDelta, List: discovery.EndpointList{Revision: 4, Delta: true}})
 		default:
 			d.turn(discovery.Update{Scope: fleet.ListFailed, Err: fmt.Errorf("list: away")})
 		}
@@ -150,7 +150,7 @@
 		t.Errorf("kept %.0f s before", (d.now - d.at).Seconds())
 	}
 	kept := d.at
-	d.run(d.now+2*verification.ConfirmGap, func() { d.core.list(d.now, discovery.Update{Same: true}, &Output{}) })
+	d.run(d.now+2*verification.ConfirmGap, func() { d.core.list(d.now, discovery.Update{Unchanged: true}, &Output{}) })
 	if d.at < kept+verification.ConfirmGap {
 		t.Error("a source that says that nothing has changed does not count")
 	}
@@ -159,12 +159,12 @@
 // TestEmptyAndLateLists: an empty kept list takes nobody out, one that comes after the source's own is none.
 func TestEmptyAndLateLists(t *testing.T) {
 	d := newDark(nil)
-	d.turn(discovery.Update{Scope: fleet.ListCached, At: d.now})
+	d.turn(discovery.Update{Scope: fleet.ListCached, ConfirmedAt: d.now})
 	if len(d.core.entries) != 0 || !d.logged("the kept list is empty") || d.core.rev != 0 {
 		t.Error(d.logs)
 	}
-	d.turn(discovery.Update{Scope: fleet.ListFull, Doc: docOf(4, "s0")})
-	d.turn(discovery.Update{Scope: fleet.ListCached, Doc: docOf(3, "s0", "s1"), At: d.now})
+	d.turn(discovery.Update{Scope: fleet.ListFull, List: docOf(4, "s0")})
+	d.turn(discovery.Update{Scope: fleet.ListCached, List: docOf(3, "s0", "s1"), ConfirmedAt: d.now})
 	if len(d.core.entries) != 1 || d.core.rev != 4 {
 		t.Errorf("%d are listed, rev %d", len(d.core.entries), d.core.rev)
 	}
@@ -174,7 +174,7 @@
 func TestProofs(t *testing.T) {
 	names := NewNames()
 	l := &Loop{names: names, ctx: context.Background(), probe: "/probe", notify: make(chan struct{}, 1), wall: time.Now()}
-	for says, want := range map[string][2]verification.Proof{"a": {verification.Someone, verification.Itself}, "b": {verification.Someone, verification.Another}, "": {verification.Someone, verification.Someone}, "nobody": {}} {
+	for says, want := range map[string][2]verification.Evidence{"a": {verification.Someone, verification.Itself}, "b": {verification.Someone, verification.Another}, "": {verification.Someone, verification.Someone}, "nobody": {}} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Server", says) }))
 		names.Listed("a", strings.TrimPrefix(s.URL, "http://"))
 		if says == "nobody" {
@@ -192,18 +192,18 @@
 
 // TestFloodOfNews: however many news come between two turns, of however many names, a turn takes the newest of each, of so many governors.
 func TestFloodOfNews(t *testing.T) {
-	l := NewLoop(Parts{Core: newDark(nil).core, Names: NewNames()})
+	l := NewLoop(Options{Core: newDark(nil).core, Names: NewNames()})
 	for seq := range uint64(1000) {
 		for g := range 200 {
-			l.Peer(gossip.News{Governor: fmt.Sprint("g", g), Epoch: 1, Seq: (seq*7)%1000 + 1})
+			l.Peer(gossip.Message{Controller: fmt.Sprint("g", g), Epoch: 1, Sequence: (seq*7)%1000 + 1})
 		}
 	}
 	inputs, _ := l.collect(0, 0)
-	if len(inputs) != gossip.GovernorsMost {
+	if len(inputs) != gossip.MaxControllers {
 		t.Errorf("a turn takes %d", len(inputs))
 	}
 	for _, in := range inputs {
-		if in.(gossip.News).Seq != 1000 {
+		if in.(gossip.Message).Sequence != 1000 {
 			t.Errorf("%+v is not the newest", in)
 		}
 	}
@@ -216,21 +216,21 @@
 // and so is all that other proxies are told from then on. A version that no clock could have made changes nothing.
 func TestVersionsNeverGoBack(t *testing.T) {
 	d := newDark(nil)
-	d.turn(discovery.Update{Scope: fleet.ListFull, Doc: docOf(1, "s0", "s1")})
+	d.turn(discovery.Update{Scope: fleet.ListFull, List: docOf(1, "s0", "s1")})
 	d.join()
 	d.run(d.now+8*fleet.Second, nil)
-	before := d.core.plane.Book(0).Version()
+	before := d.core.plane.TableVersions(0).Version()
 	later := tableversion.Version{Epoch: before.Epoch + 5_000_000_000, Count: 7}
-	d.turn(transport.Up{Proxy: 1, Stream: 1, Held: reconcile.Snapshot{Weight: 5, Stamps: []string{later.String() + "/00"}}})
-	if v := d.core.plane.Book(0).Version(); v.Compare(later) <= 0 {
+	d.turn(transport.Connected{Proxy: 1, Stream: 1, Snapshot: reconcile.Snapshot{RequestRate: 5, VersionStamps: []string{later.String() + "/00"}}})
+	if v := d.core.plane.TableVersions(0).Version(); v.Compare(later) <= 0 {
 		t.Errorf("%s is what the proxy is told, %s is what it holds", v, later)
 	}
-	d.core.plane.Push(d.now, 0, 0, 9, d.now+fleet.Second)
-	if v := d.core.plane.Book(0).Version(); v.Compare(later) <= 0 {
+	d.core.plane.SetManualWeight(d.now, 0, 0, 9, d.now+fleet.Second)
+	if v := d.core.plane.TableVersions(0).Version(); v.Compare(later) <= 0 {
 		t.Errorf("%s follows %s at the proxy", v, later)
 	}
 	epoch := d.core.epoch
-	d.turn(transport.Up{Proxy: 1, Stream: 1, Held: reconcile.Snapshot{Weight: 5, Stamps: []string{tableversion.Version{Epoch: 1<<64 - 1, Count: 7}.String() + "/00", "x"}}})
+	d.turn(transport.Connected{Proxy: 1, Stream: 1, Snapshot: reconcile.Snapshot{RequestRate: 5, VersionStamps: []string{tableversion.Version{Epoch: 1<<64 - 1, Count: 7}.String() + "/00", "x"}}})
 	if d.core.epoch != epoch {
 		t.Errorf("epoch %d by a version that nobody made", d.core.epoch)
 	}
--- a/internal/controller/doubts.go
+++ b/internal/controller/doubts.go
@@ -15,7 +15,7 @@
 // Proof is an Input: what came of asking a server of a kept list whether it is there.
 type Proof struct {
 	Server fleet.ServerID
-	Of     verification.Proof
+	Of     verification.Evidence
 }
 
 // cached takes a kept list up, unless the source itself was quicker.
@@ -23,16 +23,16 @@
 	switch {
 	case c.live:
 		return
-	case len(u.Doc.Servers) == 0: // told as a list it would take every server out
+	case len(u.List.Endpoints) == 0: // told as a list it would take every server out
 		c.log(out, Line{now, "warn", "list", "the kept list is empty: proxies go on by what they hold until the list's source is heard"})
 		return
 	}
 	c.takeList(now, u, out)
-	age, known := verification.Age(now, u.At)
-	var names []verification.Name
+	age, known := verification.Age(now, u.ConfirmedAt)
+	var names []verification.NamedEndpoint
 	for id, e := range c.entries {
 		name, addr := c.names.Of(id)
-		names = append(names, verification.Name{Entry: e, Addr: addr, Doubtful: u.Doubtful[name]})
+		names = append(names, verification.NamedEndpoint{Endpoint: e, Addr: addr, Unverified: u.Unverified[name]})
 	}
 	c.doubts.Begin(now, age, names)
 	text := fmt.Sprintf("starts from a list of %d servers that is %.0f s old", len(names), age.Seconds())
@@ -64,7 +64,7 @@
 		}
 		c.plane.Parts(now, parts, "a kept list's names")
 	}
-	for _, s := range p.Says {
+	for _, s := range p.Notices {
 		l := Line{now, "info", "list", s.Text}
 		if s.OfServer {
 			name, addr := c.names.Of(s.Server)
--- a/internal/controller/files_test.go
+++ b/internal/controller/files_test.go
@@ -56,13 +56,13 @@
 	y.t.Helper()
 	y.plane, y.events = reconcile.New(testSite()), make(chan transport.Event, 1<<16)
 	y.streams, y.why, y.joins = map[fleet.ProxyID]uint64{}, map[fleet.ProxyID]string{}, map[fleet.ProxyID]int{}
-	y.plane.Epoch(uint64(time.Now().UnixNano()), func(id fleet.ServerID) string { name, _ := y.names.Of(id); return name })
+	y.plane.SetEpoch(uint64(time.Now().UnixNano()), func(id fleet.ServerID) string { name, _ := y.names.Of(id); return name })
 	l := fleet.EndpointList{Scope: fleet.ListFull}
 	for _, e := range standing(servers) {
 		id, _ := y.names.Listed(e.Name, e.Addr)
 		l.Endpoints = append(l.Endpoints, fleet.Endpoint{Server: id})
 	}
-	y.plane.List(1, l)
+	y.plane.SetEndpoints(1, l)
 	y.begin(files.New(files.Options{Proxies: y.to, Classes: []transport.Class{{Name: backend, Backend: backend}},
 		Admission: fleet.AdmissionFraction, Names: y.names, Fault: fault}))
 	y.until("joined", y.allJoined)
@@ -94,7 +94,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if swaps == 2 && !dead { // something for a third swap; until sends it with the lock free
-					y.plane.Order(y.now(), []fleet.Order{fleet.SetWeight{Server: 4, Weight: 0.9}})
+					y.plane.Apply(y.now(), []fleet.Order{fleet.SetWeight{Server: 4, Weight: 0.9}})
 				}
 				return dead
 			})
@@ -156,7 +156,7 @@
 		}()
 	}
 	for i := range 40 {
-		y.plane.Order(y.now(), []fleet.Order{fleet.SetWeight{Server: fleet.ServerID(i), Weight: 0.95}})
+		y.plane.Apply(y.now(), []fleet.Order{fleet.SetWeight{Server: fleet.ServerID(i), Weight: 0.95}})
 		y.until("swapped", y.plane.Idle)
 	}
 	close(stop)
@@ -182,7 +182,7 @@
 	y.lay(servers)
 	y.until("laid", func() bool { return y.wants(p, servers) && y.plane.Idle() })
 	full.Store(true)
-	y.plane.Order(y.now(), []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.31}})
+	y.plane.Apply(y.now(), []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.31}})
 	y.until("told", func() bool { return strings.Contains(y.why[0], "no space left") })
 	if held := p.Held(backend, "n2"); held == "" || y.wants(p, servers) {
 		t.Errorf("holds %q though nothing could be written", held)
@@ -234,6 +234,6 @@
 		t.Fatal(err)
 	}
 	y.until("taken up again", func() bool { return y.joins[0] == 2 })
-	y.plane.Order(y.now(), []fleet.Order{fleet.AssignTable{Proxy: 0}})
+	y.plane.Apply(y.now(), []fleet.Order{fleet.AssignTable{Proxy: 0}})
 	y.until("on what is wanted", func() bool { return y.wants(y.proxies[0], servers) })
 }
--- a/internal/controller/flood_test.go
+++ b/internal/controller/flood_test.go
@@ -26,21 +26,21 @@
 	names, crowd := NewNames(), rand.New(rand.NewPCG(4, 4))
 	var all []transport.Proxy
 	for i := range proxies {
-		all = append(all, transport.Proxy{ID: fleet.ProxyID(i), Name: fmt.Sprint("p", i), Zone: fleet.ZoneID(i % 2), Visits: 20})
+		all = append(all, transport.Proxy{ID: fleet.ProxyID(i), Name: fmt.Sprint("p", i), Zone: fleet.ZoneID(i % 2), RequestRate: 20})
 	}
-	core, box := NewCore(site, 1, all, names), &ingest.Box{}
+	core, box := NewCore(site, 1, all, names), &ingest.Queue{}
 	core.Guarded()
 	core.PushedLoads()
 	now := 1000 * s
-	doc := discovery.Document{Rev: 1}
+	doc := discovery.EndpointList{Revision: 1}
 	for i := range servers {
-		doc.Servers = append(doc.Servers, discovery.Server{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: site.Zones[i%2]})
+		doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: site.Zones[i%2]})
 	}
-	in := []Input{discovery.Update{Scope: fleet.ListFull, Doc: doc}}
-	met, came := make([][]counters.Met, proxies), make([]uint64, proxies)
+	in := []Input{discovery.Update{Scope: fleet.ListFull, List: doc}}
+	met, came := make([][]counters.ServerCounters, proxies), make([]uint64, proxies)
 	for i := range proxies {
-		in = append(in, transport.Up{Proxy: fleet.ProxyID(i), Stream: 1, Held: reconcile.Snapshot{Zone: fleet.ZoneID(i % 2), Weight: 20, Fresh: true}})
-		met[i] = make([]counters.Met, servers)
+		in = append(in, transport.Connected{Proxy: fleet.ProxyID(i), Stream: 1, Snapshot: reconcile.Snapshot{Zone: fleet.ZoneID(i % 2), RequestRate: 20, Fresh: true}})
+		met[i] = make([]counters.ServerCounters, servers)
 	}
 	var share, handled, load [servers]float64
 	var parts [proxies][servers]float64
@@ -68,7 +68,7 @@
 					parts[p][i] += n / proxies
 					one := uint64(parts[p][i])
 					parts[p][i] -= float64(one)
-					m.Tries, m.Good, m.GoodMs = m.Tries+one, m.Good+one, m.GoodMs+one*uint64(100/(1.05-load[i]))
+					m.Attempts, m.Successes, m.SuccessMillis = m.Attempts+one, m.Successes+one, m.SuccessMillis+one*uint64(100/(1.05-load[i]))
 					came[p] += one
 				}
 				handled[i] += n
@@ -76,7 +76,7 @@
 		}
 		for i := range servers { // each pushes once a second, at its own time
 			if int(now/tick)%100 == i*3 {
-				box.Put(now, []ingest.Record{{Server: fleet.ServerID(i), Stated: now, Arrived: now, Tries: uint64(handled[i]), HasLoad: true, Load: [4]float32{float32(load[i])}}})
+				box.Put(now, []ingest.Record{{Server: fleet.ServerID(i), Stated: now, Arrived: now, Attempts: uint64(handled[i]), HasLoad: true, Load: [4]float32{float32(load[i])}}})
 			}
 		}
 		for range flood / 100 { // reporters in a loop, late and repeated ones, servers that nothing lists, figures that can't be
@@ -86,11 +86,11 @@
 				r.Server = 7
 			}
 			if r.Server < servers {
-				r.Tries, r.Load[0] = uint64(handled[r.Server]), float32(load[r.Server])
+				r.Attempts, r.Load[0] = uint64(handled[r.Server]), float32(load[r.Server])
 				if crowd.IntN(3) == 0 { // what it sent a while ago
-					r.Stated, r.Tries = now-fleet.Time(crowd.IntN(60))*s-s, r.Tries/2
+					r.Stated, r.Attempts = now-fleet.Time(crowd.IntN(60))*s-s, r.Attempts/2
 				}
-			} else if r.Tries = crowd.Uint64(); crowd.IntN(2) == 0 {
+			} else if r.Attempts = crowd.Uint64(); crowd.IntN(2) == 0 {
 				r.Load[0] = float32(math.NaN())
 			}
 			box.Put(now, []ingest.Record{r})
@@ -105,18 +105,18 @@
 		out := core.Turn(now, append(in, Pushed(taken)))
 		in = in[:0]
 		for _, m := range out.Messages {
-			in = append(in, transport.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
+			in = append(in, transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence})
 		}
 		for _, id := range out.Polls {
 			r := counters.NewReading(2)
 			r.At = now
-			r.Classes[0].Visits = came[id]
+			r.Classes[0].Requests = came[id]
 			for i, m := range met[id] {
-				r.Row(fleet.ServerID(i)).Met = m
+				r.Row(fleet.ServerID(i)).ServerCounters = m
 			}
-			in = append(in, transport.Polled{Proxy: id, Stream: 1, Reading: r})
+			in = append(in, transport.CountersPolled{Proxy: id, Stream: 1, Reading: r})
 		}
-		for i, l := range core.plane.Tables() {
+		for i, l := range core.plane.Entries() {
 			if i == 0 {
 				share = [servers]float64{}
 			}
--- a/internal/controller/gate_test.go
+++ b/internal/controller/gate_test.go
@@ -12,10 +12,10 @@
 // either a whole list follows and nobody was withdrawn, or it is obeyed within half a drain's grace; a delta on it is obeyed with it.
 func TestTruncatedListIsAskedForAgain(t *testing.T) {
 	s := fleet.Second
-	doc := func(rev uint64, n int) discovery.Document {
-		d := discovery.Document{Rev: rev}
+	doc := func(rev uint64, n int) discovery.EndpointList {
+		d := discovery.EndpointList{Revision: rev}
 		for i := range n {
-			d.Servers = append(d.Servers, discovery.Server{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: "a"})
+			d.Endpoints = append(d.Endpoints, discovery.Endpoint{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: "a"})
 		}
 		return d
 	}
@@ -24,24 +24,24 @@
 		want int                           // servers 1.6 s after
 	}{
 		"a whole list follows": {func(c *Core, now fleet.Time) {
-			c.Turn(now, []Input{discovery.Update{Scope: fleet.ListFull, Doc: doc(3, 12)}})
+			c.Turn(now, []Input{discovery.Update{Scope: fleet.ListFull, List: doc(3, 12)}})
 		}, 12},
 		"nothing better follows": {func(*Core, fleet.Time) {}, 4},
 		"it is said again": {func(c *Core, now fleet.Time) {
-			c.Turn(now, []Input{discovery.Update{Scope: fleet.ListFull, Doc: doc(2, 4)}})
+			c.Turn(now, []Input{discovery.Update{Scope: fleet.ListFull, List: doc(2, 4)}})
 			if len(c.entries) != 4 {
 				t.Errorf("said twice, %d servers are listed", len(c.entries))
 			}
 		}, 4},
 		"a delta goes on from it": {func(c *Core, now fleet.Time) {
-			c.Turn(now, []Input{discovery.Update{Scope: fleet.ListDelta, Doc: discovery.Document{Rev: 3, Servers: []discovery.Server{{Name: "s9", Addr: "x:1", Zone: "a"}}}}})
+			c.Turn(now, []Input{discovery.Update{Scope: fleet.ListDelta, List: discovery.EndpointList{Revision: 3, Endpoints: []discovery.Endpoint{{Name: "s9", Addr: "x:1", Zone: "a"}}}}})
 		}, 5},
 	} {
 		c := NewCore(fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1), DrainTimeout: 3 * s, EntriesPerSecond: 1e6, MaxBacklog: 1e6}, 1, nil, NewNames())
 		now, asked := 100*s, 0
-		c.Turn(now, []Input{discovery.Update{Scope: fleet.ListFull, Doc: doc(1, 12)}})
+		c.Turn(now, []Input{discovery.Update{Scope: fleet.ListFull, List: doc(1, 12)}})
 		began := now + s
-		c.Turn(began, []Input{discovery.Update{Scope: fleet.ListFull, Doc: doc(2, 4)}})
+		c.Turn(began, []Input{discovery.Update{Scope: fleet.ListFull, List: doc(2, 4)}})
 		if len(c.entries) != 12 {
 			t.Errorf("%s: obeyed at once", name)
 		}
--- a/internal/controller/governor_test.go
+++ b/internal/controller/governor_test.go
@@ -35,9 +35,9 @@
 // yard is a front over sockets with stand-in proxies, driven by a plane alone, so that tests choose the orders.
 type yard struct {
 	t       *testing.T
-	plane   *reconcile.Plane
+	plane   *reconcile.Reconciler
 	names   *controller.Names
-	front   transport.Front
+	front   transport.Transport
 	dir     string
 	to      []transport.Proxy
 	proxies []*fakes.Proxy
@@ -75,14 +75,14 @@
 	y := &yard{t: t, plane: reconcile.New(testSite()), names: controller.NewNames(), events: make(chan transport.Event, 1<<16),
 		streams: map[fleet.ProxyID]uint64{}, why: map[fleet.ProxyID]string{}, joins: map[fleet.ProxyID]int{},
 		start: time.Now(), watch: invariants.NewWatch(), parted: map[fleet.ProxyID]time.Time{}}
-	y.plane.Epoch(7, func(id fleet.ServerID) string { name, _ := y.names.Of(id); return name })
+	y.plane.SetEpoch(7, func(id fleet.ServerID) string { name, _ := y.names.Of(id); return name })
 	dir := t.TempDir()
 	l := fleet.EndpointList{Scope: fleet.ListFull}
 	for _, e := range standing(servers) {
 		id, _ := y.names.Listed(e.Name, e.Addr)
 		l.Endpoints = append(l.Endpoints, fleet.Endpoint{Server: id})
 	}
-	y.plane.List(1, l)
+	y.plane.SetEndpoints(1, l)
 	var to []transport.Proxy
 	for i := range proxies {
 		p := newProxy(t, dir, fmt.Sprintf("p%d", i), y.watch, min(3, servers))
@@ -103,7 +103,7 @@
 }
 
 // begin starts a front and ends it with the test.
-func (y *yard) begin(f transport.Front) {
+func (y *yard) begin(f transport.Transport) {
 	y.front = f
 	events := y.events // the next front of this yard has others
 	if err := f.Start(context.Background(), func(e transport.Event) { events <- e }); err != nil {
@@ -151,22 +151,22 @@
 
 func (y *yard) take(e transport.Event) {
 	switch e := e.(type) {
-	case transport.Up:
+	case transport.Connected:
 		y.streams[e.Proxy] = e.Stream
 		y.joins[e.Proxy]++
-		y.plane.Join(y.now(), e.Proxy, e.Held)
-	case transport.Down:
-		y.why[e.Proxy] = e.Why.Error()
+		y.plane.Join(y.now(), e.Proxy, e.Snapshot)
+	case transport.Disconnected:
+		y.why[e.Proxy] = e.Err.Error()
 		y.plane.Leave(e.Proxy)
-	case transport.Unreached:
-		y.why[e.Proxy] = e.Why.Error()
+	case transport.Unreachable:
+		y.why[e.Proxy] = e.Err.Error()
 	case transport.Progress:
 		y.plane.Progress(y.now(), e.Proxy)
-	case transport.Polled:
-		y.plane.Seen(y.now(), e.Proxy, e.Reading.Lines)
-	case transport.Answer:
+	case transport.CountersPolled:
+		y.plane.ObserveEntries(y.now(), e.Proxy, e.Reading.Entries)
+	case transport.Answered:
 		if y.streams[e.Proxy] == e.Stream {
-			y.plane.Answer(y.now(), e.Proxy, e.Seq, e.Failures)
+			y.plane.Acknowledge(y.now(), e.Proxy, e.Sequence, e.Failures)
 		}
 	}
 }
@@ -180,13 +180,13 @@
 	for i := range y.proxies {
 		orders = append(orders, fleet.AssignTable{Proxy: fleet.ProxyID(i)})
 	}
-	y.plane.Order(y.now(), append(orders, fleet.WithdrawServer{Server: 1, Withdrawn: true},
+	y.plane.Apply(y.now(), append(orders, fleet.WithdrawServer{Server: 1, Withdrawn: true},
 		fleet.SetAdmission{Table: fleet.AllTables, Limit: 0.75}))
 }
 
 // wants tells whether a proxy holds what lay ordered.
 func (y *yard) wants(p *fakes.Proxy, servers int) bool {
-	for _, l := range y.plane.Tables() {
+	for _, l := range y.plane.Entries() {
 		state := "ready"
 		if l.Withdrawn {
 			state = "maint"
@@ -220,7 +220,7 @@
 			id := fleet.ProxyID(i)
 			if y.joins[id] > 1 && !again[id] { // a binding ends with its stream, so the module binds anew
 				again[id] = true
-				y.plane.Order(y.now(), []fleet.Order{fleet.AssignTable{Proxy: id}})
+				y.plane.Apply(y.now(), []fleet.Order{fleet.AssignTable{Proxy: id}})
 			}
 		}
 		for _, p := range y.proxies {
@@ -259,7 +259,7 @@
 	y.proxies[0].Commands()
 	y.front.Drop(0)
 	y.until("joined again", func() bool { return y.joins[0] == 2 })
-	y.plane.Order(y.now(), []fleet.Order{fleet.AssignTable{Proxy: 0}, fleet.Barrier{ID: 9}})
+	y.plane.Apply(y.now(), []fleet.Order{fleet.AssignTable{Proxy: 0}, fleet.Barrier{ID: 9}})
 	y.until("at rest", y.plane.Idle)
 	if n, log := y.proxies[0].Commands(); n > 0 {
 		t.Errorf("%d commands for what stood: %q", n, log)
@@ -279,7 +279,7 @@
 		t.Fatal(err)
 	}
 	y.until("joined again", func() bool { return y.joins[0] == 2 })
-	y.plane.Order(y.now(), []fleet.Order{fleet.AssignTable{Proxy: 0}})
+	y.plane.Apply(y.now(), []fleet.Order{fleet.AssignTable{Proxy: 0}})
 	y.until("all on what is wanted", func() bool { return y.wants(y.proxies[0], 30) && y.wants(y.proxies[1], 30) })
 }
 
@@ -330,7 +330,7 @@
 		if !moved {
 			t.Fatal("not told as moved")
 		}
-		y.plane.Moved(id)
+		y.plane.AddressChanged(id)
 		y.until("followed", func() bool {
 			return y.proxies[0].Addr(backend, "n2") == "127.0.0.1:9999" && (on == "files" || y.proxies[1].Addr(backend, "n2") == "127.0.0.1:9999")
 		})
@@ -339,12 +339,12 @@
 
 // onNewest tells whether a proxy holds the newest version, by what it says and by what it really holds.
 func (y *yard) onNewest(p *fakes.Proxy, servers int) bool {
-	book := y.plane.Book(0)
+	book := y.plane.TableVersions(0)
 	digest := tableversion.Digest(0)
 	for i := range servers {
 		name := fmt.Sprint("n", i)
 		weight, _ := strconv.Atoi(strings.Fields(p.Held(backend, name) + " x")[0])
-		digest += tableversion.LineDigest(name, weight)
+		digest += tableversion.EntryDigest(name, weight)
 	}
 	return digest == book.Digest() && p.Level(backend+".version") == book.Version().String()+"/"+book.Digest().String()
 }
@@ -368,7 +368,7 @@
 				for i := range y.proxies {
 					if id := fleet.ProxyID(i); laid[id] < y.joins[id] {
 						laid[id] = y.joins[id]
-						y.plane.Order(y.now(), []fleet.Order{fleet.AssignTable{Proxy: id}})
+						y.plane.Apply(y.now(), []fleet.Order{fleet.AssignTable{Proxy: id}})
 					}
 				}
 			}
@@ -378,10 +378,10 @@
 			}
 			y.lay(servers)
 			y.until("laid", all)
-			good := y.plane.Book(0).Version()
+			good := y.plane.TableVersions(0).Version()
 			rng := rand.New(rand.NewPCG(1, 9))
 			for round := range 12 {
-				y.plane.Order(y.now(), []fleet.Order{fleet.SetWeight{Server: fleet.ServerID(rng.IntN(servers)), Weight: 0.1 + rng.Float32()/2}})
+				y.plane.Apply(y.now(), []fleet.Order{fleet.SetWeight{Server: fleet.ServerID(rng.IntN(servers)), Weight: 0.1 + rng.Float32()/2}})
 				p := y.proxies[rng.IntN(proxies)]
 				switch rng.IntN(5) {
 				case 0:
@@ -424,7 +424,7 @@
 				return // what is changed there is put back as a file
 			}
 			y.until("at rest", y.plane.Idle)
-			y.plane.Alarms()
+			y.plane.Notices()
 			p := y.proxies[1]
 			p.Commands()
 			p.ByHand("set", "server", backend+"/n2", "weight", "3")
@@ -434,7 +434,7 @@
 			if _, log := p.Commands(); len(log) > 12 {
 				t.Errorf("more than the difference was sent: %q", log)
 			}
-			if alarms := y.plane.Alarms(); len(alarms) == 0 || !strings.Contains(alarms[0].Text, "lines are not what it was sent") {
+			if alarms := y.plane.Notices(); len(alarms) == 0 || !strings.Contains(alarms[0].Text, "lines are not what it was sent") {
 				t.Errorf("not told: %+v", alarms)
 			}
 		})
@@ -451,16 +451,16 @@
 	y.until("laid", func() bool {
 		return y.onNewest(y.proxies[0], servers) && y.onNewest(y.proxies[1], servers) && y.plane.Idle()
 	})
-	y.plane.Alarms()
+	y.plane.Notices()
 	y.front.Drop(0)
 	y.front.Drop(1)
 	y.proxies[1].ByHand("set", "server", backend+"/n2", "weight", "7")
 	y.until("joined again", func() bool { return y.joins[0] == 2 && y.joins[1] == 2 })
-	alarms := y.plane.Alarms()
+	alarms := y.plane.Notices()
 	if len(alarms) != 1 || alarms[0].Proxy != 1 || !strings.Contains(alarms[0].Text, "it says that it holds version") {
 		t.Errorf("alarms %+v", alarms)
 	}
-	y.plane.Order(y.now(), []fleet.Order{fleet.AssignTable{Proxy: 0}, fleet.AssignTable{Proxy: 1}})
+	y.plane.Apply(y.now(), []fleet.Order{fleet.AssignTable{Proxy: 0}, fleet.AssignTable{Proxy: 1}})
 	y.until("put right", func() bool { return y.onNewest(y.proxies[1], servers) && y.plane.Idle() })
 }
 
@@ -545,14 +545,14 @@
 type memory struct {
 	mu   sync.Mutex
 	sink func(discovery.Update)
-	doc  discovery.Document
+	doc  discovery.EndpointList
 }
 
 func (m *memory) Start(_ context.Context, sink func(discovery.Update)) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.sink = sink
-	sink(discovery.Update{Scope: fleet.ListFull, Doc: m.doc})
+	sink(discovery.Update{Scope: fleet.ListFull, List: m.doc})
 	return nil
 }
 func (m *memory) Watch(bool) {}
@@ -571,13 +571,13 @@
 		}
 		t.Cleanup(p.Down)
 		proxies = append(proxies, p)
-		to = append(to, transport.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Addr: p.Runtime, Visits: 1})
+		to = append(to, transport.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Addr: p.Runtime, RequestRate: 1})
 		watch.Owner(p.Name, "g")
 	}
-	doc := discovery.Document{Rev: 1}
+	doc := discovery.EndpointList{Revision: 1}
 	for _, e := range standing(6) {
 		watch.Told("g", e.Name, "ready", time.Time{})
-		doc.Servers = append(doc.Servers, discovery.Server{Name: e.Name, Addr: e.Addr, Zone: "a"})
+		doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{Name: e.Name, Addr: e.Addr, Zone: "a"})
 	}
 	site := testSite()
 	site.Classes[0] = fleet.RequestClass{Name: backend, PriorityWeight: 1, LatencyObjective: fleet.Second, Deadline: 2 * fleet.Second}
@@ -587,7 +587,7 @@
 		names := controller.NewNames()
 		f := haproxy.New(haproxy.Options{Proxies: to, Classes: []transport.Class{{Name: backend, Backend: backend}}, Map: "cressknot",
 			Table: "nodes", Admission: site.Admission, Names: names})
-		loop = controller.NewLoop(controller.Parts{Core: controller.NewCore(site, seed, to, names), Names: names, Front: f,
+		loop = controller.NewLoop(controller.Options{Core: controller.NewCore(site, seed, to, names), Names: names, Transport: f,
 			Source: &memory{doc: doc}, Log: zerolog.Nop()})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
@@ -597,7 +597,7 @@
 	bound := func(loop *controller.Loop) bool {
 		all := false
 		_ = loop.Ask(context.Background(), func(c *controller.Core) {
-			all = !slices.ContainsFunc(c.ProxyViews(), func(v reconcile.ProxyView) bool { return !v.Bound[0] || v.Flying > 0 }) &&
+			all = !slices.ContainsFunc(c.ProxyViews(), func(v reconcile.ProxyView) bool { return !v.Assigned[0] || v.InFlight > 0 }) &&
 				len(c.ProxyViews()) == 3
 		})
 		return all
--- a/internal/controller/intake.go
+++ b/internal/controller/intake.go
@@ -38,7 +38,7 @@
 	var b strings.Builder
 	b.WriteString("# server sight since_s report_age_s met_age_s tries failed served erred clock_off_s believed\n")
 	for _, v := range c.intake.Views(now) {
-		if stale && v.Sight == ingest.Well && v.Distrust == 0 {
+		if stale && v.Verdict == ingest.Well && v.Distrust == 0 {
 			continue
 		}
 		name, _ := c.names.Of(v.Server)
@@ -46,13 +46,13 @@
 		if v.Reports {
 			age = fmt.Sprintf("%.1f", v.Age.Seconds())
 		}
-		if v.Sight != ingest.Well {
+		if v.Verdict != ingest.Well {
 			since = seconds(now - v.Since)
 		}
 		if v.Distrust > 0 {
 			believed = fmt.Sprintf("in %.0f s", (v.Distrust - now).Seconds())
 		}
-		fmt.Fprintf(&b, "%s %s %s %s %s %d %d %d %d %.1f %s\n", name, v.Sight, since, age, seconds(v.Met), v.Tries, v.Failed, v.Served, v.Erred,
+		fmt.Fprintf(&b, "%s %s %s %s %s %d %d %d %d %.1f %s\n", name, v.Verdict, since, age, seconds(v.Met), v.Tries, v.Failed, v.Served, v.Erred,
 			-v.Skew.Seconds(), believed)
 	}
 	b.WriteString("# proxy counters_age_s asked_every_s\n")
@@ -117,7 +117,7 @@
 	fmt.Fprintf(&b, "# server %s sight tries failed\n", args[0])
 	for _, v := range views[:min(most, len(views))] {
 		name, _ := c.names.Of(v.Server)
-		fmt.Fprintf(&b, "%s %.3f %s %d %d\n", name, by[args[0]](&v), v.Sight, v.Tries, v.Failed)
+		fmt.Fprintf(&b, "%s %.3f %s %d %d\n", name, by[args[0]](&v), v.Verdict, v.Tries, v.Failed)
 	}
 	return b.String()
 }
@@ -148,7 +148,7 @@
 	var b strings.Builder
 	b.WriteString("# minute tries failed p50_ms p99_ms most_ms load\n")
 	row := func(at string, p *timeseries.Point) {
-		fmt.Fprintf(&b, "%s %d %d %d %d %d %.3f\n", at, p.Tries, p.Failed, p.Times.ValueAtQuantile(50), p.Times.ValueAtQuantile(99), p.Times.Max(), p.Load)
+		fmt.Fprintf(&b, "%s %d %d %d %d %d %.3f\n", at, p.Attempts, p.Failures, p.Latencies.ValueAtQuantile(50), p.Latencies.ValueAtQuantile(99), p.Latencies.Max(), p.Load)
 	}
 	for i := range points {
 		row(stamp(points[i].At), &points[i])
--- a/internal/controller/kept.go
+++ b/internal/controller/kept.go
@@ -73,7 +73,7 @@
 	pins    map[fleet.TableID]reconcile.Pin
 	hands   map[string]keptHand
 	list    keptList
-	entries [2]map[string]discovery.Server // by generation's parity: what its records hold
+	entries [2]map[string]discovery.Endpoint // by generation's parity: what its records hold
 }
 
 type keptTable struct {
@@ -85,30 +85,30 @@
 
 func newKeeper() keeper {
 	return keeper{tables: map[fleet.TableID]*keptTable{}, pins: map[fleet.TableID]reconcile.Pin{}, hands: map[string]keptHand{},
-		entries: [2]map[string]discovery.Server{{}, {}}}
+		entries: [2]map[string]discovery.Endpoint{{}, {}}}
 }
 
 func tableKey(id fleet.TableID, parts ...string) string {
-	return store.Join(append([]string{"table", fmt.Sprintf("%05d", id)}, parts...)...)
+	return store.Key(append([]string{"table", fmt.Sprintf("%05d", id)}, parts...)...)
 }
 
 func deltaKey(id fleet.TableID, v tableversion.Version) string {
 	return tableKey(id, "delta", fmt.Sprintf("%020d.%020d", v.Epoch, v.Count))
 }
 
-func (c *Core) namedLines(lines []tableversion.Line) []keptLine {
+func (c *Core) namedLines(lines []tableversion.Entry) []keptLine {
 	out := make([]keptLine, len(lines))
 	for i, l := range lines {
 		name, _ := c.names.Of(l.Server)
-		out[i] = keptLine{name, l.Weight, l.Was}
+		out[i] = keptLine{name, l.Weight, l.Previous}
 	}
 	return out
 }
 
-func (c *Core) lines(named []keptLine) []tableversion.Line {
-	out := make([]tableversion.Line, len(named))
+func (c *Core) lines(named []keptLine) []tableversion.Entry {
+	out := make([]tableversion.Entry, len(named))
 	for i, l := range named {
-		out[i] = tableversion.Line{Server: c.names.Learn(l.Server, ""), Weight: l.Weight, Was: l.Was}
+		out[i] = tableversion.Entry{Server: c.names.Learn(l.Server, ""), Weight: l.Weight, Previous: l.Was}
 	}
 	return out
 }
@@ -120,16 +120,16 @@
 		return nil
 	}
 	for _, id := range c.plane.TableIDs() {
-		if book := c.plane.Book(id); book != nil {
+		if book := c.plane.TableVersions(id); book != nil {
 			changes = c.keepTable(changes, id, book)
 		}
 	}
 	pins := map[fleet.TableID]bool{}
 	for _, p := range c.plane.Pins() {
 		pins[p.Table] = true
-		if old, is := k.pins[p.Table]; !is || old.Until != p.Until || old.Why != p.Why {
+		if old, is := k.pins[p.Table]; !is || old.Until != p.Until || old.Reason != p.Reason {
 			k.pins[p.Table] = p
-			changes = append(changes, store.Change{Key: fmt.Sprintf("pin/%05d", p.Table), Value: keptPin{c.namedLines(p.Weights), p.Until, p.Why}})
+			changes = append(changes, store.Change{Key: fmt.Sprintf("pin/%05d", p.Table), Value: keptPin{c.namedLines(p.Weights), p.Until, p.Reason}})
 		}
 	}
 	for id := range k.pins {
@@ -139,9 +139,9 @@
 		}
 	}
 	hands := map[string]bool{}
-	for _, o := range c.plane.Pushes() {
+	for _, o := range c.plane.ManualWeights() {
 		name, _ := c.names.Of(o.Server)
-		key := store.Join("hand", fmt.Sprintf("%05d", o.Table), name)
+		key := store.Key("hand", fmt.Sprintf("%05d", o.Table), name)
 		hands[key] = true
 		if now := (keptHand{o.Weight, o.Until}); k.hands[key] != now {
 			k.hands[key] = now
@@ -174,53 +174,53 @@
 		key := deltaKey(id, d.To)
 		t.deltas = append(t.deltas, key)
 		t.since++
-		changes = append(changes, store.Change{Key: key, Value: keptDelta{d.From, d.To, d.FromDigest, d.ToDigest, c.namedLines(d.Lines), d.At, d.Why}})
+		changes = append(changes, store.Change{Key: key, Value: keptDelta{d.From, d.To, d.FromDigest, d.ToDigest, c.namedLines(d.Entries), d.CreatedAt, d.Reason}})
 	}
 	t.at = book.Version()
 	for len(t.deltas) > len(history) { // forgotten by the table itself
 		changes = append(changes, store.Change{Key: t.deltas[0]})
 		t.deltas = t.deltas[1:]
 	}
-	if t.since >= wholeEvery || t.whole == tableversion.None || len(history) > 0 && t.whole.Compare(history[0].From) < 0 {
+	if t.since >= wholeEvery || t.whole == tableversion.NoVersion || len(history) > 0 && t.whole.Compare(history[0].From) < 0 {
 		t.whole, t.since = t.at, 0
-		changes = append(changes, store.Change{Key: tableKey(id, "whole"), Value: keptWhole{t.at, book.Digest(), c.namedLines(book.Lines())}})
+		changes = append(changes, store.Change{Key: tableKey(id, "whole"), Value: keptWhole{t.at, book.Digest(), c.namedLines(book.Entries())}})
 	}
 	return changes
 }
 
 // keepList keeps a list beside the one before: an entry a record, so that a damaged one costs itself only, and last the head that
 // makes it count.
-func (c *Core) keepList(now fleet.Time, doc *discovery.Document) (changes []store.Change) {
+func (c *Core) keepList(now fleet.Time, doc *discovery.EndpointList) (changes []store.Change) {
 	k := &c.keeper
 	if !k.on {
 		return nil
 	}
-	gen, digest := k.list.Generation+1, digestOf(doc.Servers)
+	gen, digest := k.list.Generation+1, digestOf(doc.Endpoints)
 	if k.list.Generation > 0 && digest == k.list.Digest { // the same list, confirmed: the one before it stays
 		gen = k.list.Generation
 	}
 	held := k.entries[gen%2]
 	slot := strconv.FormatUint(gen%2, 10)
 	there := map[string]bool{}
-	for _, s := range doc.Servers {
+	for _, s := range doc.Endpoints {
 		there[s.Name] = true
 		if old, is := held[s.Name]; !is || old != s {
 			held[s.Name] = s
-			changes = append(changes, store.Change{Key: store.Join("list", slot, "entry", s.Name), Value: s})
+			changes = append(changes, store.Change{Key: store.Key("list", slot, "entry", s.Name), Value: s})
 		}
 	}
 	for name := range held {
 		if !there[name] {
 			delete(held, name)
-			changes = append(changes, store.Change{Key: store.Join("list", slot, "entry", name)})
+			changes = append(changes, store.Change{Key: store.Key("list", slot, "entry", name)})
 		}
 	}
-	k.list = keptList{gen, doc.Rev, now, len(doc.Servers), digest}
-	return append(changes, store.Change{Key: store.Join("list", slot, "head"), Value: k.list})
+	k.list = keptList{gen, doc.Revision, now, len(doc.Endpoints), digest}
+	return append(changes, store.Change{Key: store.Key("list", slot, "head"), Value: k.list})
 }
 
 // digestOf gives a checksum of a whole list, whatever the order of its entries.
-func digestOf(servers []discovery.Server) string {
+func digestOf(servers []discovery.Endpoint) string {
 	all := uint64(0)
 	for _, s := range servers {
 		text, _ := json.Marshal(s) // of strings and numbers
@@ -229,24 +229,24 @@
 	return fmt.Sprintf("%016x", all)
 }
 
-// Woken is what a governor woke with.
-type Woken struct {
-	Epoch  keptEpoch
-	Lists  []verification.Generation[discovery.Server] // as they were kept
-	Lost   []string                                    // what was there and can't be believed
-	Tables int
-	Pins   int
-	Hands  int
+// Restored is what a governor woke with.
+type Restored struct {
+	Epoch         keptEpoch
+	Lists         []verification.Generation[discovery.Endpoint] // as they were kept
+	Unreadable    []string                                      // what was there and can't be believed
+	Tables        int
+	Pins          int
+	ManualWeights int
 }
 
-// Wake takes over what was kept, before the first turn, and begins a new epoch after all before it, whatever the clock says.
+// Restore takes over what was kept, before the first turn, and begins a new epoch after all before it, whatever the clock says.
 // What is damaged is left out and told.
-func (c *Core) Wake(now fleet.Time, s *store.Store) (w Woken, err error) {
+func (c *Core) Restore(now fleet.Time, s *store.Store) (w Restored, err error) {
 	wholes, deltas := map[fleet.TableID]keptWhole{}, map[fleet.TableID][]keptDelta{}
 	keys := map[fleet.TableID][]string{}
 	pins, hands := map[fleet.TableID]keptPin{}, map[string]keptHand{}
 	var heads [2]keptList
-	var entries [2][]discovery.Server
+	var entries [2][]discovery.Endpoint
 	damage, err := s.Read("", func(key string, payload []byte) error {
 		var table fleet.TableID
 		var slot int
@@ -275,18 +275,18 @@
 		case scan(key, "list/%1d/%s", &slot, &rest) && slot < 2 && rest == "head":
 			read(&heads[slot])
 		case scan(key, "list/%1d/%s", &slot, &rest) && slot < 2:
-			var one discovery.Server
+			var one discovery.Endpoint
 			if read(&one); bad == nil {
 				entries[slot] = append(entries[slot], one)
 			}
 		}
 		if bad != nil {
-			w.Lost = append(w.Lost, key+": "+bad.Error())
+			w.Unreadable = append(w.Unreadable, key+": "+bad.Error())
 		}
 		return nil
 	})
 	for _, d := range damage {
-		w.Lost = append(w.Lost, d.String())
+		w.Unreadable = append(w.Unreadable, d.String())
 	}
 	if err != nil {
 		return w, err
@@ -300,16 +300,16 @@
 	return w, nil
 }
 
-func (c *Core) wakeTables(now fleet.Time, w *Woken, wholes map[fleet.TableID]keptWhole, deltas map[fleet.TableID][]keptDelta, keys map[fleet.TableID][]string, pins map[fleet.TableID]keptPin) {
+func (c *Core) wakeTables(now fleet.Time, w *Restored, wholes map[fleet.TableID]keptWhole, deltas map[fleet.TableID][]keptDelta, keys map[fleet.TableID][]string, pins map[fleet.TableID]keptPin) {
 	for _, id := range slices.Sorted(maps.Keys(wholes)) { // so that ids of names are the same each time
 		whole := wholes[id]
 		var ds []tableversion.Delta
 		for _, d := range deltas[id] {
-			ds = append(ds, tableversion.Delta{From: d.From, To: d.To, FromDigest: d.FromDigest, ToDigest: d.ToDigest, Lines: c.lines(d.Lines), At: d.At, Why: d.Why})
+			ds = append(ds, tableversion.Delta{From: d.From, To: d.To, FromDigest: d.FromDigest, ToDigest: d.ToDigest, Entries: c.lines(d.Lines), CreatedAt: d.At, Reason: d.Why})
 		}
-		book, err := c.plane.NewBook(whole.Version, whole.Digest, c.lines(whole.Lines), ds)
+		book, err := c.plane.RestoreVersions(whole.Version, whole.Digest, c.lines(whole.Lines), ds)
 		if err != nil { // its versions begin anew; proxies are read back as always
-			w.Lost = append(w.Lost, fmt.Sprintf("versions of table %d: %v", id, err))
+			w.Unreadable = append(w.Unreadable, fmt.Sprintf("versions of table %d: %v", id, err))
 			continue
 		}
 		c.plane.Restore(id, book, nil)
@@ -318,29 +318,29 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(pins)) {
 		p := pins[id]
-		one := reconcile.Pin{Table: id, Weights: c.lines(p.Lines), Until: p.Until, Why: p.Why}
-		if c.keeper.pins[id] = one; now < p.Until && p.Until <= now+reconcile.PinMost { // a clock that went back makes none longer
+		one := reconcile.Pin{Table: id, Weights: c.lines(p.Lines), Until: p.Until, Reason: p.Why}
+		if c.keeper.pins[id] = one; now < p.Until && p.Until <= now+reconcile.MaxPinDuration { // a clock that went back makes none longer
 			c.plane.Restore(id, nil, &one)
 			w.Pins++
 		}
 	}
 }
 
-func (c *Core) wakeHands(now fleet.Time, w *Woken, hands map[string]keptHand) {
+func (c *Core) wakeHands(now fleet.Time, w *Restored, hands map[string]keptHand) {
 	for _, key := range slices.Sorted(maps.Keys(hands)) {
 		h := hands[key]
 		var table fleet.TableID
 		var name string
 		c.keeper.hands[key] = h
-		if scan(key, "hand/%05d/%s", &table, &name) && now < h.Until && h.Until <= now+reconcile.PushFor {
-			c.plane.RestorePush(reconcile.Pushed{Table: table, Server: c.names.Learn(name, ""), Weight: h.Weight, Until: h.Until})
-			w.Hands++
+		if scan(key, "hand/%05d/%s", &table, &name) && now < h.Until && h.Until <= now+reconcile.ManualWeightDuration {
+			c.plane.RestoreManualWeight(reconcile.ManualWeight{Table: table, Server: c.names.Learn(name, ""), Weight: h.Weight, Until: h.Until})
+			w.ManualWeights++
 		}
 	}
 }
 
 // wakeList gives both generations with what is left of them, and goes on from the newer one.
-func (c *Core) wakeList(w *Woken, heads [2]keptList, entries [2][]discovery.Server) {
+func (c *Core) wakeList(w *Restored, heads [2]keptList, entries [2][]discovery.Endpoint) {
 	for slot, h := range heads {
 		for _, s := range entries[slot] {
 			c.keeper.entries[slot][s.Name] = s
@@ -351,11 +351,13 @@
 		if h.Generation > c.keeper.list.Generation {
 			c.keeper.list = h
 		}
-		g := verification.Generation[discovery.Server]{From: "store", At: h.At, Rev: h.Rev, Stated: h.Entries,
-			Whole: h.Digest == "" || h.Digest == digestOf(entries[slot]), Entries: maps.Clone(c.keeper.entries[slot])}
+		g := verification.Generation[discovery.Endpoint]{Source: "store", ConfirmedAt: h.At, Revision: h.Rev, DeclaredSize: h.Entries,
+			Complete: h.Digest == "" || h.Digest == digestOf(entries[slot]), Entries: maps.Clone(c.keeper.entries[slot])}
 		w.Lists = append(w.Lists, g)
 	}
-	slices.SortFunc(w.Lists, func(a, b verification.Generation[discovery.Server]) int { return cmp.Compare(b.At, a.At) })
+	slices.SortFunc(w.Lists, func(a, b verification.Generation[discovery.Endpoint]) int {
+		return cmp.Compare(b.ConfirmedAt, a.ConfirmedAt)
+	})
 }
 
 func scan(key, form string, into ...any) bool {
--- a/internal/controller/kept_test.go
+++ b/internal/controller/kept_test.go
@@ -22,12 +22,12 @@
 type life struct {
 	core  *Core
 	store *store.Store
-	woken Woken
+	woken Restored
 }
 
 func live(t *testing.T, fs vfs.FS, now fleet.Time) *life {
 	t.Helper()
-	s, err := store.Open(store.Options{Folder: "store", FS: fs})
+	s, err := store.Open(store.Options{Directory: "store", FS: fs})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 	if _, err := s.Read("epoch", func(_ string, payload []byte) error { return json.Unmarshal(payload, &before) }); err != nil {
 		t.Fatal(err)
 	}
-	if l.woken, err = l.core.Wake(now, s); err != nil || l.woken.Epoch.Epoch <= before.Epoch {
+	if l.woken, err = l.core.Restore(now, s); err != nil || l.woken.Epoch.Epoch <= before.Epoch {
 		t.Fatalf("epoch %d after %d (%v)", l.woken.Epoch.Epoch, before.Epoch, err)
 	}
 	l.keep(t, []store.Change{{Key: "epoch", Value: l.woken.Epoch}})
@@ -58,22 +58,22 @@
 func (l *life) state() string {
 	var b strings.Builder
 	for _, id := range l.core.plane.TableIDs() {
-		if book := l.core.plane.Book(id); book != nil {
+		if book := l.core.plane.TableVersions(id); book != nil {
 			fmt.Fprintf(&b, "table %d %s %s %d\n", id, book.Version(), book.Digest(), book.Len())
 			for _, d := range book.History() {
-				lines := l.core.namedLines(d.Lines)
+				lines := l.core.namedLines(d.Entries)
 				slices.SortFunc(lines, func(a, b keptLine) int { return strings.Compare(a.Server, b.Server) })
-				fmt.Fprintf(&b, " %s-%s %v %q\n", d.From, d.To, lines, d.Why)
+				fmt.Fprintf(&b, " %s-%s %v %q\n", d.From, d.To, lines, d.Reason)
 			}
 		}
 	}
 	for _, p := range l.core.plane.Pins() {
 		lines := l.core.namedLines(p.Weights)
 		slices.SortFunc(lines, func(a, b keptLine) int { return strings.Compare(a.Server, b.Server) })
-		fmt.Fprintf(&b, "pin %d %d %q %v\n", p.Table, p.Until, p.Why, lines)
+		fmt.Fprintf(&b, "pin %d %d %q %v\n", p.Table, p.Until, p.Reason, lines)
 	}
 	var hands []string
-	for _, o := range l.core.plane.Pushes() {
+	for _, o := range l.core.plane.ManualWeights() {
 		name, _ := l.core.names.Of(o.Server)
 		hands = append(hands, fmt.Sprintf("hand %d %s %d %d\n", o.Table, name, o.Weight, o.Until))
 	}
@@ -92,8 +92,8 @@
 		newest := map[fleet.TableID]tableversion.Version{}
 		for range 6 {
 			l := live(t, mem, now)
-			if got := l.state(); got != before || len(l.woken.Lost) > 0 {
-				t.Fatalf("seed %d: woke with\n%s\nkept was\n%s\nlost %v", seed, got, before, l.woken.Lost)
+			if got := l.state(); got != before || len(l.woken.Unreadable) > 0 {
+				t.Fatalf("seed %d: woke with\n%s\nkept was\n%s\nlost %v", seed, got, before, l.woken.Unreadable)
 			}
 			l.keep(t, l.core.Turn(now, nil).Keep)
 			for range rng.IntN(150) {
@@ -104,19 +104,19 @@
 				server := l.core.names.Learn(fmt.Sprint("s", rng.IntN(12)), "x:1")
 				switch rng.IntN(8) {
 				case 0:
-					l.core.plane.Push(now, id, server, int16(rng.IntN(256)), now+reconcile.PushFor)
+					l.core.plane.SetManualWeight(now, id, server, int16(rng.IntN(256)), now+reconcile.ManualWeightDuration)
 				case 1:
-					l.core.plane.Unpush(now, id, server)
+					l.core.plane.ClearManualWeight(now, id, server)
 				case 2:
 					_ = l.core.plane.Pin(now, id, now+fleet.Time(rng.IntN(60)+1)*fleet.Second)
 				case 3:
 					l.core.plane.Unpin(now, id, "lifted")
 				default:
-					l.core.plane.Order(now, []fleet.Order{fleet.SetWeight{Table: id, Server: server, Weight: float32(rng.IntN(9)) / 8}})
+					l.core.plane.Apply(now, []fleet.Order{fleet.SetWeight{Table: id, Server: server, Weight: float32(rng.IntN(9)) / 8}})
 				}
 				out := l.core.Turn(now, nil)
 				l.keep(t, out.Keep)
-				if book := l.core.plane.Book(id); book != nil {
+				if book := l.core.plane.TableVersions(id); book != nil {
 					if v := book.Version(); v.Compare(newest[id]) < 0 {
 						t.Fatalf("seed %d: version %s after %s", seed, v, newest[id])
 					} else {
@@ -147,12 +147,12 @@
 func TestListsOfTheStore(t *testing.T) {
 	mem := vfs.NewCrashableMem()
 	l := live(t, mem, fleet.Second)
-	doc := discovery.Document{Rev: 7}
+	doc := discovery.EndpointList{Revision: 7}
 	for i := range 5 {
-		doc.Servers = append(doc.Servers, discovery.Server{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: "a"})
+		doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: "a"})
 	}
 	l.keep(t, l.core.keepList(2*fleet.Second, &doc))
-	doc.Rev, doc.Servers = 8, doc.Servers[:4]
+	doc.Revision, doc.Endpoints = 8, doc.Endpoints[:4]
 	changes := l.core.keepList(3*fleet.Second, &doc)
 	l.keep(t, changes[:len(changes)-1]) // all but the head
 	wakes := func(rev uint64, servers, lost, doubtful int) *life {
@@ -162,8 +162,8 @@
 		mem = clone
 		n := live(t, mem, 10*fleet.Second)
 		got, ok := verification.Choose(10*fleet.Second, n.woken.Lists)
-		if !ok || got.Rev != rev || len(got.Entries) != servers || len(n.woken.Lost) != lost || len(got.Doubtful) != doubtful || (len(got.Says) > 0) != (doubtful > 0) {
-			t.Errorf("woke with %+v, lost %v", got, n.woken.Lost)
+		if !ok || got.Revision != rev || len(got.Entries) != servers || len(n.woken.Unreadable) != lost || len(got.Unverified) != doubtful || (len(got.Notices) > 0) != (doubtful > 0) {
+			t.Errorf("woke with %+v, lost %v", got, n.woken.Unreadable)
 		}
 		return n
 	}
@@ -177,7 +177,7 @@
 	l = wakes(8, 4, 0, 0)
 	l.keep(t, []store.Change{{Key: "list/0/entry/s2", Value: "no server"}})
 	l = wakes(8, 5, 1, 2) // the entry; s2 and s4 are in the generation before
-	doc.Rev = 9
+	doc.Revision = 9
 	l.keep(t, l.core.keepList(14*fleet.Second, &doc))
 	l = wakes(9, 4, 0, 0)
 	_ = l.store.Close()
@@ -186,7 +186,7 @@
 // BenchmarkWake is a start after a day at 700 servers: three tables, a version of 20 lines each 2 s for a day in their bounds, the list.
 func BenchmarkWake(b *testing.B) {
 	folder := b.TempDir()
-	s, err := store.Open(store.Options{Folder: folder})
+	s, err := store.Open(store.Options{Directory: folder})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -194,12 +194,12 @@
 		return NewCore(fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1), EntriesPerSecond: 1e9, MaxBacklog: 1e9}, 1, nil, NewNames())
 	}
 	c, now := core(), 1000*fleet.Second
-	if _, err := c.Wake(now, s); err != nil {
+	if _, err := c.Restore(now, s); err != nil {
 		b.Fatal(err)
 	}
-	doc := discovery.Document{Rev: 1}
+	doc := discovery.EndpointList{Revision: 1}
 	for i := range 700 {
-		doc.Servers = append(doc.Servers, discovery.Server{Name: fmt.Sprintf("node-%04d", i), Addr: "127.0.0.1:80", Zone: "a"})
+		doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{Name: fmt.Sprintf("node-%04d", i), Addr: "127.0.0.1:80", Zone: "a"})
 	}
 	put := func(changes []store.Change) {
 		done := make(chan error, 1)
@@ -219,7 +219,7 @@
 				orders = append(orders, fleet.SetWeight{Table: fleet.TableID(t), Server: c.names.Learn(fmt.Sprintf("node-%04d", (i*7+j*35)%700), ""), Weight: float32(1+(i+j)%9) / 9})
 			}
 		}
-		c.plane.Order(now, orders)
+		c.plane.Apply(now, orders)
 		if changes := c.keep(); i%100 == 99 {
 			put(changes)
 		} else {
@@ -227,18 +227,18 @@
 		}
 	}
 	put(nil)
-	f := s.Figures()
+	f := s.Statistics()
 	if err := s.Close(); err != nil {
 		b.Fatal(err)
 	}
 	b.ResetTimer()
 	for b.Loop() {
-		s, err := store.Open(store.Options{Folder: folder})
+		s, err := store.Open(store.Options{Directory: folder})
 		if err != nil {
 			b.Fatal(err)
 		}
-		w, err := core().Wake(now, s)
-		if err != nil || w.Tables != 3 || len(w.Lost) > 0 {
+		w, err := core().Restore(now, s)
+		if err != nil || w.Tables != 3 || len(w.Unreadable) > 0 {
 			b.Fatal(err, w)
 		}
 		_ = s.Close()
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -43,28 +43,28 @@
 type Loop struct {
 	core    *Core
 	names   *Names
-	front   transport.Front
-	source  discovery.Source
+	front   transport.Transport
+	source  discovery.EndpointSource
 	log     zerolog.Logger
 	name    string
-	facts   func(service.Facts)
-	sharing transport.Sharer
-	tell    func(gossip.News)
+	facts   func(service.PublishedState)
+	sharing transport.LeaseTransport
+	tell    func(gossip.Message)
 	wall    time.Time // at the start; the clock goes on by the monotonic one
 	cache   string
 	probe   string // path of probes
 	prove   string // how servers of a kept list are asked
 
 	mu     sync.Mutex
-	mail   []Input            // lists, joins, leaves, answers, probes: never shed, never folded
-	polled []transport.Polled // readings, at most one of each proxy, oldest first
+	mail   []Input                    // lists, joins, leaves, answers, probes: never shed, never folded
+	polled []transport.CountersPolled // readings, at most one of each proxy, oldest first
 	place  map[fleet.ProxyID]int
-	box    *ingest.Box // what servers pushed
+	box    *ingest.Queue // what servers pushed
 	pushed []ingest.Record
 	inputs []Input
 	folded uint64
-	news   map[string]gossip.News // of other governors, by name
-	shed   uint64                 // of them, those that were not heard
+	news   map[string]gossip.Message // of other governors, by name
+	shed   uint64                    // of them, those that were not heard
 	notify chan struct{}
 	asks   chan func(*Core)
 
@@ -80,46 +80,46 @@
 	ctx    context.Context
 }
 
-// Parts are what a loop is made of.
-type Parts struct {
-	Core      *Core
-	Names     *Names
-	Front     transport.Front
-	Source    discovery.Source
-	Log       zerolog.Logger
-	Cache     string            // file that keeps the last list; "" for none
-	Cached    *discovery.Update // a kept list to start from, if any
-	Prove     string            // how servers of it are asked: "connect", "probe", "answers" (not at all)
-	ProbePath string
-	Series    Series              // of reports, for operators; may be nil
-	Store     *store.Store        // what must last; may be nil
-	Tell      func(gossip.News)   // carries news to other governors; may be nil
-	Sharing   transport.Sharer    // where other governors may serve the same proxies; else nil
-	Name      string              // of the governor
-	Facts     func(service.Facts) // hears what callers of the service are told; may be nil
+// Options are what a loop is made of.
+type Options struct {
+	Core             *Core
+	Names            *Names
+	Transport        transport.Transport
+	Source           discovery.EndpointSource
+	Log              zerolog.Logger
+	CachePath        string            // file that keeps the last list; "" for none
+	CachedList       *discovery.Update // a kept list to start from, if any
+	VerificationMode string            // how servers of it are asked: "connect", "probe", "answers" (not at all)
+	ProbePath        string
+	Series           Series                       // of reports, for operators; may be nil
+	Store            *store.Store                 // what must last; may be nil
+	SendGossip       func(gossip.Message)         // carries news to other governors; may be nil
+	Leases           transport.LeaseTransport     // where other governors may serve the same proxies; else nil
+	Name             string                       // of the governor
+	OnPublishedState func(service.PublishedState) // hears what callers of the service are told; may be nil
 }
 
 // Series keeps what proxies met over time.
 type Series interface {
-	Add(ingest.Cell)
+	Add(ingest.CounterDelta)
 	Read(server fleet.ServerID, from fleet.Time) (points []timeseries.Point, damaged int, err error)
 }
 
 // NewLoop makes a loop that Run runs.
-func NewLoop(p Parts) *Loop {
-	l := &Loop{core: p.Core, names: p.Names, front: p.Front, source: p.Source, log: p.Log, wall: time.Now(),
-		cache: p.Cache, probe: p.ProbePath, place: map[fleet.ProxyID]int{}, news: map[string]gossip.News{}, box: &ingest.Box{}, notify: make(chan struct{}, 1),
+func NewLoop(p Options) *Loop {
+	l := &Loop{core: p.Core, names: p.Names, front: p.Transport, source: p.Source, log: p.Log, wall: time.Now(),
+		cache: p.CachePath, probe: p.ProbePath, place: map[fleet.ProxyID]int{}, news: map[string]gossip.Message{}, box: &ingest.Queue{}, notify: make(chan struct{}, 1),
 		asks: make(chan func(*Core)), took: hdrhistogram.New(1000, tookMost, 3)}
-	l.sharing, l.tell = p.Sharing, p.Tell
-	l.store, l.name, l.facts = p.Store, p.Name, p.Facts
+	l.sharing, l.tell = p.Leases, p.SendGossip
+	l.store, l.name, l.facts = p.Store, p.Name, p.OnPublishedState
 	if l.series = p.Series; l.series != nil {
 		l.core.intake.Keep(l.series.Add)
 	}
-	if l.prove = p.Prove; l.prove == "answers" {
+	if l.prove = p.VerificationMode; l.prove == "answers" {
 		l.core.AnswersOnly()
 	}
-	if p.Cached != nil {
-		l.post(*p.Cached)
+	if p.CachedList != nil {
+		l.post(*p.CachedList)
 	}
 	return l
 }
@@ -133,7 +133,7 @@
 // same stream, as counters are sums.
 func (l *Loop) post(in Input) {
 	l.mu.Lock()
-	if p, ok := in.(transport.Polled); ok {
+	if p, ok := in.(transport.CountersPolled); ok {
 		p.Reading.At = l.now()
 		if at, waits := l.place[p.Proxy]; waits && l.polled[at].Stream == p.Stream {
 			l.polled[at].Reading.Release()
@@ -165,12 +165,12 @@
 }
 
 // Peer takes in what another governor tells. Of each only the newest waits, and of so many governors: a flood fills no mailbox.
-func (l *Loop) Peer(n gossip.News) {
+func (l *Loop) Peer(n gossip.Message) {
 	l.mu.Lock()
-	if old, waits := l.news[n.Governor]; waits && n.Epoch == old.Epoch && n.Seq < old.Seq || !waits && len(l.news) >= gossip.GovernorsMost {
+	if old, waits := l.news[n.Controller]; waits && n.Epoch == old.Epoch && n.Sequence < old.Sequence || !waits && len(l.news) >= gossip.MaxControllers {
 		l.shed++
 	} else {
-		l.news[n.Governor] = n
+		l.news[n.Controller] = n
 	}
 	l.mu.Unlock()
 	l.wake()
@@ -299,7 +299,7 @@
 		l.say(line)
 	}
 	if out.List != nil && l.cache != "" {
-		if err := discovery.Cache(l.cache, *out.List, out.ListAt); err != nil {
+		if err := discovery.WriteCache(l.cache, *out.List, out.ListAt); err != nil {
 			l.log.Error().Err(err).Msg("the list was not kept; the governor goes on without")
 		}
 	}
@@ -364,7 +364,7 @@
 func (l *Loop) ask(id fleet.ServerID) {
 	_, addr := l.names.Of(id)
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(reconcile.DialWithin))
+	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(reconcile.DialTimeout))
 	defer cancel()
 	p := fleet.ProbeResult{Server: id, Outcome: fleet.ProbeUnreachable}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+l.probe, nil)
@@ -392,7 +392,7 @@
 // proof asks a server of a kept list whether it is there: by a connection, or by a probe whose answer may say in X-Server who answers.
 func (l *Loop) proof(id fleet.ServerID) {
 	name, addr := l.names.Of(id)
-	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(reconcile.DialWithin))
+	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(reconcile.DialTimeout))
 	defer cancel()
 	p := Proof{Server: id}
 	if l.prove != "probe" {
@@ -459,7 +459,7 @@
 
 // RecordTo begins to record steps to a file made by open, or ends it with nil. Replay needs the start of the
 // governor, so that recording begun later serves to read, not to replay.
-func (l *Loop) RecordTo(path string, start eventlog.Start) error {
+func (l *Loop) RecordTo(path string, start eventlog.Header) error {
 	if err := l.closeRecords(); err != nil {
 		l.log.Error().Err(err).Msg("records were not closed")
 	}
--- a/internal/controller/names.go
+++ b/internal/controller/names.go
@@ -19,7 +19,7 @@
 
 type named struct{ name, addr string }
 
-var _ transport.Names = (*Names)(nil)
+var _ transport.ServerNames = (*Names)(nil)
 
 // NewNames makes an empty register.
 func NewNames() *Names { return &Names{byName: map[string]fleet.ServerID{}} }
--- a/internal/controller/operators.go
+++ b/internal/controller/operators.go
@@ -150,9 +150,9 @@
 	versions, changed, whole := 0, 0, 0
 	waiting, _ := c.intake.Waiting(now)
 	for _, id := range c.plane.TableIDs() {
-		if book := c.plane.Book(id); book != nil {
+		if book := c.plane.TableVersions(id); book != nil {
 			for _, d := range book.History()[min(1, len(book.History())):] { // the first is the whole
-				versions, changed, whole = versions+1, changed+len(d.Lines), whole+book.Len()
+				versions, changed, whole = versions+1, changed+len(d.Entries), whole+book.Len()
 			}
 		}
 	}
@@ -161,7 +161,7 @@
 		{"Uptime_sec", int64((now - c.started) / fleet.Second)}, {"Servers", len(c.entries)}, {"List_rev", c.rev},
 		{"List_age_ms", int64((now - c.listed) / fleet.Millisecond)}, {"Proxies_up", len(c.streams)},
 		{"Proxies_all", len(c.proxies)}, {"Turns", turns}, {"Steps", c.steps}, {"Turn_p50_us", took[0] / 1000},
-		{"Turn_p99_us", took[1] / 1000}, {"Turn_most_us", took[2] / 1000}, {"Lines_waiting", int64(c.plane.Lines())},
+		{"Turn_p99_us", took[1] / 1000}, {"Turn_most_us", took[2] / 1000}, {"Lines_waiting", int64(c.plane.Backlog())},
 		{"Lines_sent", lines}, {"Messages_sent", messages}, {"Changes_sent", changes}, {"Lines_replaced", folded},
 		{"Reports_waiting", waiting}, {"Versions", versions}, {"Delta_share_percent", fmt.Sprintf("%.1f", 100*float64(changed)/float64(max(1, whole)))}, {"Guard_passed", passed}, {"Guard_stopped", stopped}, {"Counter_resets", c.intake.Resets()}, {"Readings_folded", o.loop.Folded()}} {
 		fmt.Fprintf(&b, "%s: %v\n", p[0], p[1])
@@ -175,7 +175,7 @@
 	var b strings.Builder
 	b.WriteString("# name addr zone state age_s withdrawn weights\n")
 	weights := map[fleet.ServerID][]string{}
-	for _, l := range c.plane.Tables() {
+	for _, l := range c.plane.Entries() {
 		weights[l.Server] = append(weights[l.Server], fmt.Sprintf("%d=%d", l.Table, l.Published))
 	}
 	var ids []fleet.ServerID
@@ -203,7 +203,7 @@
 func (o *Operators) showTables(c *Core, _ []string) string {
 	var b strings.Builder
 	b.WriteString("# table server weight published withdrawn\n")
-	for _, l := range c.plane.Tables() {
+	for _, l := range c.plane.Entries() {
 		name, _ := c.names.Of(l.Server)
 		fmt.Fprintf(&b, "%d %s %.4f %d %v\n", l.Table, name, l.Weight, l.Published, l.Withdrawn)
 	}
@@ -217,15 +217,15 @@
 	for _, v := range c.plane.Proxies() {
 		up[v.ID] = true
 		var on []string
-		for i, t := range v.On {
-			if v.Bound[i] {
+		for i, t := range v.Tables {
+			if v.Assigned[i] {
 				on = append(on, fmt.Sprintf("%s=%d", c.site.Classes[i].Name, t))
 			}
 		}
 		p := c.proxies[v.ID]
 		fmt.Fprintf(&b, "%s %s %s up %s %d %d %d %d %.1f\n", p.Name, c.site.Zones[v.Zone], p.Addr,
-			cmp.Or(strings.Join(on, ","), "own"), v.Lines, v.Waiting, v.Flying, v.Written,
-			float64(v.Took)/float64(fleet.Millisecond))
+			cmp.Or(strings.Join(on, ","), "own"), v.Entries, v.Waiting, v.InFlight, v.Written,
+			float64(v.AnswerDelay)/float64(fleet.Millisecond))
 	}
 	var down []string
 	for id, p := range c.proxies {
@@ -282,7 +282,7 @@
 		b.WriteString("It is withdrawn from all proxies.\n")
 	}
 	lines := 0
-	for _, l := range c.plane.Tables() {
+	for _, l := range c.plane.Entries() {
 		if l.Server == id {
 			lines++
 			fmt.Fprintf(&b, "Table %d: weight %.4f, sent as %d.\n", l.Table, l.Weight, l.Published)
@@ -312,7 +312,7 @@
 		return haproxyapi.NoServer
 	}
 	var b strings.Builder
-	for _, l := range c.plane.Tables() {
+	for _, l := range c.plane.Entries() {
 		if l.Server == id {
 			fmt.Fprintf(&b, "%d: %d (initial 1)\n", l.Table, l.Published)
 		}
--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -34,7 +34,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.sent {
-		l.post(transport.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
+		l.post(transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence})
 	}
 	s.sent = nil
 }
@@ -49,10 +49,10 @@
 func (s *still) Drop(fleet.ProxyID)         {}
 func (s *still) Stop(context.Context) error { return nil }
 
-type fixedList struct{ doc discovery.Document }
+type fixedList struct{ doc discovery.EndpointList }
 
 func (f fixedList) Start(_ context.Context, sink func(discovery.Update)) error {
-	sink(discovery.Update{Scope: fleet.ListFull, Doc: f.doc})
+	sink(discovery.Update{Scope: fleet.ListFull, List: f.doc})
 	return nil
 }
 func (fixedList) Watch(bool) {}
@@ -62,10 +62,10 @@
 	names := NewNames()
 	site := fleet.Site{Zones: []string{"a"}, Classes: []fleet.RequestClass{{Name: "look", PriorityWeight: 1, LatencyObjective: fleet.Second}},
 		EntriesPerSecond: 1000, MaxBacklog: 2000, ReportInterval: fleet.Second, ReportsPerSecond: 100, MaxUnservedDuration: 5 * fleet.Second}
-	doc := discovery.Document{Rev: 4, Servers: []discovery.Server{{Name: "n1", Addr: "127.0.0.1:1", Zone: "a"},
+	doc := discovery.EndpointList{Revision: 4, Endpoints: []discovery.Endpoint{{Name: "n1", Addr: "127.0.0.1:1", Zone: "a"},
 		{Name: "n2", Addr: "127.0.0.1:2", Zone: "nowhere"}}}
-	return NewLoop(Parts{Core: NewCore(site, 1, []transport.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}}, names), Names: names,
-		Front: &still{}, Source: fixedList{doc}, Log: zerolog.Nop()})
+	return NewLoop(Options{Core: NewCore(site, 1, []transport.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}}, names), Names: names,
+		Transport: &still{}, Source: fixedList{doc}, Log: zerolog.Nop()})
 }
 
 // TestOperatorsSocket: its mode, its answers, and that a killed governor's socket is taken over while a living one's
@@ -93,8 +93,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- loop.Run(ctx, time.Second) }()
-	loop.post(transport.Up{Proxy: 0, Stream: 1, Held: reconcile.Snapshot{Lines: []reconcile.SnapshotLine{
-		{Server: loop.names.Learn("n9", "127.0.0.1:9"), Cell: reconcile.Cell{Weight: 3, State: reconcile.In}}}}})
+	loop.post(transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{Entries: []reconcile.SnapshotEntry{
+		{Server: loop.names.Learn("n9", "127.0.0.1:9"), State: reconcile.EntryState{Weight: 3, State: reconcile.StateReady}}}}})
 	ask := func(text string) string {
 		t.Helper()
 		c, err := net.Dial("unix", path)
@@ -171,12 +171,12 @@
 	const many = 5000
 	for i := range many {
 		r := counters.NewReading(1)
-		r.Row(3).Tries, r.Classes[0].Visits = 1, uint64(i)
-		loop.post(transport.Polled{Proxy: fleet.ProxyID(i % 2), Stream: 1, Reading: r})
+		r.Row(3).Attempts, r.Classes[0].Requests = 1, uint64(i)
+		loop.post(transport.CountersPolled{Proxy: fleet.ProxyID(i % 2), Stream: 1, Reading: r})
 		loop.post(transport.Progress{Proxy: 0, Stream: 1})
-		loop.Push([]ingest.Record{{Server: fleet.ServerID(i % 3), Tries: uint64(i)}})
+		loop.Push([]ingest.Record{{Server: fleet.ServerID(i % 3), Attempts: uint64(i)}})
 	}
-	loop.post(transport.Polled{Proxy: 0, Stream: 2, Reading: counters.NewReading(0)}) // of another stream: not the same counters
+	loop.post(transport.CountersPolled{Proxy: 0, Stream: 2, Reading: counters.NewReading(0)}) // of another stream: not the same counters
 	progress, streams, pushed, turns := 0, 0, 0, 0
 	last := map[fleet.ProxyID]uint64{}
 	for more := true; more; turns++ {
@@ -188,11 +188,11 @@
 				progress++
 			case Pushed:
 				pushed += len(in)
-			case transport.Polled:
+			case transport.CountersPolled:
 				if in.Stream == 2 {
 					streams++
 				} else {
-					last[in.Proxy] = in.Reading.Classes[0].Visits
+					last[in.Proxy] = in.Reading.Classes[0].Requests
 				}
 			}
 		}
@@ -210,19 +210,19 @@
 func TestReplayNamesWhatDiffers(t *testing.T) {
 	loop := testLoop(t)
 	var text bytes.Buffer
-	w, err := eventlog.NewWriter(&text, eventlog.Start{Governor: "g", Site: loop.core.site, Seed: 1})
+	w, err := eventlog.NewWriter(&text, eventlog.Header{Controller: "g", Site: loop.core.site, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := fleet.Second
-	in := []Input{discovery.Update{Scope: fleet.ListFull, Doc: loop.source.(fixedList).doc}, transport.Up{Proxy: 0, Stream: 1, Held: reconcile.Snapshot{Weight: 5}}}
+	in := []Input{discovery.Update{Scope: fleet.ListFull, List: loop.source.(fixedList).doc}, transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{RequestRate: 5}}}
 	for range 400 {
 		out := loop.core.Turn(now, in)
 		if in = nil; out.Stepped {
 			w.Step(now, out.Events, out.Orders, loop.names.Count(), func(id fleet.ServerID) string { n, _ := loop.names.Of(id); return n })
 		}
 		for _, m := range out.Messages {
-			in = append(in, transport.Answer{Proxy: m.Proxy, Stream: 1, Seq: m.Seq})
+			in = append(in, transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence})
 		}
 		now += 50 * fleet.Millisecond
 	}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -14,28 +14,28 @@
 const heedEvery = fleet.Second / 4 // between two looks at peers' news: as often as a turn comes in any case
 
 // Peers lets the governor hear others, and tell them.
-func (c *Core) Peers(me string) { c.board = gossip.NewBoard(me, c.epoch) }
+func (c *Core) Peers(me string) { c.board = gossip.NewPeerState(me, c.epoch) }
 
 // ownList tells the board what our list says.
 func (c *Core) ownList(now fleet.Time) {
 	if c.board == nil {
 		return
 	}
-	own := make(map[string]gossip.Own, len(c.docs))
+	own := make(map[string]gossip.LocalServer, len(c.docs))
 	for name, s := range c.docs {
-		o := gossip.Own{State: stateNames[s.State]}
+		o := gossip.LocalServer{State: stateNames[s.State]}
 		if !s.Started.IsZero() {
 			o.Started = fleet.Time(s.Started.UnixNano())
 		}
 		own[name] = o
 	}
-	c.board.List(now, c.rev, c.live, own)
+	c.board.SetLocalList(now, c.rev, c.live, own)
 }
 
 func (c *Core) meet(now fleet.Time, e fleet.OutcomeReport) {
 	if c.board != nil {
 		name, _ := c.names.Of(e.Server)
-		c.board.Met(now, name, e.Attempts, e.Failures)
+		c.board.ObserveOutcome(now, name, e.Attempts, e.Failures)
 	}
 }
 
@@ -71,7 +71,7 @@
 		}
 		c.log(out, Line{now, "warn", "peers", text})
 	}
-	if n, due := c.board.Tell(now, c.site.SlowStart.Duration); due {
+	if n, due := c.board.NextMessage(now, c.site.SlowStart.Duration); due {
 		out.News = &n
 	}
 }
@@ -83,7 +83,7 @@
 	var b strings.Builder
 	b.WriteString("# governor age_s list_rev live tells_of list_ahead\n")
 	for _, p := range c.board.Peers(o.loop.now()) {
-		fmt.Fprintf(&b, "%s %.1f %d %v %d %v\n", p.Governor, p.Age.Seconds(), p.ListRev, p.Live, p.Servers, p.Ahead)
+		fmt.Fprintf(&b, "%s %.1f %d %v %d %v\n", p.Controller, p.Age.Seconds(), p.ListRevision, p.Live, p.Servers, p.Ahead)
 	}
 	fmt.Fprintf(&b, "# %d servers count as peers say; %d news refused, %d old\n", c.board.Given(), c.board.Refused, c.board.Old)
 	return b.String()
--- a/internal/controller/push.go
+++ b/internal/controller/push.go
@@ -27,7 +27,7 @@
 		return text
 	}
 	weight, err := strconv.Atoi(args[1])
-	if err != nil || weight < 0 || weight > haproxyapi.WeightMost {
+	if err != nil || weight < 0 || weight > haproxyapi.MaxWeight {
 		return haproxyapi.BadWeight
 	}
 	now := o.loop.now()
@@ -48,12 +48,12 @@
 	if len(harms) > 0 && !(may && forced) {
 		return c.refusal(now, what, harms, may)
 	}
-	c.plane.Push(now, table, server, int16(weight), now+reconcile.PushFor)
+	c.plane.SetManualWeight(now, table, server, int16(weight), now+reconcile.ManualWeightDuration)
 	note := ""
 	if forced {
 		note = ", forced"
 	}
-	c.logs = append(c.logs, Line{now, "warn", "staff", fmt.Sprintf("%s was set to %d by hand for %.0f s%s", args[0], weight, reconcile.PushFor.Seconds(), note)})
+	c.logs = append(c.logs, Line{now, "warn", "staff", fmt.Sprintf("%s was set to %d by hand for %.0f s%s", args[0], weight, reconcile.ManualWeightDuration.Seconds(), note)})
 	return ""
 }
 
@@ -66,7 +66,7 @@
 	if text != "" {
 		return text
 	}
-	if !c.plane.Unpush(o.loop.now(), table, server) {
+	if !c.plane.ClearManualWeight(o.loop.now(), table, server) {
 		return "That line is not set by hand.\n"
 	}
 	return ""
@@ -106,12 +106,12 @@
 
 func (c *Core) tableLines(table fleet.TableID) (lines []safety.TableLine) {
 	by := map[fleet.ServerID]int16{}
-	for _, p := range c.plane.Pushes() {
+	for _, p := range c.plane.ManualWeights() {
 		if p.Table == table {
 			by[p.Server] = p.Weight
 		}
 	}
-	for _, l := range c.plane.Tables() {
+	for _, l := range c.plane.Entries() {
 		if l.Table != table {
 			continue
 		}
@@ -160,7 +160,7 @@
 		name, _ := c.names.Of(r.Server)
 		fmt.Fprintf(&b, "%s %d %s\n", stamp(r.Since), r.Proxies, safety.Say(r, name))
 	}
-	for _, p := range c.plane.Pushes() {
+	for _, p := range c.plane.ManualWeights() {
 		name, _ := c.names.Of(p.Server)
 		fmt.Fprintf(&b, "%s - set by hand until then: table %d, server %s, weight %d\n", stamp(p.Until), p.Table, name, p.Weight)
 	}
--- a/internal/controller/service.go
+++ b/internal/controller/service.go
@@ -14,13 +14,13 @@
 	whyShown = 10 // reasons told of a server
 )
 
-// Desk answers what only the governor's loop knows, for the service.
-type Desk struct {
+// QueryHandler answers what only the governor's loop knows, for the service.
+type QueryHandler struct {
 	Loop    *Loop
 	Program string
 }
 
-var _ service.Desk = Desk{}
+var _ service.QueryHandler = QueryHandler{}
 
 // facts tells what callers of the service are told beside tables, where that has changed.
 func (c *Core) facts(out *Output) {
@@ -28,7 +28,7 @@
 		return
 	}
 	c.factsDue = false
-	f := service.Facts{ListRev: c.rev, Live: c.live, Open: []string{}}
+	f := service.PublishedState{ListRevision: c.rev, Live: c.live, Open: []string{}}
 	for id, e := range c.entries {
 		if e.State == fleet.ServerReady && !c.plane.Withdrawn(id) {
 			name, _ := c.names.Of(id)
@@ -40,7 +40,7 @@
 }
 
 // Server tells of a server.
-func (d Desk) Server(ctx context.Context, name string) (s service.ServerState, err error) {
+func (d QueryHandler) Server(ctx context.Context, name string) (s service.ServerState, err error) {
 	asked := d.Loop.Ask(ctx, func(c *Core) {
 		id, known := c.names.Server(name)
 		if !known {
@@ -51,9 +51,9 @@
 		e, listed := c.entries[id]
 		s.Name, s.Addr = c.names.Of(id)
 		if s.State = stateWords[fleet.ServerGone]; listed {
-			s.State, s.Zone, s.Sight = stateWords[e.State], c.site.Zones[e.Zone], c.intake.SightOf(id).String()
+			s.State, s.Zone, s.Verdict = stateWords[e.State], c.site.Zones[e.Zone], c.intake.Verdict(id).String()
 			if c.isCold(now, id) {
-				s.ColdFor = e.Started + c.site.SlowStart.Duration - now
+				s.SlowStartRemaining = e.Started + c.site.SlowStart.Duration - now
 			}
 		}
 		s.Withdrawn = c.plane.Withdrawn(id)
@@ -66,7 +66,7 @@
 		}
 		reasons := c.reasons(name)
 		for _, l := range reasons[max(0, len(reasons)-whyShown):] {
-			s.Why = append(s.Why, fmt.Sprintf("%s %s: %s", stamp(l.At), l.From, l.Text))
+			s.Reasons = append(s.Reasons, fmt.Sprintf("%s %s: %s", stamp(l.At), l.From, l.Text))
 		}
 	})
 	if asked != nil {
@@ -86,7 +86,7 @@
 }
 
 // History tells of the table that a class goes by in a zone.
-func (d Desk) History(ctx context.Context, zone, class string, most int) (rows []service.VersionRow, err error) {
+func (d QueryHandler) History(ctx context.Context, zone, class string, most int) (rows []service.VersionRow, err error) {
 	asked := d.Loop.Ask(ctx, func(c *Core) {
 		z := slices.IndexFunc(c.callers, func(z service.Zone) bool { return z.Name == zone })
 		at := slices.IndexFunc(c.site.Classes, func(k fleet.RequestClass) bool { return k.Name == class })
@@ -99,13 +99,13 @@
 			return
 		}
 		table, bound := c.plane.TableOf(c.callers[z].Proxy, fleet.ClassID(at))
-		if !bound || c.plane.Book(table) == nil {
+		if !bound || c.plane.TableVersions(table) == nil {
 			err = &service.Fault{Code: service.Unready, Text: "no table is laid yet", RetryAfter: fleet.Second}
 			return
 		}
-		history := c.plane.Book(table).History()
+		history := c.plane.TableVersions(table).History()
 		for _, v := range history[max(0, len(history)-most):] {
-			rows = append(rows, service.VersionRow{Version: v.To, Digest: v.ToDigest, At: v.At, Lines: len(v.Lines), Why: v.Why})
+			rows = append(rows, service.VersionRow{Version: v.To, Digest: v.ToDigest, CreatedAt: v.CreatedAt, Entries: len(v.Entries), Reason: v.Reason})
 		}
 	})
 	if asked != nil {
@@ -115,23 +115,23 @@
 }
 
 // Summary tells how the fleet stands.
-func (d Desk) Summary(ctx context.Context) (m service.Summary, err error) {
+func (d QueryHandler) Summary(ctx context.Context) (m service.Summary, err error) {
 	err = d.Loop.Ask(ctx, func(c *Core) {
 		now := d.Loop.now()
-		m = service.Summary{Program: d.Program, Epoch: c.epoch, ListRev: c.rev, ListAge: now - c.listed, Live: c.live, Servers: len(c.entries),
+		m = service.Summary{Program: d.Program, Epoch: c.epoch, ListRevision: c.rev, ListAge: now - c.listed, Live: c.live, Servers: len(c.entries),
 			ProxiesUp: len(c.streams), ProxiesAll: len(c.proxies)}
 		for id, e := range c.entries {
 			if e.State == fleet.ServerReady {
 				m.Ready++
 			}
 			if c.isCold(now, id) {
-				m.Cold++
+				m.WarmingUp++
 			}
 			if c.plane.Withdrawn(id) {
 				m.Withdrawn++
 			}
 		}
 	})
-	m.Governor = d.Loop.name
+	m.Controller = d.Loop.name
 	return m, err
 }
--- a/internal/controller/sharing.go
+++ b/internal/controller/sharing.go
@@ -24,13 +24,13 @@
 	now := o.loop.now()
 	of := map[string]*member{}
 	for _, h := range holders {
-		m := of[h.Governor]
+		m := of[h.Controller]
 		if m == nil {
 			m = &member{}
-			of[h.Governor] = m
+			of[h.Controller] = m
 		}
 		m.holds++
-		m.moved = max(m.moved, h.Moved)
+		m.moved = max(m.moved, h.LastHeartbeat)
 	}
 	var b strings.Builder
 	b.WriteString("# governor proxies beat_age_s\n")
@@ -49,13 +49,13 @@
 	if len(args) == 1 && strings.TrimLeft(args[0], "-") == "proxies" {
 		b.WriteString("# proxy governor epoch beat_age_s steered_here\n")
 		for _, h := range holders {
-			governor, age := h.Governor, "-"
+			governor, age := h.Controller, "-"
 			if governor == "" {
 				governor = "(nobody)"
 			} else {
-				age = fmt.Sprintf("%.1f", (now - h.Moved).Seconds())
+				age = fmt.Sprintf("%.1f", (now - h.LastHeartbeat).Seconds())
 			}
-			fmt.Fprintf(&b, "%s %s %d %s %v\n", c.proxies[h.Proxy].Name, governor, h.Epoch, age, h.Mine)
+			fmt.Fprintf(&b, "%s %s %d %s %v\n", c.proxies[h.Proxy].Name, governor, h.Epoch, age, h.Own)
 		}
 	}
 	return b.String()
--- a/internal/controller/storeddata_test.go
+++ b/internal/controller/storeddata_test.go
@@ -31,30 +31,30 @@
 func storedLife(t *testing.T, fs vfs.FS) *life {
 	t.Helper()
 	l := live(t, fs, 4000*fleet.Second)
-	doc := discovery.Document{Rev: 41}
+	doc := discovery.EndpointList{Revision: 41}
 	for i := range 5 {
-		doc.Servers = append(doc.Servers, discovery.Server{Name: fmt.Sprint("node-", i), Addr: fmt.Sprint("10.0.0.", i, ":80"), Zone: "a", Kind: "m2",
+		doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{Name: fmt.Sprint("node-", i), Addr: fmt.Sprint("10.0.0.", i, ":80"), Zone: "a", Kind: "m2",
 			Cell: uint16(i), Weight: 1.5})
 	}
-	doc.Servers[1].State = "draining"
-	doc.Servers[2].Started = fleetMoment(3990 * fleet.Second)
+	doc.Endpoints[1].State = "draining"
+	doc.Endpoints[2].Started = fleetMoment(3990 * fleet.Second)
 	l.keep(t, l.core.keepList(4001*fleet.Second, &doc))
-	doc.Rev, doc.Servers = 42, doc.Servers[:4]
+	doc.Revision, doc.Endpoints = 42, doc.Endpoints[:4]
 	l.keep(t, l.core.keepList(4002*fleet.Second, &doc))
 	now := 4003 * fleet.Second
 	for i := range 12 {
 		now += 2 * fleet.Second
 		for table := range fleet.TableID(2) {
 			server := l.core.names.Learn(fmt.Sprint("node-", (i+int(table))%4), "10.0.0.9:80")
-			l.core.plane.Order(now, []fleet.Order{fleet.SetWeight{Table: table, Server: server, Weight: float32(i%8+1) / 8}})
+			l.core.plane.Apply(now, []fleet.Order{fleet.SetWeight{Table: table, Server: server, Weight: float32(i%8+1) / 8}})
 		}
 		l.keep(t, l.core.Turn(now, nil).Keep)
 	}
 	now = storedNow
 	first, _ := l.core.names.Server("node-1")
 	second, _ := l.core.names.Server("node-2")
-	l.core.plane.Push(now, 0, first, 7, now+reconcile.PushFor)
-	l.core.plane.Push(now, 1, second, 0, now+reconcile.PushFor/2)
+	l.core.plane.SetManualWeight(now, 0, first, 7, now+reconcile.ManualWeightDuration)
+	l.core.plane.SetManualWeight(now, 1, second, 0, now+reconcile.ManualWeightDuration/2)
 	if err := l.core.plane.Pin(now, 1, now+600*fleet.Second); err != nil {
 		t.Fatal(err)
 	}
@@ -81,9 +81,9 @@
 func wokenText(l *life) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "epoch %d at %d, %d tables, %d pins, %d weights by hand, lost %v\n", l.woken.Epoch.Epoch, l.woken.Epoch.At, l.woken.Tables,
-		l.woken.Pins, l.woken.Hands, l.woken.Lost)
+		l.woken.Pins, l.woken.ManualWeights, l.woken.Unreadable)
 	for _, g := range l.woken.Lists {
-		fmt.Fprintf(&b, "list rev %d at %d, %d entries stated, whole %v\n", g.Rev, g.At, g.Stated, g.Whole)
+		fmt.Fprintf(&b, "list rev %d at %d, %d entries stated, whole %v\n", g.Revision, g.ConfirmedAt, g.DeclaredSize, g.Complete)
 		var names []string
 		for name := range g.Entries {
 			names = append(names, name)
@@ -138,13 +138,13 @@
 
 func wakeFolder(t *testing.T, folder string) *life {
 	t.Helper()
-	s, err := store.Open(store.Options{Folder: folder})
+	s, err := store.Open(store.Options{Directory: folder})
 	if err != nil {
 		t.Fatal(err)
 	}
 	site := fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1), EntriesPerSecond: 1e6, MaxBacklog: 1e6}
 	l := &life{store: s, core: NewCore(site, 1, nil, NewNames())}
-	if l.woken, err = l.core.Wake(storedNow+fleet.Second, s); err != nil {
+	if l.woken, err = l.core.Restore(storedNow+fleet.Second, s); err != nil {
 		t.Fatal(err)
 	}
 	return l
@@ -161,7 +161,7 @@
 	}
 	l := storedLife(t, vfs.NewCrashableMem())
 	text := storedRecords(t, l.store)
-	s, err := store.Open(store.Options{Folder: filepath.Join(t.TempDir(), "store")})
+	s, err := store.Open(store.Options{Directory: filepath.Join(t.TempDir(), "store")})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/tables.go
+++ b/internal/controller/tables.go
@@ -27,7 +27,7 @@
 		return fmt.Sprintf("'%s' is no table's number.\n", args[1])
 	}
 	id, now, rest := fleet.TableID(n), o.loop.now(), args[2:]
-	book := c.plane.Book(id)
+	book := c.plane.TableVersions(id)
 	if book == nil {
 		return fmt.Sprintf("Table %d is not there.\n", id)
 	}
@@ -40,10 +40,10 @@
 	}
 	until := func(text []string) (fleet.Time, string) {
 		if len(text) == 0 {
-			return now + reconcile.PinFor, ""
+			return now + reconcile.DefaultPinDuration, ""
 		}
 		d, err := time.ParseDuration(text[0])
-		if t := fleet.Time(d); err != nil || t <= 0 || t > reconcile.PinMost {
+		if t := fleet.Time(d); err != nil || t <= 0 || t > reconcile.MaxPinDuration {
 			return 0, fmt.Sprintf("'%s' is no time from 1s to 24h.\n", text[0])
 		}
 		return now + fleet.Time(d), ""
@@ -82,7 +82,7 @@
 		var b strings.Builder
 		for _, d := range differs {
 			name, _ := c.names.Of(d.Server)
-			fmt.Fprintf(&b, "%s had %d there and is left out: it is %s.\n", name, d.Weight, d.Why)
+			fmt.Fprintf(&b, "%s had %d there and is left out: it is %s.\n", name, d.Weight, d.Reason)
 		}
 		if err != nil {
 			fmt.Fprintf(&b, "Refused: %v.\n", err)
@@ -114,11 +114,11 @@
 	var b strings.Builder
 	b.WriteString("# time version digest lines why\n")
 	for _, d := range book.History() {
-		why := d.Why
+		why := d.Reason
 		if why == "" {
 			why = "module"
 		}
-		fmt.Fprintf(&b, "%s %s %s %d %s\n", stamp(d.At), d.To, d.ToDigest, len(d.Lines), why)
+		fmt.Fprintf(&b, "%s %s %s %d %s\n", stamp(d.CreatedAt), d.To, d.ToDigest, len(d.Entries), why)
 	}
 	if until, why := c.plane.Pinned(id); until > 0 {
 		fmt.Fprintf(&b, "# %s until %s\n", why, stamp(until))
@@ -170,7 +170,7 @@
 func (c *Core) tableProxies() string {
 	var b strings.Builder
 	b.WriteString("# proxy class version/digest newest\n")
-	c.plane.Stamps(func(id fleet.ProxyID, class fleet.ClassID, text string, newest bool) {
+	c.plane.VersionStamps(func(id fleet.ProxyID, class fleet.ClassID, text string, newest bool) {
 		if text == "" {
 			text = "-"
 		}
--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -40,11 +40,11 @@
 
 func sum(text []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(text)) }
 
-// Cache keeps a whole list with the time of its last word, each entry and the whole with a checksum, the generation before
+// WriteCache keeps a whole list with the time of its last word, each entry and the whole with a checksum, the generation before
 // beside it: written aside, synced and renamed, so that a cut leaves the older one.
-func Cache(path string, d Document, at fleet.Time) error {
+func WriteCache(path string, d EndpointList, at fleet.Time) error {
 	var lines bytes.Buffer
-	for _, s := range d.Servers {
+	for _, s := range d.Endpoints {
 		text, err := json.Marshal(s)
 		if err != nil {
 			return fmt.Errorf("list cache: %w", err)
@@ -55,7 +55,7 @@
 		}
 		lines.Write(append(line, '\n'))
 	}
-	h := head{Kept: form, Rev: d.Rev, At: time.Unix(0, int64(at)).UTC(), Entries: len(d.Servers), Sum: sum(lines.Bytes())}
+	h := head{Kept: form, Rev: d.Revision, At: time.Unix(0, int64(at)).UTC(), Entries: len(d.Endpoints), Sum: sum(lines.Bytes())}
 	first, err := json.Marshal(h)
 	if err != nil {
 		return fmt.Errorf("list cache: %w", err)
@@ -96,18 +96,18 @@
 
 // ReadCache reads the generations that Cache kept, as far as they can be believed, for a start without the list's source. Errors name
 // file and line; what else is there is given all the same.
-func ReadCache(path string) (kept []verification.Generation[Server], wrong []error) {
+func ReadCache(path string) (kept []verification.Generation[Endpoint], wrong []error) {
 	for _, p := range []string{path, path + older} {
 		g, errs := readGeneration(p)
-		if wrong = append(wrong, errs...); g.Stated > 0 || g.Rev > 0 {
+		if wrong = append(wrong, errs...); g.DeclaredSize > 0 || g.Revision > 0 {
 			kept = append(kept, g)
 		}
 	}
 	return kept, wrong
 }
 
-func readGeneration(path string) (g verification.Generation[Server], wrong []error) {
-	g.From = path
+func readGeneration(path string) (g verification.Generation[Endpoint], wrong []error) {
+	g.Source = path
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return g, nil
@@ -131,16 +131,16 @@
 		if old != nil || stat != nil {
 			return g, []error{fmt.Errorf("list cache: %s:1: no head of a kept list (form %d)", path, form)}
 		}
-		g.Rev, g.At, g.Stated, g.Whole, g.Entries = d.Rev, fleet.Time(info.ModTime().UnixNano()), len(d.Servers), true, map[string]Server{}
-		for _, s := range d.Servers {
+		g.Revision, g.ConfirmedAt, g.DeclaredSize, g.Complete, g.Entries = d.Revision, fleet.Time(info.ModTime().UnixNano()), len(d.Endpoints), true, map[string]Endpoint{}
+		for _, s := range d.Endpoints {
 			g.Entries[s.Name] = s
 		}
 		return g, nil
 	}
-	g.Rev, g.At, g.Stated, g.Whole, g.Entries = h.Rev, fleet.Time(h.At.UnixNano()), min(h.Entries, serversMost), sum(rest) == h.Sum, map[string]Server{}
+	g.Revision, g.ConfirmedAt, g.DeclaredSize, g.Complete, g.Entries = h.Rev, fleet.Time(h.At.UnixNano()), min(h.Entries, serversMost), sum(rest) == h.Sum, map[string]Endpoint{}
 	for n, line := range bytes.Split(bytes.TrimSuffix(rest, []byte{'\n'}), []byte{'\n'}) {
 		var c cached
-		var s Server
+		var s Endpoint
 		switch {
 		case len(line) == 0:
 		case json.Unmarshal(line, &c) != nil || sum(c.Server) != c.Sum || json.Unmarshal(c.Server, &s) != nil || check(s) != "":
--- a/internal/discovery/cache_test.go
+++ b/internal/discovery/cache_test.go
@@ -13,10 +13,10 @@
 	"cressknot/internal/fleet"
 )
 
-func kept(rev uint64, n int) Document {
-	d := Document{Rev: rev}
+func kept(rev uint64, n int) EndpointList {
+	d := EndpointList{Revision: rev}
 	for i := range n {
-		d.Servers = append(d.Servers, Server{Name: fmt.Sprint("s", i), Addr: fmt.Sprint("127.0.0.1:", 8000+i), Zone: "a", Started: time.Unix(int64(i), 0).UTC()})
+		d.Endpoints = append(d.Endpoints, Endpoint{Name: fmt.Sprint("s", i), Addr: fmt.Sprint("127.0.0.1:", 8000+i), Zone: "a", Started: time.Unix(int64(i), 0).UTC()})
 	}
 	return d
 }
@@ -25,11 +25,11 @@
 // told with file and line, and the generation before is there whole.
 func TestCacheCutAndFlipped(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
-	if err := Cache(path, kept(1, 6), 5*fleet.Second); err != nil {
+	if err := WriteCache(path, kept(1, 6), 5*fleet.Second); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 { // confirmed again and again: the one before stays
-		if err := Cache(path, kept(2, 5), 9*fleet.Second); err != nil {
+		if err := WriteCache(path, kept(2, 5), 9*fleet.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -37,8 +37,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := map[string]Server{}
-	for _, s := range kept(2, 5).Servers {
+	want := map[string]Endpoint{}
+	for _, s := range kept(2, 5).Endpoints {
 		want[s.Name] = s
 	}
 	head := bytes.IndexByte(whole, '\n') + 1
@@ -50,7 +50,7 @@
 		}
 		got, wrong := ReadCache(path)
 		before := got[len(got)-1]
-		if before.Rev != 1 || !before.Whole || len(before.Entries) != 6 || before.At != 5*fleet.Second {
+		if before.Revision != 1 || !before.Complete || len(before.Entries) != 6 || before.ConfirmedAt != 5*fleet.Second {
 			t.Fatalf("byte %d: the generation before: %+v", at, before)
 		}
 		for _, err := range wrong {
@@ -71,9 +71,9 @@
 		}
 		if n := len(got[0].Entries); n < 5 {
 			lost++
-			if got[0].Whole || at >= head && n < 3 && // a flipped end of a line takes two
+			if got[0].Complete || at >= head && n < 3 && // a flipped end of a line takes two
 				len(text) == len(whole) {
-				t.Fatalf("byte %d: %d entries are left, whole %v", at, n, got[0].Whole)
+				t.Fatalf("byte %d: %d entries are left, whole %v", at, n, got[0].Complete)
 			}
 		}
 		if c, ok := verification.Choose(10*fleet.Second, got); !ok || len(c.Entries) < 5 {
@@ -94,7 +94,7 @@
 	if err := os.WriteFile(path, []byte(`{"rev": 3, "servers": [{"name": "a", "addr": "x:1"}]}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got, wrong := ReadCache(path); len(wrong) > 0 || got[0].Rev != 3 || len(got[0].Entries) != 1 {
+	if got, wrong := ReadCache(path); len(wrong) > 0 || got[0].Revision != 3 || len(got[0].Entries) != 1 {
 		t.Errorf("%+v, %v", got, wrong)
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -31,8 +31,8 @@
 	serversMost = 200_000
 )
 
-// Server is one entry, as files and the service write it.
-type Server struct {
+// Endpoint is one entry, as files and the service write it.
+type Endpoint struct {
 	Name    string    `json:"name"`
 	Addr    string    `json:"addr"` // host:port
 	Zone    string    `json:"zone"`
@@ -43,53 +43,53 @@
 	Weight  float64   `json:"weight,omitempty"`
 }
 
-// Document is a whole list, or the changes since a revision.
-type Document struct {
-	Rev     uint64   `json:"rev"`
-	Changes bool     `json:"changes,omitempty"` // only what changed
-	Servers []Server `json:"servers"`
+// EndpointList is a whole list, or the changes since a revision.
+type EndpointList struct {
+	Revision  uint64     `json:"rev"`
+	Delta     bool       `json:"changes,omitempty"` // only what changed
+	Endpoints []Endpoint `json:"servers"`
 }
 
 // Update is what a source tells.
 type Update struct {
-	Scope fleet.ListScope
-	Doc   Document
-	Err   error // of a ListFailed, or a note beside a list that was kept
-	Same  bool  // the source answered: what it told last still stands; nothing else is set
+	Scope     fleet.ListScope
+	List      EndpointList
+	Err       error // of a ListFailed, or a note beside a list that was kept
+	Unchanged bool  // the source answered: what it told last still stands; nothing else is set
 
-	At       fleet.Time      // of a ListCached: when its source confirmed it last
-	Doubtful map[string]bool // of a ListCached: entries of a list before it
+	ConfirmedAt fleet.Time      // of a ListCached: when its source confirmed it last
+	Unverified  map[string]bool // of a ListCached: entries of a list before it
 }
 
-// Source is where lists come from. Watch and Fetch are as the module orders them; a source that follows by itself
+// EndpointSource is where lists come from. Watch and Fetch are as the module orders them; a source that follows by itself
 // does so from Start on.
-type Source interface {
+type EndpointSource interface {
 	Start(ctx context.Context, sink func(Update)) error
 	Watch(on bool)
 	Fetch()
 }
 
 // Decode reads a document. Errors name the byte or the entry.
-func Decode(text []byte) (Document, error) {
-	var d Document
+func Decode(text []byte) (EndpointList, error) {
+	var d EndpointList
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&d); err != nil {
-		return Document{}, fmt.Errorf("list: byte %d: %w", dec.InputOffset(), err)
+		return EndpointList{}, fmt.Errorf("list: byte %d: %w", dec.InputOffset(), err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return Document{}, fmt.Errorf("list: byte %d: more after its end", dec.InputOffset())
+		return EndpointList{}, fmt.Errorf("list: byte %d: more after its end", dec.InputOffset())
 	}
-	if len(d.Servers) > serversMost {
-		return Document{}, fmt.Errorf("list: %d servers, %d are the most", len(d.Servers), serversMost)
+	if len(d.Endpoints) > serversMost {
+		return EndpointList{}, fmt.Errorf("list: %d servers, %d are the most", len(d.Endpoints), serversMost)
 	}
-	seen := make(map[string]bool, len(d.Servers))
-	for i, s := range d.Servers {
+	seen := make(map[string]bool, len(d.Endpoints))
+	for i, s := range d.Endpoints {
 		if what := check(s); what != "" {
-			return Document{}, fmt.Errorf("list: servers[%d]: %s", i, what)
+			return EndpointList{}, fmt.Errorf("list: servers[%d]: %s", i, what)
 		}
 		if seen[s.Name] {
-			return Document{}, fmt.Errorf("list: servers[%d]: %q stands twice", i, s.Name)
+			return EndpointList{}, fmt.Errorf("list: servers[%d]: %q stands twice", i, s.Name)
 		}
 		seen[s.Name] = true
 	}
@@ -97,7 +97,7 @@
 }
 
 // check tells what is wrong with an entry, "" for nothing.
-func check(s Server) string {
+func check(s Endpoint) string {
 	switch {
 	case s.Name == "":
 		return "no name"
@@ -109,7 +109,7 @@
 	return ""
 }
 
-func readFile(path string) (d Document, text []byte, err error) {
+func readFile(path string) (d EndpointList, text []byte, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return d, nil, fmt.Errorf("list: %w", err)
@@ -127,8 +127,8 @@
 	return d, text, nil
 }
 
-// File is a list in a file, read whenever its folder tells of a change.
-type File struct {
+// FileSource is a list in a file, read whenever its folder tells of a change.
+type FileSource struct {
 	Path      string
 	OnRequest bool
 	mu        sync.Mutex
@@ -138,7 +138,7 @@
 }
 
 // Start reads the file and follows it.
-func (f *File) Start(ctx context.Context, sink func(Update)) error {
+func (f *FileSource) Start(ctx context.Context, sink func(Update)) error {
 	f.sink, f.on = sink, !f.OnRequest
 	w, err := fsnotify.NewWatcher()
 	if err != nil {
@@ -171,7 +171,7 @@
 	return nil
 }
 
-func (f *File) read(asked bool) {
+func (f *FileSource) read(asked bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.on && !asked {
@@ -181,14 +181,14 @@
 	f.held = xxhash.Sum64(text)
 	switch {
 	case err == nil:
-		f.sink(Update{Scope: fleet.ListFull, Doc: d})
+		f.sink(Update{Scope: fleet.ListFull, List: d})
 	default: // what was held before stays; a half written file is read again when it is whole
 		f.sink(Update{Scope: fleet.ListFailed, Err: err})
 	}
 }
 
 // look tells that the file is as it was, or what it has become.
-func (f *File) look() {
+func (f *FileSource) look() {
 	f.mu.Lock()
 	_, text, err := readFile(f.Path)
 	same := f.held == xxhash.Sum64(text)
@@ -196,14 +196,14 @@
 	switch {
 	case err != nil: // told when it came to be so
 	case same:
-		f.sink(Update{Same: true})
+		f.sink(Update{Unchanged: true})
 	default:
 		f.read(false)
 	}
 }
 
 // Watch follows the file from now on, or no more.
-func (f *File) Watch(on bool) {
+func (f *FileSource) Watch(on bool) {
 	f.mu.Lock()
 	f.on = on
 	f.mu.Unlock()
@@ -213,11 +213,11 @@
 }
 
 // Fetch reads it once.
-func (f *File) Fetch() { go f.read(true) }
+func (f *FileSource) Fetch() { go f.read(true) }
 
-// HTTP is a list service: GET url?rev=N&wait=S answers with a document, or 304 where nothing changed since
+// HTTPSource is a list service: GET url?rev=N&wait=S answers with a document, or 304 where nothing changed since
 // revision N for S seconds.
-type HTTP struct {
+type HTTPSource struct {
 	URL       string
 	Wait      fleet.Time
 	OnRequest bool
@@ -230,7 +230,7 @@
 }
 
 // Start begins to follow the service, unless it is to be asked first.
-func (h *HTTP) Start(ctx context.Context, sink func(Update)) error {
+func (h *HTTPSource) Start(ctx context.Context, sink func(Update)) error {
 	if _, err := url.Parse(h.URL); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
@@ -242,7 +242,7 @@
 }
 
 // Watch follows changes. On request, a failure ends the watch and is told; else it is tried again.
-func (h *HTTP) Watch(on bool) {
+func (h *HTTPSource) Watch(on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.cancel != nil {
@@ -257,8 +257,8 @@
 	go h.follow(ctx)
 }
 
-func (h *HTTP) follow(ctx context.Context) {
-	redial := reconcile.NewRedial(uint64(time.Now().UnixNano()))
+func (h *HTTPSource) follow(ctx context.Context) {
+	redial := reconcile.NewDialBackoff(uint64(time.Now().UnixNano()))
 	first := true
 	for ctx.Err() == nil {
 		wait := h.Wait
@@ -275,17 +275,17 @@
 			}
 			select {
 			case <-ctx.Done():
-			case <-time.After(time.Duration(redial.Failed())):
+			case <-time.After(time.Duration(redial.Next())):
 			}
 			continue
 		}
 		first = false
-		redial.Stood()
+		redial.Reset()
 	}
 }
 
 // Fetch asks for the whole list once.
-func (h *HTTP) Fetch() {
+func (h *HTTPSource) Fetch() {
 	go func() {
 		if err := h.whole(h.ctx); err != nil && h.ctx.Err() == nil {
 			h.sink(Update{Scope: fleet.ListFailed, Err: err})
@@ -293,7 +293,7 @@
 	}()
 }
 
-func (h *HTTP) whole(ctx context.Context) error {
+func (h *HTTPSource) whole(ctx context.Context) error {
 	d, changed, err := h.get(ctx, 0, 0)
 	if err != nil || !changed {
 		return err
@@ -304,7 +304,7 @@
 
 // ask polls once. The answer to the first poll of a watch is told even where nothing changed, as it is the answer
 // that was asked for.
-func (h *HTTP) ask(ctx context.Context, wait fleet.Time, first bool) error {
+func (h *HTTPSource) ask(ctx context.Context, wait fleet.Time, first bool) error {
 	h.mu.Lock()
 	rev := h.rev
 	h.mu.Unlock()
@@ -316,26 +316,26 @@
 	case changed:
 		h.told(d)
 	case first:
-		h.sink(Update{Scope: fleet.ListDelta, Doc: Document{Rev: rev, Changes: true}})
+		h.sink(Update{Scope: fleet.ListDelta, List: EndpointList{Revision: rev, Delta: true}})
 	default:
-		h.sink(Update{Same: true})
+		h.sink(Update{Unchanged: true})
 	}
 	return nil
 }
 
-func (h *HTTP) told(d Document) {
+func (h *HTTPSource) told(d EndpointList) {
 	h.mu.Lock()
-	h.rev = d.Rev
+	h.rev = d.Revision
 	h.mu.Unlock()
 	scope := fleet.ListFull
-	if d.Changes {
+	if d.Delta {
 		scope = fleet.ListDelta
 	}
-	h.sink(Update{Scope: scope, Doc: d})
+	h.sink(Update{Scope: scope, List: d})
 }
 
-func (h *HTTP) get(ctx context.Context, rev uint64, wait fleet.Time) (d Document, changed bool, err error) {
-	within, cancel := context.WithTimeout(ctx, time.Duration(wait+reconcile.AnswerWithin))
+func (h *HTTPSource) get(ctx context.Context, rev uint64, wait fleet.Time) (d EndpointList, changed bool, err error) {
+	within, cancel := context.WithTimeout(ctx, time.Duration(wait+reconcile.AnswerTimeout))
 	defer cancel()
 	to, err := url.Parse(h.URL)
 	if err != nil {
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -53,7 +53,7 @@
 			}
 			return
 		}
-		whole, err := json.Marshal(Document{Rev: rev, Servers: []Server{{Name: "a", Addr: "x:1"}}})
+		whole, err := json.Marshal(EndpointList{Revision: rev, Endpoints: []Endpoint{{Name: "a", Addr: "x:1"}}})
 		if err == nil {
 			if err = os.WriteFile(path+".new", whole, 0o644); err == nil {
 				err = os.Rename(path+".new", path)
@@ -67,15 +67,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	updates := make(chan Update, 64)
-	f := &File{Path: path}
+	f := &FileSource{Path: path}
 	if err := f.Start(ctx, func(u Update) { updates <- u }); err != nil {
 		t.Fatal(err)
 	}
-	if u := next(t, updates); u.Doc.Rev != 1 || u.Scope != fleet.ListFull {
+	if u := next(t, updates); u.List.Revision != 1 || u.Scope != fleet.ListFull {
 		t.Fatalf("%+v", u)
 	}
 	write(2, "")
-	for u := next(t, updates); u.Doc.Rev != 2; u = next(t, updates) {
+	for u := next(t, updates); u.List.Revision != 2; u = next(t, updates) {
 	}
 	write(0, `{"rev": 3, "serv`)
 	u := next(t, updates)
@@ -97,11 +97,11 @@
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		}
-		d := Document{Rev: 1, Servers: []Server{{Name: "a", Addr: "x:1"}, {Name: "b", Addr: "x:2"}}}
+		d := EndpointList{Revision: 1, Endpoints: []Endpoint{{Name: "a", Addr: "x:1"}, {Name: "b", Addr: "x:2"}}}
 		if r.URL.Query().Get("rev") != "0" {
 			select {
 			case <-change:
-				d = Document{Rev: 2, Changes: true, Servers: []Server{{Name: "b", State: "gone"}}}
+				d = EndpointList{Revision: 2, Delta: true, Endpoints: []Endpoint{{Name: "b", State: "gone"}}}
 			case <-r.Context().Done():
 				return
 			}
@@ -114,7 +114,7 @@
 		changes.Store(&change)
 		ctx, cancel := context.WithCancel(context.Background())
 		updates := make(chan Update, 1024)
-		h := &HTTP{URL: s.URL + "/list?governor=g", Wait: 30 * fleet.Second, OnRequest: onRequest}
+		h := &HTTPSource{URL: s.URL + "/list?governor=g", Wait: 30 * fleet.Second, OnRequest: onRequest}
 		down.Store(true)
 		if err := h.Start(ctx, func(u Update) { updates <- u }); err != nil {
 			t.Fatal(err)
@@ -136,12 +136,12 @@
 			u := next(t, updates)
 			for ; u.Scope == fleet.ListFailed; u = next(t, updates) {
 			}
-			if u.Scope != fleet.ListFull || len(u.Doc.Servers) != 2 {
+			if u.Scope != fleet.ListFull || len(u.List.Endpoints) != 2 {
 				t.Fatalf("%+v", u)
 			}
 		}
 		change <- struct{}{}
-		if u := next(t, updates); u.Scope != fleet.ListDelta || u.Doc.Servers[0].State != "gone" {
+		if u := next(t, updates); u.Scope != fleet.ListDelta || u.List.Endpoints[0].State != "gone" {
 			t.Fatalf("%+v", u)
 		}
 		cancel()
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -30,14 +30,14 @@
 	platformNames  = 512                     // bytes of a name or an address: DNS has 253, and some put a path before it
 )
 
-// Platform is the platform's discovery: a whole list for each Fetch, and a watch that lasts until its connection ends. Each
+// PlatformSource is the platform's discovery: a whole list for each Fetch, and a watch that lasts until its connection ends. Each
 // Watch(true) and each Fetch is answered by exactly one update at first, be it a failure; changes follow in order.
-type Platform struct {
-	Addr   string   // host:port
-	Rev    uint64   // of the list held at the start
-	Zones  []string // those that an entry may name
-	Kinds  []string
-	Notice func(error) // hears of what failed without an update, such as a move; may be nil
+type PlatformSource struct {
+	Addr     string   // host:port
+	Revision uint64   // of the list held at the start
+	Zones    []string // those that an entry may name
+	Kinds    []string
+	OnError  func(error) // hears of what failed without an update, such as a move; may be nil
 
 	whole   time.Duration // for one line
 	sink    func(Update)
@@ -55,7 +55,7 @@
 type said struct {
 	from *platformWatch // nil: a fetch
 	rev  uint64         // of a fetch: what was known when it was asked
-	doc  *Document      // nil and no error: a sign of life
+	doc  *EndpointList  // nil and no error: a sign of life
 	err  error
 }
 
@@ -65,7 +65,7 @@
 }
 
 // Start begins to talk once it is asked.
-func (p *Platform) Start(ctx context.Context, sink func(Update)) error {
+func (p *PlatformSource) Start(ctx context.Context, sink func(Update)) error {
 	p.sink, p.kick, p.told, p.addr = sink, make(chan struct{}, 1), make(chan said), p.Addr
 	p.whole = cmp.Or(p.whole, platformWhole)
 	dialer := net.Dialer{Timeout: platformDial}
@@ -76,15 +76,15 @@
 }
 
 // Watch asks for changes from now on, or for no more.
-func (p *Platform) Watch(on bool) { p.want(func() { p.asked, p.stopped = on, !on }) }
+func (p *PlatformSource) Watch(on bool) { p.want(func() { p.asked, p.stopped = on, !on }) }
 
 // Fetch asks for the whole list once.
-func (p *Platform) Fetch() { p.want(func() { p.fetches = min(p.fetches+1, 4) }) }
+func (p *PlatformSource) Fetch() { p.want(func() { p.fetches = min(p.fetches+1, 4) }) }
 
-// Move goes to another address; a watch goes on at the old one until the new one answers.
-func (p *Platform) Move(addr string) { p.want(func() { p.addr = addr }) }
+// SetAddress goes to another address; a watch goes on at the old one until the new one answers.
+func (p *PlatformSource) SetAddress(addr string) { p.want(func() { p.addr = addr }) }
 
-func (p *Platform) want(set func()) {
+func (p *PlatformSource) want(set func()) {
 	p.mu.Lock()
 	set()
 	p.mu.Unlock()
@@ -95,7 +95,7 @@
 }
 
 // run owns the watches.
-func (p *Platform) run(ctx context.Context) {
+func (p *PlatformSource) run(ctx context.Context) {
 	var current, next *platformWatch
 	addr := p.Addr
 	end := func(w *platformWatch) *platformWatch {
@@ -127,7 +127,7 @@
 				next = p.open(ctx, addr, false)
 			}
 			for ; fetches > 0; fetches-- {
-				go p.fetch(ctx, addr, p.Rev)
+				go p.fetch(ctx, addr, p.Revision)
 			}
 		case m := <-p.told:
 			switch {
@@ -158,59 +158,59 @@
 	}
 }
 
-func (p *Platform) notice(err error) {
-	if p.Notice != nil {
-		p.Notice(err)
+func (p *PlatformSource) notice(err error) {
+	if p.OnError != nil {
+		p.OnError(err)
 	}
 }
 
 // take tells what came. At a change of addresses what is known already is told by both: it counts once.
-func (p *Platform) take(m said, moved bool) {
+func (p *PlatformSource) take(m said, moved bool) {
 	waited := m.from == nil || m.from.waited
 	if m.from != nil {
 		m.from.waited = false
-	} else if m.doc != nil && m.doc.Rev < p.Rev && m.doc.Rev >= m.rev { // a watch told newer things while it was on its way
+	} else if m.doc != nil && m.doc.Revision < p.Revision && m.doc.Revision >= m.rev { // a watch told newer things while it was on its way
 		m.doc = nil
 	}
 	switch {
 	case m.err != nil:
 		p.sink(Update{Scope: fleet.ListFailed, Err: m.err})
-	case m.doc != nil && !(m.doc.Rev <= p.Rev && m.doc.Changes) && !(moved && m.doc.Rev < p.Rev):
-		p.Rev = m.doc.Rev
+	case m.doc != nil && !(m.doc.Revision <= p.Revision && m.doc.Delta) && !(moved && m.doc.Revision < p.Revision):
+		p.Revision = m.doc.Revision
 		scope := fleet.ListFull
-		if m.doc.Changes {
+		if m.doc.Delta {
 			scope = fleet.ListDelta
 		}
-		p.sink(Update{Scope: scope, Doc: *m.doc})
+		p.sink(Update{Scope: scope, List: *m.doc})
 	case waited: // nothing new, which is an answer too
-		p.sink(Update{Scope: fleet.ListDelta, Doc: Document{Rev: p.Rev, Changes: true}})
+		p.sink(Update{Scope: fleet.ListDelta, List: EndpointList{Revision: p.Revision, Delta: true}})
 	default:
-		p.sink(Update{Same: true})
+		p.sink(Update{Unchanged: true})
 	}
 }
 
-func (p *Platform) open(ctx context.Context, addr string, waited bool) *platformWatch {
+func (p *PlatformSource) open(ctx context.Context, addr string, waited bool) *platformWatch {
 	ctx, cancel := context.WithCancel(ctx)
 	w := &platformWatch{cancel: cancel, waited: waited}
-	url := fmt.Sprintf("http://%s/v1/endpoints?watch=1&after=%d", addr, p.Rev)
+	url := fmt.Sprintf("http://%s/v1/endpoints?watch=1&after=%d", addr, p.Revision)
 	go func() {
-		err := p.follow(ctx, url, func(doc *Document) { p.say(ctx, said{from: w, doc: doc}) })
+		err := p.follow(ctx, url, func(doc *EndpointList) { p.say(ctx, said{from: w, doc: doc}) })
 		p.say(ctx, said{from: w, err: fmt.Errorf("list: watch at %s: %w", addr, err)})
 	}()
 	return w
 }
 
-func (p *Platform) say(ctx context.Context, m said) {
+func (p *PlatformSource) say(ctx context.Context, m said) {
 	select {
 	case p.told <- m:
 	case <-ctx.Done():
 	}
 }
 
-func (p *Platform) fetch(ctx context.Context, addr string, rev uint64) {
+func (p *PlatformSource) fetch(ctx context.Context, addr string, rev uint64) {
 	within, cancel := context.WithTimeout(ctx, platformHead+platformSilent)
 	defer cancel()
-	var doc *Document
+	var doc *EndpointList
 	body, err := p.get(within, "http://"+addr+"/v1/endpoints")
 	if err == nil {
 		var text []byte
@@ -229,7 +229,7 @@
 	p.say(ctx, said{doc: doc, err: err, rev: rev})
 }
 
-func (p *Platform) get(ctx context.Context, url string) (io.ReadCloser, error) {
+func (p *PlatformSource) get(ctx context.Context, url string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
@@ -246,7 +246,7 @@
 }
 
 // follow reads a watch until it ends, falls silent or can't be read.
-func (p *Platform) follow(ctx context.Context, url string, tell func(*Document)) error {
+func (p *PlatformSource) follow(ctx context.Context, url string, tell func(*EndpointList)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	body, err := p.get(ctx, url)
@@ -305,7 +305,7 @@
 var platformStates = map[string]string{"in_service": "ready", "terminating": "draining", "terminated": "gone"}
 
 // Decode reads one object of discovery. Errors name the byte or the entry.
-func (p *Platform) Decode(text []byte) (*Document, error) {
+func (p *PlatformSource) Decode(text []byte) (*EndpointList, error) {
 	var o struct {
 		Rev     *uint64 `json:"rev"`
 		All     *bool   `json:"all"`
@@ -331,7 +331,7 @@
 	case len(o.Targets) > serversMost:
 		return nil, fmt.Errorf("key targets: %d servers, %d are the most", len(o.Targets), serversMost)
 	}
-	doc := &Document{Rev: *o.Rev, Changes: !*o.All}
+	doc := &EndpointList{Revision: *o.Rev, Delta: !*o.All}
 	seen := make(map[string]bool, len(o.Targets))
 	for i, t := range o.Targets {
 		state, known := platformStates[t.State]
@@ -356,11 +356,11 @@
 			return nil, fmt.Errorf("targets[%d]: %s", i, what)
 		}
 		seen[t.UID] = true
-		s := Server{Name: t.UID, Addr: t.Endpoint, Zone: t.Az, Kind: t.Model, Cell: t.PodGroup, State: state, Weight: t.Hint}
+		s := Endpoint{Name: t.UID, Addr: t.Endpoint, Zone: t.Az, Kind: t.Model, Cell: t.PodGroup, State: state, Weight: t.Hint}
 		if t.BootMs > 0 {
 			s.Started = time.Unix(0, int64(math.Round(t.BootMs*1e6)))
 		}
-		doc.Servers = append(doc.Servers, s)
+		doc.Endpoints = append(doc.Endpoints, s)
 	}
 	return doc, nil
 }
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -20,10 +20,10 @@
 }
 
 func TestPlatformObjectsAreRead(t *testing.T) {
-	p := Platform{Zones: []string{"a"}, Kinds: []string{"m2"}}
+	p := PlatformSource{Zones: []string{"a"}, Kinds: []string{"m2"}}
 	d, err := p.Decode([]byte(object(41, false, fmt.Sprintf(target, "s-1", "terminating", 0), fmt.Sprintf(target, "s-2", "in_service", 1_700_000_000_123))))
-	if err != nil || d.Rev != 41 || !d.Changes || len(d.Servers) != 2 || d.Servers[0].State != "draining" || !d.Servers[0].Started.IsZero() ||
-		d.Servers[1].Started.UnixMilli() != 1_700_000_000_123 {
+	if err != nil || d.Revision != 41 || !d.Delta || len(d.Endpoints) != 2 || d.Endpoints[0].State != "draining" || !d.Endpoints[0].Started.IsZero() ||
+		d.Endpoints[1].Started.UnixMilli() != 1_700_000_000_123 {
 		t.Errorf("%+v, %v", d, err)
 	}
 	good := object(41, true, fmt.Sprintf(target, "s-1", "in_service", 0))
@@ -41,10 +41,10 @@
 
 func FuzzPlatform(f *testing.F) {
 	f.Add([]byte(object(41, true, fmt.Sprintf(target, "s-1", "in_service", 7))))
-	p := Platform{Zones: []string{"a"}, Kinds: []string{"m2"}}
+	p := PlatformSource{Zones: []string{"a"}, Kinds: []string{"m2"}}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if d, err := p.Decode(text); err == nil {
-			for _, s := range d.Servers {
+			for _, s := range d.Endpoints {
 				if s.Name == "" {
 					t.Errorf("a server without a name in %q", text)
 				}
@@ -115,7 +115,7 @@
 // Each asking is answered by one update, be it a failure; what changes follows in order, and a move loses and doubles nothing.
 func TestPlatformAnswersEachAskingOnce(t *testing.T) {
 	d, moved := newDiscovery(t), newDiscovery(t)
-	p := &Platform{Addr: d.Listener.Addr().String(), Rev: 40, Zones: []string{"a"}, Kinds: []string{"m2"}}
+	p := &PlatformSource{Addr: d.Listener.Addr().String(), Revision: 40, Zones: []string{"a"}, Kinds: []string{"m2"}}
 	told := make(chan Update, 100)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -124,7 +124,7 @@
 	}
 	expect := func(what string, scope fleet.ListScope, rev uint64) {
 		t.Helper()
-		if u := hear(t, told); u.Same || u.Scope != scope || u.Doc.Rev != rev || (u.Err != nil) != (scope == fleet.ListFailed) {
+		if u := hear(t, told); u.Unchanged || u.Scope != scope || u.List.Revision != rev || (u.Err != nil) != (scope == fleet.ListFailed) {
 			t.Fatalf("%s: %+v", what, u)
 		}
 	}
@@ -149,7 +149,7 @@
 	w.lines <- object(42, true) + "\n"
 	expect("the whole list", fleet.ListFull, 42)
 
-	p.Move(moved.Listener.Addr().String())
+	p.SetAddress(moved.Listener.Addr().String())
 	at := hear(t, moved.watches)
 	if at.query != "watch=1&after=42" {
 		t.Errorf("asked %s", at.query)
@@ -157,7 +157,7 @@
 	w.lines <- object(43, false) + "\n"
 	expect("at the old address", fleet.ListDelta, 43)
 	at.lines <- object(43, false) + "\n" // known already
-	if u := hear(t, told); !u.Same {
+	if u := hear(t, told); !u.Unchanged {
 		t.Errorf("told twice: %+v", u)
 	}
 	at.lines <- object(44, false) + "\n"
@@ -169,7 +169,7 @@
 // Bytes that come and come while no line ends are no sign of life: the watch ends, and the asking is answered by a failure, once.
 func TestPlatformEndsALineWithoutEnd(t *testing.T) {
 	d := newDiscovery(t)
-	p := &Platform{Addr: d.Listener.Addr().String(), whole: 300 * time.Millisecond}
+	p := &PlatformSource{Addr: d.Listener.Addr().String(), whole: 300 * time.Millisecond}
 	told := make(chan Update, 100)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -205,7 +205,7 @@
 func TestPlatformFetchCrossesAChange(t *testing.T) {
 	d := newDiscovery(t)
 	d.fetches, d.asked = make(chan string), make(chan bool)
-	p := &Platform{Addr: d.Listener.Addr().String(), Rev: 40, Zones: []string{"a"}, Kinds: []string{"m2"}}
+	p := &PlatformSource{Addr: d.Listener.Addr().String(), Revision: 40, Zones: []string{"a"}, Kinds: []string{"m2"}}
 	told := make(chan Update, 100)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -217,11 +217,11 @@
 	p.Fetch()
 	hear(t, d.asked)
 	w.lines <- object(42, false) + "\n"
-	if u := hear(t, told); u.Doc.Rev != 42 {
+	if u := hear(t, told); u.List.Revision != 42 {
 		t.Fatalf("%+v", u)
 	}
 	d.fetches <- object(41, true, fmt.Sprintf(target, "s-1", "in_service", 0))
-	if u := hear(t, told); u.Scope != fleet.ListDelta || u.Doc.Rev != 42 || len(u.Doc.Servers) > 0 {
+	if u := hear(t, told); u.Scope != fleet.ListDelta || u.List.Revision != 42 || len(u.List.Endpoints) > 0 {
 		t.Errorf("an older list counts: %+v", u)
 	}
 }
@@ -230,7 +230,7 @@
 func TestPlatformMovesToNobody(t *testing.T) {
 	d := newDiscovery(t)
 	notices := make(chan error, 10)
-	p := &Platform{Addr: d.Listener.Addr().String(), Notice: func(err error) { notices <- err }}
+	p := &PlatformSource{Addr: d.Listener.Addr().String(), OnError: func(err error) { notices <- err }}
 	told := make(chan Update, 100)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -239,12 +239,12 @@
 	w := hear(t, d.watches)
 	w.lines <- object(1, true) + "\n"
 	hear(t, told)
-	p.Move("127.0.0.1:1")
+	p.SetAddress("127.0.0.1:1")
 	if err := hear(t, notices); err == nil || errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
 	w.lines <- object(2, false) + "\n"
-	if u := hear(t, told); u.Doc.Rev != 2 {
+	if u := hear(t, told); u.List.Revision != 2 {
 		t.Errorf("%+v", u)
 	}
 }
--- a/internal/discovery/storeddata_test.go
+++ b/internal/discovery/storeddata_test.go
@@ -15,9 +15,9 @@
 
 const storedCache = "testdata/cache"
 
-func storedDocuments() (before, now Document) {
+func storedDocuments() (before, now EndpointList) {
 	before, now = kept(6, 5), kept(7, 4)
-	now.Servers[1].State, now.Servers[2].Kind, now.Servers[2].Cell, now.Servers[3].Weight = "draining", "m2", 9, 0.5
+	now.Endpoints[1].State, now.Endpoints[2].Kind, now.Endpoints[2].Cell, now.Endpoints[3].Weight = "draining", "m2", 9, 0.5
 	return before, now
 }
 
@@ -25,8 +25,8 @@
 func TestCacheOfAnEarlierProgramIsRead(t *testing.T) {
 	before, now := storedDocuments()
 	path := filepath.Join(t.TempDir(), "cache")
-	for i, d := range []Document{before, now} {
-		if err := Cache(path, d, fleet.Time(i+4)*fleet.Second); err != nil {
+	for i, d := range []EndpointList{before, now} {
+		if err := WriteCache(path, d, fleet.Time(i+4)*fleet.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -48,13 +48,13 @@
 	if len(wrong) > 0 || len(got) != 2 {
 		t.Fatalf("%v, %d generations", wrong, len(got))
 	}
-	for i, d := range []Document{now, before} {
-		want := map[string]Server{}
-		for _, s := range d.Servers {
+	for i, d := range []EndpointList{now, before} {
+		want := map[string]Endpoint{}
+		for _, s := range d.Endpoints {
 			want[s.Name] = s
 		}
 		g := got[i]
-		if g.Rev != d.Rev || g.At != fleet.Time(5-i)*fleet.Second || g.Stated != len(d.Servers) || !g.Whole || !reflect.DeepEqual(g.Entries, want) {
+		if g.Revision != d.Revision || g.ConfirmedAt != fleet.Time(5-i)*fleet.Second || g.DeclaredSize != len(d.Endpoints) || !g.Complete || !reflect.DeepEqual(g.Entries, want) {
 			t.Errorf("generation %d: %+v", i, g)
 		}
 	}
--- a/internal/discovery/transcript_test.go
+++ b/internal/discovery/transcript_test.go
@@ -25,14 +25,14 @@
 		}
 	}))
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	p := &Platform{Addr: s.Listener.Addr().String(), Rev: 40, Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
+	p := &PlatformSource{Addr: s.Listener.Addr().String(), Revision: 40, Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
 	updates := make(chan Update, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if err := p.Start(ctx, func(u Update) { updates <- u }); err != nil {
 		t.Fatal(err)
 	}
-	want := Update{Scope: fleet.ListFull, Doc: Document{Rev: 41, Servers: []Server{{Name: "s-1", Addr: "10.1.0.18:7070", Zone: "b", Kind: "m2", Cell: 3,
+	want := Update{Scope: fleet.ListFull, List: EndpointList{Revision: 41, Endpoints: []Endpoint{{Name: "s-1", Addr: "10.1.0.18:7070", Zone: "b", Kind: "m2", Cell: 3,
 		State: "draining", Started: time.Unix(1_700_000_000, 123_000_064), Weight: 1.5}}}}
 	p.Watch(true)
 	if got := hear(t, requests); got != "GET /v1/endpoints?watch=1&after=40 HTTP/1.1" {
