--- a/internal/reconcile/steer.go
+++ b/internal/reconcile/steer.go
@@ -37,93 +37,93 @@
 
 // The states of a line; the first stands in changes for "as it is".
 const (
-	Stays State = iota
-	In          // takes visits by weight
-	Drain       // finishes what it has
-	Out         // takes nothing
+	StateUnchanged   State = iota
+	StateReady             // takes visits by weight
+	StateDrain             // finishes what it has
+	StateMaintenance       // takes nothing
 )
 
-// Cell is what a proxy holds of a server in one class. Weight is 0 to 256.
-type Cell struct {
-	Present bool
-	Unknown bool // an error left open what it holds
-	Astray  bool // it sends to another address than the server is listed at
-	Weight  int16
-	State   State
+// EntryState is what a proxy holds of a server in one class. Weight is 0 to 256.
+type EntryState struct {
+	Present      bool
+	Unknown      bool // an error left open what it holds
+	WrongAddress bool // it sends to another address than the server is listed at
+	Weight       int16
+	State        State
 }
 
-// Level is what a proxy holds of a class's level.
-type Level struct {
-	Known  bool
-	Amount int32 // thousandths of the visits, or of visits a second; negative: all
-	Retry  fleet.RetryMode
+// Admission is what a proxy holds of a class's level.
+type Admission struct {
+	Known bool
+	Limit int32 // thousandths of the visits, or of visits a second; negative: all
+	Retry fleet.RetryMode
 }
 
-// Kind says what a change is about.
-type Kind uint8
+// ChangeKind says what a change is about.
+type ChangeKind uint8
 
 // The kinds of changes.
 const (
-	SetLine    Kind = iota // weight, state or both of a line that is there
-	AddLine                // a line that the proxy doesn't have
-	DelLine                // a line of a server gone for good
-	SetLevels              // the level of a class
-	SetVersion             // the version of the table that a class goes by, told last in a message
+	UpdateEntry     ChangeKind = iota // weight, state or both of a line that is there
+	AddEntry                          // a line that the proxy doesn't have
+	DeleteEntry                       // a line of a server gone for good
+	UpdateAdmission                   // the level of a class
+	UpdateVersion                     // the version of the table that a class goes by, told last in a message
 )
 
 // Change is one thing that a message changes at a proxy, in absolute values: applied twice it does nothing new.
 type Change struct {
-	Kind   Kind
-	Class  fleet.ClassID
-	Server fleet.ServerID
-	Weight int16 // negative: as it is
-	State  State
-	Moved  bool   // the server's address has to be set, too
-	Stamp  string // version and digest
-	Level  Level
+	Kind           ChangeKind
+	Class          fleet.ClassID
+	Server         fleet.ServerID
+	Weight         int16 // negative: as it is
+	State          State
+	AddressChanged bool   // the server's address has to be set, too
+	VersionStamp   string // version and digest
+	Admission      Admission
 }
 
 // Message is what leaves for one proxy at one time. Lines counts as the module does.
 type Message struct {
-	Proxy   fleet.ProxyID
-	Seq     uint64
-	Lines   int
-	Changes []Change
+	Proxy    fleet.ProxyID
+	Sequence uint64
+	Entries  int
+	Changes  []Change
 }
 
-// Fault is how a change was not done.
-type Fault uint8
+// FailureKind is how a change was not done.
+type FailureKind uint8
 
 // The faults that a front tells apart.
 const (
-	OtherFault Fault = iota // an error that names none of the below, or an answer that makes no sense
-	NoLine                  // the line to be set or deleted isn't there
-	LineExists              // the line to be added is there
-	InUse                   // the line to be deleted has visits
+	FailureOther        FailureKind = iota // an error that names none of the below, or an answer that makes no sense
+	FailureEntryMissing                    // the line to be set or deleted isn't there
+	FailureEntryExists                     // the line to be added is there
+	FailureEntryInUse                      // the line to be deleted has visits
 )
 
 // Failure tells of one change of a message that was not done.
 type Failure struct {
 	Index int
-	Fault Fault
+	Kind  FailureKind
 	Text  string
 }
 
 // Snapshot is what a proxy holds when its stream begins, as read back from it.
 type Snapshot struct {
-	Zone   fleet.ZoneID
-	Weight float64 // visits a second that it usually gets
-	Fresh  bool    // holds standing tables only
-	Lines  []SnapshotLine
-	Levels []Level  // by class; may be short
-	Stamps []string // by class: the version that it was told last; may be short
+	Zone          fleet.ZoneID
+	RequestRate   float64 // visits a second that it usually gets
+	Fresh         bool    // holds standing tables only
+	Entries       []SnapshotEntry
+	Admissions    []Admission // by class; may be short
+	VersionStamps []string    // by class: the version that it was told last; may be short
 }
 
-// SnapshotLine is one line of a snapshot.
-type SnapshotLine struct {
+// SnapshotEntry is one line of a snapshot.
+type SnapshotEntry struct {
 	Class  fleet.ClassID
 	Server fleet.ServerID
-	Cell   Cell
+	State  EntryState
 }
 
 // key names what a line changes: a server in all classes, or a class's level (server is then noServer).
@@ -134,8 +134,8 @@
 
 const noServer int32 = -1
 
-// Plane holds it all for one governor.
-type Plane struct {
+// Reconciler holds it all for one governor.
+type Reconciler struct {
 	site    fleet.Site
 	index   map[fleet.ServerID]int32
 	servers []server
@@ -152,18 +152,18 @@
 	paced     fleet.Time
 	events    []fleet.Event
 	drops     []fleet.ProxyID
-	alarms    []Alarm
+	alarms    []Notice
 	waiting   float64 // lines in the queue, heads included
 	paces     paces
-	judge     Judge // may be nil
-	scratch   Draft // of the message being written; kept for its room
+	judge     SafetyCheck // may be nil
+	scratch   UpdatePlan  // of the message being written; kept for its room
 	coldOnes  []int32
 	heardList bool
 	refused   map[refusalOf]*Refusal
 	pushes    map[push]pushed
 	epoch     uint64
-	name      tableversion.Names // nil: tables have no versions
-	lines     []tableversion.Line
+	name      tableversion.NameFunc // nil: tables have no versions
+	lines     []tableversion.Entry
 	changed   map[fleet.TableID]bool // by the orders of this step
 	deferrals uint64
 	swept     fleet.Time
@@ -209,9 +209,9 @@
 	againAt  fleet.Time     // when those are tried again
 	wrote    []fleet.Time   // messages within the time that they are counted over
 	deferred bool           // its lines wait outside the full channel
-	sent     []Cell         // by server index times classes, then class: what it holds once all is answered
-	own      []Cell         // the same as it was at the join, for classes that are not bound
-	levels   []Level
+	sent     []EntryState   // by server index times classes, then class: what it holds once all is answered
+	own      []EntryState   // the same as it was at the join, for classes that are not bound
+	levels   []Admission
 	urgent   []key // dirty, in the order of their lines; in pending
 	ordinary []key
 	pending  map[key]bool // true: urgent
@@ -247,8 +247,8 @@
 // paces counts what left, for operators.
 type paces struct{ lines, messages, changes, folded uint64 }
 
-// Alarm is something that staff should hear of.
-type Alarm struct {
+// Notice is something that staff should hear of.
+type Notice struct {
 	Proxy   fleet.ProxyID
 	Text    string
 	Refused *Refusal // what was held back, if that is it
@@ -256,17 +256,17 @@
 }
 
 // New makes an empty plane.
-func New(site fleet.Site) *Plane {
-	return &Plane{site: site, index: map[fleet.ServerID]int32{}, tables: map[fleet.TableID]*table{}, refused: map[refusalOf]*Refusal{}, pushes: map[push]pushed{}, changed: map[fleet.TableID]bool{},
+func New(site fleet.Site) *Reconciler {
+	return &Reconciler{site: site, index: map[fleet.ServerID]int32{}, tables: map[fleet.TableID]*table{}, refused: map[refusalOf]*Refusal{}, pushes: map[push]pushed{}, changed: map[fleet.TableID]bool{},
 		every: make([]level, len(site.Classes)), proxies: map[fleet.ProxyID]*proxy{}, paced: -1}
 }
 
-// Ask lets a judge have its say on each message from here on.
-func (p *Plane) Ask(j Judge) { p.judge = j }
+// UseSafetyCheck lets a judge have its say on each message from here on.
+func (p *Reconciler) UseSafetyCheck(j SafetyCheck) { p.judge = j }
 
-func (p *Plane) classes() int { return len(p.site.Classes) }
+func (p *Reconciler) classes() int { return len(p.site.Classes) }
 
-func (p *Plane) server(id fleet.ServerID) int32 {
+func (p *Reconciler) server(id fleet.ServerID) int32 {
 	if i, ok := p.index[id]; ok {
 		return i
 	}
@@ -277,13 +277,13 @@
 		t.weights = append(t.weights, 0)
 	}
 	for _, x := range p.order {
-		x.sent = append(x.sent, make([]Cell, p.classes())...)
-		x.own = append(x.own, make([]Cell, p.classes())...)
+		x.sent = append(x.sent, make([]EntryState, p.classes())...)
+		x.own = append(x.own, make([]EntryState, p.classes())...)
 	}
 	return i
 }
 
-func (p *Plane) table(id fleet.TableID) *table {
+func (p *Reconciler) table(id fleet.TableID) *table {
 	t := p.tables[id]
 	if t == nil {
 		t = &table{weights: make([]float64, len(p.servers)), levels: make([]level, p.classes())}
@@ -292,9 +292,9 @@
 	return t
 }
 
-// List hears what the list says, so that a drain can be told from a server that is gone, and a cold one from a
+// SetEndpoints hears what the list says, so that a drain can be told from a server that is gone, and a cold one from a
 // warm one.
-func (p *Plane) List(now fleet.Time, l fleet.EndpointList) {
+func (p *Reconciler) SetEndpoints(now fleet.Time, l fleet.EndpointList) {
 	if l.Scope == fleet.ListFailed {
 		return
 	}
@@ -352,13 +352,13 @@
 	}
 }
 
-// Moved tells that a server is listed at another address than before: every line of it has to follow.
-func (p *Plane) Moved(id fleet.ServerID) {
+// AddressChanged tells that a server is listed at another address than before: every line of it has to follow.
+func (p *Reconciler) AddressChanged(id fleet.ServerID) {
 	i := p.server(id)
 	for _, x := range p.order {
 		for c := range p.classes() {
 			if at := int(i)*p.classes() + c; x.sent[at].Present {
-				x.sent[at].Astray = true
+				x.sent[at].WrongAddress = true
 				p.touch(x, key{server: i}, true)
 				x.allowed++
 			}
@@ -366,31 +366,31 @@
 	}
 }
 
-func (p *Plane) cold(s *server, now fleet.Time) bool {
+func (p *Reconciler) cold(s *server, now fleet.Time) bool {
 	return s.started > 0 && now < s.started+p.site.SlowStart.Duration
 }
 
 // Join begins a proxy's stream with what it was found to hold.
-func (p *Plane) Join(now fleet.Time, id fleet.ProxyID, snap Snapshot) {
+func (p *Reconciler) Join(now fleet.Time, id fleet.ProxyID, snap Snapshot) {
 	p.Leave(id)
 	n := p.classes()
 	x := &proxy{id: id, zone: snap.Zone, on: make([]fleet.TableID, n), bound: make([]bool, n),
-		pending: map[key]bool{}, levels: make([]Level, n), heard: now, fresh: snap.Fresh, lines: make([]int, n),
+		pending: map[key]bool{}, levels: make([]Admission, n), heard: now, fresh: snap.Fresh, lines: make([]int, n),
 		sums: make([]int, n), held: map[key]string{}, stamped: make([]string, n)}
-	copy(x.stamped, snap.Stamps)
-	for _, l := range snap.Lines {
+	copy(x.stamped, snap.VersionStamps)
+	for _, l := range snap.Entries {
 		p.server(l.Server)
 	}
-	x.sent = make([]Cell, len(p.servers)*n)
-	for _, l := range snap.Lines {
+	x.sent = make([]EntryState, len(p.servers)*n)
+	for _, l := range snap.Entries {
 		if int(l.Class) < n {
-			l.Cell.Present = true
-			p.set(x, int(p.index[l.Server])*n+int(l.Class), l.Cell)
+			l.State.Present = true
+			p.set(x, int(p.index[l.Server])*n+int(l.Class), l.State)
 		}
 	}
-	copy(x.levels, snap.Levels)
+	copy(x.levels, snap.Admissions)
 	x.own = slices.Clone(x.sent)
-	p.verify(x, snap.Lines)
+	p.verify(x, snap.Entries)
 	p.proxies[id] = x
 	at, _ := slices.BinarySearchFunc(p.order, id, func(x *proxy, id fleet.ProxyID) int { return cmp.Compare(x.id, id) })
 	p.order = slices.Insert(p.order, at, x)
@@ -411,11 +411,11 @@
 		p.judge.Joined(now, p.draft(now, x))
 	}
 	p.send(now, x, len(x.pending), nil)
-	p.events = append(p.events, fleet.ProxyJoined{Proxy: id, Zone: snap.Zone, RequestRate: snap.Weight, Fresh: snap.Fresh})
+	p.events = append(p.events, fleet.ProxyJoined{Proxy: id, Zone: snap.Zone, RequestRate: snap.RequestRate, Fresh: snap.Fresh})
 }
 
 // Leave ends a proxy's stream: what waits or travels is lost.
-func (p *Plane) Leave(id fleet.ProxyID) {
+func (p *Reconciler) Leave(id fleet.ProxyID) {
 	x := p.proxies[id]
 	if x == nil {
 		return
@@ -443,7 +443,7 @@
 }
 
 // touch marks a line of a proxy as to be worked out and sent. A line that waits already is not sent twice.
-func (p *Plane) touch(x *proxy, k key, urgent bool) {
+func (p *Reconciler) touch(x *proxy, k key, urgent bool) {
 	was, waits := x.pending[k]
 	if waits {
 		p.paces.folded++
@@ -459,15 +459,15 @@
 	}
 }
 
-func (p *Plane) touchAll(i int32, urgent bool) {
+func (p *Reconciler) touchAll(i int32, urgent bool) {
 	for _, x := range p.order {
 		p.touch(x, key{server: i}, urgent)
 		x.allowed++
 	}
 }
 
-// Order takes the orders of one step; each proxy that they concern gets one message.
-func (p *Plane) Order(now fleet.Time, orders []fleet.Order) {
+// Apply takes the orders of one step; each proxy that they concern gets one message.
+func (p *Reconciler) Apply(now fleet.Time, orders []fleet.Order) {
 	lines := map[*proxy]int{}
 	var mark *fleet.Barrier
 	for _, o := range orders {
@@ -526,7 +526,7 @@
 	}
 }
 
-func (p *Plane) tableIDs() []fleet.TableID {
+func (p *Reconciler) tableIDs() []fleet.TableID {
 	ids := make([]fleet.TableID, 0, len(p.tables))
 	for id := range p.tables {
 		ids = append(ids, id)
@@ -536,7 +536,7 @@
 }
 
 // users calls each proxy that has a class on the table.
-func (p *Plane) users(id fleet.TableID, each func(*proxy)) {
+func (p *Reconciler) users(id fleet.TableID, each func(*proxy)) {
 	for _, x := range p.order {
 		for c, on := range x.on {
 			if x.bound[c] && on == id {
@@ -547,7 +547,7 @@
 	}
 }
 
-func (p *Plane) share(now fleet.Time, o fleet.SetWeight, lines map[*proxy]int) {
+func (p *Reconciler) share(now fleet.Time, o fleet.SetWeight, lines map[*proxy]int) {
 	t, i := p.table(o.Table), p.server(o.Server)
 	p.changed[o.Table] = true
 	before := t.weights[i]
@@ -572,7 +572,7 @@
 	})
 }
 
-func (p *Plane) bind(x *proxy, o fleet.AssignTable) int {
+func (p *Reconciler) bind(x *proxy, o fleet.AssignTable) int {
 	n, touched := 1, 0
 	for c := range x.on {
 		if o.Classes == 0 || o.Classes&(1<<c) != 0 {
@@ -594,7 +594,7 @@
 	return max(n, touched)
 }
 
-func (p *Plane) level(o fleet.SetAdmission, lines map[*proxy]int) {
+func (p *Reconciler) level(o fleet.SetAdmission, lines map[*proxy]int) {
 	levels := p.every
 	if o.Table != fleet.AllTables {
 		levels = p.table(o.Table).levels
@@ -618,31 +618,31 @@
 }
 
 // wantCell works out what a proxy should hold of a server in a class.
-func (p *Plane) wantCell(x *proxy, i int32, c int) Cell {
+func (p *Reconciler) wantCell(x *proxy, i int32, c int) EntryState {
 	s, at := &p.servers[i], int(i)*p.classes()+c
 	own := x.own[at]
-	if own.Astray = false; !x.bound[c] {
+	if own.WrongAddress = false; !x.bound[c] {
 		if s.ordered && own.Present {
 			own.State = p.stateOf(s)
 		}
 		return own
 	}
 	t := p.tables[x.on[c]]
-	want := Cell{State: p.stateOf(s), Weight: p.published(x.on[c], t, i)}
+	want := EntryState{State: p.stateOf(s), Weight: p.published(x.on[c], t, i)}
 	if want.Present = want.Weight > 0 || x.sent[at].Present; !want.Present {
-		return Cell{}
+		return EntryState{}
 	}
 	return want
 }
 
-func (p *Plane) stateOf(s *server) State {
+func (p *Reconciler) stateOf(s *server) State {
 	switch {
 	case !s.withdrawn:
-		return In
+		return StateReady
 	case s.state == fleet.ServerDraining:
-		return Drain
+		return StateDrain
 	}
-	return Out
+	return StateMaintenance
 }
 
 // Round gives the weight of the runtime API for a weight of a table: a positive one never becomes 0, and none
@@ -654,7 +654,7 @@
 	return int16(min(weightMost, max(1, math.Round(weight*scale))))
 }
 
-func (p *Plane) wantLevel(x *proxy, c int) Level {
+func (p *Reconciler) wantLevel(x *proxy, c int) Admission {
 	l := p.every[c]
 	if x.bound[c] {
 		if own := p.tables[x.on[c]].levels[c]; own.set {
@@ -665,18 +665,18 @@
 		}
 	}
 	if !l.set {
-		return Level{}
+		return Admission{}
 	}
-	want := Level{Known: true, Amount: -1, Retry: l.retry}
+	want := Admission{Known: true, Limit: -1, Retry: l.retry}
 	if p.site.Admission == fleet.AdmissionFraction && l.amount < 1 || p.site.Admission == fleet.AdmissionRate && l.amount < rateAll {
-		if want.Amount = int32(perMille * l.amount); l.amount > 0 {
-			want.Amount = max(1, want.Amount)
+		if want.Limit = int32(perMille * l.amount); l.amount > 0 {
+			want.Limit = max(1, want.Limit)
 		}
 	}
 	return want
 }
 
-func (p *Plane) differs(x *proxy, i int32) bool {
+func (p *Reconciler) differs(x *proxy, i int32) bool {
 	for c := range p.classes() {
 		if have := x.sent[int(i)*p.classes()+c]; have != p.wantCell(x, i, c) {
 			return true
@@ -686,10 +686,10 @@
 }
 
 // propose adds to a draft what brings a line of a proxy to what is wanted.
-func (p *Plane) propose(now fleet.Time, d *Draft, x *proxy, k key, urgent bool) {
+func (p *Reconciler) propose(now fleet.Time, d *UpdatePlan, x *proxy, k key, urgent bool) {
 	if k.server == noServer {
 		if want := p.wantLevel(x, int(k.class)); want.Known && x.levels[k.class] != want {
-			d.Proposals = append(d.Proposals, Proposal{Change: Change{Kind: SetLevels, Class: k.class, Level: want}, Urgent: urgent, key: k})
+			d.Proposals = append(d.Proposals, Proposal{Change: Change{Kind: UpdateAdmission, Class: k.class, Admission: want}, Urgent: urgent, key: k})
 		} else {
 			p.allow(x, k)
 		}
@@ -710,17 +710,17 @@
 }
 
 // changeTo gives the change that takes a line from what is held to what is wanted.
-func changeTo(class fleet.ClassID, server fleet.ServerID, have, want Cell) Change {
-	ch := Change{Class: class, Server: server, Weight: want.Weight, State: want.State, Moved: have.Astray && have.Present}
+func changeTo(class fleet.ClassID, server fleet.ServerID, have, want EntryState) Change {
+	ch := Change{Class: class, Server: server, Weight: want.Weight, State: want.State, AddressChanged: have.WrongAddress && have.Present}
 	switch {
 	case !have.Present && !have.Unknown:
-		ch.Kind = AddLine
+		ch.Kind = AddEntry
 	case !have.Unknown:
 		if have.Weight == want.Weight {
 			ch.Weight = -1
 		}
 		if have.State == want.State {
-			ch.State = Stays
+			ch.State = StateUnchanged
 		}
 	}
 	return ch
@@ -733,7 +733,7 @@
 }
 
 // set changes what a proxy holds of a line, and the sums that go with it.
-func (p *Plane) set(x *proxy, at int, cell Cell) {
+func (p *Reconciler) set(x *proxy, at int, cell EntryState) {
 	c, i := at%p.classes(), int32(at/p.classes())
 	if old := x.sent[at]; p.ready(i) {
 		x.sums[c] += weightIn(cell) - weightIn(old)
@@ -748,12 +748,12 @@
 }
 
 // ready tells whether the list has a server as one that may take visits. Before any list all count.
-func (p *Plane) ready(i int32) bool {
+func (p *Reconciler) ready(i int32) bool {
 	return p.servers[i].state == fleet.ServerReady && (p.servers[i].listed || !p.heardList)
 }
 
 // recount changes the sums of all proxies when a server is listed as ready or no longer.
-func (p *Plane) recount(i int32, sign int) {
+func (p *Reconciler) recount(i int32, sign int) {
 	for _, x := range p.order {
 		for c := range p.classes() {
 			if cell := x.sent[int(i)*p.classes()+c]; cell.Usable() {
@@ -764,5 +764,5 @@
 	}
 }
 
-// Lines tells how many lines wait in the channel, heads included: what the queue rule bounds.
-func (p *Plane) Lines() float64 { return p.waiting }
+// Backlog tells how many lines wait in the channel, heads included: what the queue rule bounds.
+func (p *Reconciler) Backlog() float64 { return p.waiting }
--- a/internal/reconcile/steer_test.go
+++ b/internal/reconcile/steer_test.go
@@ -21,19 +21,19 @@
 
 // far is a proxy at the far end: it carries messages out as a real one does, some late, some never.
 type far struct {
-	lines  map[[2]uint32]Cell // by server and class
-	levels map[fleet.ClassID]Level
+	lines  map[[2]uint32]EntryState // by server and class
+	levels map[fleet.ClassID]Admission
 	inbox  []Message
 	broken string
 }
 
 func (f *far) snapshot() Snapshot {
-	s := Snapshot{Levels: make([]Level, 2)}
+	s := Snapshot{Admissions: make([]Admission, 2)}
 	for k, c := range f.lines {
-		s.Lines = append(s.Lines, SnapshotLine{Class: fleet.ClassID(k[1]), Server: fleet.ServerID(k[0]), Cell: c})
+		s.Entries = append(s.Entries, SnapshotEntry{Class: fleet.ClassID(k[1]), Server: fleet.ServerID(k[0]), State: c})
 	}
 	for c, l := range f.levels {
-		s.Levels[c] = l
+		s.Admissions[c] = l
 	}
 	return s
 }
@@ -41,7 +41,7 @@
 // usable counts the lines of a class that can be picked.
 func (f *far) usable(class uint32) (n int) {
 	for k, c := range f.lines {
-		if k[1] == class && c.State == In && c.Weight > 0 {
+		if k[1] == class && c.State == StateReady && c.Weight > 0 {
 			n++
 		}
 	}
@@ -69,31 +69,31 @@
 		k := [2]uint32{uint32(ch.Server), uint32(ch.Class)}
 		cell, has := f.lines[k]
 		switch ch.Kind {
-		case SetLevels:
-			f.levels[ch.Class] = ch.Level
+		case UpdateAdmission:
+			f.levels[ch.Class] = ch.Admission
 			continue
-		case AddLine:
+		case AddEntry:
 			if has {
-				failures = append(failures, Failure{Index: i, Fault: LineExists})
+				failures = append(failures, Failure{Index: i, Kind: FailureEntryExists})
 				continue
 			}
-			cell = Cell{Present: true, State: Out}
-		case DelLine:
+			cell = EntryState{Present: true, State: StateMaintenance}
+		case DeleteEntry:
 			if !has {
-				failures = append(failures, Failure{Index: i, Fault: NoLine})
+				failures = append(failures, Failure{Index: i, Kind: FailureEntryMissing})
 			}
 			delete(f.lines, k)
 			continue
-		case SetLine:
+		case UpdateEntry:
 			if !has {
-				failures = append(failures, Failure{Index: i, Fault: NoLine})
+				failures = append(failures, Failure{Index: i, Kind: FailureEntryMissing})
 				continue
 			}
 		}
 		if ch.Weight >= 0 {
 			cell.Weight = ch.Weight
 		}
-		if ch.State != Stays {
+		if ch.State != StateUnchanged {
 			cell.State = ch.State
 		}
 		f.lines[k] = cell
@@ -113,20 +113,20 @@
 		wantTable := map[fleet.TableID]map[fleet.ServerID]float64{}
 		on := make([]fleet.TableID, proxies) // of both classes; 0: none of ours
 		withdrawn := map[fleet.ServerID]bool{}
-		level := Level{}
+		level := Admission{}
 		lines, began := 0.0, now
 		marks := map[fleet.BarrierID]int{}
 		var entries []fleet.Endpoint
 		for s := range servers {
 			entries = append(entries, fleet.Endpoint{Server: fleet.ServerID(s)})
 		}
-		p.List(now, fleet.EndpointList{Scope: fleet.ListFull, Endpoints: entries})
+		p.SetEndpoints(now, fleet.EndpointList{Scope: fleet.ListFull, Endpoints: entries})
 		join := func(i int) {
 			if fars[i] == nil {
-				fars[i] = &far{lines: map[[2]uint32]Cell{}, levels: map[fleet.ClassID]Level{}}
+				fars[i] = &far{lines: map[[2]uint32]EntryState{}, levels: map[fleet.ClassID]Admission{}}
 				for s := range 3 {
 					for c := range 2 {
-						fars[i].lines[[2]uint32{uint32(s), uint32(c)}] = Cell{Present: true, Weight: 100, State: In}
+						fars[i].lines[[2]uint32{uint32(s), uint32(c)}] = EntryState{Present: true, Weight: 100, State: StateReady}
 					}
 				}
 			}
@@ -137,7 +137,7 @@
 			out, events, drops, _ := p.Next(now)
 			for _, m := range out {
 				fars[m.Proxy].inbox = append(fars[m.Proxy].inbox, m)
-				lines += float64(m.Lines)
+				lines += float64(m.Entries)
 				if len(m.Changes) == 0 {
 					t.Fatalf("an empty message to %d", m.Proxy)
 				}
@@ -167,7 +167,7 @@
 				p.Leave(fleet.ProxyID(i))
 				return
 			}
-			p.Answer(now, fleet.ProxyID(i), m.Seq, f.apply(m, most))
+			p.Acknowledge(now, fleet.ProxyID(i), m.Sequence, f.apply(m, most))
 		}
 		mark := fleet.BarrierID(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -198,20 +198,20 @@
 				}
 				wantTable[table][server] = float64(w)
 				mark++
-				p.Order(now, []fleet.Order{fleet.SetWeight{Table: table, Server: server, Weight: w}, fleet.Barrier{ID: mark}})
+				p.Apply(now, []fleet.Order{fleet.SetWeight{Table: table, Server: server, Weight: w}, fleet.Barrier{ID: mark}})
 			case 5:
 				out := rapid.Bool().Draw(t, "out")
 				withdrawn[server] = out
-				p.Order(now, []fleet.Order{fleet.WithdrawServer{Server: server, Withdrawn: out}})
+				p.Apply(now, []fleet.Order{fleet.WithdrawServer{Server: server, Withdrawn: out}})
 			case 6:
 				if up[i] {
 					on[i] = fleet.TableID(rapid.IntRange(1, 2).Draw(t, "table"))
-					p.Order(now, []fleet.Order{fleet.AssignTable{Proxy: fleet.ProxyID(i), Table: on[i]}})
+					p.Apply(now, []fleet.Order{fleet.AssignTable{Proxy: fleet.ProxyID(i), Table: on[i]}})
 				}
 			case 7:
-				level = Level{Known: true, Amount: int32(rapid.IntRange(1, 999).Draw(t, "level"))}
-				p.Order(now, []fleet.Order{fleet.SetAdmission{Table: fleet.AllTables, Limit: float32(level.Amount) / 1000}})
-				level.Amount = int32(perMille * float64(float32(level.Amount)/1000))
+				level = Admission{Known: true, Limit: int32(rapid.IntRange(1, 999).Draw(t, "level"))}
+				p.Apply(now, []fleet.Order{fleet.SetAdmission{Table: fleet.AllTables, Limit: float32(level.Limit) / 1000}})
+				level.Limit = int32(perMille * float64(float32(level.Limit)/1000))
 			case 8:
 				deliver(i, rapid.IntRange(0, 4).Draw(t, "cut"))
 			default:
@@ -235,8 +235,8 @@
 				deliver(i, math.MaxInt)
 			}
 		}
-		if !p.Idle() || p.Lines() != 0 {
-			t.Fatalf("not at rest: %.0f lines wait", p.Lines())
+		if !p.Idle() || p.Backlog() != 0 {
+			t.Fatalf("not at rest: %.0f lines wait", p.Backlog())
 		}
 		for i, f := range fars {
 			if f.broken != "" {
@@ -245,7 +245,7 @@
 			for s := range servers {
 				for c := range 2 {
 					got := f.lines[[2]uint32{uint32(s), uint32(c)}]
-					if out, ordered := withdrawn[fleet.ServerID(s)]; ordered && got.Present && out != (got.State != In) {
+					if out, ordered := withdrawn[fleet.ServerID(s)]; ordered && got.Present && out != (got.State != StateReady) {
 						t.Errorf("proxy %d, server %d: withdrawn %v, but held %+v", i, s, out, got)
 					}
 					if on[i] == 0 {
@@ -273,11 +273,11 @@
 // was to be set is added, a level that was refused comes again; and what stands is not sent again.
 func TestErrorsTellWhatIsHeld(t *testing.T) {
 	p, now := laid(t, site(), 1, 3)
-	f := &far{lines: map[[2]uint32]Cell{{0, 0}: {Present: true, Weight: 7, State: Out}, {0, 1}: {Present: true, Weight: 7, State: Out}},
-		levels: map[fleet.ClassID]Level{}}
-	p.Join(now, 0, Snapshot{})                                           // what the far end holds came after that
-	f.lines[[2]uint32{1, 0}] = Cell{Present: true, Weight: 1, State: In} // as did this
-	p.Order(now, []fleet.Order{fleet.AssignTable{Proxy: 0}, fleet.SetAdmission{Table: fleet.AllTables, Limit: 0.5}})
+	f := &far{lines: map[[2]uint32]EntryState{{0, 0}: {Present: true, Weight: 7, State: StateMaintenance}, {0, 1}: {Present: true, Weight: 7, State: StateMaintenance}},
+		levels: map[fleet.ClassID]Admission{}}
+	p.Join(now, 0, Snapshot{})                                                         // what the far end holds came after that
+	f.lines[[2]uint32{1, 0}] = EntryState{Present: true, Weight: 1, State: StateReady} // as did this
+	p.Apply(now, []fleet.Order{fleet.AssignTable{Proxy: 0}, fleet.SetAdmission{Table: fleet.AllTables, Limit: 0.5}})
 	refused := false
 	run := func() (messages int) {
 		for range 400 {
@@ -286,13 +286,13 @@
 				messages++
 				failures := f.apply(m, math.MaxInt)
 				for i, c := range m.Changes {
-					if c.Kind == SetLevels && !refused {
+					if c.Kind == UpdateAdmission && !refused {
 						refused = true
 						delete(f.levels, c.Class)
 						failures = append(failures, Failure{Index: i, Text: "entry not found."})
 					}
 				}
-				p.Answer(now, 0, m.Seq, failures)
+				p.Acknowledge(now, 0, m.Sequence, failures)
 			}
 			now += 10 * fleet.Millisecond
 		}
@@ -307,17 +307,17 @@
 				}
 			}
 		}
-		if f.levels[0].Amount != 500 || f.levels[1].Amount != 500 {
+		if f.levels[0].Limit != 500 || f.levels[1].Limit != 500 {
 			t.Errorf("%s: levels %+v", when, f.levels)
 		}
 	}
 	run()
 	check("added where it stood")
 	delete(f.lines, [2]uint32{2, 1})
-	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.9}})
+	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.9}})
 	run()
 	check("set where it was missing")
-	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.9}, fleet.SetAdmission{Table: fleet.AllTables, Limit: 0.5}})
+	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.9}, fleet.SetAdmission{Table: fleet.AllTables, Limit: 0.5}})
 	if n := run(); n != 0 {
 		t.Errorf("%d messages for what stands already", n)
 	}
@@ -348,13 +348,13 @@
 }
 
 // laid makes a plane with so many proxies bound to a table of so many lines, all sent and answered.
-func laid(tb testing.TB, s fleet.Site, proxies, servers int) (*Plane, fleet.Time) {
+func laid(tb testing.TB, s fleet.Site, proxies, servers int) (*Reconciler, fleet.Time) {
 	p, now := New(s), fleet.Second
 	list := fleet.EndpointList{Scope: fleet.ListFull}
 	for i := range servers {
 		list.Endpoints = append(list.Endpoints, fleet.Endpoint{Server: fleet.ServerID(i)})
 	}
-	p.List(now, list)
+	p.SetEndpoints(now, list)
 	var orders []fleet.Order
 	for i := range servers {
 		orders = append(orders, fleet.SetWeight{Server: fleet.ServerID(i), Weight: 0.5 + float32(i%7)/14})
@@ -363,7 +363,7 @@
 		p.Join(now, fleet.ProxyID(i), Snapshot{})
 		orders = append(orders, fleet.AssignTable{Proxy: fleet.ProxyID(i)})
 	}
-	p.Order(now, orders)
+	p.Apply(now, orders)
 	settle(p, &now)
 	if !p.Idle() {
 		tb.Fatal("not at rest")
@@ -371,12 +371,12 @@
 	return p, now
 }
 
-func settle(p *Plane, now *fleet.Time) (messages, changes int) {
+func settle(p *Reconciler, now *fleet.Time) (messages, changes int) {
 	for range 1_000_000 {
 		out, _, _, _ := p.Next(*now)
 		for _, m := range out {
 			messages, changes = messages+1, changes+len(m.Changes)
-			p.Answer(*now, m.Proxy, m.Seq, nil)
+			p.Acknowledge(*now, m.Proxy, m.Sequence, nil)
 		}
 		if *now += 10 * fleet.Millisecond; p.Idle() {
 			return messages, changes
@@ -394,7 +394,7 @@
 	began := now
 	for i := range 800 {
 		if i%20 == 0 {
-			p.Order(now, []fleet.Order{fleet.SetWeight{Server: 3, Weight: 0.5 + float32(i%140)/280},
+			p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 3, Weight: 0.5 + float32(i%140)/280},
 				fleet.Barrier{ID: fleet.BarrierID(i + 1)}})
 		}
 		out, events, drops, _ := p.Next(now)
@@ -403,7 +403,7 @@
 				toSlow++
 				continue
 			}
-			p.Answer(now, m.Proxy, m.Seq, nil)
+			p.Acknowledge(now, m.Proxy, m.Sequence, nil)
 		}
 		for _, e := range events {
 			if _, ok := e.(fleet.BarrierReached); ok && now < began+p.stuckAfter()-fleet.Second {
@@ -434,23 +434,23 @@
 	for i := range 40 {
 		orders = append(orders, fleet.SetWeight{Server: fleet.ServerID(i), Weight: 0.31})
 	}
-	p.Order(now, orders[:20])
-	p.Order(now, orders[20:])
-	p.List(now, fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 30, State: fleet.ServerGone}}})
-	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 39, Weight: 0.91}, fleet.WithdrawServer{Server: 30, Withdrawn: true}})
+	p.Apply(now, orders[:20])
+	p.Apply(now, orders[20:])
+	p.SetEndpoints(now, fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 30, State: fleet.ServerGone}}})
+	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 39, Weight: 0.91}, fleet.WithdrawServer{Server: 30, Withdrawn: true}})
 	now += fleet.Millisecond
 	var first Message
-	for first.Seq == 0 {
+	for first.Sequence == 0 {
 		out, _, _, _ := p.Next(now)
 		if len(out) > 0 {
 			first = out[0]
 		}
 		now += fleet.Millisecond
 	}
-	if c := first.Changes[0]; c.Server != 30 || c.State != Out {
+	if c := first.Changes[0]; c.Server != 30 || c.State != StateMaintenance {
 		t.Errorf("the first change is %+v, not the withdrawal", c)
 	}
-	p.Answer(now, 0, first.Seq, nil)
+	p.Acknowledge(now, 0, first.Sequence, nil)
 	last := map[fleet.ServerID]int{}
 	for _, c := range first.Changes {
 		last[c.Server]++
@@ -461,7 +461,7 @@
 			for _, c := range m.Changes {
 				last[c.Server]++
 			}
-			p.Answer(now, 0, m.Seq, nil)
+			p.Acknowledge(now, 0, m.Sequence, nil)
 		}
 		now += 10 * fleet.Millisecond
 	}
@@ -483,11 +483,11 @@
 			for j := range 40 {
 				orders = append(orders, fleet.SetWeight{Server: fleet.ServerID(j), Weight: 0.3 + float32((i+j)%50)/100})
 			}
-			p.Order(now, orders)
+			p.Apply(now, orders)
 		}
 		out, _, _, _ := p.Next(now)
-		if p.Lines() > s.MaxBacklog {
-			t.Fatalf("%.0f lines wait, %.0f may", p.Lines(), s.MaxBacklog)
+		if p.Backlog() > s.MaxBacklog {
+			t.Fatalf("%.0f lines wait, %.0f may", p.Backlog(), s.MaxBacklog)
 		}
 		for _, m := range out {
 			written[m.Proxy] = append(written[m.Proxy], now)
@@ -500,7 +500,7 @@
 			if n > s.MaxMessages {
 				t.Fatalf("%d messages to proxy %d", n, m.Proxy)
 			}
-			p.Answer(now, m.Proxy, m.Seq, nil)
+			p.Acknowledge(now, m.Proxy, m.Sequence, nil)
 		}
 		now += 20 * fleet.Millisecond
 	}
@@ -519,50 +519,50 @@
 // leave nobody ends early, with one alarm; a way back leaves out what is gone today and names it.
 func TestPins(t *testing.T) {
 	p, now := laid(t, site(), 2, 6)
-	p.Epoch(9, func(id fleet.ServerID) string { return fmt.Sprint("n", id) })
+	p.SetEpoch(9, func(id fleet.ServerID) string { return fmt.Sprint("n", id) })
 	run := func(seconds float64) {
 		for end := now + fleet.Second.Scale(seconds); now < end; now += 20 * fleet.Millisecond {
 			out, _, _, _ := p.Next(now)
 			for _, m := range out {
-				p.Answer(now, m.Proxy, m.Seq, nil)
+				p.Acknowledge(now, m.Proxy, m.Sequence, nil)
 			}
 		}
 	}
 	weight := func(server int) int16 { return p.proxies[0].sent[server*2].Weight }
-	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 0, Weight: 0.6}})
+	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 0, Weight: 0.6}})
 	run(1)
-	first, stood := p.Book(0).Version(), weight(0)
+	first, stood := p.TableVersions(0).Version(), weight(0)
 	if err := p.Pin(now, 0, now+3*fleet.Second); err != nil {
 		t.Fatal(err)
 	}
-	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 0, Weight: 0.9}})
-	if run(1); weight(0) != stood || p.Book(0).Version() != first {
+	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 0, Weight: 0.9}})
+	if run(1); weight(0) != stood || p.TableVersions(0).Version() != first {
 		t.Errorf("a pinned line went from %d to %d", stood, weight(0))
 	}
-	if run(4); weight(0) == stood || p.Book(0).Version() == first {
+	if run(4); weight(0) == stood || p.TableVersions(0).Version() == first {
 		t.Errorf("after the pin's end the module's order does not count")
 	}
-	second := p.Book(0).Version()
-	p.List(now, fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 5, State: fleet.ServerDraining}}})
+	second := p.TableVersions(0).Version()
+	p.SetEndpoints(now, fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 5, State: fleet.ServerDraining}}})
 	differs, err := p.Rollback(now, 0, first, now+60*fleet.Second)
-	if err != nil || len(differs) != 1 || differs[0].Server != 5 || differs[0].Why != "draining" {
+	if err != nil || len(differs) != 1 || differs[0].Server != 5 || differs[0].Reason != "draining" {
 		t.Errorf("differs %v, %v", differs, err)
 	}
-	if run(1); weight(0) != stood || weight(5) != 0 || p.Book(0).Version().Compare(second) <= 0 {
+	if run(1); weight(0) != stood || weight(5) != 0 || p.TableVersions(0).Version().Compare(second) <= 0 {
 		t.Errorf("back at %d and %d, not %d and 0", weight(0), weight(5), stood)
 	}
-	p.Alarms()
+	p.Notices()
 	var l fleet.EndpointList
 	l.Scope = fleet.ListDelta
 	for id := range fleet.ServerID(5) { // all that the pinned table has
 		l.Endpoints = append(l.Endpoints, fleet.Endpoint{Server: id, State: fleet.ServerGone})
 	}
-	p.List(now, l)
+	p.SetEndpoints(now, l)
 	run(3)
 	if until, _ := p.Pinned(0); until != 0 {
 		t.Error("a pin that leaves nobody goes on")
 	}
-	if alarms := p.Alarms(); len(alarms) != 1 || !strings.Contains(alarms[0].Text, "ended early") {
+	if alarms := p.Notices(); len(alarms) != 1 || !strings.Contains(alarms[0].Text, "ended early") {
 		t.Errorf("alarms %+v", alarms)
 	}
 	if _, err := p.Rollback(now, 0, first, now+60*fleet.Second); err == nil || !strings.Contains(err.Error(), "nothing of version") {
@@ -573,21 +573,21 @@
 // TestGoneLinesAreDeleted: a server gone for long loses its lines; one with visits is tried again later.
 func TestGoneLinesAreDeleted(t *testing.T) {
 	p, now := laid(t, site(), 1, 4)
-	p.List(now, fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 2, State: fleet.ServerGone}}})
-	p.Order(now, []fleet.Order{fleet.WithdrawServer{Server: 2, Withdrawn: true}, fleet.SetWeight{Server: 2}})
+	p.SetEndpoints(now, fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 2, State: fleet.ServerGone}}})
+	p.Apply(now, []fleet.Order{fleet.WithdrawServer{Server: 2, Withdrawn: true}, fleet.SetWeight{Server: 2}})
 	tries := 0
 	for now < 200*fleet.Second && tries < 4 {
 		out, _, _, _ := p.Next(now)
 		for _, m := range out {
 			var failures []Failure
 			for i, c := range m.Changes {
-				if c.Kind == DelLine {
+				if c.Kind == DeleteEntry {
 					if tries++; tries <= 2 {
-						failures = append(failures, Failure{Index: i, Fault: InUse, Text: "in use"})
+						failures = append(failures, Failure{Index: i, Kind: FailureEntryInUse, Text: "in use"})
 					}
 				}
 			}
-			p.Answer(now, m.Proxy, m.Seq, failures)
+			p.Acknowledge(now, m.Proxy, m.Sequence, failures)
 		}
 		now += 500 * fleet.Millisecond
 	}
@@ -599,7 +599,7 @@
 // TestRefusedChangeComesAgain: an error that names nothing is tried again later and later, with one alarm.
 func TestRefusedChangeComesAgain(t *testing.T) {
 	p, now := laid(t, site(), 1, 3)
-	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 0.9}})
+	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 0.9}})
 	var at []fleet.Time
 	alarms := 0
 	for now < 60*fleet.Second {
@@ -613,9 +613,9 @@
 			if len(at) > 5 {
 				failures = nil
 			}
-			p.Answer(now, m.Proxy, m.Seq, failures)
+			p.Acknowledge(now, m.Proxy, m.Sequence, failures)
 		}
-		alarms += len(p.Alarms())
+		alarms += len(p.Notices())
 		now += 50 * fleet.Millisecond
 	}
 	if len(at) != 6 || alarms == 0 || alarms > 2 {
@@ -636,7 +636,7 @@
 			p, now := laid(b, s, n, 700)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				p.Order(now, []fleet.Order{fleet.SetWeight{Server: 5, Weight: 0.5 + float32(i%2)/4}})
+				p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 5, Weight: 0.5 + float32(i%2)/4}})
 				settle(p, &now)
 			}
 		})
@@ -650,7 +650,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Join(now, 0, Snapshot{})
-		p.Order(now, []fleet.Order{fleet.AssignTable{Proxy: 0}})
+		p.Apply(now, []fleet.Order{fleet.AssignTable{Proxy: 0}})
 		settle(p, &now)
 	}
 }
@@ -669,7 +669,7 @@
 					if j <= i%distinct {
 						w = 100
 					}
-					held[i].Lines = append(held[i].Lines, SnapshotLine{Server: fleet.ServerID(j), Cell: Cell{Weight: w, State: In}})
+					held[i].Entries = append(held[i].Entries, SnapshotEntry{Server: fleet.ServerID(j), State: EntryState{Weight: w, State: StateReady}})
 				}
 			}
 			b.ResetTimer()
@@ -679,7 +679,7 @@
 					p.Join(now, fleet.ProxyID(i), held[i])
 					binds = append(binds, fleet.AssignTable{Proxy: fleet.ProxyID(i)})
 				}
-				p.Order(now, binds)
+				p.Apply(now, binds)
 				settle(p, &now)
 			}
 		})
--- a/internal/reconcile/versions.go
+++ b/internal/reconcile/versions.go
@@ -21,16 +21,18 @@
 	why     string
 }
 
-// Epoch begins versions of tables in an epoch, with the names of servers that digests are made of. Without it tables
+// SetEpoch begins versions of tables in an epoch, with the names of servers that digests are made of. Without it tables
 // have none.
-func (p *Plane) Epoch(epoch uint64, name tableversion.Names) { p.epoch, p.name = epoch, name }
+func (p *Reconciler) SetEpoch(epoch uint64, name tableversion.NameFunc) {
+	p.epoch, p.name = epoch, name
+}
 
-// Raise goes on in a later epoch, with all tables as they are.
-func (p *Plane) Raise(now fleet.Time, epoch uint64, why string) {
+// RaiseEpoch goes on in a later epoch, with all tables as they are.
+func (p *Reconciler) RaiseEpoch(now fleet.Time, epoch uint64, why string) {
 	p.epoch = epoch
 	for _, id := range p.tableIDs() {
 		if t := p.tables[id]; t.book != nil {
-			t.book.Begin(now, epoch, why)
+			t.book.BeginEpoch(now, epoch, why)
 		}
 	}
 }
@@ -48,7 +50,7 @@
 
 // published gives what proxies are to hold of a line's weight: what staff have set, else what the table is pinned to, else
 // what the module wants.
-func (p *Plane) published(id fleet.TableID, t *table, i int32) int16 {
+func (p *Reconciler) published(id fleet.TableID, t *table, i int32) int16 {
 	if o, pushed := p.pushes[push{id, i}]; pushed {
 		return o.weight
 	}
@@ -68,7 +70,7 @@
 }
 
 // Parts lets servers have a part of their weights in all tables: what the module orders stays, and counts whole again at 1.
-func (p *Plane) Parts(now fleet.Time, parts []Part, why string) {
+func (p *Reconciler) Parts(now fleet.Time, parts []Part, why string) {
 	changed := map[int32]bool{}
 	for _, one := range parts {
 		i := p.server(one.Server)
@@ -94,17 +96,17 @@
 }
 
 // note makes the next version of a table of what is published now.
-func (p *Plane) note(now fleet.Time, id fleet.TableID, t *table, why string) {
+func (p *Reconciler) note(now fleet.Time, id fleet.TableID, t *table, why string) {
 	if p.name == nil {
 		return
 	}
 	if t.book == nil {
-		t.book = tableversion.New(p.epoch, p.name, tableversion.Bounds{Lines: keptLines, Age: keptFor})
+		t.book = tableversion.New(p.epoch, p.name, tableversion.HistoryLimits{MaxEntries: keptLines, MaxAge: keptFor})
 	}
 	lines := p.lines[:0]
 	for i := range p.servers {
 		if w := int(p.published(id, t, int32(i))); w != t.book.Weight(p.servers[i].id) {
-			lines = append(lines, tableversion.Line{Server: p.servers[i].id, Weight: w})
+			lines = append(lines, tableversion.Entry{Server: p.servers[i].id, Weight: w})
 		}
 	}
 	p.lines = lines
@@ -112,10 +114,10 @@
 }
 
 // TableIDs gives the tables that there are, in order.
-func (p *Plane) TableIDs() []fleet.TableID { return p.tableIDs() }
+func (p *Reconciler) TableIDs() []fleet.TableID { return p.tableIDs() }
 
-// Book gives a table's versions, nil where it has none.
-func (p *Plane) Book(id fleet.TableID) *tableversion.Table {
+// TableVersions gives a table's versions, nil where it has none.
+func (p *Reconciler) TableVersions(id fleet.TableID) *tableversion.Table {
 	if t := p.tables[id]; t != nil {
 		return t.book
 	}
@@ -123,7 +125,7 @@
 }
 
 // retouch sends all proxies on a table what differs from what they hold.
-func (p *Plane) retouch(now fleet.Time, id fleet.TableID) {
+func (p *Reconciler) retouch(now fleet.Time, id fleet.TableID) {
 	p.users(id, func(x *proxy) {
 		n := 0
 		for i := range p.servers {
@@ -137,7 +139,7 @@
 }
 
 // Pin holds a table as it is until a time.
-func (p *Plane) Pin(now fleet.Time, id fleet.TableID, until fleet.Time) error {
+func (p *Reconciler) Pin(now fleet.Time, id fleet.TableID, until fleet.Time) error {
 	t := p.tables[id]
 	if t == nil {
 		return fmt.Errorf("table %d is not there", id)
@@ -152,7 +154,7 @@
 
 // Rollback makes a new version of a table with the content of an earlier one, as far as today's servers allow, and pins it
 // until a time. It tells in which lines it had to differ.
-func (p *Plane) Rollback(now fleet.Time, id fleet.TableID, to tableversion.Version, until fleet.Time) ([]tableversion.Difference, error) {
+func (p *Reconciler) Rollback(now fleet.Time, id fleet.TableID, to tableversion.Version, until fleet.Time) ([]tableversion.Difference, error) {
 	t := p.tables[id]
 	if t == nil || t.book == nil {
 		return nil, fmt.Errorf("table %d has no versions", id)
@@ -167,7 +169,7 @@
 		}
 		return ""
 	}
-	_, differs, err := t.book.Back(now, to, allow)
+	_, differs, err := t.book.Rollback(now, to, allow)
 	if err != nil {
 		return differs, err
 	}
@@ -186,7 +188,7 @@
 }
 
 // Unpin lets the module's table count again.
-func (p *Plane) Unpin(now fleet.Time, id fleet.TableID, why string) bool {
+func (p *Reconciler) Unpin(now fleet.Time, id fleet.TableID, why string) bool {
 	t := p.tables[id]
 	if t == nil || t.pin == nil {
 		return false
@@ -198,7 +200,7 @@
 }
 
 // Pinned tells until when a table is pinned and why, 0 for not.
-func (p *Plane) Pinned(id fleet.TableID) (until fleet.Time, why string) {
+func (p *Reconciler) Pinned(id fleet.TableID) (until fleet.Time, why string) {
 	if t := p.tables[id]; t != nil && t.pin != nil {
 		return t.pin.until, t.pin.why
 	}
@@ -207,7 +209,7 @@
 
 // pins ends pins whose time is over, and those that would leave a table without a server that may take visits: drains and
 // "nobody bare" act on a pinned table as on any.
-func (p *Plane) pins(now fleet.Time) {
+func (p *Reconciler) pins(now fleet.Time) {
 	for _, id := range p.tableIDs() {
 		t := p.tables[id]
 		if t.pin == nil {
@@ -221,14 +223,14 @@
 		case now >= t.pin.until:
 			p.Unpin(now, id, "its pin ended")
 		case !usable:
-			p.alarms = append(p.alarms, Alarm{Table: true, Text: fmt.Sprintf("the pin of table %d ended early: no server in it may take visits", id)})
+			p.alarms = append(p.alarms, Notice{Table: true, Text: fmt.Sprintf("the pin of table %d ended early: no server in it may take visits", id)})
 			p.Unpin(now, id, "its pin left nobody")
 		}
 	}
 }
 
 // stamp gives the version and the digest of the table that a proxy's class goes by, "" where it has none.
-func (p *Plane) stamp(x *proxy, c int) string {
+func (p *Reconciler) stamp(x *proxy, c int) string {
 	if !x.bound[c] {
 		return ""
 	}
@@ -240,14 +242,14 @@
 }
 
 // stamps adds to a message the versions that the proxy holds once it has read it: only where nothing else waits for it.
-func (p *Plane) stamps(x *proxy, b *parcel) {
+func (p *Reconciler) stamps(x *proxy, b *parcel) {
 	if len(x.pending) > 0 || len(x.held) > 0 || len(x.failed) > 0 {
 		return
 	}
 	for c := range x.stamped {
 		if s := p.stamp(x, c); s != "" && s != x.stamped[c] {
 			x.stamped[c] = s
-			b.changes = append(b.changes, Change{Kind: SetVersion, Class: fleet.ClassID(c), Stamp: s})
+			b.changes = append(b.changes, Change{Kind: UpdateVersion, Class: fleet.ClassID(c), VersionStamp: s})
 			b.keys = append(b.keys, key{noServer, fleet.ClassID(c)})
 		}
 	}
@@ -255,7 +257,7 @@
 
 // verify compares what a proxy was found to hold with the version that it says it holds. What differs is put right as any
 // difference; staff are told, as somebody changed it while nobody looked, or it was set back.
-func (p *Plane) verify(x *proxy, lines []SnapshotLine) {
+func (p *Reconciler) verify(x *proxy, lines []SnapshotEntry) {
 	if p.name == nil {
 		return
 	}
@@ -267,19 +269,19 @@
 		held := tableversion.Digest(0)
 		for _, l := range lines {
 			if int(l.Class) == c {
-				held += tableversion.LineDigest(p.name(l.Server), int(l.Cell.Weight))
+				held += tableversion.EntryDigest(p.name(l.Server), int(l.State.Weight))
 			}
 		}
 		if held.String() != digest {
 			x.stamped[c] = ""
-			p.alarms = append(p.alarms, Alarm{Proxy: x.id, Text: fmt.Sprintf("it says that it holds version %s, but its lines of class %d have digest %s; they are put right",
+			p.alarms = append(p.alarms, Notice{Proxy: x.id, Text: fmt.Sprintf("it says that it holds version %s, but its lines of class %d have digest %s; they are put right",
 				said, c, held)})
 		}
 	}
 }
 
-// Stamps gives the versions that proxies were told, by proxy and class.
-func (p *Plane) Stamps(each func(id fleet.ProxyID, class fleet.ClassID, stamp string, newest bool)) {
+// VersionStamps gives the versions that proxies were told, by proxy and class.
+func (p *Reconciler) VersionStamps(each func(id fleet.ProxyID, class fleet.ClassID, stamp string, newest bool)) {
 	for _, x := range p.order {
 		for c, s := range x.stamped {
 			each(x.id, fleet.ClassID(c), s, s != "" && s == p.stamp(x, c) && len(x.flying) == 0)
@@ -287,17 +289,17 @@
 	}
 }
 
-// SeenLine is a line as a poll of a proxy shows it.
-type SeenLine struct {
+// ObservedEntry is a line as a poll of a proxy shows it.
+type ObservedEntry struct {
 	Class  fleet.ClassID
 	Server fleet.ServerID
 	Weight int16 // of a line that takes visits
 	State  State
 }
 
-// Seen compares what a poll shows with what the proxy was sent. What differs was changed by hand, or lost: it is told and put
+// ObserveEntries compares what a poll shows with what the proxy was sent. What differs was changed by hand, or lost: it is told and put
 // right, with the difference only. While something is on its way nothing can be said.
-func (p *Plane) Seen(now fleet.Time, id fleet.ProxyID, lines []SeenLine) {
+func (p *Reconciler) ObserveEntries(now fleet.Time, id fleet.ProxyID, lines []ObservedEntry) {
 	x := p.proxies[id]
 	if x == nil || len(x.flying) > 0 || len(lines) == 0 {
 		return
@@ -307,7 +309,7 @@
 	}
 	x.looks++
 	differ := 0
-	odd := func(at int, cell Cell) {
+	odd := func(at int, cell EntryState) {
 		p.set(x, at, cell)
 		p.touch(x, key{server: int32(at / p.classes())}, true)
 		x.allowed++
@@ -324,23 +326,23 @@
 		}
 		x.seen[at] = x.looks
 		have := x.sent[at]
-		same := have.Present && have.State == l.State && (l.State != In || have.Weight == l.Weight)
+		same := have.Present && have.State == l.State && (l.State != StateReady || have.Weight == l.Weight)
 		if have.Unknown || same {
 			continue
 		}
-		cell := Cell{Present: true, Weight: l.Weight, State: l.State, Astray: have.Astray}
-		if l.State != In {
+		cell := EntryState{Present: true, Weight: l.Weight, State: l.State, WrongAddress: have.WrongAddress}
+		if l.State != StateReady {
 			cell.Weight = have.Weight
 		}
 		odd(at, cell)
 	}
 	for at, have := range x.sent {
 		if have.Present && !have.Unknown && x.seen[at] != x.looks {
-			odd(at, Cell{})
+			odd(at, EntryState{})
 		}
 	}
 	if differ > 0 {
-		p.alarms = append(p.alarms, Alarm{Proxy: id, Text: fmt.Sprintf("%d lines are not what it was sent; they are put right", differ)})
+		p.alarms = append(p.alarms, Notice{Proxy: id, Text: fmt.Sprintf("%d lines are not what it was sent; they are put right", differ)})
 		for c := range x.stamped {
 			x.stamped[c] = ""
 		}
@@ -353,20 +355,20 @@
 // Pin tells of a table that is held against the module.
 type Pin struct {
 	Table   fleet.TableID
-	Weights []tableversion.Line
+	Weights []tableversion.Entry
 	Until   fleet.Time
-	Why     string
+	Reason  string
 }
 
 // Pins gives the pins that stand, by table.
-func (p *Plane) Pins() []Pin {
+func (p *Reconciler) Pins() []Pin {
 	var all []Pin
 	for _, id := range p.tableIDs() {
 		if t := p.tables[id]; t.pin != nil {
-			one := Pin{Table: id, Until: t.pin.until, Why: t.pin.why}
+			one := Pin{Table: id, Until: t.pin.until, Reason: t.pin.why}
 			for i, w := range t.pin.weights {
 				if w > 0 {
-					one.Weights = append(one.Weights, tableversion.Line{Server: p.servers[i].id, Weight: int(w)})
+					one.Weights = append(one.Weights, tableversion.Entry{Server: p.servers[i].id, Weight: int(w)})
 				}
 			}
 			all = append(all, one)
@@ -375,13 +377,13 @@
 	return all
 }
 
-// NewBook gives what a table's versions are kept in, for Restore.
-func (p *Plane) NewBook(at tableversion.Version, digest tableversion.Digest, whole []tableversion.Line, deltas []tableversion.Delta) (*tableversion.Table, error) {
-	return tableversion.Restore(p.epoch, p.name, tableversion.Bounds{Lines: keptLines, Age: keptFor}, at, digest, whole, deltas)
+// RestoreVersions gives what a table's versions are kept in, for Restore.
+func (p *Reconciler) RestoreVersions(at tableversion.Version, digest tableversion.Digest, whole []tableversion.Entry, deltas []tableversion.Delta) (*tableversion.Table, error) {
+	return tableversion.Restore(p.epoch, p.name, tableversion.HistoryLimits{MaxEntries: keptLines, MaxAge: keptFor}, at, digest, whole, deltas)
 }
 
 // Restore gives a table the versions that were kept of it, and its pin if one stood. It is for a plane that has no orders yet.
-func (p *Plane) Restore(id fleet.TableID, book *tableversion.Table, pinned *Pin) {
+func (p *Reconciler) Restore(id fleet.TableID, book *tableversion.Table, pinned *Pin) {
 	t := p.table(id)
 	if book != nil {
 		t.book = book
@@ -396,10 +398,10 @@
 	for _, l := range pinned.Weights {
 		weights[p.index[l.Server]] = int16(max(0, min(weightMost, l.Weight)))
 	}
-	t.pin = &pin{weights, pinned.Until, pinned.Why}
+	t.pin = &pin{weights, pinned.Until, pinned.Reason}
 }
 
-// RestorePush takes up a weight that staff had set; it makes no version, as nothing is published yet.
-func (p *Plane) RestorePush(o Pushed) {
+// RestoreManualWeight takes up a weight that staff had set; it makes no version, as nothing is published yet.
+func (p *Reconciler) RestoreManualWeight(o ManualWeight) {
 	p.pushes[push{o.Table, p.server(o.Server)}] = pushed{max(0, min(weightMost, o.Weight)), o.Until}
 }
--- a/internal/rollingrestart/rolling.go
+++ b/internal/rollingrestart/rolling.go
@@ -126,7 +126,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(time.Duration(lease.LookEvery) / 2):
+		case <-time.After(time.Duration(lease.CheckInterval) / 2):
 		}
 	}
 }
--- a/internal/safety/guard.go
+++ b/internal/safety/guard.go
@@ -79,7 +79,7 @@
 	stopped uint64
 }
 
-var _ reconcile.Judge = (*Guard)(nil)
+var _ reconcile.SafetyCheck = (*Guard)(nil)
 
 // New makes a guard that knows nothing yet.
 func New(site fleet.Site) *Guard {
@@ -316,13 +316,13 @@
 
 // line is a cold line as it will be after a message.
 type line struct {
-	reconcile.ColdLine
+	reconcile.WarmingEntry
 	weight   int // after
 	proposal int // its place among the proposals, -1: it is not among them
 }
 
 // commit notes what a proxy may send to each cold server. Afresh: nothing of before counts any more.
-func (g *Guard) commit(d *reconcile.Draft, loads map[fleet.ServerID]float64, afresh bool) {
+func (g *Guard) commit(d *reconcile.UpdatePlan, loads map[fleet.ServerID]float64, afresh bool) {
 	for id, load := range loads {
 		s := g.servers[id]
 		if s == nil {
@@ -335,10 +335,10 @@
 }
 
 // Joined takes in what a proxy holds.
-func (g *Guard) Joined(now fleet.Time, d *reconcile.Draft) { g.Answered(now, d) }
+func (g *Guard) Joined(now fleet.Time, d *reconcile.UpdatePlan) { g.Answered(now, d) }
 
 // Answered takes in that a proxy holds what it was sent, and, if nothing else is on its way, nothing else any more.
-func (g *Guard) Answered(now fleet.Time, d *reconcile.Draft) {
+func (g *Guard) Answered(now fleet.Time, d *reconcile.UpdatePlan) {
 	loads := g.loads(d, coldLines(d, false), d.Sum)
 	if d.Alone {
 		for id, s := range g.servers {
@@ -351,17 +351,17 @@
 }
 
 // coldLines gives the cold lines of a draft as they are before it or will be after it.
-func coldLines(d *reconcile.Draft, after bool) []line {
+func coldLines(d *reconcile.UpdatePlan, after bool) []line {
 	var lines []line
 	for _, c := range d.Cold {
-		lines = append(lines, line{c, int(c.Cell.Weight), -1})
+		lines = append(lines, line{c, int(c.State.Weight), -1})
 	}
 	if !after {
 		return lines
 	}
 	for i := range d.Proposals {
 		p := &d.Proposals[i]
-		if !p.Cold || !p.Ready || p.Kind == reconcile.SetLevels {
+		if !p.Cold || !p.Ready || p.Kind == reconcile.UpdateAdmission {
 			continue
 		}
 		weight := 0
@@ -375,7 +375,7 @@
 		}
 		at := slices.IndexFunc(lines, func(l line) bool { return l.Server == p.Server && l.Class == p.Class })
 		if at < 0 {
-			lines = append(lines, line{reconcile.ColdLine{Class: p.Class, Server: p.Server, Cell: p.Want}, 0, i})
+			lines = append(lines, line{reconcile.WarmingEntry{Class: p.Class, Server: p.Server, State: p.Want}, 0, i})
 			at = len(lines) - 1
 		}
 		lines[at].weight, lines[at].proposal = weight, i
@@ -384,7 +384,7 @@
 }
 
 // loads gives the visits a second that a proxy's cold lines bring to each server.
-func (g *Guard) loads(d *reconcile.Draft, lines []line, sums []int) map[fleet.ServerID]float64 {
+func (g *Guard) loads(d *reconcile.UpdatePlan, lines []line, sums []int) map[fleet.ServerID]float64 {
 	loads := map[fleet.ServerID]float64{}
 	for _, l := range lines {
 		if l.weight > 0 {
@@ -396,13 +396,13 @@
 
 // Message judges one message. The order in which rules go: drains bind even where the last server goes; then nobody
 // bare; then cold.
-func (g *Guard) Message(now fleet.Time, d *reconcile.Draft) {
+func (g *Guard) Message(now fleet.Time, d *reconcile.UpdatePlan) {
 	for i := range d.Proposals {
 		p := &d.Proposals[i]
 		switch {
-		case p.Kind == reconcile.SetLevels:
-			if most := g.RetryMost(p.Class); p.Level.Retry > most {
-				p.Level.Retry, p.Lowered = most, WhyTwice
+		case p.Kind == reconcile.UpdateAdmission:
+			if most := g.RetryMost(p.Class); p.Admission.Retry > most {
+				p.Admission.Retry, p.Lowered = most, WhyTwice
 			}
 		case !p.Ready && p.Want.Usable() && !p.Have.Usable() && g.binds(p.Server):
 			p.Hold = WhyGone
@@ -427,15 +427,15 @@
 
 // bare holds back what would take a class's last line of a ready server: of the lines that the message takes, the one
 // with the largest weight stays, a warm one before a cold one.
-func (g *Guard) bare(d *reconcile.Draft) {
-	for c := range d.Lines {
-		left, keep := d.Lines[c], -1
+func (g *Guard) bare(d *reconcile.UpdatePlan) {
+	for c := range d.Entries {
+		left, keep := d.Entries[c], -1
 		if left == 0 {
 			continue // it is bare already, by nobody's order of now
 		}
 		for i := range d.Proposals {
 			p := &d.Proposals[i]
-			if int(p.Class) != c || p.Kind == reconcile.SetLevels {
+			if int(p.Class) != c || p.Kind == reconcile.UpdateAdmission {
 				continue
 			}
 			gives := p.Gives()
@@ -456,7 +456,7 @@
 // crowd lowers lines of cold servers until each bears what all proxies may send it: this one at each moment while it
 // reads the message, the others as much as they hold or as is on its way to them, whichever is more. What lowering
 // does not mend is held back.
-func (g *Guard) crowd(now fleet.Time, d *reconcile.Draft) {
+func (g *Guard) crowd(now fleet.Time, d *reconcile.UpdatePlan) {
 	if g.harmless(now, d) {
 		return
 	}
@@ -499,9 +499,9 @@
 // harmless passes what is plainly so, at a cost of the proxy's cold lines only: nothing raises a cold line, and after the
 // message none brings its server more than there is room for. As Arrange keeps every share within what it was before
 // and will be after, nothing between is worse.
-func (g *Guard) harmless(now fleet.Time, d *reconcile.Draft) bool {
+func (g *Guard) harmless(now fleet.Time, d *reconcile.UpdatePlan) bool {
 	for i := range d.Proposals {
-		if p := &d.Proposals[i]; p.Cold && p.Ready && p.Kind != reconcile.SetLevels {
+		if p := &d.Proposals[i]; p.Cold && p.Ready && p.Kind != reconcile.UpdateAdmission {
 			return false
 		}
 	}
@@ -510,7 +510,7 @@
 	}
 	g.sums = append(g.sums[:0], d.Sum...)
 	for i := range d.Proposals {
-		if p := &d.Proposals[i]; p.Kind != reconcile.SetLevels {
+		if p := &d.Proposals[i]; p.Kind != reconcile.UpdateAdmission {
 			g.sums[p.Class] += p.Adds()
 		}
 	}
@@ -521,7 +521,7 @@
 	for i := 0; i < len(d.Cold); {
 		id, load := d.Cold[i].Server, 0.0
 		for ; i < len(d.Cold) && d.Cold[i].Server == id; i++ { // a server's lines stand together
-			load += g.each[d.Cold[i].Class] * float64(d.Cold[i].Cell.Weight)
+			load += g.each[d.Cold[i].Class] * float64(d.Cold[i].State.Weight)
 		}
 		s := g.servers[id]
 		if s == nil {
@@ -539,7 +539,7 @@
 
 // peaks gives the most that a proxy's cold lines bring to each server at any moment while it reads a message, and the
 // most from the server's own last cut on.
-func (g *Guard) peaks(d *reconcile.Draft) (most, cut map[fleet.ServerID]float64) {
+func (g *Guard) peaks(d *reconcile.UpdatePlan) (most, cut map[fleet.ServerID]float64) {
 	order := *d
 	order.Proposals = slices.Clone(d.Proposals)
 	reconcile.Arrange(&order)
@@ -555,7 +555,7 @@
 		if p.Cold {
 			at := slices.IndexFunc(lines, func(l line) bool { return l.Server == p.Server && l.Class == p.Class })
 			if at < 0 {
-				lines, at = append(lines, line{reconcile.ColdLine{Class: p.Class, Server: p.Server}, 0, -1}), len(lines)
+				lines, at = append(lines, line{reconcile.WarmingEntry{Class: p.Class, Server: p.Server}, 0, -1}), len(lines)
 			}
 			lines[at].weight += adds
 		}
@@ -582,7 +582,7 @@
 }
 
 // sumsAfter gives the weights of each class's usable lines of ready servers after the message.
-func (g *Guard) sumsAfter(d *reconcile.Draft, lines []line) []int {
+func (g *Guard) sumsAfter(d *reconcile.UpdatePlan, lines []line) []int {
 	sums := slices.Clone(d.Sum)
 	for i := range d.Proposals {
 		if p := &d.Proposals[i]; !p.Cold {
@@ -593,14 +593,14 @@
 		sums[l.Class] += l.weight
 	}
 	for _, c := range d.Cold {
-		sums[c.Class] -= int(c.Cell.Weight)
+		sums[c.Class] -= int(c.State.Weight)
 	}
 	return sums
 }
 
 // lower gives a cold line so little that its share is no more than a part of what it would be, whatever becomes of other
 // cold lines. It can't where the class would have cold lines only: those stand in for each other.
-func (g *Guard) lower(d *reconcile.Draft, l *line, lines []line, sums []int, part float64) bool {
+func (g *Guard) lower(d *reconcile.UpdatePlan, l *line, lines []line, sums []int, part float64) bool {
 	warm := sums[l.Class]
 	for _, o := range lines {
 		if o.Class == l.Class {
@@ -617,7 +617,7 @@
 	}
 	switch p := l.proposal; {
 	case p < 0:
-		d.Cut(l.ColdLine, int16(weight), WhyCold)
+		d.Cut(l.WarmingEntry, int16(weight), WhyCold)
 		l.proposal = len(d.Proposals) - 1
 	case weight == 0 && !d.Proposals[p].Have.Usable():
 		d.Proposals[p].Hold = WhyCold
@@ -630,9 +630,9 @@
 
 // revert holds back all that a message changes for a class's ready servers, so that what stood stays. Where nothing is
 // left to hold back the class has cold servers only, and nobody bare goes before cold.
-func (g *Guard) revert(d *reconcile.Draft, class fleet.ClassID) {
+func (g *Guard) revert(d *reconcile.UpdatePlan, class fleet.ClassID) {
 	for i := range d.Proposals {
-		if p := &d.Proposals[i]; p.Class == class && p.Ready && p.Kind != reconcile.SetLevels && p.Hold == "" && p.Adds() != 0 {
+		if p := &d.Proposals[i]; p.Class == class && p.Ready && p.Kind != reconcile.UpdateAdmission && p.Hold == "" && p.Adds() != 0 {
 			p.Hold = WhyCold
 		}
 	}
@@ -640,8 +640,8 @@
 
 // Say tells a refusal in words.
 func Say(r reconcile.Refusal, server string) string {
-	if r.Level {
-		return fmt.Sprintf("class %d: further tries: %s", r.Class, r.Why)
+	if r.Admission {
+		return fmt.Sprintf("class %d: further tries: %s", r.Class, r.Reason)
 	}
-	return fmt.Sprintf("server %s: %s", cmp.Or(server, fmt.Sprint(r.Server)), r.Why)
+	return fmt.Sprintf("server %s: %s", cmp.Or(server, fmt.Sprint(r.Server)), r.Reason)
 }
--- a/internal/safety/guard_test.go
+++ b/internal/safety/guard_test.go
@@ -52,7 +52,7 @@
 	classes = 2
 )
 
-type table [classes][servers]reconcile.Cell
+type table [classes][servers]reconcile.EntryState
 
 func (w *world) cold(s int) bool { return w.started[s] > 0 && now < w.started[s]+10*fleet.Second }
 
@@ -85,8 +85,8 @@
 	return w
 }
 
-func drawCell(t *rapid.T) reconcile.Cell {
-	c := reconcile.Cell{Present: rapid.IntRange(0, 4).Draw(t, "present") > 0}
+func drawCell(t *rapid.T) reconcile.EntryState {
+	c := reconcile.EntryState{Present: rapid.IntRange(0, 4).Draw(t, "present") > 0}
 	if c.Present {
 		c.Weight = int16(rapid.SampledFrom([]int{0, 1, 20, 128, 256}).Draw(t, "weight"))
 		c.State = reconcile.State(1 + max(0, rapid.IntRange(-3, 2).Draw(t, "out")))
@@ -95,17 +95,17 @@
 }
 
 // draft makes the draft of a message to a proxy that wants some other cells.
-func (w *world) draft(p int, proposals []reconcile.Proposal) *reconcile.Draft {
+func (w *world) draft(p int, proposals []reconcile.Proposal) *reconcile.UpdatePlan {
 	last := w.instants[p][len(w.instants[p])-1]
-	d := &reconcile.Draft{Proxy: fleet.ProxyID(p), Lines: make([]int, classes), Sum: make([]int, classes), Alone: len(w.instants[p]) == 1,
+	d := &reconcile.UpdatePlan{Proxy: fleet.ProxyID(p), Entries: make([]int, classes), Sum: make([]int, classes), Alone: len(w.instants[p]) == 1,
 		Proposals: proposals}
 	for s := range servers {
 		for c := range classes {
 			if cell := last[c][s]; cell.Usable() && w.states[s] == fleet.ServerReady {
-				d.Lines[c]++
+				d.Entries[c]++
 				d.Sum[c] += int(cell.Weight)
 				if w.cold(s) {
-					d.Cold = append(d.Cold, reconcile.ColdLine{Class: fleet.ClassID(c), Server: fleet.ServerID(s), Cell: cell})
+					d.Cold = append(d.Cold, reconcile.WarmingEntry{Class: fleet.ClassID(c), Server: fleet.ServerID(s), State: cell})
 				}
 			}
 		}
@@ -122,11 +122,11 @@
 		if want.Present = true; want == last[c][s] || slices.ContainsFunc(proposals, same) {
 			continue
 		}
-		if want.State == reconcile.Stays {
-			want.State = reconcile.In
+		if want.State == reconcile.StateUnchanged {
+			want.State = reconcile.StateReady
 		}
 		proposals = append(proposals, reconcile.Proposal{Change: reconcile.Change{Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: want.Weight},
-			Have: last[c][s], Want: want, Ready: w.states[s] == fleet.ServerReady, Cold: w.cold(s), Urgent: want.State != reconcile.In})
+			Have: last[c][s], Want: want, Ready: w.states[s] == fleet.ServerReady, Cold: w.cold(s), Urgent: want.State != reconcile.StateReady})
 	}
 	return proposals
 }
@@ -362,9 +362,9 @@
 	g := New(s)
 	for class, want := range []fleet.RetryMode{fleet.RetryTwice, fleet.RetryIfNotExecuted, fleet.RetryTwice, fleet.RetryOnce, fleet.RetryIfNotExecuted} {
 		for _, asked := range []fleet.RetryMode{fleet.RetryNever, fleet.RetryIfNotExecuted, fleet.RetryOnce, fleet.RetryTwice} {
-			d := &reconcile.Draft{Lines: make([]int, 5), Sum: make([]int, 5), Proposals: []reconcile.Proposal{{Change: reconcile.Change{
-				Kind: reconcile.SetLevels, Class: fleet.ClassID(class), Level: reconcile.Level{Known: true, Retry: asked}}}}}
-			if g.Message(now, d); d.Proposals[0].Level.Retry != min(asked, want) || (asked > want) != (d.Proposals[0].Lowered != "") {
+			d := &reconcile.UpdatePlan{Entries: make([]int, 5), Sum: make([]int, 5), Proposals: []reconcile.Proposal{{Change: reconcile.Change{
+				Kind: reconcile.UpdateAdmission, Class: fleet.ClassID(class), Admission: reconcile.Admission{Known: true, Retry: asked}}}}}
+			if g.Message(now, d); d.Proposals[0].Admission.Retry != min(asked, want) || (asked > want) != (d.Proposals[0].Lowered != "") {
 				t.Errorf("class %d asked for %d: %+v, the most is %d", class, asked, d.Proposals[0], want)
 			}
 		}
@@ -373,15 +373,15 @@
 
 // fleetOf makes a guard and a plane that asks it, with so many proxies bound to one table over three servers that can do
 // 20 visits a second each; 24 come in all.
-func fleetOf(t *testing.T, proxies int) (*Guard, *reconcile.Plane) {
+func fleetOf(t *testing.T, proxies int) (*Guard, *reconcile.Reconciler) {
 	t.Helper()
 	s := site()
 	s.Classes, s.EntriesPerSecond, s.MaxBacklog = s.Classes[:1], 1e6, 1e6
 	g, p := New(s), reconcile.New(s)
-	p.Ask(g)
+	p.UseSafetyCheck(g)
 	l := fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2}, {Server: 3}}}
 	g.Hear(now, l)
-	p.List(now, l)
+	p.SetEndpoints(now, l)
 	for id := range fleet.ServerID(3) {
 		g.Hear(now, fleet.OutcomeReport{Server: id + 1, Attempts: 100, Interval: 10 * fleet.Second, Load: []float32{0.5}})
 	}
@@ -392,18 +392,18 @@
 		g.Hear(now, fleet.DemandReport{Proxy: fleet.ProxyID(i), Requests: uint32(2400 / proxies), Interval: 100 * fleet.Second})
 		orders = append(orders, fleet.AssignTable{Proxy: fleet.ProxyID(i)})
 	}
-	p.Order(now, orders)
+	p.Apply(now, orders)
 	settle(p, now)
 	return g, p
 }
 
 // settle lets all that may leave arrive, for 400 ms.
-func settle(p *reconcile.Plane, from fleet.Time) (changes []reconcile.Change) {
+func settle(p *reconcile.Reconciler, from fleet.Time) (changes []reconcile.Change) {
 	for at := from; at < from+400*fleet.Millisecond; at += 50 * fleet.Millisecond {
 		out, _, _, _ := p.Next(at)
 		for _, m := range out {
 			changes = append(changes, m.Changes...)
-			p.Answer(at, m.Proxy, m.Seq, nil)
+			p.Acknowledge(at, m.Proxy, m.Sequence, nil)
 		}
 	}
 	return changes
@@ -415,20 +415,20 @@
 	g, p := fleetOf(t, 3)
 	l := fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 2, Started: now}}}
 	g.Hear(now, l)
-	p.List(now, l)
+	p.SetEndpoints(now, l)
 	if got := g.others(2, 99); math.Abs(got-8) > 0.2 {
 		t.Errorf("its standing lines count as %v visits a second, not 8", got)
 	}
 	bears := g.Bearable(now, 2)
-	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 1.1}}) // that alone would lower its share, but not enough
+	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 1.1}}) // that alone would lower its share, but not enough
 	settle(p, now)
 	if got := g.others(2, 99); got > bears || got < bears/2 {
 		t.Errorf("%v visits a second after the cut, it bears %v", got, bears)
 	}
-	if len(p.Refusals()) != 1 || p.Refusals()[0].Server != 2 || p.Refusals()[0].Why != WhyCold || p.Refusals()[0].Proxies != 3 {
+	if len(p.Refusals()) != 1 || p.Refusals()[0].Server != 2 || p.Refusals()[0].Reason != WhyCold || p.Refusals()[0].Proxies != 3 {
 		t.Errorf("refusals %+v", p.Refusals())
 	}
-	if alarms := p.Alarms(); len(alarms) != 1 {
+	if alarms := p.Notices(); len(alarms) != 1 {
 		t.Errorf("%d alarms for one refusal: %+v", len(alarms), alarms)
 	}
 }
@@ -437,28 +437,28 @@
 // and the rest passes; what the module wants comes by itself once it is safe.
 func TestLeastChange(t *testing.T) {
 	_, p := fleetOf(t, 1)
-	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 1}, fleet.SetWeight{Server: 2, Weight: 0.5}, fleet.SetWeight{Server: 3}})
+	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 1}, fleet.SetWeight{Server: 2, Weight: 0.5}, fleet.SetWeight{Server: 3}})
 	settle(p, now)
-	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 2}, fleet.SetWeight{Server: 3, Weight: 0.6}, fleet.SetWeight{Server: 1, Weight: 0.2}})
+	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 2}, fleet.SetWeight{Server: 3, Weight: 0.6}, fleet.SetWeight{Server: 1, Weight: 0.2}})
 	settle(p, now)
-	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 1}, fleet.SetWeight{Server: 3}})
+	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 1}, fleet.SetWeight{Server: 3}})
 	settle(p, now)
-	if v := p.Proxies()[0]; v.Lines != 1 || len(p.Refusals()) != 1 || p.Refusals()[0].Server != 3 || p.Refusals()[0].Why != WhyBare {
-		t.Errorf("%d lines, refusals %+v", v.Lines, p.Refusals())
+	if v := p.Proxies()[0]; v.Entries != 1 || len(p.Refusals()) != 1 || p.Refusals()[0].Server != 3 || p.Refusals()[0].Reason != WhyBare {
+		t.Errorf("%d lines, refusals %+v", v.Entries, p.Refusals())
 	}
-	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 1}})
+	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 1}})
 	settle(p, now)
 	settle(p, now+2*fleet.Second) // held back lines are proposed again
-	if v := p.Proxies()[0]; v.Lines != 1 || len(p.Refusals()) != 0 {
-		t.Errorf("once another line is there: %d lines, refusals %+v", v.Lines, p.Refusals())
+	if v := p.Proxies()[0]; v.Entries != 1 || len(p.Refusals()) != 0 {
+		t.Errorf("once another line is there: %d lines, refusals %+v", v.Entries, p.Refusals())
 	}
 	g, p := fleetOf(t, 1)
 	l := fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 2, Started: now}}}
 	g.Hear(now, l)
-	p.List(now, l)
-	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.05}})
+	p.SetEndpoints(now, l)
+	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.05}})
 	settle(p, now)
-	p.Order(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 0}})
+	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 0}})
 	cut, took := false, false
 	for _, c := range settle(p, now+2*fleet.Second) {
 		cut = cut || c.Server == 2 && c.Weight >= 0
@@ -484,8 +484,10 @@
 	g := New(site())
 	g.Hear(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2, Started: now}}})
 	g.Hear(now, fleet.ProxyJoined{Proxy: 1, RequestRate: 20})
-	in := func(w int16) reconcile.Cell { return reconcile.Cell{Present: true, State: reconcile.In, Weight: w} }
-	d := &reconcile.Draft{Proxy: 1, Alone: true, Lines: []int{2, 2}, Sum: []int{200, 200}, Cold: []reconcile.ColdLine{{Server: 2, Cell: in(100)}}}
+	in := func(w int16) reconcile.EntryState {
+		return reconcile.EntryState{Present: true, State: reconcile.StateReady, Weight: w}
+	}
+	d := &reconcile.UpdatePlan{Proxy: 1, Alone: true, Entries: []int{2, 2}, Sum: []int{200, 200}, Cold: []reconcile.WarmingEntry{{Server: 2, State: in(100)}}}
 	g.Joined(now, d)
 	if got := g.others(2, 9); math.Abs(got-5) > 1e-9 {
 		t.Errorf("%v counted, not 5", got)
@@ -587,10 +589,10 @@
 				l.Endpoints = append(l.Endpoints, e)
 			}
 			g.Hear(now, l)
-			d := &reconcile.Draft{Lines: []int{700, 700, 700}, Sum: []int{70000, 70000, 70000}}
+			d := &reconcile.UpdatePlan{Entries: []int{700, 700, 700}, Sum: []int{70000, 70000, 70000}}
 			for i := range colds {
 				for c := range 3 {
-					d.Cold = append(d.Cold, reconcile.ColdLine{Class: fleet.ClassID(c), Server: fleet.ServerID(i), Cell: reconcile.Cell{Present: true, State: reconcile.In, Weight: 10}})
+					d.Cold = append(d.Cold, reconcile.WarmingEntry{Class: fleet.ClassID(c), Server: fleet.ServerID(i), State: reconcile.EntryState{Present: true, State: reconcile.StateReady, Weight: 10}})
 				}
 			}
 			for p := range 930 {
@@ -604,7 +606,7 @@
 				for p := range 930 {
 					d.Proxy, d.Proposals = fleet.ProxyID(p), d.Proposals[:0]
 					for c := range 3 {
-						have := reconcile.Cell{Present: true, State: reconcile.In, Weight: 100}
+						have := reconcile.EntryState{Present: true, State: reconcile.StateReady, Weight: 100}
 						want := have
 						want.Weight = 90
 						d.Proposals = append(d.Proposals, reconcile.Proposal{Change: reconcile.Change{Class: fleet.ClassID(c), Server: 650, Weight: 90}, Have: have, Want: want, Ready: true})
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -35,12 +35,12 @@
 	readMost    = 10                     // times: old addresses close after 1.5 s
 )
 
-// Node runs a governor on the users' platform until SIGTERM or SIGINT. SIGHUP reads the configuration again.
-func Node(getenv func(string) string) error {
+// RunPlatform runs a governor on the users' platform until SIGTERM or SIGINT. SIGHUP reads the configuration again.
+func RunPlatform(getenv func(string) string) error {
 	signals := make(chan os.Signal, 8) // from the first moment: a signal that nobody takes ends the program
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGINT, syscall.SIGTERM)
 	defer signal.Stop(signals)
-	c, err := config.LoadRelay(getenv)
+	c, err := config.LoadPlatform(getenv)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
@@ -64,19 +64,19 @@
 	ready := make(chan struct{})
 	var opened, listed atomic.Bool
 	whenReady := sync.OnceFunc(func() { close(ready) })
-	listed.Store(len(c.Known.Servers) > 0)
-	front := relay.New(relay.Options{Addr: c.Store, Zones: c.Site.Zones, Classes: classes, Proxies: c.Site.ProxyCount,
-		Sink: func(n relay.News) {
+	listed.Store(len(c.KnownEndpoints.Endpoints) > 0)
+	front := relay.New(relay.Options{Addr: c.RelayAddr, Zones: c.Site.Zones, Classes: classes, ProxyCount: c.Site.ProxyCount,
+		OnEvent: func(n relay.StreamEvent) {
 			mailbox.Post(n)
 			if opened.Store(true); listed.Load() {
 				whenReady()
 			}
-		}, Unsure: func(u relay.Unconfirmed) { mailbox.Post(u) }, Log: log, Seed: c.Seed})
-	source := &discovery.Platform{Addr: c.Discovery, Rev: c.Known.Rev, Zones: c.Site.Zones, Kinds: c.Site.Kinds,
-		Notice: func(err error) { log.Warn().Err(err).Msg("list") }}
+		}, OnUnconfirmed: func(u relay.Unconfirmed) { mailbox.Post(u) }, Log: log, Seed: c.Seed})
+	source := &discovery.PlatformSource{Addr: c.Discovery, Revision: c.KnownEndpoints.Revision, Zones: c.Site.Zones, Kinds: c.Site.Kinds,
+		OnError: func(err error) { log.Warn().Err(err).Msg("list") }}
 	if err := source.Start(ctx, func(u discovery.Update) {
 		mailbox.Post(u)
-		if len(u.Doc.Servers) > 0 {
+		if len(u.List.Endpoints) > 0 {
 			if listed.Store(true); opened.Load() {
 				whenReady()
 			}
@@ -86,10 +86,10 @@
 	}
 	clock := platform.NewClock()
 	over := make(chan struct{})
-	core := platform.NewCore(c.Site, c.Seed, c.Known)
+	core := platform.NewCore(c.Site, c.Seed, c.KnownEndpoints)
 	go func() {
 		defer close(over)
-		platform.Run(ctx, platform.Parts{Core: core, Mailbox: mailbox, Front: front, Source: source, Tick: c.Site.Tick, Log: log}, clock)
+		platform.Run(ctx, platform.Options{Core: core, Mailbox: mailbox, Relay: front, Source: source, Tick: c.Site.Tick, Log: log}, clock)
 	}()
 	front.Start(ctx)
 	idle := time.AfterFunc(idleMost, whenReady)
@@ -98,8 +98,8 @@
 	var heard *collector.Server
 	var again <-chan time.Time // to listen
 	listen := func() (err error) {
-		heard, err = collector.Listen(collector.Options{Addr: c.Listen, Sockets: c.Sockets, Log: log, Sink: mailbox.Report,
-			Words: collector.Words{Zones: c.Site.Zones, Classes: classes, Proxies: c.Site.ProxyCount, Load: c.Site.LoadFields}})
+		heard, err = collector.Listen(collector.Options{Addr: c.Listen, MaxSockets: c.MaxSockets, Log: log, OnReport: mailbox.Report,
+			Vocabulary: collector.Vocabulary{Zones: c.Site.Zones, Classes: classes, ProxyCount: c.Site.ProxyCount, LoadFields: c.Site.LoadFields}})
 		if again = nil; errors.Is(err, syscall.EADDRINUSE) && time.Since(began) < listenMost+idleMost {
 			again = time.After(listenAgain)
 			return nil
@@ -109,9 +109,9 @@
 		}
 		return err
 	}
-	log.Info().Str("version", Version).Str("listen", c.Listen).Str("relay", c.Store).Str("discovery", c.Discovery).
-		Int("memory_mb", c.MemoryMB).Int("sockets", c.Sockets).Float64("cores", c.Cores).Int("proxies", c.Site.ProxyCount).
-		Int("known", len(c.Known.Servers)).Interface("site", c.Site).Msg("governs")
+	log.Info().Str("version", Version).Str("listen", c.Listen).Str("relay", c.RelayAddr).Str("discovery", c.Discovery).
+		Int("memory_mb", c.MemoryMB).Int("sockets", c.MaxSockets).Float64("cores", c.Cores).Int("proxies", c.Site.ProxyCount).
+		Int("known", len(c.KnownEndpoints.Endpoints)).Interface("site", c.Site).Msg("governs")
 	counts := time.NewTicker(countsEvery)
 	defer counts.Stop()
 	tries := 0
@@ -120,7 +120,7 @@
 		select {
 		case <-counts.C:
 			if heard != nil {
-				log.Info().Interface("calls", front.Counts()).Interface("heard", heard.Counts()).Int("goroutines", runtime.NumGoroutine()).Msg("counts")
+				log.Info().Interface("calls", front.Statistics()).Interface("heard", heard.Statistics()).Int("goroutines", runtime.NumGoroutine()).Msg("counts")
 			}
 		case <-ready:
 			if ready = nil; heard == nil {
@@ -170,8 +170,8 @@
 
 // renew reads the configuration again and goes to its addresses. An error is of a file that can't be read, which may be written half
 // way. One that asks for what needs a restart changes nothing.
-func renew(getenv func(string) string, c *config.Relay, log zerolog.Logger, front *relay.Front, source *discovery.Platform) (*config.Relay, error) {
-	fresh, err := config.LoadRelay(getenv)
+func renew(getenv func(string) string, c *config.Platform, log zerolog.Logger, front *relay.Client, source *discovery.PlatformSource) (*config.Platform, error) {
+	fresh, err := config.LoadPlatform(getenv)
 	if err != nil {
 		return c, err
 	}
@@ -188,12 +188,12 @@
 		log.Error().Str("key", key).Msg("configuration not renewed: " + key + " needs a restart; what stood stays")
 		return c, nil
 	}
-	log.Info().Str("relay", fresh.Store).Str("discovery", fresh.Discovery).Msg("configuration renewed")
-	if fresh.Store != c.Store {
-		front.Move(fresh.Store)
+	log.Info().Str("relay", fresh.RelayAddr).Str("discovery", fresh.Discovery).Msg("configuration renewed")
+	if fresh.RelayAddr != c.RelayAddr {
+		front.SetAddress(fresh.RelayAddr)
 	}
 	if fresh.Discovery != c.Discovery {
-		source.Move(fresh.Discovery)
+		source.SetAddress(fresh.Discovery)
 	}
 	return fresh, nil
 }
--- a/internal/server/node_test.go
+++ b/internal/server/node_test.go
@@ -18,7 +18,7 @@
 // TestMain lets the test's own program be a governor: signals go to a process of its own.
 func TestMain(m *testing.M) {
 	if os.Getenv("CRESSKNOT_TEST_NODE") != "" {
-		if err := Node(os.Getenv); err != nil {
+		if err := RunPlatform(os.Getenv); err != nil {
 			fmt.Fprintln(os.Stderr, "cressknot:", err)
 			os.Exit(1)
 		}
@@ -329,7 +329,7 @@
 }
 
 func TestNodeNeedsItsConfiguration(t *testing.T) {
-	if err := Node(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
+	if err := RunPlatform(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
 		t.Error(err)
 	}
 }
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -40,9 +40,9 @@
 // Version is the program's.
 const Version = "0.2.0-dev"
 
-// Governor runs the governor of a settings file. SIGHUP reads the file again, the first SIGINT or SIGTERM lets orders
+// RunController runs the governor of a settings file. SIGHUP reads the file again, the first SIGINT or SIGTERM lets orders
 // in hand leave and stops, a second one ends the program at once.
-func Governor(path string) error {
+func RunController(path string) error {
 	s, err := config.Load(path)
 	if err != nil {
 		return err
@@ -80,9 +80,9 @@
 		core.Break(f)
 	}
 	carrier := frontOf(s, site, proxies, names)
-	parts := controller.Parts{Core: core, Names: names, Front: carrier, Source: sourceOf(s), Log: log,
-		Cache: s.List.Cache, ProbePath: s.Reports.ProbePath, Prove: s.List.Prove}
-	var lists []verification.Generation[discovery.Server]
+	parts := controller.Options{Core: core, Names: names, Transport: carrier, Source: sourceOf(s), Log: log,
+		CachePath: s.List.Cache, ProbePath: s.Reports.ProbePath, VerificationMode: s.List.Prove}
+	var lists []verification.Generation[discovery.Endpoint]
 	if s.List.Cache != "" {
 		var wrong []error
 		lists, wrong = discovery.ReadCache(s.List.Cache)
@@ -91,8 +91,8 @@
 		}
 	}
 	parts.Name = s.Name
-	if shares, is := carrier.(transport.Sharer); is && len(s.Sharing.Governors) > 0 {
-		parts.Sharing = shares
+	if shares, is := carrier.(transport.LeaseTransport); is && len(s.Sharing.Governors) > 0 {
+		parts.Leases = shares
 	}
 	if s.Store.Folder != "" {
 		lasting, woken, err := wake(s, core, log)
@@ -109,7 +109,7 @@
 			}()
 		}
 	}
-	parts.Cached = startFrom(lists, log)
+	parts.CachedList = startFrom(lists, log)
 	kept, err := timeseries.Open(s.Reports.Series, func(id fleet.ServerID) string { name, _ := names.Of(id); return name })
 	if err != nil { // nothing that is decided needs them
 		log.Error().Err(err).Msg("time series of reports are not kept")
@@ -133,7 +133,7 @@
 			return err
 		}
 		defer here.Close()
-		parts.Tell = here.Tell
+		parts.SendGossip = here.Send
 		log.Info().Str("addr", s.Peers.Listen).Bool("encrypted", s.Peers.KeyFile != "").Msg("hears other governors")
 	}
 	loop = controller.NewLoop(parts)
@@ -156,7 +156,7 @@
 			_ = taker.Close(ctx)
 		}()
 	}
-	start := eventlog.Start{Governor: s.Name, Site: site, Seed: s.Seed}
+	start := eventlog.Header{Controller: s.Name, Site: site, Seed: s.Seed}
 	if err := loop.RecordTo(s.Records, start); err != nil {
 		return err
 	}
@@ -192,8 +192,8 @@
 // wake opens the store and lets the core wake with what was kept. A store that another process has, or that a newer program
 // wrote, stops the start: going on would make two governors of one, or lose what that one kept. Any other trouble costs
 // the store only.
-func wake(s *config.Settings, core *controller.Core, log zerolog.Logger) (*store.Store, []verification.Generation[discovery.Server], error) {
-	lasting, err := store.Open(store.Options{Folder: s.Store.Folder, Told: func(failing bool, err error) {
+func wake(s *config.Settings, core *controller.Core, log zerolog.Logger) (*store.Store, []verification.Generation[discovery.Endpoint], error) {
+	lasting, err := store.Open(store.Options{Directory: s.Store.Folder, OnHealthChange: func(failing bool, err error) {
 		if failing {
 			log.Error().Err(err).Msg("what must last can't be kept; the governor goes on, and keeps it when that is possible again")
 		} else {
@@ -209,14 +209,14 @@
 		log.Error().Err(err).Msg("starts without what was kept, and keeps nothing")
 		return nil, nil, nil
 	}
-	woken, err := core.Wake(fleet.Time(time.Now().UnixNano()), lasting)
+	woken, err := core.Restore(fleet.Time(time.Now().UnixNano()), lasting)
 	if err != nil {
 		log.Error().Err(err).Msg("not all that was kept could be read")
 	}
-	for _, lost := range woken.Lost {
+	for _, lost := range woken.Unreadable {
 		log.Warn().Str("lost", lost).Msg("damaged in the store")
 	}
-	log.Info().Int("tables", woken.Tables).Int("pins", woken.Pins).Int("weights", woken.Hands).Bool("list", len(woken.Lists) > 0).Msg("woke")
+	log.Info().Int("tables", woken.Tables).Int("pins", woken.Pins).Int("weights", woken.ManualWeights).Bool("list", len(woken.Lists) > 0).Msg("woke")
 	done := make(chan error, 1) // no version of this epoch leaves before the epoch is on disk
 	if err := lasting.Put([]store.Change{{Key: "epoch", Value: woken.Epoch}}, func(err error) { done <- err }); err == nil {
 		err = <-done
@@ -225,7 +225,7 @@
 }
 
 // meet joins the other governors. The loop is there once they have something to say.
-func meet(s *config.Settings, loop func() *controller.Loop) (*membership.Members, error) {
+func meet(s *config.Settings, loop func() *controller.Loop) (*membership.Membership, error) {
 	o := membership.Options{Name: s.Name, Listen: s.Peers.Listen, Join: s.Peers.Join}
 	if s.Peers.KeyFile != "" {
 		text, err := os.ReadFile(s.Peers.KeyFile)
@@ -236,17 +236,17 @@
 			return nil, fmt.Errorf("peers.keyFile: %s: %w", s.Peers.KeyFile, err)
 		}
 	}
-	o.News = func(n gossip.News) {
+	o.OnMessage = func(n gossip.Message) {
 		if l := loop(); l != nil {
 			l.Peer(n)
 		}
 	}
-	o.Wrong = func(err error) {
+	o.OnError = func(err error) {
 		if l := loop(); l != nil {
 			l.Note("warn", "peers", err.Error())
 		}
 	}
-	o.Change = func(name string, here bool) {
+	o.OnChange = func(name string, here bool) {
 		if l := loop(); l != nil {
 			l.Note("info", "peers", fmt.Sprintf("governor %s %s", name, map[bool]string{true: "is here", false: "left"}[here]))
 		}
@@ -255,30 +255,30 @@
 }
 
 // serving lets the programs of zones be proxies of the governor, nil where nobody may ask it.
-func serving(s *config.Settings, core *controller.Core, callers []transport.Proxy, parts *controller.Parts) *service.Hub {
+func serving(s *config.Settings, core *controller.Core, callers []transport.Proxy, parts *controller.Options) *service.Hub {
 	if len(callers) == 0 {
 		return nil
 	}
 	began := time.Now()
-	o := service.HubOptions{Governor: s.Name, Names: parts.Names, Classes: s.Site().Classes,
+	o := service.HubOptions{Controller: s.Name, Names: parts.Names, Classes: s.Site().Classes,
 		Now: func() fleet.Time { return fleet.Time(began.UnixNano()) + fleet.Time(time.Since(began)) }}
 	for _, p := range callers {
-		o.Zones = append(o.Zones, service.Zone{Name: s.Zones[p.Zone], ID: p.Zone, Proxy: p.ID, Visits: p.Visits})
+		o.Zones = append(o.Zones, service.Zone{Name: s.Zones[p.Zone], ID: p.Zone, Proxy: p.ID, RequestRate: p.RequestRate})
 	}
 	core.Serve(o.Zones, uint64(began.UnixNano()))
 	o.Epoch = core.Epoch()
 	hub := service.NewHub(o)
-	mux := &transport.Mux{Most: parts.Front, Of: map[fleet.ProxyID]transport.Front{}}
+	mux := &transport.Mux{Default: parts.Transport, ByProxy: map[fleet.ProxyID]transport.Transport{}}
 	for _, p := range callers {
-		mux.Of[p.ID] = hub
+		mux.ByProxy[p.ID] = hub
 	}
-	parts.Front, parts.Facts = mux, hub.Facts
+	parts.Transport, parts.OnPublishedState = mux, hub.Facts
 	return hub
 }
 
 // listen opens the service's sockets.
 func listen(s *config.Settings, loop *controller.Loop, hub *service.Hub, log zerolog.Logger) (stop func(), err error) {
-	core := service.New(hub, controller.Desk{Loop: loop, Program: Version})
+	core := service.New(hub, controller.QueryHandler{Loop: loop, Program: Version})
 	var closers []interface{ Close(context.Context) error }
 	stop = func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.Operators.Stop))
@@ -309,24 +309,24 @@
 }
 
 // startFrom makes one list of those that were kept, nil for none.
-func startFrom(kept []verification.Generation[discovery.Server], log zerolog.Logger) *discovery.Update {
+func startFrom(kept []verification.Generation[discovery.Endpoint], log zerolog.Logger) *discovery.Update {
 	chosen, ok := verification.Choose(fleet.Time(time.Now().UnixNano()), kept)
-	for _, s := range chosen.Says {
+	for _, s := range chosen.Notices {
 		log.Warn().Str("from", "list").Msg(s)
 	}
 	if !ok {
 		return nil
 	}
-	u := &discovery.Update{Scope: fleet.ListCached, Doc: discovery.Document{Rev: chosen.Rev}, At: chosen.At, Doubtful: chosen.Doubtful}
+	u := &discovery.Update{Scope: fleet.ListCached, List: discovery.EndpointList{Revision: chosen.Revision}, ConfirmedAt: chosen.ConfirmedAt, Unverified: chosen.Unverified}
 	for _, name := range slices.Sorted(maps.Keys(chosen.Entries)) {
-		u.Doc.Servers = append(u.Doc.Servers, chosen.Entries[name])
+		u.List.Endpoints = append(u.List.Endpoints, chosen.Entries[name])
 	}
-	log.Info().Int("servers", len(u.Doc.Servers)).Uint64("rev", chosen.Rev).Str("kept", chosen.From).Time("confirmed", time.Unix(0, int64(chosen.At))).Msg("has a list from before")
+	log.Info().Int("servers", len(u.List.Endpoints)).Uint64("rev", chosen.Revision).Str("kept", chosen.Source).Time("confirmed", time.Unix(0, int64(chosen.ConfirmedAt))).Msg("has a list from before")
 	return u
 }
 
 // reload takes over what may change and refuses a file that asks for more, whole.
-func reload(path string, s *config.Settings, log zerolog.Logger, loop *controller.Loop, start eventlog.Start) *config.Settings {
+func reload(path string, s *config.Settings, log zerolog.Logger, loop *controller.Loop, start eventlog.Header) *config.Settings {
 	fresh, err := config.Load(path)
 	if err != nil {
 		log.Error().Err(err).Msg("settings not reloaded: what stood stays")
@@ -375,14 +375,14 @@
 	return out, done, nil
 }
 
-func sourceOf(s *config.Settings) discovery.Source {
+func sourceOf(s *config.Settings) discovery.EndpointSource {
 	if s.List.Source == "http" {
-		return &discovery.HTTP{URL: s.List.URL, Wait: fleet.Time(s.List.Wait), OnRequest: s.List.OnRequest}
+		return &discovery.HTTPSource{URL: s.List.URL, Wait: fleet.Time(s.List.Wait), OnRequest: s.List.OnRequest}
 	}
-	return &discovery.File{Path: s.List.Path, OnRequest: s.List.OnRequest}
+	return &discovery.FileSource{Path: s.List.Path, OnRequest: s.List.OnRequest}
 }
 
-func frontOf(s *config.Settings, site fleet.Site, proxies []transport.Proxy, names *controller.Names) transport.Front {
+func frontOf(s *config.Settings, site fleet.Site, proxies []transport.Proxy, names *controller.Names) transport.Transport {
 	if s.Front.Kind == "runtime" {
 		o := haproxy.Options{Proxies: proxies, Classes: s.Backends(), Map: s.Front.Map, Table: s.Front.Table, Admission: site.Admission, Names: names,
 			Me: s.Name, Clock: func() fleet.Time { return fleet.Time(time.Now().UnixNano()) }}
--- a/internal/service/hub.go
+++ b/internal/service/hub.go
@@ -26,21 +26,21 @@
 
 // Zone is a zone whose callers are one proxy to the governor.
 type Zone struct {
-	Name   string
-	ID     fleet.ZoneID
-	Proxy  fleet.ProxyID
-	Visits float64 // a second, as usual
+	Name        string
+	ID          fleet.ZoneID
+	Proxy       fleet.ProxyID
+	RequestRate float64 // a second, as usual
 }
 
 // HubOptions say what a hub serves.
 type HubOptions struct {
-	Governor string
-	Epoch    uint64
-	Zones    []Zone
-	Classes  []fleet.RequestClass
-	Names    transport.Names
-	Now      func() fleet.Time
-	Minor    uint32 // of the protocol that updates say they are written for; 0: this program's
+	Controller string
+	Epoch      uint64
+	Zones      []Zone
+	Classes    []fleet.RequestClass
+	Names      transport.ServerNames
+	Now        func() fleet.Time
+	Minor      uint32 // of the protocol that updates say they are written for; 0: this program's
 }
 
 // Hub is the front whose proxies are the callers of zones: messages become versions of a view, watchers get what has changed, and what
@@ -59,7 +59,7 @@
 	done     sync.WaitGroup
 }
 
-var _ transport.Front = (*Hub)(nil)
+var _ transport.Transport = (*Hub)(nil)
 
 type session struct {
 	seq uint64
@@ -75,8 +75,8 @@
 	shared   map[tableversion.Version]*Shared // of the present version, by what a watcher holds
 	beat     *Shared
 	stream   uint64
-	met      map[fleet.ServerID]*counters.Met
-	came     []counters.Came
+	met      map[fleet.ServerID]*counters.ServerCounters
+	came     []counters.ClassCounters
 }
 
 // pending is a message that some watchers have not taken in yet.
@@ -139,8 +139,8 @@
 		classes = append(classes, c.Name)
 	}
 	for _, z := range o.Zones {
-		one := &zoneHub{Zone: z, view: NewView(o.Governor, z.Name, o.Epoch, classes), watchers: map[*Watcher]struct{}{},
-			shared: map[tableversion.Version]*Shared{}, met: map[fleet.ServerID]*counters.Met{}, came: make([]counters.Came, len(classes))}
+		one := &zoneHub{Zone: z, view: NewView(o.Controller, z.Name, o.Epoch, classes), watchers: map[*Watcher]struct{}{},
+			shared: map[tableversion.Version]*Shared{}, met: map[fleet.ServerID]*counters.ServerCounters{}, came: make([]counters.ClassCounters, len(classes))}
 		one.view.origin.Minor = max(Minor, o.Minor)
 		h.zones = append(h.zones, one)
 		h.byName[z.Name], h.byProxy[z.Proxy] = one, one
@@ -175,7 +175,7 @@
 
 func (h *Hub) join(z *zoneHub) {
 	z.stream++
-	h.sink(transport.Up{Proxy: z.Proxy, Stream: z.stream, Held: reconcile.Snapshot{Zone: z.ID, Weight: z.Visits, Fresh: true}})
+	h.sink(transport.Connected{Proxy: z.Proxy, Stream: z.stream, Snapshot: reconcile.Snapshot{Zone: z.ID, RequestRate: z.RequestRate, Fresh: true}})
 }
 
 // Send takes a message in and wakes the zone's watchers.
@@ -188,7 +188,7 @@
 	}
 	failures, changed := z.view.Apply(m.Changes, h.opt.Names.Of)
 	z.n++
-	p := &pending{n: z.n, seq: m.Seq, at: h.opt.Now(), version: z.view.Version(), failures: failures}
+	p := &pending{n: z.n, seq: m.Sequence, at: h.opt.Now(), version: z.view.Version(), failures: failures}
 	if changed {
 		for w := range z.watchers {
 			if !w.free {
@@ -214,7 +214,7 @@
 	for len(z.pending) > 0 && z.pending[0].waiting <= 0 {
 		p := z.pending[0]
 		z.pending = z.pending[1:]
-		h.sink(transport.Answer{Proxy: z.Proxy, Stream: z.stream, Seq: p.seq, Failures: p.failures})
+		h.sink(transport.Answered{Proxy: z.Proxy, Stream: z.stream, Sequence: p.seq, Failures: p.failures})
 	}
 }
 
@@ -234,7 +234,7 @@
 }
 
 // Facts tells what the governor's list says.
-func (h *Hub) Facts(f Facts) {
+func (h *Hub) Facts(f PublishedState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, z := range h.zones {
@@ -313,7 +313,7 @@
 
 func (h *Hub) zone(name string) (*zoneHub, *Fault) {
 	if h.closing {
-		return nil, fault(Closing, "governor %s stops", h.opt.Governor)
+		return nil, fault(Closing, "governor %s stops", h.opt.Controller)
 	}
 	z := h.byName[name]
 	if z == nil {
@@ -414,10 +414,10 @@
 	if !z.view.Any() {
 		return nil, &Fault{Unready, "no table is laid yet", fleet.Second}
 	}
-	s := z.shared[tableversion.None]
+	s := z.shared[tableversion.NoVersion]
 	if s == nil {
-		s = &Shared{Update: z.view.Since(tableversion.None)}
-		z.shared[tableversion.None] = s
+		s = &Shared{Update: z.view.Since(tableversion.NoVersion)}
+		z.shared[tableversion.NoVersion] = s
 	}
 	return s, nil
 }
@@ -431,21 +431,21 @@
 	if f != nil {
 		return 0, f
 	}
-	if len(r.Met) > rowsMost || len(r.Came) > len(h.opt.Classes) {
-		return 0, fault(TooLarge, "a batch of %d servers and %d classes; %d and %d are the most", len(r.Met), len(r.Came), rowsMost, len(h.opt.Classes))
+	if len(r.Outcomes) > rowsMost || len(r.Demands) > len(h.opt.Classes) {
+		return 0, fault(TooLarge, "a batch of %d servers and %d classes; %d and %d are the most", len(r.Outcomes), len(r.Demands), rowsMost, len(h.opt.Classes))
 	}
-	servers, classes := make([]fleet.ServerID, len(r.Met)), make([]int, len(r.Came))
-	for i, m := range r.Met {
+	servers, classes := make([]fleet.ServerID, len(r.Outcomes)), make([]int, len(r.Demands))
+	for i, m := range r.Outcomes {
 		var known bool
 		if servers[i], known = h.opt.Names.Server(m.Server); !known { // of another governor's list: nobody here could use it
 			servers[i] = noServer
 		}
 		switch {
-		case m.Tries > countMost || m.Failed > m.Tries || m.Good > m.Tries || m.GoodMs > countMost*1000 || len(m.Load) > len(counters.Met{}.Load):
+		case m.Attempts > countMost || m.Failures > m.Attempts || m.Successes > m.Attempts || m.SuccessMillis > countMost*1000 || len(m.Load) > len(counters.ServerCounters{}.Load):
 			return 0, fault(BadRequest, "met[%d]: %q: counts that don't add up", i, m.Server)
 		}
 	}
-	for i, c := range r.Came {
+	for i, c := range r.Demands {
 		classes[i] = -1
 		for k, known := range h.opt.Classes {
 			if known.Name == c.Class {
@@ -455,7 +455,7 @@
 		switch {
 		case classes[i] < 0:
 			return 0, fault(NoClass, "came[%d]: %.*q is none of the classes", i, namesMost, c.Class)
-		case c.Visits > countMost || c.NoAnswer > c.Visits:
+		case c.Requests > countMost || c.Unanswered > c.Requests:
 			return 0, fault(BadRequest, "came[%d]: %q: counts that don't add up", i, c.Class)
 		}
 	}
@@ -467,27 +467,27 @@
 		s = &session{}
 		h.sessions[r.Session] = s
 	}
-	if s.at = h.opt.Now(); r.Seq <= s.seq { // it came twice
+	if s.at = h.opt.Now(); r.Sequence <= s.seq { // it came twice
 		return s.seq, nil
 	}
-	s.seq = r.Seq
-	for i, m := range r.Met {
+	s.seq = r.Sequence
+	for i, m := range r.Outcomes {
 		if servers[i] == noServer {
 			continue
 		}
 		c := z.met[servers[i]]
 		if c == nil {
-			c = &counters.Met{}
+			c = &counters.ServerCounters{}
 			z.met[servers[i]] = c
 		}
-		c.Tries, c.Failed, c.Good, c.GoodMs = c.Tries+m.Tries, c.Failed+m.Failed, c.Good+m.Good, c.GoodMs+m.GoodMs
+		c.Attempts, c.Failures, c.Successes, c.SuccessMillis = c.Attempts+m.Attempts, c.Failures+m.Failures, c.Successes+m.Successes, c.SuccessMillis+m.SuccessMillis
 		for k, v := range m.Load {
 			c.Load[k], c.HasLoad = float32(v)/perMille, true
 		}
 	}
-	for i, c := range r.Came {
+	for i, c := range r.Demands {
 		came := &z.came[classes[i]]
-		came.Visits, came.NoAnswer = came.Visits+c.Visits, came.NoAnswer+c.NoAnswer
+		came.Requests, came.Unanswered = came.Requests+c.Requests, came.Unanswered+c.Unanswered
 	}
 	return s.seq, nil
 }
@@ -507,10 +507,10 @@
 	}
 	r := counters.NewReading(len(z.came))
 	for server, m := range z.met {
-		r.Row(server).Met = *m
+		r.Row(server).ServerCounters = *m
 	}
 	copy(r.Classes, z.came)
-	h.sink(transport.Polled{Proxy: id, Stream: z.stream, Reading: r})
+	h.sink(transport.CountersPolled{Proxy: id, Stream: z.stream, Reading: r})
 }
 
 // Drop ends the watches that hold messages up, and joins the zone's proxy anew.
@@ -527,7 +527,7 @@
 		}
 	}
 	z.pending = nil
-	h.sink(transport.Down{Proxy: id, Stream: z.stream, Why: errors.New("its callers took too long")})
+	h.sink(transport.Disconnected{Proxy: id, Stream: z.stream, Err: errors.New("its callers took too long")})
 	h.join(z)
 }
 
@@ -541,7 +541,7 @@
 	h.closing = true
 	for _, z := range h.zones {
 		for w := range z.watchers {
-			h.end(w, fault(Closing, "governor %s stops", h.opt.Governor))
+			h.end(w, fault(Closing, "governor %s stops", h.opt.Controller))
 		}
 	}
 	h.mu.Unlock()
@@ -559,7 +559,7 @@
 
 // Hello tells who serves.
 func (h *Hub) Hello() Hello {
-	o := Hello{Major: Major, Minor: Minor, Name: h.opt.Governor, Epoch: h.opt.Epoch, Classes: h.opt.Classes}
+	o := Hello{Major: Major, Minor: Minor, Name: h.opt.Controller, Epoch: h.opt.Epoch, Classes: h.opt.Classes}
 	for _, z := range h.zones {
 		o.Zones = append(o.Zones, z.Name)
 	}
--- a/internal/service/hub_test.go
+++ b/internal/service/hub_test.go
@@ -35,30 +35,30 @@
 
 func newYard() *yard {
 	y := &yard{now: 1000 * fleet.Second}
-	y.hub = NewHub(HubOptions{Governor: "g", Epoch: 7, Zones: []Zone{{Name: "a", Proxy: 3}}, Classes: []fleet.RequestClass{{Name: "look"}, {Name: "book"}}, Names: names{},
+	y.hub = NewHub(HubOptions{Controller: "g", Epoch: 7, Zones: []Zone{{Name: "a", Proxy: 3}}, Classes: []fleet.RequestClass{{Name: "look"}, {Name: "book"}}, Names: names{},
 		Now: func() fleet.Time { return y.now }})
 	y.hub.sink = func(e transport.Event) { y.events = append(y.events, e) }
 	y.hub.join(y.hub.zones[0])
-	y.hub.Facts(Facts{ListRev: 1, Open: []string{"s0"}})
+	y.hub.Facts(PublishedState{ListRevision: 1, Open: []string{"s0"}})
 	return y
 }
 
 func (y *yard) send(changes ...reconcile.Change) {
 	y.seq++
-	y.hub.Send(reconcile.Message{Proxy: 3, Seq: y.seq, Changes: changes})
+	y.hub.Send(reconcile.Message{Proxy: 3, Sequence: y.seq, Changes: changes})
 }
 
 func (y *yard) answers() (seqs []uint64) {
 	for _, e := range y.events {
-		if a, is := e.(transport.Answer); is {
-			seqs = append(seqs, a.Seq)
+		if a, is := e.(transport.Answered); is {
+			seqs = append(seqs, a.Sequence)
 		}
 	}
 	return seqs
 }
 
 func add(server int, weight int16) reconcile.Change {
-	return reconcile.Change{Kind: reconcile.AddLine, Server: fleet.ServerID(server), Weight: weight, State: reconcile.In}
+	return reconcile.Change{Kind: reconcile.AddEntry, Server: fleet.ServerID(server), Weight: weight, State: reconcile.StateReady}
 }
 
 // TestMessagesAreAnsweredWhenTakenIn: whatever watchers come, leave, take in and fall asleep when, each message is answered once, in
@@ -80,7 +80,7 @@
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
 			case what == 0 && len(all) < 4:
-				w, f := y.hub.Watch("a", tableversion.None, func() {})
+				w, f := y.hub.Watch("a", tableversion.NoVersion, func() {})
 				if f != nil {
 					t.Fatal(f)
 				}
@@ -158,19 +158,19 @@
 func TestSlowWatcherGetsOneChange(t *testing.T) {
 	y := newYard()
 	y.send(add(0, 10), add(1, 10))
-	a, _ := y.hub.Watch("a", tableversion.None, func() {})
-	b, _ := y.hub.Watch("a", tableversion.None, func() {})
+	a, _ := y.hub.Watch("a", tableversion.NoVersion, func() {})
+	b, _ := y.hub.Watch("a", tableversion.NoVersion, func() {})
 	first, _ := a.Next()
-	if second, _ := b.Next(); first != second || first.From != tableversion.None || len(first.Classes[0].Lines) != 2 {
+	if second, _ := b.Next(); first != second || first.From != tableversion.NoVersion || len(first.Classes[0].Endpoints) != 2 {
 		t.Fatalf("%+v", first)
 	}
 	for i := range 3 {
 		y.send(add(2+i, 20))
-		y.send(reconcile.Change{Kind: reconcile.SetLine, Server: 0, Weight: int16(11 + i)})
+		y.send(reconcile.Change{Kind: reconcile.UpdateEntry, Server: 0, Weight: int16(11 + i)})
 	}
 	ua, _ := a.Next()
 	ub, _ := b.Next()
-	if ua != ub || len(ua.Classes) != 1 || len(ua.Classes[0].Lines) != 4 || ua.Classes[0].Lines[0].Weight != 13 || ua.From != first.To {
+	if ua != ub || len(ua.Classes) != 1 || len(ua.Classes[0].Endpoints) != 4 || ua.Classes[0].Endpoints[0].Weight != 13 || ua.From != first.To {
 		t.Errorf("%+v", ua)
 	}
 	made := 0
@@ -192,7 +192,7 @@
 	if _, f := b.Next(); f == nil || f.Code != TooSlow {
 		t.Errorf("%v", f)
 	}
-	if up := y.events[len(y.events)-1].(transport.Up); up.Stream != 2 {
+	if up := y.events[len(y.events)-1].(transport.Connected); up.Stream != 2 {
 		t.Errorf("%+v", up)
 	}
 }
@@ -200,9 +200,9 @@
 // TestFailuresAreToldAsAProxyWould: a line to be set that isn't there, one to be added that is.
 func TestFailuresAreToldAsAProxyWould(t *testing.T) {
 	y := newYard()
-	y.send(add(0, 10), add(0, 20), reconcile.Change{Kind: reconcile.SetLine, Server: 5, Weight: 3}, reconcile.Change{Class: 9})
-	a := y.events[len(y.events)-1].(transport.Answer)
-	if len(a.Failures) != 3 || a.Failures[0] != (reconcile.Failure{Index: 1, Fault: reconcile.LineExists, Text: "already exists"}) || a.Failures[1].Fault != reconcile.NoLine {
+	y.send(add(0, 10), add(0, 20), reconcile.Change{Kind: reconcile.UpdateEntry, Server: 5, Weight: 3}, reconcile.Change{Class: 9})
+	a := y.events[len(y.events)-1].(transport.Answered)
+	if len(a.Failures) != 3 || a.Failures[0] != (reconcile.Failure{Index: 1, Kind: reconcile.FailureEntryExists, Text: "already exists"}) || a.Failures[1].Kind != reconcile.FailureEntryMissing {
 		t.Errorf("%+v", a.Failures)
 	}
 }
@@ -211,25 +211,25 @@
 // are left out.
 func TestReportsCountOnce(t *testing.T) {
 	y := newYard()
-	met := func(seq uint64, m ...Met) *Report {
-		return &Report{Zone: "a", Session: 5, Seq: seq, Met: m, Came: []Came{{"look", 2, 1}}}
+	met := func(seq uint64, m ...ServerOutcome) *Report {
+		return &Report{Zone: "a", Session: 5, Sequence: seq, Outcomes: m, Demands: []ClassDemand{{"look", 2, 1}}}
 	}
-	good := Met{Server: "s1", Tries: 3, Failed: 1, Good: 2, GoodMs: 40, Load: []uint32{500}}
+	good := ServerOutcome{Server: "s1", Attempts: 3, Failures: 1, Successes: 2, SuccessMillis: 40, Load: []uint32{500}}
 	for _, c := range []struct {
 		r    *Report
 		seq  uint64
 		code Code
-	}{{met(1, good), 1, ""}, {met(1, good), 1, ""}, {met(2, good, Met{Server: "s2", Tries: 1, Failed: 2}), 0, BadRequest}, {met(2, good, Met{Server: "nobody", Tries: 1}), 2, ""},
-		{&Report{Zone: "z"}, 0, NoZone}, {&Report{Zone: "a", Seq: 3, Came: []Came{{Class: "none"}}}, 0, NoClass}, {met(3, make([]Met, rowsMost+1)...), 0, TooLarge},
-		{&Report{Zone: "a", Seq: 3, Came: []Came{{"look", 1, 2}}}, 0, BadRequest}, {met(3, Met{Server: "s1", Tries: 1 << 40}), 0, BadRequest}} {
+	}{{met(1, good), 1, ""}, {met(1, good), 1, ""}, {met(2, good, ServerOutcome{Server: "s2", Attempts: 1, Failures: 2}), 0, BadRequest}, {met(2, good, ServerOutcome{Server: "nobody", Attempts: 1}), 2, ""},
+		{&Report{Zone: "z"}, 0, NoZone}, {&Report{Zone: "a", Sequence: 3, Demands: []ClassDemand{{Class: "none"}}}, 0, NoClass}, {met(3, make([]ServerOutcome, rowsMost+1)...), 0, TooLarge},
+		{&Report{Zone: "a", Sequence: 3, Demands: []ClassDemand{{"look", 1, 2}}}, 0, BadRequest}, {met(3, ServerOutcome{Server: "s1", Attempts: 1 << 40}), 0, BadRequest}} {
 		seq, f := y.hub.Report(c.r)
 		if seq != c.seq || (f == nil) != (c.code == "") || f != nil && f.Code != c.code {
 			t.Errorf("%+v: %d %v", c.r, seq, f)
 		}
 	}
 	y.hub.Poll(3)
-	r := y.events[len(y.events)-1].(transport.Polled).Reading
-	if len(r.Rows) != 1 || r.Rows[0].Tries != 6 || r.Rows[0].Load[0] != 0.5 || r.Classes[0].Visits != 4 || r.Classes[0].NoAnswer != 2 {
+	r := y.events[len(y.events)-1].(transport.CountersPolled).Reading
+	if len(r.Rows) != 1 || r.Rows[0].Attempts != 6 || r.Rows[0].Load[0] != 0.5 || r.Classes[0].Requests != 4 || r.Classes[0].Unanswered != 2 {
 		t.Errorf("%+v", r)
 	}
 	y.now += sessionKeeps
--- a/internal/service/rpc/server.go
+++ b/internal/service/rpc/server.go
@@ -30,9 +30,9 @@
 		return nil, fmt.Errorf("service over gRPC: %w", err)
 	}
 	srv := &Server{service: s, addr: l.Addr().String()}
-	srv.grpc = grpc.NewServer(grpc.MaxRecvMsgSize(service.RequestMost), grpc.MaxConcurrentStreams(service.StreamsMost), grpc.ConnectionTimeout(service.ConnectWithin),
-		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: service.IdleMost, Time: service.PingAfter, Timeout: service.PingWithin}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: service.PingAfter / 2, PermitWithoutStream: true}))
+	srv.grpc = grpc.NewServer(grpc.MaxRecvMsgSize(service.MaxRequestSize), grpc.MaxConcurrentStreams(service.MaxStreams), grpc.ConnectionTimeout(service.ConnectTimeout),
+		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: service.IdleTimeout, Time: service.PingInterval, Timeout: service.PingTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: service.PingInterval / 2, PermitWithoutStream: true}))
 	pb.RegisterGovernorServer(srv.grpc, srv)
 	go func() { _ = srv.grpc.Serve(l) }()
 	return srv, nil
--- a/internal/service/rpc/words.go
+++ b/internal/service/rpc/words.go
@@ -57,7 +57,7 @@
 
 // VersionTo puts a version on the wire, None as absent.
 func VersionTo(v tableversion.Version) *pb.Version {
-	if v == tableversion.None {
+	if v == tableversion.NoVersion {
 		return nil
 	}
 	return &pb.Version{Epoch: v.Epoch, Count: v.Count}
@@ -65,11 +65,11 @@
 
 // UpdateTo puts an update on the wire.
 func UpdateTo(u *service.Update) *pb.Update {
-	p := &pb.Update{Minor: u.Minor, Governor: u.Governor, ListRev: u.ListRev, Live: u.Live, Zone: u.Zone, From: VersionTo(u.From), To: VersionTo(u.To),
-		LimitsOpen: u.Shut, Open: u.Open, Beat: u.Beat}
+	p := &pb.Update{Minor: u.Minor, Governor: u.Controller, ListRev: u.ListRevision, Live: u.Live, Zone: u.Zone, From: VersionTo(u.From), To: VersionTo(u.To),
+		LimitsOpen: u.Shut, Open: u.Open, Beat: u.Heartbeat}
 	for _, c := range u.Classes {
-		t := &pb.ClassTable{Class: c.Class, Laid: c.Laid, Amount: int32(c.Amount), Retry: uint32(c.Retry), Digest: uint64(c.Digest)}
-		for _, l := range c.Lines {
+		t := &pb.ClassTable{Class: c.Class, Laid: c.Published, Amount: int32(c.AdmissionLimit), Retry: uint32(c.Retry), Digest: uint64(c.Digest)}
+		for _, l := range c.Endpoints {
 			t.Lines = append(t.Lines, &pb.Line{Server: l.Server, Addr: l.Addr, Weight: uint32(l.Weight)})
 		}
 		p.Classes = append(p.Classes, t)
@@ -79,12 +79,12 @@
 
 // UpdateOf reads an update.
 func UpdateOf(p *pb.Update) service.Update {
-	u := service.Update{Minor: p.Minor, Governor: p.Governor, ListRev: p.ListRev, Live: p.Live, Zone: p.Zone, From: VersionOf(p.From), To: VersionOf(p.To),
-		Shut: p.LimitsOpen, Open: p.Open, Beat: p.Beat}
+	u := service.Update{Minor: p.Minor, Controller: p.Governor, ListRevision: p.ListRev, Live: p.Live, Zone: p.Zone, From: VersionOf(p.From), To: VersionOf(p.To),
+		Shut: p.LimitsOpen, Open: p.Open, Heartbeat: p.Beat}
 	for _, c := range p.Classes {
-		t := service.ClassTable{Class: c.Class, Laid: c.Laid, Amount: int(c.Amount), Retry: fleet.RetryMode(c.Retry), Digest: tableversion.Digest(c.Digest)}
+		t := service.ClassTable{Class: c.Class, Published: c.Laid, AdmissionLimit: int(c.Amount), Retry: fleet.RetryMode(c.Retry), Digest: tableversion.Digest(c.Digest)}
 		for _, l := range c.Lines {
-			t.Lines = append(t.Lines, service.Line{Server: l.Server, Addr: l.Addr, Weight: int(l.Weight)})
+			t.Endpoints = append(t.Endpoints, service.Endpoint{Server: l.Server, Addr: l.Addr, Weight: int(l.Weight)})
 		}
 		u.Classes = append(u.Classes, t)
 	}
@@ -113,31 +113,31 @@
 
 // ReportTo puts a batch on the wire.
 func ReportTo(r *service.Report) *pb.ReportRequest {
-	p := &pb.ReportRequest{Zone: r.Zone, Session: r.Session, Seq: r.Seq}
-	for _, m := range r.Met {
-		p.Met = append(p.Met, &pb.Met{Server: m.Server, Tries: m.Tries, Failed: m.Failed, Good: m.Good, GoodMs: m.GoodMs, Load: m.Load})
+	p := &pb.ReportRequest{Zone: r.Zone, Session: r.Session, Seq: r.Sequence}
+	for _, m := range r.Outcomes {
+		p.Met = append(p.Met, &pb.Met{Server: m.Server, Tries: m.Attempts, Failed: m.Failures, Good: m.Successes, GoodMs: m.SuccessMillis, Load: m.Load})
 	}
-	for _, c := range r.Came {
-		p.Came = append(p.Came, &pb.Came{Class: c.Class, Visits: c.Visits, NoAnswer: c.NoAnswer})
+	for _, c := range r.Demands {
+		p.Came = append(p.Came, &pb.Came{Class: c.Class, Visits: c.Requests, NoAnswer: c.Unanswered})
 	}
 	return p
 }
 
 // ReportOf reads a batch.
 func ReportOf(p *pb.ReportRequest) *service.Report {
-	r := &service.Report{Zone: p.Zone, Session: p.Session, Seq: p.Seq}
+	r := &service.Report{Zone: p.Zone, Session: p.Session, Sequence: p.Seq}
 	for _, m := range p.Met {
-		r.Met = append(r.Met, service.Met{Server: m.Server, Tries: m.Tries, Failed: m.Failed, Good: m.Good, GoodMs: m.GoodMs, Load: m.Load})
+		r.Outcomes = append(r.Outcomes, service.ServerOutcome{Server: m.Server, Attempts: m.Tries, Failures: m.Failed, Successes: m.Good, SuccessMillis: m.GoodMs, Load: m.Load})
 	}
 	for _, c := range p.Came {
-		r.Came = append(r.Came, service.Came{Class: c.Class, Visits: c.Visits, NoAnswer: c.NoAnswer})
+		r.Demands = append(r.Demands, service.ClassDemand{Class: c.Class, Requests: c.Visits, Unanswered: c.NoAnswer})
 	}
 	return r
 }
 
 // ServerTo puts what is known of a server on the wire.
 func ServerTo(s service.ServerState) *pb.ServerState {
-	p := &pb.ServerState{Minor: s.Minor, Name: s.Name, Addr: s.Addr, Zone: s.Zone, State: s.State, ColdNs: uint64(s.ColdFor), Withdrawn: s.Withdrawn, Sight: s.Sight, Why: s.Why}
+	p := &pb.ServerState{Minor: s.Minor, Name: s.Name, Addr: s.Addr, Zone: s.Zone, State: s.State, ColdNs: uint64(s.SlowStartRemaining), Withdrawn: s.Withdrawn, Sight: s.Verdict, Why: s.Reasons}
 	for _, w := range s.Weights {
 		p.Weights = append(p.Weights, &pb.ClassWeight{Zone: w.Zone, Class: w.Class, Weight: uint32(w.Weight)})
 	}
@@ -146,7 +146,7 @@
 
 // ServerOf reads it.
 func ServerOf(p *pb.ServerState) service.ServerState {
-	s := service.ServerState{Minor: p.Minor, Name: p.Name, Addr: p.Addr, Zone: p.Zone, State: p.State, ColdFor: fleet.Time(p.ColdNs), Withdrawn: p.Withdrawn, Sight: p.Sight, Why: p.Why}
+	s := service.ServerState{Minor: p.Minor, Name: p.Name, Addr: p.Addr, Zone: p.Zone, State: p.State, SlowStartRemaining: fleet.Time(p.ColdNs), Withdrawn: p.Withdrawn, Verdict: p.Sight, Reasons: p.Why}
 	for _, w := range p.Weights {
 		s.Weights = append(s.Weights, service.ClassWeight{Zone: w.Zone, Class: w.Class, Weight: int(w.Weight)})
 	}
@@ -157,7 +157,7 @@
 func HistoryTo(h service.History) *pb.HistoryReply {
 	p := &pb.HistoryReply{Minor: h.Minor}
 	for _, v := range h.Versions {
-		p.Versions = append(p.Versions, &pb.VersionRow{Version: VersionTo(v.Version), Digest: uint64(v.Digest), AtNs: int64(v.At), Lines: uint32(v.Lines), Why: v.Why})
+		p.Versions = append(p.Versions, &pb.VersionRow{Version: VersionTo(v.Version), Digest: uint64(v.Digest), AtNs: int64(v.CreatedAt), Lines: uint32(v.Entries), Why: v.Reason})
 	}
 	return p
 }
@@ -166,21 +166,21 @@
 func HistoryOf(p *pb.HistoryReply) service.History {
 	h := service.History{Minor: p.Minor}
 	for _, v := range p.Versions {
-		h.Versions = append(h.Versions, service.VersionRow{Version: VersionOf(v.Version), Digest: tableversion.Digest(v.Digest), At: fleet.Time(v.AtNs), Lines: int(v.Lines), Why: v.Why})
+		h.Versions = append(h.Versions, service.VersionRow{Version: VersionOf(v.Version), Digest: tableversion.Digest(v.Digest), CreatedAt: fleet.Time(v.AtNs), Entries: int(v.Lines), Reason: v.Why})
 	}
 	return h
 }
 
 // SummaryTo puts a summary on the wire.
 func SummaryTo(m service.Summary) *pb.SummaryReply {
-	return &pb.SummaryReply{Minor: m.Minor, Governor: m.Governor, Program: m.Program, Epoch: m.Epoch, ListRev: m.ListRev, ListAgeNs: uint64(m.ListAge), Live: m.Live,
-		Servers: uint32(m.Servers), Ready: uint32(m.Ready), Cold: uint32(m.Cold), Withdrawn: uint32(m.Withdrawn),
+	return &pb.SummaryReply{Minor: m.Minor, Governor: m.Controller, Program: m.Program, Epoch: m.Epoch, ListRev: m.ListRevision, ListAgeNs: uint64(m.ListAge), Live: m.Live,
+		Servers: uint32(m.Servers), Ready: uint32(m.Ready), Cold: uint32(m.WarmingUp), Withdrawn: uint32(m.Withdrawn),
 		ProxiesUp: uint32(m.ProxiesUp), ProxiesAll: uint32(m.ProxiesAll), Watchers: uint32(m.Watchers)}
 }
 
 // SummaryOf reads it.
 func SummaryOf(p *pb.SummaryReply) service.Summary {
-	return service.Summary{Minor: p.Minor, Governor: p.Governor, Program: p.Program, Epoch: p.Epoch, ListRev: p.ListRev, ListAge: fleet.Time(p.ListAgeNs), Live: p.Live,
-		Servers: int(p.Servers), Ready: int(p.Ready), Cold: int(p.Cold), Withdrawn: int(p.Withdrawn),
+	return service.Summary{Minor: p.Minor, Controller: p.Governor, Program: p.Program, Epoch: p.Epoch, ListRevision: p.ListRev, ListAge: fleet.Time(p.ListAgeNs), Live: p.Live,
+		Servers: int(p.Servers), Ready: int(p.Ready), WarmingUp: int(p.Cold), Withdrawn: int(p.Withdrawn),
 		ProxiesUp: int(p.ProxiesUp), ProxiesAll: int(p.ProxiesAll), Watchers: int(p.Watchers)}
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -18,14 +18,14 @@
 // Service is the one core of questions and answers behind both wires.
 type Service struct {
 	Hub    *Hub
-	desk   Desk
+	desk   QueryHandler
 	now    func() fleet.Time
 	mu     sync.Mutex
 	limits *Limits
 }
 
 // New makes a service.
-func New(hub *Hub, desk Desk) *Service {
+func New(hub *Hub, desk QueryHandler) *Service {
 	return &Service{Hub: hub, desk: desk, now: hub.opt.Now, limits: NewLimits()}
 }
 
--- a/internal/service/text/server.go
+++ b/internal/service/text/server.go
@@ -62,7 +62,7 @@
 		srv.network = "unix"
 	}
 	srv.pump = pump{due: map[*link]bool{}, wake: make(chan struct{}, 1), quit: make(chan struct{})}
-	srv.engine = nbio.NewEngine(nbio.Config{Name: "service", Network: srv.network, Addrs: []string{addr}, MaxWriteBufferSize: service.UnsentMost,
+	srv.engine = nbio.NewEngine(nbio.Config{Name: "service", Network: srv.network, Addrs: []string{addr}, MaxWriteBufferSize: service.MaxUnsentBytes,
 		Listen: func(network, addr string) (net.Listener, error) {
 			l, err := haproxyapi.Listen(network, addr)
 			if err == nil {
@@ -72,7 +72,7 @@
 		}})
 	srv.engine.OnOpen(func(c *nbio.Conn) {
 		srv.links.Store(c, &link{server: srv, conn: c, name: origin(c)})
-		_ = c.SetReadDeadline(time.Now().Add(service.IdleMost))
+		_ = c.SetReadDeadline(time.Now().Add(service.IdleTimeout))
 	})
 	srv.engine.OnData(func(c *nbio.Conn, data []byte) {
 		if l, ok := srv.links.Load(c); ok {
@@ -114,7 +114,7 @@
 }
 
 func (l *link) feed(data []byte) {
-	_ = l.conn.SetReadDeadline(time.Now().Add(service.IdleMost))
+	_ = l.conn.SetReadDeadline(time.Now().Add(service.IdleTimeout))
 	err := l.requests.Feed(data, func(commands []haproxyapi.Command) error {
 		for _, c := range commands {
 			if err := l.ask(c); err != nil {
@@ -139,13 +139,13 @@
 				return nil
 			}
 		}
-		return &haproxyapi.SyntaxError{At: c.At, What: "a connection that watches takes 'ack VERSION' only"}
+		return &haproxyapi.SyntaxError{Offset: c.Offset, Reason: "a connection that watches takes 'ack VERSION' only"}
 	}
 	c.Payload = bytes.Clone(c.Payload)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.asked) >= service.AskedMost {
-		return &haproxyapi.SyntaxError{At: c.At, What: fmt.Sprintf("over %d commands wait for their answers", service.AskedMost)}
+	if len(l.asked) >= service.MaxPendingRequests {
+		return &haproxyapi.SyntaxError{Offset: c.Offset, Reason: fmt.Sprintf("over %d commands wait for their answers", service.MaxPendingRequests)}
 	}
 	if l.asked = append(l.asked, c); !l.answers {
 		l.answers = true
@@ -209,12 +209,12 @@
 		}
 		return true
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), service.AskWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), service.RequestTimeout)
 	defer cancel()
 	s := l.server.service
 	switch {
 	case is("hello", "VERSION", "NAME"):
-		l.hello(words[1], words[2], c.At)
+		l.hello(words[1], words[2], c.Offset)
 	case is("get", "table", "ZONE"):
 		u, f := s.Table(name, words[2])
 		if f != nil {
@@ -223,17 +223,17 @@
 		}
 		l.answer(u.Form(service.WireText, func(u *service.Update) any { return PrintUpdate(u) }).([]byte))
 	case is("watch", "table", "ZONE"), is("watch", "table", "ZONE", "VERSION"):
-		l.watch(words[2:], c.At)
+		l.watch(words[2:], c.Offset)
 	case is("report", "ZONE", "SESSION", "SEQ"):
 		session, err := strconv.ParseUint(words[2], 16, 64)
 		seq, err2 := strconv.ParseUint(words[3], 10, 64)
 		if err != nil || err2 != nil {
-			l.fault(service.BadRequest, "byte %d: 'report' expects a zone, a session in hexadecimal and a number", c.At)
+			l.fault(service.BadRequest, "byte %d: 'report' expects a zone, a session in hexadecimal and a number", c.Offset)
 			return
 		}
-		r := &service.Report{Zone: words[1], Session: session, Seq: seq}
+		r := &service.Report{Zone: words[1], Session: session, Sequence: seq}
 		if err := ReadReport(c.Payload, r); err != nil {
-			l.fault(service.BadRequest, "byte %d: payload, %v", c.At, err)
+			l.fault(service.BadRequest, "byte %d: payload, %v", c.Offset, err)
 			return
 		}
 		counted, f := s.Report(name, r)
@@ -244,7 +244,7 @@
 	case is("get", "history", "ZONE", "CLASS", "MOST"):
 		most, err := strconv.Atoi(words[4])
 		if err != nil {
-			l.fault(service.BadRequest, "byte %d: %.40q is no number", c.At, words[4])
+			l.fault(service.BadRequest, "byte %d: %.40q is no number", c.Offset, words[4])
 			return
 		}
 		h, f := s.History(ctx, name, words[2], words[3], most)
@@ -258,7 +258,7 @@
 		l.conn.Close()
 	default:
 		l.fault(service.BadRequest, "byte %d: no such command: %.200q; known are hello VERSION NAME, get table Z, watch table Z [VERSION], report Z SESSION SEQ, get server S, get history Z CLASS N, get summary, quit",
-			c.At, strings.Join(words, " "))
+			c.Offset, strings.Join(words, " "))
 	}
 }
 
@@ -278,7 +278,7 @@
 }
 
 func (l *link) watch(words []string, at int64) {
-	holds := tableversion.None
+	holds := tableversion.NoVersion
 	if len(words) == 2 && words[1] != "-" {
 		var err error
 		if holds, err = tableversion.ParseVersion(words[1]); err != nil {
--- a/internal/service/text/transcript_test.go
+++ b/internal/service/text/transcript_test.go
@@ -39,21 +39,21 @@
 	if name != "s1" {
 		return service.ServerState{}, &service.Fault{Code: service.NoServer, Text: "never heard of"}
 	}
-	return service.ServerState{Name: "s1", Addr: "x:1", Zone: "a", State: "ready", Sight: "well",
-		Weights: []service.ClassWeight{{Zone: "a", Class: "look", Weight: 12}}, Why: []string{"it drains; so says the list"}}, nil
+	return service.ServerState{Name: "s1", Addr: "x:1", Zone: "a", State: "ready", Verdict: "well",
+		Weights: []service.ClassWeight{{Zone: "a", Class: "look", Weight: 12}}, Reasons: []string{"it drains; so says the list"}}, nil
 }
 
 func (desk) History(context.Context, string, string, int) ([]service.VersionRow, error) {
-	return []service.VersionRow{{Version: tableversion.Version{Epoch: 9, Count: 1}, Digest: 5, At: 7, Lines: 3, Why: "by hand"}}, nil
+	return []service.VersionRow{{Version: tableversion.Version{Epoch: 9, Count: 1}, Digest: 5, CreatedAt: 7, Entries: 3, Reason: "by hand"}}, nil
 }
 
 func (desk) Summary(context.Context) (service.Summary, error) {
-	return service.Summary{Governor: "g", Program: "p", Epoch: 9, ListRev: 4, ListAge: 5, Live: true, Servers: 6, Ready: 5, ProxiesAll: 4}, nil
+	return service.Summary{Controller: "g", Program: "p", Epoch: 9, ListRevision: 4, ListAge: 5, Live: true, Servers: 6, Ready: 5, ProxiesAll: 4}, nil
 }
 
 // TestASessionKeepsItsBytes holds requests of the text protocol and what they are answered.
 func TestASessionKeepsItsBytes(t *testing.T) {
-	hub := service.NewHub(service.HubOptions{Governor: "g-1", Epoch: 9, Zones: []service.Zone{{Name: "a"}}, Names: names{"s0", "s1"},
+	hub := service.NewHub(service.HubOptions{Controller: "g-1", Epoch: 9, Zones: []service.Zone{{Name: "a"}}, Names: names{"s0", "s1"},
 		Classes: []fleet.RequestClass{{Name: "look", LatencyObjective: fleet.Second, Deadline: 2 * fleet.Second}},
 		Now:     func() fleet.Time { return 50 * fleet.Second }})
 	if err := hub.Start(context.Background(), func(transport.Event) {}); err != nil {
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = hub.Stop(context.Background()); _ = server.Close(context.Background()) })
-	hub.Send(reconcile.Message{Seq: 1, Changes: []reconcile.Change{{Kind: reconcile.AddLine, Server: 1, Weight: 100, State: reconcile.In}}})
+	hub.Send(reconcile.Message{Sequence: 1, Changes: []reconcile.Change{{Kind: reconcile.AddEntry, Server: 1, Weight: 100, State: reconcile.StateReady}}})
 	c, err := net.Dial("tcp", server.Addr())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/service/text/words.go
+++ b/internal/service/text/words.go
@@ -55,7 +55,7 @@
 func (o *out) bytes() []byte { return append(o.b, '\n') }
 
 func versionText(v tableversion.Version) string {
-	if v == tableversion.None {
+	if v == tableversion.NoVersion {
 		return "-"
 	}
 	return v.String()
@@ -63,11 +63,11 @@
 
 // PrintUpdate prints an update.
 func PrintUpdate(u *service.Update) []byte {
-	o := (&out{make([]byte, 0, 256)}).row("#", "update").num("minor", uint64(u.Minor)).text("governor", u.Governor).num("list_rev", u.ListRev).flag("live", u.Live).
-		text("zone", u.Zone).text("from", versionText(u.From)).text("to", versionText(u.To)).flag("shut", u.Shut).flag("beat", u.Beat)
+	o := (&out{make([]byte, 0, 256)}).row("#", "update").num("minor", uint64(u.Minor)).text("governor", u.Controller).num("list_rev", u.ListRevision).flag("live", u.Live).
+		text("zone", u.Zone).text("from", versionText(u.From)).text("to", versionText(u.To)).flag("shut", u.Shut).flag("beat", u.Heartbeat)
 	for _, c := range u.Classes {
-		o.row("class").text("name", c.Class).flag("laid", c.Laid).text("amount", strconv.Itoa(c.Amount)).num("retry", uint64(c.Retry)).text("digest", c.Digest.String())
-		for _, l := range c.Lines {
+		o.row("class").text("name", c.Class).flag("laid", c.Published).text("amount", strconv.Itoa(c.AdmissionLimit)).num("retry", uint64(c.Retry)).text("digest", c.Digest.String())
+		for _, l := range c.Endpoints {
 			o.row("line").text("server", l.Server).text("addr", l.Addr).num("weight", uint64(l.Weight))
 		}
 	}
@@ -101,14 +101,14 @@
 // PrintReport prints a batch as rows of a payload.
 func PrintReport(r *service.Report) []byte {
 	o := new(out)
-	for _, m := range r.Met {
-		o.row("met").text("server", m.Server).num("tries", m.Tries).num("failed", m.Failed).num("good", m.Good).num("good_ms", m.GoodMs)
+	for _, m := range r.Outcomes {
+		o.row("met").text("server", m.Server).num("tries", m.Attempts).num("failed", m.Failures).num("good", m.Successes).num("good_ms", m.SuccessMillis)
 		if len(m.Load) > 0 {
 			o.text("load", strings.Trim(strings.Join(strings.Fields(fmt.Sprint(m.Load)), ","), "[]"))
 		}
 	}
-	for _, c := range r.Came {
-		o.row("came").text("class", c.Class).num("visits", c.Visits).num("no_answer", c.NoAnswer)
+	for _, c := range r.Demands {
+		o.row("came").text("class", c.Class).num("visits", c.Requests).num("no_answer", c.Unanswered)
 	}
 	return o.bytes()
 }
@@ -116,11 +116,11 @@
 // PrintServer prints what is known of a server.
 func PrintServer(s service.ServerState) []byte {
 	o := new(out).row("#", "server").num("minor", uint64(s.Minor)).text("name", s.Name).text("addr", s.Addr).text("zone", s.Zone).text("state", s.State).
-		num("cold_ns", uint64(s.ColdFor)).flag("withdrawn", s.Withdrawn).text("sight", s.Sight)
+		num("cold_ns", uint64(s.SlowStartRemaining)).flag("withdrawn", s.Withdrawn).text("sight", s.Verdict)
 	for _, w := range s.Weights {
 		o.row("weight").text("zone", w.Zone).text("class", w.Class).num("weight", uint64(w.Weight))
 	}
-	for _, y := range s.Why {
+	for _, y := range s.Reasons {
 		o.row("why").text("text", y)
 	}
 	return o.bytes()
@@ -130,17 +130,17 @@
 func PrintHistory(h service.History) []byte {
 	o := new(out).row("#", "history").num("minor", uint64(h.Minor))
 	for _, v := range h.Versions {
-		o.row("version").text("version", versionText(v.Version)).text("digest", v.Digest.String()).text("at_ns", strconv.FormatInt(int64(v.At), 10)).
-			num("lines", uint64(v.Lines)).text("why", v.Why)
+		o.row("version").text("version", versionText(v.Version)).text("digest", v.Digest.String()).text("at_ns", strconv.FormatInt(int64(v.CreatedAt), 10)).
+			num("lines", uint64(v.Entries)).text("why", v.Reason)
 	}
 	return o.bytes()
 }
 
 // PrintSummary prints a summary.
 func PrintSummary(m service.Summary) []byte {
-	return new(out).row("#", "summary").num("minor", uint64(m.Minor)).text("governor", m.Governor).text("program", m.Program).num("epoch", m.Epoch).
-		num("list_rev", m.ListRev).num("list_age_ns", uint64(m.ListAge)).flag("live", m.Live).num("servers", uint64(m.Servers)).num("ready", uint64(m.Ready)).
-		num("cold", uint64(m.Cold)).num("withdrawn", uint64(m.Withdrawn)).num("proxies_up", uint64(m.ProxiesUp)).num("proxies_all", uint64(m.ProxiesAll)).
+	return new(out).row("#", "summary").num("minor", uint64(m.Minor)).text("governor", m.Controller).text("program", m.Program).num("epoch", m.Epoch).
+		num("list_rev", m.ListRevision).num("list_age_ns", uint64(m.ListAge)).flag("live", m.Live).num("servers", uint64(m.Servers)).num("ready", uint64(m.Ready)).
+		num("cold", uint64(m.WarmingUp)).num("withdrawn", uint64(m.Withdrawn)).num("proxies_up", uint64(m.ProxiesUp)).num("proxies_all", uint64(m.ProxiesAll)).
 		num("watchers", uint64(m.Watchers)).bytes()
 }
 
@@ -181,7 +181,7 @@
 func (r row) version(key string) (v tableversion.Version) {
 	text, is := r.values[key]
 	if !is || text == "-" {
-		return tableversion.None
+		return tableversion.NoVersion
 	}
 	v, err := tableversion.ParseVersion(text)
 	if err != nil {
@@ -270,14 +270,14 @@
 	err = answer(text, "update", func(r row) {
 		switch r.kind {
 		case "# update":
-			u = service.Update{Minor: uint32(r.num("minor", 32)), Governor: r.text("governor"), ListRev: r.num("list_rev", 64), Live: r.num("live", 1) == 1, Zone: r.text("zone"),
-				From: r.version("from"), To: r.version("to"), Shut: r.num("shut", 1) == 1, Beat: r.num("beat", 1) == 1}
+			u = service.Update{Minor: uint32(r.num("minor", 32)), Controller: r.text("governor"), ListRevision: r.num("list_rev", 64), Live: r.num("live", 1) == 1, Zone: r.text("zone"),
+				From: r.version("from"), To: r.version("to"), Shut: r.num("shut", 1) == 1, Heartbeat: r.num("beat", 1) == 1}
 		case "class":
-			u.Classes = append(u.Classes, service.ClassTable{Class: r.text("name"), Laid: r.num("laid", 1) == 1, Amount: int(r.int("amount")), Retry: fleet.RetryMode(r.num("retry", 8)), Digest: r.digest("digest")})
+			u.Classes = append(u.Classes, service.ClassTable{Class: r.text("name"), Published: r.num("laid", 1) == 1, AdmissionLimit: int(r.int("amount")), Retry: fleet.RetryMode(r.num("retry", 8)), Digest: r.digest("digest")})
 		case "line":
 			if n := len(u.Classes); n > 0 {
 				c := &u.Classes[n-1]
-				c.Lines = append(c.Lines, service.Line{Server: r.text("server"), Addr: r.text("addr"), Weight: int(r.num("weight", 16))})
+				c.Endpoints = append(c.Endpoints, service.Endpoint{Server: r.text("server"), Addr: r.text("addr"), Weight: int(r.num("weight", 16))})
 			} else {
 				*r.err = fmt.Errorf("line %d: a line of no class", r.line)
 			}
@@ -315,7 +315,7 @@
 	return read(payload, func(r row) {
 		switch r.kind {
 		case "met":
-			m := service.Met{Server: r.text("server"), Tries: r.num("tries", 64), Failed: r.num("failed", 64), Good: r.num("good", 64), GoodMs: r.num("good_ms", 64)}
+			m := service.ServerOutcome{Server: r.text("server"), Attempts: r.num("tries", 64), Failures: r.num("failed", 64), Successes: r.num("good", 64), SuccessMillis: r.num("good_ms", 64)}
 			for _, f := range strings.Split(r.text("load"), ",") {
 				if f == "" {
 					continue
@@ -326,9 +326,9 @@
 				}
 				m.Load = append(m.Load, uint32(v))
 			}
-			into.Met = append(into.Met, m)
+			into.Outcomes = append(into.Outcomes, m)
 		case "came":
-			into.Came = append(into.Came, service.Came{Class: r.text("class"), Visits: r.num("visits", 64), NoAnswer: r.num("no_answer", 64)})
+			into.Demands = append(into.Demands, service.ClassDemand{Class: r.text("class"), Requests: r.num("visits", 64), Unanswered: r.num("no_answer", 64)})
 		}
 	})
 }
@@ -339,11 +339,11 @@
 		switch r.kind {
 		case "# server":
 			s = service.ServerState{Minor: uint32(r.num("minor", 32)), Name: r.text("name"), Addr: r.text("addr"), Zone: r.text("zone"), State: r.text("state"),
-				ColdFor: fleet.Time(r.num("cold_ns", 63)), Withdrawn: r.num("withdrawn", 1) == 1, Sight: r.text("sight")}
+				SlowStartRemaining: fleet.Time(r.num("cold_ns", 63)), Withdrawn: r.num("withdrawn", 1) == 1, Verdict: r.text("sight")}
 		case "weight":
 			s.Weights = append(s.Weights, service.ClassWeight{Zone: r.text("zone"), Class: r.text("class"), Weight: int(r.num("weight", 16))})
 		case "why":
-			s.Why = append(s.Why, r.text("text"))
+			s.Reasons = append(s.Reasons, r.text("text"))
 		}
 	})
 	return s, err
@@ -356,7 +356,7 @@
 		case "# history":
 			h.Minor = uint32(r.num("minor", 32))
 		case "version":
-			h.Versions = append(h.Versions, service.VersionRow{Version: r.version("version"), Digest: r.digest("digest"), At: fleet.Time(r.int("at_ns")), Lines: int(r.num("lines", 31)), Why: r.text("why")})
+			h.Versions = append(h.Versions, service.VersionRow{Version: r.version("version"), Digest: r.digest("digest"), CreatedAt: fleet.Time(r.int("at_ns")), Entries: int(r.num("lines", 31)), Reason: r.text("why")})
 		}
 	})
 	return h, err
@@ -369,8 +369,8 @@
 			return
 		}
 		n := func(key string) int { return int(r.num(key, 31)) }
-		m = service.Summary{Minor: uint32(r.num("minor", 32)), Governor: r.text("governor"), Program: r.text("program"), Epoch: r.num("epoch", 64), ListRev: r.num("list_rev", 64),
-			ListAge: fleet.Time(r.num("list_age_ns", 63)), Live: r.num("live", 1) == 1, Servers: n("servers"), Ready: n("ready"), Cold: n("cold"), Withdrawn: n("withdrawn"),
+		m = service.Summary{Minor: uint32(r.num("minor", 32)), Controller: r.text("governor"), Program: r.text("program"), Epoch: r.num("epoch", 64), ListRevision: r.num("list_rev", 64),
+			ListAge: fleet.Time(r.num("list_age_ns", 63)), Live: r.num("live", 1) == 1, Servers: n("servers"), Ready: n("ready"), WarmingUp: n("cold"), Withdrawn: n("withdrawn"),
 			ProxiesUp: n("proxies_up"), ProxiesAll: n("proxies_all"), Watchers: n("watchers")}
 	})
 	return m, err
--- a/internal/service/view.go
+++ b/internal/service/view.go
@@ -20,7 +20,7 @@
 }
 
 func (c cell) usable() int {
-	if c.state == reconcile.In {
+	if c.state == reconcile.StateReady {
 		return int(c.weight)
 	}
 	return 0
@@ -30,7 +30,7 @@
 	name   string
 	laid   bool
 	cells  map[string]cell
-	level  reconcile.Level
+	level  reconcile.Admission
 	digest tableversion.Digest
 }
 
@@ -49,15 +49,15 @@
 	classes []*classView
 	history []change // oldest first, without gaps
 	kept    int
-	facts   Facts
+	facts   PublishedState
 	origin  Update // what all updates say alike
 }
 
 // NewView makes a view in an epoch in which nothing is laid.
 func NewView(governor, zone string, epoch uint64, classes []string) *View {
-	v := &View{zone: zone, version: tableversion.Version{Epoch: epoch}, origin: Update{Minor: Minor, Governor: governor, Zone: zone}}
+	v := &View{zone: zone, version: tableversion.Version{Epoch: epoch}, origin: Update{Minor: Minor, Controller: governor, Zone: zone}}
 	for _, c := range classes {
-		v.classes = append(v.classes, &classView{name: c, cells: map[string]cell{}, level: reconcile.Level{Amount: -1}})
+		v.classes = append(v.classes, &classView{name: c, cells: map[string]cell{}, level: reconcile.Admission{Limit: -1}})
 	}
 	return v
 }
@@ -87,37 +87,37 @@
 			continue
 		}
 		c := v.classes[ch.Class]
-		if ch.Kind == reconcile.SetVersion {
+		if ch.Kind == reconcile.UpdateVersion {
 			continue
 		}
-		if ch.Kind == reconcile.SetLevels {
-			if c.level != ch.Level {
-				c.level, one.levels[ch.Class] = ch.Level, true
+		if ch.Kind == reconcile.UpdateAdmission {
+			if c.level != ch.Admission {
+				c.level, one.levels[ch.Class] = ch.Admission, true
 			}
 			continue
 		}
 		server, addr := name(ch.Server)
 		have, there := c.cells[server]
 		switch {
-		case ch.Kind == reconcile.DelLine && there:
+		case ch.Kind == reconcile.DeleteEntry && there:
 			delete(c.cells, server)
-		case ch.Kind == reconcile.AddLine && there:
-			failures = append(failures, reconcile.Failure{Index: i, Fault: reconcile.LineExists, Text: "already exists"})
+		case ch.Kind == reconcile.AddEntry && there:
+			failures = append(failures, reconcile.Failure{Index: i, Kind: reconcile.FailureEntryExists, Text: "already exists"})
 			continue
-		case ch.Kind != reconcile.AddLine && !there:
-			failures = append(failures, reconcile.Failure{Index: i, Fault: reconcile.NoLine, Text: "no such server"})
+		case ch.Kind != reconcile.AddEntry && !there:
+			failures = append(failures, reconcile.Failure{Index: i, Kind: reconcile.FailureEntryMissing, Text: "no such server"})
 			continue
 		default:
-			if !there || ch.Moved {
+			if !there || ch.AddressChanged {
 				have.addr = addr
 			}
 			if ch.Weight >= 0 {
 				have.weight = ch.Weight
 			}
-			if ch.State != reconcile.Stays {
+			if ch.State != reconcile.StateUnchanged {
 				have.state = ch.State
 			} else if !there {
-				have.state = reconcile.In
+				have.state = reconcile.StateReady
 			}
 			c.cells[server] = have
 		}
@@ -129,7 +129,7 @@
 		}
 		c.digest = 0
 		for server, cell := range c.cells {
-			c.digest += tableversion.LineDigest(server, cell.usable())
+			c.digest += tableversion.EntryDigest(server, cell.usable())
 			c.laid = c.laid || cell.usable() > 0
 		}
 	}
@@ -169,10 +169,10 @@
 
 // Facts hears of the list. While a class is not laid callers go by what they hold, less what is not open: that is then a version of
 // its own. Open tells whether it is.
-func (v *View) Facts(f Facts) bool {
+func (v *View) Facts(f PublishedState) bool {
 	opens := !v.Laid() && !slices.Equal(f.Open, v.facts.Open)
 	v.facts = f
-	v.origin.ListRev, v.origin.Live = f.ListRev, f.Live
+	v.origin.ListRevision, v.origin.Live = f.ListRevision, f.Live
 	if opens {
 		v.next(v.begin())
 	}
@@ -182,7 +182,7 @@
 // Beat gives a sign of life.
 func (v *View) Beat() Update {
 	u := v.origin
-	u.From, u.To, u.Beat = v.version, v.version, true
+	u.From, u.To, u.Heartbeat = v.version, v.version, true
 	return u
 }
 
@@ -194,12 +194,12 @@
 		u.Shut, u.Open = true, v.facts.Open
 	}
 	at := slices.IndexFunc(v.history, func(c change) bool { return c.to == from })
-	if at < 0 && from != v.version || from == tableversion.None {
+	if at < 0 && from != v.version || from == tableversion.NoVersion {
 		for _, c := range v.classes {
 			t := c.head()
 			for server, cell := range c.cells {
 				if w := cell.usable(); w > 0 && c.laid {
-					t.Lines = append(t.Lines, Line{server, cell.addr, w})
+					t.Endpoints = append(t.Endpoints, Endpoint{server, cell.addr, w})
 				}
 			}
 			u.Classes = append(u.Classes, t.sorted())
@@ -215,7 +215,7 @@
 		}
 		t := c.head()
 		for server := range servers {
-			t.Lines = append(t.Lines, Line{server, c.cells[server].addr, c.cells[server].usable()})
+			t.Endpoints = append(t.Endpoints, Endpoint{server, c.cells[server].addr, c.cells[server].usable()})
 		}
 		if len(servers) > 0 || level {
 			u.Classes = append(u.Classes, t.sorted())
@@ -225,14 +225,14 @@
 }
 
 func (c *classView) head() ClassTable {
-	t := ClassTable{Class: c.name, Laid: c.laid, Amount: int(c.level.Amount), Retry: c.level.Retry, Digest: c.digest}
+	t := ClassTable{Class: c.name, Published: c.laid, AdmissionLimit: int(c.level.Limit), Retry: c.level.Retry, Digest: c.digest}
 	if !c.level.Known {
-		t.Amount = -1
+		t.AdmissionLimit = -1
 	}
 	return t
 }
 
 func (t ClassTable) sorted() ClassTable {
-	slices.SortFunc(t.Lines, func(a, b Line) int { return strings.Compare(a.Server, b.Server) })
+	slices.SortFunc(t.Endpoints, func(a, b Endpoint) int { return strings.Compare(a.Server, b.Server) })
 	return t
 }
--- a/internal/service/words.go
+++ b/internal/service/words.go
@@ -52,8 +52,8 @@
 	return &Fault{Code: code, Text: fmt.Sprintf(format, args...)}
 }
 
-// Line is a server that a class may use, with its weight: 1 to 256; in a change 0 takes it out.
-type Line struct {
+// Endpoint is a server that a class may use, with its weight: 1 to 256; in a change 0 takes it out.
+type Endpoint struct {
 	Server, Addr string
 	Weight       int
 }
@@ -61,27 +61,27 @@
 // ClassTable is what a class's visits go by. Where it is not laid the governor has none yet, and what a caller holds stands, less
 // what is not open.
 type ClassTable struct {
-	Class  string
-	Laid   bool
-	Amount int // thousandths of the visits to let in; negative: all
-	Retry  fleet.RetryMode
-	Digest tableversion.Digest // of the whole
-	Lines  []Line              // by server; in a change those that differ
+	Class          string
+	Published      bool
+	AdmissionLimit int // thousandths of the visits to let in; negative: all
+	Retry          fleet.RetryMode
+	Digest         tableversion.Digest // of the whole
+	Endpoints      []Endpoint          // by server; in a change those that differ
 }
 
 // Update is the whole of a zone, what has changed of it, or a sign of life.
 type Update struct {
-	Minor    uint32 // of the protocol that it was written for
-	Governor string
-	ListRev  uint64 // of the list that it was decided by
-	Live     bool   // that list came from its source since the governor started
-	Zone     string
-	From     tableversion.Version // None: the whole
-	To       tableversion.Version
-	Classes  []ClassTable
-	Shut     bool     // Open is told
-	Open     []string // servers that a caller may go on using where a class is not laid, by name
-	Beat     bool
+	Minor        uint32 // of the protocol that it was written for
+	Controller   string
+	ListRevision uint64 // of the list that it was decided by
+	Live         bool   // that list came from its source since the governor started
+	Zone         string
+	From         tableversion.Version // None: the whole
+	To           tableversion.Version
+	Classes      []ClassTable
+	Shut         bool     // Open is told
+	Open         []string // servers that a caller may go on using where a class is not laid, by name
+	Heartbeat    bool
 }
 
 // Hello tells who speaks.
@@ -93,37 +93,37 @@
 	Classes      []fleet.RequestClass
 }
 
-// Met is what a caller met at a server since its last report.
-type Met struct {
-	Server                      string
-	Tries, Failed, Good, GoodMs uint64
-	Load                        []uint32 // thousandths, in the order of the governor's settings; the newest; may be none
+// ServerOutcome is what a caller met at a server since its last report.
+type ServerOutcome struct {
+	Server                                       string
+	Attempts, Failures, Successes, SuccessMillis uint64
+	Load                                         []uint32 // thousandths, in the order of the governor's settings; the newest; may be none
 }
 
-// Came is what came to a class at a caller since its last report.
-type Came struct {
-	Class            string
-	Visits, NoAnswer uint64
+// ClassDemand is what came to a class at a caller since its last report.
+type ClassDemand struct {
+	Class                string
+	Requests, Unanswered uint64
 }
 
 // Report is a batch of outcomes. A batch that comes again has the same number and counts once.
 type Report struct {
-	Zone    string
-	Session uint64 // of the caller, drawn at its start
-	Seq     uint64 // from 1
-	Met     []Met
-	Came    []Came
+	Zone     string
+	Session  uint64 // of the caller, drawn at its start
+	Sequence uint64 // from 1
+	Outcomes []ServerOutcome
+	Demands  []ClassDemand
 }
 
 // ServerState is what is known of a server and why.
 type ServerState struct {
 	Minor                   uint32
 	Name, Addr, Zone, State string
-	ColdFor                 fleet.Time // how long it counts as cold still
+	SlowStartRemaining      fleet.Time // how long it counts as cold still
 	Withdrawn               bool
-	Sight                   string
+	Verdict                 string
 	Weights                 []ClassWeight
-	Why                     []string
+	Reasons                 []string
 }
 
 // ClassWeight is the weight of a server for a class in a zone.
@@ -134,11 +134,11 @@
 
 // VersionRow is one version of a table.
 type VersionRow struct {
-	Version tableversion.Version
-	Digest  tableversion.Digest
-	At      fleet.Time
-	Lines   int // that it changed
-	Why     string
+	Version   tableversion.Version
+	Digest    tableversion.Digest
+	CreatedAt fleet.Time
+	Entries   int // that it changed
+	Reason    string
 }
 
 // History is some versions of a table, oldest first.
@@ -149,25 +149,25 @@
 
 // Summary is how the fleet stands, as one governor has it.
 type Summary struct {
-	Minor                           uint32
-	Governor, Program               string
-	Epoch, ListRev                  uint64
-	ListAge                         fleet.Time
-	Live                            bool
-	Servers, Ready, Cold, Withdrawn int
-	ProxiesUp, ProxiesAll, Watchers int
+	Minor                                uint32
+	Controller, Program                  string
+	Epoch, ListRevision                  uint64
+	ListAge                              fleet.Time
+	Live                                 bool
+	Servers, Ready, WarmingUp, Withdrawn int
+	ProxiesUp, ProxiesAll, Watchers      int
 }
 
-// Desk answers what the governor's loop knows.
-type Desk interface {
+// QueryHandler answers what the governor's loop knows.
+type QueryHandler interface {
 	Server(ctx context.Context, name string) (ServerState, error)
 	History(ctx context.Context, zone, class string, most int) ([]VersionRow, error)
 	Summary(ctx context.Context) (Summary, error)
 }
 
-// Facts are what callers are told beside tables, when it changes.
-type Facts struct {
-	ListRev uint64
-	Live    bool
-	Open    []string // servers listed as ready that are not withdrawn, by name
+// PublishedState are what callers are told beside tables, when it changes.
+type PublishedState struct {
+	ListRevision uint64
+	Live         bool
+	Open         []string // servers listed as ready that are not withdrawn, by name
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -66,10 +66,10 @@
 
 // Options say where a store is.
 type Options struct {
-	Folder   string
-	FS       vfs.FS                           // nil: the system's
-	ReadOnly bool                             // looks only
-	Told     func(failing bool, behind error) // when it begins to fail, and when it has caught up; may be nil
+	Directory      string
+	FS             vfs.FS                           // nil: the system's
+	ReadOnly       bool                             // looks only
+	OnHealthChange func(failing bool, behind error) // when it begins to fail, and when it has caught up; may be nil
 }
 
 // Store is an open store. Put may be called from any goroutine and never waits for the disk.
@@ -100,12 +100,12 @@
 	if o.FS == nil {
 		o.FS = vfs.Default
 	}
-	if o.Told == nil {
-		o.Told = func(bool, error) {}
+	if o.OnHealthChange == nil {
+		o.OnHealthChange = func(bool, error) {}
 	}
 	if !o.ReadOnly {
-		if err := o.FS.MkdirAll(o.Folder, 0o700); err != nil {
-			return nil, fmt.Errorf("store %s: %w", o.Folder, err)
+		if err := o.FS.MkdirAll(o.Directory, 0o700); err != nil {
+			return nil, fmt.Errorf("store %s: %w", o.Directory, err)
 		}
 	}
 	format, err := readFormat(o)
@@ -113,17 +113,17 @@
 		return nil, err
 	}
 	if format > Format { // before anything of it is touched
-		return nil, &NewerError{o.Folder, format}
+		return nil, &NewerError{o.Directory, format}
 	}
 	s := &Store{opt: o, dirty: map[string]*item{}, wake: make(chan struct{}, 1), quit: make(chan struct{})}
-	if s.lock, err = pebble.LockDirectory(o.Folder, o.FS); err != nil {
-		return nil, &BusyError{o.Folder, err}
+	if s.lock, err = pebble.LockDirectory(o.Directory, o.FS); err != nil {
+		return nil, &BusyError{o.Directory, err}
 	}
 	if s.db, err = s.open(); err == nil && !o.ReadOnly {
 		err = s.migrate(format)
 	}
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("store %s: %w", o.Folder, err), s.lock.Close())
+		return nil, errors.Join(fmt.Errorf("store %s: %w", o.Directory, err), s.lock.Close())
 	}
 	if !o.ReadOnly {
 		s.done.Add(1)
@@ -136,7 +136,7 @@
 	defer caught(&err)
 	cache := pebble.NewCache(cacheBytes)
 	defer cache.Unref()
-	return pebble.Open(s.opt.Folder, &pebble.Options{FS: s.opt.FS, Lock: s.lock, ReadOnly: s.opt.ReadOnly, Logger: logger{}, Cache: cache,
+	return pebble.Open(s.opt.Directory, &pebble.Options{FS: s.opt.FS, Lock: s.lock, ReadOnly: s.opt.ReadOnly, Logger: logger{}, Cache: cache,
 		MemTableSize: memBytes, FormatMajorVersion: pebble.FormatNewest, ErrorIfNotExists: s.opt.ReadOnly,
 		EventListener: &pebble.EventListener{DataCorruption: func(i pebble.DataCorruptionInfo) { s.damaged(i.Details) }}})
 }
@@ -186,25 +186,25 @@
 }
 
 func readFormat(o Options) (int, error) {
-	f, err := o.FS.Open(filepath.Join(o.Folder, formatFile))
+	f, err := o.FS.Open(filepath.Join(o.Directory, formatFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, nil
 	}
 	if err != nil {
-		return 0, fmt.Errorf("store %s: %w", o.Folder, err)
+		return 0, fmt.Errorf("store %s: %w", o.Directory, err)
 	}
 	defer f.Close()
 	var text [32]byte
 	n, _ := f.Read(text[:])
 	var format int
 	if _, err := fmt.Sscanf(string(text[:n]), "cressknot store %d\n", &format); err != nil || format < 1 {
-		return 0, fmt.Errorf("store %s: %s can't be read: it is no store, or a damaged one", o.Folder, formatFile)
+		return 0, fmt.Errorf("store %s: %s can't be read: it is no store, or a damaged one", o.Directory, formatFile)
 	}
 	return format, nil
 }
 
 func writeFormat(o Options) error {
-	path, aside := filepath.Join(o.Folder, formatFile), filepath.Join(o.Folder, formatFile+".new")
+	path, aside := filepath.Join(o.Directory, formatFile), filepath.Join(o.Directory, formatFile+".new")
 	f, err := o.FS.Create(aside, "format")
 	if err != nil {
 		return err
@@ -216,7 +216,7 @@
 	if err != nil {
 		return err
 	}
-	d, err := o.FS.OpenDir(o.Folder)
+	d, err := o.FS.OpenDir(o.Directory)
 	if err != nil {
 		return err
 	}
@@ -326,12 +326,12 @@
 		switch err := s.commit(); {
 		case err != nil && wait == 0:
 			wait = retryFirst
-			s.opt.Told(true, err)
+			s.opt.OnHealthChange(true, err)
 		case err != nil:
 			wait = min(retryLast, 2*wait)
 		case wait > 0:
 			wait = 0
-			s.opt.Told(false, nil)
+			s.opt.OnHealthChange(false, nil)
 		}
 	}
 }
@@ -419,10 +419,10 @@
 	return b.Commit(pebble.Sync)
 }
 
-// Damage is a record that can't be believed.
-type Damage struct{ Key, Why string }
+// Corruption is a record that can't be believed.
+type Corruption struct{ Key, Why string }
 
-func (d Damage) String() string { return d.Key + ": " + d.Why }
+func (d Corruption) String() string { return d.Key + ": " + d.Why }
 
 func (s *Store) each(prefix string, do func(key string, raw []byte) error) (err error) {
 	defer caught(&err)
@@ -448,34 +448,34 @@
 
 // Read gives the records whose keys begin with a prefix, in the order of keys, as they are on disk. Those that can't be believed
 // are told, not given.
-func (s *Store) Read(prefix string, each func(key string, payload []byte) error) (damage []Damage, err error) {
+func (s *Store) Read(prefix string, each func(key string, payload []byte) error) (damage []Corruption, err error) {
 	err = s.each(prefix, func(key string, raw []byte) error {
 		payload, ok := unseal(key, raw)
 		if !ok {
-			damage = append(damage, Damage{key, "its checksum differs"})
+			damage = append(damage, Corruption{key, "its checksum differs"})
 			return nil
 		}
 		return each(key, payload)
 	})
 	if err != nil {
-		err = fmt.Errorf("store %s: %w", s.opt.Folder, err)
+		err = fmt.Errorf("store %s: %w", s.opt.Directory, err)
 	}
 	return damage, err
 }
 
-// Figures tell what was written, and what is on disk.
-type Figures struct {
+// Statistics tell what was written, and what is on disk.
+type Statistics struct {
 	Commits, Records, Bytes uint64
 	Written                 uint64 // by the library, logs and compactions in it
 	OnDisk                  uint64
 	Behind                  int // records in hand that are not on disk
 }
 
-// Figures of the store since it was opened.
-func (s *Store) Figures() Figures {
+// Statistics of the store since it was opened.
+func (s *Store) Statistics() Statistics {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := Figures{Commits: s.commits, Records: s.records, Bytes: s.bytes, Behind: len(s.order)}
+	f := Statistics{Commits: s.commits, Records: s.records, Bytes: s.bytes, Behind: len(s.order)}
 	if s.db != nil {
 		m := s.db.Metrics()
 		f.OnDisk = m.DiskSpaceUsage()
@@ -502,7 +502,7 @@
 	if err := s.db.Checkpoint(folder, pebble.WithFlushedWAL()); err != nil {
 		return fmt.Errorf("store: backup: %w", err)
 	}
-	return writeFormat(Options{Folder: folder, FS: s.opt.FS})
+	return writeFormat(Options{Directory: folder, FS: s.opt.FS})
 }
 
 // Close writes what is in hand and ends it. The error tells what could not be kept.
@@ -530,5 +530,5 @@
 	return err == nil
 }
 
-// Join puts a key together; parts hold no slash.
-func Join(parts ...string) string { return strings.Join(parts, "/") }
+// Key puts a key together; parts hold no slash.
+func Key(parts ...string) string { return strings.Join(parts, "/") }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -20,7 +20,7 @@
 
 func mustOpen(t testing.TB, fs vfs.FS) *Store {
 	t.Helper()
-	s, err := Open(Options{Folder: "store", FS: fs})
+	s, err := Open(Options{Directory: "store", FS: fs})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 	}
 }
 
-func content(s *Store) (map[string]int, []Damage, error) {
+func content(s *Store) (map[string]int, []Corruption, error) {
 	all := map[string]int{}
 	damage, err := s.Read("", func(key string, payload []byte) error {
 		var n int
@@ -167,7 +167,7 @@
 	}
 	began, inside := 0, 0
 	for i, c := range cuts {
-		s, err := Open(Options{Folder: "store", FS: c.fs})
+		s, err := Open(Options{Directory: "store", FS: c.fs})
 		if err != nil {
 			if c.kept == 0 { // the folder itself was being made
 				began++
@@ -253,7 +253,7 @@
 	}
 	try := func(name string, fs vfs.FS) {
 		cases++
-		s, err := Open(Options{Folder: "store", FS: fs})
+		s, err := Open(Options{Directory: "store", FS: fs})
 		if err != nil {
 			if refused++; !strings.HasPrefix(err.Error(), "store store: ") {
 				t.Errorf("%s: %v", name, err)
@@ -375,7 +375,7 @@
 func TestFullDisk(t *testing.T) {
 	mem, broken := vfs.NewCrashableMem(), atomic.Bool{}
 	told := make(chan string, 8)
-	s, err := Open(Options{Folder: "store", FS: failing{mem, &broken}, Told: func(failing bool, err error) { told <- fmt.Sprint(failing, " ", err) }})
+	s, err := Open(Options{Directory: "store", FS: failing{mem, &broken}, OnHealthChange: func(failing bool, err error) { told <- fmt.Sprint(failing, " ", err) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -393,7 +393,7 @@
 	if got := <-told; !strings.HasPrefix(got, "true ") || !strings.Contains(got, "no space left") {
 		t.Errorf("told %q", got)
 	}
-	if f := s.Figures(); f.Behind != 49 {
+	if f := s.Statistics(); f.Behind != 49 {
 		t.Errorf("%d records in hand", f.Behind)
 	}
 	broken.Store(false)
@@ -413,7 +413,7 @@
 	s := mustOpen(t, fs)
 	put(t, s, Change{"k/1", 1}, Change{"k/2", 2})
 	var busy *BusyError
-	if _, err := Open(Options{Folder: "store", FS: fs}); !errors.As(err, &busy) {
+	if _, err := Open(Options{Directory: "store", FS: fs}); !errors.As(err, &busy) {
 		t.Errorf("a second opening: %v", err)
 	}
 	if err := s.Put([]Change{{"k/3", func() {}}}, nil); err == nil || !strings.Contains(err.Error(), "k/3") {
@@ -423,7 +423,7 @@
 		t.Fatal(err)
 	}
 	put(t, s, Change{"k/1", 5})
-	copied, err := Open(Options{Folder: "copy", FS: fs, ReadOnly: true})
+	copied, err := Open(Options{Directory: "copy", FS: fs, ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -458,7 +458,7 @@
 	overwrite(t, fs, "store/FORMAT", []byte("cressknot store 9\n"))
 	before, _ := fs.List("store")
 	var newer *NewerError
-	if _, err := Open(Options{Folder: "store", FS: fs}); !errors.As(err, &newer) || newer.Format != 9 {
+	if _, err := Open(Options{Directory: "store", FS: fs}); !errors.As(err, &newer) || newer.Format != 9 {
 		t.Errorf("a newer format: %v", err)
 	}
 	if after, _ := fs.List("store"); len(after) != len(before) {
@@ -469,7 +469,7 @@
 func BenchmarkCommit(b *testing.B) {
 	for _, group := range []bool{false, true} {
 		b.Run(fmt.Sprint("group=", group), func(b *testing.B) {
-			s, err := Open(Options{Folder: b.TempDir()})
+			s, err := Open(Options{Directory: b.TempDir()})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -488,7 +488,7 @@
 				}
 				b.N--
 			}
-			f := s.Figures()
+			f := s.Statistics()
 			b.ReportMetric(float64(f.Written)/float64(max(1, f.Bytes)), "write-amplification")
 		})
 	}
--- a/internal/tableversion/tables.go
+++ b/internal/tableversion/tables.go
@@ -23,8 +23,8 @@
 	Count uint64 `json:"Count"` // from 1
 }
 
-// None is the version of a proxy that holds no table of any governor.
-var None Version
+// NoVersion is the version of a proxy that holds no table of any governor.
+var NoVersion Version
 
 // Compare orders versions.
 func (v Version) Compare(o Version) int {
@@ -49,7 +49,7 @@
 	e, err := strconv.ParseUint(epoch, 36, 64)
 	n, err2 := strconv.ParseUint(count, 10, 64)
 	if !ok || err != nil || err2 != nil || len(text) > 40 {
-		return None, fmt.Errorf("%.40q is no version: it reads as EPOCH.COUNT", text)
+		return NoVersion, fmt.Errorf("%.40q is no version: it reads as EPOCH.COUNT", text)
 	}
 	return Version{e, n}, nil
 }
@@ -60,9 +60,9 @@
 
 func (d Digest) String() string { return fmt.Sprintf("%016x", uint64(d)) }
 
-// LineDigest gives the digest of one line: xxhash64 of the server's name, a space and the weight in decimal, as
+// EntryDigest gives the digest of one line: xxhash64 of the server's name, a space and the weight in decimal, as
 // "node-07 128". A line of weight 0 is none and has digest 0.
-func LineDigest(server string, weight int) Digest {
+func EntryDigest(server string, weight int) Digest {
 	if weight <= 0 {
 		return 0
 	}
@@ -71,24 +71,24 @@
 	return Digest(xxhash.Sum64(strconv.AppendInt(b, int64(weight), 10)))
 }
 
-// Line is one line of a table: the weight that proxies are sent, 0 to 256; 0 in a delta takes it out. Was is what a
+// Entry is one line of a table: the weight that proxies are sent, 0 to 256; 0 in a delta takes it out. Was is what a
 // delta found.
-type Line struct {
-	Server      fleet.ServerID
-	Weight, Was int
+type Entry struct {
+	Server           fleet.ServerID
+	Weight, Previous int
 }
 
 // Delta takes a table from one version to another. Lines are by server, one for each.
 type Delta struct {
 	From, To             Version
 	FromDigest, ToDigest Digest
-	Lines                []Line
-	At                   fleet.Time // when it was made
-	Why                  string     // "" for the module's own
+	Entries              []Entry
+	CreatedAt            fleet.Time // when it was made
+	Reason               string     // "" for the module's own
 }
 
-// Names gives the names of servers, of which digests are made.
-type Names func(fleet.ServerID) string
+// NameFunc gives the names of servers, of which digests are made.
+type NameFunc func(fleet.ServerID) string
 
 // Table is one class table with its versions. The zero value is not ready; New makes one.
 type Table struct {
@@ -96,10 +96,10 @@
 	epoch   uint64 // of versions from here on, if later
 	digest  Digest
 	lines   map[fleet.ServerID]int
-	names   Names
+	names   NameFunc
 	history []Delta // oldest first, without gaps up to the present version
 	kept    int     // lines in history
-	bounds  Bounds
+	bounds  HistoryLimits
 	plans   map[held]plan // of the present version: followers on one version share the work
 }
 
@@ -111,24 +111,24 @@
 }
 
 type plan struct {
-	way    Way
+	way    DeltaPath
 	deltas []Delta
 }
 
-// Bounds keep the history small.
-type Bounds struct {
-	Lines int        // in all deltas that are kept
-	Age   fleet.Time // of the oldest
+// HistoryLimits keep the history small.
+type HistoryLimits struct {
+	MaxEntries int        // in all deltas that are kept
+	MaxAge     fleet.Time // of the oldest
 }
 
 // New makes an empty table in an epoch.
-func New(epoch uint64, names Names, bounds Bounds) *Table {
+func New(epoch uint64, names NameFunc, bounds HistoryLimits) *Table {
 	return &Table{version: Version{Epoch: epoch}, lines: map[fleet.ServerID]int{}, names: names, bounds: bounds}
 }
 
 // Restore makes a table of what was kept: the whole at some version, and deltas in their order, some of which lead there and some
 // on. Versions go on in the new epoch. What does not fit is an error; deltas before a gap are left out, as no way leads from them.
-func Restore(epoch uint64, names Names, bounds Bounds, at Version, digest Digest, whole []Line, deltas []Delta) (*Table, error) {
+func Restore(epoch uint64, names NameFunc, bounds HistoryLimits, at Version, digest Digest, whole []Entry, deltas []Delta) (*Table, error) {
 	t := New(at.Epoch, names, bounds)
 	t.version, t.epoch = at, epoch
 	for _, l := range whole {
@@ -142,7 +142,7 @@
 			if d.From != t.version || d.FromDigest != t.digest {
 				return nil, &MismatchError{fmt.Sprintf("a delta from %s does not go on from version %s", d.From, t.version)}
 			}
-			for _, l := range d.Lines {
+			for _, l := range d.Entries {
 				t.put(l)
 			}
 			if t.version = d.To; t.digest != d.ToDigest {
@@ -153,7 +153,7 @@
 			t.history, t.kept = nil, 0
 		}
 		t.history = append(t.history, d)
-		t.kept += len(d.Lines)
+		t.kept += len(d.Entries)
 	}
 	if n := len(t.history); n > 0 && t.history[n-1].To != t.version {
 		t.history, t.kept = nil, 0
@@ -161,8 +161,8 @@
 	return t, nil
 }
 
-// Begin makes a version of an epoch, if that is later, of the same lines: what is told from here on comes after all of epochs before.
-func (t *Table) Begin(now fleet.Time, epoch uint64, why string) {
+// BeginEpoch makes a version of an epoch, if that is later, of the same lines: what is told from here on comes after all of epochs before.
+func (t *Table) BeginEpoch(now fleet.Time, epoch uint64, why string) {
 	if epoch <= max(t.epoch, t.version.Epoch) {
 		return
 	}
@@ -170,7 +170,7 @@
 	from := t.version
 	if t.epoch, t.version = epoch, (Version{Epoch: epoch}); from.Count > 0 { // one without lines has no version yet
 		t.version.Count = 1
-		t.history = append(t.history, Delta{From: from, To: t.version, FromDigest: t.digest, ToDigest: t.digest, At: now, Why: why})
+		t.history = append(t.history, Delta{From: from, To: t.version, FromDigest: t.digest, ToDigest: t.digest, CreatedAt: now, Reason: why})
 		t.trim(now)
 	}
 }
@@ -187,35 +187,35 @@
 // Weight gives the weight of a server's line, 0 for none.
 func (t *Table) Weight(id fleet.ServerID) int { return t.lines[id] }
 
-// Lines gives all lines by server.
-func (t *Table) Lines() []Line { return sorted(t.lines) }
+// Entries gives all lines by server.
+func (t *Table) Entries() []Entry { return sorted(t.lines) }
 
-func sorted(of map[fleet.ServerID]int) []Line {
-	lines := make([]Line, 0, len(of))
+func sorted(of map[fleet.ServerID]int) []Entry {
+	lines := make([]Entry, 0, len(of))
 	for id, w := range of {
-		lines = append(lines, Line{Server: id, Weight: w})
+		lines = append(lines, Entry{Server: id, Weight: w})
 	}
-	slices.SortFunc(lines, func(a, b Line) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(lines, func(a, b Entry) int { return cmp.Compare(a.Server, b.Server) })
 	return lines
 }
 
 // Change makes the next version of the lines that are given; what stands already is no change. Without any there is no
 // new version, and ok is false.
-func (t *Table) Change(now fleet.Time, lines []Line, why string) (d Delta, ok bool) {
-	d = Delta{From: t.version, FromDigest: t.digest, At: now, Why: why}
+func (t *Table) Change(now fleet.Time, lines []Entry, why string) (d Delta, ok bool) {
+	d = Delta{From: t.version, FromDigest: t.digest, CreatedAt: now, Reason: why}
 	changed := map[fleet.ServerID]int{}
 	for _, l := range lines {
 		changed[l.Server] = max(0, l.Weight)
 	}
 	for _, l := range sorted(changed) {
-		if l.Was = t.lines[l.Server]; l.Weight != l.Was {
-			d.Lines = append(d.Lines, l)
+		if l.Previous = t.lines[l.Server]; l.Weight != l.Previous {
+			d.Entries = append(d.Entries, l)
 		}
 	}
-	if len(d.Lines) == 0 {
+	if len(d.Entries) == 0 {
 		return d, false
 	}
-	for _, l := range d.Lines {
+	for _, l := range d.Entries {
 		t.put(l)
 	}
 	clear(t.plans) // they lead to the version before
@@ -224,14 +224,14 @@
 	}
 	d.To, d.ToDigest = t.version, t.digest
 	t.history = append(t.history, d)
-	t.kept += len(d.Lines)
+	t.kept += len(d.Entries)
 	t.trim(now)
 	return d, true
 }
 
-func (t *Table) put(l Line) {
+func (t *Table) put(l Entry) {
 	name := t.names(l.Server)
-	t.digest += LineDigest(name, l.Weight) - LineDigest(name, t.lines[l.Server])
+	t.digest += EntryDigest(name, l.Weight) - EntryDigest(name, t.lines[l.Server])
 	if l.Weight == 0 {
 		delete(t.lines, l.Server)
 	} else {
@@ -242,8 +242,8 @@
 // trim forgets the oldest versions past the bounds; the newest delta always stays.
 func (t *Table) trim(now fleet.Time) {
 	n := 0
-	for n < len(t.history)-1 && (t.kept > t.bounds.Lines || t.history[n].At < now-t.bounds.Age) {
-		t.kept -= len(t.history[n].Lines)
+	for n < len(t.history)-1 && (t.kept > t.bounds.MaxEntries || t.history[n].CreatedAt < now-t.bounds.MaxAge) {
+		t.kept -= len(t.history[n].Entries)
 		n++
 	}
 	if n > 0 {
@@ -290,23 +290,23 @@
 	if len(deltas) == 0 {
 		return d, nil
 	}
-	d.FromDigest, d.At = deltas[0].FromDigest, deltas[len(deltas)-1].At
+	d.FromDigest, d.CreatedAt = deltas[0].FromDigest, deltas[len(deltas)-1].CreatedAt
 	was := map[fleet.ServerID]int{}
 	for _, one := range slices.Backward(deltas) { // the earliest word on what was counts
-		for _, l := range one.Lines {
-			was[l.Server] = l.Was
+		for _, l := range one.Entries {
+			was[l.Server] = l.Previous
 		}
 	}
 	for _, l := range sorted(was) {
 		if now := t.lines[l.Server]; now != l.Weight {
-			d.Lines = append(d.Lines, Line{l.Server, now, l.Weight})
+			d.Entries = append(d.Entries, Entry{l.Server, now, l.Weight})
 		}
 	}
 	return d, nil
 }
 
 // At gives the whole of an earlier version, by server.
-func (t *Table) At(v Version) ([]Line, error) {
+func (t *Table) At(v Version) ([]Entry, error) {
 	d, err := t.Fold(v)
 	if err != nil {
 		return nil, err
@@ -315,29 +315,29 @@
 	for id, w := range t.lines {
 		whole[id] = w
 	}
-	for _, l := range d.Lines {
-		if whole[l.Server] = l.Was; l.Was == 0 {
+	for _, l := range d.Entries {
+		if whole[l.Server] = l.Previous; l.Previous == 0 {
 			delete(whole, l.Server)
 		}
 	}
 	return sorted(whole), nil
 }
 
-// Way is how a proxy comes to the present version.
-type Way uint8
+// DeltaPath is how a proxy comes to the present version.
+type DeltaPath uint8
 
 // The ways, in the order in which they are preferred at the same number of lines.
 const (
-	Nothing Way = iota // it holds the present version
-	Deltas             // those in between, one after the other
-	Folded             // one delta for all of them
-	Whole              // the whole table
+	Nothing DeltaPath = iota // it holds the present version
+	Deltas                   // those in between, one after the other
+	Folded                   // one delta for all of them
+	Whole                    // the whole table
 )
 
 // Plan gives the shortest safe way for one who says what he holds: by lines, each message costing head lines more. One who
 // holds what no version of ours was, or says so with a digest that is not that version's, gets the whole. It is worked out
 // once for each version held: a thousand followers cost what their distinct versions do. The deltas are not to be changed.
-func (t *Table) Plan(v Version, digest Digest, head int) (way Way, deltas []Delta) {
+func (t *Table) Plan(v Version, digest Digest, head int) (way DeltaPath, deltas []Delta) {
 	if v == t.version && digest == t.digest {
 		return Nothing, nil
 	}
@@ -364,7 +364,7 @@
 		if made, ok := t.plans[held{head: head}]; ok {
 			return made
 		}
-		return plan{Whole, []Delta{{From: None, To: t.version, ToDigest: t.digest, Lines: t.Lines()}}}
+		return plan{Whole, []Delta{{From: NoVersion, To: t.version, ToDigest: t.digest, Entries: t.Entries()}}}
 	}
 	if unknown != nil {
 		return whole()
@@ -376,9 +376,9 @@
 	between := t.history[len(t.history)-after:]
 	each := 0
 	for _, d := range between {
-		each += head + len(d.Lines)
+		each += head + len(d.Entries)
 	}
-	switch once := head + len(folded.Lines); {
+	switch once := head + len(folded.Entries); {
 	case len(t.lines)+head < min(once, each):
 		return whole()
 	case each <= once:
@@ -389,18 +389,18 @@
 
 // Difference is a line in which a way back had to differ from the version gone back to.
 type Difference struct {
-	Line
-	Why string
+	Entry
+	Reason string
 }
 
-// Back makes a new version with the content of an earlier one, as far as today's servers allow: allow tells why a server
+// Rollback makes a new version with the content of an earlier one, as far as today's servers allow: allow tells why a server
 // may not stand in it, "" if it may. A version of which nothing may stand is refused.
-func (t *Table) Back(now fleet.Time, to Version, allow func(fleet.ServerID) string) (Delta, []Difference, error) {
+func (t *Table) Rollback(now fleet.Time, to Version, allow func(fleet.ServerID) string) (Delta, []Difference, error) {
 	old, err := t.At(to)
 	if err != nil {
 		return Delta{}, nil, err
 	}
-	var lines []Line
+	var lines []Entry
 	var differs []Difference
 	wanted := map[fleet.ServerID]bool{}
 	for _, l := range old {
@@ -412,11 +412,11 @@
 		lines = append(lines, l)
 	}
 	if len(lines) == 0 && len(old) > 0 {
-		return Delta{}, differs, fmt.Errorf("nothing of version %s may stand today: %s", to, differs[0].Why)
+		return Delta{}, differs, fmt.Errorf("nothing of version %s may stand today: %s", to, differs[0].Reason)
 	}
 	for id := range t.lines {
 		if !wanted[id] {
-			lines = append(lines, Line{Server: id})
+			lines = append(lines, Entry{Server: id})
 		}
 	}
 	d, changed := t.Change(now, lines, "back to "+to.String())
@@ -426,24 +426,24 @@
 	return d, differs, nil
 }
 
-// Copy is what a follower holds of a table: a proxy's side, a client library's.
-type Copy struct {
+// Replica is what a follower holds of a table: a proxy's side, a client library's.
+type Replica struct {
 	version Version
 	digest  Digest
 	lines   map[string]int
 }
 
-// Named is a line as it travels: servers by their names.
-type Named struct {
+// NamedEntry is a line as it travels: servers by their names.
+type NamedEntry struct {
 	Server string
 	Weight int
 }
 
 // Version and Digest tell what is held.
-func (c *Copy) Version() (Version, Digest) { return c.version, c.digest }
+func (c *Replica) Version() (Version, Digest) { return c.version, c.digest }
 
 // Lines gives what is held.
-func (c *Copy) Lines() map[string]int { return c.lines }
+func (c *Replica) Lines() map[string]int { return c.lines }
 
 // MismatchError tells that a delta can't be taken; what was held stays, and the whole is to be asked for.
 type MismatchError struct{ What string }
@@ -452,12 +452,12 @@
 
 // Apply takes a delta whole, or not at all. One that ends where the copy is or before is old and does nothing; one that begins
 // elsewhere, or does not end at the digest it names, is an error. From None it is the whole table.
-func (c *Copy) Apply(d Delta, lines []Named) error {
+func (c *Replica) Apply(d Delta, lines []NamedEntry) error {
 	if d.To.Compare(c.version) <= 0 && !(d.To == c.version && d.ToDigest != c.digest) {
 		return nil
 	}
-	next := Copy{version: d.To, lines: map[string]int{}}
-	if d.From != None {
+	next := Replica{version: d.To, lines: map[string]int{}}
+	if d.From != NoVersion {
 		if d.From != c.version || d.FromDigest != c.digest {
 			return &MismatchError{fmt.Sprintf("a delta from %s (%s), but %s (%s) is held", d.From, d.FromDigest, c.version, c.digest)}
 		}
@@ -467,7 +467,7 @@
 		}
 	}
 	for _, l := range lines {
-		next.digest += LineDigest(l.Server, l.Weight) - LineDigest(l.Server, next.lines[l.Server])
+		next.digest += EntryDigest(l.Server, l.Weight) - EntryDigest(l.Server, next.lines[l.Server])
 		if next.lines[l.Server] = l.Weight; l.Weight == 0 {
 			delete(next.lines, l.Server)
 		}
--- a/internal/testing/fakes/proxy.go
+++ b/internal/testing/fakes/proxy.go
@@ -533,7 +533,7 @@
 			return []byte(err)
 		}
 		n, bad := strconv.Atoi(words[len(words)-1])
-		if bad != nil || n < 0 || n > haproxyapi.WeightMost {
+		if bad != nil || n < 0 || n > haproxyapi.MaxWeight {
 			return []byte(haproxyapi.BadWeight)
 		}
 		l.weight = n
--- a/internal/testing/scenario/dark.go
+++ b/internal/testing/scenario/dark.go
@@ -131,10 +131,10 @@
 	if len(kept) == 0 {
 		return fmt.Errorf("no list was kept at %s: %v", path, wrong)
 	}
-	doc := discovery.Document{Rev: kept[0].Rev}
+	doc := discovery.EndpointList{Revision: kept[0].Revision}
 	i := 0
 	for _, s := range kept[0].Entries {
-		doc.Servers = append(doc.Servers, s)
+		doc.Endpoints = append(doc.Endpoints, s)
 		ghost := s
 		if ghost.Name = "ghost-" + s.Name; i%4 > 0 { // the fourth ones' addresses are others' now
 			ghost.Addr = fmt.Sprintf("127.0.1.%d:1", i%250) // nobody listens there
@@ -142,12 +142,12 @@
 		if !s.Started.IsZero() {
 			ghost.Started = s.Started.Add(-time.Hour)
 		}
-		doc.Servers = append(doc.Servers, ghost)
+		doc.Endpoints = append(doc.Endpoints, ghost)
 		i++
 	}
-	doc.Servers = append(doc.Servers, discovery.Server{Name: "zz-damaged", Addr: "127.0.1.251:1", Zone: doc.Servers[0].Zone})
-	slices.SortFunc(doc.Servers, func(a, b discovery.Server) int { return strings.Compare(a.Name, b.Name) })
-	if err := discovery.Cache(path, doc, fleet.Time(time.Now().Add(-dayOld).UnixNano())); err != nil {
+	doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{Name: "zz-damaged", Addr: "127.0.1.251:1", Zone: doc.Endpoints[0].Zone})
+	slices.SortFunc(doc.Endpoints, func(a, b discovery.Endpoint) int { return strings.Compare(a.Name, b.Name) })
+	if err := discovery.WriteCache(path, doc, fleet.Time(time.Now().Add(-dayOld).UnixNano())); err != nil {
 		return err
 	}
 	if err := os.Remove(path + ".before"); err != nil && !errors.Is(err, os.ErrNotExist) { // the true one
--- a/internal/testing/scenario/drill_test.go
+++ b/internal/testing/scenario/drill_test.go
@@ -20,7 +20,7 @@
 // TestMain lets the test binary be a governor's process.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("DRILL_GOVERNOR"); path != "" {
-		if err := server.Governor(path); err != nil {
+		if err := server.RunController(path); err != nil {
 			os.Stderr.WriteString(err.Error() + "\n")
 			os.Exit(1)
 		}
--- a/internal/transport/files/front.go
+++ b/internal/transport/files/front.go
@@ -31,7 +31,7 @@
 	Proxies   []transport.Proxy
 	Classes   []transport.Class
 	Admission fleet.AdmissionMode
-	Names     transport.Names
+	Names     transport.ServerNames
 	// Fault, in tests, is asked before each step of a swap (0 to 4: create, write, sync, rename, sync the folder) and
 	// fails it: as a full disk does, or, with ErrCut, as a kill does.
 	Fault func(path string, step int) error
@@ -53,7 +53,7 @@
 	seed     maphash.Seed
 }
 
-var _ transport.Front = (*Front)(nil)
+var _ transport.Transport = (*Front)(nil)
 
 // folder is one proxy's.
 type folder struct {
@@ -77,7 +77,7 @@
 	levelsAt uint64
 	polling  bool
 	heard    time.Time // last file of the proxy's
-	redial   reconcile.Redial
+	redial   reconcile.DialBackoff
 	retry    *time.Timer
 }
 
@@ -96,7 +96,7 @@
 	for _, p := range opt.Proxies {
 		path := filepath.Clean(p.Addr)
 		o := &folder{front: f, proxy: p, path: path, wrote: map[string][]byte{},
-			redial: reconcile.NewRedial(maphash.String(f.seed, p.Name))}
+			redial: reconcile.NewDialBackoff(maphash.String(f.seed, p.Name))}
 		f.folders[path], f.byID[p.ID] = o, o
 	}
 	return f
@@ -181,7 +181,7 @@
 		o.guard(name)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		events = append(events, transport.Unreached{Proxy: o.proxy.ID, Why: err})
+		events = append(events, transport.Unreachable{Proxy: o.proxy.ID, Err: err})
 	}
 	o.mu.Unlock()
 	for _, e := range events {
@@ -219,7 +219,7 @@
 	o.heard = time.Now()
 	if o.up && ack.Started != o.started {
 		o.up = false
-		events = append(events, transport.Down{Proxy: o.proxy.ID, Stream: o.stream, Why: errors.New("the proxy has started anew")})
+		events = append(events, transport.Disconnected{Proxy: o.proxy.ID, Stream: o.stream, Err: errors.New("the proxy has started anew")})
 	}
 	if !o.up {
 		if string(text) == o.shut && !o.inPlace(ack) {
@@ -228,13 +228,13 @@
 		return append(events, o.begin(ack)), nil
 	}
 	if ack.Error != "" { // it could not take a file: what is wanted is put in place again
-		events = append(events, transport.Unreached{Proxy: o.proxy.ID, Why: errors.New(ack.Error)})
+		events = append(events, transport.Unreachable{Proxy: o.proxy.ID, Err: errors.New(ack.Error)})
 		o.wrote[TablesFile], o.wrote[LevelsFile], o.dirty = nil, nil, true
 		o.write()
 	}
 	tables, levels := o.front.number(ack.Tables), o.front.number(ack.Levels)
 	for len(o.sent) > 0 && o.sent[0].tables <= tables && o.sent[0].levels <= levels {
-		events = append(events, transport.Answer{Proxy: o.proxy.ID, Stream: o.stream, Seq: o.sent[0].seq})
+		events = append(events, transport.Answered{Proxy: o.proxy.ID, Stream: o.stream, Sequence: o.sent[0].seq})
 		o.sent = o.sent[1:]
 	}
 	return events, nil
@@ -276,8 +276,8 @@
 	o.up, o.started, o.shut, o.sent, o.polling = true, ack.Started, "", nil, false
 	o.tables, o.levels, o.stamps = map[string]map[string]Endpoint{}, map[string]int{}, map[string]string{}
 	o.wrote, o.laid = map[string][]byte{}, map[string]bool{}
-	snap := reconcile.Snapshot{Zone: o.proxy.Zone, Weight: o.proxy.Visits, Fresh: ack.Tables == "",
-		Levels: make([]reconcile.Level, len(f.opt.Classes))}
+	snap := reconcile.Snapshot{Zone: o.proxy.Zone, RequestRate: o.proxy.RequestRate, Fresh: ack.Tables == "",
+		Admissions: make([]reconcile.Admission, len(f.opt.Classes))}
 	for _, c := range f.opt.Classes {
 		o.tables[c.Backend] = map[string]Endpoint{}
 	}
@@ -294,8 +294,8 @@
 		o.laid[backend] = ack.Tables != ""
 		for _, l := range lines {
 			o.tables[backend][l.Name] = l
-			snap.Lines = append(snap.Lines, reconcile.SnapshotLine{Class: class, Server: f.opt.Names.Learn(l.Name, l.Addr),
-				Cell: reconcile.Cell{Present: true, Weight: int16(min(l.Weight, haproxyapi.WeightMost)), State: states[l.Health]}})
+			snap.Entries = append(snap.Entries, reconcile.SnapshotEntry{Class: class, Server: f.opt.Names.Learn(l.Name, l.Addr),
+				State: reconcile.EntryState{Present: true, Weight: int16(min(l.Weight, haproxyapi.MaxWeight)), State: states[l.Health]}})
 		}
 	}
 	if text, err := readFile(filepath.Join(o.path, LevelsFile)); err == nil {
@@ -307,29 +307,29 @@
 				if amount == f.amountAll() {
 					amount = -1
 				}
-				snap.Stamps = append(snap.Stamps, stamps[class.Name])
-				snap.Levels[c] = reconcile.Level{Known: told && too, Amount: int32(amount), Retry: fleet.RetryMode(retry)}
+				snap.VersionStamps = append(snap.VersionStamps, stamps[class.Name])
+				snap.Admissions[c] = reconcile.Admission{Known: told && too, Limit: int32(amount), Retry: fleet.RetryMode(retry)}
 			}
 		}
 	}
-	return transport.Up{Proxy: o.proxy.ID, Stream: o.stream, Held: snap}
+	return transport.Connected{Proxy: o.proxy.ID, Stream: o.stream, Snapshot: snap}
 }
 
-var states = map[string]reconcile.State{healthIn: reconcile.In, healthEnds: reconcile.Drain, healthSick: reconcile.Out}
-var healths = map[reconcile.State]string{reconcile.In: healthIn, reconcile.Drain: healthEnds, reconcile.Out: healthSick}
+var states = map[string]reconcile.State{healthIn: reconcile.StateReady, healthEnds: reconcile.StateDrain, healthSick: reconcile.StateMaintenance}
+var healths = map[reconcile.State]string{reconcile.StateReady: healthIn, reconcile.StateDrain: healthEnds, reconcile.StateMaintenance: healthSick}
 
-func (f *Front) amountKey(class string) string { return transport.AmountKey(f.opt.Admission, class) }
+func (f *Front) amountKey(class string) string { return transport.AdmissionKey(f.opt.Admission, class) }
 
-func (f *Front) amountAll() int { return int(transport.AmountAll(f.opt.Admission)) }
+func (f *Front) amountAll() int { return int(transport.UnlimitedAdmission(f.opt.Admission)) }
 
 // silent ends a stream whose proxy has written nothing for long.
 func (o *folder) silent(now time.Time) {
 	o.mu.Lock()
-	if !o.up || now.Sub(o.heard) < time.Duration(reconcile.SilentAfter) {
+	if !o.up || now.Sub(o.heard) < time.Duration(reconcile.SilenceTimeout) {
 		o.mu.Unlock()
 		return
 	}
-	e := transport.Down{Proxy: o.proxy.ID, Stream: o.stream, Why: errors.New("it writes no counters any more")}
+	e := transport.Disconnected{Proxy: o.proxy.ID, Stream: o.stream, Err: errors.New("it writes no counters any more")}
 	o.end()
 	o.mu.Unlock()
 	o.front.sink(e)
@@ -352,17 +352,17 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := counters.ReadCounters(text, f.backends, len(f.opt.Classes), f.opt.Names.Server)
+	r, err := counters.ParseCounters(text, f.backends, len(f.opt.Classes), f.opt.Names.Server)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", StatFile, err)
 	}
-	r.Lines = nil // these may be older than what was acknowledged; what stands in the files is watched itself
+	r.Entries = nil // these may be older than what was acknowledged; what stands in the files is watched itself
 	if text, err = readFile(filepath.Join(o.path, NodesFile)); err == nil {
-		if err := r.ReadTracked(text, f.opt.Names.Server); err != nil {
+		if err := r.AddTracked(text, f.opt.Names.Server); err != nil {
 			return nil, fmt.Errorf("%s: %w", NodesFile, err)
 		}
 	}
-	return transport.Polled{Proxy: o.proxy.ID, Stream: o.stream, Reading: r}, nil
+	return transport.CountersPolled{Proxy: o.proxy.ID, Stream: o.stream, Reading: r}, nil
 }
 
 // Send puts a message's changes into the files.
@@ -378,18 +378,18 @@
 	}
 	o.version++
 	for _, c := range m.Changes {
-		if c.Kind == reconcile.SetVersion {
-			o.stamps[f.opt.Classes[c.Class].Name] = c.Stamp
+		if c.Kind == reconcile.UpdateVersion {
+			o.stamps[f.opt.Classes[c.Class].Name] = c.VersionStamp
 			o.levelsAt = o.version
 			continue
 		}
-		if c.Kind == reconcile.SetLevels {
-			amount := int(c.Level.Amount)
+		if c.Kind == reconcile.UpdateAdmission {
+			amount := int(c.Admission.Limit)
 			if amount < 0 {
 				amount = f.amountAll()
 			}
 			name := f.opt.Classes[c.Class].Name
-			o.levels[f.amountKey(name)], o.levels[name+transport.RetryKey] = amount, int(c.Level.Retry)
+			o.levels[f.amountKey(name)], o.levels[name+transport.RetryKey] = amount, int(c.Admission.Retry)
 			o.levelsAt = o.version
 			continue
 		}
@@ -398,19 +398,19 @@
 		o.laid[backend] = true
 		name, addr := f.opt.Names.Of(c.Server)
 		l := lines[name]
-		if l.Name, l.Addr = name, addr; c.Kind == reconcile.DelLine {
+		if l.Name, l.Addr = name, addr; c.Kind == reconcile.DeleteEntry {
 			delete(lines, name)
 			continue
 		}
 		if c.Weight >= 0 {
 			l.Weight = int(c.Weight)
 		}
-		if c.State != reconcile.Stays {
+		if c.State != reconcile.StateUnchanged {
 			l.Health = healths[c.State]
 		}
 		lines[name] = l
 	}
-	o.sent = append(o.sent, sent{m.Seq, o.version, o.levelsAt})
+	o.sent = append(o.sent, sent{m.Sequence, o.version, o.levelsAt})
 	o.dirty = true
 	o.write()
 }
@@ -440,16 +440,16 @@
 	}
 	if err == nil {
 		o.dirty = false
-		o.redial.Stood()
+		o.redial.Reset()
 		return
 	}
 	why := fmt.Errorf("its files were not written and will be again: %w", err)
 	f.running.Add(1) // Stop waits for it: nothing is posted after
 	go func() {
 		defer f.running.Done()
-		f.sink(transport.Unreached{Proxy: o.proxy.ID, Why: why})
+		f.sink(transport.Unreachable{Proxy: o.proxy.ID, Err: why})
 	}()
-	o.retry = time.AfterFunc(time.Duration(o.redial.Failed()), func() {
+	o.retry = time.AfterFunc(time.Duration(o.redial.Next()), func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		o.retry = nil
@@ -497,7 +497,7 @@
 
 // Stop waits for acknowledgements for as long as the context stands. The files stay: proxies go on by them.
 func (f *Front) Stop(ctx context.Context) error {
-	transport.Settle(ctx, f.busy)
+	transport.DrainUntilIdle(ctx, f.busy)
 	f.cancel()
 	for _, o := range f.folders {
 		o.mu.Lock()
--- a/internal/transport/haproxy/encode.go
+++ b/internal/transport/haproxy/encode.go
@@ -26,7 +26,7 @@
 	switch {
 	case e.n == 0:
 		e.line = len(e.out)
-	case len(e.out)-e.line > haproxyapi.LineMost-roomForOne:
+	case len(e.out)-e.line > haproxyapi.MaxLineLength-roomForOne:
 		e.out = append(e.out, '\n')
 		e.line = len(e.out)
 	default:
@@ -55,9 +55,9 @@
 	e.out = append(e.out, "set server "...)
 	e.target(class, name)
 	switch state {
-	case reconcile.In:
+	case reconcile.StateReady:
 		e.out = append(e.out, " state ready"...)
-	case reconcile.Drain:
+	case reconcile.StateDrain:
 		e.out = append(e.out, " state drain"...)
 	default:
 		e.out = append(e.out, " state maint"...)
@@ -79,23 +79,23 @@
 }
 
 func (e *encoder) change(c *reconcile.Change) {
-	if c.Kind == reconcile.SetLevels {
+	if c.Kind == reconcile.UpdateAdmission {
 		class := e.s.link.front.opt.Classes[c.Class].Name
-		amount := c.Level.Amount
+		amount := c.Admission.Limit
 		if amount < 0 {
 			amount = e.s.amountAll()
 		}
 		e.pair(e.s.amountKey(class), strconv.Itoa(int(amount)))
-		e.pair(class+transport.RetryKey, strconv.Itoa(int(c.Level.Retry)))
+		e.pair(class+transport.RetryKey, strconv.Itoa(int(c.Admission.Retry)))
 		return
 	}
-	if c.Kind == reconcile.SetVersion {
-		e.pair(e.s.link.front.opt.Classes[c.Class].Name+transport.VersionKey, c.Stamp)
+	if c.Kind == reconcile.UpdateVersion {
+		e.pair(e.s.link.front.opt.Classes[c.Class].Name+transport.VersionKey, c.VersionStamp)
 		return
 	}
 	name, addr := e.s.link.front.opt.Names.Of(c.Server)
 	switch c.Kind {
-	case reconcile.AddLine:
+	case reconcile.AddEntry:
 		e.next("")
 		e.out = append(e.out, "add server "...)
 		e.target(c.Class, name)
@@ -104,12 +104,12 @@
 		e.out = append(e.out, " weight "...)
 		e.out = strconv.AppendInt(e.out, int64(c.Weight), 10)
 		e.state(c.Class, name, c.State) // a new server is in maintenance
-	case reconcile.DelLine:
+	case reconcile.DeleteEntry:
 		e.next("")
 		e.out = append(e.out, "del server "...)
 		e.target(c.Class, name)
 	default:
-		if host, port, err := net.SplitHostPort(addr); c.Moved && err == nil {
+		if host, port, err := net.SplitHostPort(addr); c.AddressChanged && err == nil {
 			e.next("")
 			e.out = append(e.out, "set server "...)
 			e.target(c.Class, name)
@@ -119,13 +119,13 @@
 			e.out = haproxyapi.AppendWord(e.out, port)
 		}
 		// What shuts out goes before the weight, what lets in after it.
-		if c.State != reconcile.Stays && c.State != reconcile.In {
+		if c.State != reconcile.StateUnchanged && c.State != reconcile.StateReady {
 			e.state(c.Class, name, c.State)
 		}
 		if c.Weight >= 0 {
 			e.weight(c.Class, name, c.Weight)
 		}
-		if c.State == reconcile.In {
+		if c.State == reconcile.StateReady {
 			e.state(c.Class, name, c.State)
 		}
 	}
--- a/internal/transport/haproxy/front.go
+++ b/internal/transport/haproxy/front.go
@@ -30,7 +30,7 @@
 	Map       string // file or #id of the map that holds levels
 	Table     string // stick table that holds what answers told, "" for none
 	Admission fleet.AdmissionMode
-	Names     transport.Names
+	Names     transport.ServerNames
 	Pollers   int // event loops of sockets; 0: the library's own choice
 
 	// Where several governors may serve a proxy: this one's name and its part of the protocol by which they agree at the proxy.
@@ -57,14 +57,14 @@
 	moves        lease.Moves
 }
 
-var _ transport.Front = (*Front)(nil)
+var _ transport.Transport = (*Front)(nil)
 
 // link is the standing relation to one proxy; its sessions come and go.
 type link struct {
 	front  *Front
 	proxy  transport.Proxy
-	redial reconcile.Redial // of the dialing goroutine only
-	stood  atomic.Bool      // the last session could be read back
+	redial reconcile.DialBackoff // of the dialing goroutine only
+	stood  atomic.Bool           // the last session could be read back
 
 	leasing sync.Mutex
 	lease   *lease.Lease // nil: no other governor serves the proxy
@@ -78,13 +78,13 @@
 // New makes a front. It dials nobody before Start.
 func New(opt Options) *Front {
 	logging.SetLevel(logging.LevelNone) // the library's own log; what matters comes as errors
-	f := &Front{opt: opt, answerWithin: time.Duration(reconcile.AnswerWithin), backends: map[string]fleet.ClassID{}, links: map[fleet.ProxyID]*link{}}
+	f := &Front{opt: opt, answerWithin: time.Duration(reconcile.AnswerTimeout), backends: map[string]fleet.ClassID{}, links: map[fleet.ProxyID]*link{}}
 	for i, c := range opt.Classes {
 		f.backends[c.Backend] = fleet.ClassID(i)
 	}
 	for _, p := range opt.Proxies {
 		f.links[p.ID] = &link{front: f, proxy: p, kick: make(chan struct{}, 1),
-			redial: reconcile.NewRedial(maphash.String(maphash.MakeSeed(), p.Name))}
+			redial: reconcile.NewDialBackoff(maphash.String(maphash.MakeSeed(), p.Name))}
 		if opt.Lease != nil {
 			f.links[p.ID].lease = opt.Lease(p)
 		}
@@ -141,7 +141,7 @@
 func (l *link) run() {
 	f := l.front
 	defer f.dials.Done()
-	dialer := net.Dialer{Timeout: time.Duration(reconcile.DialWithin)}
+	dialer := net.Dialer{Timeout: time.Duration(reconcile.DialTimeout)}
 	for f.ctx.Err() == nil {
 		conn, err := dialer.DialContext(f.ctx, network(l.proxy.Addr), l.proxy.Addr)
 		if err == nil {
@@ -154,12 +154,12 @@
 				return
 			}
 		} else if f.ctx.Err() == nil {
-			f.sink(transport.Unreached{Proxy: l.proxy.ID, Why: err})
+			f.sink(transport.Unreachable{Proxy: l.proxy.ID, Err: err})
 		}
 		if l.stood.Swap(false) {
-			l.redial.Stood()
+			l.redial.Reset()
 		}
-		wait := time.NewTimer(time.Duration(l.redial.Failed()))
+		wait := time.NewTimer(time.Duration(l.redial.Next()))
 		select {
 		case <-wait.C:
 		case <-f.ctx.Done():
@@ -236,7 +236,7 @@
 // Stop waits until what was sent is answered, for as long as the context stands, then closes all sessions.
 func (f *Front) Stop(ctx context.Context) error {
 	f.stopping.Store(true)
-	transport.Settle(ctx, f.busy)
+	transport.DrainUntilIdle(ctx, f.busy)
 	f.cancel()
 	f.dials.Wait()
 	for id, l := range f.links {
@@ -244,7 +244,7 @@
 			s.handOn() // another one need not wait for the lease to end
 		}
 	}
-	transport.Settle(ctx, f.busy)
+	transport.DrainUntilIdle(ctx, f.busy)
 	for id := range f.links {
 		f.Drop(id)
 	}
--- a/internal/transport/haproxy/lease.go
+++ b/internal/transport/haproxy/lease.go
@@ -48,11 +48,11 @@
 		return nil
 	})
 	for i := range all {
-		all[i].Want, all[i].WantHand = lease.ParseWant(wants[all[i].Governor])
-		delete(wants, all[i].Governor)
+		all[i].Want, all[i].WantHand = lease.ParseWant(wants[all[i].Controller])
+		delete(wants, all[i].Controller)
 	}
 	for g, w := range wants {
-		e := lease.Entry{Governor: g}
+		e := lease.Entry{Controller: g}
 		e.Want, e.WantHand = lease.ParseWant(w)
 		all = append(all, e)
 	}
@@ -214,7 +214,7 @@
 	if over { // what it began ended with it; the next look begins anew
 		return
 	}
-	dialer := net.Dialer{Timeout: time.Duration(reconcile.DialWithin)}
+	dialer := net.Dialer{Timeout: time.Duration(reconcile.DialTimeout)}
 	conn, err := dialer.DialContext(l.front.ctx, network(l.proxy.Addr), l.proxy.Addr)
 	if err == nil {
 		err = l.open(conn, before)
@@ -295,7 +295,7 @@
 }
 
 // Holders tells who serves each proxy, by id.
-func (f *Front) Holders() (all []transport.Holder) {
+func (f *Front) Holders() (all []transport.LeaseHolder) {
 	for id, l := range f.links {
 		if l.lease == nil {
 			continue
@@ -304,9 +304,9 @@
 		h, moved := l.lease.Seen()
 		l.leasing.Unlock()
 		s := f.session(id)
-		all = append(all, transport.Holder{Proxy: id, Governor: h.Governor, Epoch: h.Epoch, Moved: moved, Mine: s != nil && s.steers()})
+		all = append(all, transport.LeaseHolder{Proxy: id, Controller: h.Controller, Epoch: h.Epoch, LastHeartbeat: moved, Own: s != nil && s.steers()})
 	}
-	slices.SortFunc(all, func(a, b transport.Holder) int { return cmp.Compare(a.Proxy, b.Proxy) })
+	slices.SortFunc(all, func(a, b transport.LeaseHolder) int { return cmp.Compare(a.Proxy, b.Proxy) })
 	return all
 }
 
--- a/internal/transport/haproxy/session.go
+++ b/internal/transport/haproxy/session.go
@@ -94,8 +94,8 @@
 	s.out = append(s.out, "show servers state\n"...)
 	s.out = append(haproxyapi.AppendCommand(s.out, "show", "map", s.link.front.opt.Map), '\n')
 	s.expect = append(s.expect, expectation{what: toState}, expectation{what: toMap})
-	s.held = reconcile.Snapshot{Zone: s.link.proxy.Zone, Weight: s.link.proxy.Visits, Fresh: true,
-		Levels: make([]reconcile.Level, len(s.link.front.opt.Classes)), Stamps: make([]string, len(s.link.front.opt.Classes))}
+	s.held = reconcile.Snapshot{Zone: s.link.proxy.Zone, RequestRate: s.link.proxy.RequestRate, Fresh: true,
+		Admissions: make([]reconcile.Admission, len(s.link.front.opt.Classes)), VersionStamps: make([]string, len(s.link.front.opt.Classes))}
 	s.flush()
 }
 
@@ -152,9 +152,9 @@
 	}
 	switch {
 	case up:
-		l.front.sink(transport.Down{Proxy: l.proxy.ID, Stream: s.stream, Why: err})
+		l.front.sink(transport.Disconnected{Proxy: l.proxy.ID, Stream: s.stream, Err: err})
 	case !errors.Is(err, errLost):
-		l.front.sink(transport.Unreached{Proxy: l.proxy.ID, Why: err})
+		l.front.sink(transport.Unreachable{Proxy: l.proxy.ID, Err: err})
 	}
 	select {
 	case l.kick <- struct{}{}:
@@ -237,13 +237,13 @@
 			held := net.JoinHostPort(string(r.Addr), strconv.FormatUint(r.Port, 10))
 			server := opt.Names.Learn(string(r.Server), held)
 			_, addr := opt.Names.Of(server)
-			cell := reconcile.Cell{Present: true, Astray: addr != held, Weight: int16(min(r.Weight, haproxyapi.WeightMost)), State: reconcile.In}
+			cell := reconcile.EntryState{Present: true, WrongAddress: addr != held, Weight: int16(min(r.Weight, haproxyapi.MaxWeight)), State: reconcile.StateReady}
 			if r.Admin&haproxyapi.AdminMaint != 0 {
-				cell.State = reconcile.Out
+				cell.State = reconcile.StateMaintenance
 			} else if r.Admin&haproxyapi.AdminDrain != 0 {
-				cell.State = reconcile.Drain
+				cell.State = reconcile.StateDrain
 			}
-			s.held.Lines = append(s.held.Lines, reconcile.SnapshotLine{Class: class, Server: server, Cell: cell})
+			s.held.Entries = append(s.held.Entries, reconcile.SnapshotEntry{Class: class, Server: server, State: cell})
 			return nil
 		}))
 	case toMap:
@@ -259,15 +259,15 @@
 		}
 		s.up = true
 		s.link.stood.Store(true)
-		return transport.Up{Proxy: id, Stream: s.stream, Held: s.held}, nil
+		return transport.Connected{Proxy: id, Stream: s.stream, Snapshot: s.held}, nil
 	case toStat:
-		r, err := counters.ReadCounters(text, s.link.front.backends, len(opt.Classes), opt.Names.Server)
+		r, err := counters.ParseCounters(text, s.link.front.backends, len(opt.Classes), opt.Names.Server)
 		if s.reading = r; opt.Table == "" && err == nil {
 			return s.polled(), nil
 		}
 		return nil, wrap("show stat", err)
 	case toTable:
-		if err := s.reading.ReadTracked(text, opt.Names.Server); err != nil {
+		if err := s.reading.AddTracked(text, opt.Names.Server); err != nil {
 			return nil, wrap("show table", err)
 		}
 		return s.polled(), nil
@@ -275,7 +275,7 @@
 		return s.takeLease(e, text)
 	}
 	if f, ok := fault(text); !ok {
-		s.failures = append(s.failures, reconcile.Failure{Index: e.index, Fault: f, Text: string(bytes.TrimSpace(text))})
+		s.failures = append(s.failures, reconcile.Failure{Index: e.index, Kind: f, Text: string(bytes.TrimSpace(text))})
 		if string(text) == haproxyapi.NoKey {
 			delete(s.keys, e.key)
 		}
@@ -287,7 +287,7 @@
 	}
 	failures := s.failures
 	s.failures = nil
-	return transport.Answer{Proxy: id, Stream: s.stream, Seq: e.seq, Failures: failures}, nil
+	return transport.Answered{Proxy: id, Stream: s.stream, Sequence: e.seq, Failures: failures}, nil
 }
 
 func wrap(command string, err error) error {
@@ -298,7 +298,7 @@
 }
 
 // fault tells whether a change was done, and else what kept it.
-func fault(text []byte) (reconcile.Fault, bool) {
+func fault(text []byte) (reconcile.FailureKind, bool) {
 	if bytes.HasPrefix(text, []byte(haproxyapi.AddrChanged)) || bytes.HasPrefix(text, []byte(haproxyapi.AddrStays)) {
 		return 0, true
 	}
@@ -306,13 +306,13 @@
 	case haproxyapi.Done, haproxyapi.Registered, haproxyapi.Deleted:
 		return 0, true
 	case haproxyapi.NoServer:
-		return reconcile.NoLine, false
+		return reconcile.FailureEntryMissing, false
 	case haproxyapi.Exists:
-		return reconcile.LineExists, false
+		return reconcile.FailureEntryExists, false
 	case haproxyapi.NotInMaint, haproxyapi.HasConns:
-		return reconcile.InUse, false
+		return reconcile.FailureEntryInUse, false
 	}
-	return reconcile.OtherFault, false
+	return reconcile.FailureOther, false
 }
 
 // readLevel takes one entry of the map of levels: "class.share", "class.rate" and "class.retry".
@@ -325,20 +325,20 @@
 	if name, is := strings.CutSuffix(key, transport.VersionKey); is {
 		for c, class := range s.link.front.opt.Classes {
 			if class.Name == name {
-				s.held.Stamps[c] = string(value)
+				s.held.VersionStamps[c] = string(value)
 			}
 		}
 		return
 	}
 	n, err := strconv.ParseInt(string(value), 10, 32)
 	for c, class := range s.link.front.opt.Classes {
-		l := &s.held.Levels[c]
+		l := &s.held.Admissions[c]
 		switch {
 		case err != nil:
 		case key == s.amountKey(class.Name):
-			l.Amount = int32(n)
+			l.Limit = int32(n)
 			if n == int64(s.amountAll()) {
-				l.Amount = -1
+				l.Limit = -1
 			}
 		case key == class.Name+transport.RetryKey:
 			l.Retry = fleet.RetryMode(n)
@@ -348,15 +348,15 @@
 }
 
 func (s *session) amountKey(class string) string {
-	return transport.AmountKey(s.link.front.opt.Admission, class)
+	return transport.AdmissionKey(s.link.front.opt.Admission, class)
 }
 
-func (s *session) amountAll() int32 { return transport.AmountAll(s.link.front.opt.Admission) }
+func (s *session) amountAll() int32 { return transport.UnlimitedAdmission(s.link.front.opt.Admission) }
 
 func (s *session) polled() transport.Event {
 	r := s.reading
 	s.reading, s.polling = nil, false
-	return transport.Polled{Proxy: s.link.proxy.ID, Stream: s.stream, Reading: r}
+	return transport.CountersPolled{Proxy: s.link.proxy.ID, Stream: s.stream, Reading: r}
 }
 
 // poll asks for the counters; an earlier poll without answer is not repeated.
@@ -392,7 +392,7 @@
 		return
 	}
 	s.arm()
-	e := encoder{s: s, seq: m.Seq, out: s.out[:0]}
+	e := encoder{s: s, seq: m.Sequence, out: s.out[:0]}
 	for i := range m.Changes {
 		e.index = i
 		e.change(&m.Changes[i])
