--- a/internal/transport/haproxy/transcript_test.go
+++ b/internal/transport/haproxy/transcript_test.go
@@ -16,15 +16,15 @@
 	s := &session{link: &link{front: f}, keys: map[string]bool{"book" + transport.RetryKey: true}}
 	e := encoder{s: s, seq: 1}
 	for i, c := range []reconcile.Change{
-		{Kind: reconcile.AddLine, Class: 0, Server: 1, Weight: 7, State: reconcile.In},
-		{Kind: reconcile.DelLine, Class: 1, Server: 0},
-		{Class: 1, Server: 0, Weight: 128, State: reconcile.In},
-		{Class: 1, Server: 0, Weight: 9, State: reconcile.Out, Moved: true},
-		{Class: 1, Server: 0, Weight: -1, State: reconcile.Drain},
-		{Class: 1, Server: 0, Weight: 256, State: reconcile.Stays},
-		{Kind: reconcile.SetLevels, Class: 1, Level: reconcile.Level{Amount: 500, Retry: fleet.RetryOnce}},
-		{Kind: reconcile.SetLevels, Class: 0, Level: reconcile.Level{Amount: -1}},
-		{Kind: reconcile.SetVersion, Class: 1, Stamp: "3.4/00ff"},
+		{Kind: reconcile.AddEntry, Class: 0, Server: 1, Weight: 7, State: reconcile.StateReady},
+		{Kind: reconcile.DeleteEntry, Class: 1, Server: 0},
+		{Class: 1, Server: 0, Weight: 128, State: reconcile.StateReady},
+		{Class: 1, Server: 0, Weight: 9, State: reconcile.StateMaintenance, AddressChanged: true},
+		{Class: 1, Server: 0, Weight: -1, State: reconcile.StateDrain},
+		{Class: 1, Server: 0, Weight: 256, State: reconcile.StateUnchanged},
+		{Kind: reconcile.UpdateAdmission, Class: 1, Admission: reconcile.Admission{Limit: 500, Retry: fleet.RetryOnce}},
+		{Kind: reconcile.UpdateAdmission, Class: 0, Admission: reconcile.Admission{Limit: -1}},
+		{Kind: reconcile.UpdateVersion, Class: 1, VersionStamp: "3.4/00ff"},
 	} {
 		e.index = i
 		e.change(&c)
--- a/internal/transport/levels.go
+++ b/internal/transport/levels.go
@@ -16,24 +16,24 @@
 	rateAll    = 1_000_000_000
 )
 
-// AmountKey names a class's amount.
-func AmountKey(how fleet.AdmissionMode, class string) string {
+// AdmissionKey names a class's amount.
+func AdmissionKey(how fleet.AdmissionMode, class string) string {
 	if how == fleet.AdmissionRate {
 		return class + ".rate"
 	}
 	return class + ".share"
 }
 
-// AmountAll is the amount that lets all in.
-func AmountAll(how fleet.AdmissionMode) int32 {
+// UnlimitedAdmission is the amount that lets all in.
+func UnlimitedAdmission(how fleet.AdmissionMode) int32 {
 	if how == fleet.AdmissionRate {
 		return rateAll
 	}
 	return shareAll
 }
 
-// Settle waits until nothing is outstanding, or the context ends.
-func Settle(ctx context.Context, busy func() bool) {
+// DrainUntilIdle waits until nothing is outstanding, or the context ends.
+func DrainUntilIdle(ctx context.Context, busy func() bool) {
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	for busy() && ctx.Err() == nil {
--- a/internal/transport/mux.go
+++ b/internal/transport/mux.go
@@ -10,24 +10,24 @@
 
 // Mux lets some proxies go by a front of their own.
 type Mux struct {
-	Most  Front
-	Of    map[fleet.ProxyID]Front // those that don't go by Most
-	inner []Front
+	Default Transport
+	ByProxy map[fleet.ProxyID]Transport // those that don't go by Most
+	inner   []Transport
 }
 
-var _ Front = (*Mux)(nil)
+var _ Transport = (*Mux)(nil)
 
-func (m *Mux) of(id fleet.ProxyID) Front {
-	if f := m.Of[id]; f != nil {
+func (m *Mux) of(id fleet.ProxyID) Transport {
+	if f := m.ByProxy[id]; f != nil {
 		return f
 	}
-	return m.Most
+	return m.Default
 }
 
 // Start starts each front once.
 func (m *Mux) Start(ctx context.Context, sink Sink) error {
-	started := map[Front]bool{}
-	for _, f := range append([]Front{m.Most}, m.others()...) {
+	started := map[Transport]bool{}
+	for _, f := range append([]Transport{m.Default}, m.others()...) {
 		if started[f] {
 			continue
 		}
@@ -40,8 +40,8 @@
 	return nil
 }
 
-func (m *Mux) others() (all []Front) {
-	for _, f := range m.Of {
+func (m *Mux) others() (all []Transport) {
+	for _, f := range m.ByProxy {
 		all = append(all, f)
 	}
 	return all
--- a/internal/transport/relay/answer.go
+++ b/internal/transport/relay/answer.go
@@ -13,7 +13,7 @@
 )
 
 // Read makes out what an answer says of a call with so many orders.
-func Read(text []byte, orders int) (was Outcome, taken int, err error) {
+func Read(text []byte, orders int) (was CallOutcome, taken int, err error) {
 	dec := xml.NewDecoder(strings.NewReader(string(text)))
 	var inside []string
 	found := -1
@@ -24,7 +24,7 @@
 			break
 		}
 		if err != nil {
-			return Uncertain, 0, fmt.Errorf("answer: byte %d: %w", dec.InputOffset(), err)
+			return CallUncertain, 0, fmt.Errorf("answer: byte %d: %w", dec.InputOffset(), err)
 		}
 		switch t := token.(type) {
 		case xml.StartElement:
@@ -42,47 +42,47 @@
 			}
 			n, err := strconv.Atoi(word)
 			if err != nil || n < 0 || n > orders || found >= 0 {
-				return Uncertain, 0, fmt.Errorf("answer: accepted %.20q of %d orders", word, orders)
+				return CallUncertain, 0, fmt.Errorf("answer: accepted %.20q of %d orders", word, orders)
 			}
 			found = n
 		}
 	}
 	switch {
 	case found >= 0:
-		return Answered, found, nil
+		return CallAnswered, found, nil
 	case words["limit"]:
-		return Refused, 0, errors.New("answer: limit")
+		return CallRefused, 0, errors.New("answer: limit")
 	case words["malformed"]:
-		return Malformed, 0, errors.New("answer: malformed")
+		return CallMalformed, 0, errors.New("answer: malformed")
 	}
-	return Uncertain, 0, fmt.Errorf("answer: nothing is accepted in %.80q", text)
+	return CallUncertain, 0, fmt.Errorf("answer: nothing is accepted in %.80q", text)
 }
 
-// News is what the relay's stream tells. Streams are numbered from 1: what an older one told late never counts.
-type News struct {
-	Stream uint64
-	What   What
-	Event  fleet.Event // of Told: Joined, Left or Applied
-	Whole  bool        // of Opened: the stream before it stood until now
-	Err    error       // of Ended
+// StreamEvent is what the relay's stream tells. Streams are numbered from 1: what an older one told late never counts.
+type StreamEvent struct {
+	Stream     uint64
+	Kind       StreamEventKind
+	Event      fleet.Event // of Told: Joined, Left or Applied
+	Continuous bool        // of Opened: the stream before it stood until now
+	Err        error       // of Ended
 }
 
 // Unconfirmed are orders of which nobody knows whether they were carried out. They are not sent again.
-type Unconfirmed struct{ Ops []Op }
+type Unconfirmed struct{ Operations []Operation }
 
-// What is a kind of news.
-type What uint8
+// StreamEventKind is a kind of news.
+type StreamEventKind uint8
 
 // The kinds of news.
 const (
-	Opened  What = iota // a new stream; it shows first who is joined
-	Told                // an event
-	Settled             // it has shown all
-	Ended
+	StreamOpened     StreamEventKind = iota // a new stream; it shows first who is joined
+	ProxyEvent                              // an event
+	SnapshotComplete                        // it has shown all
+	StreamEnded
 )
 
 // String names it.
-func (w What) String() string { return [...]string{"opened", "told", "settled", "ended"}[w] }
+func (w StreamEventKind) String() string { return [...]string{"opened", "told", "settled", "ended"}[w] }
 
 // event reads one event of the stream.
 func event(name, data string, zones []string, proxies int) (fleet.Event, error) {
--- a/internal/transport/relay/front.go
+++ b/internal/transport/relay/front.go
@@ -36,18 +36,18 @@
 
 // Options of a front.
 type Options struct {
-	Addr    string
-	Zones   []string
-	Classes []string
-	Proxies int
-	Sink    func(News)
-	Unsure  func(Unconfirmed) // hears of orders of which nobody knows whether they were carried out
-	Log     zerolog.Logger
-	Seed    uint64
+	Addr          string
+	Zones         []string
+	Classes       []string
+	ProxyCount    int
+	OnEvent       func(StreamEvent)
+	OnUnconfirmed func(Unconfirmed) // hears of orders of which nobody knows whether they were carried out
+	Log           zerolog.Logger
+	Seed          uint64
 }
 
-// Front talks with one relay.
-type Front struct {
+// Client talks with one relay.
+type Client struct {
 	opt   Options
 	calls http.Client
 	news  http.Client
@@ -59,15 +59,15 @@
 	mu     sync.Mutex
 	queue  Queue
 	addr   string
-	counts Counts
+	counts Statistics
 }
 
-// Counts tell what became of calls, for the log.
-type Counts struct{ Calls, Orders, Uncertain, Refused, Partial, Streams uint64 }
+// Statistics tell what became of calls, for the log.
+type Statistics struct{ Calls, Orders, Uncertain, Refused, Partial, Streams uint64 }
 
 // New makes a front; nothing is dialed before Start.
-func New(opt Options) *Front {
-	f := &Front{opt: opt, kick: make(chan struct{}, 1), moved: make(chan struct{}, 1), queue: Queue{Classes: opt.Classes}, addr: opt.Addr,
+func New(opt Options) *Client {
+	f := &Client{opt: opt, kick: make(chan struct{}, 1), moved: make(chan struct{}, 1), queue: Queue{Classes: opt.Classes}, addr: opt.Addr,
 		few: opt.Log.Sample(&zerolog.BurstSampler{Burst: 10, Period: time.Second})}
 	dialer := net.Dialer{Timeout: dialWithin}
 	f.calls.Transport = &http.Transport{DialContext: dialer.DialContext, IdleConnTimeout: idleMost, MaxConnsPerHost: 2,
@@ -78,32 +78,32 @@
 }
 
 // Start begins to ask for news and to send what is put.
-func (f *Front) Start(ctx context.Context) {
+func (f *Client) Start(ctx context.Context) {
 	f.done.Add(2)
 	go f.send(ctx)
 	go f.follow(ctx)
 }
 
 // Wait waits until a call in the air is done, once the context of Start has ended.
-func (f *Front) Wait() { f.done.Wait() }
+func (f *Client) Wait() { f.done.Wait() }
 
-// Put hands over the orders of a step.
-func (f *Front) Put(ops []Op) {
+// Enqueue hands over the orders of a step.
+func (f *Client) Enqueue(ops []Operation) {
 	f.mu.Lock()
 	f.queue.Put(ops)
 	f.mu.Unlock()
 	wake(f.kick)
 }
 
-// Left tells that a proxy has gone.
-func (f *Front) Left(id fleet.ProxyID) {
+// ProxyLeft tells that a proxy has gone.
+func (f *Client) ProxyLeft(id fleet.ProxyID) {
 	f.mu.Lock()
 	f.queue.Left(id)
 	f.mu.Unlock()
 }
 
-// Move goes to another address. The stream at the old one goes on until a new one stands.
-func (f *Front) Move(addr string) {
+// SetAddress goes to another address. The stream at the old one goes on until a new one stands.
+func (f *Client) SetAddress(addr string) {
 	f.mu.Lock()
 	f.addr = addr
 	f.mu.Unlock()
@@ -111,8 +111,8 @@
 	wake(f.kick)
 }
 
-// Counts tell what became of calls.
-func (f *Front) Counts() Counts {
+// Statistics tell what became of calls.
+func (f *Client) Statistics() Statistics {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.counts
@@ -125,14 +125,14 @@
 	}
 }
 
-func (f *Front) at() string {
+func (f *Client) at() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.addr
 }
 
 // send carries out calls, one at a time.
-func (f *Front) send(ctx context.Context) {
+func (f *Client) send(ctx context.Context) {
 	defer f.done.Done()
 	again := againFirst
 	for {
@@ -161,21 +161,21 @@
 		c := &f.counts
 		c.Calls, c.Orders = c.Calls+1, c.Orders+uint64(taken)
 		switch {
-		case was == Uncertain:
+		case was == CallUncertain:
 			c.Uncertain++
-		case was != Answered:
+		case was != CallAnswered:
 			c.Refused++
 		case taken < orders:
 			c.Partial++
 		}
 		f.mu.Unlock()
 		if len(unconfirmed) > 0 {
-			f.opt.Unsure(Unconfirmed{unconfirmed})
+			f.opt.OnUnconfirmed(Unconfirmed{unconfirmed})
 		}
 		for _, o := range out {
 			f.few.Warn().Str("order", o).Msg("left out: the relay can't use it")
 		}
-		if was == Answered {
+		if was == CallAnswered {
 			f.opt.Log.Debug().Int("orders", orders).Int("taken", taken).Dur("took", time.Since(began)).Msg("call")
 			again = againFirst
 			continue
@@ -183,7 +183,7 @@
 		f.few.Warn().Err(err).Int("orders", orders).Int("unconfirmed", len(unconfirmed)).Dur("took", time.Since(began)).
 			Msg("call failed")
 		pause := limitPause
-		if was == Uncertain {
+		if was == CallUncertain {
 			pause, again = again, min(againMost, 2*again)
 		}
 		select {
@@ -195,30 +195,30 @@
 }
 
 // call sends one call and makes out what became of it. It ends by itself, so that an end of the program needs not cut it.
-func (f *Front) call(addr, text string, orders int) (Outcome, int, error) {
+func (f *Client) call(addr, text string, orders int) (CallOutcome, int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), answerWithin)
 	defer cancel()
 	form := url.Values{"Action": {"CommitChanges"}, "ops": {text}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/api/", strings.NewReader(form.Encode()))
 	if err != nil {
-		return Refused, 0, err
+		return CallRefused, 0, err
 	}
 	req.Header.Set("Content-Type", "application/x-www-form-urlencoded")
 	res, err := f.calls.Do(req)
 	if err != nil {
 		var dial *net.OpError
 		if errors.As(err, &dial) && dial.Op == "dial" {
-			return Refused, 0, err
+			return CallRefused, 0, err
 		}
-		return Uncertain, 0, err
+		return CallUncertain, 0, err
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(res.Body, answerMost+1))
 	if err != nil {
-		return Uncertain, 0, fmt.Errorf("answer: %w", err)
+		return CallUncertain, 0, fmt.Errorf("answer: %w", err)
 	}
 	was, taken, err := Read(body, orders)
-	if was == Uncertain { // where answers can't be read, the next one comes on a new connection
+	if was == CallUncertain { // where answers can't be read, the next one comes on a new connection
 		f.calls.CloseIdleConnections()
 	}
 	return was, taken, err
@@ -231,9 +231,9 @@
 }
 
 // follow keeps a stream of news. After a move the old stream goes on until the new one stands.
-func (f *Front) follow(ctx context.Context) {
+func (f *Client) follow(ctx context.Context) {
 	defer f.done.Done()
-	redial := reconcile.NewRedial(f.opt.Seed)
+	redial := reconcile.NewDialBackoff(f.opt.Seed)
 	var last, current, dialing uint64
 	stop := map[uint64]context.CancelFunc{}
 	opened, over := make(chan opening), make(chan ended)
@@ -290,7 +290,7 @@
 				continue
 			}
 			dialing = 0
-			redial.Stood()
+			redial.Reset()
 			f.mu.Lock()
 			f.counts.Streams++
 			f.mu.Unlock()
@@ -323,7 +323,7 @@
 			}
 			f.few.Warn().Err(e.err).Uint64("stream", e.stream).Msg("no news from the relay: dials again")
 			if current == 0 && dialing == 0 || e.stream > current {
-				retry = time.After(time.Duration(redial.Failed()))
+				retry = time.After(time.Duration(redial.Next()))
 			}
 		}
 	}
@@ -336,7 +336,7 @@
 }
 
 // read follows one stream until it ends.
-func (f *Front) read(ctx context.Context, stream uint64, opened func() (whole bool, err error)) error {
+func (f *Client) read(ctx context.Context, stream uint64, opened func() (whole bool, err error)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	addr := f.at()
@@ -356,8 +356,8 @@
 	if err != nil { // given up before it was let on: it tells nothing
 		return err
 	}
-	f.opt.Sink(News{Stream: stream, What: Opened, Whole: whole})
-	settled := sync.OnceFunc(func() { f.opt.Sink(News{Stream: stream, What: Settled}) }) // a sign of life is due within a second
+	f.opt.OnEvent(StreamEvent{Stream: stream, Kind: StreamOpened, Continuous: whole})
+	settled := sync.OnceFunc(func() { f.opt.OnEvent(StreamEvent{Stream: stream, Kind: SnapshotComplete}) }) // a sign of life is due within a second
 	watchdog := time.AfterFunc(lifeWithin, func() { cancel(fmt.Errorf("silent for %v", lifeWithin)) })
 	defer watchdog.Stop()
 	lines := bufio.NewScanner(res.Body)
@@ -368,12 +368,12 @@
 		line := lines.Text()
 		switch field, value, _ := strings.Cut(line, ":"); {
 		case line == "" && name != "":
-			e, err := event(name, data, f.opt.Zones, f.opt.Proxies)
+			e, err := event(name, data, f.opt.Zones, f.opt.ProxyCount)
 			if err != nil {
 				return err
 			}
 			if e != nil {
-				f.opt.Sink(News{Stream: stream, What: Told, Event: e})
+				f.opt.OnEvent(StreamEvent{Stream: stream, Kind: ProxyEvent, Event: e})
 			}
 			name, data = "", ""
 		case line == "":
--- a/internal/transport/relay/queue.go
+++ b/internal/transport/relay/queue.go
@@ -15,14 +15,14 @@
 // callMost is the relay's bound, in bytes of the orders of one call.
 const callMost = 60_000
 
-// Op is an order with the name of the server that it is about, if any.
-type Op struct {
+// Operation is an order with the name of the server that it is about, if any.
+type Operation struct {
 	Order  fleet.Order
 	Server string
 }
 
 // Text prints an order as the relay reads it. Classes are named by the site.
-func (o Op) Text(classes []string) string {
+func (o Operation) Text(classes []string) string {
 	switch v := o.Order.(type) {
 	case fleet.SetWeight:
 		return "share," + number(v.Table) + "," + o.Server + "," + figure(v.Weight)
@@ -85,7 +85,7 @@
 	placeMark
 )
 
-func (o Op) key() key {
+func (o Operation) key() key {
 	switch v := o.Order.(type) {
 	case fleet.SetWeight:
 		return key{kind: placeShare, table: uint16(v.Table), server: o.Server}
@@ -101,7 +101,7 @@
 	return key{kind: placeMark}
 }
 
-func (o Op) place() uint8 {
+func (o Operation) place() uint8 {
 	switch v := o.Order.(type) {
 	case fleet.SetWeight:
 		if v.Weight == 0 {
@@ -117,7 +117,7 @@
 
 // fold makes one call of orders that were to be several. In the end the same holds as after all of them in turn. Of marks the first
 // is kept.
-func fold(ops []Op) []Op {
+func fold(ops []Operation) []Operation {
 	last := make(map[key]int, len(ops))
 	cleared := map[uint16]int{}
 	for i, o := range ops {
@@ -126,30 +126,30 @@
 			cleared[uint16(c.Table)] = i
 		}
 	}
-	var out []Op
+	var out []Operation
 	for i, o := range ops {
 		k := o.key()
 		at, wiped := cleared[k.table]
 		if k.kind == placeMark { // an answer tells of what was put before the first of them, and of no more
-			last[k] = slices.IndexFunc(ops, func(o Op) bool { return o.key().kind == placeMark })
+			last[k] = slices.IndexFunc(ops, func(o Operation) bool { return o.key().kind == placeMark })
 		}
 		if last[k] == i && !(wiped && at > i && (k.kind == placeShare || k.kind == placeLevel)) {
 			out = append(out, o)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Op) int { return cmp.Compare(a.place(), b.place()) })
+	slices.SortStableFunc(out, func(a, b Operation) int { return cmp.Compare(a.place(), b.place()) })
 	return out
 }
 
-// Outcome is what became of a call.
-type Outcome uint8
+// CallOutcome is what became of a call.
+type CallOutcome uint8
 
 // The outcomes of a call.
 const (
-	Answered  Outcome = iota // so many orders were taken
-	Uncertain                // it was carried out as though it had been answered, or not at all
-	Refused                  // nothing was carried out
-	Malformed                // nothing was carried out, nor ever will be
+	CallAnswered  CallOutcome = iota // so many orders were taken
+	CallUncertain                    // it was carried out as though it had been answered, or not at all
+	CallRefused                      // nothing was carried out
+	CallMalformed                    // nothing was carried out, nor ever will be
 )
 
 // malformedMost is how often a call that the relay can't read is sent before it is given up: once may be the wire's fault.
@@ -158,15 +158,15 @@
 // Queue holds the orders that are not known to be carried out, in order. Its size is bounded by the things that orders set.
 type Queue struct {
 	Classes []string
-	call    []Op // the call in the air, or the rest of it to be sent before all else
-	waiting []Op // what comes after it
+	call    []Operation // the call in the air, or the rest of it to be sent before all else
+	waiting []Operation // what comes after it
 	left    map[fleet.ProxyID]bool
 	struck  bool // the relay halted at the first order of the call already
 	tries   int
 }
 
 // Put adds the orders of a step.
-func (q *Queue) Put(ops []Op) {
+func (q *Queue) Put(ops []Operation) {
 	for _, o := range ops {
 		if b, is := o.Order.(fleet.AssignTable); is {
 			delete(q.left, b.Proxy)
@@ -187,7 +187,7 @@
 	if q.left[id] = true; len(q.call) == 0 {
 		clear(q.left)
 	}
-	q.waiting = slices.DeleteFunc(q.waiting, func(o Op) bool {
+	q.waiting = slices.DeleteFunc(q.waiting, func(o Operation) bool {
 		b, is := o.Order.(fleet.AssignTable)
 		return is && b.Proxy == id
 	})
@@ -218,12 +218,12 @@
 
 // Done takes in what became of the call. What is left out for good is told, and what nobody knows of, unless newer orders that wait
 // set the same: it isn't sent again, as that may cost its lines in the channel once more.
-func (q *Queue) Done(was Outcome, taken int) (out []string, unconfirmed []Op) {
+func (q *Queue) Done(was CallOutcome, taken int) (out []string, unconfirmed []Operation) {
 	q.tries++
 	switch {
-	case was == Refused: // newer orders may take the place of these
+	case was == CallRefused: // newer orders may take the place of these
 		q.waiting, q.call = fold(append(q.call, q.waiting...)), nil
-	case was == Uncertain, was == Malformed && q.tries >= malformedMost:
+	case was == CallUncertain, was == CallMalformed && q.tries >= malformedMost:
 		newer := map[key]bool{}
 		for _, o := range q.waiting {
 			newer[o.key()] = true
@@ -234,9 +234,9 @@
 			}
 		}
 		q.call = nil
-	case was == Answered && taken >= len(q.call):
+	case was == CallAnswered && taken >= len(q.call):
 		q.call = nil
-	case was == Answered: // it halted there; a spoilt answer is told from that by asking once more
+	case was == CallAnswered: // it halted there; a spoilt answer is told from that by asking once more
 		if taken > 0 {
 			q.struck = false
 		}
@@ -247,7 +247,7 @@
 			q.struck = true
 		}
 	}
-	q.call = slices.DeleteFunc(q.call, func(o Op) bool {
+	q.call = slices.DeleteFunc(q.call, func(o Operation) bool {
 		b, is := o.Order.(fleet.AssignTable)
 		return is && q.left[b.Proxy]
 	})
--- a/internal/transport/relay/relay_test.go
+++ b/internal/transport/relay/relay_test.go
@@ -85,16 +85,16 @@
 func (d *desk) String() string { return fmt.Sprint(d.shares, d.levels, d.binds, d.out) }
 
 // anew gives orders after which the thing that an order sets is as the book has it.
-func (d *desk) anew(o Op) (ops []Op) {
+func (d *desk) anew(o Operation) (ops []Operation) {
 	line := func(table fleet.TableID, server, weight string) {
 		w, _ := strconv.ParseFloat(weight, 32)
-		ops = append(ops, Op{Order: fleet.SetWeight{Table: table, Weight: float32(w)}, Server: server})
+		ops = append(ops, Operation{Order: fleet.SetWeight{Table: table, Weight: float32(w)}, Server: server})
 	}
 	level := func(table fleet.TableID, class int) {
 		var amount float32
 		var retry fleet.RetryMode
 		if n, _ := fmt.Sscan(d.levels[fmt.Sprint(table, " ", classes[class])], &amount, &retry); n == 2 {
-			ops = append(ops, Op{Order: fleet.SetAdmission{Table: table, Classes: 1 << class, Limit: amount, Retry: retry}})
+			ops = append(ops, Operation{Order: fleet.SetAdmission{Table: table, Classes: 1 << class, Limit: amount, Retry: retry}})
 		}
 	}
 	each := func(set fleet.ClassSet, do func(class int)) {
@@ -108,16 +108,16 @@
 	case fleet.SetWeight:
 		line(v.Table, o.Server, d.shares[fmt.Sprint(v.Table, " ", o.Server)])
 	case fleet.WithdrawServer:
-		ops = []Op{{Order: fleet.WithdrawServer{Withdrawn: d.out[o.Server]}, Server: o.Server}}
+		ops = []Operation{{Order: fleet.WithdrawServer{Withdrawn: d.out[o.Server]}, Server: o.Server}}
 	case fleet.SetAdmission:
 		each(v.Classes, func(class int) { level(v.Table, class) })
 	case fleet.AssignTable:
 		each(v.Classes, func(class int) {
 			table, _ := strconv.Atoi(d.binds[fmt.Sprint(v.Proxy, " ", classes[class])])
-			ops = append(ops, Op{Order: fleet.AssignTable{Proxy: v.Proxy, Table: fleet.TableID(table), Classes: 1 << class}})
+			ops = append(ops, Operation{Order: fleet.AssignTable{Proxy: v.Proxy, Table: fleet.TableID(table), Classes: 1 << class}})
 		})
 	case fleet.ClearTable:
-		ops = []Op{o}
+		ops = []Operation{o}
 		for k, weight := range d.shares {
 			if table, server, _ := strings.Cut(k, " "); table == fmt.Sprint(v.Table) {
 				line(v.Table, server, weight)
@@ -128,22 +128,22 @@
 	return ops
 }
 
-func anyOp(t *rapid.T) Op {
+func anyOp(t *rapid.T) Operation {
 	table, server := fleet.TableID(rapid.IntRange(0, 2).Draw(t, "table")), fmt.Sprint("s-", rapid.IntRange(0, 3).Draw(t, "server"))
 	set := fleet.ClassSet(rapid.IntRange(0, 7).Draw(t, "classes"))
 	switch rapid.IntRange(0, 7).Draw(t, "kind") {
 	case 0:
-		return Op{Order: fleet.ClearTable{Table: table}}
+		return Operation{Order: fleet.ClearTable{Table: table}}
 	case 1:
-		return Op{Order: fleet.AssignTable{Proxy: fleet.ProxyID(rapid.IntRange(0, 2).Draw(t, "proxy")), Table: table, Classes: set}}
+		return Operation{Order: fleet.AssignTable{Proxy: fleet.ProxyID(rapid.IntRange(0, 2).Draw(t, "proxy")), Table: table, Classes: set}}
 	case 2:
-		return Op{Order: fleet.WithdrawServer{Withdrawn: rapid.Bool().Draw(t, "out")}, Server: server}
+		return Operation{Order: fleet.WithdrawServer{Withdrawn: rapid.Bool().Draw(t, "out")}, Server: server}
 	case 3:
-		return Op{Order: fleet.SetAdmission{Table: table, Classes: set, Limit: rapid.Float32Range(0, 1e6).Draw(t, "amount"), Retry: 2}}
+		return Operation{Order: fleet.SetAdmission{Table: table, Classes: set, Limit: rapid.Float32Range(0, 1e6).Draw(t, "amount"), Retry: 2}}
 	case 4:
-		return Op{Order: fleet.Barrier{ID: 7}}
+		return Operation{Order: fleet.Barrier{ID: 7}}
 	}
-	return Op{Order: fleet.SetWeight{Table: table, Weight: float32(rapid.IntRange(0, 3).Draw(t, "weight"))}, Server: server}
+	return Operation{Order: fleet.SetWeight{Table: table, Weight: float32(rapid.IntRange(0, 3).Draw(t, "weight"))}, Server: server}
 }
 
 // Whatever becomes of calls, in the end what holds is what holds after all orders in turn, if what nobody knows of is ordered again;
@@ -153,10 +153,10 @@
 		want, got := newDesk(), newDesk()
 		q := Queue{Classes: classes}
 		calls, bad := 0, 0
-		var again []Op // as the module does: what should hold of the things that nobody knows of
-		done := func(was Outcome, taken int) {
+		var again []Operation // as the module does: what should hold of the things that nobody knows of
+		done := func(was CallOutcome, taken int) {
 			_, told := q.Done(was, taken)
-			if was != Uncertain && len(told) > 0 || was == Uncertain && len(q.call) > 0 {
+			if was != CallUncertain && len(told) > 0 || was == CallUncertain && len(q.call) > 0 {
 				t.Fatalf("%v: %d orders told, %d go again", was, len(told), len(q.call))
 			}
 			again = append(again, told...)
@@ -167,23 +167,23 @@
 			switch fate := rapid.IntRange(0, patience).Draw(t, "fate"); fate {
 			case 1: // carried out, not answered
 				got.carryOut(text)
-				done(Uncertain, 0)
+				done(CallUncertain, 0)
 			case 2:
-				done(Uncertain, 0)
+				done(CallUncertain, 0)
 			case 3:
-				done(Refused, 0)
+				done(CallRefused, 0)
 			default:
 				taken := got.carryOut(text)
 				if taken < n {
 					bad++
 				}
-				done(Answered, taken)
+				done(CallAnswered, taken)
 			}
 		}
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			ops := rapid.SliceOfN(rapid.Custom(anyOp), 1, 6).Draw(t, "ops")
 			if rapid.IntRange(0, 9).Draw(t, "spoil") == 0 {
-				ops = append(ops, Op{Order: fleet.SetWeight{Weight: -1}, Server: "s-9"})
+				ops = append(ops, Operation{Order: fleet.SetWeight{Weight: -1}, Server: "s-9"})
 			}
 			for _, o := range ops {
 				want.carryOut(o.Text(classes))
@@ -210,7 +210,7 @@
 
 // What adds stands before what takes away: no table that a proxy is on is empty on the way, also where a call is cut in two.
 func TestFoldKeepsATableFilled(t *testing.T) {
-	folded := fold([]Op{
+	folded := fold([]Operation{
 		{Order: fleet.SetWeight{Table: 1, Weight: 0}, Server: "old"}, {Order: fleet.WithdrawServer{Withdrawn: true}, Server: "old"},
 		{Order: fleet.Barrier{ID: 1}}, {Order: fleet.SetWeight{Table: 1, Weight: 1}, Server: "new"}, {Order: fleet.Barrier{ID: 2}}})
 	var text []string
@@ -223,7 +223,7 @@
 }
 
 func TestOrdersPrint(t *testing.T) {
-	for want, op := range map[string]Op{
+	for want, op := range map[string]Operation{
 		"share,4,s-5,1.5":              {Order: fleet.SetWeight{Table: 4, Weight: 1.5}, Server: "s-5"},
 		"share,4,s-5,0.00000012345679": {Order: fleet.SetWeight{Table: 4, Weight: 1.2345679e-7}, Server: "s-5"},
 		"bind,17,4,look+issue":         {Order: fleet.AssignTable{Proxy: 17, Table: 4, Classes: 5}},
@@ -242,20 +242,20 @@
 func TestAnswersAreRead(t *testing.T) {
 	const head = `<?xml version="1.0"?><Response><entries><item>`
 	const tail = `</item></entries></Response>`
-	for text, want := range map[string]Outcome{
-		head + "<accepted>2</accepted>" + tail:                       Answered,
-		head + "<accepted> 0 </accepted>" + tail:                     Answered,
-		head + "<accepted>3</accepted>" + tail:                       Uncertain, // of two
-		head + "<accepted>-1</accepted>" + tail:                      Uncertain,
-		head + "<accepted>x</accepted>" + tail:                       Uncertain,
-		head + "<accepted>1</accepted><accepted>2</accepted>" + tail: Uncertain,
-		head + "<accepted>2</accep":                                  Uncertain,
-		"":                                                           Uncertain,
-		"\x00\x01":                                                   Uncertain,
-		"<Response><error>limit</error></Response>":                  Refused,
-		"<Response><errors><e><code>malformed</code></e></errors></Response>": Malformed,
+	for text, want := range map[string]CallOutcome{
+		head + "<accepted>2</accepted>" + tail:                       CallAnswered,
+		head + "<accepted> 0 </accepted>" + tail:                     CallAnswered,
+		head + "<accepted>3</accepted>" + tail:                       CallUncertain, // of two
+		head + "<accepted>-1</accepted>" + tail:                      CallUncertain,
+		head + "<accepted>x</accepted>" + tail:                       CallUncertain,
+		head + "<accepted>1</accepted><accepted>2</accepted>" + tail: CallUncertain,
+		head + "<accepted>2</accep":                                  CallUncertain,
+		"":                                                           CallUncertain,
+		"\x00\x01":                                                   CallUncertain,
+		"<Response><error>limit</error></Response>":                  CallRefused,
+		"<Response><errors><e><code>malformed</code></e></errors></Response>": CallMalformed,
 	} {
-		if was, _, err := Read([]byte(text), 2); was != want || (err == nil) != (want == Answered) {
+		if was, _, err := Read([]byte(text), 2); was != want || (err == nil) != (want == CallAnswered) {
 			t.Errorf("%q: %v, %v", text, was, err)
 		}
 	}
@@ -265,7 +265,7 @@
 	f.Add([]byte(`<Response><entries><item><accepted>2</accepted></item></entries></Response>`))
 	f.Add([]byte(`</a><accepted>`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if was, taken, _ := Read(text, 3); was == Answered && (taken < 0 || taken > 3) {
+		if was, taken, _ := Read(text, 3); was == CallAnswered && (taken < 0 || taken > 3) {
 			t.Errorf("%d of 3 taken", taken)
 		}
 	})
@@ -363,10 +363,10 @@
 	fmt.Fprintf(w, "<Response><entries><item><accepted>%d</accepted></item></entries></Response>", s.desk.carryOut(ops))
 }
 
-func started(t *testing.T, s *standin) (*Front, chan News) {
-	news := make(chan News, 1000)
-	f := New(Options{Addr: s.addr(), Zones: []string{"a"}, Classes: classes, Proxies: 10, Log: zerolog.Nop(),
-		Sink: func(n News) { news <- n }})
+func started(t *testing.T, s *standin) (*Client, chan StreamEvent) {
+	news := make(chan StreamEvent, 1000)
+	f := New(Options{Addr: s.addr(), Zones: []string{"a"}, Classes: classes, ProxyCount: 10, Log: zerolog.Nop(),
+		OnEvent: func(n StreamEvent) { news <- n }})
 	ctx, cancel := context.WithCancel(context.Background())
 	f.Start(ctx)
 	t.Cleanup(func() { cancel(); f.Wait() })
@@ -390,25 +390,27 @@
 	s := newStandin(t, "limit", "break", "drop", "spoil", "")
 	s.gate = make(chan struct{}, 10)
 	unsure := make(chan Unconfirmed, 10)
-	f := New(Options{Addr: s.addr(), Zones: []string{"a"}, Classes: classes, Proxies: 10, Log: zerolog.Nop(),
-		Sink: func(News) {}, Unsure: func(u Unconfirmed) { unsure <- u }})
+	f := New(Options{Addr: s.addr(), Zones: []string{"a"}, Classes: classes, ProxyCount: 10, Log: zerolog.Nop(),
+		OnEvent: func(StreamEvent) {}, OnUnconfirmed: func(u Unconfirmed) { unsure <- u }})
 	ctx, cancel := context.WithCancel(context.Background())
 	f.Start(ctx)
 	t.Cleanup(func() { cancel(); f.Wait() })
-	x := func(weight float32) Op { return Op{Order: fleet.SetWeight{Table: 1, Weight: weight}, Server: "x"} }
-	y := Op{Order: fleet.SetWeight{Table: 1, Weight: 4}, Server: "y"}
-	f.Put([]Op{x(1), y})
+	x := func(weight float32) Operation {
+		return Operation{Order: fleet.SetWeight{Table: 1, Weight: weight}, Server: "x"}
+	}
+	y := Operation{Order: fleet.SetWeight{Table: 1, Weight: 4}, Server: "y"}
+	f.Enqueue([]Operation{x(1), y})
 	for _, fate := range []string{"limit", "break"} {
 		if got := next(t, s.seen); got != fate+": share,1,x,1;share,1,y,4" {
 			t.Errorf("call %q", got)
 		}
 		if fate == "break" {
-			f.Put([]Op{x(2)}) // while nobody knows
+			f.Enqueue([]Operation{x(2)}) // while nobody knows
 		}
 		s.gate <- struct{}{}
 	}
-	if got := next(t, unsure); fmt.Sprint(got.Ops) != fmt.Sprint([]Op{y}) {
-		t.Errorf("told %v of a call whose first order has a newer one", got.Ops)
+	if got := next(t, unsure); fmt.Sprint(got.Operations) != fmt.Sprint([]Operation{y}) {
+		t.Errorf("told %v of a call whose first order has a newer one", got.Operations)
 	}
 	for i, fate := range []string{"drop", "spoil"} {
 		weight := float32(2 + i)
@@ -416,17 +418,17 @@
 			t.Errorf("call %q", got)
 		}
 		s.gate <- struct{}{}
-		if got := next(t, unsure); fmt.Sprint(got.Ops) != fmt.Sprint([]Op{x(weight)}) {
-			t.Errorf("told %v", got.Ops)
+		if got := next(t, unsure); fmt.Sprint(got.Operations) != fmt.Sprint([]Operation{x(weight)}) {
+			t.Errorf("told %v", got.Operations)
 		}
-		f.Put([]Op{x(weight + 1)})
+		f.Enqueue([]Operation{x(weight + 1)})
 	}
 	if got := next(t, s.seen); got != ": share,1,x,4" {
 		t.Errorf("call %q", got)
 	}
 	s.gate <- struct{}{}
-	if len(unsure) > 0 || f.Counts().Uncertain != 3 {
-		t.Errorf("told more: %d, %+v", len(unsure), f.Counts())
+	if len(unsure) > 0 || f.Statistics().Uncertain != 3 {
+		t.Errorf("told more: %d, %+v", len(unsure), f.Statistics())
 	}
 }
 
@@ -435,7 +437,7 @@
 	s := newStandin(t)
 	s.desk.joined = func(p string) bool { return p != "3" }
 	f, _ := started(t, s)
-	f.Put([]Op{{Order: fleet.AssignTable{Proxy: 2, Table: 1}}, {Order: fleet.AssignTable{Proxy: 3, Table: 1}}, {Order: fleet.AssignTable{Proxy: 4, Table: 1}}})
+	f.Enqueue([]Operation{{Order: fleet.AssignTable{Proxy: 2, Table: 1}}, {Order: fleet.AssignTable{Proxy: 3, Table: 1}}, {Order: fleet.AssignTable{Proxy: 4, Table: 1}}})
 	for _, want := range []string{": bind,2,1,*;bind,3,1,*;bind,4,1,*", ": bind,3,1,*;bind,4,1,*", ": bind,4,1,*"} {
 		if got := next(t, s.seen); got != want {
 			t.Errorf("call %q, not %q", got, want)
@@ -457,25 +459,25 @@
 	old, moved := newStandin(t), newStandin(t)
 	f, news := started(t, old)
 	first := old.open(t, 1)
-	for _, want := range []What{Opened, Told, Settled} {
-		if n := next(t, news); n.What != want || n.Stream != 1 || n.Whole {
+	for _, want := range []StreamEventKind{StreamOpened, ProxyEvent, SnapshotComplete} {
+		if n := next(t, news); n.Kind != want || n.Stream != 1 || n.Continuous {
 			t.Fatalf("%+v, not %v", n, want)
 		}
 	}
 	close(first) // breaks
 	second := old.open(t, 1)
-	for _, want := range []What{Opened, Told, Settled} {
-		if n := next(t, news); n.What != want || n.Stream != 2 || n.Whole {
+	for _, want := range []StreamEventKind{StreamOpened, ProxyEvent, SnapshotComplete} {
+		if n := next(t, news); n.Kind != want || n.Stream != 2 || n.Continuous {
 			t.Fatalf("%+v, not %v of the second", n, want)
 		}
 	}
-	f.Move(moved.addr())
+	f.SetAddress(moved.addr())
 	tell := next(t, moved.streams)
 	second <- "event: left\ndata: node=1\n\n"
-	if n := next(t, news); n.What != Told || n.Stream != 2 || n.Event != (fleet.ProxyLeft{Proxy: 1}) {
+	if n := next(t, news); n.Kind != ProxyEvent || n.Stream != 2 || n.Event != (fleet.ProxyLeft{Proxy: 1}) {
 		t.Fatalf("%+v, not what the old stream told last", n)
 	}
-	if n := next(t, news); n.What != Opened || n.Stream != 3 || !n.Whole {
+	if n := next(t, news); n.Kind != StreamOpened || n.Stream != 3 || !n.Continuous {
 		t.Fatalf("%+v, not a whole opening", n)
 	}
 	tell <- ":\n"
@@ -488,14 +490,14 @@
 		old, moved := newStandin(t), newStandin(t)
 		f, news := started(t, old)
 		first := old.open(t, 1)
-		for _, want := range []What{Opened, Told, Settled} {
-			if n := next(t, news); n.What != want {
+		for _, want := range []StreamEventKind{StreamOpened, ProxyEvent, SnapshotComplete} {
+			if n := next(t, news); n.Kind != want {
 				t.Fatalf("%+v, not %v", n, want)
 			}
 		}
-		f.Move(moved.addr())
+		f.SetAddress(moved.addr())
 		next(t, moved.streams)
-		for late := time.Now().Add(20 * time.Second); f.Counts().Streams < 2; time.Sleep(time.Millisecond) { // until it stands
+		for late := time.Now().Add(20 * time.Second); f.Statistics().Streams < 2; time.Sleep(time.Millisecond) { // until it stands
 			if time.Now().After(late) {
 				t.Fatal("the new stream does not stand")
 			}
@@ -505,7 +507,7 @@
 		} else {
 			first <- cleanEnd
 		}
-		if n := next(t, news); n.What != Opened || n.Stream != 2 || n.Whole == spoilt {
+		if n := next(t, news); n.Kind != StreamOpened || n.Stream != 2 || n.Continuous == spoilt {
 			t.Errorf("spoilt %v: %+v", spoilt, n)
 		}
 	}
@@ -524,7 +526,7 @@
 	var got []string
 	for range 4 {
 		n := next(t, news)
-		got = append(got, fmt.Sprint(n.Stream, n.What))
+		got = append(got, fmt.Sprint(n.Stream, n.Kind))
 	}
 	if fmt.Sprint(got) != "[1 opened 1 told 2 opened 2 told]" {
 		t.Errorf("news %v", got)
@@ -535,7 +537,7 @@
 	case <-time.After(1200 * time.Millisecond): // longer than the relay's second
 	}
 	tell <- ":\n"
-	if n := next(t, news); n.What != Settled || n.Stream != 2 {
+	if n := next(t, news); n.Kind != SnapshotComplete || n.Stream != 2 {
 		t.Errorf("%+v", n)
 	}
 }
@@ -544,14 +546,14 @@
 func TestMalformedCallsLetOthersPass(t *testing.T) {
 	s := newStandin(t, "malformed", "malformed", "malformed", "limit", "")
 	unsure := make(chan Unconfirmed, 10)
-	f := New(Options{Addr: s.addr(), Classes: classes, Proxies: 10, Log: zerolog.Nop(), Sink: func(News) {}, Unsure: func(u Unconfirmed) { unsure <- u }})
+	f := New(Options{Addr: s.addr(), Classes: classes, ProxyCount: 10, Log: zerolog.Nop(), OnEvent: func(StreamEvent) {}, OnUnconfirmed: func(u Unconfirmed) { unsure <- u }})
 	s.gate = make(chan struct{}, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	f.Start(ctx)
 	t.Cleanup(func() { cancel(); f.Wait() })
-	f.Put([]Op{{Order: fleet.WithdrawServer{Withdrawn: true}, Server: "x"}})
+	f.Enqueue([]Operation{{Order: fleet.WithdrawServer{Withdrawn: true}, Server: "x"}})
 	next(t, s.seen)
-	f.Put([]Op{{Order: fleet.WithdrawServer{Withdrawn: true}, Server: "y"}})
+	f.Enqueue([]Operation{{Order: fleet.WithdrawServer{Withdrawn: true}, Server: "y"}})
 	for range 5 {
 		s.gate <- struct{}{}
 	}
@@ -560,7 +562,7 @@
 			t.Errorf("call %q, not %q", got, want)
 		}
 	}
-	if u := next(t, unsure); len(u.Ops) != 1 || u.Ops[0].Server != "x" {
+	if u := next(t, unsure); len(u.Operations) != 1 || u.Operations[0].Server != "x" {
 		t.Errorf("told %v", u)
 	}
 }
@@ -570,20 +572,20 @@
 	old, passed, last := newStandin(t), newStandin(t), newStandin(t)
 	f, news := started(t, old)
 	first := old.open(t)
-	for _, want := range []What{Opened, Settled} {
-		if n := next(t, news); n.What != want {
+	for _, want := range []StreamEventKind{StreamOpened, SnapshotComplete} {
+		if n := next(t, news); n.Kind != want {
 			t.Fatalf("%+v, not %v", n, want)
 		}
 	}
-	f.Move(passed.addr())
+	f.SetAddress(passed.addr())
 	next(t, passed.streams)
-	f.Move(last.addr())
+	f.SetAddress(last.addr())
 	next(t, last.streams)
 	first <- "event: left\ndata: node=1\n\n"
-	if n := next(t, news); n.What != Told || n.Stream != 1 {
+	if n := next(t, news); n.Kind != ProxyEvent || n.Stream != 1 {
 		t.Fatalf("%+v, not what the old stream told", n)
 	}
-	if n := next(t, news); n.What != Opened || n.Stream != 3 || !n.Whole {
+	if n := next(t, news); n.Kind != StreamOpened || n.Stream != 3 || !n.Continuous {
 		t.Fatalf("%+v, not the whole opening of the last", n)
 	}
 }
@@ -596,9 +598,9 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	f := New(Options{Addr: addr, Classes: classes, Proxies: 10, Log: zerolog.Nop(), Sink: func(News) {}})
+	f := New(Options{Addr: addr, Classes: classes, ProxyCount: 10, Log: zerolog.Nop(), OnEvent: func(StreamEvent) {}})
 	for i := range 10_000 {
-		f.Put([]Op{{Order: fleet.SetWeight{Table: 1, Weight: float32(i)}, Server: fmt.Sprint(i % 7)}, {Order: fleet.Barrier{ID: fleet.BarrierID(i % 9)}}})
+		f.Enqueue([]Operation{{Order: fleet.SetWeight{Table: 1, Weight: float32(i)}, Server: fmt.Sprint(i % 7)}, {Order: fleet.Barrier{ID: fleet.BarrierID(i % 9)}}})
 	}
 	if n := len(f.queue.waiting); n > 8 {
 		t.Errorf("%d orders wait, of seven lines and a mark", n)
--- a/internal/transport/relay/transcript_test.go
+++ b/internal/transport/relay/transcript_test.go
@@ -35,8 +35,8 @@
 	server := &http.Server{Handler: handler}
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { _ = server.Close() })
-	f := New(Options{Addr: l.Addr().String(), Zones: []string{"a"}, Classes: classes, Proxies: 10, Log: zerolog.Nop(), Sink: func(News) {}})
-	f.Put([]Op{
+	f := New(Options{Addr: l.Addr().String(), Zones: []string{"a"}, Classes: classes, ProxyCount: 10, Log: zerolog.Nop(), OnEvent: func(StreamEvent) {}})
+	f.Enqueue([]Operation{
 		{Order: fleet.SetWeight{Table: 4, Weight: 1.5}, Server: "s-5"}, {Order: fleet.SetWeight{Table: 4, Weight: 0}, Server: "s 6"},
 		{Order: fleet.ClearTable{Table: 3}}, {Order: fleet.AssignTable{Proxy: 17, Table: 4, Classes: 5}}, {Order: fleet.WithdrawServer{Withdrawn: true}, Server: "s-5"},
 		{Order: fleet.WithdrawServer{}, Server: "s-7"}, {Order: fleet.SetAdmission{Table: fleet.AllTables, Limit: 1e6, Retry: fleet.RetryIfNotExecuted}},
@@ -63,12 +63,12 @@
 	tell <- strings.Join([]string{
 		"event: joined\ndata: node=7&locality=a&w=2.5&cold=1\n\n", "event:left\ndata:node=7\n\n", ":\n\n", "event: odd\ndata: x=1\n\n",
 		"event: applied\ndata: node=3&nonce=65535&latency=12.5\n\n"}, "")
-	for _, want := range []News{
-		{Stream: 1, What: Opened},
-		{Stream: 1, What: Told, Event: fleet.ProxyJoined{Proxy: 7, RequestRate: 2.5, Fresh: true}},
-		{Stream: 1, What: Told, Event: fleet.ProxyLeft{Proxy: 7}},
-		{Stream: 1, What: Settled},
-		{Stream: 1, What: Told, Event: fleet.BarrierReached{Proxy: 3, Barrier: 65535, Delay: 12_500_000}},
+	for _, want := range []StreamEvent{
+		{Stream: 1, Kind: StreamOpened},
+		{Stream: 1, Kind: ProxyEvent, Event: fleet.ProxyJoined{Proxy: 7, RequestRate: 2.5, Fresh: true}},
+		{Stream: 1, Kind: ProxyEvent, Event: fleet.ProxyLeft{Proxy: 7}},
+		{Stream: 1, Kind: SnapshotComplete},
+		{Stream: 1, Kind: ProxyEvent, Event: fleet.BarrierReached{Proxy: 3, Barrier: 65535, Delay: 12_500_000}},
 	} {
 		if got := next(t, news); got != want {
 			t.Errorf("heard %+v, want %+v", got, want)
