--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -51,7 +51,8 @@
 
 // The events.
 type (
-	// EndpointList brings an endpoint list or a change of it. Endpoints belongs to the sender and must not be changed.
+	// EndpointList brings an endpoint list or a change of it. Endpoints belongs to the sender and must not be
+	// changed.
 	EndpointList struct {
 		Scope     ListScope    `json:"Scope"`
 		Revision  ListRevision `json:"Rev"`
@@ -127,8 +128,8 @@
 		Barrier BarrierID `json:"Mark"`
 		Delay   Time      `json:"Took"`
 	}
-	// OrdersUnconfirmed reports orders that may or may not have been carried out. The host does not send them again, as that
-	// could cost their capacity in the update channel a second time.
+	// OrdersUnconfirmed reports orders that may or may not have been carried out. The host does not send them again,
+	// as that could cost their capacity in the update channel a second time.
 	OrdersUnconfirmed struct {
 		Orders []Order `json:"Orders"`
 	}
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Order is an output of the balancer. The set of orders is closed. All orders set absolute values, so that a repeated order
-// changes nothing.
+// Order is an output of the balancer. The set of orders is closed. All orders set absolute values, so that a
+// repeated order changes nothing.
 type Order interface{ order() }
 
 // The orders.
@@ -40,7 +40,8 @@
 	ClearTable struct {
 		Table TableID `json:"Table"`
 	}
-	// WithdrawServer removes a server from all tables of joined proxies, whatever their weights, or lets it back in.
+	// WithdrawServer removes a server from all tables of joined proxies, whatever their weights, or lets it back
+	// in.
 	WithdrawServer struct {
 		Server    ServerID `json:"Server"`
 		Withdrawn bool     `json:"Out"`
--- a/internal/fleet/site.go
+++ b/internal/fleet/site.go
@@ -96,21 +96,22 @@
 	Writes    bool `json:"Writes"`
 }
 
-// SlowStart states how a server warms up after its start: its capacity grows from InitialFraction of the full one to all of it
-// over Duration.
+// SlowStart states how a server warms up after its start: its capacity grows from InitialFraction of the full one
+// to all of it over Duration.
 type SlowStart struct {
 	InitialFraction float64 `json:"ColdFrom"`
 	Duration        Time    `json:"ColdFor"`
 }
 
-// RecoveryRamp states what overloads a warming or recovering server: OverloadFactor times its present capacity, for Duration.
+// RecoveryRamp states what overloads a warming or recovering server: OverloadFactor times its present capacity, for
+// Duration.
 type RecoveryRamp struct {
 	OverloadFactor float64 `json:"FallFactor"`
 	Duration       Time    `json:"FallFor"`
 }
 
-// Site is what a controller is configured with: the shape of the fleet, what its interfaces can do and what they cost. The JSON
-// names are those of the event log.
+// Site is what a controller is configured with: the shape of the fleet, what its interfaces can do and what they
+// cost. The JSON names are those of the event log.
 type Site struct {
 	ControllerIndex int            `json:"Me"` // this controller among Controllers
 	Controllers     int            `json:"Governors"`
@@ -127,35 +128,42 @@
 	ProbesAllowed bool           `json:"Probes"`
 	PeersAllowed  bool           `json:"Peers"` // messages between controllers are allowed
 
-	Admission            AdmissionMode `json:"Admission"`
-	ProxyCount           int           `json:"Proxies"` // over all controllers
-	JoinByZone           bool          `json:"JoinByZone"`
-	StandingTableSize    int           `json:"Standing"`     // most servers in a proxy's own, standing table
-	SliceCount           int           `json:"Slices"`       // 0: proxies join one controller at a time
-	ExclusiveSlices      bool          `json:"Exclusive"`    // a slice has a single owner
-	WriteLeaseDuration   Time          `json:"Tenure"`       // exclusive slices: how long a proxy sends writes without its controller
-	MaxWriteDuration     Time          `json:"InFlightMost"` // a write in flight ends within this
-	AttemptTimeoutFactor float64       `json:"PerTry"`       // an attempt that may be retried waits this many latency objectives
-	DefaultRetry         RetryMode     `json:"RetryDefault"`
-	ProxyOutlierFailures int           `json:"OutlierAfter"` // consecutive failures after which a proxy avoids a server; 0: never
-	MinServerConnections float64       `json:"ConnLeast"`    // the smallest connection limit of any server; 0: unlimited
-	ReportInterval       Time          `json:"ReportEvery"`
-	ReportsPerSecond     float64       `json:"ReportsPerS"`
-	MeanUpdateDelay      Time          `json:"Travel"`
-	MaxUpdateDelay       Time          `json:"TravelMost"`
-	EntriesPerSecond     float64       `json:"LinesPerS"`    // capacity of the update channel, in table entries
-	MessageOverhead      float64       `json:"MessageHead"`  // entries that each message costs beside its own
-	MaxBacklog           float64       `json:"BacklogMost"`  // entries that may wait in the update channel
-	MaxMessages          int           `json:"MessagesMost"` // to one proxy within MessageWindow; 0: unlimited
-	MessageWindow        Time          `json:"MessagesOver"`
-	MaxUnservedDuration  Time          `json:"BareMost"` // a proxy may be without endpoints for a class this long
-	ConnectTimeout       Time          `json:"ConnectTimeout"`
+	Admission         AdmissionMode `json:"Admission"`
+	ProxyCount        int           `json:"Proxies"` // over all controllers
+	JoinByZone        bool          `json:"JoinByZone"`
+	StandingTableSize int           `json:"Standing"`  // most servers in a proxy's own, standing table
+	SliceCount        int           `json:"Slices"`    // 0: proxies join one controller at a time
+	ExclusiveSlices   bool          `json:"Exclusive"` // a slice has a single owner
+	// WriteLeaseDuration is how long a proxy sends writes for an exclusive slice without its controller.
+	WriteLeaseDuration Time `json:"Tenure"`
+	MaxWriteDuration   Time `json:"InFlightMost"` // a write in flight ends within this
+	// AttemptTimeoutFactor is how many latency objectives an attempt that may be retried waits.
+	AttemptTimeoutFactor float64   `json:"PerTry"`
+	DefaultRetry         RetryMode `json:"RetryDefault"`
+	// ProxyOutlierFailures is the number of consecutive failures after which a proxy avoids a server; 0: never.
+	ProxyOutlierFailures int `json:"OutlierAfter"`
+	// MinServerConnections is the smallest connection limit of any server; 0: unlimited.
+	MinServerConnections float64 `json:"ConnLeast"`
+	ReportInterval       Time    `json:"ReportEvery"`
+	ReportsPerSecond     float64 `json:"ReportsPerS"`
+	MeanUpdateDelay      Time    `json:"Travel"`
+	MaxUpdateDelay       Time    `json:"TravelMost"`
+	EntriesPerSecond     float64 `json:"LinesPerS"`    // capacity of the update channel, in table entries
+	MessageOverhead      float64 `json:"MessageHead"`  // entries that each message costs beside its own
+	MaxBacklog           float64 `json:"BacklogMost"`  // entries that may wait in the update channel
+	MaxMessages          int     `json:"MessagesMost"` // to one proxy within MessageWindow; 0: unlimited
+	MessageWindow        Time    `json:"MessagesOver"`
+	MaxUnservedDuration  Time    `json:"BareMost"` // a proxy may be without endpoints for a class this long
+	ConnectTimeout       Time    `json:"ConnectTimeout"`
 
 	SlowStart
 	RecoveryRamp
-	DrainTimeout      Time    `json:"DrainGrace"`  // requests to a draining server must end within this
-	MaxPollInterval   Time    `json:"AskWithin"`   // lists on request: a controller that has not asked for so long counts as notified
-	RemovalNotBinding bool    `json:"GoneDoesNot"` // only a draining entry binds the controller, a removed one does not
+	DrainTimeout Time `json:"DrainGrace"` // requests to a draining server must end within this
+	// MaxPollInterval bounds the time between polls where lists come on request: a controller that has not polled
+	// for so long counts as notified.
+	MaxPollInterval Time `json:"AskWithin"`
+	// RemovalNotBinding says that only a draining entry binds the controller, and a removed one does not.
+	RemovalNotBinding bool    `json:"GoneDoesNot"`
 	WorstClassWeight  float64 `json:"WorstClassPay"`
 	OverallWeight     float64 `json:"WholePay"`
 }
