--- /dev/null
+++ b/cmd/wirehost/host.go
@@ -0,0 +1,152 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+
+	"cressknot/internal/balancer"
+	"cressknot/internal/fleet"
+	"cressknot/internal/simwire"
+)
+
+// inputBufferBytes holds most batches whole.
+const inputBufferBytes = 1 << 16
+
+// serve answers every batch until the input ends.
+func serve(in io.Reader, out io.Writer) error {
+	reader := simwire.NewReader(bufio.NewReaderSize(in, inputBufferBytes))
+	h := newHost()
+	for {
+		batch, err := reader.Next()
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return fmt.Errorf("reading: %w", err)
+		}
+		reply, err := h.answer(batch)
+		if err != nil {
+			return err
+		}
+		if _, err := out.Write(reply); err != nil {
+			return fmt.Errorf("writing: %w", err)
+		}
+	}
+}
+
+// instance is one controller and its events of the current batch.
+type instance struct {
+	id        fleet.ControllerID
+	balancer  *balancer.Balancer // nil once the instance was stopped
+	events    []fleet.Event
+	scheduled bool // the instance is in host.schedule
+}
+
+// host runs the instances of one wire.
+type host struct {
+	reply     simwire.Writer
+	instances map[fleet.ControllerID]*instance
+	schedule  []*instance // to be stepped in this batch, in the order of their first items
+}
+
+func newHost() *host {
+	return &host{instances: make(map[fleet.ControllerID]*instance)}
+}
+
+// answer steps each instance that a batch concerns, once, and returns the reply, which is valid until the next call.
+func (h *host) answer(batch simwire.Batch) ([]byte, error) {
+	h.reply.Begin()
+	h.schedule = h.schedule[:0]
+	for _, item := range batch.Items {
+		if err := h.handleItem(item); err != nil {
+			return nil, fmt.Errorf("governor %d: %w", item.Controller, err)
+		}
+	}
+	for _, scheduled := range h.schedule {
+		if err := h.step(scheduled, batch.Now); err != nil {
+			return nil, fmt.Errorf("governor %d: %w", scheduled.id, err)
+		}
+	}
+	return h.reply.Frame(), nil
+}
+
+func (h *host) handleItem(item simwire.Item) error {
+	switch item.Kind {
+	case simwire.ItemStart:
+		return h.start(item.Controller, item.Start)
+	case simwire.ItemStop:
+		h.stop(item.Controller)
+		return nil
+	default:
+		return h.addEvent(item.Controller, item.Event)
+	}
+}
+
+// start begins an instance, which is stepped even without an event.
+func (h *host) start(id fleet.ControllerID, start *simwire.Start) error {
+	site, err := simwire.ParseSite(start.Options)
+	if err != nil {
+		return err
+	}
+	started := &instance{id: id, balancer: balancer.New(site, start.Seed), scheduled: true}
+	h.instances[id] = started
+	h.schedule = append(h.schedule, started)
+	return nil
+}
+
+// stop ends an instance. It orders nothing more, whatever events of this batch came before.
+func (h *host) stop(id fleet.ControllerID) {
+	stopped := h.instances[id]
+	if stopped == nil {
+		return
+	}
+	stopped.balancer = nil
+	stopped.events = nil
+	delete(h.instances, id)
+}
+
+func (h *host) addEvent(id fleet.ControllerID, event fleet.Event) error {
+	target := h.instances[id]
+	if target == nil {
+		return fmt.Errorf("%T before its enlist", event)
+	}
+	if !target.scheduled {
+		target.scheduled = true
+		h.schedule = append(h.schedule, target)
+	}
+	target.events = append(target.events, event)
+	return nil
+}
+
+// step lets an instance act on its events and adds its orders to the reply. A panic is reported as a crash of this
+// instance and leaves the others alone.
+func (h *host) step(target *instance, now fleet.Time) error {
+	if target.balancer != nil {
+		orders, failure := target.decide(now)
+		for _, order := range orders {
+			if err := h.reply.AppendOrder(target.id, order); err != nil {
+				return err
+			}
+		}
+		if failure != "" {
+			h.reply.AppendCrash(target.id, failure)
+		}
+	}
+	clear(target.events)
+	target.events = target.events[:0]
+	target.scheduled = false
+	return nil
+}
+
+// decide steps the balancer. The failure is the text of a panic, or empty.
+func (i *instance) decide(now fleet.Time) (orders []fleet.Order, failure string) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			orders = nil
+			failure = fmt.Sprint(cause)
+		}
+	}()
+	return i.balancer.Step(now, i.events), ""
+}
--- /dev/null
+++ b/internal/simwire/events.go
@@ -0,0 +1,126 @@
+package simwire
+
+import "cressknot/internal/fleet"
+
+// eventDecoders read the fields of the events that need nothing but their record, by the record's code.
+var eventDecoders = map[uint16]func(*cursor) fleet.Event{
+	codeProbeResult:    decodeProbeResult,
+	codeTimerFired:     decodeTimerFired,
+	codeStoredEntry:    decodeStoredEntry,
+	codeProxyLeft:      decodeProxyLeft,
+	codePeerMessage:    decodePeerMessage,
+	codeBarrierReached: decodeBarrierReached,
+	codeSliceAssigned:  decodeSliceAssigned,
+	codeProxyJoined:    decodeProxyJoined,
+	codeOutcomeReport:  decodeOutcomeReport,
+	codeSliceDemand:    decodeSliceDemand,
+	codeProxyDemand:    decodeProxyDemand,
+}
+
+// The decoders read fields in the order of the wire, which is that of the calls below.
+
+func decodeProbeResult(c *cursor) fleet.Event {
+	return fleet.ProbeResult{
+		Server:   fleet.ServerID(c.uint32("replica")),
+		Outcome:  probeOutcome(c.uint16("result")),
+		Duration: c.milliseconds("durationMs"),
+		Load:     c.loadFigures(),
+	}
+}
+
+func probeOutcome(result uint16) fleet.ProbeOutcome {
+	switch result {
+	case resultAnswered:
+		return fleet.ProbeAnswered
+	case resultFailed:
+		return fleet.ProbeFailed
+	case resultRejected:
+		return fleet.ProbeRejected
+	case resultTimedOut:
+		return fleet.ProbeTimedOut
+	case resultUnreachable:
+		return fleet.ProbeUnreachable
+	case resultConnectionBroken:
+		return fleet.ProbeConnectionBroken
+	}
+	return fleet.ProbeOtherOutcome
+}
+
+func decodeTimerFired(c *cursor) fleet.Event {
+	return fleet.TimerFired{ID: fleet.TimerID(c.uint32("token"))}
+}
+
+func decodeStoredEntry(c *cursor) fleet.Event {
+	return fleet.StoredEntry{
+		Slice:  fleet.TableID(c.uint16("sheet")),
+		Server: fleet.ServerID(c.uint32("replica")),
+		Weight: c.float32("heft"),
+	}
+}
+
+func decodeProxyLeft(c *cursor) fleet.Event {
+	return fleet.ProxyLeft{Proxy: fleet.ProxyID(c.uint16("agent"))}
+}
+
+func decodePeerMessage(c *cursor) fleet.Event {
+	return fleet.PeerMessage{
+		From: fleet.ControllerID(c.uint16("neighbour")),
+		Data: c.bytes(int(c.uint16("octets"))),
+	}
+}
+
+func decodeBarrierReached(c *cursor) fleet.Event {
+	return fleet.BarrierReached{
+		Delay:   c.milliseconds("durationMs"),
+		Proxy:   fleet.ProxyID(c.uint16("agent")),
+		Barrier: fleet.BarrierID(c.uint64("rev")),
+	}
+}
+
+func decodeSliceAssigned(c *cursor) fleet.Event {
+	return fleet.SliceAssigned{
+		Slice:    fleet.TableID(c.uint16("sheet")),
+		Assigned: c.flag("active"),
+	}
+}
+
+func decodeProxyJoined(c *cursor) fleet.Event {
+	return fleet.ProxyJoined{
+		RequestRate: c.float32("heft"),
+		Zone:        fleet.ZoneID(c.uint8("az")),
+		Proxy:       fleet.ProxyID(c.uint16("agent")),
+		Fresh:       c.flag("active"),
+	}
+}
+
+func decodeOutcomeReport(c *cursor) fleet.Event {
+	return fleet.OutcomeReport{
+		Server:   fleet.ServerID(c.uint32("replica")),
+		Failures: c.uint32("unanswered"),
+		Attempts: c.uint32("total"),
+		Latency:  c.milliseconds("durationMs"),
+		Interval: c.milliseconds("spanMs"),
+		Zone:     fleet.ZoneID(c.uint8("az")),
+		Load:     c.loadFigures(),
+	}
+}
+
+func decodeSliceDemand(c *cursor) fleet.Event {
+	return fleet.SliceDemandReport{
+		Slice:      fleet.TableID(c.uint16("sheet")),
+		Class:      fleet.ClassID(c.uint8("profile")),
+		Requests:   c.uint32("total"),
+		Unanswered: c.uint32("unanswered"),
+		Interval:   c.milliseconds("spanMs"),
+	}
+}
+
+func decodeProxyDemand(c *cursor) fleet.Event {
+	return fleet.DemandReport{
+		Proxy:      fleet.ProxyID(c.uint16("agent")),
+		Class:      fleet.ClassID(c.uint8("profile")),
+		Requests:   c.uint32("total"),
+		Unanswered: c.uint32("unanswered"),
+		Interval:   c.milliseconds("spanMs"),
+	}
+}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -12,29 +12,32 @@
 	"cressknot/internal/fleet"
 )
 
-func unhex(t testing.TB, text string) []byte {
+func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
-	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
+	data, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return data
 }
 
-// frame puts records behind a batch header at clock 246145 ms.
+// frame puts records behind a batch header with a clock of 246145 ms.
 func frame(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
-	size, n := headerBytes+len(body), len(records)
-	head := []byte{byte(size), byte(size >> 8), byte(size >> 16), 0, 0, 0, 0, 0, 0x20, 0x6e, 0xc0, 0x40, byte(n), 0, 0, 0}
-	return append(head, body...)
+	size := batchHeaderBytes + len(body)
+	header := []byte{
+		byte(size), byte(size >> 8), byte(size >> 16), 0,
+		0, 0, 0, 0, 0x20, 0x6e, 0xc0, 0x40,
+		byte(len(records)), 0, 0, 0,
+	}
+	return append(header, body...)
 }
 
-// The byte examples are those of the wire's page.
-var events = []struct {
-	bytes string
-	what  any
+// eventRecords are the examples of the wire's specification, all for instance 3.
+var eventRecords = []struct {
+	record string
+	event  fleet.Event
 }{
-	{"0101 02000000 0300", Stop{}},
 	{"0201 06000000 0300 4d000000", fleet.TimerFired{ID: 77}},
 	{"0001 1d000000 0300 f211902c 0000 666666666666f63f 03 52b81e3f0000e04000006841",
 		fleet.ProbeResult{Server: 0x2c9011f2, Duration: 1_400_000, Load: []float32{0.62, 7, 14.5}}},
@@ -42,8 +45,8 @@
 	{"0901 0a000000 0300 0000d040 00 2900 01", fleet.ProxyJoined{Proxy: 41, RequestRate: 6.5, Fresh: true}},
 	{"0501 04000000 0300 2900", fleet.ProxyLeft{Proxy: 41}},
 	{"0b01 2c000000 0300 074a1203 01000000 0e000000 0000000000204840 0000000000408f40 00 03 52b81e3f0000e04000006841",
-		fleet.OutcomeReport{Server: 0x03124a07, Failures: 1, Attempts: 14, Latency: 48_250_000, Interval: fleet.Second,
-			Load: []float32{0.62, 7, 14.5}}},
+		fleet.OutcomeReport{Server: 0x03124a07, Failures: 1, Attempts: 14, Latency: 48_250_000,
+			Interval: fleet.Second, Load: []float32{0.62, 7, 14.5}}},
 	{"0e01 15000000 0300 2900 00 09000000 00000000 0000000000409f40",
 		fleet.DemandReport{Proxy: 41, Requests: 9, Interval: 2 * fleet.Second}},
 	{"0d01 15000000 0300 7500 00 17000000 02000000 0000000000408f40",
@@ -54,65 +57,91 @@
 		fleet.BarrierReached{Proxy: 41, Barrier: 12, Delay: 412_500_000}},
 }
 
-func TestEventsOfThePage(t *testing.T) {
-	for _, e := range events {
-		batch, err := NewReader(bytes.NewReader(frame(unhex(t, e.bytes)))).Next()
+const (
+	stopRecord  = "0101 02000000 0300"
+	startRecord = "0301 12000000 0300 0700000000000000 04000000 7b7d2020"
+)
+
+func TestReaderDecodesItems(t *testing.T) {
+	type example struct {
+		record string
+		want   Item
+	}
+	examples := []example{
+		{stopRecord, Item{Controller: 3, Kind: ItemStop}},
+		{startRecord, Item{Controller: 3, Kind: ItemStart, Start: &Start{Seed: 7, Options: []byte("{}  ")}}},
+	}
+	for _, e := range eventRecords {
+		examples = append(examples, example{e.record, Item{Controller: 3, Kind: ItemEvent, Event: e.event}})
+	}
+	for _, e := range examples {
+		batch, err := NewReader(bytes.NewReader(frame(decodeHex(t, e.record)))).Next()
 		if err != nil {
-			t.Errorf("%T: %v", e.what, err)
-		} else if got := batch.Items[0]; got.Governor != 3 || !reflect.DeepEqual(got.What, e.what) {
-			t.Errorf("got %+v, want %+v", got, e.what)
+			t.Errorf("%s: %v", e.record, err)
+			continue
+		}
+		if !reflect.DeepEqual(batch.Items, []Item{e.want}) {
+			t.Errorf("%s: got %+v, want %+v", e.record, batch.Items, e.want)
 		}
 	}
 }
 
 const (
-	pageOfTwo = `0c01 30000000 0000 02000000
+	registerTwoServers = `0c01 30000000 0000 02000000
 		00 0000 0000000000000000 00 00 074a1203 0000803f 00 0000 0000000000d4b740 01 00 f211902c 0000c03f`
-	pageOfOne = "0c01 1b000000 0000 01000000 01 0000 0000000000000000 00 00 074a1203 0000803f"
-	syncPage0 = "0a01 0d000000 0300 00 0000 2900000000000000"
+	registerOneServer = "0c01 1b000000 0000 01000000 01 0000 0000000000000000 00 00 074a1203 0000803f"
+	listZeroRecord    = "0a01 0d000000 0300 00 0000 2900000000000000"
 )
 
-func TestListNumbersAreReusedWithinABatch(t *testing.T) {
-	in := append(frame(unhex(t, pageOfTwo), unhex(t, syncPage0), unhex(t, pageOfOne), unhex(t, syncPage0)), frame()...)
-	r := NewReader(bytes.NewReader(in))
-	batch, err := r.Next()
+func TestReaderKeepsListsOfABatchApartWhenANumberIsReused(t *testing.T) {
+	first := frame(
+		decodeHex(t, registerTwoServers),
+		decodeHex(t, listZeroRecord),
+		decodeHex(t, registerOneServer),
+		decodeHex(t, listZeroRecord),
+	)
+	reader := NewReader(bytes.NewReader(append(first, frame()...)))
+	batch, err := reader.Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, second := batch.Items[0].What.(fleet.EndpointList), batch.Items[1].What.(fleet.EndpointList)
-	if len(first.Endpoints) != 2 || first.Endpoints[1].Started != 6100*fleet.Millisecond || first.Revision != 41 {
-		t.Errorf("first list is %+v", first)
+	two := batch.Items[0].Event.(fleet.EndpointList)
+	if len(two.Endpoints) != 2 || two.Endpoints[1].Started != 6100*fleet.Millisecond || two.Revision != 41 {
+		t.Errorf("first list is %+v", two)
+	}
+	one := batch.Items[1].Event.(fleet.EndpointList)
+	if len(one.Endpoints) != 1 || one.Endpoints[0].State != fleet.ServerDraining {
+		t.Errorf("second list is %+v", one)
 	}
-	if len(second.Endpoints) != 1 || second.Endpoints[0].State != fleet.ServerDraining {
-		t.Errorf("second list is %+v", second)
+	if batch, err = reader.Next(); err != nil || len(batch.Items) != 0 {
+		t.Fatalf("empty batch gives %+v, %v", batch, err)
 	}
-	if batch, err = r.Next(); err != nil || len(batch.Items) != 0 {
-		t.Errorf("empty batch gives %+v, %v", batch, err)
-	} else if _, err = r.Next(); !errors.Is(err, io.EOF) {
+	if _, err = reader.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("end of input gives %v", err)
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
-	short := frame(unhex(t, events[0].bytes))
-	counted := append([]byte(nil), short...)
-	counted[12] = 9
-	for want, in := range map[string][]byte{
+func TestReaderErrorsNameTheByte(t *testing.T) {
+	stop := frame(decodeHex(t, stopRecord))
+	wrongCount := append([]byte(nil), stop...)
+	wrongCount[12] = 9
+	for want, input := range map[string][]byte{
 		"byte 0: frame length cut short": {3, 0},
-		"byte 0: frame of 24 bytes ends": short[:20],
-		"byte 16: record count 9":        counted,
-		"byte 16: event code 511":        frame(unhex(t, "ff01 02000000 0300")),
-		"byte 22: record of code 257":    frame(unhex(t, "0101 09000000 0300")),
-		"byte 27: list 0 was never":      frame(unhex(t, syncPage0)),
-		"byte 28: entries: count 9":      frame(unhex(t, "0c01 06000000 0000 09000000")),
+		"byte 0: frame of 24 bytes ends": stop[:20],
+		"byte 16: record count 9":        wrongCount,
+		"byte 16: event code 511":        frame(decodeHex(t, "ff01 02000000 0300")),
+		"byte 22: record of code 257":    frame(decodeHex(t, "0101 09000000 0300")),
+		"byte 27: list 0 was never":      frame(decodeHex(t, listZeroRecord)),
+		"byte 28: entries: count 9":      frame(decodeHex(t, "0c01 06000000 0000 09000000")),
 	} {
-		if _, err := NewReader(bytes.NewReader(in)).Next(); err == nil || !strings.HasPrefix(err.Error(), want) {
+		_, err := NewReader(bytes.NewReader(input)).Next()
+		if err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("got %v, want %q", err, want)
 		}
 	}
 }
 
-func TestOrdersOfThePage(t *testing.T) {
+func TestWriterEncodesOrders(t *testing.T) {
 	for want, order := range map[string]fleet.Order{
 		"0001 0e000000 0300 0000000000407f40 4d000000": fleet.SetTimer{Delay: 500 * fleet.Millisecond, ID: 77},
 		"0101 06000000 0300 f211902c":                  fleet.ProbeServer{Server: 0x2c9011f2},
@@ -130,11 +159,12 @@
 	} {
 		var w Writer
 		w.Begin()
-		if err := w.Order(3, order); err != nil {
+		if err := w.AppendOrder(3, order); err != nil {
 			t.Fatal(err)
 		}
-		if got, b := w.Frame(), unhex(t, want); !bytes.Equal(got[replyHead:], b) || got[0] != byte(len(got)) || got[4] != 1 {
-			t.Errorf("%T: got %x, want %x", order, got, b)
+		reply, record := w.Frame(), decodeHex(t, want)
+		if !bytes.Equal(reply[replyHeaderBytes:], record) || reply[0] != byte(len(reply)) || reply[4] != 1 {
+			t.Errorf("%T: got %x, want %x", order, reply, record)
 		}
 	}
 }
@@ -146,17 +176,23 @@
 		"unservedMaxMs": 5800, "staysLocal": [true]},
 	"rules": {"coldFrom": 0.16, "coldMs": 18000, "drainGraceMs": 3500.5, "fallMs": 2000, "overloadFactor": 4}}`
 
-func TestSettings(t *testing.T) {
+func TestParseSiteConvertsSettings(t *testing.T) {
 	site, err := ParseSite([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := site.Classes[0]
 	if !site.ListOnRequest || site.ListWeight != fleet.ListWeightLive || site.Admission != fleet.AdmissionRate ||
-		site.DrainTimeout != 3500500*fleet.Millisecond/1000 || site.LoadFields[0] != fleet.LoadFieldUtilization ||
-		c.Idempotency != fleet.IdempotentWithKey || c.DeduplicationScope != fleet.DeduplicationZone || !c.ZoneLocal || c.LatencyObjective != 1500*fleet.Millisecond {
-		t.Errorf("read %+v", site)
+		site.DrainTimeout != 3500500*fleet.Millisecond/1000 || site.LoadFields[0] != fleet.LoadFieldUtilization {
+		t.Errorf("site %+v", site)
 	}
+	class := site.Classes[0]
+	if class.Idempotency != fleet.IdempotentWithKey || class.DeduplicationScope != fleet.DeduplicationZone ||
+		!class.ZoneLocal || class.LatencyObjective != 1500*fleet.Millisecond {
+		t.Errorf("class %+v", class)
+	}
+}
+
+func TestParseSiteNamesTheMissingKey(t *testing.T) {
 	for _, key := range []string{"mostWaiting", "coldFrom", "drainGraceMs", "overloadFactor", "targetMs", "effect"} {
 		_, err := ParseSite([]byte(strings.Replace(settings, key, key+"X", 1)))
 		if err == nil || !strings.Contains(err.Error(), key) {
--- a/internal/simwire/site.go
+++ b/internal/simwire/site.go
@@ -7,7 +7,11 @@
 	"cressknot/internal/fleet"
 )
 
-// options is the JSON of enlist. Pointers mark the keys that a rule needs: without them we refuse to start.
+// maxClasses is the number of bits of a fleet.ClassSet.
+const maxClasses = 16
+
+// options is the form of the settings in JSON. Pointers mark the keys that have no default and must be there. The
+// names of this type and of its parts appear in errors of package json.
 type options struct {
 	Me        int      `json:"me"`
 	Balancers int      `json:"balancers"`
@@ -77,109 +81,154 @@
 	} `json:"familyInfo"`
 }
 
-// ParseSite reads the settings of enlist. Unknown keys are ignored.
+// ParseSite reads the JSON settings of a start. Unknown keys are ignored. An error names the first key that is wrong.
 func ParseSite(text []byte) (fleet.Site, error) {
 	var o options
 	if err := json.Unmarshal(text, &o); err != nil {
 		return fleet.Site{}, fmt.Errorf("settings: %w", JSONFault(err))
 	}
-	p := parser{}
-	f := &o.Family
-	s := fleet.Site{
-		ControllerIndex: o.Me, Controllers: max(1, o.Balancers), Zone: fleet.ZoneID(o.Az), Zones: o.Dcs, Kinds: o.Kinds,
-		Tick:          millis(o.TickMs),
-		ListOnRequest: pick(&p, "discovery", o.Discovery, onRequest),
-		ListWeight:    pick(&p, "weightSource", o.Weights, listWeights),
-		LoadReports:   pick(&p, "report.how", o.Report.How, reportWays),
-		ProbesAllowed: o.Limits.Probes, PeersAllowed: o.Limits.Peers,
-		Admission:  pick(&p, "familyInfo.admission", f.Admission, admissions),
-		ProxyCount: f.Agents, JoinByZone: f.ByZone, StandingTableSize: f.Bootstrap, SliceCount: f.Shards, ExclusiveSlices: f.Exclusive,
-		WriteLeaseDuration: millis(f.TenureMs), MaxWriteDuration: millis(f.InFlightMaxMs), AttemptTimeoutFactor: f.PerTry,
-		DefaultRetry: fleet.RetryMode(f.RetryDefault), ProxyOutlierFailures: f.OutlierAfter, MinServerConnections: f.SmallestConn,
-		ReportInterval: millis(f.IntervalMs), ReportsPerSecond: f.ReportsPerS,
-		MeanUpdateDelay: millis(f.PropagationMs), MaxUpdateDelay: millis(f.PushDelayMax),
-		EntriesPerSecond: p.need("familyInfo.egressPerS", f.EgressPerS), MessageOverhead: p.need("familyInfo.envelope", f.Envelope),
-		MaxBacklog:  p.need("familyInfo.mostWaiting", f.MostWaiting),
-		MaxMessages: f.ReloadsMax, MessageWindow: millis(f.CountedOverMs),
-		MaxUnservedDuration: millis(p.need("familyInfo.unservedMaxMs", f.UnservedMaxMs)),
-		ConnectTimeout:      millis(o.Limits.ConnectTimeoutMs),
-		SlowStart:           fleet.SlowStart{InitialFraction: p.need("rules.coldFrom", o.Rules.ColdFrom), Duration: millis(p.need("rules.coldMs", o.Rules.ColdMs))},
-		RecoveryRamp:        fleet.RecoveryRamp{OverloadFactor: p.need("rules.overloadFactor", o.Rules.OverloadFactor), Duration: millis(p.need("rules.fallMs", o.Rules.FallMs))},
-		DrainTimeout:        millis(p.need("rules.drainGraceMs", o.Rules.DrainGraceMs)),
-		MaxPollInterval:     millis(o.Rules.AskWithinMs),
-		RemovalNotBinding:   o.Rules.RemovalNotBinding,
-		WorstClassWeight:    o.Goal.WorstClass, OverallWeight: o.Goal.Whole,
+	var c checker
+	site := convertSite(&c, &o)
+	site.Classes = convertClasses(&c, &o)
+	if c.err != nil {
+		return fleet.Site{}, c.err
 	}
-	if len(s.Zones) == 0 {
-		s.Zones = []string{""} // a site that names no zones is one
+	return site, nil
+}
+
+// convertSite converts all settings but the classes. The order of the checks decides which error is returned.
+func convertSite(c *checker, o *options) fleet.Site {
+	family := &o.Family
+	return fleet.Site{
+		ControllerIndex:      o.Me,
+		Controllers:          max(1, o.Balancers),
+		Zone:                 fleet.ZoneID(o.Az),
+		Zones:                zonesOrDefault(o.Dcs),
+		Kinds:                o.Kinds,
+		Tick:                 fleet.Milliseconds(o.TickMs),
+		ListOnRequest:        enumValue(c, "discovery", o.Discovery, listOnRequestByName),
+		ListWeight:           enumValue(c, "weightSource", o.Weights, listWeightByName),
+		LoadReports:          enumValue(c, "report.how", o.Report.How, loadReportModeByName),
+		LoadFields:           convertLoadFields(o.Report.Fields),
+		ProbesAllowed:        o.Limits.Probes,
+		PeersAllowed:         o.Limits.Peers,
+		Admission:            enumValue(c, "familyInfo.admission", family.Admission, admissionModeByName),
+		ProxyCount:           family.Agents,
+		JoinByZone:           family.ByZone,
+		StandingTableSize:    family.Bootstrap,
+		SliceCount:           family.Shards,
+		ExclusiveSlices:      family.Exclusive,
+		WriteLeaseDuration:   fleet.Milliseconds(family.TenureMs),
+		MaxWriteDuration:     fleet.Milliseconds(family.InFlightMaxMs),
+		AttemptTimeoutFactor: family.PerTry,
+		DefaultRetry:         fleet.RetryMode(family.RetryDefault),
+		ProxyOutlierFailures: family.OutlierAfter,
+		MinServerConnections: family.SmallestConn,
+		ReportInterval:       fleet.Milliseconds(family.IntervalMs),
+		ReportsPerSecond:     family.ReportsPerS,
+		MeanUpdateDelay:      fleet.Milliseconds(family.PropagationMs),
+		MaxUpdateDelay:       fleet.Milliseconds(family.PushDelayMax),
+		EntriesPerSecond:     c.required("familyInfo.egressPerS", family.EgressPerS),
+		MessageOverhead:      c.required("familyInfo.envelope", family.Envelope),
+		MaxBacklog:           c.required("familyInfo.mostWaiting", family.MostWaiting),
+		MaxMessages:          family.ReloadsMax,
+		MessageWindow:        fleet.Milliseconds(family.CountedOverMs),
+		MaxUnservedDuration:  c.requiredMilliseconds("familyInfo.unservedMaxMs", family.UnservedMaxMs),
+		ConnectTimeout:       fleet.Milliseconds(o.Limits.ConnectTimeoutMs),
+		SlowStart: fleet.SlowStart{
+			InitialFraction: c.required("rules.coldFrom", o.Rules.ColdFrom),
+			Duration:        c.requiredMilliseconds("rules.coldMs", o.Rules.ColdMs),
+		},
+		RecoveryRamp: fleet.RecoveryRamp{
+			OverloadFactor: c.required("rules.overloadFactor", o.Rules.OverloadFactor),
+			Duration:       c.requiredMilliseconds("rules.fallMs", o.Rules.FallMs),
+		},
+		DrainTimeout:      c.requiredMilliseconds("rules.drainGraceMs", o.Rules.DrainGraceMs),
+		MaxPollInterval:   fleet.Milliseconds(o.Rules.AskWithinMs),
+		RemovalNotBinding: o.Rules.RemovalNotBinding,
+		WorstClassWeight:  o.Goal.WorstClass,
+		OverallWeight:     o.Goal.Whole,
 	}
-	for _, name := range o.Report.Fields {
-		s.LoadFields = append(s.LoadFields, LoadFields[name])
+}
+
+// zonesOrDefault returns the named zones. A site that names none is a single one.
+func zonesOrDefault(names []string) []string {
+	if len(names) == 0 {
+		return []string{""}
+	}
+	return names
+}
+
+// convertLoadFields converts the names of load figures. Unknown ones become LoadFieldOther.
+func convertLoadFields(names []string) []fleet.LoadField {
+	var fields []fleet.LoadField
+	for _, name := range names {
+		fields = append(fields, LoadFields[name])
 	}
-	if len(o.Grades) == 0 || len(o.Grades) > 16 {
-		p.fail("grades", fmt.Sprintf("wants 1 to 16 classes, has %d", len(o.Grades)))
+	return fields
+}
+
+// convertClasses converts the request classes.
+func convertClasses(c *checker, o *options) []fleet.RequestClass {
+	if len(o.Grades) == 0 || len(o.Grades) > maxClasses {
+		c.fail("grades", fmt.Sprintf("wants 1 to %d classes, has %d", maxClasses, len(o.Grades)))
 	}
-	for i, g := range o.Grades {
+	var classes []fleet.RequestClass
+	for i, grade := range o.Grades {
 		key := fmt.Sprintf("grades[%d]", i)
-		c := fleet.RequestClass{
-			Name: g.Name, DeduplicationWindow: millis(g.WindowMs), PriorityWeight: g.Worth, LateValueFraction: g.LateShare,
-			LatencyObjective: millis(p.need(key+".targetMs", g.TargetMs)),
-			Deadline:         millis(p.need(key+".deadlineMs", g.DeadlineMs)),
+		class := fleet.RequestClass{
+			Name:                grade.Name,
+			DeduplicationWindow: fleet.Milliseconds(grade.WindowMs),
+			PriorityWeight:      grade.Worth,
+			LateValueFraction:   grade.LateShare,
+			LatencyObjective:    c.requiredMilliseconds(key+".targetMs", grade.TargetMs),
+			Deadline:            c.requiredMilliseconds(key+".deadlineMs", grade.DeadlineMs),
+			ZoneLocal:           flagAt(o.Family.StaysLocal, i),
+			Writes:              flagAt(o.Family.ClassWrites, i),
 		}
-		if g.Effect == nil {
-			p.fail(key+".effect", "is missing")
+		if grade.Effect == nil {
+			c.fail(key+".effect", "is missing")
 		} else {
-			c.Idempotency = pick(&p, key+".effect", *g.Effect, effects)
+			class.Idempotency = enumValue(c, key+".effect", *grade.Effect, idempotencyByName)
 		}
-		if c.Idempotency == fleet.IdempotentWithKey {
-			c.DeduplicationScope = pick(&p, key+".group", g.Group, groups)
+		if class.Idempotency == fleet.IdempotentWithKey {
+			class.DeduplicationScope = enumValue(c, key+".group", grade.Group, deduplicationScopeByName)
 		}
-		c.ZoneLocal = i < len(f.StaysLocal) && f.StaysLocal[i]
-		c.Writes = i < len(f.ClassWrites) && f.ClassWrites[i]
-		s.Classes = append(s.Classes, c)
+		classes = append(classes, class)
 	}
-	return s, p.err
+	return classes
 }
 
-var (
-	onRequest   = map[string]bool{"pushed": false, "on_request": true}
-	listWeights = map[string]fleet.ListWeight{"": fleet.ListWeightNone, "off": fleet.ListWeightNone,
-		"nominal": fleet.ListWeightNominal, "rough": fleet.ListWeightApproximate, "live": fleet.ListWeightLive}
-	reportWays = map[string]fleet.LoadReportMode{"": fleet.LoadReportNone, "off": fleet.LoadReportNone,
-		"inline": fleet.LoadReportInline, "on_probe": fleet.LoadReportOnProbe}
-	admissions = map[string]fleet.AdmissionMode{"": fleet.AdmissionUnlimited, "off": fleet.AdmissionUnlimited,
-		"ratio": fleet.AdmissionFraction, "rps": fleet.AdmissionRate}
-	effects = map[string]fleet.Idempotency{"read_like": fleet.Idempotent, "idempotency_key": fleet.IdempotentWithKey,
-		"non_idempotent": fleet.NotIdempotent}
-	groups = map[string]fleet.DeduplicationScope{"all": fleet.DeduplicationFleet, "zone": fleet.DeduplicationZone, "cell": fleet.DeduplicationCell}
-	// LoadFields are the wire's names of the figures of a load report.
-	LoadFields = map[string]fleet.LoadField{"rif": fleet.LoadFieldInFlight, "q": fleet.LoadFieldQueueLength, "busy": fleet.LoadFieldUtilization,
-		"lat_ms": fleet.LoadFieldServiceTimeMs, "rate": fleet.LoadFieldRequestRate, "fail_rate": fleet.LoadFieldErrorRate}
-)
+// flagAt returns the flag of a class. Missing ones are false.
+func flagAt(flags []bool, i int) bool { return i < len(flags) && flags[i] }
 
-// parser keeps the first thing that was wrong.
-type parser struct{ err error }
+// checker collects the first error of the settings.
+type checker struct{ err error }
 
-func (p *parser) fail(key, what string) {
-	if p.err == nil {
-		p.err = fmt.Errorf("settings: key %s %s", key, what)
+func (c *checker) fail(key, problem string) {
+	if c.err == nil {
+		c.err = fmt.Errorf("settings: key %s %s", key, problem)
 	}
 }
 
-func (p *parser) need(key string, v *float64) float64 {
-	if v == nil {
-		p.fail(key, "is missing")
+// required returns the value of a key that must be there.
+func (c *checker) required(key string, value *float64) float64 {
+	if value == nil {
+		c.fail(key, "is missing")
 		return 0
 	}
-	return *v
+	return *value
 }
 
-func pick[T any](p *parser, key, word string, known map[string]T) T {
-	v, ok := known[word]
-	if !ok {
-		p.fail(key, fmt.Sprintf("has the unknown word %q", word))
-	}
-	return v
+func (c *checker) requiredMilliseconds(key string, value *float64) fleet.Time {
+	return fleet.Milliseconds(c.required(key, value))
 }
 
-func millis(ms float64) fleet.Time { return fleet.Milliseconds(ms) }
+// enumValue returns the value that has a name.
+func enumValue[T any](c *checker, key, name string, values map[string]T) T {
+	value, known := values[name]
+	if !known {
+		c.fail(key, fmt.Sprintf("has the unknown word %q", name))
+	}
+	return value
+}
