--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -11,7 +11,7 @@
 	"cressknot/internal/simwire"
 )
 
-// inputBufferBytes holds most batches whole.
+// inputBufferBytes exceeds the size of most batches.
 const inputBufferBytes = 1 << 16
 
 // serve answers every batch until the input ends.
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -282,8 +282,8 @@
 	s.log.Error().Err(err).Msg("configuration reload failed")
 }
 
-// apply goes over to the addresses of a new configuration. One that changes what needs a restart is rejected as a
-// whole.
+// apply goes over to the addresses of a new configuration. One that also changes a key that needs a restart is
+// rejected, its addresses included.
 func (s *platformServer) apply(fresh *config.Platform) {
 	if key := restartKey(s.settings, fresh); key != "" {
 		s.log.Error().Str("key", key).Msg("configuration rejected: the change needs a restart")
--- a/internal/server/platform_harness_test.go
+++ b/internal/server/platform_harness_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// testProcessVariable makes the test binary run as a controller, as signals go to a whole process.
+// testProcessVariable makes the test binary run as a controller, as signals go to processes.
 const testProcessVariable = "CRESSKNOT_TEST_NODE"
 
 const (
--- a/internal/simwire/cursor.go
+++ b/internal/simwire/cursor.go
@@ -16,7 +16,7 @@
 	loadFigureBytes = 4
 )
 
-// cursor reads the fields of a frame one after another. After a failure it keeps the first error and reads zeros.
+// cursor reads the fields of a frame one after another. After a failure it holds the first error and reads zeros.
 // Each method takes the wire's name of the field, for the error.
 type cursor struct {
 	data     []byte
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -2,24 +2,38 @@
 
 import "cressknot/internal/fleet"
 
-// eventDecoders read the fields of the events that need nothing but their record, by the record's code.
-var eventDecoders = map[uint16]func(*cursor) fleet.Event{
-	codeProbeResult:    decodeProbeResult,
-	codeTimerFired:     decodeTimerFired,
-	codeStoredEntry:    decodeStoredEntry,
-	codeProxyLeft:      decodeProxyLeft,
-	codePeerMessage:    decodePeerMessage,
-	codeBarrierReached: decodeBarrierReached,
-	codeSliceAssigned:  decodeSliceAssigned,
-	codeProxyJoined:    decodeProxyJoined,
-	codeOutcomeReport:  decodeOutcomeReport,
-	codeSliceDemand:    decodeSliceDemand,
-	codeProxyDemand:    decodeProxyDemand,
+// decodeEvent reads the fields of an event that needs nothing but its record. It returns nil if the code is unknown.
+func decodeEvent(code uint16, c *cursor) fleet.Event {
+	switch code {
+	case codeProbeResult:
+		return decodeProbeResult(c)
+	case codeTimerFired:
+		return fleet.TimerFired{ID: fleet.TimerID(c.uint32("token"))}
+	case codeStoredEntry:
+		return decodeStoredEntry(c)
+	case codeProxyLeft:
+		return fleet.ProxyLeft{Proxy: fleet.ProxyID(c.uint16("agent"))}
+	case codePeerMessage:
+		return decodePeerMessage(c)
+	case codeBarrierReached:
+		return decodeBarrierReached(c)
+	case codeSliceAssigned:
+		return decodeSliceAssigned(c)
+	case codeProxyJoined:
+		return decodeProxyJoined(c)
+	case codeOutcomeReport:
+		return decodeOutcomeReport(c)
+	case codeSliceDemand:
+		return decodeSliceDemand(c)
+	case codeProxyDemand:
+		return decodeProxyDemand(c)
+	}
+	return nil
 }
 
 // The decoders read fields in the order of the wire, which is that of the calls below.
 
-func decodeProbeResult(c *cursor) fleet.Event {
+func decodeProbeResult(c *cursor) fleet.ProbeResult {
 	return fleet.ProbeResult{
 		Server:   fleet.ServerID(c.uint32("replica")),
 		Outcome:  probeOutcome(c.uint16("result")),
@@ -46,11 +60,7 @@
 	return fleet.ProbeOtherOutcome
 }
 
-func decodeTimerFired(c *cursor) fleet.Event {
-	return fleet.TimerFired{ID: fleet.TimerID(c.uint32("token"))}
-}
-
-func decodeStoredEntry(c *cursor) fleet.Event {
+func decodeStoredEntry(c *cursor) fleet.StoredEntry {
 	return fleet.StoredEntry{
 		Slice:  fleet.TableID(c.uint16("sheet")),
 		Server: fleet.ServerID(c.uint32("replica")),
@@ -58,18 +68,14 @@
 	}
 }
 
-func decodeProxyLeft(c *cursor) fleet.Event {
-	return fleet.ProxyLeft{Proxy: fleet.ProxyID(c.uint16("agent"))}
-}
-
-func decodePeerMessage(c *cursor) fleet.Event {
+func decodePeerMessage(c *cursor) fleet.PeerMessage {
 	return fleet.PeerMessage{
 		From: fleet.ControllerID(c.uint16("neighbour")),
 		Data: c.bytes(int(c.uint16("octets"))),
 	}
 }
 
-func decodeBarrierReached(c *cursor) fleet.Event {
+func decodeBarrierReached(c *cursor) fleet.BarrierReached {
 	return fleet.BarrierReached{
 		Delay:   c.milliseconds("durationMs"),
 		Proxy:   fleet.ProxyID(c.uint16("agent")),
@@ -77,14 +83,14 @@
 	}
 }
 
-func decodeSliceAssigned(c *cursor) fleet.Event {
+func decodeSliceAssigned(c *cursor) fleet.SliceAssigned {
 	return fleet.SliceAssigned{
 		Slice:    fleet.TableID(c.uint16("sheet")),
 		Assigned: c.flag("active"),
 	}
 }
 
-func decodeProxyJoined(c *cursor) fleet.Event {
+func decodeProxyJoined(c *cursor) fleet.ProxyJoined {
 	return fleet.ProxyJoined{
 		RequestRate: c.float32("heft"),
 		Zone:        fleet.ZoneID(c.uint8("az")),
@@ -93,7 +99,7 @@
 	}
 }
 
-func decodeOutcomeReport(c *cursor) fleet.Event {
+func decodeOutcomeReport(c *cursor) fleet.OutcomeReport {
 	return fleet.OutcomeReport{
 		Server:   fleet.ServerID(c.uint32("replica")),
 		Failures: c.uint32("unanswered"),
@@ -105,7 +111,7 @@
 	}
 }
 
-func decodeSliceDemand(c *cursor) fleet.Event {
+func decodeSliceDemand(c *cursor) fleet.SliceDemandReport {
 	return fleet.SliceDemandReport{
 		Slice:      fleet.TableID(c.uint16("sheet")),
 		Class:      fleet.ClassID(c.uint8("profile")),
@@ -115,7 +121,7 @@
 	}
 }
 
-func decodeProxyDemand(c *cursor) fleet.Event {
+func decodeProxyDemand(c *cursor) fleet.DemandReport {
 	return fleet.DemandReport{
 		Proxy:      fleet.ProxyID(c.uint16("agent")),
 		Class:      fleet.ClassID(c.uint8("profile")),
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -39,7 +39,7 @@
 	Items []Item
 }
 
-// Reader reads batches. It keeps the registered endpoint lists, which all instances share.
+// Reader reads batches. It stores the registered endpoint lists, which all instances share.
 type Reader struct {
 	in     io.Reader
 	offset int64 // of the current frame in the input
@@ -155,13 +155,11 @@
 	case codeEndpointList:
 		item.Event = r.decodeEndpointList(c)
 	default:
-		decode, known := eventDecoders[code]
-		if !known {
+		item.Event = decodeEvent(code, c)
+		if item.Event == nil {
 			c.position = start
 			c.fail("event code %d is unknown", code)
-			return
 		}
-		item.Event = decode(c)
 	}
 	if c.err == nil {
 		r.items = append(r.items, item)
