--- a/cmd/wirehost/host_test.go
+++ b/cmd/wirehost/host_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-const testSettings = `{"discovery": "on_request", "grades": [{"effect": "read_like", "targetMs": 1500, "deadlineMs": 5000}],
+const testSettings = `{"discovery": "on_request",
+	"grades": [{"effect": "read_like", "targetMs": 1500, "deadlineMs": 5000}],
 	"familyInfo": {"mostWaiting": 30000, "egressPerS": 15000, "envelope": 6, "unservedMaxMs": 5800},
 	"rules": {"coldFrom": 0.16, "coldMs": 18000, "drainGraceMs": 3500, "fallMs": 2000, "overloadFactor": 4}}`
 
