--- /dev/null
+++ b/internal/config/platform.go
@@ -0,0 +1,234 @@
+package config
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"net/netip"
+	"os"
+	"strconv"
+
+	"cressknot/internal/discovery"
+	"cressknot/internal/fleet"
+	"cressknot/internal/simwire"
+)
+
+// The environment variables of a controller on the users' platform. Those but the first give a value that the file
+// lacks.
+const (
+	platformFileVariable      = "RELAY_CONFIG"
+	platformNameVariable      = "RELAY_NAME"
+	platformListenVariable    = "RELAY_LISTEN"
+	platformDiscoveryVariable = "RELAY_DISCOVERY"
+)
+
+// Bounds of the platform's settings.
+const (
+	// maxSiteNameBytes bounds the name of a zone or kind. DNS has 253, and a collector's first message is bounded.
+	maxSiteNameBytes = 256
+	minMemoryMB      = 16
+	minSockets       = 64
+	maxSockets       = 1 << 20
+	// maxChannelFigure bounds rates and backlogs of the update channel.
+	maxChannelFigure = 1e9
+	seedBase         = 16
+)
+
+// Platform is the configuration of a controller on the users' platform. RELAY_CONFIG names a JSON file. RELAY_NAME,
+// RELAY_LISTEN and RELAY_DISCOVERY apply where the file lacks their keys.
+type Platform struct {
+	Name           string
+	ListenAddr     string // where proxies' collectors connect
+	DiscoveryAddr  string
+	RelayAddr      string
+	Seed           uint64
+	Cores          float64
+	MemoryMB       int
+	MaxSockets     int
+	KnownEndpoints discovery.EndpointList // as this controller knew it last
+	Site           fleet.Site
+}
+
+// ClassNames returns the names of the site's request classes, by ClassID.
+func (p *Platform) ClassNames() []string {
+	var names []string
+	for _, class := range p.Site.Classes {
+		names = append(names, class.Name)
+	}
+	return names
+}
+
+// LoadPlatform reads the configuration. An error names the first key that is wrong.
+func LoadPlatform(getenv func(string) string) (*Platform, error) {
+	path := getenv(platformFileVariable)
+	if path == "" {
+		return nil, errors.New("RELAY_CONFIG is not set")
+	}
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, fmt.Errorf("RELAY_CONFIG: %w", err)
+	}
+	defer func() { _ = file.Close() }() // it was only read
+	text, err := io.ReadAll(io.LimitReader(file, sizeMost+1))
+	if err != nil {
+		return nil, fmt.Errorf("RELAY_CONFIG: %w", err)
+	}
+	if len(text) > sizeMost {
+		return nil, fmt.Errorf("%s: over %d bytes", path, sizeMost)
+	}
+	settings, err := ParsePlatform(text, getenv)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return settings, nil
+}
+
+// platformFile is the form of the JSON file. It aliases an unnamed struct so that errors of package json name keys
+// alone.
+type platformFile = struct {
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
+	Discovery string `json:"discovery"`
+	Seed      string `json:"seed"`
+	Limits    struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB float64 `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	Store struct {
+		Address string `json:"address"`
+	} `json:"store"`
+	Known    json.RawMessage `json:"known"`
+	Settings json.RawMessage `json:"settings"`
+}
+
+// ParsePlatform reads the configuration from the file's text. An error names the first key that is wrong.
+func ParsePlatform(text []byte, getenv func(string) string) (*Platform, error) {
+	var file platformFile
+	if err := json.Unmarshal(text, &file); err != nil {
+		return nil, simwire.JSONFault(err)
+	}
+	applyEnvironment(&file, getenv)
+	if err := validateFile(&file); err != nil {
+		return nil, err
+	}
+	seed, err := strconv.ParseUint(file.Seed, seedBase, 64)
+	if err != nil {
+		return nil, fmt.Errorf("key seed: %.40q is not a number in hexadecimal", file.Seed)
+	}
+	site, err := simwire.ParseSite(file.Settings)
+	if err != nil {
+		return nil, err
+	}
+	if err := validateSite(site); err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	known, err := parseKnownEndpoints(file.Known, site)
+	if err != nil {
+		return nil, fmt.Errorf("key known: %w", err)
+	}
+	return &Platform{
+		Name:           file.Name,
+		ListenAddr:     file.Listen,
+		DiscoveryAddr:  file.Discovery,
+		RelayAddr:      file.Store.Address,
+		Seed:           seed,
+		Cores:          file.Limits.Cores,
+		MemoryMB:       int(file.Limits.MemoryMB),
+		MaxSockets:     file.Limits.Sockets,
+		KnownEndpoints: known,
+		Site:           site,
+	}, nil
+}
+
+// applyEnvironment fills in what the file lacks.
+func applyEnvironment(file *platformFile, getenv func(string) string) {
+	for _, fallback := range []struct {
+		value    *string
+		variable string
+	}{
+		{&file.Name, platformNameVariable},
+		{&file.Listen, platformListenVariable},
+		{&file.Discovery, platformDiscoveryVariable},
+	} {
+		if *fallback.value == "" {
+			*fallback.value = getenv(fallback.variable)
+		}
+	}
+}
+
+// validateFile checks the values that need no further parsing.
+func validateFile(file *platformFile) error {
+	for _, address := range []struct{ key, value string }{
+		{"listen", file.Listen},
+		{"discovery", file.Discovery},
+		{"store.address", file.Store.Address},
+	} {
+		if _, err := netip.ParseAddrPort(address.value); err != nil {
+			return fmt.Errorf("key %s: %.60q is not address:port", address.key, address.value)
+		}
+	}
+	switch {
+	case file.Name == "":
+		return errors.New("key name is missing")
+	case !(file.Limits.MemoryMB >= minMemoryMB && file.Limits.MemoryMB < math.MaxInt32):
+		return fmt.Errorf("key limits.memory_mb: %g is not %d or more", file.Limits.MemoryMB, minMemoryMB)
+	case file.Limits.Sockets < minSockets || file.Limits.Sockets > maxSockets:
+		return fmt.Errorf("key limits.sockets: %d is not between %d and %d", file.Limits.Sockets, minSockets, maxSockets)
+	case len(file.Settings) == 0:
+		return errors.New("key settings is missing")
+	}
+	return nil
+}
+
+// parseKnownEndpoints reads the endpoint list as this controller knew it last. Without one it is empty.
+func parseKnownEndpoints(text json.RawMessage, site fleet.Site) (discovery.EndpointList, error) {
+	if len(text) == 0 || string(text) == "null" {
+		return discovery.EndpointList{}, nil
+	}
+	source := discovery.PlatformSource{Zones: site.Zones, Kinds: site.Kinds}
+	list, err := source.Decode(text)
+	if err != nil {
+		return discovery.EndpointList{}, err
+	}
+	return *list, nil
+}
+
+// validateSite rejects sites that a controller on the platform cannot serve: IDs have fixed widths, and the
+// platform has no slices.
+func validateSite(site fleet.Site) error {
+	for _, bound := range []struct {
+		key      string
+		value    float64
+		min, max float64
+	}{
+		{"dcs", float64(len(site.Zones)), 1, math.MaxUint8},
+		{"kinds", float64(len(site.Kinds)), 0, math.MaxUint8},
+		{"familyInfo.agents", float64(site.ProxyCount), 1, math.MaxUint16 + 1},
+		{"familyInfo.shards", float64(site.SliceCount), 0, 0},
+		{"familyInfo.egressPerS", site.EntriesPerSecond, 1, maxChannelFigure},
+		{"familyInfo.mostWaiting", site.MaxBacklog, 1, maxChannelFigure},
+	} {
+		if !isBetween(bound.value, bound.min, bound.max) {
+			return fmt.Errorf("key %s: %g is not from %g to %g", bound.key, bound.value, bound.min, bound.max)
+		}
+	}
+	if err := validateNames("dcs", site.Zones); err != nil {
+		return err
+	}
+	return validateNames("kinds", site.Kinds)
+}
+
+func validateNames(key string, names []string) error {
+	for i, name := range names {
+		if len(name) > maxSiteNameBytes {
+			return fmt.Errorf("key %s[%d]: over %d bytes", key, i, maxSiteNameBytes)
+		}
+	}
+	return nil
+}
+
+// isBetween is false for NaN.
+func isBetween(value, low, high float64) bool { return value >= low && value <= high }
--- /dev/null
+++ b/internal/server/platform_test.go
@@ -0,0 +1,140 @@
+package server
+
+import (
+	"net"
+	"strings"
+	"syscall"
+	"testing"
+)
+
+func TestPlatformControllerServesReloadsAndStops(t *testing.T) {
+	first, second := newFakePlatform(t), newFakePlatform(t)
+	p := newProcess(t)
+	p.writeConfiguration(t, p.configuration(first.addr()))
+	p.start(t)
+	p.expectLog(t, "collector server listening")
+	p.expectPong(t)
+	first.expect(t, "bind,1,")
+
+	moved := p.configuration(second.addr())
+	p.writeConfiguration(t, halfWritten(moved))
+	p.signal(t, syscall.SIGHUP)
+	p.expectLog(t, "configuration reload failed")
+
+	p.writeConfiguration(t, strings.Replace(moved, `"name":"look"`, `"name":"book"`, 1))
+	p.signal(t, syscall.SIGHUP)
+	line := p.expectLog(t, "configuration rejected: the change needs a restart")
+	if !strings.Contains(line, `"key":"settings"`) {
+		t.Error(line)
+	}
+
+	p.writeConfiguration(t, halfWritten(moved))
+	p.signal(t, syscall.SIGHUP)
+	p.writeConfiguration(t, moved) // completed after the signal
+	second.expect(t, "stream")
+	second.expect(t, "watch")
+
+	p.signal(t, syscall.SIGHUP)
+	p.signal(t, syscall.SIGTERM)
+	p.signal(t, syscall.SIGTERM)
+	p.expectLog(t, "shutdown started")
+	p.expectExit(t)
+}
+
+// The call is never answered, others wait behind it, and a collector is in the middle of a line.
+func TestPlatformControllerStopsWithCallInFlight(t *testing.T) {
+	fake := newFakePlatform(t)
+	unanswered := make(chan struct{})
+	fake.gate = unanswered
+	t.Cleanup(func() { close(unanswered) })
+	p := newProcess(t)
+	p.writeConfiguration(t, p.configuration(fake.addr()))
+	p.start(t)
+	p.expectLog(t, "collector server listening")
+	send(t, p.dial(t), "collector locality=a\r\nheard locality=a endp")
+	fake.expect(t, "call")
+	p.signal(t, syscall.SIGTERM)
+	p.expectLog(t, "shutdown started")
+	p.expectExit(t)
+}
+
+// Relay and discovery accept connections and send nothing.
+func TestPlatformControllerStopsBeforeItIsReady(t *testing.T) {
+	silent := listenAt(t, "127.0.0.1:0")
+	defer closeQuietly(silent)
+	p := newProcess(t)
+	p.writeConfiguration(t, p.configuration(silent.Addr().String()))
+	p.start(t)
+	p.expectLog(t, "controller started")
+	connection, err := silent.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeQuietly(connection)
+	p.signal(t, syscall.SIGTERM)
+	p.expectLog(t, "shutdown started")
+	p.expectExit(t)
+}
+
+func TestPlatformControllerListensOnceServersAreListed(t *testing.T) {
+	fake := newFakePlatform(t)
+	fake.lists = make(chan string)
+	p := newProcess(t)
+	p.writeConfiguration(t, strings.Replace(p.configuration(fake.addr()), testEndpoint, "", 1))
+	p.start(t)
+	fake.expect(t, "watch")
+	if connection, err := net.Dial("tcp", p.listenAddr); err == nil {
+		closeQuietly(connection)
+		t.Error("listens, and no server is listed")
+	}
+	fake.lists <- `{"rev":2,"all":true,"targets":[` + strings.ReplaceAll(testEndpoint, "\n", "") + "]}\n"
+	line := p.expectLog(t, "collector server listening")
+	if !strings.Contains(line, `"relay_connected":true,"endpoints_listed":true`) {
+		t.Error(line)
+	}
+	p.expectPong(t)
+	fake.expect(t, "bind,1,")
+	p.signal(t, syscall.SIGTERM)
+	p.expectExit(t)
+}
+
+func TestPlatformControllerStartsWithoutRelayAndDiscovery(t *testing.T) {
+	fake := newFakePlatform(t)
+	p := newProcess(t)
+	p.writeConfiguration(t, p.configuration(unusedAddr(t)))
+	p.start(t)
+	line := p.expectLog(t, "collector server listening")
+	if !strings.Contains(line, `"relay_connected":false`) {
+		t.Error(line)
+	}
+	p.expectPong(t)
+	p.writeConfiguration(t, p.configuration(fake.addr()))
+	p.signal(t, syscall.SIGHUP)
+	fake.expect(t, "bind,1,")
+	killAndRestart(t, p, fake)
+	p.signal(t, syscall.SIGTERM)
+	p.expectExit(t)
+}
+
+// killAndRestart checks that a controller which is killed and started again listens again, once its address is free.
+func killAndRestart(t *testing.T, p *process, fake *fakePlatform) {
+	t.Helper()
+	p.signal(t, syscall.SIGKILL)
+	if err := p.command.Wait(); err == nil {
+		t.Error("killed process ended without an error")
+	}
+	occupied := listenAt(t, p.listenAddr)
+	p.start(t)
+	p.expectLog(t, "controller started")
+	fake.expect(t, "bind,1,") // it has its proxies, and its address is in use
+	closeQuietly(occupied)
+	p.expectLog(t, "collector server listening")
+	p.expectPong(t)
+}
+
+func TestPlatformControllerRequiresConfiguration(t *testing.T) {
+	err := RunPlatform(func(string) string { return "" })
+	if err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
+		t.Error(err)
+	}
+}
