--- a/internal/balancer/beliefs.go
+++ b/internal/balancer/beliefs.go
@@ -7,13 +7,13 @@
 	for _, s := range g.ready {
 		shares := []float64{}
 		for t, b := range g.tables {
-			if b.users > 0 {
-				shares = append(shares, s.out[t]/max(b.total, none))
+			if b.proxyCount > 0 {
+				shares = append(shares, s.orderedWeight[t]/max(b.orderedWeight, negligible))
 			}
 		}
-		told = append(told, fleet.ServerEstimate{Server: s.Server, State: s.State, WarmingUp: g.cold(s), Withdrawn: s.withdrawn,
-			Attempts: s.long.tries, Failures: s.long.tries - s.long.good, Utilization: s.long.busy, Latency: s.long.latency,
-			Capacity: s.capacity, RequestRate: s.rate, HealthFactor: s.held, Fractions: shares})
+		told = append(told, fleet.ServerEstimate{Server: s.Server, State: s.State, WarmingUp: g.warmingUp(s), Withdrawn: s.withdrawn,
+			Attempts: s.longWindow.attempts, Failures: s.longWindow.attempts - s.longWindow.successes, Utilization: s.longWindow.utilization, Latency: s.longWindow.latency,
+			Capacity: s.capacity, RequestRate: s.requestRate, HealthFactor: s.healthFactor, Fractions: shares})
 	}
 	return told
 }
--- a/internal/balancer/digest_test.go
+++ b/internal/balancer/digest_test.go
@@ -103,9 +103,9 @@
 	} {
 		t.Run(fmt.Sprintf("seed %d", day.seed), func(t *testing.T) {
 			digest := newOrderDigest()
-			y := newYard(day.seed, day.servers, day.proxies)
-			y.heard = digest.step
-			y.unsure, y.slower = day.unsure, day.slower
+			y := newSimulatedFleet(day.seed, day.servers, day.proxies)
+			y.observeOrders = digest.step
+			y.unconfirmedFraction, y.channelSlowdown = day.unsure, day.slower
 			y.run(day.seconds, day.mishaps)
 			if got := digest.String(); got != day.want {
 				t.Errorf("seed %d: digest %s, recorded was %s", day.seed, got, day.want)
--- a/internal/balancer/logic_test.go
+++ b/internal/balancer/logic_test.go
@@ -13,8 +13,8 @@
 	"cressknot/internal/fleet"
 )
 
-// quickly runs a property over fixed seeds.
-func quickly(t *testing.T, property func(seed int64) bool) {
+// checkSeeds runs a property over fixed seeds.
+func checkSeeds(t *testing.T, property func(seed int64) bool) {
 	t.Helper()
 	if err := quick.Check(property, &quick.Config{MaxCount: 80, Rand: rand.New(rand.NewSource(7))}); err != nil {
 		t.Error(err)
@@ -22,25 +22,25 @@
 }
 
 func TestRulesHoldOnRandomDaysAndOrdersRepeat(t *testing.T) {
-	quickly(t, func(seed int64) bool {
-		y := newYard(seed, 6+int(seed&7), 5)
-		again := newYard(seed, 6+int(seed&7), 5)
+	checkSeeds(t, func(seed int64) bool {
+		y := newSimulatedFleet(seed, 6+int(seed&7), 5)
+		again := newSimulatedFleet(seed, 6+int(seed&7), 5)
 		y.run(60, 1.5)
 		again.run(60, 1.5) // the same events give the same orders
-		t.Log(y.broken)
-		return y.broken == "" && reflect.DeepEqual(y.governor.servers, again.governor.servers)
+		t.Log(y.violation)
+		return y.violation == "" && reflect.DeepEqual(y.balancer.servers, again.balancer.servers)
 	})
 }
 
-// calm gives a governor with servers that carry given rates at given busy shares, on one shared table.
-func calm(rates, busy []float64) *Balancer {
+// newMeasuredBalancer gives a governor with servers that carry given rates at given busy shares, on one shared table.
+func newMeasuredBalancer(rates, busy []float64) *Balancer {
 	g := New(fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1),
 		LoadFields: []fleet.LoadField{fleet.LoadFieldUtilization}, MaxBacklog: 1e6, EntriesPerSecond: 1e6}, 1)
 	list := fleet.EndpointList{Scope: fleet.ListFull}
 	for i := range rates {
 		list.Endpoints = append(list.Endpoints, fleet.Endpoint{Server: fleet.ServerID(i + 1)})
 	}
-	g.watching = false
+	g.observing = false
 	g.Step(0, []fleet.Event{list, fleet.ProxyJoined{Fresh: true}})
 	total := uint32(0)
 	for i, r := range rates {
@@ -58,52 +58,52 @@
 // asked 10 of 7.45: over by 0.2548, residence 1.1 tries begun, so its weight falls to 1-0.2803 and 5.606 tries
 // spread, 2.803 each: the others rise to 1+2.803/21.
 func TestCutSpillAndNormalise(t *testing.T) {
-	g := calm([]float64{10, 10, 10}, []float64{0.9, 0.45, 0.45})
-	g.newest = 1
+	g := newMeasuredBalancer([]float64{10, 10, 10}, []float64{0.9, 0.45, 0.45})
+	g.latestOutcomeAt = 1
 	g.Step(2*fleet.Second, nil)
 	for i, want := range []float64{0.7197 / (1 + 2.803/21), 1, 1} {
-		if got := g.servers[i].out[0]; math.Abs(got-want) > 1e-3 {
+		if got := g.servers[i].orderedWeight[0]; math.Abs(got-want) > 1e-3 {
 			t.Errorf("server %d has weight %.4f, want %.4f", i+1, got, want)
 		}
 	}
 }
 
 func TestQuietFleetSettles(t *testing.T) {
-	y := newYard(3, 10, 5)
+	y := newSimulatedFleet(3, 10, 5)
 	y.run(20, 0)
-	before := y.shared
-	if y.run(10, 0); y.broken != "" || y.shared > before+60 {
-		t.Errorf("%d lines sent in 10 quiet seconds; %s", y.shared-before, y.broken)
+	before := y.weightOrders
+	if y.run(10, 0); y.violation != "" || y.weightOrders > before+60 {
+		t.Errorf("%d lines sent in 10 quiet seconds; %s", y.weightOrders-before, y.violation)
 	}
 }
 
 // A server that takes visits and answers none is heard of no more: it must be cut off by its silence. One that
 // fails most of them is cut off too, but not a fleet of which all do.
 func TestSickServersAreCutOffAndReturn(t *testing.T) {
-	for _, sick := range []machine{{hung: true}, {sick: 0.8}} {
-		y := newYard(5, 10, 5)
+	for _, sick := range []fakeServer{{unresponsive: true}, {failedFraction: 0.8}} {
+		y := newSimulatedFleet(5, 10, 5)
 		y.run(10, 0)
 		m := y.servers[3]
-		m.hung, m.sick = sick.hung, sick.sick
-		least := y.load(m.Server)
+		m.unresponsive, m.failedFraction = sick.unresponsive, sick.failedFraction
+		least := y.requestRate(m.Server)
 		for range 8 {
 			y.run(1, 0)
-			least = min(least, y.load(m.Server))
+			least = min(least, y.requestRate(m.Server))
 		}
 		if least > 0 {
 			t.Errorf("%+v never got less than %.1f visits a second", sick, least)
 		}
-		m.hung, m.sick = false, 0
+		m.unresponsive, m.failedFraction = false, 0
 		y.run(40, 0)
-		if load := y.load(m.Server); load < yardCapacity/10 {
+		if load := y.requestRate(m.Server); load < fakeServerCapacity/10 {
 			t.Errorf("%+v gets %.1f visits a second when healed", sick, load)
 		}
 		for _, m := range y.servers {
-			m.sick = 0.7
+			m.failedFraction = 0.7
 		}
 		y.run(5, 0)
 		for _, m := range y.servers {
-			if y.load(m.Server) == 0 {
+			if y.requestRate(m.Server) == 0 {
 				t.Errorf("server %d is blamed for what all do", m.Server)
 			}
 		}
@@ -112,7 +112,7 @@
 
 // Reports that stop say nothing of any server: the tables stay.
 func TestNoReportsNoChanges(t *testing.T) {
-	y := newYard(8, 10, 5)
+	y := newSimulatedFleet(8, 10, 5)
 	y.run(15, 0)
 	y.now += 3 * fleet.Second
 	y.step(nil) // what had no room goes out
@@ -126,74 +126,74 @@
 // Found on a day of salt-lake-apheresis: a restarted governor withdraws a server, then a proxy joins with a
 // former table and must wait for its new one.
 func TestWaitingProxyHearsOfWithdrawals(t *testing.T) {
-	y := newYard(9, 8, 4)
+	y := newSimulatedFleet(9, 8, 4)
 	y.run(10, 0)
-	for id := range y.holders {
-		y.leave(id, false)
+	for id := range y.proxies {
+		y.disconnectProxy(id, false)
 	}
-	y.governor = New(y.site, 1)
-	y.servers[0].State, y.servers[0].told = fleet.ServerGone, y.now
-	y.step([]fleet.Event{y.list(fleet.ListFull), y.join(0)})
+	y.balancer = New(y.site, 1)
+	y.servers[0].State, y.servers[0].stateChangedAt = fleet.ServerGone, y.now
+	y.step([]fleet.Event{y.endpointList(fleet.ListFull), y.joinProxy(0)})
 	y.now += fleet.Second
 	gone := fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{y.servers[1].Endpoint}}
-	gone.Endpoints[0].State, y.servers[1].State, y.servers[1].told = fleet.ServerGone, fleet.ServerGone, y.now
+	gone.Endpoints[0].State, y.servers[1].State, y.servers[1].stateChangedAt = fleet.ServerGone, fleet.ServerGone, y.now
 	y.step([]fleet.Event{gone})
 	y.now += fleet.Second / 4
-	y.step([]fleet.Event{y.join(1)})
+	y.step([]fleet.Event{y.joinProxy(1)})
 	y.now += 3 * fleet.Second / 4
 	y.step(nil)
-	if h := y.holders[1]; h.on[0] >= 0 || y.shares(h, 0)[y.servers[1].Server] > 0 {
-		t.Errorf("a waiting proxy sends to a gone server; bound to %d", h.on[0])
+	if h := y.proxies[1]; h.assignedTables[0] >= 0 || y.fractions(h, 0)[y.servers[1].Server] > 0 {
+		t.Errorf("a waiting proxy sends to a gone server; bound to %d", h.assignedTables[0])
 	}
 }
 
 // Found on three days of bengal-bookings: with more visits than a fleet can handle and no way to refuse any, all
 // came late. The class of least value for its work goes to a few servers, the others keep away from them.
 func TestSqueezeKeepsClassesApart(t *testing.T) {
-	y := newYard(12, 10, 5)
+	y := newSimulatedFleet(12, 10, 5)
 	y.site.Admission, y.site.Classes[1].ZoneLocal = fleet.AdmissionUnlimited, false
 	y.site.Classes[2].LatencyObjective = fleet.Second / 2
-	for _, h := range y.holders {
+	for _, h := range y.proxies {
 		h.demand *= 3
 	}
-	y.start(fleet.ListCached)
+	y.startBalancer(fleet.ListCached)
 	y.run(20, 0)
 	least, most := 0.0, 0.0
-	for _, s := range y.governor.servers {
-		if least, most = least+s.out[0], most+s.out[2]; s.out[0] > 0 && s.out[2] > 0 {
+	for _, s := range y.balancer.servers {
+		if least, most = least+s.orderedWeight[0], most+s.orderedWeight[2]; s.orderedWeight[0] > 0 && s.orderedWeight[2] > 0 {
 			t.Errorf("server %d has both classes", s.Server)
 		}
 	}
-	if least == 0 || most == 0 || y.broken != "" {
-		t.Errorf("weights %.2f and %.2f; %s", least, most, y.broken)
+	if least == 0 || most == 0 || y.violation != "" {
+		t.Errorf("weights %.2f and %.2f; %s", least, most, y.violation)
 	}
 }
 
 // A release drains many servers at once and replaces them: while it lasts what was handled says too little, and classes keep their servers.
 func TestPassingLoadSqueezesNobody(t *testing.T) {
-	for rounds := range 2 * squeezeWait {
+	for rounds := range 2 * sheddingDelayRounds {
 		for _, moved := range []float64{0, 1} { // servers or proxies have just come
-			g := calm([]float64{10, 10, 10}, []float64{0.5, 0.5, 0.5})
-			g.classes, g.usual = append(g.classes, visitClass{work: 1, demand: 5}), 20
-			g.classes[0].work, g.classes[0].demand, g.cheap, g.load = 1, 5, []int{0, 1}, 2
-			g.now, g.moved = 100*fleet.Second, moved
+			g := newMeasuredBalancer([]float64{10, 10, 10}, []float64{0.5, 0.5, 0.5})
+			g.classes, g.medianCapacity = append(g.classes, requestClass{workPerRequest: 1, demand: 5}), 20
+			g.classes[0].workPerRequest, g.classes[0].demand, g.classesByValue, g.meanUtilization = 1, 5, []int{0, 1}, 2
+			g.now, g.recentlyAddedFraction = 100*fleet.Second, moved
 			for range rounds {
 				g.now += fleet.Second
-				g.squeeze(2, 3)
+				g.shedLoad(2, 3)
 			}
-			if squeezed := g.squeezeEnd > 0; squeezed != (rounds >= squeezeWait && moved == 0) {
+			if squeezed := g.sheddingUntil > 0; squeezed != (rounds >= sheddingDelayRounds && moved == 0) {
 				t.Errorf("after %d rounds, %.0f moved: %v", rounds, moved, squeezed)
 			}
-			if g.squeeze(2, 3*2/busySick+none); g.squeezeEnd != 0 && rounds >= squeezeWait { // as many servers came as it takes
+			if g.shedLoad(2, 3*2/overloadedUtilization+negligible); g.sheddingUntil != 0 && rounds >= sheddingDelayRounds { // as many servers came as it takes
 				t.Error("goes on although servers came")
 			}
 		}
 	}
-	g := calm([]float64{10}, []float64{0.5})
-	for _, now := range []fleet.Time{fleet.Second, 2 * longLook} {
+	g := newMeasuredBalancer([]float64{10}, []float64{0.5})
+	for _, now := range []fleet.Time{fleet.Second, 2 * longWindow} {
 		g.now = now
-		if g.count(); (g.moved > quarter) != (now < longLook) {
-			t.Errorf("%.2f of the proxies moved at %.0f s", g.moved, now.Seconds())
+		if g.updateFleet(); (g.recentlyAddedFraction > quarter) != (now < longWindow) {
+			t.Errorf("%.2f of the proxies moved at %.0f s", g.recentlyAddedFraction, now.Seconds())
 		}
 	}
 }
@@ -203,12 +203,12 @@
 	for _, want := range []float64{0.1, 0.5, 5} {
 		rng, sum, n := rand.New(rand.NewSource(3)), 0.0, 0
 		for range 40 {
-			g := calm([]float64{1}, []float64{0.5})
-			g.turn, g.proxies[0].usage[0] = fleet.Second, nil
+			g := newMeasuredBalancer([]float64{1}, []float64{0.5})
+			g.reportCycle, g.proxies[0].demandSamples[0] = fleet.Second, nil
 			last := fleet.Time(0)
 			for s := 1; s < 200; s++ {
 				g.now = fleet.Time(s) * fleet.Second
-				g.newest = g.now
+				g.latestOutcomeAt = g.now
 				visits := uint32(0)
 				for at := rng.ExpFloat64(); at < want; at += rng.ExpFloat64() {
 					visits++
@@ -218,7 +218,7 @@
 					last = g.now
 				}
 				if s > 50 {
-					sum, n = sum+g.visits(g.proxies[0], 0), n+1
+					sum, n = sum+g.requestRate(g.proxies[0], 0), n+1
 				}
 			}
 		}
@@ -230,34 +230,34 @@
 
 // Ids without end: who is gone and in no table is forgotten, with its withdrawal; who is not stays.
 func TestForgetsServersThatAreGone(t *testing.T) {
-	y := newYard(4, 6, 5)
+	y := newSimulatedFleet(4, 6, 5)
 	y.run(20, 0)
 	gone := y.servers[0].Server
 	y.servers[0].State = fleet.ServerGone
-	y.step([]fleet.Event{y.list(fleet.ListFull)})
-	if y.run(10, 0); !y.governor.Tracks(gone) {
+	y.step([]fleet.Event{y.endpointList(fleet.ListFull)})
+	if y.run(10, 0); !y.balancer.Tracks(gone) {
 		t.Error("forgotten while proxies may come with former tables")
 	}
 	y.run(30, 0)
-	for _, h := range y.holders {
-		if h.out[gone] {
+	for _, h := range y.proxies {
+		if h.withdrawn[gone] {
 			t.Error("its withdrawal stands")
 		}
 	}
-	if y.governor.Tracks(gone) || len(y.governor.servers) != 5 || y.broken != "" {
-		t.Errorf("known %v, %d left; %s", y.governor.Tracks(gone), len(y.governor.servers), y.broken)
+	if y.balancer.Tracks(gone) || len(y.balancer.servers) != 5 || y.violation != "" {
+		t.Errorf("known %v, %d left; %s", y.balancer.Tracks(gone), len(y.balancer.servers), y.violation)
 	}
 }
 
 // Found on grown north-bengal: answers lost on servers with time to spare looked like a fleet too small for its visits.
 func TestLostAnswersLowerNoLevel(t *testing.T) {
-	g := calm([]float64{10, 10}, []float64{0.6, 0.6})
+	g := newMeasuredBalancer([]float64{10, 10}, []float64{0.6, 0.6})
 	g.site.Admission = fleet.AdmissionFraction
 	for id := range fleet.ServerID(2) {
-		g.known[id+1].samples[0].good *= 0.7
+		g.serversByID[id+1].samples[0].successes *= 0.7
 	}
-	if g.Step(2*fleet.Second, nil); g.classes[0].level < 1 {
-		t.Errorf("level %.2f at a busy share of 0.6", g.classes[0].level)
+	if g.Step(2*fleet.Second, nil); g.classes[0].admittedFraction < 1 {
+		t.Errorf("level %.2f at a busy share of 0.6", g.classes[0].admittedFraction)
 	}
 }
 
@@ -269,8 +269,8 @@
 		g.observe(fleet.DemandReport{Proxy: fleet.ProxyID(id), Requests: visits, Interval: fleet.Second})
 	}
 	c := &g.classes[0]
-	c.demand, c.level = 12, 0.75 // 9 let in: 1, 3 and 5
-	if got := g.amount(0); math.Abs(got-5) > 1e-9 {
+	c.demand, c.admittedFraction = 12, 0.75 // 9 let in: 1, 3 and 5
+	if got := g.admissionLimit(0); math.Abs(got-5) > 1e-9 {
 		t.Errorf("amount %v, want 5", got)
 	}
 }
@@ -279,18 +279,18 @@
 // tables know nothing of cold servers. Found on a release of north-bengal: a server bounded while cold kept a
 // weight from before the others were cut, and took the whole table when it was warm.
 func TestColdServerNeverTakesTooMuch(t *testing.T) {
-	y := newYard(14, 12, 6)
+	y := newSimulatedFleet(14, 12, 6)
 	y.site.EntriesPerSecond, y.site.MaxBacklog = 100, 200 // joins take long
-	y.start(fleet.ListCached)
+	y.startBalancer(fleet.ListCached)
 	m := y.servers[0]
 	for i, state := range []fleet.ServerState{fleet.ServerGone, fleet.ServerReady} {
 		y.run(2, 0)
-		m.State, m.Started, m.told = state, y.now*fleet.Time(i), y.now
-		y.step([]fleet.Event{y.list(fleet.ListFull)})
+		m.State, m.Started, m.stateChangedAt = state, y.now*fleet.Time(i), y.now
+		y.step([]fleet.Event{y.endpointList(fleet.ListFull)})
 	}
 	for second := range 40 {
 		y.run(1, 0)
-		if load := y.load(m.Server); load > 2*y.capacity(m) {
+		if load := y.requestRate(m.Server); load > 2*y.capacity(m) {
 			t.Fatalf("%.0f visits a second, %d s after its start", load, second)
 		}
 	}
@@ -299,19 +299,19 @@
 // Found on a release of north-bengal and on the grown deployments: tables of hundreds of lines for hundreds of
 // proxies are far more than a channel carries in an interval, so joins and changes go out in parts.
 func TestRulesHoldAtFullSize(t *testing.T) {
-	y := newYard(13, 300, 120)
+	y := newSimulatedFleet(13, 300, 120)
 	y.site.EntriesPerSecond, y.site.MaxBacklog = 15000, 30000
-	y.start(fleet.ListCached)
+	y.startBalancer(fleet.ListCached)
 	for _, m := range y.servers[:6] {
-		m.sick = 0.8
+		m.failedFraction = 0.8
 	}
 	y.run(40, 2)
 	astray := 0
-	for _, h := range y.holders {
-		astray += 1 - min(1, h.on[0]+1)
+	for _, h := range y.proxies {
+		astray += 1 - min(1, h.assignedTables[0]+1)
 	}
-	if y.broken != "" || astray > 12 {
-		t.Errorf("%d proxies off their tables; %s", astray, y.broken)
+	if y.violation != "" || astray > 12 {
+		t.Errorf("%d proxies off their tables; %s", astray, y.violation)
 	}
 }
 
@@ -319,56 +319,56 @@
 // to marks said so, and a quarter of the stated pace was counted on all the same.
 func TestSlowChannelIsNotOverfilled(t *testing.T) {
 	for seed := range int64(4) {
-		y := newYard(seed, 200, 60)
+		y := newSimulatedFleet(seed, 200, 60)
 		y.site.EntriesPerSecond, y.site.MaxBacklog, y.site.MinServerConnections = 17600, 35200, 0
-		y.start(fleet.ListCached)
+		y.startBalancer(fleet.ListCached)
 		y.run(8, 0)
-		y.slower = 8
+		y.channelSlowdown = 8
 		most := 0.0
 		for i := range 20 {
 			var changed fleet.EndpointList
 			for _, m := range y.servers[6*i : 6*i+6] {
-				m.State, m.told = fleet.ServerDraining, y.now+100*fleet.Second // the rule's time grows with the channel's
+				m.State, m.stateChangedAt = fleet.ServerDraining, y.now+100*fleet.Second // the rule's time grows with the channel's
 				changed.Endpoints = append(changed.Endpoints, m.Endpoint)
-				fresh := &machine{Endpoint: fleet.Endpoint{Server: m.Server ^ 1<<31, Zone: m.Zone, Started: y.now}, told: y.now}
+				fresh := &fakeServer{Endpoint: fleet.Endpoint{Server: m.Server ^ 1<<31, Zone: m.Zone, Started: y.now}, stateChangedAt: y.now}
 				y.servers = append(y.servers, fresh)
 				changed.Endpoints = append(changed.Endpoints, fresh.Endpoint)
 			}
 			changed.Scope = fleet.ListDelta
 			y.step([]fleet.Event{changed})
 			y.run(1, 0)
-			most = max(most, y.waiting())
+			most = max(most, y.backlog())
 		}
-		if y.broken != "" || most < y.site.MaxBacklog/4 {
-			t.Errorf("seed %d: %.0f lines waited at most; %s", seed, most, y.broken)
+		if y.violation != "" || most < y.site.MaxBacklog/4 {
+			t.Errorf("seed %d: %.0f lines waited at most; %s", seed, most, y.violation)
 		}
 	}
 }
 
 // A call that breaks was carried out or not. Its orders go again within the rules, and in the end what is out is what is wanted.
 func TestUnconfirmedOrdersGoAgain(t *testing.T) {
-	quickly(t, func(seed int64) bool {
-		y := newYard(seed, 6+int(seed&7), 5)
-		y.unsure = 0.05
+	checkSeeds(t, func(seed int64) bool {
+		y := newSimulatedFleet(seed, 6+int(seed&7), 5)
+		y.unconfirmedFraction = 0.05
 		y.run(40, 1)
-		y.unsure = 0
+		y.unconfirmedFraction = 0
 		y.run(12, 0)
-		t.Log(y.broken)
-		for _, s := range y.governor.servers {
-			for table := range s.out {
-				if held := y.tables[fleet.TableID(table)][s.Server]; math.Abs(held-s.out[table]) > 1e-6 {
-					t.Logf("table %d: server %d has %.3f, ordered %.3f", table, s.Server, held, s.out[table])
+		t.Log(y.violation)
+		for _, s := range y.balancer.servers {
+			for table := range s.orderedWeight {
+				if held := y.tables[fleet.TableID(table)][s.Server]; math.Abs(held-s.orderedWeight[table]) > 1e-6 {
+					t.Logf("table %d: server %d has %.3f, ordered %.3f", table, s.Server, held, s.orderedWeight[table])
 					return false
 				}
 			}
-			for id, h := range y.holders {
-				if h.joined && h.on[0] >= 0 && h.out[s.Server] != s.withdrawn {
-					t.Logf("proxy %d: server %d is out: %v, ordered %v", id, s.Server, h.out[s.Server], s.withdrawn)
+			for id, h := range y.proxies {
+				if h.joined && h.assignedTables[0] >= 0 && h.withdrawn[s.Server] != s.withdrawn {
+					t.Logf("proxy %d: server %d is out: %v, ordered %v", id, s.Server, h.withdrawn[s.Server], s.withdrawn)
 					return false
 				}
 			}
 		}
-		return y.broken == ""
+		return y.violation == ""
 	})
 }
 
@@ -377,58 +377,58 @@
 // last seconds, at a line a proxy each, which left no room to bind them.
 func TestProxiesShownAgainAreBoundInTime(t *testing.T) {
 	for _, back := range []int{0, 60} { // that had left, and hold former tables
-		y := newYard(17, 150, 120)
+		y := newSimulatedFleet(17, 150, 120)
 		y.site.EntriesPerSecond, y.site.MaxBacklog, y.site.MinServerConnections, y.site.DrainTimeout = 8000, 40000, 0, 6*fleet.Second
 		if back == 0 {
 			y.site.MaxBacklog = 9000
 		}
-		y.start(fleet.ListCached)
+		y.startBalancer(fleet.ListCached)
 		y.run(20, 0)
 		var events []fleet.Event
 		for id := range back {
-			events = append(events, y.leave(id, false))
+			events = append(events, y.disconnectProxy(id, false))
 		}
 		y.step(events)
 		changed := fleet.EndpointList{Scope: fleet.ListDelta}
 		for i, m := range y.servers[:90] {
 			if i < 45 && back > 0 {
-				m.State, m.told = fleet.ServerDraining, y.now
+				m.State, m.stateChangedAt = fleet.ServerDraining, y.now
 			} else {
-				m.sick = 0.9
+				m.failedFraction = 0.9
 			}
 			changed.Endpoints = append(changed.Endpoints, m.Endpoint)
 		}
 		y.step([]fleet.Event{changed})
 		y.run(1, 0)
 		events = nil
-		for id, h := range y.holders {
+		for id, h := range y.proxies {
 			if id < back {
-				events = append(events, y.join(id))
+				events = append(events, y.joinProxy(id))
 			} else if back == 0 { // shown after a break
 				events = append(events, fleet.ProxyJoined{Proxy: fleet.ProxyID(id), Zone: h.zone})
 			}
 		}
 		y.step(events)
-		for table, b := range y.governor.tables {
+		for table, b := range y.balancer.tables {
 			users := 0.0
-			for _, h := range y.holders {
-				if slices.Contains(h.on, table) {
+			for _, h := range y.proxies {
+				if slices.Contains(h.assignedTables, table) {
 					users++
 				}
 			}
-			if back == 0 && b.users < users {
-				t.Errorf("%d back: a line of table %d costs %.0f, and is counted as %.0f", back, table, users, b.users)
+			if back == 0 && b.proxyCount < users {
+				t.Errorf("%d back: a line of table %d costs %.0f, and is counted as %.0f", back, table, users, b.proxyCount)
 			}
 		}
 		y.run(8, 0)
 		waits := 0
-		for _, p := range y.governor.proxies {
-			if p.astray {
+		for _, p := range y.balancer.proxies {
+			if p.outOfSync {
 				waits++
 			}
 		}
-		if y.broken != "" || waits > 0 {
-			t.Errorf("%d back: %d wait for their tables; %s", back, waits, y.broken)
+		if y.violation != "" || waits > 0 {
+			t.Errorf("%d back: %d wait for their tables; %s", back, waits, y.violation)
 		}
 	}
 }
@@ -437,19 +437,19 @@
 // took 25 s, and no withdrawal found room beside them. Tables that nobody used held every server, most at a hundredth of the weight; and a
 // withdrawal counted as a line at each proxy, not at those whose tables have the server.
 func TestUnusedTablesAreCheapToBind(t *testing.T) {
-	y := newYard(20, 60, 80)
+	y := newSimulatedFleet(20, 60, 80)
 	y.site.EntriesPerSecond, y.site.MaxBacklog, y.site.MinServerConnections = 15000, 30000, 20
-	y.start(fleet.ListCached)
-	for id, h := range y.holders {
+	y.startBalancer(fleet.ListCached)
+	for id, h := range y.proxies {
 		if h.zone == 1 {
-			y.step([]fleet.Event{y.leave(id, false)})
+			y.step([]fleet.Event{y.disconnectProxy(id, false)})
 		}
 	}
 	y.run(15, 0)
-	g := y.governor
+	g := y.balancer
 	lines := func(table int) (n int) {
 		for _, s := range g.servers {
-			if s.out[table] > 0 {
+			if s.orderedWeight[table] > 0 {
 				n++
 			}
 		}
@@ -457,51 +457,51 @@
 	}
 	unused := 0
 	for table, b := range g.tables {
-		if n := lines(table); b.classes != 0 && b.users == 0 && b.group < 2 {
+		if n := lines(table); b.classes != 0 && b.proxyCount == 0 && b.group < 2 {
 			if unused++; n == 0 || n > len(g.servers)*3/4 {
 				t.Errorf("unused table %d has %d lines of %d servers", table, n, len(g.servers))
 			}
 		}
 	}
-	s, before, holders := g.ready[len(g.ready)-1], 0.0, g.head()*float64(len(g.proxies))
+	s, before, holders := g.ready[len(g.ready)-1], 0.0, g.messageCost()*float64(len(g.proxies))
 	for table, b := range g.tables {
-		if s.out[table] = 0; table == g.tableOf(0, g.proxies[0].part) { // it is in one table
-			s.out[table], s.want[table] = 1, 1
-			holders += b.users
+		if s.orderedWeight[table] = 0; table == g.tableOf(0, g.proxies[0].partition) { // it is in one table
+			s.orderedWeight[table], s.wantedWeight[table] = 1, 1
+			holders += b.proxyCount
 		}
 	}
-	g.count()
-	before, g.pieceAt, g.now, s.State = g.lines, 0, g.now+fleet.Second, fleet.ServerDraining
+	g.updateFleet()
+	before, g.nextChangesAt, g.now, s.State = g.entriesSent, 0, g.now+fleet.Second, fleet.ServerDraining
 	g.publish()
-	if cost := g.lines - before; cost > holders || !s.withdrawn {
+	if cost := g.entriesSent - before; cost > holders || !s.withdrawn {
 		t.Errorf("a withdrawal counted %.0f lines, of %.0f with the heads; out: %v", cost, holders, s.withdrawn)
 	}
 	if unused == 0 {
 		t.Fatal("no table is unused")
 	}
-	h := y.holders[1]
-	y.step([]fleet.Event{y.join(1)})
-	if y.run(15, 0); h.on[0] < 0 || lines(h.on[0]) == 0 || y.broken != "" {
-		t.Errorf("on table %d; %s", h.on[0], y.broken)
+	h := y.proxies[1]
+	y.step([]fleet.Event{y.joinProxy(1)})
+	if y.run(15, 0); h.assignedTables[0] < 0 || lines(h.assignedTables[0]) == 0 || y.violation != "" {
+		t.Errorf("on table %d; %s", h.assignedTables[0], y.violation)
 	}
 }
 
 // Found on the same day: a squeeze moves all proxies to tables that had no line until this step, and a bind counted as one line each.
 func TestBindsCountLinesOfTheirStep(t *testing.T) {
-	g := calm([]float64{10, 10, 10, 10, 10, 10}, []float64{0.5, 0.5, 0.5, 0.5, 0.5, 0.5})
+	g := newMeasuredBalancer([]float64{10, 10, 10, 10, 10, 10}, []float64{0.5, 0.5, 0.5, 0.5, 0.5, 0.5})
 	g.Step(2*fleet.Second, nil)
-	if g.classes[0].group = 1; g.joined[0].on[0] != 0 {
-		t.Fatalf("on table %d", g.joined[0].on[0])
+	if g.classes[0].tableGroup = 1; g.proxiesByID[0].assignedTables[0] != 0 {
+		t.Fatalf("on table %d", g.proxiesByID[0].assignedTables[0])
 	}
 	for _, s := range g.ready[:5] {
-		s.refuge = true
+		s.lowPriorityOnly = true
 	}
-	before := g.lines
+	before := g.entriesSent
 	g.now += fleet.Second
-	g.count()
-	g.wish()
-	g.reconcile()
-	if on, cost := g.joined[0].on[0], g.lines-before; on != g.tableOf(0, 0) || cost < 5+1 {
+	g.updateFleet()
+	g.updateWantedWeights()
+	g.emitOrders()
+	if on, cost := g.proxiesByID[0].assignedTables[0], g.entriesSent-before; on != g.tableOf(0, 0) || cost < 5+1 {
 		t.Errorf("on table %d; five lines and a bind counted %.0f", on, cost)
 	}
 }
@@ -509,10 +509,10 @@
 // Found on a day of glasgow-tint: levels went out however full the channel was, a head and a line to 2,232 proxies each time. And what goes to
 // nobody counted as a message to all.
 func TestLevelsNeedRoom(t *testing.T) {
-	g := calm([]float64{10, 10}, []float64{0.6, 0.6})
+	g := newMeasuredBalancer([]float64{10, 10}, []float64{0.6, 0.6})
 	g.site.Admission = fleet.AdmissionFraction
 	levels := func(waiting float64) (n int) {
-		g.orders, g.lines = nil, g.left+waiting
+		g.orders, g.entriesSent = nil, g.entriesDelivered+waiting
 		g.publish()
 		for _, o := range g.orders {
 			if _, is := o.(fleet.SetAdmission); is {
@@ -521,39 +521,39 @@
 		}
 		return n
 	}
-	g.count()
-	g.classes[0].level, g.classes[0].demand, g.pieceAt = 0.5, 20, 0
+	g.updateFleet()
+	g.classes[0].admittedFraction, g.classes[0].demand, g.nextChangesAt = 0.5, 20, 0
 	if n := levels(0.6 * g.site.MaxBacklog); n != 0 {
 		t.Errorf("%d levels into a full channel", n)
 	}
 	if n := levels(0.2 * g.site.MaxBacklog); n != 1 {
 		t.Errorf("%d levels where there is room", n)
 	}
-	before := g.lines
+	before := g.entriesSent
 	g.now += fleet.Second
-	if g.toAll(fleet.SetWeight{Table: 1, Server: 1, Weight: 1}, 0); g.lines != before {
-		t.Errorf("a line that nobody has counted %.0f", g.lines-before)
+	if g.broadcast(fleet.SetWeight{Table: 1, Server: 1, Weight: 1}, 0); g.entriesSent != before {
+		t.Errorf("a line that nobody has counted %.0f", g.entriesSent-before)
 	}
 }
 
 // A proxy joins just after a withdrawal, which it may not have heard of, and the server comes back in the same step: it must be let in again.
 func TestServerBackAsAProxyJoins(t *testing.T) {
-	y := newYard(9, 8, 4)
+	y := newSimulatedFleet(9, 8, 4)
 	y.run(10, 0)
-	y.leave(0, false)
+	y.disconnectProxy(0, false)
 	y.step([]fleet.Event{fleet.ProxyLeft{Proxy: 0}})
 	m := y.servers[0]
-	m.State, m.told = fleet.ServerDraining, y.now
-	y.step([]fleet.Event{y.list(fleet.ListFull)})
+	m.State, m.stateChangedAt = fleet.ServerDraining, y.now
+	y.step([]fleet.Event{y.endpointList(fleet.ListFull)})
 	y.run(2, 0)
-	if !y.holders[1].out[m.Server] {
+	if !y.proxies[1].withdrawn[m.Server] {
 		t.Fatal("not withdrawn")
 	}
 	m.State = fleet.ServerReady
-	y.step([]fleet.Event{y.join(0), y.list(fleet.ListFull)})
+	y.step([]fleet.Event{y.joinProxy(0), y.endpointList(fleet.ListFull)})
 	y.run(5, 0)
-	if y.holders[1].out[m.Server] || y.broken != "" {
-		t.Errorf("still withdrawn; %s", y.broken)
+	if y.proxies[1].withdrawn[m.Server] || y.violation != "" {
+		t.Errorf("still withdrawn; %s", y.violation)
 	}
 }
 
