--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -18,8 +18,8 @@
 // updateAdmission lets in what the fleet can handle on time, least value cut first; strained, it gets no further tries.
 func (g *Balancer) updateAdmission() {
 	handled, busy, carry, coming, demand := 0.0, 0.0, 0.0, 0.0, 0.0
-	for _, s := range g.ready {
-		if can := min(1, s.healthFactor+quarter) * g.warmFraction(s); s.healthFactor > 0 && (s.requestRate > negligible || g.observing) {
+	for _, s := range g.endpoints.ready {
+		if can := min(1, s.healthFactor+quarter) * g.warmFraction(s); s.healthFactor > 0 && (s.requestRate > negligible || g.schedule.observing) {
 			carry += can
 		} else if s.healthFactor > 0 { // fresh, in no table yet
 			coming += can
@@ -41,10 +41,10 @@
 	load := demand / (handled / busy * carry) // busy share that would let all in
 	g.shedLoad(load*carry/(carry+coming), carry+coming)
 	over := demand * max(0, 1-maxTargetUtilization/load)
-	if g.retryMode = fleet.RetryNever; over == 0 {
-		g.retryMode = fleet.RetryIfNotExecuted
+	if g.admission.retry = fleet.RetryNever; over == 0 {
+		g.admission.retry = fleet.RetryIfNotExecuted
 	}
-	for _, id := range g.classesByValue {
+	for _, id := range g.admission.classesByValue {
 		c := &g.classes[id]
 		cut := min(over, c.demand*(1-tenth))
 		if over -= cut; g.site.Admission != fleet.AdmissionUnlimited {
@@ -61,7 +61,7 @@
 	if c.admittedFraction >= 1 {
 		return huge
 	}
-	for _, p := range g.proxies {
+	for _, p := range g.proxies.all {
 		rates = append(rates, g.requestRate(p, class))
 	}
 	slices.Sort(rates)
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -47,52 +47,113 @@
 	orderedWeight, wantedWarmWeight, wantedWeight float64        // of the lines ordered; of those wanted of warm servers, of all
 }
 
-type Balancer struct { // decides for the proxies that are joined to it
-	site                                               fleet.Site
-	random                                             randomGenerator
-	classes                                            []requestClass
-	classesByValue                                     []int // the classes, from the least value for its work up
-	tables                                             []weightTable
-	serversByID                                        map[fleet.ServerID]*serverState
-	proxiesByID                                        map[fleet.ProxyID]*proxyState
-	servers, ready                                     []*serverState // by id: all known, those listed as ready
-	proxies                                            []*proxyState  // joined, by id
-	zoneHasProxies                                     []bool         // by zone: has joined proxies
-	utilizationField                                   int            // place of the busy share in load reports, or -1
-	partitioned                                        bool           // more proxies than a server has connections: each has a part
-	partitionsPerZone, partitionCount                  int            // parts a zone, to leave connections free; in all
-	overloadedRounds                                   int            // times in a row that the load was past squeezeAt
-	intervalDue, observing                             bool           // an interval ends; no tables are laid yet
-	inheritedTables                                    bool           // proxies joined with tables of another
-	now, startedAt, deliveredAt                        fleet.Time     // of this step, of the first; when left was worked out
-	balancedAt, estimatedAt, latestOutcomeAt           fleet.Time     // last judgement, last levels; newest report of tries
-	nextListRequestAt, listRequestBackoff              fleet.Time     // when to ask for the list, 0: no; wait before it is asked again
-	broadcastAt, nextChangesAt                         fleet.Time     // last message to all; when ordinary lines may go, 0: none wait
-	timerDueAt, sheddingUntil, reportCycle             fleet.Time     // the last of the rationed reports
-	entriesSent, entriesDelivered, entriesAcknowledged float64        // put into the channel in all; gone from it; by answers to marks
-	outOfSyncProxies                                   float64        // proxies that are not on our tables, or not surely
-	pendingBarriers                                    map[fleet.BarrierID]*pendingBarrier
-	lastBarrier                                        fleet.BarrierID // the latest
-	recentlyAddedFraction                              float64         // part of the visits, or of servers, that came within the long look
-	targetUtilization, meanUtilization, sheddingLoad   float64         // busy share to agree on; the fleet's mean; that on one server
-	medianCapacity, lowCapacity, failedFraction        float64         // of warm capacity: median, low quartile; failed share
-	retryMode                                          fleet.RetryMode
-	orders                                             []fleet.Order
+// Balancer decides for the proxies that are joined to it. It is a pure state machine: see the package comment.
+type Balancer struct {
+	site      fleet.Site
+	random    randomGenerator
+	layout    tableLayout
+	classes   []requestClass
+	tables    []weightTable
+	endpoints endpointState
+	proxies   proxyRegistry
+	estimates fleetEstimates
+	admission admissionState
+	shedding  sheddingState
+	channel   updateChannel
+	schedule  schedule
+	now       fleet.Time
+	orders    []fleet.Order
+}
+
+type endpointState struct {
+	byID           map[fleet.ServerID]*serverState
+	all            []*serverState
+	ready          []*serverState
+	nextRequestAt  fleet.Time
+	requestBackoff fleet.Time
+}
+
+type proxyRegistry struct {
+	byID            map[fleet.ProxyID]*proxyState
+	all             []*proxyState
+	zoneHasProxies  []bool
+	outOfSync       float64
+	inheritedTables bool
+}
+
+type tableLayout struct {
+	partitioned       bool
+	partitionsPerZone int
+	partitionCount    int
+}
+
+type fleetEstimates struct {
+	utilizationField      int
+	latestOutcomeAt       fleet.Time
+	reportCycle           fleet.Time
+	recentlyAddedFraction float64
+	targetUtilization     float64
+	meanUtilization       float64
+	medianCapacity        float64
+	lowCapacity           float64
+	failedFraction        float64
+}
+
+type admissionState struct {
+	classesByValue []int
+	retry          fleet.RetryMode
+}
+
+type sheddingState struct {
+	overloadedRounds int
+	activeUntil      fleet.Time
+	load             float64
+}
+
+type updateChannel struct {
+	entriesSent         float64
+	entriesDelivered    float64
+	entriesAcknowledged float64
+	deliveredAt         fleet.Time
+	broadcastAt         fleet.Time
+	nextChangesAt       fleet.Time
+	lastBarrier         fleet.BarrierID
+	pendingBarriers     map[fleet.BarrierID]*pendingBarrier
+}
+
+type schedule struct {
+	startedAt   fleet.Time
+	balancedAt  fleet.Time
+	estimatedAt fleet.Time
+	timerDueAt  fleet.Time
+	intervalDue bool
+	observing   bool
 }
 
 func New(site fleet.Site, seed uint64) *Balancer {
 	g := &Balancer{
-		site: site, random: randomGenerator{uint32(seed) | 1, uint32(seed>>33) | 1}, listRequestBackoff: 2 * timerInterval, startedAt: -1,
-		serversByID: map[fleet.ServerID]*serverState{}, pendingBarriers: map[fleet.BarrierID]*pendingBarrier{},
-		proxiesByID: map[fleet.ProxyID]*proxyState{}, observing: true, targetUtilization: maxTargetUtilization,
-		utilizationField: slices.Index(site.LoadFields, fleet.LoadFieldUtilization),
-		partitioned:      cmp.Or(site.MinServerConnections, huge) < float64(site.ProxyCount),
+		site:   site,
+		random: randomGenerator{uint32(seed) | 1, uint32(seed>>33) | 1},
+		layout: tableLayout{
+			partitioned: cmp.Or(site.MinServerConnections, huge) < float64(site.ProxyCount),
+		},
+		endpoints: endpointState{
+			byID:           map[fleet.ServerID]*serverState{},
+			requestBackoff: 2 * timerInterval,
+		},
+		proxies: proxyRegistry{byID: map[fleet.ProxyID]*proxyState{}},
+		estimates: fleetEstimates{
+			utilizationField:  slices.Index(site.LoadFields, fleet.LoadFieldUtilization),
+			targetUtilization: maxTargetUtilization,
+		},
+		channel:  updateChannel{pendingBarriers: map[fleet.BarrierID]*pendingBarrier{}},
+		schedule: schedule{startedAt: -1, observing: true},
 	}
 	each := maxDensityRatio * float64(site.ProxyCount) / float64(len(site.Zones))
-	g.partitionsPerZone = int(max(1, min(enough, math.Ceil(each/cmp.Or(site.MinServerConnections, huge)))))
-	g.partitionCount = g.partitionsPerZone * len(site.Zones)
-	for t := range (2 + len(site.Classes)) * g.partitionCount {
-		g.tables = append(g.tables, weightTable{group: t / g.partitionCount, partition: t % g.partitionCount})
+	g.layout.partitionsPerZone = int(max(1, min(enough, math.Ceil(each/cmp.Or(site.MinServerConnections, huge)))))
+	g.layout.partitionCount = g.layout.partitionsPerZone * len(site.Zones)
+	for t := range (2 + len(site.Classes)) * g.layout.partitionCount {
+		g.tables = append(g.tables, weightTable{group: t / g.layout.partitionCount, partition: t % g.layout.partitionCount})
 	}
 	for i, c := range site.Classes {
 		work := max(negligible, c.LatencyObjective.Seconds())
@@ -100,20 +161,20 @@
 		if row.sentAdmission = (fleet.SetAdmission{Limit: huge, Retry: site.DefaultRetry}); c.ZoneLocal {
 			row.tableGroup = 2 + i
 		}
-		g.classesByValue, g.classes = append(g.classesByValue, i), append(g.classes, row)
+		g.admission.classesByValue, g.classes = append(g.admission.classesByValue, i), append(g.classes, row)
 	}
 	by := func(a, b int) int { return cmp.Compare(g.classes[a].valuePerWork, g.classes[b].valuePerWork) }
-	slices.SortStableFunc(g.classesByValue, by)
+	slices.SortStableFunc(g.admission.classesByValue, by)
 	return g
 }
 
 // Step hears events and gives the orders to carry out now. The orders are good until the next Step.
 func (g *Balancer) Step(now fleet.Time, events []fleet.Event) []fleet.Order {
 	g.now, g.orders = now, g.orders[:0]
-	if g.startedAt < 0 {
-		g.startedAt, g.balancedAt, g.deliveredAt, g.broadcastAt = now, now, now, now-balanceInterval
+	if g.schedule.startedAt < 0 {
+		g.schedule.startedAt, g.schedule.balancedAt, g.channel.deliveredAt, g.channel.broadcastAt = now, now, now, now-balanceInterval
 		if g.site.ListOnRequest {
-			g.nextListRequestAt = now
+			g.endpoints.nextRequestAt = now
 		}
 	}
 	for _, e := range events {
@@ -121,34 +182,34 @@
 	}
 	// Former tables may be down to withdrawn lines, so the watch ends well before that breaks a rule.
 	watch := min(2*balanceInterval, g.site.MaxUnservedDuration/2)
-	if all := float64(len(g.proxies) * len(g.servers)); !g.inheritedTables && all > balanceInterval.Seconds()*g.site.EntriesPerSecond {
+	if all := float64(len(g.proxies.all) * len(g.endpoints.all)); !g.proxies.inheritedTables && all > balanceInterval.Seconds()*g.site.EntriesPerSecond {
 		watch = 2 * balanceInterval // lines once out are dear to change
 	}
-	watched := g.observing && (now >= g.startedAt+watch || g.medianCapacity > 0 && now >= g.startedAt+balanceInterval)
-	g.intervalDue = now >= g.balancedAt+balanceInterval || watched
-	second := g.intervalDue || now >= g.estimatedAt+balanceInterval/2 // levels follow demand at the pace of reports
-	if !second && now < g.timerDueAt {
+	watched := g.schedule.observing && (now >= g.schedule.startedAt+watch || g.estimates.medianCapacity > 0 && now >= g.schedule.startedAt+balanceInterval)
+	g.schedule.intervalDue = now >= g.schedule.balancedAt+balanceInterval || watched
+	second := g.schedule.intervalDue || now >= g.schedule.estimatedAt+balanceInterval/2 // levels follow demand at the pace of reports
+	if !second && now < g.schedule.timerDueAt {
 		return g.orders
 	}
 	g.updateFleet()
 	if second {
-		g.estimatedAt = now
+		g.schedule.estimatedAt = now
 		g.updateEstimates()
 		g.updateAdmission()
 	}
 	if watched { // the first tables go by what servers were measured to carry
-		g.observing = false
-		for _, s := range g.ready {
+		g.schedule.observing = false
+		for _, s := range g.endpoints.ready {
 			for t := range s.weight {
-				s.weight[t] *= cmp.Or(s.capacity, 1) / cmp.Or(g.medianCapacity, 1)
+				s.weight[t] *= cmp.Or(s.capacity, 1) / cmp.Or(g.estimates.medianCapacity, 1)
 			}
 		}
-	} else if g.intervalDue && g.medianCapacity > 0 && g.latestOutcomeAt > g.balancedAt { // with nothing new to go by, what is out stays
+	} else if g.schedule.intervalDue && g.estimates.medianCapacity > 0 && g.estimates.latestOutcomeAt > g.schedule.balancedAt { // with nothing new to go by, what is out stays
 		g.updateHealth()
 		g.balanceWeights()
 	}
-	if g.intervalDue {
-		g.balancedAt, g.nextChangesAt = now, now
+	if g.schedule.intervalDue {
+		g.schedule.balancedAt, g.channel.nextChangesAt = now, now
 		g.forgetGoneServers()
 	}
 	g.updateFleet()
@@ -159,41 +220,41 @@
 
 func (g *Balancer) tableOf(c, part int) int {
 	row := &g.classes[c]
-	if row.tableGroup < 2 && !g.partitioned {
+	if row.tableGroup < 2 && !g.layout.partitioned {
 		part = 0
 	}
-	return row.tableGroup*g.partitionCount + part
+	return row.tableGroup*g.layout.partitionCount + part
 }
 
 // updateFleet works out demand, what comes to each table and who is on it.
 func (g *Balancer) updateFleet() {
-	lines := float64(len(g.proxies) * len(g.classes))
-	g.ready, g.zoneHasProxies, g.outOfSyncProxies = nil, make([]bool, len(g.site.Zones)), 0
+	lines := float64(len(g.proxies.all) * len(g.classes))
+	g.endpoints.ready, g.proxies.zoneHasProxies, g.proxies.outOfSync = nil, make([]bool, len(g.site.Zones)), 0
 	anew := 0.0
-	for _, s := range g.servers {
+	for _, s := range g.endpoints.all {
 		if s.State == fleet.ServerReady {
-			if g.ready = append(g.ready, s); s.addedAt > 0 && g.now < s.addedAt+longWindow {
+			if g.endpoints.ready = append(g.endpoints.ready, s); s.addedAt > 0 && g.now < s.addedAt+longWindow {
 				anew++
 			}
 		}
 	}
 	for t, b := range g.tables {
 		g.tables[t] = weightTable{group: b.group, partition: b.partition}
-		for _, s := range g.servers {
+		for _, s := range g.endpoints.all {
 			if s.State == fleet.ServerReady && !s.withdrawn {
 				g.tables[t].orderedWeight += s.orderedWeight[t]
 			}
 		}
 	}
 	all, heard, come := negligible, negligible, 0.0
-	for _, p := range g.proxies {
+	for _, p := range g.proxies.all {
 		if g.now < p.joinedAt+longWindow {
 			come += p.expectedRate
 		}
-		if !g.zoneHasProxies[p.partition/g.partitionsPerZone] {
-			lines += float64(len(g.ready))
+		if !g.proxies.zoneHasProxies[p.partition/g.layout.partitionsPerZone] {
+			lines += float64(len(g.endpoints.ready))
 		}
-		g.zoneHasProxies[p.partition/g.partitionsPerZone], p.outOfSync, all, heard = true, p.assignmentUnconfirmed, all+p.expectedRate, heard+p.reportedExpectedRate
+		g.proxies.zoneHasProxies[p.partition/g.layout.partitionsPerZone], p.outOfSync, all, heard = true, p.assignmentUnconfirmed, all+p.expectedRate, heard+p.reportedExpectedRate
 		for c, t := range p.assignedTables {
 			p.outOfSync = p.outOfSync || t != g.tableOf(c, p.partition)
 			if t >= 0 && !slices.Contains(p.assignedTables[:c], t) {
@@ -201,25 +262,25 @@
 			}
 		}
 		if p.outOfSync {
-			g.outOfSyncProxies++
+			g.proxies.outOfSync++
 		}
 		if p.outOfSync && !p.withdrawalsRepeated && g.now >= p.joinedAt+g.site.DrainTimeout/4 {
 			p.withdrawalsRepeated = true
-			for _, s := range g.servers {
+			for _, s := range g.endpoints.all {
 				since := p.joinedAt - s.withdrawalChangedAt
 				s.withdrawalUnconfirmed = s.withdrawalUnconfirmed || s.withdrawn && since >= 0 && since <= few*balanceInterval
 			}
 		}
 	}
-	g.recentlyAddedFraction = max(come/all, anew/max(1, float64(len(g.ready))))
-	g.reportCycle = max(g.site.ReportInterval, fleet.Second.Scale(lines/max(1, g.site.ReportsPerSecond)))
+	g.estimates.recentlyAddedFraction = max(come/all, anew/max(1, float64(len(g.endpoints.ready))))
+	g.estimates.reportCycle = max(g.site.ReportInterval, fleet.Second.Scale(lines/max(1, g.site.ReportsPerSecond)))
 	for c := range g.classes {
 		row := &g.classes[c]
-		for part := range g.partitionCount {
+		for part := range g.layout.partitionCount {
 			g.tables[g.tableOf(c, part)].classes |= 1 << c
 		}
 		row.demand = 0
-		for _, p := range g.proxies {
+		for _, p := range g.proxies.all {
 			n := g.requestRate(p, c) * all / heard
 			row.demand += n
 			g.tables[g.tableOf(c, p.partition)].admittedRate += n * row.admittedFraction
--- a/internal/balancer/desired.go
+++ b/internal/balancer/desired.go
@@ -11,7 +11,7 @@
 		b := &g.tables[t]
 		for pass := 0; pass < 2 && b.wantedWarmWeight == 0; pass++ {
 			b.wantedWeight = 0
-			for _, s := range g.servers {
+			for _, s := range g.endpoints.all {
 				right := pass == 1 || b.group > 1 || s.lowPriorityOnly == (b.group == 1)
 				if s.wantedWeight[t] = 0; (b.proxyCount > 0 || b.classes != 0) && right && g.mayServe(s, t) {
 					s.wantedWeight[t] = s.weight[t] * max(s.healthFactor, quarter*float64(pass))
@@ -23,12 +23,12 @@
 		}
 	}
 	// Where most tries fail proxies crowd on the few that answer: a cold server must be out of the tables then.
-	crowd := max(0, 1-math.Pow(g.failedFraction, cmp.Or(float64(g.site.ProxyOutlierFailures), huge))/tenth)
-	for _, s := range g.ready {
-		if !g.warmingUp(s) || g.medianCapacity == 0 {
+	crowd := max(0, 1-math.Pow(g.estimates.failedFraction, cmp.Or(float64(g.site.ProxyOutlierFailures), huge))/tenth)
+	for _, s := range g.endpoints.ready {
+		if !g.warmingUp(s) || g.estimates.medianCapacity == 0 {
 			continue
 		}
-		can, load := g.warmFraction(s)*g.lowCapacity*crowd, negligible
+		can, load := g.warmFraction(s)*g.estimates.lowCapacity*crowd, negligible
 		for t, b := range g.tables {
 			load += b.admittedRate * s.wantedWeight[t] / max(b.wantedWeight, negligible)
 		}
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -24,20 +24,20 @@
 
 func (g *Balancer) updateEndpoints(e fleet.EndpointList) {
 	if e.Scope == fleet.ListFailed {
-		g.nextListRequestAt = g.now + g.listRequestBackoff.Scale(0.5+g.random.float64())
-		g.listRequestBackoff = min(max(2*timerInterval, g.site.MaxPollInterval/2), 2*g.listRequestBackoff)
+		g.endpoints.nextRequestAt = g.now + g.endpoints.requestBackoff.Scale(0.5+g.random.float64())
+		g.endpoints.requestBackoff = min(max(2*timerInterval, g.site.MaxPollInterval/2), 2*g.endpoints.requestBackoff)
 		return
 	}
-	g.listRequestBackoff, g.timerDueAt = 2*timerInterval, g.now
-	atStart, listed := len(g.servers) == 0, map[fleet.ServerID]bool{}
+	g.endpoints.requestBackoff, g.schedule.timerDueAt = 2*timerInterval, g.now
+	atStart, listed := len(g.endpoints.all) == 0, map[fleet.ServerID]bool{}
 	for _, entry := range e.Endpoints {
-		s, known := g.serversByID[entry.Server]
+		s, known := g.endpoints.byID[entry.Server]
 		if !known {
 			n := len(g.tables)
 			s = &serverState{weight: make([]float64, n), wantedWeight: make([]float64, n), orderedWeight: make([]float64, n)}
 			s.weightUnconfirmed = make([]bool, n)
-			g.serversByID[entry.Server], g.servers = s, append(g.servers, s)
-			s.partition = min(int(entry.Zone), len(g.site.Zones)-1)*g.partitionsPerZone + len(g.servers)%g.partitionsPerZone
+			g.endpoints.byID[entry.Server], g.endpoints.all = s, append(g.endpoints.all, s)
+			s.partition = min(int(entry.Zone), len(g.site.Zones)-1)*g.layout.partitionsPerZone + len(g.endpoints.all)%g.layout.partitionsPerZone
 		}
 		anew := !known || entry.Started != s.Started || s.State == fleet.ServerGone && entry.State != fleet.ServerGone
 		s.Endpoint, listed[entry.Server] = entry, true
@@ -51,35 +51,35 @@
 			s.healthFactor, s.addedAt = 1, 0
 		}
 		for t, b := range g.tables {
-			if s.weight[t] = 1; g.partitioned && s.partition != b.partition {
-				s.weight[t] = max(minWeight, tenth/float64(g.partitionCount))
+			if s.weight[t] = 1; g.layout.partitioned && s.partition != b.partition {
+				s.weight[t] = max(minWeight, tenth/float64(g.layout.partitionCount))
 			}
 			if atStart && g.site.ListWeight != fleet.ListWeightNone && s.Weight > 0 {
 				s.weight[t] *= s.Weight
 			}
 		}
 	}
-	for _, s := range g.servers {
+	for _, s := range g.endpoints.all {
 		if e.Scope != fleet.ListDelta && !listed[s.Server] {
 			s.State = fleet.ServerGone
 		}
 	}
-	slices.SortFunc(g.servers, func(a, b *serverState) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(g.endpoints.all, func(a, b *serverState) int { return cmp.Compare(a.Server, b.Server) })
 }
 
 // Tracks tells whether a server is one that the governor still has to do with.
-func (g *Balancer) Tracks(id fleet.ServerID) bool { return g.serversByID[id] != nil }
+func (g *Balancer) Tracks(id fleet.ServerID) bool { return g.endpoints.byID[id] != nil }
 
 // forgetGoneServers drops servers that are gone and in no table of ours: each that starts has a new id, without end.
 // Proxies that come with former tables may still send there, so it waits for these to be on ours.
 func (g *Balancer) forgetGoneServers() {
-	g.servers = slices.DeleteFunc(g.servers, func(s *serverState) bool {
+	g.endpoints.all = slices.DeleteFunc(g.endpoints.all, func(s *serverState) bool {
 		old := s.State == fleet.ServerGone && s.withdrawn && g.now > s.withdrawalChangedAt+maxEjectionDuration
-		if !old || s.withdrawalUnconfirmed || g.outOfSyncProxies > 0 || slices.Max(s.orderedWeight) > 0 || slices.Contains(s.weightUnconfirmed, true) {
+		if !old || s.withdrawalUnconfirmed || g.proxies.outOfSync > 0 || slices.Max(s.orderedWeight) > 0 || slices.Contains(s.weightUnconfirmed, true) {
 			return false
 		}
 		g.orders = append(g.orders, fleet.WithdrawServer{Server: s.Server}) // costs no line, as no table has it
-		delete(g.serversByID, s.Server)
+		delete(g.endpoints.byID, s.Server)
 		return true
 	})
 }
@@ -100,5 +100,5 @@
 }
 
 func (g *Balancer) mayServe(s *serverState, t int) bool {
-	return s.State == fleet.ServerReady && (g.tables[t].group < 2 || s.partition/g.partitionsPerZone == g.tables[t].partition/g.partitionsPerZone)
+	return s.State == fleet.ServerReady && (g.tables[t].group < 2 || s.partition/g.layout.partitionsPerZone == g.tables[t].partition/g.layout.partitionsPerZone)
 }
--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -23,26 +23,26 @@
 func (g *Balancer) updateEstimates() {
 	load, capacity, tries, good := 0.0, 0.0, 0.0, 0.0
 	kinds, warm := map[fleet.KindID][]float64{}, []float64{}
-	for _, s := range g.ready {
+	for _, s := range g.endpoints.ready {
 		s.requestRate = 0
 		for t, b := range g.tables {
 			s.requestRate += b.admittedRate * s.orderedWeight[t] / max(b.orderedWeight, negligible)
 		}
-		s.longWindow = s.summarize(g.latestOutcomeAt-max(longWindow, few*g.reportCycle), len(g.site.Zones))
-		s.shortWindow = s.summarize(g.latestOutcomeAt-max(shortWindow, few*g.reportCycle/2), len(g.site.Zones))
+		s.longWindow = s.summarize(g.estimates.latestOutcomeAt-max(longWindow, few*g.estimates.reportCycle), len(g.site.Zones))
+		s.shortWindow = s.summarize(g.estimates.latestOutcomeAt-max(shortWindow, few*g.estimates.reportCycle/2), len(g.site.Zones))
 		tries, good = tries+s.shortWindow.attempts, good+s.shortWindow.successes
 		if s.longWindow.successes < enough {
 			continue
 		}
 		s.bestLatency = min(cmp.Or(s.bestLatency, s.longWindow.latency), s.longWindow.latency)
-		if !s.lowPriorityOnly && !g.warmingUp(s) && (!g.partitioned || g.zoneHasProxies[s.partition/g.partitionsPerZone]) {
+		if !s.lowPriorityOnly && !g.warmingUp(s) && (!g.layout.partitioned || g.proxies.zoneHasProxies[s.partition/g.layout.partitionsPerZone]) {
 			warm, kinds[s.Kind] = append(warm, s.longWindow.capacity), append(kinds[s.Kind], s.longWindow.capacity)
 		}
 	}
-	g.medianCapacity, g.lowCapacity = cmp.Or(quantile(warm, 0.5), g.medianCapacity), cmp.Or(quantile(warm, quarter), g.lowCapacity)
-	g.failedFraction = (tries - good) / max(1, tries)
-	for _, s := range g.ready {
-		if s.capacity = cmp.Or(quantile(kinds[s.Kind], 0.5), g.medianCapacity); g.partitioned && !g.zoneHasProxies[s.partition/g.partitionsPerZone] {
+	g.estimates.medianCapacity, g.estimates.lowCapacity = cmp.Or(quantile(warm, 0.5), g.estimates.medianCapacity), cmp.Or(quantile(warm, quarter), g.estimates.lowCapacity)
+	g.estimates.failedFraction = (tries - good) / max(1, tries)
+	for _, s := range g.endpoints.ready {
+		if s.capacity = cmp.Or(quantile(kinds[s.Kind], 0.5), g.estimates.medianCapacity); g.layout.partitioned && !g.proxies.zoneHasProxies[s.partition/g.layout.partitionsPerZone] {
 			s.capacity *= tenth // those others use; ours only as a help
 		}
 		if s.longWindow.capacity > 0 {
@@ -52,8 +52,8 @@
 			load, capacity = load+s.requestRate, capacity+s.capacity*s.healthFactor
 		}
 	}
-	g.meanUtilization = load / max(negligible, capacity)
-	g.targetUtilization = max(g.meanUtilization, min(maxTargetUtilization, maxDensityRatio*g.meanUtilization))
+	g.estimates.meanUtilization = load / max(negligible, capacity)
+	g.estimates.targetUtilization = max(g.estimates.meanUtilization, min(maxTargetUtilization, maxDensityRatio*g.estimates.meanUtilization))
 }
 
 func quantile(of []float64, share float64) float64 {
@@ -68,7 +68,7 @@
 	if len(u) == 0 {
 		return 0
 	}
-	return rate(u, max(0, g.latestOutcomeAt-u[len(u)-1].receivedAt-g.reportCycle))
+	return rate(u, max(0, g.estimates.latestOutcomeAt-u[len(u)-1].receivedAt-g.estimates.reportCycle))
 }
 
 func rate(samples []reportSample, span fleet.Time) float64 {
@@ -108,7 +108,7 @@
 
 // Estimates tells what the governor makes of each server that is ready.
 func (g *Balancer) Estimates() (told []fleet.ServerEstimate) {
-	for _, s := range g.ready {
+	for _, s := range g.endpoints.ready {
 		shares := []float64{}
 		for t, b := range g.tables {
 			if b.proxyCount > 0 {
--- a/internal/balancer/logic_test.go
+++ b/internal/balancer/logic_test.go
@@ -28,7 +28,7 @@
 		y.run(60, 1.5)
 		again.run(60, 1.5) // the same events give the same orders
 		t.Log(y.violation)
-		return y.violation == "" && reflect.DeepEqual(y.balancer.servers, again.balancer.servers)
+		return y.violation == "" && reflect.DeepEqual(y.balancer.endpoints.all, again.balancer.endpoints.all)
 	})
 }
 
@@ -40,7 +40,7 @@
 	for i := range rates {
 		list.Endpoints = append(list.Endpoints, fleet.Endpoint{Server: fleet.ServerID(i + 1)})
 	}
-	g.observing = false
+	g.schedule.observing = false
 	g.Step(0, []fleet.Event{list, fleet.ProxyJoined{Fresh: true}})
 	total := uint32(0)
 	for i, r := range rates {
@@ -59,10 +59,10 @@
 // spread, 2.803 each: the others rise to 1+2.803/21.
 func TestCutSpillAndNormalise(t *testing.T) {
 	g := newMeasuredBalancer([]float64{10, 10, 10}, []float64{0.9, 0.45, 0.45})
-	g.latestOutcomeAt = 1
+	g.estimates.latestOutcomeAt = 1
 	g.Step(2*fleet.Second, nil)
 	for i, want := range []float64{0.7197 / (1 + 2.803/21), 1, 1} {
-		if got := g.servers[i].orderedWeight[0]; math.Abs(got-want) > 1e-3 {
+		if got := g.endpoints.all[i].orderedWeight[0]; math.Abs(got-want) > 1e-3 {
 			t.Errorf("server %d has weight %.4f, want %.4f", i+1, got, want)
 		}
 	}
@@ -159,7 +159,7 @@
 	y.startBalancer(fleet.ListCached)
 	y.run(20, 0)
 	least, most := 0.0, 0.0
-	for _, s := range y.balancer.servers {
+	for _, s := range y.balancer.endpoints.all {
 		if least, most = least+s.orderedWeight[0], most+s.orderedWeight[2]; s.orderedWeight[0] > 0 && s.orderedWeight[2] > 0 {
 			t.Errorf("server %d has both classes", s.Server)
 		}
@@ -174,17 +174,17 @@
 	for rounds := range 2 * sheddingDelayRounds {
 		for _, moved := range []float64{0, 1} { // servers or proxies have just come
 			g := newMeasuredBalancer([]float64{10, 10, 10}, []float64{0.5, 0.5, 0.5})
-			g.classes, g.medianCapacity = append(g.classes, requestClass{workPerRequest: 1, demand: 5}), 20
-			g.classes[0].workPerRequest, g.classes[0].demand, g.classesByValue, g.meanUtilization = 1, 5, []int{0, 1}, 2
-			g.now, g.recentlyAddedFraction = 100*fleet.Second, moved
+			g.classes, g.estimates.medianCapacity = append(g.classes, requestClass{workPerRequest: 1, demand: 5}), 20
+			g.classes[0].workPerRequest, g.classes[0].demand, g.admission.classesByValue, g.estimates.meanUtilization = 1, 5, []int{0, 1}, 2
+			g.now, g.estimates.recentlyAddedFraction = 100*fleet.Second, moved
 			for range rounds {
 				g.now += fleet.Second
 				g.shedLoad(2, 3)
 			}
-			if squeezed := g.sheddingUntil > 0; squeezed != (rounds >= sheddingDelayRounds && moved == 0) {
+			if squeezed := g.shedding.activeUntil > 0; squeezed != (rounds >= sheddingDelayRounds && moved == 0) {
 				t.Errorf("after %d rounds, %.0f moved: %v", rounds, moved, squeezed)
 			}
-			if g.shedLoad(2, 3*2/overloadedUtilization+negligible); g.sheddingUntil != 0 && rounds >= sheddingDelayRounds { // as many servers came as it takes
+			if g.shedLoad(2, 3*2/overloadedUtilization+negligible); g.shedding.activeUntil != 0 && rounds >= sheddingDelayRounds { // as many servers came as it takes
 				t.Error("goes on although servers came")
 			}
 		}
@@ -192,8 +192,8 @@
 	g := newMeasuredBalancer([]float64{10}, []float64{0.5})
 	for _, now := range []fleet.Time{fleet.Second, 2 * longWindow} {
 		g.now = now
-		if g.updateFleet(); (g.recentlyAddedFraction > quarter) != (now < longWindow) {
-			t.Errorf("%.2f of the proxies moved at %.0f s", g.recentlyAddedFraction, now.Seconds())
+		if g.updateFleet(); (g.estimates.recentlyAddedFraction > quarter) != (now < longWindow) {
+			t.Errorf("%.2f of the proxies moved at %.0f s", g.estimates.recentlyAddedFraction, now.Seconds())
 		}
 	}
 }
@@ -204,11 +204,11 @@
 		rng, sum, n := rand.New(rand.NewSource(3)), 0.0, 0
 		for range 40 {
 			g := newMeasuredBalancer([]float64{1}, []float64{0.5})
-			g.reportCycle, g.proxies[0].demandSamples[0] = fleet.Second, nil
+			g.estimates.reportCycle, g.proxies.all[0].demandSamples[0] = fleet.Second, nil
 			last := fleet.Time(0)
 			for s := 1; s < 200; s++ {
 				g.now = fleet.Time(s) * fleet.Second
-				g.latestOutcomeAt = g.now
+				g.estimates.latestOutcomeAt = g.now
 				visits := uint32(0)
 				for at := rng.ExpFloat64(); at < want; at += rng.ExpFloat64() {
 					visits++
@@ -218,7 +218,7 @@
 					last = g.now
 				}
 				if s > 50 {
-					sum, n = sum+g.requestRate(g.proxies[0], 0), n+1
+					sum, n = sum+g.requestRate(g.proxies.all[0], 0), n+1
 				}
 			}
 		}
@@ -244,8 +244,8 @@
 			t.Error("its withdrawal stands")
 		}
 	}
-	if y.balancer.Tracks(gone) || len(y.balancer.servers) != 5 || y.violation != "" {
-		t.Errorf("known %v, %d left; %s", y.balancer.Tracks(gone), len(y.balancer.servers), y.violation)
+	if y.balancer.Tracks(gone) || len(y.balancer.endpoints.all) != 5 || y.violation != "" {
+		t.Errorf("known %v, %d left; %s", y.balancer.Tracks(gone), len(y.balancer.endpoints.all), y.violation)
 	}
 }
 
@@ -254,7 +254,7 @@
 	g := newMeasuredBalancer([]float64{10, 10}, []float64{0.6, 0.6})
 	g.site.Admission = fleet.AdmissionFraction
 	for id := range fleet.ServerID(2) {
-		g.serversByID[id+1].samples[0].successes *= 0.7
+		g.endpoints.byID[id+1].samples[0].successes *= 0.7
 	}
 	if g.Step(2*fleet.Second, nil); g.classes[0].admittedFraction < 1 {
 		t.Errorf("level %.2f at a busy share of 0.6", g.classes[0].admittedFraction)
@@ -354,7 +354,7 @@
 		y.unconfirmedFraction = 0
 		y.run(12, 0)
 		t.Log(y.violation)
-		for _, s := range y.balancer.servers {
+		for _, s := range y.balancer.endpoints.all {
 			for table := range s.orderedWeight {
 				if held := y.tables[fleet.TableID(table)][s.Server]; math.Abs(held-s.orderedWeight[table]) > 1e-6 {
 					t.Logf("table %d: server %d has %.3f, ordered %.3f", table, s.Server, held, s.orderedWeight[table])
@@ -422,7 +422,7 @@
 		}
 		y.run(8, 0)
 		waits := 0
-		for _, p := range y.balancer.proxies {
+		for _, p := range y.balancer.proxies.all {
 			if p.outOfSync {
 				waits++
 			}
@@ -448,7 +448,7 @@
 	y.run(15, 0)
 	g := y.balancer
 	lines := func(table int) (n int) {
-		for _, s := range g.servers {
+		for _, s := range g.endpoints.all {
 			if s.orderedWeight[table] > 0 {
 				n++
 			}
@@ -458,22 +458,22 @@
 	unused := 0
 	for table, b := range g.tables {
 		if n := lines(table); b.classes != 0 && b.proxyCount == 0 && b.group < 2 {
-			if unused++; n == 0 || n > len(g.servers)*3/4 {
-				t.Errorf("unused table %d has %d lines of %d servers", table, n, len(g.servers))
+			if unused++; n == 0 || n > len(g.endpoints.all)*3/4 {
+				t.Errorf("unused table %d has %d lines of %d servers", table, n, len(g.endpoints.all))
 			}
 		}
 	}
-	s, before, holders := g.ready[len(g.ready)-1], 0.0, g.messageCost()*float64(len(g.proxies))
+	s, before, holders := g.endpoints.ready[len(g.endpoints.ready)-1], 0.0, g.messageCost()*float64(len(g.proxies.all))
 	for table, b := range g.tables {
-		if s.orderedWeight[table] = 0; table == g.tableOf(0, g.proxies[0].partition) { // it is in one table
+		if s.orderedWeight[table] = 0; table == g.tableOf(0, g.proxies.all[0].partition) { // it is in one table
 			s.orderedWeight[table], s.wantedWeight[table] = 1, 1
 			holders += b.proxyCount
 		}
 	}
 	g.updateFleet()
-	before, g.nextChangesAt, g.now, s.State = g.entriesSent, 0, g.now+fleet.Second, fleet.ServerDraining
+	before, g.channel.nextChangesAt, g.now, s.State = g.channel.entriesSent, 0, g.now+fleet.Second, fleet.ServerDraining
 	g.publish()
-	if cost := g.entriesSent - before; cost > holders || !s.withdrawn {
+	if cost := g.channel.entriesSent - before; cost > holders || !s.withdrawn {
 		t.Errorf("a withdrawal counted %.0f lines, of %.0f with the heads; out: %v", cost, holders, s.withdrawn)
 	}
 	if unused == 0 {
@@ -490,18 +490,18 @@
 func TestBindsCountLinesOfTheirStep(t *testing.T) {
 	g := newMeasuredBalancer([]float64{10, 10, 10, 10, 10, 10}, []float64{0.5, 0.5, 0.5, 0.5, 0.5, 0.5})
 	g.Step(2*fleet.Second, nil)
-	if g.classes[0].tableGroup = 1; g.proxiesByID[0].assignedTables[0] != 0 {
-		t.Fatalf("on table %d", g.proxiesByID[0].assignedTables[0])
+	if g.classes[0].tableGroup = 1; g.proxies.byID[0].assignedTables[0] != 0 {
+		t.Fatalf("on table %d", g.proxies.byID[0].assignedTables[0])
 	}
-	for _, s := range g.ready[:5] {
+	for _, s := range g.endpoints.ready[:5] {
 		s.lowPriorityOnly = true
 	}
-	before := g.entriesSent
+	before := g.channel.entriesSent
 	g.now += fleet.Second
 	g.updateFleet()
 	g.updateWantedWeights()
 	g.emitOrders()
-	if on, cost := g.proxiesByID[0].assignedTables[0], g.entriesSent-before; on != g.tableOf(0, 0) || cost < 5+1 {
+	if on, cost := g.proxies.byID[0].assignedTables[0], g.channel.entriesSent-before; on != g.tableOf(0, 0) || cost < 5+1 {
 		t.Errorf("on table %d; five lines and a bind counted %.0f", on, cost)
 	}
 }
@@ -512,7 +512,7 @@
 	g := newMeasuredBalancer([]float64{10, 10}, []float64{0.6, 0.6})
 	g.site.Admission = fleet.AdmissionFraction
 	levels := func(waiting float64) (n int) {
-		g.orders, g.entriesSent = nil, g.entriesDelivered+waiting
+		g.orders, g.channel.entriesSent = nil, g.channel.entriesDelivered+waiting
 		g.publish()
 		for _, o := range g.orders {
 			if _, is := o.(fleet.SetAdmission); is {
@@ -522,17 +522,17 @@
 		return n
 	}
 	g.updateFleet()
-	g.classes[0].admittedFraction, g.classes[0].demand, g.nextChangesAt = 0.5, 20, 0
+	g.classes[0].admittedFraction, g.classes[0].demand, g.channel.nextChangesAt = 0.5, 20, 0
 	if n := levels(0.6 * g.site.MaxBacklog); n != 0 {
 		t.Errorf("%d levels into a full channel", n)
 	}
 	if n := levels(0.2 * g.site.MaxBacklog); n != 1 {
 		t.Errorf("%d levels where there is room", n)
 	}
-	before := g.entriesSent
+	before := g.channel.entriesSent
 	g.now += fleet.Second
-	if g.broadcast(fleet.SetWeight{Table: 1, Server: 1, Weight: 1}, 0); g.entriesSent != before {
-		t.Errorf("a line that nobody has counted %.0f", g.entriesSent-before)
+	if g.broadcast(fleet.SetWeight{Table: 1, Server: 1, Weight: 1}, 0); g.channel.entriesSent != before {
+		t.Errorf("a line that nobody has counted %.0f", g.channel.entriesSent-before)
 	}
 }
 
--- a/internal/balancer/outliers.go
+++ b/internal/balancer/outliers.go
@@ -10,15 +10,15 @@
 // a part of its tries still helps, and is cut off only if the others can carry it.
 func (g *Balancer) updateHealth() {
 	zeroed, carry := 0.0, 0.0
-	for _, s := range g.ready {
+	for _, s := range g.endpoints.ready {
 		if carry += s.capacity * s.healthFactor; s.healthFactor == 0 {
 			zeroed++
 		}
 	}
 	// Reports take turns: only a server passed over several times, while others were heard, is silent.
-	most, missed, asked := max(quarter, 2*g.failedFraction), few*g.reportCycle, g.meanUtilization*carry
-	for _, s := range g.ready {
-		unheard, failed, had := g.latestOutcomeAt-s.lastSuccessAt, s.longWindow.attempts-s.longWindow.successes, s.capacity*s.healthFactor
+	most, missed, asked := max(quarter, 2*g.estimates.failedFraction), few*g.estimates.reportCycle, g.estimates.meanUtilization*carry
+	for _, s := range g.endpoints.ready {
+		unheard, failed, had := g.estimates.latestOutcomeAt-s.lastSuccessAt, s.longWindow.attempts-s.longWindow.successes, s.capacity*s.healthFactor
 		silent := unheard > missed && s.requestRate*unheard.Seconds() > enough
 		sick := failed >= max(few, s.longWindow.attempts*most) &&
 			(s.shortWindow.successes < third*s.shortWindow.attempts || asked < maxTargetUtilization*(carry-had))
@@ -27,7 +27,7 @@
 		case s.healthFactor > 0 && s.longWindow.utilization < overloadedUtilization && (silent || sick):
 			s.ejectionDuration = min(maxEjectionDuration, max(balanceInterval, 2*s.ejectionDuration))
 			s.healthFactor, s.ejectedUntil, carry = quarter, g.now+s.ejectionDuration, carry-had
-			if zeroed+1 <= float64(len(g.ready))*third {
+			if zeroed+1 <= float64(len(g.endpoints.ready))*third {
 				s.healthFactor, zeroed = 0, zeroed+1
 			}
 			g.orders = append(g.orders, fleet.LogMessage{Text: fmt.Sprintf(
@@ -38,7 +38,7 @@
 			s.healthFactor, s.lastSuccessAt = quarter, g.now+balanceInterval
 		case s.healthFactor == 0:
 		case late:
-			if !s.reducedForLatency && s.requestRate < s.capacity*g.targetUtilization {
+			if !s.reducedForLatency && s.requestRate < s.capacity*g.estimates.targetUtilization {
 				s.healthFactor, s.reducedForLatency = max(quarter, s.healthFactor/2), true
 			}
 		default:
--- a/internal/balancer/proxies.go
+++ b/internal/balancer/proxies.go
@@ -19,6 +19,6 @@
 }
 
 func (g *Balancer) removeProxy(id fleet.ProxyID) {
-	delete(g.proxiesByID, id)
-	g.proxies = slices.DeleteFunc(g.proxies, func(p *proxyState) bool { return p.id == id })
+	delete(g.proxies.byID, id)
+	g.proxies.all = slices.DeleteFunc(g.proxies.all, func(p *proxyState) bool { return p.id == id })
 }
--- a/internal/balancer/publish.go
+++ b/internal/balancer/publish.go
@@ -11,20 +11,20 @@
 // publish emits what goes to all. Urgent lines need no room; ordinary ones go once an interval, the largest
 // changes first, and what the channel has no room for follows in pieces.
 func (g *Balancer) publish() {
-	users := float64(len(g.proxies))
+	users := float64(len(g.proxies.all))
 	fit := room*g.site.MaxBacklog - g.backlog() - g.messageCost()*users
 	last := -(room - tenth/2) * g.site.MaxBacklog // of fit, for withdrawals
 	// More than leaves till the next go only keeps others waiting, and proxies off their tables come first.
-	kept := g.site.MaxBacklog * room * room * min(1, g.outOfSyncProxies)
+	kept := g.site.MaxBacklog * room * room * min(1, g.proxies.outOfSync)
 	kept = max(kept, fit+g.backlog()-room*balanceInterval.Seconds()*g.site.EntriesPerSecond)
-	spare := quarter*float64(len(g.servers)) - float64(len(g.servers)-len(g.ready))
-	for _, s := range g.servers {
+	spare := quarter*float64(len(g.endpoints.all)) - float64(len(g.endpoints.all)-len(g.endpoints.ready))
+	for _, s := range g.endpoints.all {
 		// Standing tables send to cold servers as to all others, so some stay out until no proxy goes by one.
 		out := s.State != fleet.ServerReady
-		if !out && g.outOfSyncProxies > 0 && g.warmingUp(s) && spare > 1 {
+		if !out && g.proxies.outOfSync > 0 && g.warmingUp(s) && spare > 1 {
 			out, spare = true, spare-1
 		}
-		on := g.outOfSyncProxies // those whose tables may have it
+		on := g.proxies.outOfSync // those whose tables may have it
 		for t, b := range g.tables {
 			if s.orderedWeight[t] > 0 || s.weightUnconfirmed[t] {
 				on = min(users, on+b.proxyCount)
@@ -36,7 +36,7 @@
 		}
 	}
 	for c := range g.classes {
-		l, out := fleet.SetAdmission{Table: fleet.AllTables, Classes: 1 << c, Retry: g.retryMode}, &g.classes[c].sentAdmission
+		l, out := fleet.SetAdmission{Table: fleet.AllTables, Classes: 1 << c, Retry: g.admission.retry}, &g.classes[c].sentAdmission
 		l.Limit = float32(g.admissionLimit(c))
 		if fit > users && (math.Abs(float64(l.Limit/out.Limit-1)) > tenth || l.Retry != out.Retry) {
 			*out, fit = l, fit-users
@@ -44,18 +44,18 @@
 		}
 	}
 	// Proxies go by ratios, so a factor common to most lines of a table is no change.
-	ordinary, lines := g.nextChangesAt > 0 && g.now >= g.nextChangesAt, []weightChange{}
-	dear := g.partitioned && float64(g.site.ProxyCount*len(g.servers)) > g.site.EntriesPerSecond*g.site.DrainTimeout.Seconds()
+	ordinary, lines := g.channel.nextChangesAt > 0 && g.now >= g.channel.nextChangesAt, []weightChange{}
+	dear := g.layout.partitioned && float64(g.site.ProxyCount*len(g.endpoints.all)) > g.site.EntriesPerSecond*g.site.DrainTimeout.Seconds()
 	for t, b := range g.tables {
 		scale, top := []float64{}, 0.0
-		for _, s := range g.servers {
+		for _, s := range g.endpoints.all {
 			top = max(top, s.wantedWeight[t])
 			if ratio := s.orderedWeight[t] / max(s.wantedWeight[t], negligible); ratio > 1/huge && ratio < huge {
 				scale = append(scale, ratio)
 			}
 		}
 		unit := cmp.Or(quantile(scale, 0.5), 1)
-		for _, s := range g.servers {
+		for _, s := range g.endpoints.all {
 			w, o := s.wantedWeight[t]*unit, s.orderedWeight[t]
 			if (b.proxyCount == 0 || dear) && s.wantedWeight[t] < tenth*top { // would make joins dear; few miss it
 				w = 0
@@ -64,7 +64,7 @@
 			if s.weightUnconfirmed[t] {
 				change = max(w, o)
 			}
-			small := o == 0 && change < tenth*unit && idle && (g.observing || g.outOfSyncProxies > 0) // would make joins dear
+			small := o == 0 && change < tenth*unit && idle && (g.schedule.observing || g.proxies.outOfSync > 0) // would make joins dear
 			urgent := !s.withdrawn && (b.orderedWeight == 0 || g.warmingUp(s) && (o > maxDensityRatio*w || s.weightUnconfirmed[t]))
 			same := w == o || w > 0 && change <= minRelativeChange*o || small
 			if same && !s.weightUnconfirmed[t] || !ordinary && !urgent {
@@ -80,17 +80,17 @@
 		}
 	}
 	if ordinary {
-		g.nextChangesAt = 0
+		g.channel.nextChangesAt = 0
 	}
 	slices.SortStableFunc(lines, func(a, b weightChange) int { return cmp.Compare(b.priority, a.priority) })
 	for _, l := range lines {
 		on := g.tables[l.Table].proxyCount
 		fit -= on
 		if on > 0 && (l.priority < huge && fit < kept || fit < -(quarter+tenth)*g.site.MaxBacklog) {
-			g.nextChangesAt = g.now + balanceInterval/2
+			g.channel.nextChangesAt = g.now + balanceInterval/2
 			continue
 		}
-		g.serversByID[l.Server].orderedWeight[l.Table], g.serversByID[l.Server].weightUnconfirmed[l.Table] = float64(l.Weight), false
+		g.endpoints.byID[l.Server].orderedWeight[l.Table], g.endpoints.byID[l.Server].weightUnconfirmed[l.Table] = float64(l.Weight), false
 		g.broadcast(l.SetWeight, on)
 	}
 }
@@ -98,7 +98,7 @@
 // assignProxies puts proxies on their tables, those with most visits first, as many as the channel has room for.
 func (g *Balancer) assignProxies() (bound int) {
 	for t := range g.tables { // as they are now that lines went out
-		for _, s := range g.servers {
+		for _, s := range g.endpoints.all {
 			if s.orderedWeight[t] > 0 {
 				g.tables[t].assignmentEntries++
 			}
@@ -107,7 +107,7 @@
 			}
 		}
 	}
-	astray := slices.DeleteFunc(slices.Clone(g.proxies), func(p *proxyState) bool { return !p.outOfSync })
+	astray := slices.DeleteFunc(slices.Clone(g.proxies.all), func(p *proxyState) bool { return !p.outOfSync })
 	slices.SortStableFunc(astray, func(a, b *proxyState) int { return cmp.Compare(b.expectedRate, a.expectedRate) })
 	for _, p := range astray {
 		binds, lines := []fleet.Order{}, g.messageCost()
@@ -125,10 +125,10 @@
 		if g.now >= p.joinedAt+g.site.DrainTimeout/8 { // it may send to servers that are out
 			most += quarter + tenth
 		}
-		if g.observing || g.backlog() > 0 && g.backlog()+lines > most*g.site.MaxBacklog {
+		if g.schedule.observing || g.backlog() > 0 && g.backlog()+lines > most*g.site.MaxBacklog {
 			continue
 		}
-		g.entriesSent, g.orders, p.assignmentUnconfirmed = g.entriesSent+lines, append(g.orders, binds...), false
+		g.channel.entriesSent, g.orders, p.assignmentUnconfirmed = g.channel.entriesSent+lines, append(g.orders, binds...), false
 		bound++
 		for c := range p.assignedTables {
 			p.assignedTables[c] = g.tableOf(c, p.partition)
--- a/internal/balancer/simulatedfleet_test.go
+++ b/internal/balancer/simulatedfleet_test.go
@@ -272,7 +272,7 @@
 	}
 	for id, h := range y.proxies {
 		if lines, is := reached[h]; is {
-			y.channel = append(y.channel, queuedUpdate{lines + y.site.MessageOverhead, fleet.BarrierReached{Proxy: fleet.ProxyID(id), Barrier: y.balancer.lastBarrier}})
+			y.channel = append(y.channel, queuedUpdate{lines + y.site.MessageOverhead, fleet.BarrierReached{Proxy: fleet.ProxyID(id), Barrier: y.balancer.channel.lastBarrier}})
 			h.messagesAt = append(h.messagesAt, y.now)
 		}
 	}
@@ -349,7 +349,7 @@
 			}
 		}
 		h.withdrawn = map[fleet.ServerID]bool{} // a bound proxy follows only this governor's withdrawals
-		for _, s := range y.balancer.servers {
+		for _, s := range y.balancer.endpoints.all {
 			h.withdrawn[s.Server] = s.withdrawn
 		}
 	}
