--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -1,76 +1,199 @@
 package balancer
 
 import (
+	"cmp"
+	"math"
 	"slices"
 
 	"cressknot/internal/fleet"
 )
 
-// requestClass is what differs by class. Classes of a group share tables, one a zone: 0 is for all whose lines
-// are alike, 1 for the squeezed, which go to the refuge only; a class that stays in its zone has its own.
+const (
+	// unlimitedAdmission is a limit, as a fraction or as requests per second at a proxy, that admits all requests.
+	unlimitedAdmission = 1e6
+	// minAdmittedFraction is the part of its requests that each class always has admitted.
+	minAdmittedFraction = 0.1
+	// admissionStep bounds how much the admitted fraction of a class rises at a time.
+	admissionStep = 0.1
+	// minAdmissionChange is the relative change of a limit that is worth an order.
+	minAdmissionChange = 0.1
+	// minRequestRate is the requests per second below which there is no load to judge by.
+	minRequestRate = 1e-9
+	// minWorkPerRequest replaces a latency objective of zero.
+	minWorkPerRequest = 1e-9
+)
+
+// requestClass is what the balancer knows of a class of requests and has ordered for it.
 type requestClass struct {
-	valuePerWork, workPerRequest float64 // value for its work; expected time stands for work
-	tableGroup                   int
-	demand, admittedFraction     float64            // visits a second that come; part of them to let in
-	sentAdmission                fleet.SetAdmission // as ordered
+	valuePerWork   float64 // priority weight for the work that a request causes
+	workPerRequest float64 // seconds: the latency objective stands for it
+	// tableGroup says which tables the class uses. Shared classes use one group, those that load is shed from another;
+	// each zone-local class has a group of its own.
+	tableGroup       int
+	demand           float64 // requests per second that clients send
+	admittedFraction float64 // part of the demand to admit
+	sentAdmission    fleet.SetAdmission
+}
+
+// admissionState is what admission needs beside the classes themselves.
+type admissionState struct {
+	classesByValue []int // in ascending order of value per work
+	retry          fleet.RetryMode
 }
 
-// updateAdmission lets in what the fleet can handle on time, least value cut first; strained, it gets no further tries.
-func (g *Balancer) updateAdmission() {
-	handled, busy, carry, coming, demand := 0.0, 0.0, 0.0, 0.0, 0.0
-	for _, s := range g.endpoints.ready {
-		if can := min(1, s.healthFactor+quarter) * g.warmFraction(s); s.healthFactor > 0 && (s.requestRate > negligible || g.schedule.observing) {
-			carry += can
-		} else if s.healthFactor > 0 { // fresh, in no table yet
-			coming += can
+func newRequestClasses(site *fleet.Site) []requestClass {
+	classes := make([]requestClass, len(site.Classes))
+	for i := range site.Classes {
+		settings := &site.Classes[i]
+		work := max(minWorkPerRequest, settings.LatencyObjective.Seconds())
+		classes[i] = requestClass{
+			valuePerWork:     settings.PriorityWeight / work,
+			workPerRequest:   work,
+			tableGroup:       sharedGroup,
+			admittedFraction: 1,
+			sentAdmission:    fleet.SetAdmission{Limit: unlimitedAdmission, Retry: site.DefaultRetry},
 		}
-		if g.takesAllClasses(s) && s.shortWindow.utilization >= 0 {
-			part := 1.0
-			if s.shortWindow.utilization < overloadedUtilization && g.site.Admission != fleet.AdmissionUnlimited { // fails while idle: no want of it
-				part = s.shortWindow.attempts / max(1, s.shortWindow.successes)
-			}
-			handled, busy = handled+s.shortWindow.successRate*part, busy+s.shortWindow.utilization
+		if settings.ZoneLocal {
+			classes[i].tableGroup = firstZoneLocalGroup + i
 		}
 	}
-	for _, c := range g.classes {
-		demand += c.demand
+	return classes
+}
+
+// classesByValue returns the positions of classes in ascending order of their value per work.
+func classesByValue(classes []requestClass) []int {
+	order := make([]int, len(classes))
+	for i := range order {
+		order[i] = i
 	}
-	if busy == 0 || handled == 0 || demand < negligible {
+	slices.SortStableFunc(order, func(x, y int) int {
+		return cmp.Compare(classes[x].valuePerWork, classes[y].valuePerWork)
+	})
+	return order
+}
+
+// fleetCapacity is what the fleet can handle.
+type fleetCapacity struct {
+	serving     float64 // servers, as multiples of a fully warm one, that are in tables
+	joining     float64 // the same, of servers that are in no table yet
+	successRate float64 // requests per second that the measured servers handled
+	utilization float64 // sum of the utilizations at which they did
+}
+
+// updateAdmission admits what the fleet can handle in time, cutting the classes of the least value first. An overloaded
+// fleet gets no retries.
+func (b *Balancer) updateAdmission() {
+	capacity := b.fleetCapacity()
+	demand := 0.0
+	for i := range b.classes {
+		demand += b.classes[i].demand
+	}
+	if capacity.utilization == 0 || capacity.successRate == 0 || demand < minRequestRate {
 		return
 	}
-	load := demand / (handled / busy * carry) // busy share that would let all in
-	g.shedLoad(load*carry/(carry+coming), carry+coming)
-	over := demand * max(0, 1-maxTargetUtilization/load)
-	if g.admission.retry = fleet.RetryNever; over == 0 {
-		g.admission.retry = fleet.RetryIfNotExecuted
+	// The load is the utilization at which all requests would be handled.
+	load := demand / (capacity.successRate / capacity.utilization * capacity.serving)
+	listed := capacity.serving + capacity.joining
+	b.updateShedding(load*capacity.serving/listed, listed)
+
+	excess := demand * max(0, 1-maxTargetUtilization/load)
+	b.admission.retry = fleet.RetryNever
+	if excess == 0 {
+		b.admission.retry = fleet.RetryIfNotExecuted
 	}
-	for _, id := range g.admission.classesByValue {
-		c := &g.classes[id]
-		cut := min(over, c.demand*(1-tenth))
-		if over -= cut; g.site.Admission != fleet.AdmissionUnlimited {
-			c.admittedFraction = min(1-cut/max(c.demand, negligible), c.admittedFraction+tenth)
+	if b.site.Admission != fleet.AdmissionUnlimited {
+		b.cutAdmission(excess)
+	}
+}
+
+// fleetCapacity measures what the ready servers handle.
+func (b *Balancer) fleetCapacity() fleetCapacity {
+	var capacity fleetCapacity
+	for _, server := range b.endpoints.ready {
+		usable := min(1, server.healthFactor+healthRecoveryStep) * b.warmFraction(server)
+		if server.healthFactor > 0 && (server.requestRate > minRequestRate || b.schedule.observing) {
+			capacity.serving += usable
+		} else if server.healthFactor > 0 {
+			capacity.joining += usable
 		}
+		if b.takesAllClasses(server) && server.shortWindow.utilization >= 0 {
+			capacity.successRate += server.shortWindow.successRate * b.lostAnswerFactor(server)
+			capacity.utilization += server.shortWindow.utilization
+		}
+	}
+	return capacity
+}
+
+// lostAnswerFactor corrects what a server handled for answers that were lost although it has capacity to spare: they do not
+// mean that the fleet is too small.
+func (b *Balancer) lostAnswerFactor(server *serverState) float64 {
+	window := &server.shortWindow
+	if window.utilization >= overloadedUtilization || b.site.Admission == fleet.AdmissionUnlimited {
+		return 1
+	}
+	return window.attempts / max(1, window.successes)
+}
+
+// cutAdmission cuts a number of requests per second from the classes of the least value.
+func (b *Balancer) cutAdmission(excess float64) {
+	for _, i := range b.admission.classesByValue {
+		class := &b.classes[i]
+		cut := min(excess, class.demand*(1-minAdmittedFraction))
+		excess -= cut
+		admitted := 1 - cut/max(class.demand, epsilon)
+		class.admittedFraction = min(admitted, class.admittedFraction+admissionStep)
 	}
 }
 
-func (g *Balancer) admissionLimit(class int) float64 { // its level: a share, or a rate at each proxy
-	c, rates := g.classes[class], []float64{}
-	if g.site.Admission == fleet.AdmissionFraction && c.admittedFraction < 1 {
-		return c.admittedFraction
+// admissionLimit returns the limit to order for a class: a fraction, or requests per second at each proxy.
+func (b *Balancer) admissionLimit(class int) float64 {
+	fraction := b.classes[class].admittedFraction
+	if fraction >= 1 {
+		return unlimitedAdmission
 	}
-	if c.admittedFraction >= 1 {
-		return huge
+	if b.site.Admission == fleet.AdmissionFraction {
+		return fraction
 	}
-	for _, p := range g.proxies.all {
-		rates = append(rates, g.requestRate(p, class))
+	return b.proxyRateLimit(class)
+}
+
+// proxyRateLimit returns the rate that, as a limit at each proxy, admits the fraction of the demand that a class is to have:
+// proxies with a lower rate are not limited.
+func (b *Balancer) proxyRateLimit(class int) float64 {
+	var rates []float64
+	for _, proxy := range b.proxies.all {
+		rates = append(rates, b.requestRate(proxy, class))
 	}
 	slices.Sort(rates)
-	left := c.admittedFraction * c.demand
-	for i, r := range rates {
-		if each := left / float64(len(rates)-i); r >= each {
-			return each
+	remaining := b.classes[class].admittedFraction * b.classes[class].demand
+	for i, rate := range rates {
+		limit := remaining / float64(len(rates)-i)
+		if rate >= limit {
+			return limit
+		}
+		remaining -= rate
+	}
+	return unlimitedAdmission
+}
+
+// publishAdmission orders limits and retry modes that have changed. It returns the entries that remain of the channel's
+// capacity.
+func (b *Balancer) publishAdmission(capacity float64) float64 {
+	proxyCount := float64(len(b.proxies.all))
+	for i := range b.classes {
+		sent := &b.classes[i].sentAdmission
+		order := fleet.SetAdmission{
+			Table:   fleet.AllTables,
+			Classes: classBit(i),
+			Limit:   float32(b.admissionLimit(i)),
+			Retry:   b.admission.retry,
+		}
+		limitChanged := math.Abs(float64(order.Limit/sent.Limit-1)) > minAdmissionChange
+		if capacity > proxyCount && (limitChanged || order.Retry != sent.Retry) {
+			*sent = order
+			capacity -= proxyCount
+			b.broadcast(order, proxyCount)
 		}
-		left -= r
 	}
-	return huge
+	return capacity
 }
--- a/internal/balancer/desired.go
+++ b/internal/balancer/desired.go
@@ -5,39 +5,99 @@
 	"math"
 )
 
-// updateWantedWeights works out the lines that should be out. Nobody goes bare: with no warm server left, all share.
-func (g *Balancer) updateWantedWeights() {
-	for t := range g.tables {
-		b := &g.tables[t]
-		for pass := 0; pass < 2 && b.wantedWarmWeight == 0; pass++ {
-			b.wantedWeight = 0
-			for _, s := range g.endpoints.all {
-				right := pass == 1 || b.group > 1 || s.lowPriorityOnly == (b.group == 1)
-				if s.wantedWeight[t] = 0; (b.proxyCount > 0 || b.classes != 0) && right && g.mayServe(s, t) {
-					s.wantedWeight[t] = s.weight[t] * max(s.healthFactor, quarter*float64(pass))
-				}
-				if b.wantedWeight += s.wantedWeight[t]; !g.warmingUp(s) {
-					b.wantedWarmWeight += s.wantedWeight[t]
-				}
-			}
+const (
+	// lastResortHealthFactor is the least health factor where a table has no other server.
+	lastResortHealthFactor = 0.25
+	// warmingLoadFraction is the part of the capacity it has at least that a server in slow start is sent.
+	warmingLoadFraction = 0.8
+	// unsharedOverloadFraction is the part of the stated overload limit that servers in slow start are sent where there are
+	// no others.
+	unsharedOverloadFraction = 0.5
+	// maxAllFailedProbability is the probability that a proxy avoids a server at which no server in slow start is used.
+	maxAllFailedProbability = 0.1
+	// proxiesNeverAvoid stands for a site whose proxies avoid no server, however many attempts fail.
+	proxiesNeverAvoid = 1e6
+)
+
+// updateWantedWeights works out the weights that each table should have.
+func (b *Balancer) updateWantedWeights() {
+	for t := range b.tables {
+		b.setWantedWeights(t, false)
+		if b.tables[t].wantedWarmWeight == 0 {
+			b.setWantedWeights(t, true)
 		}
 	}
-	// Where most tries fail proxies crowd on the few that answer: a cold server must be out of the tables then.
-	crowd := max(0, 1-math.Pow(g.estimates.failedFraction, cmp.Or(float64(g.site.ProxyOutlierFailures), huge))/tenth)
-	for _, s := range g.endpoints.ready {
-		if !g.warmingUp(s) || g.estimates.medianCapacity == 0 {
-			continue
+	b.limitWarmingServers()
+}
+
+// setWantedWeights sets the wanted weights of a table from the balanced weights and from health. As a last resort, so that
+// no proxy is without endpoints, ejected servers and those reserved for other classes take part.
+func (b *Balancer) setWantedWeights(index int, lastResort bool) {
+	table := &b.tables[index]
+	minHealthFactor := 0.0
+	if lastResort {
+		minHealthFactor = lastResortHealthFactor
+	}
+	isNeeded := table.proxyCount > 0 || table.classes != 0
+	table.wantedWeight = 0
+	for _, server := range b.endpoints.all {
+		server.wantedWeight[index] = 0
+		mayUse := lastResort || isReservedFor(server, table)
+		if isNeeded && mayUse && b.mayServe(server, table) {
+			server.wantedWeight[index] = server.weight[index] * max(server.healthFactor, minHealthFactor)
 		}
-		can, load := g.warmFraction(s)*g.estimates.lowCapacity*crowd, negligible
-		for t, b := range g.tables {
-			load += b.admittedRate * s.wantedWeight[t] / max(b.wantedWeight, negligible)
+		table.wantedWeight += server.wantedWeight[index]
+		if !b.warmingUp(server) {
+			table.wantedWarmWeight += server.wantedWeight[index]
 		}
-		for t, b := range g.tables {
-			if b.wantedWarmWeight > 0 {
-				s.wantedWeight[t] = min(s.wantedWeight[t], s.wantedWeight[t]/b.wantedWeight*warmingLoadFraction*can/load*b.wantedWarmWeight)
-			} else if load > can*g.site.RecoveryRamp.OverloadFactor*room {
-				s.wantedWeight[t] = 0
-			}
+	}
+}
+
+// isReservedFor reports whether load shedding leaves a server to the classes of a table. Zone-local classes use all.
+func isReservedFor(server *serverState, table *weightTable) bool {
+	if table.group >= firstZoneLocalGroup {
+		return true
+	}
+	return server.lowPriorityOnly == (table.group == lowPriorityGroup)
+}
+
+// limitWarmingServers limits the wanted weights of servers in slow start to what they can surely handle.
+func (b *Balancer) limitWarmingServers() {
+	if b.estimates.medianCapacity == 0 {
+		return
+	}
+	crowding := b.crowdingFactor()
+	for _, server := range b.endpoints.ready {
+		if b.warmingUp(server) {
+			capacity := b.warmFraction(server) * b.estimates.lowCapacity * crowding
+			b.limitWarmingServer(server, capacity)
+		}
+	}
+}
+
+// crowdingFactor reduces the load of servers in slow start where most attempts fail: the proxies avoid the failing servers
+// then and crowd on the few that answer. At 0 such servers are out of the tables.
+func (b *Balancer) crowdingFactor() float64 {
+	consecutiveFailures := cmp.Or(float64(b.site.ProxyOutlierFailures), proxiesNeverAvoid)
+	allFailed := math.Pow(b.estimates.failedFraction, consecutiveFailures)
+	return max(0, 1-allFailed/maxAllFailedProbability)
+}
+
+// limitWarmingServer limits the wanted weights of a server to a capacity in requests per second.
+func (b *Balancer) limitWarmingServer(server *serverState, capacity float64) {
+	load := epsilon
+	for t := range b.tables {
+		table := &b.tables[t]
+		load += table.admittedRate * server.wantedWeight[t] / max(table.wantedWeight, epsilon)
+	}
+	for t := range b.tables {
+		table := &b.tables[t]
+		wanted := server.wantedWeight[t]
+		if table.wantedWarmWeight > 0 {
+			limit := wanted / table.wantedWeight * warmingLoadFraction * capacity / load * table.wantedWarmWeight
+			server.wantedWeight[t] = min(wanted, limit)
+		} else if load > capacity*b.site.RecoveryRamp.OverloadFactor*unsharedOverloadFraction {
+			server.wantedWeight[t] = 0
 		}
 	}
 }
--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -7,117 +7,339 @@
 	"cressknot/internal/fleet"
 )
 
-type reportSample struct { // one report: of what ended at a server, of its load, or of what came to a proxy
-	receivedAt, interval, latency    fleet.Time
-	zone                             fleet.ZoneID
-	attempts, successes, utilization float64 // busy negative: not told
+const (
+	// longWindow is the window for single servers: five balance intervals, in which some 30 attempts bring chance down to a
+	// fifth.
+	longWindow = 10 * fleet.Second
+	// shortWindow is the window for the whole fleet: a cycle of load reports and their delay.
+	shortWindow = 3 * fleet.Second
+	// minWindowCycles is how many report cycles the long window spans at least; the short one spans half as many.
+	minWindowCycles = 3
+	// recentlyAddedDuration is how long a server or proxy counts as recently added.
+	recentlyAddedDuration = longWindow
+	// minMeanAttempts is how many successful attempts make a mean.
+	minMeanAttempts = 8
+	// priorAttempts is how many attempts the median of its kind counts as in the estimate of a server's capacity.
+	priorAttempts = 8
+	// unknownUtilization stands for a utilization that was not reported.
+	unknownUtilization = -1
+	// minMeaningfulUtilization is the utilization below which a measurement says nothing of capacity.
+	minMeaningfulUtilization = 0.05
+	// maxTargetUtilization is the utilization past which random variation overloads some servers.
+	maxTargetUtilization = 0.74
+	// maxUtilizationRatio lets servers exceed the mean utilization of the fleet by a tenth.
+	maxUtilizationRatio = 1.1
+	// lowCapacityQuantile is the quantile of the capacities that is counted on from a server of unknown capacity.
+	lowCapacityQuantile = 0.25
+	// foreignZoneCapacityFraction is the part of its capacity that is counted on from a server in a zone without joined
+	// proxies: other controllers use it.
+	foreignZoneCapacityFraction = 0.1
+)
+
+// fleetEstimates is what the balancer has measured of the fleet as a whole.
+type fleetEstimates struct {
+	utilizationField int        // position of the utilization in load reports; negative: not reported
+	latestOutcomeAt  fleet.Time // when the latest outcome report came
+	reportCycle      fleet.Time // how long each reporter waits for its turn, as the rate of reports is limited
+	// recentlyAddedFraction is the part of the servers, or of the requests by proxy, that was added recently.
+	recentlyAddedFraction float64
+	targetUtilization     float64 // that each server may have
+	meanUtilization       float64 // that the ordered tables cause
+	medianCapacity        float64 // attempts per second, of servers past their slow start; 0: not known
+	lowCapacity           float64 // the same, lower quartile
+	failedFraction        float64 // of the attempts in the short window
+}
+
+// reportSample is one report: of the attempts at a server, of its load, or of the requests that a proxy received.
+type reportSample struct {
+	receivedAt  fleet.Time
+	interval    fleet.Time // that the report covers
+	latency     fleet.Time // mean of the successful attempts
+	zone        fleet.ZoneID
+	attempts    float64 // or requests, in a demand report
+	successes   float64
+	utilization float64 // negative: not reported
 }
 
+// windowStats sums up the samples of a server in a window.
 type windowStats struct {
-	attempts, successes, utilization float64 // busy: mean, negative: not told
-	latency                          fleet.Time
-	successRate, capacity            float64 // good tries a second; the same at a busy share of 1, 0: not known
-}
-
-// updateEstimates works out the figures; the fewer tries a server had, the more it counts as average of its kind.
-func (g *Balancer) updateEstimates() {
-	load, capacity, tries, good := 0.0, 0.0, 0.0, 0.0
-	kinds, warm := map[fleet.KindID][]float64{}, []float64{}
-	for _, s := range g.endpoints.ready {
-		s.requestRate = 0
-		for t, b := range g.tables {
-			s.requestRate += b.admittedRate * s.orderedWeight[t] / max(b.orderedWeight, negligible)
+	attempts    float64
+	successes   float64
+	utilization float64    // mean; negative: not reported
+	latency     fleet.Time // mean of the successful attempts
+	successRate float64    // successful attempts per second
+	capacity    float64    // successful attempts per second at full utilization; 0: not known
+}
+
+func newFleetEstimates(site *fleet.Site) fleetEstimates {
+	return fleetEstimates{
+		utilizationField:  slices.Index(site.LoadFields, fleet.LoadFieldUtilization),
+		targetUtilization: maxTargetUtilization,
+	}
+}
+
+// utilizationIn returns the utilization in a load report.
+func (e *fleetEstimates) utilizationIn(load []float32) float64 {
+	if e.utilizationField < 0 || e.utilizationField >= len(load) {
+		return unknownUtilization
+	}
+	return float64(load[e.utilizationField])
+}
+
+// Estimates returns what the balancer knows of each server that is ready, ordered by ID.
+func (b *Balancer) Estimates() []fleet.ServerEstimate {
+	var estimates []fleet.ServerEstimate
+	for _, server := range b.endpoints.ready {
+		estimates = append(estimates, fleet.ServerEstimate{
+			Server:       server.Server,
+			State:        server.State,
+			WarmingUp:    b.warmingUp(server),
+			Withdrawn:    server.withdrawn,
+			Attempts:     server.longWindow.attempts,
+			Failures:     server.longWindow.attempts - server.longWindow.successes,
+			Utilization:  server.longWindow.utilization,
+			Latency:      server.longWindow.latency,
+			Capacity:     server.capacity,
+			RequestRate:  server.requestRate,
+			HealthFactor: server.healthFactor,
+			Fractions:    b.tableFractions(server),
+		})
+	}
+	return estimates
+}
+
+// tableFractions returns the part that a server has of the ordered weight of each table in use.
+func (b *Balancer) tableFractions(server *serverState) []float64 {
+	fractions := []float64{}
+	for t := range b.tables {
+		table := &b.tables[t]
+		if table.proxyCount > 0 {
+			fractions = append(fractions, server.orderedWeight[t]/max(table.orderedWeight, epsilon))
 		}
-		s.longWindow = s.summarize(g.estimates.latestOutcomeAt-max(longWindow, few*g.estimates.reportCycle), len(g.site.Zones))
-		s.shortWindow = s.summarize(g.estimates.latestOutcomeAt-max(shortWindow, few*g.estimates.reportCycle/2), len(g.site.Zones))
-		tries, good = tries+s.shortWindow.attempts, good+s.shortWindow.successes
-		if s.longWindow.successes < enough {
-			continue
+	}
+	return fractions
+}
+
+// updateRecentlyAdded works out how much of the fleet is so new that measurements lag behind.
+func (b *Balancer) updateRecentlyAdded() {
+	addedServers := 0.0
+	for _, server := range b.endpoints.ready {
+		if server.addedAt > 0 && b.now < server.addedAt+recentlyAddedDuration {
+			addedServers++
 		}
-		s.bestLatency = min(cmp.Or(s.bestLatency, s.longWindow.latency), s.longWindow.latency)
-		if !s.lowPriorityOnly && !g.warmingUp(s) && (!g.layout.partitioned || g.proxies.zoneHasProxies[s.partition/g.layout.partitionsPerZone]) {
-			warm, kinds[s.Kind] = append(warm, s.longWindow.capacity), append(kinds[s.Kind], s.longWindow.capacity)
+	}
+	addedRate := 0.0
+	for _, proxy := range b.proxies.all {
+		if b.now < proxy.joinedAt+recentlyAddedDuration {
+			addedRate += proxy.expectedRate
 		}
 	}
-	g.estimates.medianCapacity, g.estimates.lowCapacity = cmp.Or(quantile(warm, 0.5), g.estimates.medianCapacity), cmp.Or(quantile(warm, quarter), g.estimates.lowCapacity)
-	g.estimates.failedFraction = (tries - good) / max(1, tries)
-	for _, s := range g.endpoints.ready {
-		if s.capacity = cmp.Or(quantile(kinds[s.Kind], 0.5), g.estimates.medianCapacity); g.layout.partitioned && !g.proxies.zoneHasProxies[s.partition/g.layout.partitionsPerZone] {
-			s.capacity *= tenth // those others use; ours only as a help
+	serverCount := float64(len(b.endpoints.ready))
+	b.estimates.recentlyAddedFraction = max(addedRate/b.proxies.expectedRate, addedServers/max(1, serverCount))
+}
+
+// updateReportCycle works out how long each reporter waits for its turn: each proxy reports each class, and each zone with
+// proxies reports each server.
+func (b *Balancer) updateReportCycle() {
+	reports := float64(len(b.proxies.all) * len(b.classes))
+	for _, hasProxies := range b.proxies.zoneHasProxies {
+		if hasProxies {
+			reports += float64(len(b.endpoints.ready))
 		}
-		if s.longWindow.capacity > 0 {
-			s.capacity = (s.longWindow.successes + enough) / (s.longWindow.successes/s.longWindow.capacity + enough/s.capacity)
+	}
+	cycle := fleet.Second.Scale(reports / max(1, b.site.ReportsPerSecond))
+	b.estimates.reportCycle = max(b.site.ReportInterval, cycle)
+}
+
+// updateDemand works out the demand of each class and what each table admits of it. Proxies that have not reported yet are
+// taken to receive as much as the others, relative to their expected rates.
+func (b *Balancer) updateDemand() {
+	for c := range b.classes {
+		class := &b.classes[c]
+		for partition := range b.layout.partitionCount {
+			b.tables[b.tableFor(c, partition)].classes |= classBit(c)
 		}
-		if g.takesAllClasses(s) {
-			load, capacity = load+s.requestRate, capacity+s.capacity*s.healthFactor
+		class.demand = 0
+		for _, proxy := range b.proxies.all {
+			rate := b.requestRate(proxy, c) * b.proxies.expectedRate / b.proxies.reportedExpectedRate
+			class.demand += rate
+			b.tables[b.tableFor(c, proxy.partition)].admittedRate += rate * class.admittedFraction
 		}
 	}
-	g.estimates.meanUtilization = load / max(negligible, capacity)
-	g.estimates.targetUtilization = max(g.estimates.meanUtilization, min(maxTargetUtilization, maxDensityRatio*g.estimates.meanUtilization))
 }
 
-func quantile(of []float64, share float64) float64 {
-	slices.Sort(of)
-	return append(of, 0)[int(float64(len(of))*share)]
+// requestRate returns the requests per second of a class that a proxy receives. Reports cover only times with requests, so
+// the silence since the last report counts too: where requests are rare, the rate would come out half too high otherwise.
+func (b *Balancer) requestRate(proxy *proxyState, class int) float64 {
+	samples := proxy.demandSamples[class]
+	if len(samples) == 0 {
+		return 0
+	}
+	last := samples[len(samples)-1]
+	interval := max(0, b.estimates.latestOutcomeAt-last.receivedAt-b.estimates.reportCycle)
+	requests := 0.0
+	for i := range samples {
+		requests += samples[i].attempts
+		interval += samples[i].interval
+	}
+	return perSecond(requests, interval)
 }
 
-// requestRate a second of a class that come to a proxy. Lines tell of times with visits only, so the silence since
-// the last one counts too: where few come, three visits over the three waits before them are half too many.
-func (g *Balancer) requestRate(p *proxyState, class int) float64 {
-	u := p.demandSamples[class]
-	if len(u) == 0 {
-		return 0
+// updateEstimates works out the load and capacity of each ready server and of the fleet.
+func (b *Balancer) updateEstimates() {
+	b.updateWindows()
+	b.updateFailedFraction()
+	b.updateCapacities()
+	b.updateUtilization()
+}
+
+// updateWindows sums up the reports of each ready server. The windows end at the latest report, so that a pause of the
+// reports changes nothing.
+func (b *Balancer) updateWindows() {
+	latest := b.estimates.latestOutcomeAt
+	minWindow := minWindowCycles * b.estimates.reportCycle
+	longStart := latest - max(longWindow, minWindow)
+	shortStart := latest - max(shortWindow, minWindow/2)
+	for _, server := range b.endpoints.ready {
+		server.requestRate = 0
+		for t := range b.tables {
+			server.requestRate += b.orderedRate(server, t)
+		}
+		server.longWindow = server.summarize(longStart, len(b.site.Zones))
+		server.shortWindow = server.summarize(shortStart, len(b.site.Zones))
+		if server.longWindow.successes >= minMeanAttempts {
+			latency := server.longWindow.latency
+			server.bestLatency = min(cmp.Or(server.bestLatency, latency), latency)
+		}
 	}
-	return rate(u, max(0, g.estimates.latestOutcomeAt-u[len(u)-1].receivedAt-g.estimates.reportCycle))
 }
 
-func rate(samples []reportSample, span fleet.Time) float64 {
-	tries := 0.0
-	for _, m := range samples {
-		tries, span = tries+m.attempts, span+m.interval
+func (b *Balancer) updateFailedFraction() {
+	attempts := 0.0
+	successes := 0.0
+	for _, server := range b.endpoints.ready {
+		attempts += server.shortWindow.attempts
+		successes += server.shortWindow.successes
 	}
-	return tries / max(span.Seconds(), negligible)
+	b.estimates.failedFraction = (attempts - successes) / max(1, attempts)
 }
 
-// summarize sums up the samples since a time. Rates go by the spans that reports state, as these come late.
-func (s *serverState) summarize(since fleet.Time, zones int) windowStats {
-	f, latency, busy, told := windowStats{utilization: -1}, 0.0, 0.0, 0.0
-	byZone := make([]reportSample, zones)
-	for _, m := range s.samples {
-		if m.receivedAt < since {
+// updateCapacities estimates the capacity of each ready server. The fewer attempts it had, the more the median of its kind
+// counts.
+func (b *Balancer) updateCapacities() {
+	var measured []float64
+	measuredByKind := map[fleet.KindID][]float64{}
+	for _, server := range b.endpoints.ready {
+		if !b.isCapacityMeasured(server) {
 			continue
 		}
-		z := &byZone[m.zone]
-		z.interval, z.attempts = z.interval+m.interval, z.attempts+m.successes
-		f.attempts, f.successes, latency = f.attempts+m.attempts, f.successes+m.successes, latency+m.successes*m.latency.Seconds()
-		if m.utilization >= 0 {
-			busy, told = busy+m.utilization, told+1
-		}
+		capacity := server.longWindow.capacity
+		measured = append(measured, capacity)
+		measuredByKind[server.Kind] = append(measuredByKind[server.Kind], capacity)
 	}
-	for z := range byZone {
-		f.successRate += rate(byZone[z:z+1], 0)
+	b.estimates.medianCapacity = cmp.Or(median(measured), b.estimates.medianCapacity)
+	b.estimates.lowCapacity = cmp.Or(quantile(measured, lowCapacityQuantile), b.estimates.lowCapacity)
+	for _, server := range b.endpoints.ready {
+		prior := cmp.Or(median(measuredByKind[server.Kind]), b.estimates.medianCapacity)
+		server.capacity = b.estimateCapacity(server, prior)
 	}
-	if told > 0 {
-		f.utilization = max(minMeaningfulUtilization, busy/told)
+}
+
+// isCapacityMeasured reports whether the capacity of a server was measured under ordinary load.
+func (b *Balancer) isCapacityMeasured(server *serverState) bool {
+	if server.longWindow.successes < minMeanAttempts || server.lowPriorityOnly || b.warmingUp(server) {
+		return false
 	}
-	if f.successes > 0 {
-		f.latency, f.capacity = fleet.Second.Scale(latency/f.successes), max(0, f.successRate/f.utilization)
+	return !b.isUsedByOthers(server)
+}
+
+// isUsedByOthers reports whether a server is in a zone without proxies joined here, so that it prefers those of other
+// controllers.
+func (b *Balancer) isUsedByOthers(server *serverState) bool {
+	return b.layout.partitioned && !b.proxies.zoneHasProxies[b.layout.zoneOf(server.partition)]
+}
+
+// estimateCapacity returns the mean of a server's measured capacity and of the prior, weighted by attempts.
+func (b *Balancer) estimateCapacity(server *serverState, prior float64) float64 {
+	if b.isUsedByOthers(server) {
+		prior *= foreignZoneCapacityFraction
 	}
-	return f
+	window := &server.longWindow
+	if window.capacity > 0 {
+		return (window.successes + priorAttempts) / (window.successes/window.capacity + priorAttempts/prior)
+	}
+	return prior
 }
 
-// Estimates tells what the governor makes of each server that is ready.
-func (g *Balancer) Estimates() (told []fleet.ServerEstimate) {
-	for _, s := range g.endpoints.ready {
-		shares := []float64{}
-		for t, b := range g.tables {
-			if b.proxyCount > 0 {
-				shares = append(shares, s.orderedWeight[t]/max(b.orderedWeight, negligible))
-			}
+// updateUtilization works out the mean utilization that the ordered tables cause, and the one that servers may have.
+func (b *Balancer) updateUtilization() {
+	requestRate := 0.0
+	capacity := 0.0
+	for _, server := range b.endpoints.ready {
+		if b.takesAllClasses(server) {
+			requestRate += server.requestRate
+			capacity += server.capacity * server.healthFactor
 		}
-		told = append(told, fleet.ServerEstimate{Server: s.Server, State: s.State, WarmingUp: g.warmingUp(s), Withdrawn: s.withdrawn,
-			Attempts: s.longWindow.attempts, Failures: s.longWindow.attempts - s.longWindow.successes, Utilization: s.longWindow.utilization, Latency: s.longWindow.latency,
-			Capacity: s.capacity, RequestRate: s.requestRate, HealthFactor: s.healthFactor, Fractions: shares})
 	}
-	return told
+	mean := requestRate / max(epsilon, capacity)
+	b.estimates.meanUtilization = mean
+	b.estimates.targetUtilization = max(mean, min(maxTargetUtilization, maxUtilizationRatio*mean))
+}
+
+// zoneSuccesses sums up the successful attempts from one zone and the intervals of their reports.
+type zoneSuccesses struct {
+	count    float64
+	interval fleet.Time
+}
+
+// summarize sums up the samples since a time. Rates go by the intervals that the reports state, as these come late.
+func (s *serverState) summarize(since fleet.Time, zoneCount int) windowStats {
+	stats := windowStats{utilization: unknownUtilization}
+	latencySum := 0.0
+	utilizationSum := 0.0
+	utilizationCount := 0.0
+	byZone := make([]zoneSuccesses, zoneCount)
+	for i := range s.samples {
+		sample := &s.samples[i]
+		if sample.receivedAt < since {
+			continue
+		}
+		byZone[sample.zone].count += sample.successes
+		byZone[sample.zone].interval += sample.interval
+		stats.attempts += sample.attempts
+		stats.successes += sample.successes
+		latencySum += sample.successes * sample.latency.Seconds()
+		if sample.utilization >= 0 {
+			utilizationSum += sample.utilization
+			utilizationCount++
+		}
+	}
+	for _, zone := range byZone {
+		stats.successRate += perSecond(zone.count, zone.interval)
+	}
+	if utilizationCount > 0 {
+		stats.utilization = max(minMeaningfulUtilization, utilizationSum/utilizationCount)
+	}
+	if stats.successes > 0 {
+		stats.latency = fleet.Second.Scale(latencySum / stats.successes)
+		stats.capacity = max(0, stats.successRate/stats.utilization)
+	}
+	return stats
+}
+
+// perSecond returns the rate that a count over an interval makes.
+func perSecond(count float64, interval fleet.Time) float64 {
+	return count / max(interval.Seconds(), epsilon)
+}
+
+// median returns the upper median of values and sorts them; 0 where there are none.
+func median(values []float64) float64 { return quantile(values, 0.5) }
+
+// quantile returns the value that a fraction, less than 1, of the values is below, and sorts them; 0 where there are none.
+func quantile(values []float64, fraction float64) float64 {
+	if len(values) == 0 {
+		return 0
+	}
+	slices.Sort(values)
+	return values[int(float64(len(values))*fraction)]
 }
--- a/internal/balancer/inputs.go
+++ b/internal/balancer/inputs.go
@@ -1,96 +1,119 @@
 package balancer
 
-import (
-	"cmp"
-	"maps"
-	"slices"
+import "cressknot/internal/fleet"
 
-	"cressknot/internal/fleet"
+const (
+	// maxSamplesPerServer bounds the samples kept: over two reports per second and zone within longWindow.
+	maxSamplesPerServer = 128
+	// maxDemandSamples is how many demand reports make an estimate of a proxy's request rate.
+	maxDemandSamples = 3
+	// maxReportGap is the number of report intervals past which a demand report says that the proxy was silent, so that
+	// what it reported before no longer counts.
+	maxReportGap = 3
 )
 
-func (g *Balancer) observe(event fleet.Event) {
+// observe takes in one event. Events of kinds that the balancer has no use for are ignored, as are those that name
+// servers, proxies or classes it does not know.
+func (b *Balancer) observe(event fleet.Event) {
 	switch e := event.(type) {
 	case fleet.EndpointList:
-		g.updateEndpoints(e)
+		b.updateEndpoints(e)
 	case fleet.ProxyJoined:
-		p, n := g.proxies.byID[e.Proxy], len(g.classes)
-		if g.schedule.timerDueAt = g.now; p != nil && !e.Fresh { // it may have left unseen: on our tables still or not
-			p.assignmentUnconfirmed, p.withdrawalsRepeated, p.joinedAt = true, false, g.now
-		} else {
-			g.removeProxy(e.Proxy)
-			p = &proxyState{id: e.Proxy, joinedAt: g.now, expectedRate: max(negligible, e.RequestRate), assignedTables: slices.Repeat([]int{-1}, n),
-				partition: min(int(e.Zone), len(g.site.Zones)-1)*g.layout.partitionsPerZone + int(e.Proxy)%g.layout.partitionsPerZone, demandSamples: make([][]reportSample, n)}
-			g.proxies.byID[p.id], g.proxies.all, g.proxies.inheritedTables = p, append(g.proxies.all, p), g.proxies.inheritedTables || !e.Fresh
-			slices.SortFunc(g.proxies.all, func(a, b *proxyState) int { return cmp.Compare(a.id, b.id) })
-		}
+		b.addProxy(e)
 	case fleet.ProxyLeft:
-		g.removeProxy(e.Proxy)
+		b.removeProxy(e.Proxy)
 	case fleet.OutcomeReport:
-		if s := g.endpoints.byID[e.Server]; s != nil && int(e.Zone) < len(g.site.Zones) {
-			good := float64(e.Attempts) - float64(e.Failures)
-			s.samples = append(s.samples[max(0, len(s.samples)-maxSamplesPerServer):],
-				reportSample{g.now, e.Interval, e.Latency, e.Zone, float64(e.Attempts), good, g.utilizationIn(e.Load)})
-			if g.estimates.latestOutcomeAt = g.now; good > 0 {
-				s.lastSuccessAt = g.now
-			}
-		}
+		b.observeOutcome(e)
 	case fleet.ProbeResult:
-		if s := g.endpoints.byID[e.Server]; s != nil && e.Outcome == fleet.ProbeAnswered {
-			s.samples = append(s.samples, reportSample{receivedAt: g.now, utilization: g.utilizationIn(e.Load)})
-		}
-	case fleet.BarrierReached: // messages leave in their order
-		if m := g.channel.pendingBarriers[e.Barrier]; m != nil {
-			if sent := m.entriesBefore + m.entries*min(1, m.acknowledgements/m.proxyCount); sent > g.channel.entriesAcknowledged {
-				g.channel.entriesAcknowledged, g.channel.entriesDelivered = sent, sent // also where it is slower than counted on
-			}
-			m.acknowledgements++
-			maps.DeleteFunc(g.channel.pendingBarriers, func(_ fleet.BarrierID, m *pendingBarrier) bool {
-				return m.entriesBefore+m.entries <= g.channel.entriesAcknowledged
-			})
-		}
-	case fleet.OrdersUnconfirmed:
-		g.markUnconfirmed(e.Orders)
+		b.observeProbe(e)
 	case fleet.DemandReport:
-		if p := g.proxies.byID[e.Proxy]; p != nil && int(e.Class) < len(p.demandSamples) {
-			u, span := p.demandSamples[e.Class], e.Interval
-			if len(u) > 0 { // what lines state of a long silence ends at some seconds
-				span = max(span, g.now-u[len(u)-1].receivedAt-g.estimates.reportCycle)
-			}
-			if p.reportedExpectedRate, u = p.expectedRate, u[max(0, len(u)+1-few):]; e.Interval > few*g.site.ReportInterval {
-				u = nil
-			}
-			p.demandSamples[e.Class] = append(u, reportSample{receivedAt: g.now, interval: span, attempts: float64(e.Requests)})
-		}
+		b.observeDemand(e)
+	case fleet.BarrierReached:
+		b.channel.acknowledge(e.Barrier)
+	case fleet.OrdersUnconfirmed:
+		b.markUnconfirmed(e.Orders)
 	}
 }
 
-func (g *Balancer) utilizationIn(load []float32) float64 {
-	if g.estimates.utilizationField < 0 || g.estimates.utilizationField >= len(load) {
-		return -1
+func (b *Balancer) observeOutcome(report fleet.OutcomeReport) {
+	server := b.endpoints.byID[report.Server]
+	if server == nil || int(report.Zone) >= len(b.site.Zones) {
+		return
+	}
+	successes := float64(report.Attempts) - float64(report.Failures)
+	recent := server.samples[max(0, len(server.samples)-maxSamplesPerServer):]
+	server.samples = append(recent, reportSample{
+		receivedAt:  b.now,
+		interval:    report.Interval,
+		latency:     report.Latency,
+		zone:        report.Zone,
+		attempts:    float64(report.Attempts),
+		successes:   successes,
+		utilization: b.estimates.utilizationIn(report.Load),
+	})
+	b.estimates.latestOutcomeAt = b.now
+	if successes > 0 {
+		server.lastSuccessAt = b.now
+	}
+}
+
+func (b *Balancer) observeProbe(result fleet.ProbeResult) {
+	server := b.endpoints.byID[result.Server]
+	if server == nil || result.Outcome != fleet.ProbeAnswered {
+		return
+	}
+	server.samples = append(server.samples, reportSample{
+		receivedAt:  b.now,
+		utilization: b.estimates.utilizationIn(result.Load),
+	})
+}
+
+func (b *Balancer) observeDemand(report fleet.DemandReport) {
+	proxy := b.proxies.byID[report.Proxy]
+	if proxy == nil || int(report.Class) >= len(proxy.demandSamples) {
+		return
+	}
+	proxy.reportedExpectedRate = proxy.expectedRate
+
+	samples := proxy.demandSamples[report.Class]
+	interval := report.Interval
+	if len(samples) > 0 {
+		// Reports state some seconds of silence at most, so the time since the last one may tell of a longer one.
+		last := samples[len(samples)-1]
+		interval = max(interval, b.now-last.receivedAt-b.estimates.reportCycle)
+	}
+	samples = samples[max(0, len(samples)+1-maxDemandSamples):]
+	if report.Interval > maxReportGap*b.site.ReportInterval {
+		samples = nil
 	}
-	return float64(load[g.estimates.utilizationField])
+	proxy.demandSamples[report.Class] = append(samples, reportSample{
+		receivedAt: b.now,
+		interval:   interval,
+		attempts:   float64(report.Requests),
+	})
 }
 
-// markUnconfirmed takes in that orders may not be out. They go again as all others do, when the channel has room.
-func (g *Balancer) markUnconfirmed(orders []fleet.Order) {
-	g.channel.nextChangesAt = g.now
+// markUnconfirmed notes that orders may or may not have been carried out. They are sent again as any other difference is,
+// when the update channel has capacity.
+func (b *Balancer) markUnconfirmed(orders []fleet.Order) {
+	b.channel.nextChangesAt = b.now
 	for _, order := range orders {
 		switch o := order.(type) {
 		case fleet.SetWeight:
-			if s := g.endpoints.byID[o.Server]; s != nil {
-				s.weightUnconfirmed[o.Table] = true
+			if server := b.endpoints.byID[o.Server]; server != nil {
+				server.weightUnconfirmed[o.Table] = true
 			}
 		case fleet.WithdrawServer:
-			if s := g.endpoints.byID[o.Server]; s != nil {
-				s.withdrawalUnconfirmed = true
+			if server := b.endpoints.byID[o.Server]; server != nil {
+				server.withdrawalUnconfirmed = true
 			}
 		case fleet.SetAdmission:
-			for c := range g.classes {
-				g.classes[c].sentAdmission.Limit = 0
+			for class := range b.classes {
+				b.classes[class].sentAdmission.Limit = 0 // differs from every limit, so all are sent
 			}
 		case fleet.AssignTable:
-			if p := g.proxies.byID[o.Proxy]; p != nil {
-				p.assignmentUnconfirmed = true
+			if proxy := b.proxies.byID[o.Proxy]; proxy != nil {
+				proxy.assignmentUnconfirmed = true
 			}
 		}
 	}
--- a/internal/balancer/logic_test.go
+++ b/internal/balancer/logic_test.go
@@ -179,20 +179,20 @@
 			g.now, g.estimates.recentlyAddedFraction = 100*fleet.Second, moved
 			for range rounds {
 				g.now += fleet.Second
-				g.shedLoad(2, 3)
+				g.updateShedding(2, 3)
 			}
 			if squeezed := g.shedding.activeUntil > 0; squeezed != (rounds >= sheddingDelayRounds && moved == 0) {
 				t.Errorf("after %d rounds, %.0f moved: %v", rounds, moved, squeezed)
 			}
-			if g.shedLoad(2, 3*2/overloadedUtilization+negligible); g.shedding.activeUntil != 0 && rounds >= sheddingDelayRounds { // as many servers came as it takes
+			if g.updateShedding(2, 3*2/maxRestoredUtilization+epsilon); g.shedding.activeUntil != 0 && rounds >= sheddingDelayRounds { // as many servers came as it takes
 				t.Error("goes on although servers came")
 			}
 		}
 	}
 	g := newMeasuredBalancer([]float64{10}, []float64{0.5})
-	for _, now := range []fleet.Time{fleet.Second, 2 * longWindow} {
+	for _, now := range []fleet.Time{fleet.Second, 2 * recentlyAddedDuration} {
 		g.now = now
-		if g.updateFleet(); (g.estimates.recentlyAddedFraction > quarter) != (now < longWindow) {
+		if g.updateFleet(); (g.estimates.recentlyAddedFraction > maxRecentlyAddedFraction) != (now < recentlyAddedDuration) {
 			t.Errorf("%.2f of the proxies moved at %.0f s", g.estimates.recentlyAddedFraction, now.Seconds())
 		}
 	}
@@ -465,7 +465,7 @@
 	}
 	s, before, holders := g.endpoints.ready[len(g.endpoints.ready)-1], 0.0, g.messageCost()*float64(len(g.proxies.all))
 	for table, b := range g.tables {
-		if s.orderedWeight[table] = 0; table == g.tableOf(0, g.proxies.all[0].partition) { // it is in one table
+		if s.orderedWeight[table] = 0; table == g.tableFor(0, g.proxies.all[0].partition) { // it is in one table
 			s.orderedWeight[table], s.wantedWeight[table] = 1, 1
 			holders += b.proxyCount
 		}
@@ -501,7 +501,7 @@
 	g.updateFleet()
 	g.updateWantedWeights()
 	g.emitOrders()
-	if on, cost := g.proxies.byID[0].assignedTables[0], g.channel.entriesSent-before; on != g.tableOf(0, 0) || cost < 5+1 {
+	if on, cost := g.proxies.byID[0].assignedTables[0], g.channel.entriesSent-before; on != g.tableFor(0, 0) || cost < 5+1 {
 		t.Errorf("on table %d; five lines and a bind counted %.0f", on, cost)
 	}
 }
--- a/internal/balancer/publish.go
+++ b/internal/balancer/publish.go
@@ -8,131 +8,230 @@
 	"cressknot/internal/fleet"
 )
 
-// publish emits what goes to all. Urgent lines need no room; ordinary ones go once an interval, the largest
-// changes first, and what the channel has no room for follows in pieces.
-func (g *Balancer) publish() {
-	users := float64(len(g.proxies.all))
-	fit := room*g.site.MaxBacklog - g.backlog() - g.messageCost()*users
-	last := -(room - tenth/2) * g.site.MaxBacklog // of fit, for withdrawals
-	// More than leaves till the next go only keeps others waiting, and proxies off their tables come first.
-	kept := g.site.MaxBacklog * room * room * min(1, g.proxies.outOfSync)
-	kept = max(kept, fit+g.backlog()-room*balanceInterval.Seconds()*g.site.EntriesPerSecond)
-	spare := quarter*float64(len(g.endpoints.all)) - float64(len(g.endpoints.all)-len(g.endpoints.ready))
-	for _, s := range g.endpoints.all {
-		// Standing tables send to cold servers as to all others, so some stay out until no proxy goes by one.
-		out := s.State != fleet.ServerReady
-		if !out && g.proxies.outOfSync > 0 && g.warmingUp(s) && spare > 1 {
-			out, spare = true, spare-1
-		}
-		on := g.proxies.outOfSync // those whose tables may have it
-		for t, b := range g.tables {
-			if s.orderedWeight[t] > 0 || s.weightUnconfirmed[t] {
-				on = min(users, on+b.proxyCount)
-			}
+const (
+	// maxWithdrawalOverdraft is the part of the maximum backlog that withdrawals may use beyond the usable part.
+	maxWithdrawalOverdraft = 0.45
+	// maxWeightOverdraft is the part that urgent weights may use beyond it.
+	maxWeightOverdraft = 0.35
+	// assignmentReserve is the part of the usable backlog that is reserved for proxies that are out of sync.
+	assignmentReserve = 0.5
+	// maxBatchFraction is the part of what the channel delivers in a balance interval that one batch of weights may use.
+	maxBatchFraction = 0.5
+	// deferredChangesDelay is the wait before changes that found no capacity are sent.
+	deferredChangesDelay = balanceInterval / 2
+	// maxUnavailableFraction is the part of the servers that may be withdrawn for slow start or not ready.
+	maxUnavailableFraction = 0.25
+
+	// minRelativeChange is the relative change of a weight that is worth an entry.
+	minRelativeChange = 0.03
+	// maxWarmingWeightRatio is how far the weight of a server in slow start may exceed the wanted one.
+	maxWarmingWeightRatio = 1.1
+	// minSparseWeight is the weight, relative to the largest, below which an entry is left out where entries are expensive.
+	minSparseWeight = 0.1
+	// minAddedWeight is the weight, in units of the table, below which an entry is not added while assignments wait.
+	minAddedWeight = 0.1
+	// maxScaleRatio bounds the ratios of ordered to wanted weights that count for the unit of a table.
+	maxScaleRatio = 1e6
+	// urgentPriority is the least priority of urgent changes; ordinary ones have their relative size.
+	urgentPriority = 1e6
+)
+
+// weightChange is a weight to order. Changes of a higher priority go first.
+type weightChange struct {
+	fleet.SetWeight
+	priority float64
+}
+
+func (c *weightChange) isUrgent() bool { return c.priority >= urgentPriority }
+
+// publish orders the changes that concern all proxies, as far as the update channel has capacity: withdrawals, admission and
+// weights, in this order.
+func (b *Balancer) publish() {
+	proxyCount := float64(len(b.proxies.all))
+	backlog := b.channel.backlog(&b.site)
+	capacity := usableBacklogFraction*b.site.MaxBacklog - backlog - b.messageCost()*proxyCount
+	reserved := b.reservedCapacity(capacity + backlog)
+	capacity = b.publishWithdrawals(capacity)
+	capacity = b.publishAdmission(capacity)
+	b.publishWeights(capacity, reserved)
+}
+
+// reservedCapacity returns the capacity that ordinary weights leave to others. Proxies that are out of sync come first, and
+// more than the channel delivers until the next batch would only make others wait. The capacity given is that of a channel
+// without backlog.
+func (b *Balancer) reservedCapacity(emptyCapacity float64) float64 {
+	assignments := b.site.MaxBacklog * usableBacklogFraction * assignmentReserve * min(1, b.proxies.outOfSync)
+	maxBatch := maxBatchFraction * balanceInterval.Seconds() * b.site.EntriesPerSecond
+	return max(assignments, emptyCapacity-maxBatch)
+}
+
+// publishWithdrawals withdraws servers that are not ready and lets those back in that are again. It returns the remaining
+// capacity. Inherited tables send as much to servers in slow start as to others, so some of these are withdrawn, too, while
+// proxies use such tables.
+func (b *Balancer) publishWithdrawals(capacity float64) float64 {
+	serverCount := float64(len(b.endpoints.all))
+	unready := float64(len(b.endpoints.all) - len(b.endpoints.ready))
+	spare := maxUnavailableFraction*serverCount - unready
+	minCapacity := -maxWithdrawalOverdraft * b.site.MaxBacklog
+	for _, server := range b.endpoints.all {
+		withdraw := server.State != fleet.ServerReady
+		if !withdraw && b.proxies.outOfSync > 0 && b.warmingUp(server) && spare > 1 {
+			withdraw = true
+			spare--
 		}
-		if (out != s.withdrawn || s.withdrawalUnconfirmed) && (fit > on || out && fit-on > last) {
-			s.withdrawn, s.withdrawalUnconfirmed, s.withdrawalChangedAt, fit = out, false, g.now, fit-on
-			g.broadcast(fleet.WithdrawServer{Server: s.Server, Withdrawn: out}, on)
+		if withdraw == server.withdrawn && !server.withdrawalUnconfirmed {
+			continue
 		}
-	}
-	for c := range g.classes {
-		l, out := fleet.SetAdmission{Table: fleet.AllTables, Classes: 1 << c, Retry: g.admission.retry}, &g.classes[c].sentAdmission
-		l.Limit = float32(g.admissionLimit(c))
-		if fit > users && (math.Abs(float64(l.Limit/out.Limit-1)) > tenth || l.Retry != out.Retry) {
-			*out, fit = l, fit-users
-			g.broadcast(l, users)
+		entries := b.proxiesThatUse(server)
+		hasCapacity := capacity > entries || withdraw && capacity-entries > minCapacity
+		if !hasCapacity {
+			continue
 		}
+		capacity -= entries
+		server.withdrawn = withdraw
+		server.withdrawalUnconfirmed = false
+		server.withdrawalChangedAt = b.now
+		b.broadcast(fleet.WithdrawServer{Server: server.Server, Withdrawn: withdraw}, entries)
 	}
-	// Proxies go by ratios, so a factor common to most lines of a table is no change.
-	ordinary, lines := g.channel.nextChangesAt > 0 && g.now >= g.channel.nextChangesAt, []weightChange{}
-	dear := g.layout.partitioned && float64(g.site.ProxyCount*len(g.endpoints.all)) > g.site.EntriesPerSecond*g.site.DrainTimeout.Seconds()
-	for t, b := range g.tables {
-		scale, top := []float64{}, 0.0
-		for _, s := range g.endpoints.all {
-			top = max(top, s.wantedWeight[t])
-			if ratio := s.orderedWeight[t] / max(s.wantedWeight[t], negligible); ratio > 1/huge && ratio < huge {
-				scale = append(scale, ratio)
-			}
-		}
-		unit := cmp.Or(quantile(scale, 0.5), 1)
-		for _, s := range g.endpoints.all {
-			w, o := s.wantedWeight[t]*unit, s.orderedWeight[t]
-			if (b.proxyCount == 0 || dear) && s.wantedWeight[t] < tenth*top { // would make joins dear; few miss it
-				w = 0
-			}
-			change, idle := math.Abs(w-o), b.orderedWeight > 0 || b.proxyCount == 0
-			if s.weightUnconfirmed[t] {
-				change = max(w, o)
-			}
-			small := o == 0 && change < tenth*unit && idle && (g.schedule.observing || g.proxies.outOfSync > 0) // would make joins dear
-			urgent := !s.withdrawn && (b.orderedWeight == 0 || g.warmingUp(s) && (o > maxDensityRatio*w || s.weightUnconfirmed[t]))
-			same := w == o || w > 0 && change <= minRelativeChange*o || small
-			if same && !s.weightUnconfirmed[t] || !ordinary && !urgent {
-				continue
-			}
-			l := weightChange{SetWeight: fleet.SetWeight{Table: fleet.TableID(t), Server: s.Server, Weight: float32(w)}}
-			if urgent {
-				l.priority = huge + change/unit
-			} else if !s.withdrawn {
-				l.priority = change / unit
-			}
-			lines = append(lines, l)
+	return capacity
+}
+
+// proxiesThatUse returns the number of proxies whose tables have a server or may have it.
+func (b *Balancer) proxiesThatUse(server *serverState) float64 {
+	proxyCount := float64(len(b.proxies.all))
+	count := b.proxies.outOfSync
+	for t := range b.tables {
+		if server.orderedWeight[t] > 0 || server.weightUnconfirmed[t] {
+			count = min(proxyCount, count+b.tables[t].proxyCount)
 		}
 	}
-	if ordinary {
-		g.channel.nextChangesAt = 0
+	return count
+}
+
+// publishWeights orders weights that differ from the wanted ones. Urgent changes may exceed the capacity; ordinary ones go
+// once per balance interval, the largest first, and those that find no capacity are deferred.
+func (b *Balancer) publishWeights(capacity, reserved float64) {
+	includeOrdinary := b.channel.nextChangesAt > 0 && b.now >= b.channel.nextChangesAt
+	changes := b.weightChanges(includeOrdinary)
+	if includeOrdinary {
+		b.channel.nextChangesAt = 0
 	}
-	slices.SortStableFunc(lines, func(a, b weightChange) int { return cmp.Compare(b.priority, a.priority) })
-	for _, l := range lines {
-		on := g.tables[l.Table].proxyCount
-		fit -= on
-		if on > 0 && (l.priority < huge && fit < kept || fit < -(quarter+tenth)*g.site.MaxBacklog) {
-			g.channel.nextChangesAt = g.now + balanceInterval/2
+	minCapacity := -maxWeightOverdraft * b.site.MaxBacklog
+	for i := range changes {
+		change := &changes[i]
+		entries := b.tables[change.Table].proxyCount
+		capacity -= entries
+		exceeded := capacity < minCapacity || !change.isUrgent() && capacity < reserved
+		if entries > 0 && exceeded {
+			b.channel.nextChangesAt = b.now + deferredChangesDelay
 			continue
 		}
-		g.endpoints.byID[l.Server].orderedWeight[l.Table], g.endpoints.byID[l.Server].weightUnconfirmed[l.Table] = float64(l.Weight), false
-		g.broadcast(l.SetWeight, on)
+		server := b.endpoints.byID[change.Server]
+		server.orderedWeight[change.Table] = float64(change.Weight)
+		server.weightUnconfirmed[change.Table] = false
+		b.broadcast(change.SetWeight, entries)
 	}
 }
 
-// assignProxies puts proxies on their tables, those with most visits first, as many as the channel has room for.
-func (g *Balancer) assignProxies() (bound int) {
-	for t := range g.tables { // as they are now that lines went out
-		for _, s := range g.endpoints.all {
-			if s.orderedWeight[t] > 0 {
-				g.tables[t].assignmentEntries++
-			}
-			if s.orderedWeight[t] > 0 && s.withdrawn {
-				g.tables[t].assignmentEntries++
+// weightChanges returns the weights to order, those of the highest priority first.
+func (b *Balancer) weightChanges(includeOrdinary bool) []weightChange {
+	var changes []weightChange
+	entriesExpensive := b.entriesExpensive()
+	for t := range b.tables {
+		table := &b.tables[t]
+		scale := b.tableScale(t)
+		scale.sparse = entriesExpensive || table.proxyCount == 0
+		for _, server := range b.endpoints.all {
+			if change, isDue := b.weightChange(server, t, &scale, includeOrdinary); isDue {
+				changes = append(changes, change)
 			}
 		}
 	}
-	astray := slices.DeleteFunc(slices.Clone(g.proxies.all), func(p *proxyState) bool { return !p.outOfSync })
-	slices.SortStableFunc(astray, func(a, b *proxyState) int { return cmp.Compare(b.expectedRate, a.expectedRate) })
-	for _, p := range astray {
-		binds, lines := []fleet.Order{}, g.messageCost()
-		for t, b := range g.tables {
-			astray := false
-			for c, on := range p.assignedTables {
-				astray = astray || b.classes&(1<<c) != 0 && (on != t || p.assignmentUnconfirmed) && g.tableOf(c, p.partition) == t
-			}
-			if astray {
-				binds = append(binds, fleet.AssignTable{Proxy: p.id, Table: fleet.TableID(t), Classes: b.classes})
-				lines += 1 + b.assignmentEntries
-			}
-		}
-		most := room
-		if g.now >= p.joinedAt+g.site.DrainTimeout/8 { // it may send to servers that are out
-			most += quarter + tenth
-		}
-		if g.schedule.observing || g.backlog() > 0 && g.backlog()+lines > most*g.site.MaxBacklog {
-			continue
-		}
-		g.channel.entriesSent, g.orders, p.assignmentUnconfirmed = g.channel.entriesSent+lines, append(g.orders, binds...), false
-		bound++
-		for c := range p.assignedTables {
-			p.assignedTables[c] = g.tableOf(c, p.partition)
+	slices.SortStableFunc(changes, func(x, y weightChange) int { return cmp.Compare(y.priority, x.priority) })
+	return changes
+}
+
+// entriesExpensive reports whether sending all tables takes longer than a server may drain.
+func (b *Balancer) entriesExpensive() bool {
+	entries := float64(b.site.ProxyCount * len(b.endpoints.all))
+	return b.layout.partitioned && entries > b.site.EntriesPerSecond*b.site.DrainTimeout.Seconds()
+}
+
+// tableScale relates the wanted weights of a table to those ordered before.
+type tableScale struct {
+	unit    float64 // ordered weight for a wanted weight of 1
+	largest float64 // largest wanted weight
+	sparse  bool    // small weights are left out
+}
+
+// tableScale returns the scale of a table. Only the ratios of weights matter to proxies, so a factor that most weights of a
+// table have in common is no change.
+func (b *Balancer) tableScale(table int) tableScale {
+	var ratios []float64
+	largest := 0.0
+	for _, server := range b.endpoints.all {
+		wanted := server.wantedWeight[table]
+		largest = max(largest, wanted)
+		ratio := server.orderedWeight[table] / max(wanted, epsilon)
+		if ratio > 1/maxScaleRatio && ratio < maxScaleRatio {
+			ratios = append(ratios, ratio)
 		}
 	}
-	return bound
+	return tableScale{unit: cmp.Or(median(ratios), 1), largest: largest}
+}
+
+// weightChange returns the weight to order for a server in a table, and whether it is due: it differs from the one ordered
+// before, and it is urgent or ordinary changes are included.
+func (b *Balancer) weightChange(
+	server *serverState, index int, scale *tableScale, includeOrdinary bool,
+) (weightChange, bool) {
+	table := &b.tables[index]
+	unconfirmed := server.weightUnconfirmed[index]
+	ordered := server.orderedWeight[index]
+	weight := server.wantedWeight[index] * scale.unit
+	if scale.sparse && server.wantedWeight[index] < minSparseWeight*scale.largest {
+		weight = 0
+	}
+	size := math.Abs(weight - ordered)
+	if unconfirmed {
+		size = max(weight, ordered)
+	} else if isSmallChange(weight, ordered, size) || b.mayOmit(table, ordered, size, scale) {
+		return weightChange{}, false
+	}
+
+	exceedsWanted := ordered > maxWarmingWeightRatio*weight || unconfirmed
+	isNeededNow := table.orderedWeight == 0 || exceedsWanted && b.warmingUp(server)
+	urgent := isNeededNow && !server.withdrawn
+	if !urgent && !includeOrdinary {
+		return weightChange{}, false
+	}
+	change := weightChange{SetWeight: fleet.SetWeight{
+		Table:  fleet.TableID(index),
+		Server: server.Server,
+		Weight: float32(weight),
+	}}
+	switch {
+	case urgent:
+		change.priority = urgentPriority + size/scale.unit
+	case server.withdrawn:
+		change.priority = 0 // proxies do not use the weight at present
+	default:
+		change.priority = size / scale.unit
+	}
+	return change, true
+}
+
+// isSmallChange reports whether a change is not worth an entry.
+func isSmallChange(weight, ordered, size float64) bool {
+	return weight == ordered || weight > 0 && size <= minRelativeChange*ordered
+}
+
+// mayOmit reports whether a server with a small weight need not be added to a table, as that would make assignments more
+// expensive while they wait. A table without any weight in use needs it.
+func (b *Balancer) mayOmit(table *weightTable, ordered, size float64, scale *tableScale) bool {
+	if ordered != 0 || size >= minAddedWeight*scale.unit {
+		return false
+	}
+	dispensable := table.orderedWeight > 0 || table.proxyCount == 0
+	return dispensable && (b.schedule.observing || b.proxies.outOfSync > 0)
 }
--- /dev/null
+++ b/internal/balancer/tables.go
@@ -0,0 +1,123 @@
+package balancer
+
+import (
+	"cmp"
+	"math"
+
+	"cressknot/internal/fleet"
+)
+
+// The groups of tables. The zone-local class c has the group firstZoneLocalGroup + c to itself.
+const (
+	sharedGroup         = iota // classes that any server may take
+	lowPriorityGroup           // classes restricted to the low-priority-only servers
+	firstZoneLocalGroup        // classes that stay in the zone of the proxy
+)
+
+const (
+	// maxPartitionsPerZone bounds the number of tables, which all cost entries in the update channel.
+	maxPartitionsPerZone = 8
+	// proxyCountMargin allows a zone a tenth more proxies than the average one.
+	proxyCountMargin = 1.1
+	// unlimitedConnections stands for a site that states no connection limit.
+	unlimitedConnections = 1e6
+)
+
+// tableLayout says how proxies and servers are spread over tables. Each group has one table per partition. A partition
+// belongs to one zone, and its proxies prefer its servers, which bounds the connections of each server.
+type tableLayout struct {
+	// partitioned is set where a server has fewer connections than there are proxies. Otherwise the shared classes of all
+	// proxies use partition 0.
+	partitioned       bool
+	zoneCount         int
+	partitionsPerZone int
+	partitionCount    int // in all zones
+}
+
+func newTableLayout(site *fleet.Site) tableLayout {
+	connections := cmp.Or(site.MinServerConnections, unlimitedConnections)
+	zoneProxies := proxyCountMargin * float64(site.ProxyCount) / float64(len(site.Zones))
+	partitionsPerZone := int(max(1, min(maxPartitionsPerZone, math.Ceil(zoneProxies/connections))))
+	return tableLayout{
+		partitioned:       connections < float64(site.ProxyCount),
+		zoneCount:         len(site.Zones),
+		partitionsPerZone: partitionsPerZone,
+		partitionCount:    partitionsPerZone * len(site.Zones),
+	}
+}
+
+// newTables returns the tables of all groups, ordered by group, then by partition.
+func (l *tableLayout) newTables(classCount int) []weightTable {
+	groupCount := firstZoneLocalGroup + classCount
+	tables := make([]weightTable, groupCount*l.partitionCount)
+	for i := range tables {
+		tables[i].group = i / l.partitionCount
+		tables[i].partition = i % l.partitionCount
+	}
+	return tables
+}
+
+// partitionFor spreads the members of a zone over its partitions by a number that each of them has.
+func (l *tableLayout) partitionFor(zone fleet.ZoneID, number int) int {
+	return min(int(zone), l.zoneCount-1)*l.partitionsPerZone + number%l.partitionsPerZone
+}
+
+// zoneOf returns the zone that a partition belongs to.
+func (l *tableLayout) zoneOf(partition int) int { return partition / l.partitionsPerZone }
+
+// weightTable is a table of server weights that proxies share. The weights themselves are with the servers.
+type weightTable struct {
+	group     int
+	partition int
+	// classes holds the classes that proxies are to send by this table.
+	classes fleet.ClassSet
+	// proxyCount is the number of proxies that use the table for some class.
+	proxyCount float64
+	// admittedRate is the requests per second that proxies admit in the classes of the table.
+	admittedRate float64
+	// orderedWeight is the sum of the ordered weights of ready servers that are not withdrawn.
+	orderedWeight float64
+	// wantedWeight is the sum of the wanted weights, wantedWarmWeight that of servers that are not warming up.
+	wantedWeight     float64
+	wantedWarmWeight float64
+	// assignmentEntries is what assigning a proxy to the table costs in the update channel.
+	assignmentEntries float64
+}
+
+// tableFor returns the index of the table that a class uses at proxies of a partition.
+func (b *Balancer) tableFor(class, partition int) int {
+	group := b.classes[class].tableGroup
+	if group < firstZoneLocalGroup && !b.layout.partitioned {
+		partition = 0
+	}
+	return group*b.layout.partitionCount + partition
+}
+
+// resetTables clears what is derived about tables and sums up the ordered weights anew.
+func (b *Balancer) resetTables() {
+	for t := range b.tables {
+		table := &b.tables[t]
+		*table = weightTable{group: table.group, partition: table.partition}
+		for _, server := range b.endpoints.all {
+			if server.State == fleet.ServerReady && !server.withdrawn {
+				table.orderedWeight += server.orderedWeight[t]
+			}
+		}
+	}
+}
+
+// mayServe reports whether a server may have a weight in a table: it is ready and, for a zone-local class, in the zone.
+func (b *Balancer) mayServe(server *serverState, table *weightTable) bool {
+	if server.State != fleet.ServerReady {
+		return false
+	}
+	return table.group < firstZoneLocalGroup || b.layout.zoneOf(server.partition) == b.layout.zoneOf(table.partition)
+}
+
+// orderedRate returns the requests per second that the ordered weights of a table send to a server.
+func (b *Balancer) orderedRate(server *serverState, table int) float64 {
+	return b.tables[table].admittedRate * server.orderedWeight[table] / max(b.tables[table].orderedWeight, epsilon)
+}
+
+// classBit returns the set that holds one class.
+func classBit(class int) fleet.ClassSet { return 1 << class }
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -1,56 +1,126 @@
 package balancer
 
 import (
+	"cmp"
 	"math"
 )
 
-// balanceWeights is the design's ordinary path: cut by saturation overload, spread the cut evenly and normalise.
-func (g *Balancer) balanceWeights() {
-	density, agreed := make([]float64, len(g.endpoints.ready)), make([]float64, len(g.endpoints.ready))
-	stay := func(s *serverState) float64 { return 1 + s.longWindow.latency.Seconds()/balanceInterval.Seconds() }
-	for i, s := range g.endpoints.ready {
-		if s.healthFactor > 0 && !s.lowPriorityOnly {
-			density[i], agreed[i] = s.requestRate*stay(s), s.capacity*g.estimates.targetUtilization*stay(s)
+const (
+	// minWeight bounds weights from below, relative to the largest of the table, so that an entry can grow again.
+	minWeight = 0.01
+	// spreadRounds is how often the load that was cut is spread: receivers reach their target, and leave a remainder.
+	spreadRounds = 3
+)
+
+// balancingRound is the load of the ready servers while load is moved between them. The load of a server is the attempts it
+// has in progress, as a multiple of its requests per second, and moves with the tables in turn.
+type balancingRound struct {
+	load   []float64 // by position in the ready servers
+	target []float64 // the same; 0 where the server is ejected or serves low-priority classes only
+}
+
+// setInitialWeights makes the first tables go by the measured capacities.
+func (b *Balancer) setInitialWeights() {
+	for _, server := range b.endpoints.ready {
+		for t := range server.weight {
+			server.weight[t] *= cmp.Or(server.capacity, 1) / cmp.Or(b.estimates.medianCapacity, 1)
 		}
 	}
-	for t, b := range g.tables {
-		begun := func(s *serverState) float64 {
-			return b.admittedRate * s.orderedWeight[t] / max(b.orderedWeight, negligible) * balanceInterval.Seconds()
-		}
-		room := func(i int) float64 { // tries that a server at full weight can take up to saturation 1
-			if s := g.endpoints.ready[i]; g.mayServe(s, t) && s.healthFactor == 1 && !g.warmingUp(s) && density[i] < agreed[i] {
-				return (agreed[i] - density[i]) / stay(s) * balanceInterval.Seconds()
-			}
-			return 0
+}
+
+// balanceWeights is the ordinary path of the design: in each table it cuts the weights of servers above their target,
+// spreads what was cut evenly over the others and normalises the weights.
+func (b *Balancer) balanceWeights() {
+	round := b.newBalancingRound()
+	for t := range b.tables {
+		cut := b.cutOverload(round, t)
+		b.spreadLoad(round, t, cut)
+		b.normalizeWeights(t)
+	}
+}
+
+func (b *Balancer) newBalancingRound() *balancingRound {
+	round := &balancingRound{
+		load:   make([]float64, len(b.endpoints.ready)),
+		target: make([]float64, len(b.endpoints.ready)),
+	}
+	for i, server := range b.endpoints.ready {
+		if server.healthFactor > 0 && !server.lowPriorityOnly {
+			residence := residenceFactor(server)
+			round.load[i] = server.requestRate * residence
+			round.target[i] = server.capacity * b.estimates.targetUtilization * residence
 		}
-		cut, most := 0.0, negligible
-		for i, s := range g.endpoints.ready {
-			if g.mayServe(s, t) && density[i] > agreed[i] {
-				part := min(1, (density[i]-agreed[i])/density[i]*stay(s)) // Δ over tries begun
-				s.weight[t] *= 1 - part
-				cut += part * begun(s)
-			}
+	}
+	return round
+}
+
+// residenceFactor returns for how long attempts begun in a balance interval occupy a server, in such intervals.
+func residenceFactor(server *serverState) float64 {
+	return 1 + server.longWindow.latency.Seconds()/balanceInterval.Seconds()
+}
+
+// attemptsBegun returns the attempts that a table begins at a server in a balance interval.
+func (b *Balancer) attemptsBegun(server *serverState, table int) float64 {
+	return b.orderedRate(server, table) * balanceInterval.Seconds()
+}
+
+// cutOverload reduces the weights of servers above their target. It returns the attempts per interval that it cut.
+func (b *Balancer) cutOverload(round *balancingRound, table int) float64 {
+	cut := 0.0
+	for i, server := range b.endpoints.ready {
+		load := round.load[i]
+		target := round.target[i]
+		if load > target && b.mayServe(server, &b.tables[table]) {
+			fraction := min(1, (load-target)/load*residenceFactor(server))
+			server.weight[table] *= 1 - fraction
+			cut += fraction * b.attemptsBegun(server, table)
 		}
-		for range 3 { // receivers fill up, so what is left is spread again
-			part := 0.0
-			for i := range g.endpoints.ready {
-				part += math.Ceil(min(1, room(i)))
-			}
-			part = cut / max(1, part)
-			for i, s := range g.endpoints.ready {
-				share := min(part, room(i))
-				s.weight[t] *= 1 + share/(begun(s)+1)
-				density[i] += share * stay(s) / balanceInterval.Seconds()
-				cut -= share
-			}
+	}
+	return cut
+}
+
+// spreadLoad spreads a number of attempts per interval evenly over the servers that can receive them.
+func (b *Balancer) spreadLoad(round *balancingRound, table int, attempts float64) {
+	for range spreadRounds {
+		receivers := 0.0
+		for i := range b.endpoints.ready {
+			receivers += math.Ceil(min(1, b.spareAttempts(round, table, i)))
 		}
-		for _, s := range g.endpoints.ready {
-			if g.mayServe(s, t) && s.healthFactor == 1 && !g.warmingUp(s) {
-				most = max(most, s.weight[t])
-			}
+		share := attempts / max(1, receivers)
+		for i, server := range b.endpoints.ready {
+			received := min(share, b.spareAttempts(round, table, i))
+			server.weight[table] *= 1 + received/(b.attemptsBegun(server, table)+1)
+			round.load[i] += received * residenceFactor(server) / balanceInterval.Seconds()
+			attempts -= received
 		}
-		for _, s := range g.endpoints.ready {
-			s.weight[t] = min(1, max(minWeight, s.weight[t]/most))
+	}
+}
+
+// spareAttempts returns the attempts per interval that a ready server, given by its position, can receive up to its target.
+func (b *Balancer) spareAttempts(round *balancingRound, table, position int) float64 {
+	server := b.endpoints.ready[position]
+	load := round.load[position]
+	target := round.target[position]
+	if load < target && b.hasFullWeight(server, table) {
+		return (target - load) / residenceFactor(server) * balanceInterval.Seconds()
+	}
+	return 0
+}
+
+// hasFullWeight reports whether neither health nor slow start reduces the weight of a server in a table.
+func (b *Balancer) hasFullWeight(server *serverState, table int) bool {
+	return server.healthFactor == 1 && b.mayServe(server, &b.tables[table]) && !b.warmingUp(server)
+}
+
+// normalizeWeights scales the weights of a table so that the largest full weight is 1.
+func (b *Balancer) normalizeWeights(table int) {
+	largest := epsilon
+	for _, server := range b.endpoints.ready {
+		if b.hasFullWeight(server, table) {
+			largest = max(largest, server.weight[table])
 		}
 	}
+	for _, server := range b.endpoints.ready {
+		server.weight[table] = min(1, max(minWeight, server.weight[table]/largest))
+	}
 }
