--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -80,8 +80,8 @@
 	utilization float64 // sum of the utilizations at which they did
 }
 
-// updateAdmission admits what the fleet can handle in time, cutting the classes of the least value first. An overloaded
-// fleet gets no retries.
+// updateAdmission admits what the fleet can handle in time, cutting the classes of the least value first. An
+// overloaded fleet gets no retries.
 func (b *Balancer) updateAdmission() {
 	capacity := b.fleetCapacity()
 	demand := 0.0
@@ -124,8 +124,8 @@
 	return capacity
 }
 
-// lostAnswerFactor corrects what a server handled for answers that were lost although it has capacity to spare: they do not
-// mean that the fleet is too small.
+// lostAnswerFactor corrects what a server handled for answers that were lost although it has capacity to spare: they
+// do not mean that the fleet is too small.
 func (b *Balancer) lostAnswerFactor(server *serverState) float64 {
 	window := &server.shortWindow
 	if window.utilization >= overloadedUtilization || b.site.Admission == fleet.AdmissionUnlimited {
@@ -157,8 +157,8 @@
 	return b.proxyRateLimit(class)
 }
 
-// proxyRateLimit returns the rate that, as a limit at each proxy, admits the fraction of the demand that a class is to have:
-// proxies with a lower rate are not limited.
+// proxyRateLimit returns the rate that, as a limit at each proxy, admits the fraction of the demand that a class is
+// to have: proxies with a lower rate are not limited.
 func (b *Balancer) proxyRateLimit(class int) float64 {
 	var rates []float64
 	for _, proxy := range b.proxies.all {
@@ -176,8 +176,8 @@
 	return unlimitedAdmission
 }
 
-// publishAdmission orders limits and retry modes that have changed. It returns the entries that remain of the channel's
-// capacity.
+// publishAdmission orders limits and retry modes that have changed. It returns the entries that remain of the
+// channel's capacity.
 func (b *Balancer) publishAdmission(capacity float64) float64 {
 	proxyCount := float64(len(b.proxies.all))
 	for i := range b.classes {
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,13 +1,13 @@
 // Package balancer decides which servers the proxies of a fleet send their requests to.
 //
-// A Balancer is a pure state machine. Its host turns all that happens into events and calls Step with each batch of them;
-// Step returns the orders to carry out. The package reads no clock, file or network and starts no goroutine: the same seed,
-// times and events give the same orders, so a recorded run can be replayed. Site, events and orders are defined in package
-// fleet.
+// A Balancer is a pure state machine. Its host turns all that happens into events and calls Step with each batch of
+// them; Step returns the orders to carry out. The package reads no clock, file or network and starts no goroutine:
+// the same seed, times and events give the same orders, so a recorded run can be replayed. Site, events and orders
+// are defined in package fleet.
 //
-// Step proceeds in this order: it takes in the events, derives the state of the fleet, estimates demand and capacity, sets
-// admission, ejects outliers and balances the weights, works out the wanted tables, and orders what differs from the
-// tables that proxies have, as far as the update channel has capacity.
+// Step proceeds in this order: it takes in the events, derives the state of the fleet, estimates demand and capacity,
+// sets admission, ejects outliers and balances the weights, works out the wanted tables, and orders what differs from
+// the tables that proxies have, as far as the update channel has capacity.
 package balancer
 
 import "cressknot/internal/fleet"
@@ -27,8 +27,8 @@
 	epsilon = 1e-9
 )
 
-// Balancer decides for the proxies that are joined to one controller. It is not safe for concurrent use: the host calls
-// its methods from one goroutine.
+// Balancer decides for the proxies that are joined to one controller. It is not safe for concurrent use: the host
+// calls its methods from one goroutine.
 type Balancer struct {
 	site      fleet.Site
 	random    randomGenerator
@@ -74,8 +74,8 @@
 	return b
 }
 
-// Step takes in the events up to now and returns the orders to carry out, in this order. The returned slice is valid until
-// the next call of Step. Times must not decrease from step to step.
+// Step takes in the events up to now and returns the orders to carry out, in this order. The returned slice is valid
+// until the next call of Step. Times must not decrease from step to step.
 func (b *Balancer) Step(now fleet.Time, events []fleet.Event) []fleet.Order {
 	b.now = now
 	b.orders = b.orders[:0]
--- a/internal/balancer/channel.go
+++ b/internal/balancer/channel.go
@@ -62,8 +62,8 @@
 	return max(0, c.entriesSent-c.entriesDelivered-assumedEntries(site.MeanUpdateDelay, site))
 }
 
-// acknowledge counts a proxy that has reached a barrier. What was sent before the barrier is delivered then, also where
-// the channel is slower than assumed.
+// acknowledge counts a proxy that has reached a barrier. What was sent before the barrier is delivered then, also
+// where the channel is slower than assumed.
 func (c *updateChannel) acknowledge(id fleet.BarrierID) {
 	barrier := c.pendingBarriers[id]
 	if barrier == nil {
--- a/internal/balancer/desired.go
+++ b/internal/balancer/desired.go
@@ -10,8 +10,8 @@
 	lastResortHealthFactor = 0.25
 	// warmingLoadFraction is the part of the capacity it has at least that a server in slow start is sent.
 	warmingLoadFraction = 0.8
-	// unsharedOverloadFraction is the part of the stated overload limit that servers in slow start are sent where there are
-	// no others.
+	// unsharedOverloadFraction is the part of the stated overload limit that servers in slow start are sent where there
+	// are no others.
 	unsharedOverloadFraction = 0.5
 	// maxAllFailedProbability is the probability that a proxy avoids a server at which no server in slow start is used.
 	maxAllFailedProbability = 0.1
@@ -30,8 +30,8 @@
 	b.limitWarmingServers()
 }
 
-// setWantedWeights sets the wanted weights of a table from the balanced weights and from health. As a last resort, so that
-// no proxy is without endpoints, ejected servers and those reserved for other classes take part.
+// setWantedWeights sets the wanted weights of a table from the balanced weights and from health. As a last resort, so
+// that no proxy is without endpoints, ejected servers and those reserved for other classes take part.
 func (b *Balancer) setWantedWeights(index int, lastResort bool) {
 	table := &b.tables[index]
 	minHealthFactor := 0.0
@@ -75,8 +75,8 @@
 	}
 }
 
-// crowdingFactor reduces the load of servers in slow start where most attempts fail: the proxies avoid the failing servers
-// then and crowd on the few that answer. At 0 such servers are out of the tables.
+// crowdingFactor reduces the load of servers in slow start where most attempts fail: the proxies avoid the failing
+// servers then and crowd on the few that answer. At 0 such servers are out of the tables.
 func (b *Balancer) crowdingFactor() float64 {
 	consecutiveFailures := cmp.Or(float64(b.site.ProxyOutlierFailures), proxiesNeverAvoid)
 	allFailed := math.Pow(b.estimates.failedFraction, consecutiveFailures)
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -106,7 +106,8 @@
 	}
 }
 
-// emitProbes asks for a health check of each ready server once per balance interval, where these bring the load reports.
+// emitProbes asks for a health check of each ready server once per balance interval, where these bring the load
+// reports.
 func (b *Balancer) emitProbes() {
 	if !b.schedule.intervalDue || !b.site.ProbesAllowed || b.site.LoadReports != fleet.LoadReportOnProbe {
 		return
@@ -187,8 +188,8 @@
 // Tracks reports whether the balancer still keeps state of a server.
 func (b *Balancer) Tracks(id fleet.ServerID) bool { return b.endpoints.byID[id] != nil }
 
-// forgetGoneServers drops the servers that are gone and in no table, with their withdrawals, as new servers have new IDs
-// without end.
+// forgetGoneServers drops the servers that are gone and in no table, with their withdrawals, as new servers have new
+// IDs without end.
 func (b *Balancer) forgetGoneServers() {
 	b.endpoints.all = slices.DeleteFunc(b.endpoints.all, func(server *serverState) bool {
 		if !b.mayForget(server) {
--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// longWindow is the window for single servers: five balance intervals, in which some 30 attempts bring chance down to a
-	// fifth.
+	// longWindow is the window for single servers: five balance intervals, in which some 30 attempts bring chance down
+	// to a fifth.
 	longWindow = 10 * fleet.Second
 	// shortWindow is the window for the whole fleet: a cycle of load reports and their delay.
 	shortWindow = 3 * fleet.Second
@@ -138,8 +138,8 @@
 	b.estimates.recentlyAddedFraction = max(addedRate/b.proxies.expectedRate, addedServers/max(1, serverCount))
 }
 
-// updateReportCycle works out how long each reporter waits for its turn: each proxy reports each class, and each zone with
-// proxies reports each server.
+// updateReportCycle works out how long each reporter waits for its turn: each proxy reports each class, and each zone
+// with proxies reports each server.
 func (b *Balancer) updateReportCycle() {
 	reports := float64(len(b.proxies.all) * len(b.classes))
 	for _, hasProxies := range b.proxies.zoneHasProxies {
@@ -151,8 +151,8 @@
 	b.estimates.reportCycle = max(b.site.ReportInterval, cycle)
 }
 
-// updateDemand works out the demand of each class and what each table admits of it. Proxies that have not reported yet are
-// taken to receive as much as the others, relative to their expected rates.
+// updateDemand works out the demand of each class and what each table admits of it. Proxies that have not reported
+// yet are taken to receive as much as the others, relative to their expected rates.
 func (b *Balancer) updateDemand() {
 	for c := range b.classes {
 		class := &b.classes[c]
@@ -168,8 +168,9 @@
 	}
 }
 
-// requestRate returns the requests per second of a class that a proxy receives. Reports cover only times with requests, so
-// the silence since the last report counts too: where requests are rare, the rate would come out half too high otherwise.
+// requestRate returns the requests per second of a class that a proxy receives. Reports cover only times with
+// requests, so the silence since the last report counts too: where requests are rare, the rate would come out half
+// too high otherwise.
 func (b *Balancer) requestRate(proxy *proxyState, class int) float64 {
 	samples := proxy.demandSamples[class]
 	if len(samples) == 0 {
@@ -193,8 +194,8 @@
 	b.updateUtilization()
 }
 
-// updateWindows sums up the reports of each ready server. The windows end at the latest report, so that a pause of the
-// reports changes nothing.
+// updateWindows sums up the reports of each ready server. The windows end at the latest report, so that a pause of
+// the reports changes nothing.
 func (b *Balancer) updateWindows() {
 	latest := b.estimates.latestOutcomeAt
 	minWindow := minWindowCycles * b.estimates.reportCycle
@@ -224,8 +225,8 @@
 	b.estimates.failedFraction = (attempts - successes) / max(1, attempts)
 }
 
-// updateCapacities estimates the capacity of each ready server. The fewer attempts it had, the more the median of its kind
-// counts.
+// updateCapacities estimates the capacity of each ready server. The fewer attempts it had, the more the median of its
+// kind counts.
 func (b *Balancer) updateCapacities() {
 	var measured []float64
 	measuredByKind := map[fleet.KindID][]float64{}
@@ -335,7 +336,8 @@
 // median returns the upper median of values and sorts them; 0 where there are none.
 func median(values []float64) float64 { return quantile(values, 0.5) }
 
-// quantile returns the value that a fraction, less than 1, of the values is below, and sorts them; 0 where there are none.
+// quantile returns the value that a fraction, less than 1, of the values is below, and sorts them; 0 where there are
+// none.
 func quantile(values []float64, fraction float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/balancer/inputs.go
+++ b/internal/balancer/inputs.go
@@ -93,8 +93,8 @@
 	})
 }
 
-// markUnconfirmed notes that orders may or may not have been carried out. They are sent again as any other difference is,
-// when the update channel has capacity.
+// markUnconfirmed notes that orders may or may not have been carried out. They are sent again as any other difference
+// is, when the update channel has capacity.
 func (b *Balancer) markUnconfirmed(orders []fleet.Order) {
 	b.channel.nextChangesAt = b.now
 	for _, order := range orders {
--- a/internal/balancer/outliers.go
+++ b/internal/balancer/outliers.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// initialHealthFactor is the health factor of new and returning servers, and of outliers that the others cannot replace.
+	// initialHealthFactor is the health factor of new and returning servers, and of outliers that the others cannot
+	// replace.
 	initialHealthFactor = 0.25
 	// minReducedHealthFactor bounds the reductions for latency.
 	minReducedHealthFactor = 0.25
@@ -22,7 +23,8 @@
 	minFailedFraction = 0.25
 	// failedFractionRatio is how far the failures of an outlier exceed those of the fleet, which none is blamed for.
 	failedFractionRatio = 2
-	// minUsefulSuccessFraction is the part of successful attempts below which a server is of no help to a fleet under load.
+	// minUsefulSuccessFraction is the part of successful attempts below which a server is of no help to a fleet under
+	// load.
 	minUsefulSuccessFraction = 1.0 / 3
 	// silentReportCycles is how many report cycles pass before a server without successes is silent: reports take turns.
 	silentReportCycles = 3
@@ -55,8 +57,8 @@
 	maxSilence        fleet.Time
 }
 
-// updateHealth sets the health factor of each ready server: it ejects outliers for a while, reduces the load of servers that
-// are late and restores that of the others step by step.
+// updateHealth sets the health factor of each ready server: it ejects outliers for a while, reduces the load of
+// servers that are late and restores that of the others step by step.
 func (b *Balancer) updateHealth() {
 	health := b.fleetHealth()
 	for _, server := range b.endpoints.ready {
@@ -98,8 +100,8 @@
 	return silence > health.maxSilence && server.requestRate*silence.Seconds() > minUnansweredAttempts
 }
 
-// isFailing reports whether a server fails far more attempts than the fleet does. One that still succeeds with some is
-// failing only if the other servers have the capacity to replace it.
+// isFailing reports whether a server fails far more attempts than the fleet does. One that still succeeds with some
+// is failing only if the other servers have the capacity to replace it.
 func isFailing(server *serverState, health *fleetHealth) bool {
 	failures := server.longWindow.attempts - server.longWindow.successes
 	if failures < max(minFailures, server.longWindow.attempts*health.maxFailedFraction) {
@@ -138,8 +140,8 @@
 	server.samples = server.samples[:0]
 }
 
-// reduceForLatency reduces the load of a late server, once until it is on time again. One that gets its target load or more
-// is late for that reason, and the balancing of weights relieves it.
+// reduceForLatency reduces the load of a late server, once until it is on time again. One that gets its target load
+// or more is late for that reason, and the balancing of weights relieves it.
 func (b *Balancer) reduceForLatency(server *serverState) {
 	if server.reducedForLatency || server.requestRate >= server.capacity*b.estimates.targetUtilization {
 		return
--- a/internal/balancer/proxies.go
+++ b/internal/balancer/proxies.go
@@ -124,8 +124,8 @@
 	return false
 }
 
-// repeatWithdrawals orders withdrawals again that a waiting proxy may have missed, as they were sent shortly before it
-// joined.
+// repeatWithdrawals orders withdrawals again that a waiting proxy may have missed, as they were sent shortly before
+// it joined.
 func (b *Balancer) repeatWithdrawals(proxy *proxyState) {
 	if proxy.withdrawalsRepeated || b.now < proxy.joinedAt+b.site.DrainTimeout/repeatWithdrawalsDivisor {
 		return
@@ -139,8 +139,8 @@
 	}
 }
 
-// assignProxies assigns proxies that are out of sync to their tables, the busiest first, as far as the update channel has
-// capacity. It returns how many it assigned.
+// assignProxies assigns proxies that are out of sync to their tables, the busiest first, as far as the update channel
+// has capacity. It returns how many it assigned.
 func (b *Balancer) assignProxies() int {
 	if b.schedule.observing {
 		return 0
@@ -164,8 +164,8 @@
 	return assigned
 }
 
-// updateAssignmentEntries counts what each table sends to a newly assigned proxy, the orders of this step included: its
-// weights, and the withdrawals of servers in it.
+// updateAssignmentEntries counts what each table sends to a newly assigned proxy, the orders of this step included:
+// its weights, and the withdrawals of servers in it.
 func (b *Balancer) updateAssignmentEntries() {
 	for t := range b.tables {
 		for _, server := range b.endpoints.all {
@@ -216,8 +216,8 @@
 	return false
 }
 
-// maxAssignmentBacklog returns the backlog that an assignment may lead to. A proxy that has waited for a while may send to
-// servers that drain, so it may use more.
+// maxAssignmentBacklog returns the backlog that an assignment may lead to. A proxy that has waited for a while may
+// send to servers that drain, so it may use more.
 func (b *Balancer) maxAssignmentBacklog(proxy *proxyState) float64 {
 	fraction := usableBacklogFraction
 	if b.now >= proxy.joinedAt+b.site.DrainTimeout/urgentAssignmentDivisor {
--- a/internal/balancer/publish.go
+++ b/internal/balancer/publish.go
@@ -26,7 +26,8 @@
 	minRelativeChange = 0.03
 	// maxWarmingWeightRatio is how far the weight of a server in slow start may exceed the wanted one.
 	maxWarmingWeightRatio = 1.1
-	// minSparseWeight is the weight, relative to the largest, below which an entry is left out where entries are expensive.
+	// minSparseWeight is the weight, relative to the largest, below which an entry is left out where entries are
+	// expensive.
 	minSparseWeight = 0.1
 	// minAddedWeight is the weight, in units of the table, below which an entry is not added while assignments wait.
 	minAddedWeight = 0.1
@@ -44,8 +45,8 @@
 
 func (c *weightChange) isUrgent() bool { return c.priority >= urgentPriority }
 
-// publish orders the changes that concern all proxies, as far as the update channel has capacity: withdrawals, admission and
-// weights, in this order.
+// publish orders the changes that concern all proxies, as far as the update channel has capacity: withdrawals,
+// admission and weights, in this order.
 func (b *Balancer) publish() {
 	proxyCount := float64(len(b.proxies.all))
 	backlog := b.channel.backlog(&b.site)
@@ -56,18 +57,18 @@
 	b.publishWeights(capacity, reserved)
 }
 
-// reservedCapacity returns the capacity that ordinary weights leave to others. Proxies that are out of sync come first, and
-// more than the channel delivers until the next batch would only make others wait. The capacity given is that of a channel
-// without backlog.
+// reservedCapacity returns the capacity that ordinary weights leave to others. Proxies that are out of sync come
+// first, and more than the channel delivers until the next batch would only make others wait. The capacity given is
+// that of a channel without backlog.
 func (b *Balancer) reservedCapacity(emptyCapacity float64) float64 {
 	assignments := b.site.MaxBacklog * usableBacklogFraction * assignmentReserve * min(1, b.proxies.outOfSync)
 	maxBatch := maxBatchFraction * balanceInterval.Seconds() * b.site.EntriesPerSecond
 	return max(assignments, emptyCapacity-maxBatch)
 }
 
-// publishWithdrawals withdraws servers that are not ready and lets those back in that are again. It returns the remaining
-// capacity. Inherited tables send as much to servers in slow start as to others, so some of these are withdrawn, too, while
-// proxies use such tables.
+// publishWithdrawals withdraws servers that are not ready and lets those back in that are again. It returns the
+// remaining capacity. Inherited tables send as much to servers in slow start as to others, so some of these are
+// withdrawn, too, while proxies use such tables.
 func (b *Balancer) publishWithdrawals(capacity float64) float64 {
 	serverCount := float64(len(b.endpoints.all))
 	unready := float64(len(b.endpoints.all) - len(b.endpoints.ready))
@@ -108,8 +109,8 @@
 	return count
 }
 
-// publishWeights orders weights that differ from the wanted ones. Urgent changes may exceed the capacity; ordinary ones go
-// once per balance interval, the largest first, and those that find no capacity are deferred.
+// publishWeights orders weights that differ from the wanted ones. Urgent changes may exceed the capacity; ordinary
+// ones go once per balance interval, the largest first, and those that find no capacity are deferred.
 func (b *Balancer) publishWeights(capacity, reserved float64) {
 	includeOrdinary := b.channel.nextChangesAt > 0 && b.now >= b.channel.nextChangesAt
 	changes := b.weightChanges(includeOrdinary)
@@ -164,8 +165,8 @@
 	sparse  bool    // small weights are left out
 }
 
-// tableScale returns the scale of a table. Only the ratios of weights matter to proxies, so a factor that most weights of a
-// table have in common is no change.
+// tableScale returns the scale of a table. Only the ratios of weights matter to proxies, so a factor that most
+// weights of a table have in common is no change.
 func (b *Balancer) tableScale(table int) tableScale {
 	var ratios []float64
 	largest := 0.0
@@ -180,8 +181,8 @@
 	return tableScale{unit: cmp.Or(median(ratios), 1), largest: largest}
 }
 
-// weightChange returns the weight to order for a server in a table, and whether it is due: it differs from the one ordered
-// before, and it is urgent or ordinary changes are included.
+// weightChange returns the weight to order for a server in a table, and whether it is due: it differs from the one
+// ordered before, and it is urgent or ordinary changes are included.
 func (b *Balancer) weightChange(
 	server *serverState, index int, scale *tableScale, includeOrdinary bool,
 ) (weightChange, bool) {
@@ -226,8 +227,8 @@
 	return weight == ordered || weight > 0 && size <= minRelativeChange*ordered
 }
 
-// mayOmit reports whether a server with a small weight need not be added to a table, as that would make assignments more
-// expensive while they wait. A table without any weight in use needs it.
+// mayOmit reports whether a server with a small weight need not be added to a table, as that would make assignments
+// more expensive while they wait. A table without any weight in use needs it.
 func (b *Balancer) mayOmit(table *weightTable, ordered, size float64, scale *tableScale) bool {
 	if ordered != 0 || size >= minAddedWeight*scale.unit {
 		return false
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -11,7 +11,8 @@
 const (
 	// minSheddingUtilization is the utilization, asked of the fleet, past which load is shed.
 	minSheddingUtilization = 1.0
-	// sheddingDelayRounds is for how many rounds of estimates that lasts before: drained servers are replaced in that time.
+	// sheddingDelayRounds is for how many rounds of estimates that lasts before: drained servers are replaced in that
+	// time.
 	sheddingDelayRounds = 6
 	// maxRestoredUtilization is the utilization at which the load that is shed may be restored.
 	maxRestoredUtilization = 0.9
@@ -32,9 +33,9 @@
 	load             float64    // utilization of a single fully warm server that all requests would cause
 }
 
-// updateShedding is the last resort on sites that cannot limit admission: the classes of the least value are restricted to a
-// few servers, so that the others are handled in time. The load is the utilization that all requests would cause, the
-// capacity is given in fully warm servers.
+// updateShedding is the last resort on sites that cannot limit admission: the classes of the least value are
+// restricted to a few servers, so that the others are handled in time. The load is the utilization that all requests
+// would cause, the capacity is given in fully warm servers.
 func (b *Balancer) updateShedding(load, capacity float64) {
 	if b.site.Admission != fleet.AdmissionUnlimited {
 		return
@@ -64,8 +65,9 @@
 	}
 }
 
-// restrictClasses decides for each class, starting from that of the highest value, whether it is protected. The protected
-// ones get the part of the servers that they need, those after them share the rest, whose number is returned.
+// restrictClasses decides for each class, starting from that of the highest value, whether it is protected. The
+// protected ones get the part of the servers that they need, those after them share the rest, whose number is
+// returned.
 func (b *Balancer) restrictClasses(overloaded bool, load, capacity float64) int {
 	totalWork := 0.0
 	for i := range b.classes {
--- a/internal/balancer/tables.go
+++ b/internal/balancer/tables.go
@@ -23,11 +23,11 @@
 	unlimitedConnections = 1e6
 )
 
-// tableLayout says how proxies and servers are spread over tables. Each group has one table per partition. A partition
-// belongs to one zone, and its proxies prefer its servers, which bounds the connections of each server.
+// tableLayout says how proxies and servers are spread over tables. Each group has one table per partition. A
+// partition belongs to one zone, and its proxies prefer its servers, which bounds the connections of each server.
 type tableLayout struct {
-	// partitioned is set where a server has fewer connections than there are proxies. Otherwise the shared classes of all
-	// proxies use partition 0.
+	// partitioned is set where a server has fewer connections than there are proxies. Otherwise the shared classes of
+	// all proxies use partition 0.
 	partitioned       bool
 	zoneCount         int
 	partitionsPerZone int
@@ -106,7 +106,8 @@
 	}
 }
 
-// mayServe reports whether a server may have a weight in a table: it is ready and, for a zone-local class, in the zone.
+// mayServe reports whether a server may have a weight in a table: it is ready and, for a zone-local class, in the
+// zone.
 func (b *Balancer) mayServe(server *serverState, table *weightTable) bool {
 	if server.State != fleet.ServerReady {
 		return false
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -12,8 +12,8 @@
 	spreadRounds = 3
 )
 
-// balancingRound is the load of the ready servers while load is moved between them. The load of a server is the attempts it
-// has in progress, as a multiple of its requests per second, and moves with the tables in turn.
+// balancingRound is the load of the ready servers while load is moved between them. The load of a server is the
+// attempts it has in progress, as a multiple of its requests per second, and moves with the tables in turn.
 type balancingRound struct {
 	load   []float64 // by position in the ready servers
 	target []float64 // the same; 0 where the server is ejected or serves low-priority classes only
@@ -96,7 +96,8 @@
 	}
 }
 
-// spareAttempts returns the attempts per interval that a ready server, given by its position, can receive up to its target.
+// spareAttempts returns the attempts per interval that a ready server, given by its position, can receive up to its
+// target.
 func (b *Balancer) spareAttempts(round *balancingRound, table, position int) float64 {
 	server := b.endpoints.ready[position]
 	load := round.load[position]
