--- /dev/null
+++ b/internal/balancer/channel_test.go
@@ -0,0 +1,59 @@
+package balancer
+
+import (
+	"testing"
+
+	"cressknot/internal/fleet"
+)
+
+// The update channel is eight times slower than assumed while six in ten servers are replaced. The acknowledgements
+// say so.
+func TestSlowChannelIsNotOverfilled(t *testing.T) {
+	for seed := range int64(4) {
+		sim := newSimulatedFleet(seed, 200, 60)
+		sim.site.EntriesPerSecond = 17600
+		sim.site.MaxBacklog = 35200
+		sim.site.MinServerConnections = 0
+		sim.startBalancer(fleet.ListCached)
+		sim.run(8, 0)
+		sim.channelSlowdown = 8
+		maxBacklog := 0.0
+		for round := range 20 {
+			sim.step([]fleet.Event{replaceServers(sim, sim.servers[6*round:6*round+6])})
+			sim.run(1, 0)
+			maxBacklog = max(maxBacklog, sim.backlog())
+		}
+		if sim.violation != "" || maxBacklog < sim.site.MaxBacklog/4 {
+			t.Errorf("seed %d: at most %.0f entries waited; %s", seed, maxBacklog, sim.violation)
+		}
+	}
+}
+
+// replaceServers drains servers and adds as many new ones. The drain timeout is extended, as it grows with the delay
+// of the channel.
+func replaceServers(sim *simulatedFleet, servers []*fakeServer) fleet.EndpointList {
+	list := fleet.EndpointList{Scope: fleet.ListDelta}
+	for _, server := range servers {
+		server.State = fleet.ServerDraining
+		server.stateChangedAt = sim.now + 100*fleet.Second
+		replacement := &fakeServer{
+			Endpoint:       fleet.Endpoint{Server: server.Server ^ 1<<31, Zone: server.Zone, Started: sim.now},
+			stateChangedAt: sim.now,
+		}
+		sim.servers = append(sim.servers, replacement)
+		list.Endpoints = append(list.Endpoints, server.Endpoint, replacement.Endpoint)
+	}
+	return list
+}
+
+// What goes to no proxy is not a message to all.
+func TestOrderForUnusedTableCostsNothing(t *testing.T) {
+	b := newMeasuredBalancer([]float64{10, 10}, []float64{0.6, 0.6})
+	b.updateFleet()
+	before := b.channel.entriesSent
+	b.now += fleet.Second
+	b.broadcast(fleet.SetWeight{Table: 1, Server: 1, Weight: 1}, 0)
+	if b.channel.entriesSent != before {
+		t.Errorf("a weight that no proxy uses counted %.0f entries", b.channel.entriesSent-before)
+	}
+}
--- /dev/null
+++ b/internal/balancer/endpoints_test.go
@@ -0,0 +1,52 @@
+package balancer
+
+import (
+	"testing"
+
+	"cressknot/internal/fleet"
+)
+
+// Server IDs come without end. A server that is gone and in no table is forgotten, with its withdrawal.
+func TestForgetsGoneServers(t *testing.T) {
+	sim := newSimulatedFleet(4, 6, 5)
+	sim.run(20, 0)
+	gone := sim.servers[0].Server
+	sim.servers[0].State = fleet.ServerGone
+	sim.step([]fleet.Event{sim.endpointList(fleet.ListFull)})
+	sim.run(10, 0)
+	if !sim.balancer.Tracks(gone) {
+		t.Error("forgotten while proxies may join with inherited tables")
+	}
+	sim.run(30, 0)
+	for id, proxy := range sim.proxies {
+		if proxy.withdrawn[gone] {
+			t.Errorf("its withdrawal remains at proxy %d", id)
+		}
+	}
+	remaining := len(sim.balancer.endpoints.all)
+	if sim.balancer.Tracks(gone) || remaining != 5 || sim.violation != "" {
+		t.Errorf("tracked %v, %d servers remain; %s", sim.balancer.Tracks(gone), remaining, sim.violation)
+	}
+}
+
+// A proxy joins just after a withdrawal, which it may have missed, and the server returns in the same step.
+func TestServerReturnsWhileProxyJoins(t *testing.T) {
+	sim := newSimulatedFleet(9, 8, 4)
+	sim.run(10, 0)
+	sim.disconnectProxy(0, false)
+	sim.step([]fleet.Event{fleet.ProxyLeft{Proxy: 0}})
+	server := sim.servers[0]
+	server.State = fleet.ServerDraining
+	server.stateChangedAt = sim.now
+	sim.step([]fleet.Event{sim.endpointList(fleet.ListFull)})
+	sim.run(2, 0)
+	if !sim.proxies[1].withdrawn[server.Server] {
+		t.Fatal("the server is not withdrawn")
+	}
+	server.State = fleet.ServerReady
+	sim.step([]fleet.Event{sim.joinProxy(0), sim.endpointList(fleet.ListFull)})
+	sim.run(5, 0)
+	if sim.proxies[1].withdrawn[server.Server] || sim.violation != "" {
+		t.Errorf("the server is still withdrawn; %s", sim.violation)
+	}
+}
--- a/internal/balancer/simulatedfleet_test.go
+++ b/internal/balancer/simulatedfleet_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// newSimulatedFleet returns a fleet in two zones with a balancer that has started. Whether proxies prefer servers of their
-// partition depends on the seed.
+// newSimulatedFleet returns a fleet in two zones with a balancer that has started. Whether proxies prefer servers of
+// their partition depends on the seed.
 func newSimulatedFleet(seed int64, serverCount, proxyCount int) *simulatedFleet {
 	f := &simulatedFleet{
 		rng:             rand.New(rand.NewSource(seed)),
--- a/internal/balancer/simulatedinvariants_test.go
+++ b/internal/balancer/simulatedinvariants_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// checkFractions checks that a proxy sends nothing to servers that drain or are gone, nor, in a zone-local class, out of
-// its zone.
+// checkFractions checks that a proxy sends nothing to servers that drain or are gone, nor, in a zone-local class, out
+// of its zone.
 func (f *simulatedFleet) checkFractions(id, class int, fractions map[fleet.ServerID]float64) {
 	proxy := f.proxies[id]
 	for _, server := range f.servers {
@@ -66,7 +66,8 @@
 	}
 }
 
-// checkEndpoints checks that a proxy is not without endpoints for too long while there are warm servers for the class.
+// checkEndpoints checks that a proxy is not without endpoints for too long while there are warm servers for the
+// class.
 func (f *simulatedFleet) checkEndpoints(id, class int, hasEndpoints bool) {
 	proxy := f.proxies[id]
 	warmServers := false
--- a/internal/balancer/simulatedorders_test.go
+++ b/internal/balancer/simulatedorders_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// assignTable costs an entry for itself and one for each weight of the table. A proxy with an assigned table has only the
-// withdrawals of this balancer.
+// assignTable costs an entry for itself and one for each weight of the table. A proxy with an assigned table has only
+// the withdrawals of this balancer.
 func (f *simulatedFleet) assignTable(order fleet.AssignTable, sent map[*fakeProxy]float64) {
 	proxy := f.proxies[order.Proxy]
 	sent[proxy]++
--- a/internal/balancer/simulatedreports_test.go
+++ b/internal/balancer/simulatedreports_test.go
@@ -27,7 +27,8 @@
 	return fractions
 }
 
-// requestRates returns the requests per second that each server receives from the joined proxies, by zone of the proxy.
+// requestRates returns the requests per second that each server receives from the joined proxies, by zone of the
+// proxy.
 func (f *simulatedFleet) requestRates() map[fleet.ServerID][]float64 {
 	rates := map[fleet.ServerID][]float64{}
 	for _, server := range f.servers {
