--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -23,10 +23,17 @@
 	minWorkPerRequest = 1e-9
 )
 
+// admissionState is the state of admission: which classes to cut first when the fleet cannot handle all requests in
+// time, and whether proxies may retry. The limits themselves are with the classes.
+type admissionState struct {
+	classesByValue []int // in ascending order of value per work
+	retry          fleet.RetryMode
+}
+
 // requestClass is what the balancer knows of a class of requests and has ordered for it.
 type requestClass struct {
 	valuePerWork   float64 // priority weight for the work that a request causes
-	workPerRequest float64 // seconds: the latency objective stands for it
+	workPerRequest float64 // seconds, estimated by the latency objective
 	// tableGroup says which tables the class uses. Shared classes use one group, those that load is shed from another;
 	// each zone-local class has a group of its own.
 	tableGroup       int
@@ -35,12 +42,6 @@
 	sentAdmission    fleet.SetAdmission
 }
 
-// admissionState is what admission needs beside the classes themselves.
-type admissionState struct {
-	classesByValue []int // in ascending order of value per work
-	retry          fleet.RetryMode
-}
-
 func newRequestClasses(site *fleet.Site) []requestClass {
 	classes := make([]requestClass, len(site.Classes))
 	for i := range site.Classes {
@@ -80,10 +81,10 @@
 	utilization float64 // sum of the utilizations at which they did
 }
 
-// updateAdmission admits what the fleet can handle in time, cutting the classes of the least value first. An
+// updateAdmission admits what the fleet can handle in time, cutting the classes of the lowest value first. An
 // overloaded fleet gets no retries.
 func (b *Balancer) updateAdmission() {
-	capacity := b.fleetCapacity()
+	capacity := b.measureFleetCapacity()
 	demand := 0.0
 	for i := range b.classes {
 		demand += b.classes[i].demand
@@ -106,8 +107,8 @@
 	}
 }
 
-// fleetCapacity measures what the ready servers handle.
-func (b *Balancer) fleetCapacity() fleetCapacity {
+// measureFleetCapacity measures what the ready servers handle.
+func (b *Balancer) measureFleetCapacity() fleetCapacity {
 	var capacity fleetCapacity
 	for _, server := range b.endpoints.ready {
 		usable := min(1, server.healthFactor+healthRecoveryStep) * b.warmFraction(server)
@@ -134,7 +135,7 @@
 	return window.attempts / max(1, window.successes)
 }
 
-// cutAdmission cuts a number of requests per second from the classes of the least value.
+// cutAdmission cuts a number of requests per second from the classes of the lowest value.
 func (b *Balancer) cutAdmission(excess float64) {
 	for _, i := range b.admission.classesByValue {
 		class := &b.classes[i]
@@ -162,7 +163,7 @@
 func (b *Balancer) proxyRateLimit(class int) float64 {
 	var rates []float64
 	for _, proxy := range b.proxies.all {
-		rates = append(rates, b.requestRate(proxy, class))
+		rates = append(rates, b.proxyRequestRate(proxy, class))
 	}
 	slices.Sort(rates)
 	remaining := b.classes[class].admittedFraction * b.classes[class].demand
--- a/internal/balancer/benchmark_test.go
+++ b/internal/balancer/benchmark_test.go
@@ -9,7 +9,7 @@
 	"cressknot/internal/fleet"
 )
 
-// BenchmarkStep measures a second of a fleet's time: ten steps with 100 reports of outcomes and of demand each, in
+// BenchmarkStep measures one second of simulated time: ten steps with 100 reports of outcomes and of demand each, in
 // which all barriers are reached.
 func BenchmarkStep(b *testing.B) {
 	for _, serverCount := range []int{175, 350, 700, 1400} {
--- a/internal/balancer/channel.go
+++ b/internal/balancer/channel.go
@@ -18,7 +18,7 @@
 	barrierIDCount = 65536
 	// reservedMessages is the part of the message limit of a proxy that is reserved for its assignments.
 	reservedMessages = 5
-	// unlimitedMessages stands for a site that states no message limit.
+	// unlimitedMessages is the limit on sites that state none.
 	unlimitedMessages = 1e6
 	// minBroadcastInterval is the shortest time between two messages to all proxies.
 	minBroadcastInterval = 2 * timerInterval
--- a/internal/balancer/desired.go
+++ b/internal/balancer/desired.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// lastResortHealthFactor is the least health factor where a table has no other server.
+	// lastResortHealthFactor is the lowest health factor where a table would be without warm servers otherwise.
 	lastResortHealthFactor = 0.25
-	// warmingLoadFraction is the part of the capacity it has at least that a server in slow start is sent.
+	// warmingLoadFraction is the part of its present capacity that a server in slow start is sent.
 	warmingLoadFraction = 0.8
 	// unsharedOverloadFraction is the part of the stated overload limit that servers in slow start are sent where there
 	// are no others.
 	unsharedOverloadFraction = 0.5
-	// maxAllFailedProbability is the probability that a proxy avoids a server at which no server in slow start is used.
+	// maxAllFailedProbability is the probability of consecutive failures that make a proxy avoid a server, at which
+	// servers in slow start get no requests.
 	maxAllFailedProbability = 0.1
-	// proxiesNeverAvoid stands for a site whose proxies avoid no server, however many attempts fail.
+	// proxiesNeverAvoid is the number of consecutive failures on sites whose proxies never avoid a server.
 	proxiesNeverAvoid = 1e6
 )
 
@@ -85,6 +86,7 @@
 
 // limitWarmingServer limits the wanted weights of a server to a capacity in requests per second.
 func (b *Balancer) limitWarmingServer(server *serverState, capacity float64) {
+	recovery := &b.site.RecoveryRamp
 	load := epsilon
 	for t := range b.tables {
 		table := &b.tables[t]
@@ -96,7 +98,7 @@
 		if table.wantedWarmWeight > 0 {
 			limit := wanted / table.wantedWeight * warmingLoadFraction * capacity / load * table.wantedWarmWeight
 			server.wantedWeight[t] = min(wanted, limit)
-		} else if load > capacity*b.site.RecoveryRamp.OverloadFactor*unsharedOverloadFraction {
+		} else if load > capacity*recovery.OverloadFactor*unsharedOverloadFraction {
 			server.wantedWeight[t] = 0
 		}
 	}
--- a/internal/balancer/desired_test.go
+++ b/internal/balancer/desired_test.go
@@ -7,7 +7,8 @@
 )
 
 // Servers return while proxies still wait for their first tables, and inherited tables say nothing of slow start. A
-// server whose load is limited in slow start must not keep a weight from before those of the others were cut, either.
+// server whose load is limited in slow start must not return to a weight from before those of the others were cut,
+// either.
 func TestWarmingServerIsNotOverloaded(t *testing.T) {
 	sim := newSimulatedFleet(14, 12, 6)
 	sim.site.EntriesPerSecond = 100 // assignments take long
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -10,7 +10,7 @@
 const (
 	// minListRequestBackoff is the mean wait after the first failed endpoint list; it doubles with each further one.
 	minListRequestBackoff = 2 * timerInterval
-	// pollIntervalDivisor keeps the mean backoff, which jitter makes half longer, within the poll interval.
+	// pollIntervalDivisor limits the mean backoff to half the poll interval, as jitter makes it up to half longer.
 	pollIntervalDivisor = 2
 	// minBackoffJitter is the smallest factor of the backoff. The largest is 1 more.
 	minBackoffJitter = 0.5
@@ -20,7 +20,7 @@
 	remotePartitionWeight = 0.1
 )
 
-// endpointState holds the servers of the endpoint list, and when to ask for the list.
+// endpointState is the state of endpoint discovery: the servers of the endpoint list, and when to ask for it.
 type endpointState struct {
 	byID  map[fleet.ServerID]*serverState
 	all   []*serverState // by ID, those that are gone included until they are forgotten
@@ -185,7 +185,7 @@
 	}
 }
 
-// Tracks reports whether the balancer still keeps state of a server.
+// Tracks reports whether the balancer still has state of a server.
 func (b *Balancer) Tracks(id fleet.ServerID) bool { return b.endpoints.byID[id] != nil }
 
 // forgetGoneServers drops the servers that are gone and in no table, with their withdrawals, as new servers have new
@@ -228,14 +228,14 @@
 	return server.Started > 0 && b.now < server.Started+b.site.SlowStart.Duration
 }
 
-// warmFraction returns the fraction of its capacity that a server has at least at this point of its slow start.
+// warmFraction returns the guaranteed fraction of a server's capacity at this point of its slow start.
 func (b *Balancer) warmFraction(server *serverState) float64 {
 	if !b.warmingUp(server) {
 		return 1
 	}
-	initial := b.site.SlowStart.InitialFraction
-	elapsed := max(0, (b.now-server.Started).Seconds()/b.site.SlowStart.Duration.Seconds())
-	return initial + (1-initial)*elapsed
+	slowStart := &b.site.SlowStart
+	elapsed := max(0, (b.now-server.Started).Seconds()/slowStart.Duration.Seconds())
+	return slowStart.InitialFraction + (1-slowStart.InitialFraction)*elapsed
 }
 
 // takesAllClasses reports whether a server has a weight and serves every class at its full capacity.
--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -11,9 +11,9 @@
 	// longWindow is the window for single servers: five balance intervals, in which some 30 attempts bring chance down
 	// to a fifth.
 	longWindow = 10 * fleet.Second
-	// shortWindow is the window for the whole fleet: a cycle of load reports and their delay.
+	// shortWindow is the window for the fleet in total: a cycle of load reports and their delay.
 	shortWindow = 3 * fleet.Second
-	// minWindowCycles is how many report cycles the long window spans at least; the short one spans half as many.
+	// minWindowCycles is the minimum length of the long window in report cycles; that of the short one is half of it.
 	minWindowCycles = 3
 	// recentlyAddedDuration is how long a server or proxy counts as recently added.
 	recentlyAddedDuration = longWindow
@@ -21,7 +21,7 @@
 	minMeanAttempts = 8
 	// priorAttempts is how many attempts the median of its kind counts as in the estimate of a server's capacity.
 	priorAttempts = 8
-	// unknownUtilization stands for a utilization that was not reported.
+	// unknownUtilization marks a utilization that was not reported.
 	unknownUtilization = -1
 	// minMeaningfulUtilization is the utilization below which a measurement says nothing of capacity.
 	minMeaningfulUtilization = 0.05
@@ -36,7 +36,7 @@
 	foreignZoneCapacityFraction = 0.1
 )
 
-// fleetEstimates is what the balancer has measured of the fleet as a whole.
+// fleetEstimates are the estimates of load and capacity for the fleet. Those for single servers are in serverState.
 type fleetEstimates struct {
 	utilizationField int        // position of the utilization in load reports; negative: not reported
 	latestOutcomeAt  fleet.Time // when the latest outcome report came
@@ -161,17 +161,17 @@
 		}
 		class.demand = 0
 		for _, proxy := range b.proxies.all {
-			rate := b.requestRate(proxy, c) * b.proxies.expectedRate / b.proxies.reportedExpectedRate
+			rate := b.proxyRequestRate(proxy, c) * b.proxies.expectedRate / b.proxies.reportedExpectedRate
 			class.demand += rate
 			b.tables[b.tableFor(c, proxy.partition)].admittedRate += rate * class.admittedFraction
 		}
 	}
 }
 
-// requestRate returns the requests per second of a class that a proxy receives. Reports cover only times with
+// proxyRequestRate returns the requests per second of a class that a proxy receives. Reports cover only times with
 // requests, so the silence since the last report counts too: where requests are rare, the rate would come out half
 // too high otherwise.
-func (b *Balancer) requestRate(proxy *proxyState, class int) float64 {
+func (b *Balancer) proxyRequestRate(proxy *proxyState, class int) float64 {
 	samples := proxy.demandSamples[class]
 	if len(samples) == 0 {
 		return 0
--- a/internal/balancer/estimates_test.go
+++ b/internal/balancer/estimates_test.go
@@ -47,7 +47,7 @@
 			lastReportAt = b.now
 		}
 		if second > 50 {
-			rates = append(rates, b.requestRate(proxy, 0))
+			rates = append(rates, b.proxyRequestRate(proxy, 0))
 		}
 	}
 	return rates
--- a/internal/balancer/inputs.go
+++ b/internal/balancer/inputs.go
@@ -3,7 +3,7 @@
 import "cressknot/internal/fleet"
 
 const (
-	// maxSamplesPerServer bounds the samples kept: over two reports per second and zone within longWindow.
+	// maxSamplesPerServer bounds the samples of a server: over two reports per second and zone within longWindow.
 	maxSamplesPerServer = 128
 	// maxDemandSamples is how many demand reports make an estimate of a proxy's request rate.
 	maxDemandSamples = 3
@@ -78,7 +78,7 @@
 	samples := proxy.demandSamples[report.Class]
 	interval := report.Interval
 	if len(samples) > 0 {
-		// Reports state some seconds of silence at most, so the time since the last one may tell of a longer one.
+		// The silence that a report states is capped at some seconds; the time since the last report is not.
 		last := samples[len(samples)-1]
 		interval = max(interval, b.now-last.receivedAt-b.estimates.reportCycle)
 	}
--- a/internal/balancer/outliers.go
+++ b/internal/balancer/outliers.go
@@ -48,19 +48,10 @@
 	returnGracePeriod = balanceInterval
 )
 
-// fleetHealth is what single servers are compared with, so that none is blamed for what the whole fleet does.
-type fleetHealth struct {
-	ejectedCount      float64
-	healthyCapacity   float64 // attempts per second, less than the capacity of servers ejected in this round
-	requestRate       float64 // attempts per second
-	maxFailedFraction float64
-	maxSilence        fleet.Time
-}
-
 // updateHealth sets the health factor of each ready server: it ejects outliers for a while, reduces the load of
 // servers that are late and restores that of the others step by step.
 func (b *Balancer) updateHealth() {
-	health := b.fleetHealth()
+	health := b.measureFleetHealth()
 	for _, server := range b.endpoints.ready {
 		mayEject := server.healthFactor > 0 && server.longWindow.utilization < overloadedUtilization
 		silent := b.isSilent(server, &health)
@@ -79,7 +70,16 @@
 	}
 }
 
-func (b *Balancer) fleetHealth() fleetHealth {
+// fleetHealth is what single servers are compared with, so that none is ejected for what all of them do.
+type fleetHealth struct {
+	ejectedCount      float64
+	healthyCapacity   float64 // attempts per second, less than the capacity of servers ejected in this round
+	requestRate       float64 // attempts per second
+	maxFailedFraction float64
+	maxSilence        fleet.Time
+}
+
+func (b *Balancer) measureFleetHealth() fleetHealth {
 	health := fleetHealth{
 		maxFailedFraction: max(minFailedFraction, failedFractionRatio*b.estimates.failedFraction),
 		maxSilence:        silentReportCycles * b.estimates.reportCycle,
@@ -94,7 +94,7 @@
 	return health
 }
 
-// isSilent reports whether a server has left many attempts without success while others were heard of.
+// isSilent reports whether a server has left many attempts without success while others were reported on.
 func (b *Balancer) isSilent(server *serverState, health *fleetHealth) bool {
 	silence := b.estimates.latestOutcomeAt - server.lastSuccessAt
 	return silence > health.maxSilence && server.requestRate*silence.Seconds() > minUnansweredAttempts
--- a/internal/balancer/outliers_test.go
+++ b/internal/balancer/outliers_test.go
@@ -39,7 +39,7 @@
 	return lowest
 }
 
-// checkNoneEjectedIfAllFail checks that no server is ejected for failures that the whole fleet has.
+// checkNoneEjectedIfAllFail checks that no server is ejected for failures that all servers have.
 func checkNoneEjectedIfAllFail(t *testing.T, sim *simulatedFleet) {
 	t.Helper()
 	for _, server := range sim.servers {
--- a/internal/balancer/proxies.go
+++ b/internal/balancer/proxies.go
@@ -22,7 +22,7 @@
 	urgentAssignmentBonus = 0.35
 )
 
-// proxyRegistry holds the proxies that are joined to the controller.
+// proxyRegistry is the state of the proxies that are joined to the controller.
 type proxyRegistry struct {
 	byID           map[fleet.ProxyID]*proxyState
 	all            []*proxyState // by ID
--- a/internal/balancer/publish.go
+++ b/internal/balancer/publish.go
@@ -33,18 +33,10 @@
 	minAddedWeight = 0.1
 	// maxScaleRatio bounds the ratios of ordered to wanted weights that count for the unit of a table.
 	maxScaleRatio = 1e6
-	// urgentPriority is the least priority of urgent changes; ordinary ones have their relative size.
+	// urgentPriority is the lowest priority of urgent changes. Ordinary ones have their relative size as priority.
 	urgentPriority = 1e6
 )
 
-// weightChange is a weight to order. Changes of a higher priority go first.
-type weightChange struct {
-	fleet.SetWeight
-	priority float64
-}
-
-func (c *weightChange) isUrgent() bool { return c.priority >= urgentPriority }
-
 // publish orders the changes that concern all proxies, as far as the update channel has capacity: withdrawals,
 // admission and weights, in this order.
 func (b *Balancer) publish() {
@@ -57,6 +49,14 @@
 	b.publishWeights(capacity, reserved)
 }
 
+// weightChange is a weight to order. Changes of a higher priority go first.
+type weightChange struct {
+	fleet.SetWeight
+	priority float64
+}
+
+func (c *weightChange) isUrgent() bool { return c.priority >= urgentPriority }
+
 // reservedCapacity returns the capacity that ordinary weights leave to others. Proxies that are out of sync come
 // first, and more than the channel delivers until the next batch would only make others wait. The capacity given is
 // that of a channel without backlog.
@@ -140,10 +140,10 @@
 	entriesExpensive := b.entriesExpensive()
 	for t := range b.tables {
 		table := &b.tables[t]
-		scale := b.tableScale(t)
+		scale := b.measureTableScale(t)
 		scale.sparse = entriesExpensive || table.proxyCount == 0
 		for _, server := range b.endpoints.all {
-			if change, isDue := b.weightChange(server, t, &scale, includeOrdinary); isDue {
+			if change, isDue := b.changeFor(server, t, &scale, includeOrdinary); isDue {
 				changes = append(changes, change)
 			}
 		}
@@ -165,9 +165,9 @@
 	sparse  bool    // small weights are left out
 }
 
-// tableScale returns the scale of a table. Only the ratios of weights matter to proxies, so a factor that most
+// measureTableScale returns the scale of a table. Only the ratios of weights matter to proxies, so a factor that most
 // weights of a table have in common is no change.
-func (b *Balancer) tableScale(table int) tableScale {
+func (b *Balancer) measureTableScale(table int) tableScale {
 	var ratios []float64
 	largest := 0.0
 	for _, server := range b.endpoints.all {
@@ -181,9 +181,9 @@
 	return tableScale{unit: cmp.Or(median(ratios), 1), largest: largest}
 }
 
-// weightChange returns the weight to order for a server in a table, and whether it is due: it differs from the one
+// changeFor returns the weight to order for a server in a table, and whether it is due: it differs from the one
 // ordered before, and it is urgent or ordinary changes are included.
-func (b *Balancer) weightChange(
+func (b *Balancer) changeFor(
 	server *serverState, index int, scale *tableScale, includeOrdinary bool,
 ) (weightChange, bool) {
 	table := &b.tables[index]
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -26,14 +26,14 @@
 	maxProtectedFraction = 0.9
 )
 
-// sheddingState is the state of load shedding.
+// sheddingState is the state of load shedding, which restricts low-priority classes to a part of the servers.
 type sheddingState struct {
 	overloadedRounds int        // consecutive rounds of estimates with too much load
 	activeUntil      fleet.Time // load is shed until then; 0: it is not
 	load             float64    // utilization of a single fully warm server that all requests would cause
 }
 
-// updateShedding is the last resort on sites that cannot limit admission: the classes of the least value are
+// updateShedding is the last resort on sites that cannot limit admission: the classes of the lowest value are
 // restricted to a few servers, so that the others are handled in time. The load is the utilization that all requests
 // would cause, the capacity is given in fully warm servers.
 func (b *Balancer) updateShedding(load, capacity float64) {
--- a/internal/balancer/shedding_test.go
+++ b/internal/balancer/shedding_test.go
@@ -6,7 +6,7 @@
 	"cressknot/internal/fleet"
 )
 
-// With more requests than a fleet can handle and no way to reject any, all would be late. The class of the least
+// With more requests than a fleet can handle and no way to reject any, all would be late. The class of the lowest
 // value for its work goes to a few servers, and the others avoid these.
 func TestSheddingSeparatesClasses(t *testing.T) {
 	sim := newSimulatedFleet(12, 10, 5)
--- a/internal/balancer/simulatedfleet_test.go
+++ b/internal/balancer/simulatedfleet_test.go
@@ -201,7 +201,7 @@
 	return table
 }
 
-// disconnectProxy ends a proxy's update stream. The proxy keeps a copy of its tables, unless it crashed.
+// disconnectProxy ends a proxy's update stream. The proxy goes on with a copy of its tables, unless it crashed.
 func (f *simulatedFleet) disconnectProxy(id int, crashed bool) fleet.Event {
 	proxy := f.proxies[id]
 	for class := range proxy.ownTables {
@@ -254,7 +254,7 @@
 	return orders
 }
 
-// fault changes the fleet at random and returns the events that tell of it.
+// fault changes the fleet at random and returns the events that report it.
 func (f *simulatedFleet) fault() []fleet.Event {
 	server := f.servers[f.rng.Intn(len(f.servers))]
 	id := f.rng.Intn(len(f.proxies))
@@ -304,7 +304,7 @@
 	return []fleet.Event{f.endpointList(fleet.ListFull)}
 }
 
-// crashBalancer replaces the balancer by a new one; the proxies keep their tables.
+// crashBalancer replaces the balancer by a new one; the tables of the proxies stay.
 func (f *simulatedFleet) crashBalancer() {
 	for id, proxy := range f.proxies {
 		if proxy.joined {
--- a/internal/balancer/simulatedinvariants_test.go
+++ b/internal/balancer/simulatedinvariants_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// checkInvariants checks, after each step, what must hold for each proxy and server and for the update channel.
+// checkInvariants checks, after each step, the limits for each proxy and server and for the update channel.
 func (f *simulatedFleet) checkInvariants() {
 	for id, proxy := range f.proxies {
 		if !proxy.joined {
@@ -93,6 +93,7 @@
 
 // checkWarmingServers checks that no server in slow start is overloaded.
 func (f *simulatedFleet) checkWarmingServers() {
+	recovery := &f.site.RecoveryRamp
 	rates := f.requestRates()
 	for _, server := range f.servers {
 		if server.State != fleet.ServerReady || f.now <= server.stateChangedAt+f.site.DrainTimeout ||
@@ -101,7 +102,7 @@
 		}
 		rate := sum(rates[server.Server])
 		capacity := f.capacity(server)
-		if rate > f.site.RecoveryRamp.OverloadFactor*capacity*0.9 {
+		if rate > recovery.OverloadFactor*capacity*0.9 {
 			f.reportViolation("slow start: server %d gets %.1f of %.1f", server.Server, rate, capacity)
 		}
 	}
--- a/internal/balancer/simulatedreports_test.go
+++ b/internal/balancer/simulatedreports_test.go
@@ -78,9 +78,10 @@
 	if server.Started == 0 {
 		return fakeServerCapacity
 	}
-	initial := f.site.SlowStart.InitialFraction
-	elapsed := (f.now - server.Started).Seconds() / f.site.SlowStart.Duration.Seconds()
-	return fakeServerCapacity * min(1, initial+(1-initial)*elapsed)
+	slowStart := &f.site.SlowStart
+	elapsed := (f.now - server.Started).Seconds() / slowStart.Duration.Seconds()
+	warm := slowStart.InitialFraction + (1-slowStart.InitialFraction)*elapsed
+	return fakeServerCapacity * min(1, warm)
 }
 
 // reports returns what servers and proxies report of the last report interval.
@@ -131,7 +132,7 @@
 	return events
 }
 
-// reportedCount returns the whole number of requests that a rate makes in a report interval, rounded at random.
+// reportedCount returns the integer number of requests that a rate makes in a report interval, rounded at random.
 func (f *simulatedFleet) reportedCount(rate float64) uint32 {
 	return uint32(rate*f.site.ReportInterval.Seconds() + f.rng.Float64())
 }
--- a/internal/balancer/tables.go
+++ b/internal/balancer/tables.go
@@ -19,7 +19,7 @@
 	maxPartitionsPerZone = 8
 	// proxyCountMargin allows a zone a tenth more proxies than the average one.
 	proxyCountMargin = 1.1
-	// unlimitedConnections stands for a site that states no connection limit.
+	// unlimitedConnections is the connection limit on sites that state none.
 	unlimitedConnections = 1e6
 )
 
@@ -69,7 +69,7 @@
 type weightTable struct {
 	group     int
 	partition int
-	// classes holds the classes that proxies are to send by this table.
+	// classes is the set of classes that are to use the table.
 	classes fleet.ClassSet
 	// proxyCount is the number of proxies that use the table for some class.
 	proxyCount float64
@@ -120,5 +120,5 @@
 	return b.tables[table].admittedRate * server.orderedWeight[table] / max(b.tables[table].orderedWeight, epsilon)
 }
 
-// classBit returns the set that holds one class.
+// classBit returns the set of one class.
 func classBit(class int) fleet.ClassSet { return 1 << class }
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -12,11 +12,15 @@
 	spreadRounds = 3
 )
 
-// balancingRound is the load of the ready servers while load is moved between them. The load of a server is the
-// attempts it has in progress, as a multiple of its requests per second, and moves with the tables in turn.
-type balancingRound struct {
-	load   []float64 // by position in the ready servers
-	target []float64 // the same; 0 where the server is ejected or serves low-priority classes only
+// balanceWeights is the ordinary path of the design: in each table it cuts the weights of servers above their target,
+// spreads what was cut evenly over the others and normalizes the weights.
+func (b *Balancer) balanceWeights() {
+	round := b.newBalancingRound()
+	for t := range b.tables {
+		cut := b.cutOverload(round, t)
+		b.spreadLoad(round, t, cut)
+		b.normalizeWeights(t)
+	}
 }
 
 // setInitialWeights makes the first tables go by the measured capacities.
@@ -28,15 +32,11 @@
 	}
 }
 
-// balanceWeights is the ordinary path of the design: in each table it cuts the weights of servers above their target,
-// spreads what was cut evenly over the others and normalises the weights.
-func (b *Balancer) balanceWeights() {
-	round := b.newBalancingRound()
-	for t := range b.tables {
-		cut := b.cutOverload(round, t)
-		b.spreadLoad(round, t, cut)
-		b.normalizeWeights(t)
-	}
+// balancingRound is the load of the ready servers while weights change. The load of a server is its requests per
+// second multiplied by its residence factor.
+type balancingRound struct {
+	load   []float64 // by position in the ready servers
+	target []float64 // the same; 0 where the server is ejected or serves low-priority classes only
 }
 
 func (b *Balancer) newBalancingRound() *balancingRound {
