--- a/internal/balancer/outliers_test.go
+++ b/internal/balancer/outliers_test.go
@@ -5,11 +5,15 @@
 // A server that accepts requests and answers none is not reported on any more: it is ejected for its silence. One
 // that fails most of them is ejected, too.
 func TestOutliersAreEjectedAndReturn(t *testing.T) {
-	for name, fault := range map[string]fakeServer{
-		"unresponsive": {unresponsive: true},
-		"failing":      {failedFraction: 0.8},
+	for _, fault := range []struct {
+		name           string
+		unresponsive   bool
+		failedFraction float64
+	}{
+		{name: "unresponsive", unresponsive: true},
+		{name: "failing", failedFraction: 0.8},
 	} {
-		t.Run(name, func(t *testing.T) {
+		t.Run(fault.name, func(t *testing.T) {
 			sim := newSimulatedFleet(5, 10, 5)
 			sim.run(10, 0)
 			server := sim.servers[3]
