--- /dev/null
+++ b/internal/balancer/publish.go
@@ -0,0 +1,238 @@
+package balancer
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"cressknot/internal/fleet"
+)
+
+const (
+	// maxWithdrawalOverdraft is the part of the maximum backlog that withdrawals may use beyond the usable part.
+	maxWithdrawalOverdraft = 0.45
+	// maxWeightOverdraft is the part that urgent weights may use beyond it.
+	maxWeightOverdraft = 0.35
+	// assignmentReserve is the part of the usable backlog that is reserved for proxies that are out of sync.
+	assignmentReserve = 0.5
+	// maxBatchFraction is the part of what the channel delivers in a balance interval that one batch of weights may use.
+	maxBatchFraction = 0.5
+	// deferredChangesDelay is the wait before changes that found no capacity are sent.
+	deferredChangesDelay = balanceInterval / 2
+	// maxUnavailableFraction is the part of the servers that may be withdrawn for slow start or not ready.
+	maxUnavailableFraction = 0.25
+
+	// minRelativeChange is the relative change of a weight that is worth an entry.
+	minRelativeChange = 0.03
+	// maxWarmingWeightRatio is how far the weight of a server in slow start may exceed the wanted one.
+	maxWarmingWeightRatio = 1.1
+	// minSparseWeight is the weight, relative to the largest, below which an entry is left out where entries are
+	// expensive.
+	minSparseWeight = 0.1
+	// minAddedWeight is the weight, in units of the table, below which an entry is not added while assignments wait.
+	minAddedWeight = 0.1
+	// maxScaleRatio bounds the ratios of ordered to wanted weights that count for the unit of a table.
+	maxScaleRatio = 1e6
+	// urgentPriority is the lowest priority of urgent changes. Ordinary ones have their relative size as priority.
+	urgentPriority = 1e6
+)
+
+// publish orders the changes that concern all proxies, as far as the update channel has capacity: withdrawals,
+// admission and weights, in this order.
+func (b *Balancer) publish() {
+	proxyCount := float64(len(b.proxies.all))
+	backlog := b.channel.backlog(&b.site)
+	capacity := usableBacklogFraction*b.site.MaxBacklog - backlog - b.messageCost()*proxyCount
+	reserved := b.reservedCapacity(capacity + backlog)
+	capacity = b.publishWithdrawals(capacity)
+	capacity = b.publishAdmission(capacity)
+	b.publishWeights(capacity, reserved)
+}
+
+// weightChange is a weight to order. Changes of a higher priority go first.
+type weightChange struct {
+	fleet.SetWeight
+	priority float64
+}
+
+func (c *weightChange) isUrgent() bool { return c.priority >= urgentPriority }
+
+// reservedCapacity returns the capacity that ordinary weights leave to others. Proxies that are out of sync come
+// first, and more than the channel delivers until the next batch would only make others wait. The capacity given is
+// that of a channel without backlog.
+func (b *Balancer) reservedCapacity(emptyCapacity float64) float64 {
+	assignments := b.site.MaxBacklog * usableBacklogFraction * assignmentReserve * min(1, b.proxies.outOfSync)
+	maxBatch := maxBatchFraction * balanceInterval.Seconds() * b.site.EntriesPerSecond
+	return max(assignments, emptyCapacity-maxBatch)
+}
+
+// publishWithdrawals withdraws servers that are not ready and lets those back in that are again. It returns the
+// remaining capacity. Inherited tables send as much to servers in slow start as to others, so some of these are
+// withdrawn, too, while proxies use such tables.
+func (b *Balancer) publishWithdrawals(capacity float64) float64 {
+	serverCount := float64(len(b.endpoints.all))
+	unready := float64(len(b.endpoints.all) - len(b.endpoints.ready))
+	spare := maxUnavailableFraction*serverCount - unready
+	minCapacity := -maxWithdrawalOverdraft * b.site.MaxBacklog
+	for _, server := range b.endpoints.all {
+		withdraw := server.State != fleet.ServerReady
+		if !withdraw && b.proxies.outOfSync > 0 && b.warmingUp(server) && spare > 1 {
+			withdraw = true
+			spare--
+		}
+		if withdraw == server.withdrawn && !server.withdrawalUnconfirmed {
+			continue
+		}
+		entries := b.proxiesThatUse(server)
+		hasCapacity := capacity > entries || withdraw && capacity-entries > minCapacity
+		if !hasCapacity {
+			continue
+		}
+		capacity -= entries
+		server.withdrawn = withdraw
+		server.withdrawalUnconfirmed = false
+		server.withdrawalChangedAt = b.now
+		b.broadcast(fleet.WithdrawServer{Server: server.Server, Withdrawn: withdraw}, entries)
+	}
+	return capacity
+}
+
+// proxiesThatUse returns the number of proxies whose tables have a server or may have it.
+func (b *Balancer) proxiesThatUse(server *serverState) float64 {
+	proxyCount := float64(len(b.proxies.all))
+	count := b.proxies.outOfSync
+	for t := range b.tables {
+		if server.orderedWeight[t] > 0 || server.weightUnconfirmed[t] {
+			count = min(proxyCount, count+b.tables[t].proxyCount)
+		}
+	}
+	return count
+}
+
+// publishWeights orders weights that differ from the wanted ones. Urgent changes may exceed the capacity; ordinary
+// ones go once per balance interval, the largest first, and those that find no capacity are deferred.
+func (b *Balancer) publishWeights(capacity, reserved float64) {
+	includeOrdinary := b.channel.nextChangesAt > 0 && b.now >= b.channel.nextChangesAt
+	changes := b.weightChanges(includeOrdinary)
+	if includeOrdinary {
+		b.channel.nextChangesAt = 0
+	}
+	minCapacity := -maxWeightOverdraft * b.site.MaxBacklog
+	for i := range changes {
+		change := &changes[i]
+		entries := b.tables[change.Table].proxyCount
+		capacity -= entries
+		exceeded := capacity < minCapacity || !change.isUrgent() && capacity < reserved
+		if entries > 0 && exceeded {
+			b.channel.nextChangesAt = b.now + deferredChangesDelay
+			continue
+		}
+		server := b.endpoints.byID[change.Server]
+		server.orderedWeight[change.Table] = float64(change.Weight)
+		server.weightUnconfirmed[change.Table] = false
+		b.broadcast(change.SetWeight, entries)
+	}
+}
+
+// weightChanges returns the weights to order, those of the highest priority first.
+func (b *Balancer) weightChanges(includeOrdinary bool) []weightChange {
+	var changes []weightChange
+	entriesExpensive := b.entriesExpensive()
+	for t := range b.tables {
+		table := &b.tables[t]
+		scale := b.measureTableScale(t)
+		scale.sparse = entriesExpensive || table.proxyCount == 0
+		for _, server := range b.endpoints.all {
+			if change, isDue := b.changeFor(server, t, &scale, includeOrdinary); isDue {
+				changes = append(changes, change)
+			}
+		}
+	}
+	slices.SortStableFunc(changes, func(x, y weightChange) int { return cmp.Compare(y.priority, x.priority) })
+	return changes
+}
+
+// entriesExpensive reports whether sending all tables takes longer than a server may drain.
+func (b *Balancer) entriesExpensive() bool {
+	entries := float64(b.site.ProxyCount * len(b.endpoints.all))
+	return b.layout.partitioned && entries > b.site.EntriesPerSecond*b.site.DrainTimeout.Seconds()
+}
+
+// tableScale relates the wanted weights of a table to those ordered before.
+type tableScale struct {
+	unit    float64 // ordered weight for a wanted weight of 1
+	largest float64 // largest wanted weight
+	sparse  bool    // small weights are left out
+}
+
+// measureTableScale returns the scale of a table. Only the ratios of weights matter to proxies, so a factor that most
+// weights of a table have in common is no change.
+func (b *Balancer) measureTableScale(table int) tableScale {
+	var ratios []float64
+	largest := 0.0
+	for _, server := range b.endpoints.all {
+		wanted := server.wantedWeight[table]
+		largest = max(largest, wanted)
+		ratio := server.orderedWeight[table] / max(wanted, epsilon)
+		if ratio > 1/maxScaleRatio && ratio < maxScaleRatio {
+			ratios = append(ratios, ratio)
+		}
+	}
+	return tableScale{unit: cmp.Or(median(ratios), 1), largest: largest}
+}
+
+// changeFor returns the weight to order for a server in a table, and whether it is due: it differs from the one
+// ordered before, and it is urgent or ordinary changes are included.
+func (b *Balancer) changeFor(
+	server *serverState, index int, scale *tableScale, includeOrdinary bool,
+) (weightChange, bool) {
+	table := &b.tables[index]
+	unconfirmed := server.weightUnconfirmed[index]
+	ordered := server.orderedWeight[index]
+	weight := server.wantedWeight[index] * scale.unit
+	if scale.sparse && server.wantedWeight[index] < minSparseWeight*scale.largest {
+		weight = 0
+	}
+	size := math.Abs(weight - ordered)
+	if unconfirmed {
+		size = max(weight, ordered)
+	} else if isSmallChange(weight, ordered, size) || b.mayOmit(table, ordered, size, scale) {
+		return weightChange{}, false
+	}
+
+	exceedsWanted := ordered > maxWarmingWeightRatio*weight || unconfirmed
+	isNeededNow := table.orderedWeight == 0 || exceedsWanted && b.warmingUp(server)
+	urgent := isNeededNow && !server.withdrawn
+	if !urgent && !includeOrdinary {
+		return weightChange{}, false
+	}
+	change := weightChange{SetWeight: fleet.SetWeight{
+		Table:  fleet.TableID(index),
+		Server: server.Server,
+		Weight: float32(weight),
+	}}
+	switch {
+	case urgent:
+		change.priority = urgentPriority + size/scale.unit
+	case server.withdrawn:
+		change.priority = 0 // proxies do not use the weight at present
+	default:
+		change.priority = size / scale.unit
+	}
+	return change, true
+}
+
+// isSmallChange reports whether a change is not worth an entry.
+func isSmallChange(weight, ordered, size float64) bool {
+	return weight == ordered || weight > 0 && size <= minRelativeChange*ordered
+}
+
+// mayOmit reports whether a server with a small weight need not be added to a table, as that would make assignments
+// more expensive while they wait. A table without any weight in use needs it.
+func (b *Balancer) mayOmit(table *weightTable, ordered, size float64, scale *tableScale) bool {
+	if ordered != 0 || size >= minAddedWeight*scale.unit {
+		return false
+	}
+	dispensable := table.orderedWeight > 0 || table.proxyCount == 0
+	return dispensable && (b.schedule.observing || b.proxies.outOfSync > 0)
+}
