--- a/internal/reconcile/arrange.go
+++ b/internal/reconcile/arrange.go
@@ -10,13 +10,13 @@
 // hold it back, or lower the weight that it wants.
 type Proposal struct {
 	Change
-	Have, Want  EntryState // of lines
-	Ready, Cold bool       // the line's server: listed as ready; started a short while ago
-	Urgent      bool       // keeps visits from where they do harm: goes first
-	Hold        string     // why a judge holds it back
-	Lowered     string     // why a judge wants less than was wanted
-	key         key
-	at          int // of the line in sent
+	Have, Want     EntryState // of lines
+	Ready, Warming bool       // the line's server: listed as ready; started a short while ago
+	Urgent         bool       // keeps visits from where they do harm: goes first
+	HoldReason     string     // why a judge holds it back
+	LowerReason    string     // why a judge wants less than was wanted
+	key            key
+	at             int // of the line in sent
 }
 
 // Usable tells whether a cell lets visits in.
@@ -24,10 +24,10 @@
 	return c.Present && !c.Unknown && c.State == StateReady && c.Weight > 0
 }
 
-// Gives tells whether the change gives (1) or takes (-1) the class a line of a ready server.
-func (p *Proposal) Gives() int {
+// EntryDelta tells whether the change gives (1) or takes (-1) the class a line of a ready server.
+func (p *Proposal) EntryDelta() int {
 	switch {
-	case !p.Ready || p.Kind == UpdateAdmission || p.Hold != "":
+	case !p.Ready || p.Kind == UpdateAdmission || p.HoldReason != "":
 		return 0
 	case p.Want.Usable() && !p.Have.Usable():
 		return 1
@@ -37,9 +37,9 @@
 	return 0
 }
 
-// Adds gives by how much the change raises the weights of ready servers' usable lines.
-func (p *Proposal) Adds() int {
-	if !p.Ready || p.Kind == UpdateAdmission || p.Hold != "" {
+// WeightDelta gives by how much the change raises the weights of ready servers' usable lines.
+func (p *Proposal) WeightDelta() int {
+	if !p.Ready || p.Kind == UpdateAdmission || p.HoldReason != "" {
 		return 0
 	}
 	return weightIn(p.Want) - weightIn(p.Have)
@@ -54,13 +54,13 @@
 
 // UpdatePlan is a message before it leaves, with what the proxy holds before it.
 type UpdatePlan struct {
-	Proxy     fleet.ProxyID
-	Proposals []Proposal
-	Entries   []int          // by class: lines to pick of ready servers
-	Sum       []int          // by class: their weights
-	Cold      []WarmingEntry // of ready servers that started a short while ago
-	Alone     bool           // nothing else is on its way to the proxy
-	sorted    []Proposal     // room
+	Proxy           fleet.ProxyID
+	Proposals       []Proposal
+	EntryCounts     []int          // by class: lines to pick of ready servers
+	WeightSums      []int          // by class: their weights
+	Warming         []WarmingEntry // of ready servers that started a short while ago
+	NothingInFlight bool           // nothing else is on its way to the proxy
+	sorted          []Proposal     // room
 }
 
 // WarmingEntry is a usable line of a cold server.
@@ -75,18 +75,18 @@
 // SafetyCheck is asked about each message before it leaves. It may hold proposals back, lower their weights and add cuts by
 // Cut; it changes nothing else.
 type SafetyCheck interface {
-	Joined(now fleet.Time, d *UpdatePlan) // what a proxy holds at its join
-	Message(now fleet.Time, d *UpdatePlan)
-	Answered(now fleet.Time, d *UpdatePlan) // all is answered: what the proxy holds for sure
-	Left(id fleet.ProxyID)
+	ProxyJoined(now fleet.Time, d *UpdatePlan) // what a proxy holds at its join
+	CheckPlan(now fleet.Time, d *UpdatePlan)
+	ProxyAcknowledged(now fleet.Time, d *UpdatePlan) // all is answered: what the proxy holds for sure
+	ProxyLeft(id fleet.ProxyID)
 }
 
-// Cut adds a change that lowers a cold line to a weight.
-func (d *UpdatePlan) Cut(line WarmingEntry, weight int16, why string) {
+// AddWeightCut adds a change that lowers a cold line to a weight.
+func (d *UpdatePlan) AddWeightCut(line WarmingEntry, weight int16, why string) {
 	want := line.State
 	want.Weight = weight
 	d.Proposals = append(d.Proposals, Proposal{Change: Change{Kind: UpdateEntry, Class: line.Class, Server: line.Server, Weight: weight},
-		Have: line.State, Want: want, Ready: true, Cold: true, Urgent: true, Lowered: why, key: key{server: line.server}, at: line.at})
+		Have: line.State, Want: want, Ready: true, Warming: true, Urgent: true, LowerReason: why, key: key{server: line.server}, at: line.at})
 }
 
 // Arrange puts proposals into the order in which they do least harm while the proxy reads them one by one: what keeps
@@ -106,13 +106,13 @@
 		take
 	)
 	rank := func(p *Proposal) int {
-		gives, adds := p.Gives(), p.Adds()
+		gives, adds := p.EntryDelta(), p.WeightDelta()
 		switch {
-		case p.Cold && p.Ready && adds < 0, p.Urgent && gives >= 0 && adds <= 0:
+		case p.Warming && p.Ready && adds < 0, p.Urgent && gives >= 0 && adds <= 0:
 			return urgent
 		case gives < 0:
 			return take
-		case p.Cold && adds > 0:
+		case p.Warming && adds > 0:
 			return coldRise
 		case gives > 0:
 			return gain
@@ -138,22 +138,22 @@
 		}
 		d.Proposals, d.sorted = d.sorted, d.Proposals
 	}
-	left := slices.Clone(d.Entries)
+	left := slices.Clone(d.EntryCounts)
 	for i := 0; i < len(d.Proposals); i++ {
 		p := &d.Proposals[i]
-		if p.Kind == UpdateAdmission || p.Hold != "" {
+		if p.Kind == UpdateAdmission || p.HoldReason != "" {
 			continue
 		}
-		last := p.Gives() < 0 && left[p.Class] == 1 || !p.Ready && p.Have.Usable() && left[p.Class] == 0
+		last := p.EntryDelta() < 0 && left[p.Class] == 1 || !p.Ready && p.Have.Usable() && left[p.Class] == 0
 		if last && rank(p) == urgent {
 			for j := i + 1; j < len(d.Proposals); j++ {
-				if q := d.Proposals[j]; q.Class == p.Class && q.Gives() > 0 {
+				if q := d.Proposals[j]; q.Class == p.Class && q.EntryDelta() > 0 {
 					copy(d.Proposals[i+1:j+1], d.Proposals[i:j])
 					d.Proposals[i] = q
 					break
 				}
 			}
 		}
-		left[d.Proposals[i].Class] += d.Proposals[i].Gives()
+		left[d.Proposals[i].Class] += d.Proposals[i].EntryDelta()
 	}
 }
--- a/internal/reconcile/channel.go
+++ b/internal/reconcile/channel.go
@@ -71,7 +71,7 @@
 		if x.queued == 0 && len(x.due) == 0 && x.retryAt == 0 && !x.deferred { // the last one takes along what is left over
 			x.allowed = max(x.allowed, len(x.pending))
 		}
-		for len(x.flying) < window && p.mayWrite(now, x) && (len(x.due) > 0 || x.allowed > 0 && len(x.pending) > 0) {
+		for len(x.flying) < maxInFlightMessages && p.mayWrite(now, x) && (len(x.due) > 0 || x.allowed > 0 && len(x.pending) > 0) {
 			if m, ok := p.write(now, x); ok {
 				out = append(out, m)
 			}
@@ -91,7 +91,7 @@
 		soon(x.retryAt)
 		soon(x.againAt)
 		if len(x.flying) > 0 {
-			soon(x.heard + p.stuckAfter())
+			soon(x.heard + p.stuckTimeout())
 			if slow := x.flying[0].left + p.slowAfter(); slow > now {
 				soon(slow)
 			}
@@ -107,7 +107,7 @@
 	if p.paced < 0 {
 		p.paced = now
 	}
-	most := max(1, burst.Seconds()*p.site.EntriesPerSecond)
+	most := max(1, maxBurstDuration.Seconds()*p.site.EntriesPerSecond)
 	p.credit = min(most, p.credit+max(0, (now-p.paced).Seconds())*p.site.EntriesPerSecond)
 	p.paced = max(p.paced, now) // a clock that goes back lets nothing leave twice
 	for p.head < len(p.queue) {
@@ -162,7 +162,7 @@
 		x.allowed, x.urgent, x.ordinary = 0, x.urgent[:0], x.ordinary[:0]
 	}
 	if p.judge != nil && len(d.Proposals) > 0 {
-		p.judge.Message(now, d)
+		p.judge.CheckPlan(now, d)
 	}
 	Arrange(d)
 	if p.adopt(now, x, b, d); len(b.changes) > 0 || b.seq > 0 {
@@ -193,12 +193,12 @@
 // draft tells what a proxy holds, once all that is on its way has arrived.
 func (p *Reconciler) draft(now fleet.Time, x *proxy) *UpdatePlan {
 	d := &p.scratch
-	*d = UpdatePlan{Proxy: x.id, Proposals: d.Proposals[:0], sorted: d.sorted, Entries: x.lines, Sum: x.sums, Cold: d.Cold[:0], Alone: len(x.flying) == 0}
+	*d = UpdatePlan{Proxy: x.id, Proposals: d.Proposals[:0], sorted: d.sorted, EntryCounts: x.lines, WeightSums: x.sums, Warming: d.Warming[:0], NothingInFlight: len(x.flying) == 0}
 	for _, i := range p.coldNow(now) {
 		for c := range p.classes() {
 			at := int(i)*p.classes() + c
 			if cell := x.sent[at]; cell.Usable() && p.ready(i) {
-				d.Cold = append(d.Cold, WarmingEntry{fleet.ClassID(c), p.servers[i].id, cell, at, i})
+				d.Warming = append(d.Warming, WarmingEntry{fleet.ClassID(c), p.servers[i].id, cell, at, i})
 			}
 		}
 	}
@@ -215,13 +215,13 @@
 func (p *Reconciler) adopt(now fleet.Time, x *proxy, b *parcel, d *UpdatePlan) {
 	for i := range d.Proposals {
 		q := &d.Proposals[i]
-		if why := cmp.Or(q.Hold, q.Lowered); why != "" {
+		if why := cmp.Or(q.HoldReason, q.LowerReason); why != "" {
 			p.refuse(now, x, q, why)
 		} else if _, was := x.held[q.key]; was {
 			p.allow(x, q.key)
 		}
 		switch {
-		case q.Hold != "":
+		case q.HoldReason != "":
 			continue
 		case q.Kind == UpdateAdmission:
 			x.levels[q.Class] = q.Admission
@@ -275,7 +275,7 @@
 	}
 	p.answered(now, b) // marks are settled by Next
 	if len(x.flying) == 0 && p.judge != nil {
-		p.judge.Answered(now, p.draft(now, x))
+		p.judge.ProxyAcknowledged(now, p.draft(now, x))
 	}
 }
 
@@ -367,14 +367,14 @@
 
 func (p *Reconciler) slowAfter() fleet.Time { return max(slowLeast, slowTravel*p.site.MeanUpdateDelay) }
 
-func (p *Reconciler) stuckAfter() fleet.Time {
+func (p *Reconciler) stuckTimeout() fleet.Time {
 	return max(stuckLeast, stuckTurns*p.site.MaxUpdateDelay)
 }
 
 // stuck gives up on proxies that answer nothing at all.
 func (p *Reconciler) stuck(now fleet.Time) {
 	for _, x := range slices.Clone(p.order) {
-		if len(x.flying) > 0 && now >= x.heard+p.stuckAfter() {
+		if len(x.flying) > 0 && now >= x.heard+p.stuckTimeout() {
 			p.drops = append(p.drops, x.id)
 			p.alarms = append(p.alarms, Notice{Proxy: x.id, Text: "nothing came back to its messages; its stream is broken off"})
 			p.Leave(x.id)
--- a/internal/reconcile/push.go
+++ b/internal/reconcile/push.go
@@ -37,7 +37,7 @@
 // it holds back all the same.
 func (p *Reconciler) SetManualWeight(now fleet.Time, table fleet.TableID, server fleet.ServerID, weight int16, until fleet.Time) {
 	i := p.server(server)
-	p.pushes[push{table, i}] = pushed{max(0, min(weightMost, weight)), until}
+	p.pushes[push{table, i}] = pushed{max(0, min(maxWeight, weight)), until}
 	p.repush(now, table, i)
 }
 
--- a/internal/reconcile/steer.go
+++ b/internal/reconcile/steer.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	weightMost  = 256 // of a server in the runtime API of a proxy
-	weightAim   = 128 // of a table's largest line when it is scaled: may double before all lines change
-	weightFew   = 64  // of a table's largest line: under it rounding is over 0.8% of that line, so it is scaled anew
-	perMille    = 1000
-	rateAll     = 1e6                     // visits a second that no proxy reaches: let in all
-	window      = 2                       // messages to a proxy without answers: one applies while one travels
-	spareWrites = 3                       // of the messages that may go to a proxy: kept for what is urgent
-	burst       = 50 * fleet.Millisecond  // the pace may be caught up by so much: a timer's delay under load
-	slowTravel  = 4                       // mean ways of a message after which a proxy is slow and holds no mark
-	slowLeast   = 500 * fleet.Millisecond // the same at least: a turn of a loaded proxy's event loop
-	stuckTurns  = 4                       // longest ways without any answer after which a proxy counts as gone
-	stuckLeast  = 5 * fleet.Second        // the same at least: a proxy's reload takes some seconds
-	retryFirst  = fleet.Second            // wait before a change that was answered with an error is sent again
-	retryLast   = 32 * fleet.Second       // the same at most, by doubling
-	forgetGone  = 60 * fleet.Second       // a gone server's lines are deleted after so long, when visits have ended
+	maxWeight           = 256 // of a server in the runtime API of a proxy
+	targetLargestWeight = 128 // of a table's largest line when it is scaled: may double before all lines change
+	minLargestWeight    = 64  // of a table's largest line: under it rounding is over 0.8% of that line, so it is scaled anew
+	perMille            = 1000
+	rateAll             = 1e6                     // visits a second that no proxy reaches: let in all
+	maxInFlightMessages = 2                       // messages to a proxy without answers: one applies while one travels
+	spareWrites         = 3                       // of the messages that may go to a proxy: kept for what is urgent
+	maxBurstDuration    = 50 * fleet.Millisecond  // the pace may be caught up by so much: a timer's delay under load
+	slowTravel          = 4                       // mean ways of a message after which a proxy is slow and holds no mark
+	slowLeast           = 500 * fleet.Millisecond // the same at least: a turn of a loaded proxy's event loop
+	stuckTurns          = 4                       // longest ways without any answer after which a proxy counts as gone
+	stuckLeast          = 5 * fleet.Second        // the same at least: a proxy's reload takes some seconds
+	retryFirst          = fleet.Second            // wait before a change that was answered with an error is sent again
+	retryLast           = 32 * fleet.Second       // the same at most, by doubling
+	forgetGone          = 60 * fleet.Second       // a gone server's lines are deleted after so long, when visits have ended
 )
 
 // State is what keeps visits from a line, beside its weight.
@@ -335,7 +335,7 @@
 	if anew { // proxies may hold lines of what is cold now
 		defer func() {
 			for _, x := range p.order {
-				p.judge.Answered(now, p.draft(now, x))
+				p.judge.ProxyAcknowledged(now, p.draft(now, x))
 			}
 		}()
 	}
@@ -408,7 +408,7 @@
 		}
 	}
 	if p.judge != nil {
-		p.judge.Joined(now, p.draft(now, x))
+		p.judge.ProxyJoined(now, p.draft(now, x))
 	}
 	p.send(now, x, len(x.pending), nil)
 	p.events = append(p.events, fleet.ProxyJoined{Proxy: id, Zone: snap.Zone, RequestRate: snap.RequestRate, Fresh: snap.Fresh})
@@ -436,7 +436,7 @@
 		p.allow(x, k)
 	}
 	if p.judge != nil {
-		p.judge.Left(id)
+		p.judge.ProxyLeft(id)
 	}
 	p.events = append(p.events, fleet.ProxyLeft{Proxy: id})
 	p.settle()
@@ -553,8 +553,8 @@
 	before := t.weights[i]
 	t.weights[i] = float64(o.Weight)
 	most := slices.Max(t.weights)
-	if rescale := most*t.scale > weightMost || most*t.scale < weightFew; most > 0 && rescale {
-		t.scale = weightAim / most
+	if rescale := most*t.scale > maxWeight || most*t.scale < minLargestWeight; most > 0 && rescale {
+		t.scale = targetLargestWeight / most
 		p.users(o.Table, func(x *proxy) {
 			for j, w := range t.weights {
 				if w > 0 {
@@ -617,8 +617,8 @@
 	}
 }
 
-// wantCell works out what a proxy should hold of a server in a class.
-func (p *Reconciler) wantCell(x *proxy, i int32, c int) EntryState {
+// desiredEntry works out what a proxy should hold of a server in a class.
+func (p *Reconciler) desiredEntry(x *proxy, i int32, c int) EntryState {
 	s, at := &p.servers[i], int(i)*p.classes()+c
 	own := x.own[at]
 	if own.WrongAddress = false; !x.bound[c] {
@@ -651,7 +651,7 @@
 	if weight <= 0 {
 		return 0
 	}
-	return int16(min(weightMost, max(1, math.Round(weight*scale))))
+	return int16(min(maxWeight, max(1, math.Round(weight*scale))))
 }
 
 func (p *Reconciler) wantLevel(x *proxy, c int) Admission {
@@ -678,7 +678,7 @@
 
 func (p *Reconciler) differs(x *proxy, i int32) bool {
 	for c := range p.classes() {
-		if have := x.sent[int(i)*p.classes()+c]; have != p.wantCell(x, i, c) {
+		if have := x.sent[int(i)*p.classes()+c]; have != p.desiredEntry(x, i, c) {
 			return true
 		}
 	}
@@ -697,12 +697,12 @@
 	}
 	for c := range p.classes() {
 		at := int(k.server)*p.classes() + c
-		have, want := x.sent[at], p.wantCell(x, k.server, c)
+		have, want := x.sent[at], p.desiredEntry(x, k.server, c)
 		if have == want || !want.Present && !have.Present {
 			continue
 		}
 		d.Proposals = append(d.Proposals, Proposal{Change: changeTo(fleet.ClassID(c), p.servers[k.server].id, have, want), Have: have,
-			Want: want, Ready: p.ready(k.server), Cold: p.cold(&p.servers[k.server], now), Urgent: urgent, key: k, at: at})
+			Want: want, Ready: p.ready(k.server), Warming: p.cold(&p.servers[k.server], now), Urgent: urgent, key: k, at: at})
 	}
 	if _, was := x.held[k]; was && !p.differs(x, k.server) {
 		p.allow(x, k)
@@ -726,10 +726,10 @@
 	return ch
 }
 
-// Lower gives a proposal less weight than was wanted.
-func (p *Proposal) Lower(weight int16, why string) {
+// LowerWeight gives a proposal less weight than was wanted.
+func (p *Proposal) LowerWeight(weight int16, why string) {
 	p.Want.Weight = weight
-	p.Change, p.Lowered = changeTo(p.Class, p.Server, p.Have, p.Want), why
+	p.Change, p.LowerReason = changeTo(p.Class, p.Server, p.Have, p.Want), why
 }
 
 // set changes what a proxy holds of a line, and the sums that go with it.
--- a/internal/reconcile/steer_test.go
+++ b/internal/reconcile/steer_test.go
@@ -150,7 +150,7 @@
 					marks[a.Barrier]++
 				}
 			}
-			if most := (now-began).Seconds()*p.site.EntriesPerSecond + 2*burst.Seconds()*p.site.EntriesPerSecond + 100; lines > most {
+			if most := (now-began).Seconds()*p.site.EntriesPerSecond + 2*maxBurstDuration.Seconds()*p.site.EntriesPerSecond + 100; lines > most {
 				t.Fatalf("%.0f lines have left, the pace allows %.0f", lines, most)
 			}
 		}
@@ -302,7 +302,7 @@
 		t.Helper()
 		for s := range 3 {
 			for c := range 2 {
-				if got, want := f.lines[[2]uint32{uint32(s), uint32(c)}], p.wantCell(p.proxies[0], int32(s), c); got != want {
+				if got, want := f.lines[[2]uint32{uint32(s), uint32(c)}], p.desiredEntry(p.proxies[0], int32(s), c); got != want {
 					t.Errorf("%s: server %d, class %d: held %+v, wanted %+v", when, s, c, got, want)
 				}
 			}
@@ -331,10 +331,10 @@
 		for _, w := range weights {
 			most = max(most, w)
 		}
-		for scale := weightFew / most; scale <= weightMost/most; scale *= 1.3 {
+		for scale := minLargestWeight / most; scale <= maxWeight/most; scale *= 1.3 {
 			for _, w := range weights {
 				r := float64(Round(w, scale))
-				if r < 1 || math.Abs(r-w*scale) > max(0.5, 1-w*scale)+1e-9 || r > weightMost {
+				if r < 1 || math.Abs(r-w*scale) > max(0.5, 1-w*scale)+1e-9 || r > maxWeight {
 					t.Fatalf("%v at %v becomes %v", w, scale, r)
 				}
 			}
@@ -406,7 +406,7 @@
 			p.Acknowledge(now, m.Proxy, m.Sequence, nil)
 		}
 		for _, e := range events {
-			if _, ok := e.(fleet.BarrierReached); ok && now < began+p.stuckAfter()-fleet.Second {
+			if _, ok := e.(fleet.BarrierReached); ok && now < began+p.stuckTimeout()-fleet.Second {
 				answered++
 			}
 		}
@@ -415,13 +415,13 @@
 		}
 		now += 10 * fleet.Millisecond
 	}
-	if toSlow > window {
-		t.Errorf("%d messages to a proxy that answers none, the window is %d", toSlow, window)
+	if toSlow > maxInFlightMessages {
+		t.Errorf("%d messages to a proxy that answers none, the window is %d", toSlow, maxInFlightMessages)
 	}
 	if answered < 30 {
 		t.Errorf("only %d of some 40 marks of two others answered while one proxy was slow", answered)
 	}
-	if dropped == 0 || dropped < began+p.stuckAfter() || dropped > began+p.stuckAfter()+fleet.Second {
+	if dropped == 0 || dropped < began+p.stuckTimeout() || dropped > began+p.stuckTimeout()+fleet.Second {
 		t.Errorf("given up on after %v s", (dropped - began).Seconds())
 	}
 }
@@ -509,7 +509,7 @@
 	}
 	for j := range 40 {
 		x := p.proxies[3]
-		if x.sent[2*j] != p.wantCell(x, int32(j), 0) {
+		if x.sent[2*j] != p.desiredEntry(x, int32(j), 0) {
 			t.Errorf("server %d: %+v", j, x.sent[2*j])
 		}
 	}
--- a/internal/reconcile/versions.go
+++ b/internal/reconcile/versions.go
@@ -175,7 +175,7 @@
 	}
 	weights := make([]int16, len(p.servers))
 	for i := range p.servers {
-		weights[i] = int16(min(weightMost, t.book.Weight(p.servers[i].id)))
+		weights[i] = int16(min(maxWeight, t.book.Weight(p.servers[i].id)))
 	}
 	for at := range p.pushes { // a way back goes over what was set by hand
 		if at.table == id {
@@ -396,12 +396,12 @@
 	}
 	weights := make([]int16, len(p.servers))
 	for _, l := range pinned.Weights {
-		weights[p.index[l.Server]] = int16(max(0, min(weightMost, l.Weight)))
+		weights[p.index[l.Server]] = int16(max(0, min(maxWeight, l.Weight)))
 	}
 	t.pin = &pin{weights, pinned.Until, pinned.Reason}
 }
 
 // RestoreManualWeight takes up a weight that staff had set; it makes no version, as nothing is published yet.
 func (p *Reconciler) RestoreManualWeight(o ManualWeight) {
-	p.pushes[push{o.Table, p.server(o.Server)}] = pushed{max(0, min(weightMost, o.Weight)), o.Until}
+	p.pushes[push{o.Table, p.server(o.Server)}] = pushed{max(0, min(maxWeight, o.Weight)), o.Until}
 }
--- a/internal/safety/guard.go
+++ b/internal/safety/guard.go
@@ -32,11 +32,11 @@
 
 // Reasons, as staff see them.
 const (
-	WhyGone     = "its server is draining or gone"
-	WhyBare     = "the class would have no ready server"
-	WhyCold     = "a cold server would get more than it can bear"
-	WhyTwice    = "a visit could run twice"
-	WhyOverload = "the other servers could not carry it"
+	ReasonServerNotReady       = "its server is draining or gone"
+	ReasonNoEndpoints          = "the class would have no ready server"
+	ReasonWarmingOverload      = "a cold server would get more than it can bear"
+	ReasonDuplicateExecution   = "a visit could run twice"
+	ReasonInsufficientCapacity = "the other servers could not carry it"
 )
 
 type sample struct {
@@ -48,14 +48,14 @@
 
 type server struct {
 	fleet.Endpoint
-	samples  []sample
-	capacity float64    // visits a second of ours at a busy share of 1, as last measured
-	carried  float64    // visits a second of ours that it was seen to handle when that was measured
-	at       fleet.Time // of that
-	loads    []float64  // by proxy, while cold: the most that each may send, visits a second
-	total    float64    // of loads
-	bears    float64    // as worked out at bearsAt
-	bearsAt  fleet.Time
+	samples    []sample
+	capacity   float64    // visits a second of ours at a busy share of 1, as last measured
+	carried    float64    // visits a second of ours that it was seen to handle when that was measured
+	measuredAt fleet.Time // of that
+	loads      []float64  // by proxy, while cold: the most that each may send, visits a second
+	total      float64    // of loads
+	bears      float64    // as worked out at bearsAt
+	bearsAt    fleet.Time
 }
 
 type proxy struct {
@@ -187,7 +187,7 @@
 	for zone, n := range good { // the sum of floats in any order differs in its last bits only
 		carried += n / max(none, span[zone])
 	}
-	s.carried, s.capacity, s.at = carried, carried, now
+	s.carried, s.capacity, s.measuredAt = carried, carried, now
 	g.kindsAt = -1
 	if told > 0 {
 		s.capacity = max(carried, carried/max(busyLeast, busy/told))
@@ -203,10 +203,10 @@
 	return max(0, min(1, float64(trustGone-age)/float64(trustGone-trustFull)))
 }
 
-// can gives the capacity that a warm server surely has: what was measured while that is fresh, then, falling with its
+// trustedCapacity gives the capacity that a warm server surely has: what was measured while that is fresh, then, falling with its
 // age, no more than what it was seen to carry. Known: it was ever heard of.
-func (s *server) can(now fleet.Time) (capacity float64, known bool) {
-	return s.carried + (s.capacity-s.carried)*trust(max(0, now-s.at)), s.at > 0
+func (s *server) trustedCapacity(now fleet.Time) (capacity float64, known bool) {
+	return s.carried + (s.capacity-s.carried)*trust(max(0, now-s.measuredAt)), s.measuredAt > 0
 }
 
 // coldCan gives the visits a second that a cold server surely can when warm: the low quartile of what warm ones of its
@@ -217,7 +217,7 @@
 		g.kindsAt, g.kinds = now, map[fleet.KindID]float64{}
 		same, all := map[fleet.KindID][]float64{}, []float64{}
 		for _, s := range g.servers {
-			if c, known := s.can(now); known && s.State == fleet.ServerReady && !g.cold(now, s) {
+			if c, known := s.trustedCapacity(now); known && s.State == fleet.ServerReady && !g.cold(now, s) {
 				same[s.Kind], all = append(same[s.Kind], c), append(all, c)
 			}
 		}
@@ -311,8 +311,8 @@
 // Counts tells how many proposals passed and how many were held back or lowered.
 func (g *Guard) Counts() (passed, stopped uint64) { return g.passed, g.stopped }
 
-// Left keeps what the proxy may go on sending: it is counted until the cold servers are warm.
-func (g *Guard) Left(id fleet.ProxyID) {}
+// ProxyLeft keeps what the proxy may go on sending: it is counted until the cold servers are warm.
+func (g *Guard) ProxyLeft(id fleet.ProxyID) {}
 
 // line is a cold line as it will be after a message.
 type line struct {
@@ -334,26 +334,26 @@
 	}
 }
 
-// Joined takes in what a proxy holds.
-func (g *Guard) Joined(now fleet.Time, d *reconcile.UpdatePlan) { g.Answered(now, d) }
+// ProxyJoined takes in what a proxy holds.
+func (g *Guard) ProxyJoined(now fleet.Time, d *reconcile.UpdatePlan) { g.ProxyAcknowledged(now, d) }
 
-// Answered takes in that a proxy holds what it was sent, and, if nothing else is on its way, nothing else any more.
-func (g *Guard) Answered(now fleet.Time, d *reconcile.UpdatePlan) {
-	loads := g.loads(d, coldLines(d, false), d.Sum)
-	if d.Alone {
+// ProxyAcknowledged takes in that a proxy holds what it was sent, and, if nothing else is on its way, nothing else any more.
+func (g *Guard) ProxyAcknowledged(now fleet.Time, d *reconcile.UpdatePlan) {
+	loads := g.loads(d, coldLines(d, false), d.WeightSums)
+	if d.NothingInFlight {
 		for id, s := range g.servers {
 			if s.sends(d.Proxy) > 0 {
 				loads[id] = max(loads[id], 0) // none, where it has no line any more
 			}
 		}
 	}
-	g.commit(d, loads, d.Alone)
+	g.commit(d, loads, d.NothingInFlight)
 }
 
 // coldLines gives the cold lines of a draft as they are before it or will be after it.
 func coldLines(d *reconcile.UpdatePlan, after bool) []line {
 	var lines []line
-	for _, c := range d.Cold {
+	for _, c := range d.Warming {
 		lines = append(lines, line{c, int(c.State.Weight), -1})
 	}
 	if !after {
@@ -361,11 +361,11 @@
 	}
 	for i := range d.Proposals {
 		p := &d.Proposals[i]
-		if !p.Cold || !p.Ready || p.Kind == reconcile.UpdateAdmission {
+		if !p.Warming || !p.Ready || p.Kind == reconcile.UpdateAdmission {
 			continue
 		}
 		weight := 0
-		if cell := p.Want; p.Hold != "" {
+		if cell := p.Want; p.HoldReason != "" {
 			cell = p.Have
 			if cell.Usable() {
 				weight = int(cell.Weight)
@@ -394,24 +394,24 @@
 	return loads
 }
 
-// Message judges one message. The order in which rules go: drains bind even where the last server goes; then nobody
+// CheckPlan judges one message. The order in which rules go: drains bind even where the last server goes; then nobody
 // bare; then cold.
-func (g *Guard) Message(now fleet.Time, d *reconcile.UpdatePlan) {
+func (g *Guard) CheckPlan(now fleet.Time, d *reconcile.UpdatePlan) {
 	for i := range d.Proposals {
 		p := &d.Proposals[i]
 		switch {
 		case p.Kind == reconcile.UpdateAdmission:
 			if most := g.RetryMost(p.Class); p.Admission.Retry > most {
-				p.Admission.Retry, p.Lowered = most, WhyTwice
+				p.Admission.Retry, p.LowerReason = most, ReasonDuplicateExecution
 			}
 		case !p.Ready && p.Want.Usable() && !p.Have.Usable() && g.binds(p.Server):
-			p.Hold = WhyGone
+			p.HoldReason = ReasonServerNotReady
 		}
 	}
 	g.bare(d)
 	g.crowd(now, d)
 	for i := range d.Proposals {
-		if d.Proposals[i].Hold != "" || d.Proposals[i].Lowered != "" {
+		if d.Proposals[i].HoldReason != "" || d.Proposals[i].LowerReason != "" {
 			g.stopped++
 		} else {
 			g.passed++
@@ -428,8 +428,8 @@
 // bare holds back what would take a class's last line of a ready server: of the lines that the message takes, the one
 // with the largest weight stays, a warm one before a cold one.
 func (g *Guard) bare(d *reconcile.UpdatePlan) {
-	for c := range d.Entries {
-		left, keep := d.Entries[c], -1
+	for c := range d.EntryCounts {
+		left, keep := d.EntryCounts[c], -1
 		if left == 0 {
 			continue // it is bare already, by nobody's order of now
 		}
@@ -438,17 +438,17 @@
 			if int(p.Class) != c || p.Kind == reconcile.UpdateAdmission {
 				continue
 			}
-			gives := p.Gives()
+			gives := p.EntryDelta()
 			if left += gives; gives >= 0 {
 				continue
 			}
-			if keep < 0 || d.Proposals[keep].Cold && !p.Cold ||
-				d.Proposals[keep].Cold == p.Cold && p.Have.Weight > d.Proposals[keep].Have.Weight {
+			if keep < 0 || d.Proposals[keep].Warming && !p.Warming ||
+				d.Proposals[keep].Warming == p.Warming && p.Have.Weight > d.Proposals[keep].Have.Weight {
 				keep = i
 			}
 		}
 		if left <= 0 && keep >= 0 {
-			d.Proposals[keep].Hold = WhyBare
+			d.Proposals[keep].HoldReason = ReasonNoEndpoints
 		}
 	}
 }
@@ -462,12 +462,12 @@
 	}
 	lines := coldLines(d, true)
 	tried := map[fleet.ServerID]int{}
-	before := g.loads(d, coldLines(d, false), d.Sum)
+	before := g.loads(d, coldLines(d, false), d.WeightSums)
 	loads, cut := g.peaks(d)
 	for range lowerTries * (len(lines) + 1) {
 		worst, over, room := fleet.ServerID(0), 0.0, 0.0
 		for _, l := range lines { // in their order, so that the same draft is judged the same each time
-			free := max(0, g.Bearable(now, l.Server)-g.others(l.Server, d.Proxy))
+			free := max(0, g.Bearable(now, l.Server)-g.otherProxiesLoad(l.Server, d.Proxy))
 			load := loads[l.Server]
 			if before[l.Server] > free { // it began too high: what counts is what its cut leaves
 				load = cut[l.Server]
@@ -493,7 +493,7 @@
 		lines = coldLines(d, true)
 		loads, cut = g.peaks(d)
 	}
-	g.commit(d, loads, d.Alone)
+	g.commit(d, loads, d.NothingInFlight)
 }
 
 // harmless passes what is plainly so, at a cost of the proxy's cold lines only: nothing raises a cold line, and after the
@@ -501,27 +501,27 @@
 // and will be after, nothing between is worse.
 func (g *Guard) harmless(now fleet.Time, d *reconcile.UpdatePlan) bool {
 	for i := range d.Proposals {
-		if p := &d.Proposals[i]; p.Cold && p.Ready && p.Kind != reconcile.UpdateAdmission {
+		if p := &d.Proposals[i]; p.Warming && p.Ready && p.Kind != reconcile.UpdateAdmission {
 			return false
 		}
 	}
-	if len(d.Cold) == 0 {
+	if len(d.Warming) == 0 {
 		return true
 	}
-	g.sums = append(g.sums[:0], d.Sum...)
+	g.sums = append(g.sums[:0], d.WeightSums...)
 	for i := range d.Proposals {
 		if p := &d.Proposals[i]; p.Kind != reconcile.UpdateAdmission {
-			g.sums[p.Class] += p.Adds()
+			g.sums[p.Class] += p.WeightDelta()
 		}
 	}
 	g.each = g.each[:0]
-	for c := range d.Sum { // visits a second that a weight of one brings
+	for c := range d.WeightSums { // visits a second that a weight of one brings
 		g.each = append(g.each, g.Demand(d.Proxy, fleet.ClassID(c))/float64(max(1, g.sums[c])))
 	}
-	for i := 0; i < len(d.Cold); {
-		id, load := d.Cold[i].Server, 0.0
-		for ; i < len(d.Cold) && d.Cold[i].Server == id; i++ { // a server's lines stand together
-			load += g.each[d.Cold[i].Class] * float64(d.Cold[i].State.Weight)
+	for i := 0; i < len(d.Warming); {
+		id, load := d.Warming[i].Server, 0.0
+		for ; i < len(d.Warming) && d.Warming[i].Server == id; i++ { // a server's lines stand together
+			load += g.each[d.Warming[i].Class] * float64(d.Warming[i].State.Weight)
 		}
 		s := g.servers[id]
 		if s == nil {
@@ -543,26 +543,26 @@
 	order := *d
 	order.Proposals = slices.Clone(d.Proposals)
 	reconcile.Arrange(&order)
-	lines, sums := coldLines(d, false), slices.Clone(d.Sum)
+	lines, sums := coldLines(d, false), slices.Clone(d.WeightSums)
 	most, cut = g.loads(d, lines, sums), map[fleet.ServerID]float64{}
 	for i := range order.Proposals {
 		p := &order.Proposals[i]
-		adds := p.Adds()
+		adds := p.WeightDelta()
 		if adds == 0 {
 			continue
 		}
 		sums[p.Class] += adds
-		if p.Cold {
+		if p.Warming {
 			at := slices.IndexFunc(lines, func(l line) bool { return l.Server == p.Server && l.Class == p.Class })
 			if at < 0 {
 				lines, at = append(lines, line{reconcile.WarmingEntry{Class: p.Class, Server: p.Server}, 0, -1}), len(lines)
 			}
 			lines[at].weight += adds
 		}
-		if next := i + 1; adds > 0 && !p.Cold && next < len(order.Proposals) && order.Proposals[next].Adds() > 0 && !order.Proposals[next].Cold {
+		if next := i + 1; adds > 0 && !p.Warming && next < len(order.Proposals) && order.Proposals[next].WeightDelta() > 0 && !order.Proposals[next].Warming {
 			continue // warm lines gain: shares of cold ones only fall
 		}
-		if p.Cold && adds < 0 {
+		if p.Warming && adds < 0 {
 			cut[p.Server] = 0
 		}
 		for id, load := range g.loads(d, lines, sums) {
@@ -572,8 +572,8 @@
 	return most, cut
 }
 
-// others gives what the other proxies may send to a server.
-func (g *Guard) others(id fleet.ServerID, but fleet.ProxyID) float64 {
+// otherProxiesLoad gives what the other proxies may send to a server.
+func (g *Guard) otherProxiesLoad(id fleet.ServerID, but fleet.ProxyID) float64 {
 	s := g.servers[id]
 	if s == nil {
 		return 0
@@ -583,16 +583,16 @@
 
 // sumsAfter gives the weights of each class's usable lines of ready servers after the message.
 func (g *Guard) sumsAfter(d *reconcile.UpdatePlan, lines []line) []int {
-	sums := slices.Clone(d.Sum)
+	sums := slices.Clone(d.WeightSums)
 	for i := range d.Proposals {
-		if p := &d.Proposals[i]; !p.Cold {
-			sums[p.Class] += p.Adds()
+		if p := &d.Proposals[i]; !p.Warming {
+			sums[p.Class] += p.WeightDelta()
 		}
 	}
 	for _, l := range lines {
 		sums[l.Class] += l.weight
 	}
-	for _, c := range d.Cold {
+	for _, c := range d.Warming {
 		sums[c.Class] -= int(c.State.Weight)
 	}
 	return sums
@@ -617,12 +617,12 @@
 	}
 	switch p := l.proposal; {
 	case p < 0:
-		d.Cut(l.WarmingEntry, int16(weight), WhyCold)
+		d.AddWeightCut(l.WarmingEntry, int16(weight), ReasonWarmingOverload)
 		l.proposal = len(d.Proposals) - 1
 	case weight == 0 && !d.Proposals[p].Have.Usable():
-		d.Proposals[p].Hold = WhyCold
+		d.Proposals[p].HoldReason = ReasonWarmingOverload
 	default:
-		d.Proposals[p].Lower(int16(weight), WhyCold)
+		d.Proposals[p].LowerWeight(int16(weight), ReasonWarmingOverload)
 	}
 	l.weight = weight
 	return true
@@ -632,8 +632,8 @@
 // left to hold back the class has cold servers only, and nobody bare goes before cold.
 func (g *Guard) revert(d *reconcile.UpdatePlan, class fleet.ClassID) {
 	for i := range d.Proposals {
-		if p := &d.Proposals[i]; p.Class == class && p.Ready && p.Kind != reconcile.UpdateAdmission && p.Hold == "" && p.Adds() != 0 {
-			p.Hold = WhyCold
+		if p := &d.Proposals[i]; p.Class == class && p.Ready && p.Kind != reconcile.UpdateAdmission && p.HoldReason == "" && p.WeightDelta() != 0 {
+			p.HoldReason = ReasonWarmingOverload
 		}
 	}
 }
--- a/internal/safety/guard_test.go
+++ b/internal/safety/guard_test.go
@@ -97,15 +97,15 @@
 // draft makes the draft of a message to a proxy that wants some other cells.
 func (w *world) draft(p int, proposals []reconcile.Proposal) *reconcile.UpdatePlan {
 	last := w.instants[p][len(w.instants[p])-1]
-	d := &reconcile.UpdatePlan{Proxy: fleet.ProxyID(p), Entries: make([]int, classes), Sum: make([]int, classes), Alone: len(w.instants[p]) == 1,
+	d := &reconcile.UpdatePlan{Proxy: fleet.ProxyID(p), EntryCounts: make([]int, classes), WeightSums: make([]int, classes), NothingInFlight: len(w.instants[p]) == 1,
 		Proposals: proposals}
 	for s := range servers {
 		for c := range classes {
 			if cell := last[c][s]; cell.Usable() && w.states[s] == fleet.ServerReady {
-				d.Entries[c]++
-				d.Sum[c] += int(cell.Weight)
+				d.EntryCounts[c]++
+				d.WeightSums[c] += int(cell.Weight)
 				if w.cold(s) {
-					d.Cold = append(d.Cold, reconcile.WarmingEntry{Class: fleet.ClassID(c), Server: fleet.ServerID(s), State: cell})
+					d.Warming = append(d.Warming, reconcile.WarmingEntry{Class: fleet.ClassID(c), Server: fleet.ServerID(s), State: cell})
 				}
 			}
 		}
@@ -126,7 +126,7 @@
 			want.State = reconcile.StateReady
 		}
 		proposals = append(proposals, reconcile.Proposal{Change: reconcile.Change{Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: want.Weight},
-			Have: last[c][s], Want: want, Ready: w.states[s] == fleet.ServerReady, Cold: w.cold(s), Urgent: want.State != reconcile.StateReady})
+			Have: last[c][s], Want: want, Ready: w.states[s] == fleet.ServerReady, Warming: w.cold(s), Urgent: want.State != reconcile.StateReady})
 	}
 	return proposals
 }
@@ -134,7 +134,7 @@
 // after gives what a proxy may hold after each of the proposals in their order.
 func after(from table, proposals []reconcile.Proposal) (all []table) {
 	for _, q := range proposals {
-		if q.Hold == "" {
+		if q.HoldReason == "" {
 			from[q.Class][q.Server] = q.Want
 			all = append(all, from)
 		}
@@ -155,15 +155,15 @@
 func (w *world) harm(p int, proposals []reconcile.Proposal, tables []table) string {
 	before := w.instants[p][len(w.instants[p])-1]
 	for _, q := range proposals {
-		if q.Hold == "" && w.states[q.Server] != fleet.ServerReady && q.Want.Usable() && !q.Have.Usable() {
-			return WhyGone
+		if q.HoldReason == "" && w.states[q.Server] != fleet.ServerReady && q.Want.Usable() && !q.Have.Usable() {
+			return ReasonServerNotReady
 		}
 	}
 	for c := range classes {
 		had, _ := w.lines(before, c)
 		for _, at := range tables {
 			if n, _ := w.lines(at, c); had > 0 && n == 0 {
-				return WhyBare
+				return ReasonNoEndpoints
 			}
 		}
 	}
@@ -185,7 +185,7 @@
 					}
 				}
 				if load > w.bears(s)+1e-9 {
-					return WhyCold
+					return ReasonWarmingOverload
 				}
 			}
 		}
@@ -273,24 +273,24 @@
 			return // it begins harmful: no message's doing
 		}
 		for p := range proxies {
-			w.g.Joined(now, w.draft(p, nil))
+			w.g.ProxyJoined(now, w.draft(p, nil))
 		}
 		for range rapid.IntRange(1, 4).Draw(t, "messages") {
 			p := rapid.IntRange(0, proxies-1).Draw(t, "proxy")
 			if rapid.IntRange(0, 3).Draw(t, "answered") == 0 { // all on its way has arrived
 				w.instants[p] = w.instants[p][len(w.instants[p])-1:]
-				w.g.Answered(now, w.draft(p, nil))
+				w.g.ProxyAcknowledged(now, w.draft(p, nil))
 			}
 			plain := w.draft(p, w.propose(t, p))
 			judgedDraft := w.draft(p, slices.Clone(plain.Proposals))
 			last := w.instants[p][len(w.instants[p])-1]
 			reconcile.Arrange(plain)
 			harm := w.harm(p, plain.Proposals, after(last, plain.Proposals))
-			if harm == WhyCold && slices.ContainsFunc(after(last, plain.Proposals), func(at table) bool { return w.endsBare(last, at) }) {
+			if harm == ReasonWarmingOverload && slices.ContainsFunc(after(last, plain.Proposals), func(at table) bool { return w.endsBare(last, at) }) {
 				return // a class that was bare gets lines, cold ones only: nobody bare goes before cold
 			}
-			w.g.Message(now, judgedDraft)
-			is := slices.ContainsFunc(judgedDraft.Proposals, func(q reconcile.Proposal) bool { return q.Hold != "" || q.Lowered != "" })
+			w.g.CheckPlan(now, judgedDraft)
+			is := slices.ContainsFunc(judgedDraft.Proposals, func(q reconcile.Proposal) bool { return q.HoldReason != "" || q.LowerReason != "" })
 			judged++
 			if why[harm]++; is {
 				stopped++
@@ -306,7 +306,7 @@
 			reconcile.Arrange(judgedDraft)
 			tables := after(last, judgedDraft.Proposals)
 			if left := w.harm(p, judgedDraft.Proposals, tables); left != "" {
-				if left == WhyCold && slices.ContainsFunc(append(tables, last), w.allCold) {
+				if left == ReasonWarmingOverload && slices.ContainsFunc(append(tables, last), w.allCold) {
 					return // nobody bare goes before cold
 				}
 				leftHarm++
@@ -317,7 +317,7 @@
 	})
 	t.Logf("%d messages judged, %d stopped; stopped though safe %d, passed though harmful %d, harm in what was let pass %d; by the oracle %v",
 		judged, stopped, wronglyStopped, wronglyPassed, leftHarm, why)
-	for _, harm := range []string{"", WhyGone, WhyBare, WhyCold} {
+	for _, harm := range []string{"", ReasonServerNotReady, ReasonNoEndpoints, ReasonWarmingOverload} {
 		if why[harm] < judged/100 {
 			t.Errorf("%q was drawn %d times of %d only", harm, why[harm], judged)
 		}
@@ -331,7 +331,7 @@
 	g.Hear(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}}})
 	g.Hear(now, fleet.OutcomeReport{Server: 1, Attempts: 100, Interval: 10 * fleet.Second, Load: []float32{0.25}})
 	for age, want := range map[fleet.Time]float64{-fleet.Second: 40, 0: 40, trustFull: 40, (trustFull + trustGone) / 2: 25, trustGone: 10, 10 * trustGone: 10} {
-		if got, known := g.servers[1].can(now + age); math.Abs(got-want) > 1e-6 || !known {
+		if got, known := g.servers[1].trustedCapacity(now + age); math.Abs(got-want) > 1e-6 || !known {
 			t.Errorf("at an age of %v s: %v, not %v", age.Seconds(), got, want)
 		}
 	}
@@ -362,9 +362,9 @@
 	g := New(s)
 	for class, want := range []fleet.RetryMode{fleet.RetryTwice, fleet.RetryIfNotExecuted, fleet.RetryTwice, fleet.RetryOnce, fleet.RetryIfNotExecuted} {
 		for _, asked := range []fleet.RetryMode{fleet.RetryNever, fleet.RetryIfNotExecuted, fleet.RetryOnce, fleet.RetryTwice} {
-			d := &reconcile.UpdatePlan{Entries: make([]int, 5), Sum: make([]int, 5), Proposals: []reconcile.Proposal{{Change: reconcile.Change{
+			d := &reconcile.UpdatePlan{EntryCounts: make([]int, 5), WeightSums: make([]int, 5), Proposals: []reconcile.Proposal{{Change: reconcile.Change{
 				Kind: reconcile.UpdateAdmission, Class: fleet.ClassID(class), Admission: reconcile.Admission{Known: true, Retry: asked}}}}}
-			if g.Message(now, d); d.Proposals[0].Admission.Retry != min(asked, want) || (asked > want) != (d.Proposals[0].Lowered != "") {
+			if g.CheckPlan(now, d); d.Proposals[0].Admission.Retry != min(asked, want) || (asked > want) != (d.Proposals[0].LowerReason != "") {
 				t.Errorf("class %d asked for %d: %+v, the most is %d", class, asked, d.Proposals[0], want)
 			}
 		}
@@ -416,16 +416,16 @@
 	l := fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 2, Started: now}}}
 	g.Hear(now, l)
 	p.SetEndpoints(now, l)
-	if got := g.others(2, 99); math.Abs(got-8) > 0.2 {
+	if got := g.otherProxiesLoad(2, 99); math.Abs(got-8) > 0.2 {
 		t.Errorf("its standing lines count as %v visits a second, not 8", got)
 	}
 	bears := g.Bearable(now, 2)
 	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 1.1}}) // that alone would lower its share, but not enough
 	settle(p, now)
-	if got := g.others(2, 99); got > bears || got < bears/2 {
+	if got := g.otherProxiesLoad(2, 99); got > bears || got < bears/2 {
 		t.Errorf("%v visits a second after the cut, it bears %v", got, bears)
 	}
-	if len(p.Refusals()) != 1 || p.Refusals()[0].Server != 2 || p.Refusals()[0].Reason != WhyCold || p.Refusals()[0].Proxies != 3 {
+	if len(p.Refusals()) != 1 || p.Refusals()[0].Server != 2 || p.Refusals()[0].Reason != ReasonWarmingOverload || p.Refusals()[0].Proxies != 3 {
 		t.Errorf("refusals %+v", p.Refusals())
 	}
 	if alarms := p.Notices(); len(alarms) != 1 {
@@ -443,7 +443,7 @@
 	settle(p, now)
 	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 1}, fleet.SetWeight{Server: 3}})
 	settle(p, now)
-	if v := p.Proxies()[0]; v.Entries != 1 || len(p.Refusals()) != 1 || p.Refusals()[0].Server != 3 || p.Refusals()[0].Reason != WhyBare {
+	if v := p.Proxies()[0]; v.Entries != 1 || len(p.Refusals()) != 1 || p.Refusals()[0].Server != 3 || p.Refusals()[0].Reason != ReasonNoEndpoints {
 		t.Errorf("%d lines, refusals %+v", v.Entries, p.Refusals())
 	}
 	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 1}})
@@ -474,7 +474,7 @@
 	g := New(site())
 	g.Hear(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1, Started: now}}})
 	g.Hear(now, fleet.OutcomeReport{Server: 1, Attempts: 100, Interval: 10 * fleet.Second, Load: []float32{0.5}})
-	if _, known := g.servers[1].can(now); known {
+	if _, known := g.servers[1].trustedCapacity(now); known {
 		t.Error("a cold server's reports were taken as its capacity")
 	}
 }
@@ -487,25 +487,25 @@
 	in := func(w int16) reconcile.EntryState {
 		return reconcile.EntryState{Present: true, State: reconcile.StateReady, Weight: w}
 	}
-	d := &reconcile.UpdatePlan{Proxy: 1, Alone: true, Entries: []int{2, 2}, Sum: []int{200, 200}, Cold: []reconcile.WarmingEntry{{Server: 2, State: in(100)}}}
-	g.Joined(now, d)
-	if got := g.others(2, 9); math.Abs(got-5) > 1e-9 {
+	d := &reconcile.UpdatePlan{Proxy: 1, NothingInFlight: true, EntryCounts: []int{2, 2}, WeightSums: []int{200, 200}, Warming: []reconcile.WarmingEntry{{Server: 2, State: in(100)}}}
+	g.ProxyJoined(now, d)
+	if got := g.otherProxiesLoad(2, 9); math.Abs(got-5) > 1e-9 {
 		t.Errorf("%v counted, not 5", got)
 	}
 	g.Hear(now, fleet.ProxyLeft{Proxy: 1})
 	again := func(at fleet.Time) {
 		g.Hear(at, fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 2, Started: at}}})
 	}
-	if again(now + 5*fleet.Second); g.others(2, 9) == 0 {
+	if again(now + 5*fleet.Second); g.otherProxiesLoad(2, 9) == 0 {
 		t.Error("a proxy that just left goes on with what it holds, but is not counted")
 	}
-	if again(now + 11*fleet.Second); g.others(2, 9) != 0 {
+	if again(now + 11*fleet.Second); g.otherProxiesLoad(2, 9) != 0 {
 		t.Error("a proxy gone for long is counted")
 	}
-	g.Joined(now, d)
-	d.Cold, d.Sum = nil, []int{100, 100}
-	g.Answered(now, d)
-	if got := g.others(2, 9); got != 0 {
+	g.ProxyJoined(now, d)
+	d.Warming, d.WeightSums = nil, []int{100, 100}
+	g.ProxyAcknowledged(now, d)
+	if got := g.otherProxiesLoad(2, 9); got != 0 {
 		t.Errorf("%v counted after the line is gone", got)
 	}
 }
@@ -518,7 +518,7 @@
 		g.Hear(now, fleet.OutcomeReport{Server: id + 1, Attempts: 100, Interval: 10 * fleet.Second, Load: []float32{0.5}})
 	}
 	g.Hear(now, fleet.OutcomeReport{Server: 4, Attempts: 10, Interval: 10 * fleet.Second})
-	g.servers[4].at = now // it was heard of, though cold
+	g.servers[4].measuredAt = now // it was heard of, though cold
 	for _, c := range []struct {
 		weights map[fleet.ServerID]float64
 		demand  float64
@@ -526,10 +526,10 @@
 	}{
 		{map[fleet.ServerID]float64{1: 1, 2: 1}, 30, nil},
 		{map[fleet.ServerID]float64{1: 1, 2: 1, 4: 0.05}, 30, nil},
-		{map[fleet.ServerID]float64{1: 1, 2: 1, 3: 1}, 30, []string{WhyGone}},
-		{map[fleet.ServerID]float64{1: 0, 2: 0}, 30, []string{WhyBare}},
-		{map[fleet.ServerID]float64{1: 1, 2: 1, 4: 2}, 35, []string{WhyCold}},
-		{map[fleet.ServerID]float64{1: 1, 9: 1}, 35, []string{WhyGone, WhyOverload}},
+		{map[fleet.ServerID]float64{1: 1, 2: 1, 3: 1}, 30, []string{ReasonServerNotReady}},
+		{map[fleet.ServerID]float64{1: 0, 2: 0}, 30, []string{ReasonNoEndpoints}},
+		{map[fleet.ServerID]float64{1: 1, 2: 1, 4: 2}, 35, []string{ReasonWarmingOverload}},
+		{map[fleet.ServerID]float64{1: 1, 9: 1}, 35, []string{ReasonServerNotReady, ReasonInsufficientCapacity}},
 	} {
 		var lines []TableLine
 		for id := range fleet.ServerID(10) {
@@ -554,9 +554,9 @@
 		{"name": "c", "started": "2026-12-01T12:00:08Z"}, {"name": "d", "capacity": 30}]}`
 	for table, want := range map[string]string{
 		`{"lines": [{"server": "a", "weight": 1}, {"server": "d", "weight": 1}]}`: "[]",
-		`{"lines": [{"server": "a", "weight": 1}, {"server": "b", "weight": 1}, {"server": "c", "weight": 5}]}`: "[server b: " + WhyGone +
-			": visits would go to a server that is draining, gone or not listed server c: " + WhyCold,
-		`{"lines": [{"server": "x", "weight": 0}]}`:  "[" + WhyBare,
+		`{"lines": [{"server": "a", "weight": 1}, {"server": "b", "weight": 1}, {"server": "c", "weight": 5}]}`: "[server b: " + ReasonServerNotReady +
+			": visits would go to a server that is draining, gone or not listed server c: " + ReasonWarmingOverload,
+		`{"lines": [{"server": "x", "weight": 0}]}`:  "[" + ReasonNoEndpoints,
 		`{"lines": [{"server": "a", "weight": -1}]}`: "t: lines[0].weight: -1 is negative",
 		`{"lines": [{"sever": "a"}]}`:                `t: byte 27: json: unknown field "sever"`,
 	} {
@@ -589,10 +589,10 @@
 				l.Endpoints = append(l.Endpoints, e)
 			}
 			g.Hear(now, l)
-			d := &reconcile.UpdatePlan{Entries: []int{700, 700, 700}, Sum: []int{70000, 70000, 70000}}
+			d := &reconcile.UpdatePlan{EntryCounts: []int{700, 700, 700}, WeightSums: []int{70000, 70000, 70000}}
 			for i := range colds {
 				for c := range 3 {
-					d.Cold = append(d.Cold, reconcile.WarmingEntry{Class: fleet.ClassID(c), Server: fleet.ServerID(i), State: reconcile.EntryState{Present: true, State: reconcile.StateReady, Weight: 10}})
+					d.Warming = append(d.Warming, reconcile.WarmingEntry{Class: fleet.ClassID(c), Server: fleet.ServerID(i), State: reconcile.EntryState{Present: true, State: reconcile.StateReady, Weight: 10}})
 				}
 			}
 			for p := range 930 {
@@ -611,7 +611,7 @@
 						want.Weight = 90
 						d.Proposals = append(d.Proposals, reconcile.Proposal{Change: reconcile.Change{Class: fleet.ClassID(c), Server: 650, Weight: 90}, Have: have, Want: want, Ready: true})
 					}
-					g.Message(now, d)
+					g.CheckPlan(now, d)
 				}
 			}
 		})
--- a/internal/safety/state.go
+++ b/internal/safety/state.go
@@ -84,7 +84,7 @@
 	g.Hear(at, l)
 	for i, e := range s.Servers {
 		if one := g.servers[fleet.ServerID(i)]; e.Capacity > 0 {
-			one.carried, one.capacity, one.at = e.Capacity, e.Capacity, at
+			one.carried, one.capacity, one.measuredAt = e.Capacity, e.Capacity, at
 		}
 	}
 	var lines []TableLine
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -35,7 +35,7 @@
 	known := true
 	for _, s := range g.servers {
 		if s.State == fleet.ServerReady {
-			c, heard := s.can(now)
+			c, heard := s.trustedCapacity(now)
 			if !heard {
 				known = false
 			}
@@ -50,16 +50,16 @@
 		switch {
 		case l.Weight <= 0 || l.Withdrawn:
 		case s == nil || g.binds(l.Server):
-			harms = append(harms, Harm{Why: WhyGone, Server: l.Server, Text: "visits would go to a server that is draining, gone or not listed"})
+			harms = append(harms, Harm{Why: ReasonServerNotReady, Server: l.Server, Text: "visits would go to a server that is draining, gone or not listed"})
 		case s.State == fleet.ServerReady:
 			usable++
 			sum += l.Weight
-			c, _ := s.can(now)
+			c, _ := s.trustedCapacity(now)
 			can += c
 		}
 	}
 	if usable == 0 {
-		return append(harms, Harm{Why: WhyBare, None: true, Text: fmt.Sprintf("no ready server would have a line; %d ready and warm ones are listed", warmReady)})
+		return append(harms, Harm{Why: ReasonNoEndpoints, None: true, Text: fmt.Sprintf("no ready server would have a line; %d ready and warm ones are listed", warmReady)})
 	}
 	for _, l := range lines {
 		if s := g.servers[l.Server]; s == nil || l.Weight <= 0 || l.Withdrawn || s.State != fleet.ServerReady {
@@ -67,13 +67,13 @@
 		}
 		load, bears := demand*l.Weight/sum, g.Bearable(now, l.Server)
 		if load > bears {
-			harms = append(harms, Harm{Why: WhyCold, Server: l.Server, Text: fmt.Sprintf(
+			harms = append(harms, Harm{Why: ReasonWarmingOverload, Server: l.Server, Text: fmt.Sprintf(
 				"it is cold and would get %.1f visits a second; it bears %.1f now, which is a weight of %.4g here", load, bears,
 				max(0, bears/max(none, demand-bears)*(sum-l.Weight)))})
 		}
 	}
 	if known && demand > overload*can && all > can {
-		harms = append(harms, Harm{Why: WhyOverload, None: true, Force: true, Text: fmt.Sprintf(
+		harms = append(harms, Harm{Why: ReasonInsufficientCapacity, None: true, Force: true, Text: fmt.Sprintf(
 			"%.1f visits a second would come to servers that can do %.1f; all that are ready can do %.1f", demand, can, all)})
 	}
 	return harms
