--- /dev/null
+++ b/internal/reconcile/endpoints.go
@@ -0,0 +1,200 @@
+package reconcile
+
+import (
+	"cmp"
+	"slices"
+
+	"cressknot/internal/fleet"
+)
+
+// endpointSet holds the servers that were ever named, by the endpoint list, an order or a proxy. Their indexes
+// never change.
+type endpointSet struct {
+	index        map[fleet.ServerID]int32
+	servers      []serverState
+	warming      []int32 // servers that may be warming up
+	listReceived bool
+}
+
+type serverState struct {
+	id            fleet.ServerID
+	listed        bool
+	state         fleet.ServerState
+	startedAt     fleet.Time
+	goneSince     fleet.Time // 0: not gone
+	withdrawn     bool
+	withdrawalSet bool    // a withdrawal or its end was ordered
+	reduction     float64 // fraction taken off its weights in all tables
+}
+
+// serverIndex returns the index of a server and adds the server if it is new.
+func (r *Reconciler) serverIndex(id fleet.ServerID) int32 {
+	if i, known := r.endpoints.index[id]; known {
+		return i
+	}
+	i := int32(len(r.endpoints.servers))
+	r.endpoints.index[id] = i
+	r.endpoints.servers = append(r.endpoints.servers, serverState{id: id})
+	for _, table := range r.tables {
+		table.weights = append(table.weights, 0)
+	}
+	for _, proxy := range r.proxyOrder {
+		proxy.sent = append(proxy.sent, make([]EntryState, r.classes())...)
+		proxy.initial = append(proxy.initial, make([]EntryState, r.classes())...)
+	}
+	return i
+}
+
+// SetEndpoints takes an endpoint list or a change of it, so that a draining server is told from one that is gone,
+// and a warming one from a warm one.
+func (r *Reconciler) SetEndpoints(now fleet.Time, list fleet.EndpointList) {
+	if list.Scope == fleet.ListFailed {
+		return
+	}
+	if !r.endpoints.listReceived { // from here on servers that are not listed do not count
+		for i := range r.endpoints.servers {
+			r.recount(int32(i), -1)
+		}
+		r.endpoints.listReceived = true
+	}
+	listed := map[int32]bool{}
+	startChanged := false
+	for _, endpoint := range list.Endpoints {
+		i := r.serverIndex(endpoint.Server)
+		listed[i] = true
+		if r.endpoints.servers[i].startedAt != endpoint.Started {
+			startChanged = true
+		}
+		r.setEndpoint(now, i, endpoint)
+	}
+	if list.Scope != fleet.ListDelta {
+		r.removeUnlisted(now, listed)
+	}
+	if startChanged && r.safety != nil { // proxies may have entries of servers that are warming up now
+		for _, proxy := range r.proxyOrder {
+			r.safety.ProxyAcknowledged(now, r.newPlan(now, proxy))
+		}
+	}
+}
+
+func (r *Reconciler) setEndpoint(now fleet.Time, i int32, endpoint fleet.Endpoint) {
+	server := &r.endpoints.servers[i]
+	withdrawalChanged := server.state != endpoint.State && server.withdrawn
+	wasReady := r.isReady(i)
+	server.state = endpoint.State
+	server.startedAt = endpoint.Started
+	server.listed = true
+	if ready := r.isReady(i); ready && !wasReady {
+		r.recount(i, 1)
+	} else if wasReady && !ready {
+		r.recount(i, -1)
+	}
+	if r.isWarmingUp(server, now) && !slices.Contains(r.endpoints.warming, i) {
+		r.endpoints.warming = append(r.endpoints.warming, i)
+	}
+	if endpoint.State == fleet.ServerGone {
+		server.goneSince = cmp.Or(server.goneSince, now)
+	} else {
+		server.goneSince = 0
+	}
+	if withdrawalChanged {
+		for _, proxy := range r.proxyOrder {
+			r.markDirtyNow(proxy, itemKey{server: i})
+		}
+	}
+}
+
+func (r *Reconciler) removeUnlisted(now fleet.Time, listed map[int32]bool) {
+	for i := range r.endpoints.servers {
+		server := &r.endpoints.servers[i]
+		if listed[int32(i)] || server.state == fleet.ServerGone {
+			continue
+		}
+		if r.isReady(int32(i)) {
+			r.recount(int32(i), -1)
+		}
+		server.state = fleet.ServerGone
+		server.goneSince = now
+	}
+}
+
+// AddressChanged reports that a server is listed at another address than before: each of its entries has to follow.
+func (r *Reconciler) AddressChanged(id fleet.ServerID) {
+	i := r.serverIndex(id)
+	for _, proxy := range r.proxyOrder {
+		for class := range r.classes() {
+			entry := &proxy.sent[r.entryIndex(i, class)]
+			if entry.Present {
+				entry.WrongAddress = true
+				r.markDirtyNow(proxy, itemKey{server: i})
+			}
+		}
+	}
+}
+
+// isReady reports whether a server is listed as ready. Before the first list all servers count.
+func (r *Reconciler) isReady(i int32) bool {
+	server := &r.endpoints.servers[i]
+	return server.state == fleet.ServerReady && (server.listed || !r.endpoints.listReceived)
+}
+
+func (r *Reconciler) isWarmingUp(server *serverState, now fleet.Time) bool {
+	return server.startedAt > 0 && now < server.startedAt+r.site.SlowStart.Duration
+}
+
+// warmingServers returns the servers that are warming up, and forgets those that have finished.
+func (r *Reconciler) warmingServers(now fleet.Time) []int32 {
+	r.endpoints.warming = slices.DeleteFunc(r.endpoints.warming, func(i int32) bool {
+		return !r.isWarmingUp(&r.endpoints.servers[i], now)
+	})
+	return r.endpoints.warming
+}
+
+// recount adds a server's usable entries to the sums of all proxies, or takes them away (sign -1).
+func (r *Reconciler) recount(i int32, sign int) {
+	for _, proxy := range r.proxyOrder {
+		for class := range r.classes() {
+			if entry := proxy.sent[r.entryIndex(i, class)]; entry.Usable() {
+				proxy.weightSums[class] += sign * int(entry.Weight)
+				proxy.entryCounts[class] += sign
+			}
+		}
+	}
+}
+
+// deleteGoneEntries deletes at all proxies the entries of servers that are gone for goneEntryRetention.
+func (r *Reconciler) deleteGoneEntries(now fleet.Time) {
+	for i := range r.endpoints.servers {
+		server := &r.endpoints.servers[i]
+		if server.goneSince == 0 || !server.withdrawn || now < server.goneSince+goneEntryRetention {
+			continue
+		}
+		server.goneSince = now - goneEntryRetention/2 // entries that are still in use are tried again after half the time
+		for _, proxy := range r.proxyOrder {
+			r.deleteEntries(now, proxy, int32(i))
+		}
+	}
+}
+
+func (r *Reconciler) deleteEntries(now fleet.Time, proxy *proxyState, i int32) {
+	message := &queuedMessage{proxy: proxy, queuedAt: now, sentAt: now, acknowledged: true}
+	for class := range r.classes() {
+		at := r.entryIndex(i, class)
+		entry := proxy.sent[at]
+		if !entry.Present || entry.State != StateMaintenance || entry.Unknown {
+			continue
+		}
+		message.changes = append(message.changes, Change{
+			Kind:   DeleteEntry,
+			Class:  fleet.ClassID(class),
+			Server: r.endpoints.servers[i].id,
+			Weight: entry.Weight,
+		})
+		message.items = append(message.items, itemKey{server: i})
+		r.setSent(proxy, at, EntryState{})
+		proxy.initial[at] = EntryState{}
+	}
+	if len(message.changes) > 0 {
+		proxy.released = append(proxy.released, message)
+	}
+}
--- /dev/null
+++ b/internal/reconcile/observe.go
@@ -0,0 +1,92 @@
+package reconcile
+
+import (
+	"fmt"
+	"math"
+
+	"cressknot/internal/fleet"
+)
+
+// ObservedEntry is an entry as a poll of a proxy shows it.
+type ObservedEntry struct {
+	Class  fleet.ClassID
+	Server fleet.ServerID
+	Weight int16 // of a ready entry
+	State  State
+}
+
+// ObserveEntries compares what a poll shows with what the proxy was sent. What differs was changed by hand or lost:
+// operators are notified, and only the difference is sent. Nothing is compared while messages are in flight.
+func (r *Reconciler) ObserveEntries(now fleet.Time, id fleet.ProxyID, entries []ObservedEntry) {
+	proxy := r.proxies[id]
+	if proxy == nil || len(proxy.inFlight) > 0 || len(entries) == 0 {
+		return
+	}
+	if len(proxy.observedIn) < len(proxy.sent) {
+		proxy.observedIn = make([]uint32, len(proxy.sent))
+	}
+	proxy.observations++
+	differing := r.compareObserved(proxy, entries) + r.removeUnobserved(proxy)
+	if differing > 0 {
+		text := fmt.Sprintf("%d lines are not what it was sent; they are put right", differing)
+		r.notify(Notice{Proxy: id, Text: text})
+		clear(proxy.versionStamps)
+	}
+	if proxy.observations == math.MaxUint32 {
+		proxy.observations = 0
+		proxy.observedIn = nil
+	}
+}
+
+// compareObserved takes over what a poll shows and returns how many entries differ.
+func (r *Reconciler) compareObserved(proxy *proxyState, entries []ObservedEntry) (differing int) {
+	for _, observed := range entries {
+		i, known := r.endpoints.index[observed.Server]
+		if !known || int(observed.Class) >= r.classes() {
+			continue
+		}
+		at := r.entryIndex(i, int(observed.Class))
+		if at >= len(proxy.observedIn) {
+			continue
+		}
+		proxy.observedIn[at] = proxy.observations
+		sent := proxy.sent[at]
+		if sent.Unknown || observed.matches(sent) {
+			continue
+		}
+		entry := EntryState{
+			Present:      true,
+			Weight:       observed.Weight,
+			State:        observed.State,
+			WrongAddress: sent.WrongAddress,
+		}
+		if observed.State != StateReady {
+			entry.Weight = sent.Weight
+		}
+		r.correctEntry(proxy, at, entry)
+		differing++
+	}
+	return differing
+}
+
+// matches reports whether an observed entry is what was sent. The weight is known of ready entries only.
+func (o ObservedEntry) matches(sent EntryState) bool {
+	return sent.Present && sent.State == o.State && (o.State != StateReady || sent.Weight == o.Weight)
+}
+
+// removeUnobserved takes as missing what the latest poll did not show, and returns how many entries that were.
+func (r *Reconciler) removeUnobserved(proxy *proxyState) (missing int) {
+	for at, sent := range proxy.sent {
+		if sent.Present && !sent.Unknown && proxy.observedIn[at] != proxy.observations {
+			r.correctEntry(proxy, at, EntryState{})
+			missing++
+		}
+	}
+	return missing
+}
+
+// correctEntry notes what a proxy really has of an entry and sends what is desired.
+func (r *Reconciler) correctEntry(proxy *proxyState, at int, entry EntryState) {
+	r.setSent(proxy, at, entry)
+	r.markDirtyNow(proxy, itemKey{server: int32(at / r.classes())})
+}
--- /dev/null
+++ b/internal/reconcile/plan.go
@@ -0,0 +1,225 @@
+package reconcile
+
+import (
+	"cmp"
+
+	"cressknot/internal/fleet"
+)
+
+// Proposal is one change that a message would make, with what the proxy has before and after it. A safety check may
+// refuse it by HoldReason or lower its weight by LowerWeight.
+type Proposal struct {
+	Change
+	Have, Want  EntryState // of an entry
+	Ready       bool       // the server is listed as ready
+	Warming     bool       // the server is warming up
+	Urgent      bool       // keeps requests away from where they do harm: goes first
+	HoldReason  string     // why a safety check refuses it; "": not refused
+	LowerReason string     // why a safety check lowered its weight; "": not lowered
+	item        itemKey
+	at          int // index of the entry in proxyState.sent
+}
+
+// isEntryOfReadyServer reports whether the proposal will change an entry of a ready server.
+func (p *Proposal) isEntryOfReadyServer() bool {
+	return p.Ready && p.Kind != UpdateAdmission && p.HoldReason == ""
+}
+
+// EntryDelta returns by how many the change raises the number of usable entries of ready servers: 1, 0 or -1.
+func (p *Proposal) EntryDelta() int {
+	switch {
+	case !p.isEntryOfReadyServer():
+		return 0
+	case p.Want.Usable() && !p.Have.Usable():
+		return 1
+	case p.Have.Usable() && !p.Want.Usable():
+		return -1
+	}
+	return 0
+}
+
+// WeightDelta returns by how much the change raises the sum of weights of usable entries of ready servers.
+func (p *Proposal) WeightDelta() int {
+	if !p.isEntryOfReadyServer() {
+		return 0
+	}
+	return p.Want.usableWeight() - p.Have.usableWeight()
+}
+
+// LowerWeight gives a proposal less weight than was wanted.
+func (p *Proposal) LowerWeight(weight int16, reason string) {
+	p.Want.Weight = weight
+	p.Change = changeBetween(p.Class, p.Server, p.Have, p.Want)
+	p.LowerReason = reason
+}
+
+// UpdatePlan is a message before it leaves, with what the proxy has before it.
+type UpdatePlan struct {
+	Proxy           fleet.ProxyID
+	Proposals       []Proposal
+	EntryCounts     []int          // by class: usable entries of ready servers
+	WeightSums      []int          // by class: the weights of those
+	Warming         []WarmingEntry // usable entries of ready servers that are warming up
+	NothingInFlight bool           // no other message is in flight to the proxy
+	sorted          []Proposal     // kept to reuse its memory
+}
+
+// WarmingEntry is a usable entry of a server that is warming up.
+type WarmingEntry struct {
+	Class  fleet.ClassID
+	Server fleet.ServerID
+	State  EntryState
+	at     int   // index of the entry in proxyState.sent
+	server int32 // index of the server
+}
+
+// SafetyCheck decides about each message before it leaves. It may refuse proposals, lower their weights and add
+// changes by AddWeightCut, and changes nothing else.
+type SafetyCheck interface {
+	// ProxyJoined reports what a proxy has when it joins.
+	ProxyJoined(now fleet.Time, plan *UpdatePlan)
+	// CheckPlan decides about one message.
+	CheckPlan(now fleet.Time, plan *UpdatePlan)
+	// ProxyAcknowledged reports what a proxy has for certain after it acknowledged all messages.
+	ProxyAcknowledged(now fleet.Time, plan *UpdatePlan)
+	// ProxyLeft reports that the session of a proxy ended.
+	ProxyLeft(id fleet.ProxyID)
+}
+
+// AddWeightCut adds a change that lowers the weight of a warming server's entry.
+func (d *UpdatePlan) AddWeightCut(entry WarmingEntry, weight int16, reason string) {
+	want := entry.State
+	want.Weight = weight
+	d.Proposals = append(d.Proposals, Proposal{
+		Change:      Change{Kind: UpdateEntry, Class: entry.Class, Server: entry.Server, Weight: weight},
+		Have:        entry.State,
+		Want:        want,
+		Ready:       true,
+		Warming:     true,
+		Urgent:      true,
+		LowerReason: reason,
+		item:        itemKey{server: entry.server},
+		at:          entry.at,
+	})
+}
+
+// newPlan returns an empty plan with what a proxy has once all that is in flight has arrived. It is valid until the
+// next call.
+func (r *Reconciler) newPlan(now fleet.Time, proxy *proxyState) *UpdatePlan {
+	plan := &r.plan
+	*plan = UpdatePlan{
+		Proxy:           proxy.id,
+		Proposals:       plan.Proposals[:0],
+		sorted:          plan.sorted,
+		EntryCounts:     proxy.entryCounts,
+		WeightSums:      proxy.weightSums,
+		Warming:         plan.Warming[:0],
+		NothingInFlight: len(proxy.inFlight) == 0,
+	}
+	for _, i := range r.warmingServers(now) {
+		for class := range r.classes() {
+			at := r.entryIndex(i, class)
+			if entry := proxy.sent[at]; entry.Usable() && r.isReady(i) {
+				plan.Warming = append(plan.Warming, WarmingEntry{
+					Class:  fleet.ClassID(class),
+					Server: r.endpoints.servers[i].id,
+					State:  entry,
+					at:     at,
+					server: i,
+				})
+			}
+		}
+	}
+	return plan
+}
+
+// propose adds to a plan what brings an item of a proxy to its desired state.
+func (r *Reconciler) propose(now fleet.Time, plan *UpdatePlan, proxy *proxyState, item itemKey, urgent bool) {
+	if item.server == noServer {
+		r.proposeAdmission(plan, proxy, item, urgent)
+		return
+	}
+	server := &r.endpoints.servers[item.server]
+	for class := range r.classes() {
+		at := r.entryIndex(item.server, class)
+		have := proxy.sent[at]
+		want := r.desiredEntry(proxy, item.server, class)
+		if have == want || !want.Present && !have.Present {
+			continue
+		}
+		plan.Proposals = append(plan.Proposals, Proposal{
+			Change:  changeBetween(fleet.ClassID(class), server.id, have, want),
+			Have:    have,
+			Want:    want,
+			Ready:   r.isReady(item.server),
+			Warming: r.isWarmingUp(server, now),
+			Urgent:  urgent,
+			item:    item,
+			at:      at,
+		})
+	}
+	if _, refused := proxy.refused[item]; refused && !r.needsUpdate(proxy, item.server) {
+		r.clearRefusal(proxy, item)
+	}
+}
+
+func (r *Reconciler) proposeAdmission(plan *UpdatePlan, proxy *proxyState, item itemKey, urgent bool) {
+	want := r.desiredAdmission(proxy, int(item.class))
+	if !want.Known || proxy.admissions[item.class] == want {
+		r.clearRefusal(proxy, item)
+		return
+	}
+	plan.Proposals = append(plan.Proposals, Proposal{
+		Change: Change{Kind: UpdateAdmission, Class: item.class, Admission: want},
+		Urgent: urgent,
+		item:   item,
+	})
+}
+
+// changeBetween returns the change that takes an entry from one state to another.
+func changeBetween(class fleet.ClassID, server fleet.ServerID, have, want EntryState) Change {
+	change := Change{
+		Class:          class,
+		Server:         server,
+		Weight:         want.Weight,
+		State:          want.State,
+		AddressChanged: have.WrongAddress && have.Present,
+	}
+	switch {
+	case !have.Present && !have.Unknown:
+		change.Kind = AddEntry
+	case !have.Unknown:
+		if have.Weight == want.Weight {
+			change.Weight = -1
+		}
+		if have.State == want.State {
+			change.State = StateUnchanged
+		}
+	}
+	return change
+}
+
+// commitPlan adds to a message what passed the safety check and takes it as sent. What was refused is proposed
+// again later.
+func (r *Reconciler) commitPlan(now fleet.Time, proxy *proxyState, message *queuedMessage, plan *UpdatePlan) {
+	for i := range plan.Proposals {
+		proposal := &plan.Proposals[i]
+		if reason := cmp.Or(proposal.HoldReason, proposal.LowerReason); reason != "" {
+			r.recordRefusal(now, proxy, proposal, reason)
+		} else {
+			r.clearRefusal(proxy, proposal.item)
+		}
+		switch {
+		case proposal.HoldReason != "":
+			continue
+		case proposal.Kind == UpdateAdmission:
+			proxy.admissions[proposal.Class] = proposal.Admission
+		case proposal.Want == proposal.Have:
+			continue // lowered to what the proxy has
+		default:
+			r.setSent(proxy, proposal.at, proposal.Want)
+		}
+		message.changes = append(message.changes, proposal.Change)
+		message.items = append(message.items, proposal.item)
+	}
+}
--- /dev/null
+++ b/internal/reconcile/proxies.go
@@ -0,0 +1,157 @@
+package reconcile
+
+import (
+	"cmp"
+	"slices"
+
+	"cressknot/internal/fleet"
+)
+
+// Join begins the session of a proxy with the state that was read back from it.
+func (r *Reconciler) Join(now fleet.Time, id fleet.ProxyID, snapshot Snapshot) {
+	r.Leave(id)
+	proxy := r.newProxy(now, id, snapshot)
+	r.proxies[id] = proxy
+	at, _ := slices.BinarySearchFunc(r.proxyOrder, id, func(proxy *proxyState, id fleet.ProxyID) int {
+		return cmp.Compare(proxy.id, id)
+	})
+	r.proxyOrder = slices.Insert(r.proxyOrder, at, proxy)
+	// It may have missed withdrawals while it was away. The desired state has them.
+	for i := range r.endpoints.servers {
+		server := &r.endpoints.servers[i]
+		if server.withdrawalSet {
+			r.markDirty(proxy, itemKey{server: int32(i)}, server.withdrawn)
+		} else if r.needsUpdate(proxy, int32(i)) { // out of sync
+			r.markDirty(proxy, itemKey{server: int32(i)}, true)
+		}
+	}
+	for class := range r.classes() {
+		if r.defaultAdmission[class].set {
+			r.markDirty(proxy, itemKey{noServer, fleet.ClassID(class)}, false)
+		}
+	}
+	if r.safety != nil {
+		r.safety.ProxyJoined(now, r.newPlan(now, proxy))
+	}
+	r.enqueue(now, proxy, len(proxy.dirty), nil)
+	r.events = append(r.events, fleet.ProxyJoined{
+		Proxy:       id,
+		Zone:        snapshot.Zone,
+		RequestRate: snapshot.RequestRate,
+		Fresh:       snapshot.Fresh,
+	})
+}
+
+func (r *Reconciler) newProxy(now fleet.Time, id fleet.ProxyID, snapshot Snapshot) *proxyState {
+	classes := r.classes()
+	proxy := &proxyState{
+		id:            id,
+		zone:          snapshot.Zone,
+		fresh:         snapshot.Fresh,
+		tables:        make([]fleet.TableID, classes),
+		assigned:      make([]bool, classes),
+		admissions:    make([]Admission, classes),
+		versionStamps: make([]string, classes),
+		entryCounts:   make([]int, classes),
+		weightSums:    make([]int, classes),
+		dirty:         map[itemKey]bool{},
+		progressAt:    now,
+		refused:       map[itemKey]string{},
+	}
+	copy(proxy.versionStamps, snapshot.VersionStamps)
+	copy(proxy.admissions, snapshot.Admissions)
+	for _, entry := range snapshot.Entries {
+		r.serverIndex(entry.Server)
+	}
+	proxy.sent = make([]EntryState, len(r.endpoints.servers)*classes)
+	for _, entry := range snapshot.Entries {
+		if int(entry.Class) < classes {
+			entry.State.Present = true
+			r.setSent(proxy, r.entryIndex(r.endpoints.index[entry.Server], int(entry.Class)), entry.State)
+		}
+	}
+	proxy.initial = slices.Clone(proxy.sent)
+	r.verifyVersions(proxy, snapshot.Entries)
+	return proxy
+}
+
+// Leave ends the session of a proxy. What waits for it or is in flight is lost.
+func (r *Reconciler) Leave(id fleet.ProxyID) {
+	proxy := r.proxies[id]
+	if proxy == nil {
+		return
+	}
+	delete(r.proxies, id)
+	r.proxyOrder = slices.DeleteFunc(r.proxyOrder, func(other *proxyState) bool { return other == proxy })
+	r.discardMessages(proxy)
+	for item := range proxy.refused {
+		r.clearRefusal(proxy, item)
+	}
+	if r.safety != nil {
+		r.safety.ProxyLeft(id)
+	}
+	r.events = append(r.events, fleet.ProxyLeft{Proxy: id})
+	r.settleBarriers()
+}
+
+// disconnectStuck ends the sessions of proxies that acknowledge nothing at all.
+func (r *Reconciler) disconnectStuck(now fleet.Time) {
+	for _, proxy := range slices.Clone(r.proxyOrder) {
+		if len(proxy.inFlight) > 0 && now >= proxy.progressAt+r.stuckTimeout() {
+			r.disconnects = append(r.disconnects, proxy.id)
+			r.notify(Notice{Proxy: proxy.id, Text: "nothing came back to its messages; its stream is broken off"})
+			r.Leave(proxy.id)
+		}
+	}
+}
+
+// markDirty marks an item of a proxy as to be sent. An item that waits already is not sent twice.
+func (r *Reconciler) markDirty(proxy *proxyState, item itemKey, urgent bool) {
+	wasUrgent, waits := proxy.dirty[item]
+	if waits {
+		r.counters.coalesced++
+	}
+	if waits && (wasUrgent || !urgent) {
+		return
+	}
+	proxy.dirty[item] = urgent
+	if urgent {
+		proxy.urgentItems = append(proxy.urgentItems, item)
+	} else {
+		proxy.ordinaryItems = append(proxy.ordinaryItems, item)
+	}
+}
+
+// markDirtyNow marks an item as urgent and lets it leave without waiting for the update channel.
+func (r *Reconciler) markDirtyNow(proxy *proxyState, item itemKey) {
+	r.markDirty(proxy, item, true)
+	proxy.entryBudget++
+}
+
+// setSent changes what a proxy has of an entry, and the sums of its class.
+func (r *Reconciler) setSent(proxy *proxyState, at int, entry EntryState) {
+	class := at % r.classes()
+	server := int32(at / r.classes())
+	if old := proxy.sent[at]; r.isReady(server) {
+		proxy.weightSums[class] += entry.usableWeight() - old.usableWeight()
+		if old.Usable() {
+			proxy.entryCounts[class]--
+		}
+		if entry.Usable() {
+			proxy.entryCounts[class]++
+		}
+	}
+	proxy.sent[at] = entry
+}
+
+// eachProxyOn calls each proxy that has a class assigned to the table.
+func (r *Reconciler) eachProxyOn(table fleet.TableID, each func(*proxyState)) {
+	for _, proxy := range r.proxyOrder {
+		for class, assigned := range proxy.tables {
+			if proxy.assigned[class] && assigned == table {
+				each(proxy)
+				break
+			}
+		}
+	}
+}
--- a/internal/reconcile/steer_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -48,8 +48,8 @@
 	return n
 }
 
-// apply carries one message out, up to so many changes, and tells what failed. A class that has a line to pick before
-// and after a message must have one at each moment between.
+// apply carries one message out, up to so many changes, and tells what failed. A class that has a line to pick
+// before and after a message must have one at each moment between.
 func (f *far) apply(m Message, most int) (failures []Failure) {
 	before := [2]int{f.usable(0), f.usable(1)}
 	bare := [2]int{-1, -1}
@@ -269,8 +269,8 @@
 	})
 }
 
-// TestErrorsTellWhatIsHeld: a line that stands where it was to be added is set instead, one that is missing where it
-// was to be set is added, a level that was refused comes again; and what stands is not sent again.
+// TestErrorsTellWhatIsHeld: a line that stands where it was to be added is set instead, one that is missing where
+// it was to be set is added, a level that was refused comes again; and what stands is not sent again.
 func TestErrorsTellWhatIsHeld(t *testing.T) {
 	p, now := laid(t, site(), 1, 3)
 	f := &far{lines: map[[2]uint32]EntryState{{0, 0}: {Present: true, Weight: 7, State: StateMaintenance}, {0, 1}: {Present: true, Weight: 7, State: StateMaintenance}},
@@ -515,8 +515,8 @@
 	}
 }
 
-// TestPins: a pinned table stands against the module, whose orders count again after; drains act on it; a pin that would
-// leave nobody ends early, with one alarm; a way back leaves out what is gone today and names it.
+// TestPins: a pinned table stands against the module, whose orders count again after; drains act on it; a pin that
+// would leave nobody ends early, with one alarm; a way back leaves out what is gone today and names it.
 func TestPins(t *testing.T) {
 	p, now := laid(t, site(), 2, 6)
 	p.SetEpoch(9, func(id fleet.ServerID) string { return fmt.Sprint("n", id) })
