--- /dev/null
+++ b/internal/reconcile/acknowledge_test.go
@@ -0,0 +1,135 @@
+package reconcile
+
+import (
+	"math"
+	"testing"
+
+	"cressknot/internal/fleet"
+)
+
+// TestFailuresCorrectAssumedState checks that an entry that exists where it was to be added is set instead, one
+// that is missing where it was to be set is added, an admission limit that failed is sent again, and what a proxy
+// has already is not sent.
+func TestFailuresCorrectAssumedState(t *testing.T) {
+	r, now := newSettledReconciler(t, testSite(), 1, 3)
+	maintenance := EntryState{Present: true, Weight: 7, State: StateMaintenance}
+	proxy := &fakeProxy{
+		entries:    map[entryKey]EntryState{{0, 0}: maintenance, {0, 1}: maintenance},
+		admissions: map[fleet.ClassID]Admission{},
+	}
+	r.Join(now, 0, Snapshot{}) // the proxy's entries came after that
+	proxy.entries[entryKey{1, 0}] = EntryState{Present: true, Weight: 1, State: StateReady}
+	r.Apply(now, []fleet.Order{
+		fleet.AssignTable{Proxy: 0},
+		fleet.SetAdmission{Table: fleet.AllTables, Limit: 0.5},
+	})
+	admissionFailed := false
+	run := func() (sent int) {
+		for range 400 {
+			messages, _, _, _ := r.Next(now)
+			for _, message := range messages {
+				sent++
+				failures := proxy.apply(message, math.MaxInt)
+				for i, change := range message.Changes {
+					if change.Kind == UpdateAdmission && !admissionFailed {
+						admissionFailed = true
+						delete(proxy.admissions, change.Class)
+						failures = append(failures, Failure{Index: i, Text: "entry not found."})
+					}
+				}
+				r.Acknowledge(now, 0, message.Sequence, failures)
+			}
+			now += 10 * fleet.Millisecond
+		}
+		return sent
+	}
+	check := func(when string) {
+		t.Helper()
+		for server := range 3 {
+			for class := range 2 {
+				got := proxy.entries[entryKey{fleet.ServerID(server), fleet.ClassID(class)}]
+				if want := r.desiredEntry(r.proxies[0], int32(server), class); got != want {
+					t.Errorf("%s: server %d, class %d: has %+v, wanted %+v", when, server, class, got, want)
+				}
+			}
+		}
+		if proxy.admissions[0].Limit != 500 || proxy.admissions[1].Limit != 500 {
+			t.Errorf("%s: admissions %+v", when, proxy.admissions)
+		}
+	}
+	run()
+	check("added where it existed")
+	delete(proxy.entries, entryKey{2, 1})
+	r.Apply(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.9}})
+	run()
+	check("set where it was missing")
+	r.Apply(now, []fleet.Order{
+		fleet.SetWeight{Server: 2, Weight: 0.9},
+		fleet.SetAdmission{Table: fleet.AllTables, Limit: 0.5},
+	})
+	if sent := run(); sent != 0 {
+		t.Errorf("%d messages for what the proxy has already", sent)
+	}
+}
+
+// TestFailedChangeIsRetriedWithBackoff checks that a change that failed for an unknown reason is sent again after
+// growing delays, with one notice.
+func TestFailedChangeIsRetriedWithBackoff(t *testing.T) {
+	r, now := newSettledReconciler(t, testSite(), 1, 3)
+	r.Apply(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 0.9}})
+	var sentAt []fleet.Time
+	notices := 0
+	for now < 60*fleet.Second {
+		messages, _, _, _ := r.Next(now)
+		for _, message := range messages {
+			sentAt = append(sentAt, now)
+			var failures []Failure
+			for i := range message.Changes {
+				failures = append(failures, Failure{Index: i, Text: "Permission denied"})
+			}
+			if len(sentAt) > 5 {
+				failures = nil
+			}
+			r.Acknowledge(now, message.Proxy, message.Sequence, failures)
+		}
+		notices += len(r.Notices())
+		now += 50 * fleet.Millisecond
+	}
+	if len(sentAt) != 6 || notices == 0 || notices > 2 {
+		t.Errorf("sent %d times, %d notices", len(sentAt), notices)
+	}
+	for i := 2; i < len(sentAt); i++ {
+		if sentAt[i]-sentAt[i-1] < sentAt[i-1]-sentAt[i-2] {
+			t.Errorf("delays do not grow: %v", sentAt)
+		}
+	}
+}
+
+// TestGoneEntriesAreDeleted checks that a server that is gone for long loses its entries, and that a deletion of
+// one with requests is tried again later.
+func TestGoneEntriesAreDeleted(t *testing.T) {
+	r, now := newSettledReconciler(t, testSite(), 1, 4)
+	r.SetEndpoints(now, changeList(fleet.ServerGone, 2))
+	r.Apply(now, []fleet.Order{fleet.WithdrawServer{Server: 2, Withdrawn: true}, fleet.SetWeight{Server: 2}})
+	attempts := 0
+	for now < 200*fleet.Second && attempts < 4 {
+		messages, _, _, _ := r.Next(now)
+		for _, message := range messages {
+			var failures []Failure
+			for i, change := range message.Changes {
+				if change.Kind != DeleteEntry {
+					continue
+				}
+				attempts++
+				if attempts <= 2 {
+					failures = append(failures, Failure{Index: i, Kind: FailureEntryInUse, Text: "in use"})
+				}
+			}
+			r.Acknowledge(now, message.Proxy, message.Sequence, failures)
+		}
+		now += 500 * fleet.Millisecond
+	}
+	if attempts != 4 {
+		t.Errorf("deleted %d times, not twice in vain and twice successfully", attempts)
+	}
+}
--- /dev/null
+++ b/internal/reconcile/helpers_test.go
@@ -0,0 +1,188 @@
+package reconcile
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"testing"
+
+	"cressknot/internal/fleet"
+)
+
+// TestMain fixes the seed, so that CI gives the same verdict each time; -rapid.seed and -rapid.checks play more.
+func TestMain(m *testing.M) {
+	flag.Parse()
+	set := map[string]bool{}
+	flag.Visit(func(f *flag.Flag) { set[f.Name] = true })
+	for name, value := range map[string]string{"rapid.seed": "7", "rapid.checks": "400", "rapid.nofailfile": "true"} {
+		if !set[name] {
+			_ = flag.Set(name, value)
+		}
+	}
+	os.Exit(m.Run())
+}
+
+func testSite() fleet.Site {
+	return fleet.Site{
+		Zones: []string{"a"},
+		Classes: []fleet.RequestClass{
+			{Name: "look"},
+			{Name: "issue", Idempotency: fleet.NotIdempotent},
+		},
+		EntriesPerSecond: 1000,
+		MessageOverhead:  4,
+		MaxBacklog:       2000,
+		MeanUpdateDelay:  50 * fleet.Millisecond,
+		MaxUpdateDelay:   200 * fleet.Millisecond,
+		SlowStart:        fleet.SlowStart{Duration: 10 * fleet.Second},
+		Admission:        fleet.AdmissionFraction,
+	}
+}
+
+// newSettledReconciler returns a reconciler with proxies that all have table 0 with some servers, sent and
+// acknowledged.
+func newSettledReconciler(tb testing.TB, site fleet.Site, proxies, servers int) (*Reconciler, fleet.Time) {
+	tb.Helper()
+	r := New(site)
+	now := fleet.Second
+	list := fleet.EndpointList{Scope: fleet.ListFull}
+	for i := range servers {
+		list.Endpoints = append(list.Endpoints, fleet.Endpoint{Server: fleet.ServerID(i)})
+	}
+	r.SetEndpoints(now, list)
+	var orders []fleet.Order
+	for i := range servers {
+		orders = append(orders, fleet.SetWeight{Server: fleet.ServerID(i), Weight: 0.5 + float32(i%7)/14})
+	}
+	for i := range proxies {
+		r.Join(now, fleet.ProxyID(i), Snapshot{})
+		orders = append(orders, fleet.AssignTable{Proxy: fleet.ProxyID(i)})
+	}
+	r.Apply(now, orders)
+	runUntilIdle(r, &now)
+	if !r.Idle() {
+		tb.Fatal("not idle")
+	}
+	return r, now
+}
+
+// runUntilIdle acknowledges all messages until nothing waits.
+func runUntilIdle(r *Reconciler, now *fleet.Time) {
+	for range 1_000_000 {
+		messages, _, _, _ := r.Next(*now)
+		for _, message := range messages {
+			r.Acknowledge(*now, message.Proxy, message.Sequence, nil)
+		}
+		if *now += 10 * fleet.Millisecond; r.Idle() {
+			return
+		}
+	}
+}
+
+// runFor acknowledges all messages for some seconds.
+func runFor(r *Reconciler, now *fleet.Time, seconds float64) {
+	for end := *now + fleet.Second.Scale(seconds); *now < end; *now += 20 * fleet.Millisecond {
+		messages, _, _, _ := r.Next(*now)
+		for _, message := range messages {
+			r.Acknowledge(*now, message.Proxy, message.Sequence, nil)
+		}
+	}
+}
+
+// changeList returns a list that changes the state of servers.
+func changeList(state fleet.ServerState, servers ...fleet.ServerID) fleet.EndpointList {
+	list := fleet.EndpointList{Scope: fleet.ListDelta}
+	for _, server := range servers {
+		list.Endpoints = append(list.Endpoints, fleet.Endpoint{Server: server, State: state})
+	}
+	return list
+}
+
+type entryKey struct {
+	server fleet.ServerID
+	class  fleet.ClassID
+}
+
+// fakeProxy applies messages as a real proxy does.
+type fakeProxy struct {
+	entries    map[entryKey]EntryState
+	admissions map[fleet.ClassID]Admission
+	inbox      []Message
+	violation  string
+}
+
+func (f *fakeProxy) snapshot() Snapshot {
+	snapshot := Snapshot{Admissions: make([]Admission, 2)}
+	for key, entry := range f.entries {
+		snapshot.Entries = append(snapshot.Entries, SnapshotEntry{Class: key.class, Server: key.server, State: entry})
+	}
+	for class, admission := range f.admissions {
+		snapshot.Admissions[class] = admission
+	}
+	return snapshot
+}
+
+// usableCount counts the entries of a class that get requests.
+func (f *fakeProxy) usableCount(class fleet.ClassID) (count int) {
+	for key, entry := range f.entries {
+		if key.class == class && entry.State == StateReady && entry.Weight > 0 {
+			count++
+		}
+	}
+	return count
+}
+
+// apply carries out up to limit changes of a message and returns the failures. A class that has a usable entry
+// before and after a complete message must have one at each moment in between; otherwise a violation is recorded.
+func (f *fakeProxy) apply(message Message, limit int) (failures []Failure) {
+	before := [2]int{f.usableCount(0), f.usableCount(1)}
+	emptyAfter := [2]int{-1, -1}
+	for i, change := range message.Changes[:min(limit, len(message.Changes))] {
+		for class := range 2 {
+			if i > 0 && f.usableCount(fleet.ClassID(class)) == 0 {
+				emptyAfter[class] = i
+			}
+		}
+		if kind, failed := f.applyChange(change); failed {
+			failures = append(failures, Failure{Index: i, Kind: kind})
+		}
+	}
+	for class := range 2 {
+		complete := len(failures) == 0 && limit >= len(message.Changes)
+		if before[class] > 0 && emptyAfter[class] >= 0 && f.usableCount(fleet.ClassID(class)) > 0 && complete {
+			f.violation = fmt.Sprintf("class %d without endpoints after change %d of %+v",
+				class, emptyAfter[class], message.Changes)
+		}
+	}
+	return failures
+}
+
+func (f *fakeProxy) applyChange(change Change) (kind FailureKind, failed bool) {
+	key := entryKey{change.Server, change.Class}
+	entry, exists := f.entries[key]
+	switch change.Kind {
+	case UpdateAdmission:
+		f.admissions[change.Class] = change.Admission
+		return 0, false
+	case AddEntry:
+		if exists {
+			return FailureEntryExists, true
+		}
+		entry = EntryState{Present: true, State: StateMaintenance}
+	case DeleteEntry:
+		delete(f.entries, key)
+		return FailureEntryMissing, !exists
+	case UpdateEntry:
+		if !exists {
+			return FailureEntryMissing, true
+		}
+	}
+	if change.Weight >= 0 {
+		entry.Weight = change.Weight
+	}
+	if change.State != StateUnchanged {
+		entry.State = change.State
+	}
+	f.entries[key] = entry
+	return 0, false
+}
--- /dev/null
+++ b/internal/reconcile/queue_test.go
@@ -0,0 +1,212 @@
+package reconcile
+
+import (
+	"fmt"
+	"testing"
+
+	"cressknot/internal/fleet"
+)
+
+// TestSlowProxyDelaysNoOther checks that while one proxy acknowledges nothing, the others get their messages at
+// once and reach their barriers, that messages to the slow one stay within the window, and that its session is
+// ended at last.
+func TestSlowProxyDelaysNoOther(t *testing.T) {
+	r, now := newSettledReconciler(t, testSite(), 3, 10)
+	barriersReached := 0
+	toSlowProxy := 0
+	var disconnectedAt fleet.Time
+	startedAt := now
+	for i := range 800 {
+		if i%20 == 0 {
+			r.Apply(now, []fleet.Order{
+				fleet.SetWeight{Server: 3, Weight: 0.5 + float32(i%140)/280},
+				fleet.Barrier{ID: fleet.BarrierID(i + 1)},
+			})
+		}
+		messages, events, disconnects, _ := r.Next(now)
+		for _, message := range messages {
+			if message.Proxy == 1 {
+				toSlowProxy++
+				continue
+			}
+			r.Acknowledge(now, message.Proxy, message.Sequence, nil)
+		}
+		for _, event := range events {
+			_, reached := event.(fleet.BarrierReached)
+			if reached && now < startedAt+r.stuckTimeout()-fleet.Second {
+				barriersReached++
+			}
+		}
+		if len(disconnects) > 0 {
+			disconnectedAt = now
+		}
+		now += 10 * fleet.Millisecond
+	}
+	if toSlowProxy > maxInFlightMessages {
+		t.Errorf("%d messages to a proxy that acknowledges none, the window is %d", toSlowProxy, maxInFlightMessages)
+	}
+	if barriersReached < 30 {
+		t.Errorf("only %d of some 40 barriers of two others reached while one proxy was slow", barriersReached)
+	}
+	due := startedAt + r.stuckTimeout()
+	if disconnectedAt == 0 || disconnectedAt < due || disconnectedAt > due+fleet.Second {
+		t.Errorf("disconnected after %v s", (disconnectedAt - startedAt).Seconds())
+	}
+}
+
+// TestUrgentChangesOvertake checks that a withdrawal leaves with the proxy's next message, ahead of changes that
+// wait, and that a weight that waits is replaced by the newer one.
+func TestUrgentChangesOvertake(t *testing.T) {
+	r, now := newSettledReconciler(t, testSite(), 1, 40)
+	var orders []fleet.Order
+	for i := range 40 {
+		orders = append(orders, fleet.SetWeight{Server: fleet.ServerID(i), Weight: 0.31})
+	}
+	r.Apply(now, orders[:20])
+	r.Apply(now, orders[20:])
+	r.SetEndpoints(now, changeList(fleet.ServerGone, 30))
+	r.Apply(now, []fleet.Order{
+		fleet.SetWeight{Server: 39, Weight: 0.91},
+		fleet.WithdrawServer{Server: 30, Withdrawn: true},
+	})
+	now += fleet.Millisecond
+	var first Message
+	for first.Sequence == 0 {
+		messages, _, _, _ := r.Next(now)
+		if len(messages) > 0 {
+			first = messages[0]
+		}
+		now += fleet.Millisecond
+	}
+	if change := first.Changes[0]; change.Server != 30 || change.State != StateMaintenance {
+		t.Errorf("the first change is %+v, not the withdrawal", change)
+	}
+	r.Acknowledge(now, 0, first.Sequence, nil)
+	sent := map[fleet.ServerID]int{}
+	for _, change := range first.Changes {
+		sent[change.Server]++
+	}
+	for range 200 {
+		messages, _, _, _ := r.Next(now)
+		for _, message := range messages {
+			for _, change := range message.Changes {
+				sent[change.Server]++
+			}
+			r.Acknowledge(now, 0, message.Sequence, nil)
+		}
+		now += 10 * fleet.Millisecond
+	}
+	if classes := len(r.site.Classes); sent[39] != classes {
+		t.Errorf("server 39 was sent %d times for %d classes, though the first weight still waited", sent[39], classes)
+	}
+}
+
+// TestBacklogAndMessagesStayBounded checks that, whatever is ordered, no more entries wait and no proxy is sent
+// more messages than allowed, and that all arrives in the end.
+func TestBacklogAndMessagesStayBounded(t *testing.T) {
+	site := testSite()
+	site.MaxBacklog = 300
+	site.MaxMessages = 8
+	site.MessageWindow = 10 * fleet.Second
+	r, now := newSettledReconciler(t, site, 6, 40)
+	written := map[fleet.ProxyID][]fleet.Time{}
+	for i := range 4000 {
+		if i < 600 {
+			var orders []fleet.Order
+			for j := range 40 {
+				weight := 0.3 + float32((i+j)%50)/100
+				orders = append(orders, fleet.SetWeight{Server: fleet.ServerID(j), Weight: weight})
+			}
+			r.Apply(now, orders)
+		}
+		messages, _, _, _ := r.Next(now)
+		if r.Backlog() > site.MaxBacklog {
+			t.Fatalf("%.0f entries wait, %.0f may", r.Backlog(), site.MaxBacklog)
+		}
+		for _, message := range messages {
+			written[message.Proxy] = append(written[message.Proxy], now)
+			recent := 0
+			for _, at := range written[message.Proxy] {
+				if at > now-site.MessageWindow {
+					recent++
+				}
+			}
+			if recent > site.MaxMessages {
+				t.Fatalf("%d messages to proxy %d", recent, message.Proxy)
+			}
+			r.Acknowledge(now, message.Proxy, message.Sequence, nil)
+		}
+		now += 20 * fleet.Millisecond
+	}
+	if !r.Idle() {
+		t.Error("not idle")
+	}
+	for j := range 40 {
+		proxy := r.proxies[3]
+		if proxy.sent[2*j] != r.desiredEntry(proxy, int32(j), 0) {
+			t.Errorf("server %d: %+v", j, proxy.sent[2*j])
+		}
+	}
+}
+
+func BenchmarkChangedLineToAll(b *testing.B) {
+	for _, proxies := range []int{230, 465, 930} {
+		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
+			site := testSite()
+			site.EntriesPerSecond = 1e9
+			r, now := newSettledReconciler(b, site, proxies, 700)
+			b.ReportAllocs()
+			for i := 0; b.Loop(); i++ {
+				r.Apply(now, []fleet.Order{fleet.SetWeight{Server: 5, Weight: 0.5 + float32(i%2)/4}})
+				runUntilIdle(r, &now)
+			}
+		})
+	}
+}
+
+func BenchmarkFullTableToOne(b *testing.B) {
+	site := testSite()
+	site.EntriesPerSecond = 1e9
+	r, now := newSettledReconciler(b, site, 1, 700)
+	b.ReportAllocs()
+	for b.Loop() {
+		r.Join(now, 0, Snapshot{})
+		r.Apply(now, []fleet.Order{fleet.AssignTable{Proxy: 0}})
+		runUntilIdle(r, &now)
+	}
+}
+
+// BenchmarkReturn930 has 930 proxies of 700 servers come back with a table that some of the last versions had.
+func BenchmarkReturn930(b *testing.B) {
+	for _, distinct := range []int{1, 10, 300} {
+		b.Run(fmt.Sprint("versions=", distinct), func(b *testing.B) {
+			site := testSite()
+			site.EntriesPerSecond = 1e9
+			site.MaxBacklog = 1e9
+			r, now := newSettledReconciler(b, site, 930, 700)
+			snapshots := make([]Snapshot, 930)
+			for i := range snapshots {
+				for j := range 700 {
+					weight := int16(128)
+					if j <= i%distinct {
+						weight = 100
+					}
+					snapshots[i].Entries = append(snapshots[i].Entries, SnapshotEntry{
+						Server: fleet.ServerID(j),
+						State:  EntryState{Weight: weight, State: StateReady},
+					})
+				}
+			}
+			b.ResetTimer()
+			for b.Loop() {
+				var assignments []fleet.Order
+				for i := range snapshots {
+					r.Join(now, fleet.ProxyID(i), snapshots[i])
+					assignments = append(assignments, fleet.AssignTable{Proxy: fleet.ProxyID(i)})
+				}
+				r.Apply(now, assignments)
+				runUntilIdle(r, &now)
+			}
+		})
+	}
+}
