--- a/internal/reconcile/endpoints.go
+++ b/internal/reconcile/endpoints.go
@@ -45,7 +45,7 @@
 	return i
 }
 
-// SetEndpoints takes an endpoint list or a change of it, so that a draining server is told from one that is gone,
+// SetEndpoints takes an endpoint list or a change of it, so that a draining server is distinguished from one that is gone,
 // and a warming one from a warm one.
 func (r *Reconciler) SetEndpoints(now fleet.Time, list fleet.EndpointList) {
 	if list.Scope == fleet.ListFailed {
--- a/internal/reconcile/views.go
+++ b/internal/reconcile/views.go
@@ -19,7 +19,6 @@
 	Written     int             // messages since it joined
 	AnswerDelay fleet.Time      // of the last acknowledged message
 	Entries     int             // ready entries with weight
-	Messages    uint64
 }
 
 // Proxies returns what operators see of all proxies, by id.
--- /dev/null
+++ b/internal/store/read.go
@@ -0,0 +1,56 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/cockroachdb/pebble/v2"
+)
+
+// Corruption is a record that must not be used.
+type Corruption struct{ Key, Why string }
+
+func (c Corruption) String() string { return c.Key + ": " + c.Why }
+
+// Read calls each record whose key begins with a prefix, in the order of keys, as they are on disk. Corrupt records
+// are returned instead.
+func (s *Store) Read(
+	prefix string, each func(key string, payload []byte) error,
+) (corruptions []Corruption, err error) {
+	err = s.eachRaw(prefix, func(key string, raw []byte) error {
+		payload, valid := unseal(key, raw)
+		if !valid {
+			corruptions = append(corruptions, Corruption{key, "its checksum differs"})
+			return nil
+		}
+		return each(key, payload)
+	})
+	if err != nil {
+		err = fmt.Errorf("store %s: %w", s.options.Directory, err)
+	}
+	return corruptions, err
+}
+
+// eachRaw calls each stored value whose key begins with a prefix, in the order of keys.
+func (s *Store) eachRaw(prefix string, each func(key string, raw []byte) error) (err error) {
+	defer recoverFatal(&err)
+	options := &pebble.IterOptions{}
+	if prefix != "" { // to the library an empty bound is no bound
+		options.LowerBound = []byte(prefix)
+		options.UpperBound = []byte(prefix + "\xff")
+	}
+	iterator, err := s.db.NewIter(options)
+	if err != nil {
+		return err
+	}
+	for valid := iterator.First(); valid; valid = iterator.Next() {
+		raw, err := iterator.ValueAndErr()
+		if err == nil {
+			err = each(string(iterator.Key()), raw)
+		}
+		if err != nil {
+			return errors.Join(err, iterator.Close())
+		}
+	}
+	return errors.Join(iterator.Error(), iterator.Close())
+}
--- /dev/null
+++ b/internal/store/record.go
@@ -0,0 +1,67 @@
+package store
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+const (
+	// maxRecordSize bounds the payload of a record, in bytes.
+	maxRecordSize = 16 << 20
+	// checksumSize is the size of the checksum before each payload, in bytes.
+	checksumSize = 8
+)
+
+// Change sets a record, or deletes it if Value is nil. Values are stored as JSON.
+type Change struct {
+	Key   string
+	Value any
+}
+
+// record is the encoded form of a change.
+type record struct {
+	value  []byte // sealed
+	delete bool
+}
+
+func newRecord(change Change) (*record, error) {
+	if change.Value == nil {
+		return &record{delete: true}, nil
+	}
+	payload, err := json.Marshal(change.Value)
+	if err != nil {
+		return nil, err
+	}
+	if len(payload) > maxRecordSize {
+		return nil, fmt.Errorf("%d bytes, %d are the most", len(payload), maxRecordSize)
+	}
+	return &record{value: seal(change.Key, payload)}, nil
+}
+
+// seal puts a checksum of key and payload before the payload. As it covers the key, a record under another's key
+// shows.
+func seal(key string, payload []byte) []byte {
+	digest := xxhash.New()
+	_, _ = digest.WriteString(key) // never fails, as documented
+	_, _ = digest.Write(payload)
+	sealed := make([]byte, 0, checksumSize+len(payload))
+	sealed = binary.BigEndian.AppendUint64(sealed, digest.Sum64())
+	return append(sealed, payload...)
+}
+
+// unseal returns the payload of a sealed record, and false if its checksum differs.
+func unseal(key string, raw []byte) (payload []byte, valid bool) {
+	if len(raw) < checksumSize {
+		return nil, false
+	}
+	payload = raw[checksumSize:]
+	sealed := seal(key, payload)
+	return payload, string(sealed[:checksumSize]) == string(raw[:checksumSize])
+}
+
+// Key joins the parts of a key, which must not contain a slash.
+func Key(parts ...string) string { return strings.Join(parts, "/") }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -80,8 +80,9 @@
 	return -1
 }
 
-// TestPowerFails cuts the power at a random moment of 150 runs: what was said to be kept is there, and what is there is what stood
-// after some commit, whole; on what is left the run goes on and is cut again. Unsynced blocks are lost by chance.
+// TestPowerFails cuts the power at a random moment of 150 runs: what was said to be kept is there, and what is
+// there is what stood after some commit, whole; on what is left the run goes on and is cut again. Unsynced blocks
+// are lost by chance.
 func TestPowerFails(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -133,8 +134,8 @@
 
 func (p points) String() string { return "points" }
 
-// TestPowerFailsAtEachWrite cuts the power before each single operation on the disk of a run with flushes and compactions, unsynced
-// blocks lost all, in part or not at all: what was said to be kept is there, and whole.
+// TestPowerFailsAtEachWrite cuts the power before each single operation on the disk of a run with flushes and
+// compactions, unsynced blocks lost all, in part or not at all: what was said to be kept is there, and whole.
 func TestPowerFailsAtEachWrite(t *testing.T) {
 	changes, states := script(5, 24)
 	mem := vfs.NewCrashableMem()
@@ -229,8 +230,8 @@
 	}
 }
 
-// TestCutAndFlippedFiles cuts the log at every byte, and flips bits in log and sealed tables: what opens holds a state that was
-// once committed, or says what is damaged; nothing is ever made up.
+// TestCutAndFlippedFiles cuts the log at every byte, and flips bits in log and sealed tables: what opens holds a
+// state that was once committed, or says what is damaged; nothing is ever made up.
 func TestCutAndFlippedFiles(t *testing.T) {
 	changes, states := script(5, 40)
 	made := func(seal bool) vfs.FS {
@@ -370,8 +371,8 @@
 
 func (f failingFile) SyncData() error { return f.Sync() }
 
-// TestFullDisk: while nothing can be written the store says so at once and keeps the newest of each record in hand; once there is
-// room it catches up by itself, and what it then holds outlasts a cut.
+// TestFullDisk: while nothing can be written the store says so at once and keeps the newest of each record in hand;
+// once there is room it catches up by itself, and what it then holds outlasts a cut.
 func TestFullDisk(t *testing.T) {
 	mem, broken := vfs.NewCrashableMem(), atomic.Bool{}
 	told := make(chan string, 8)
@@ -407,7 +408,8 @@
 	}
 }
 
-// TestOtherTroubles: two processes, a newer format, an older one, a record in another's place, a backup while it is written.
+// TestOtherTroubles: two processes, a newer format, an older one, a record in another's place, a backup while it is
+// written.
 func TestOtherTroubles(t *testing.T) {
 	fs := vfs.NewCrashableMem()
 	s := mustOpen(t, fs)
