--- /dev/null
+++ b/internal/store/corruption_test.go
@@ -0,0 +1,119 @@
+package store
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+
+	"github.com/cockroachdb/pebble/v2/vfs"
+)
+
+// copyStore copies a store to a file system of its own.
+func copyStore(t testing.TB, fs *vfs.MemFS) *vfs.MemFS {
+	t.Helper()
+	clone := vfs.NewCrashableMem()
+	if ok, err := vfs.Clone(fs, clone, testDirectory, testDirectory); err != nil || !ok {
+		t.Fatal(ok, err)
+	}
+	return clone
+}
+
+// storeOf returns the disk of a store with all commits, the first ones sealed in a table file on request.
+func storeOf(t *testing.T, changes [][]Change, sealed bool) *vfs.MemFS {
+	t.Helper()
+	fs := vfs.NewCrashableMem()
+	s := mustOpen(t, fs)
+	for i, commit := range changes {
+		mustPut(t, s, commit...)
+		if sealed && i == 25 {
+			if err := s.db.Flush(); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	clone := fs.CrashClone(vfs.CrashCloneCfg{})
+	mustClose(t, s)
+	return clone
+}
+
+// damageCounts counts what became of damaged stores.
+type damageCounts struct {
+	t        *testing.T
+	states   []map[string]int // that were once committed
+	cases    int
+	refused  int
+	complete int
+}
+
+// check opens a damaged store. It must have a state that was once committed, or report the damage.
+func (c *damageCounts) check(name string, fs vfs.FS) {
+	c.cases++
+	s, err := Open(Options{Directory: testDirectory, FS: fs})
+	if err != nil {
+		c.refused++
+		if !strings.HasPrefix(err.Error(), "store store: ") {
+			c.t.Errorf("%s: %v", name, err)
+		}
+		return
+	}
+	got, corruptions, err := readAll(s)
+	at := latestMatch(got, c.states, 0)
+	if err == nil && len(corruptions) == 0 && at < 0 {
+		c.t.Errorf("%s: a state that never was: %v", name, got)
+	}
+	switch {
+	case err != nil || len(corruptions) > 0:
+		c.refused++
+	case at == len(c.states)-1:
+		c.complete++
+	}
+	_ = s.Close() // fails where the damage is found late
+}
+
+// checkFlipped flips a random bit of a file in 300 copies of a store.
+func (c *damageCounts) checkFlipped(rng *rand.Rand, fs *vfs.MemFS, file, name string) {
+	content := readFile(c.t, fs, file)
+	for range 300 {
+		damaged := copyStore(c.t, fs)
+		flipped := append([]byte(nil), content...)
+		at := rng.IntN(len(flipped))
+		flipped[at] ^= 1 << rng.IntN(8)
+		overwriteFile(c.t, damaged, file, flipped)
+		c.check(fmt.Sprint(name, " flipped at ", at), damaged)
+	}
+}
+
+// TestDamagedFilesYieldNoInventedState cuts the log at every byte, and flips bits in the log and in a sealed table.
+func TestDamagedFilesYieldNoInventedState(t *testing.T) {
+	changes, states := commitSequence(5, 40)
+	counts := &damageCounts{t: t, states: states}
+
+	plain := storeOf(t, changes, false)
+	logs, _ := storeFiles(t, plain)
+	log := logs[len(logs)-1]
+	content := readFile(t, plain, log)
+	step := 1
+	if testing.Short() { // takes a sample
+		step = 7
+	}
+	for at := 0; at <= len(content); at += step {
+		damaged := copyStore(t, plain)
+		overwriteFile(t, damaged, log, content[:at])
+		counts.check(fmt.Sprint("cut at ", at), damaged)
+	}
+	rng := rand.New(rand.NewPCG(8, 8))
+	counts.checkFlipped(rng, plain, log, "log")
+
+	sealed := storeOf(t, changes, true)
+	_, tables := storeFiles(t, sealed)
+	if len(tables) == 0 {
+		t.Fatal("nothing was sealed")
+	}
+	counts.checkFlipped(rng, sealed, tables[0], "table")
+
+	t.Logf("%d cases, %d refused, %d complete", counts.cases, counts.refused, counts.complete)
+	if counts.cases < 900 || counts.refused < 100 || counts.complete == 0 {
+		t.Errorf("%d cases, %d refused, %d complete", counts.cases, counts.refused, counts.complete)
+	}
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,7 +21,8 @@
 }
 
 func (e *NewerError) Error() string {
-	return fmt.Sprintf("store %s has format %d, this program knows up to %d: it is left untouched", e.Folder, e.Format, Format)
+	return fmt.Sprintf("store %s has format %d, this program knows up to %d: it is left untouched",
+		e.Folder, e.Format, Format)
 }
 
 // BusyError reports that another process has locked the directory.
