--- /dev/null
+++ b/internal/safety/file.go
@@ -0,0 +1,181 @@
+package safety
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"time"
+
+	"cressknot/internal/fleet"
+)
+
+// StateFile is the file that a table is checked against offline: the servers and the demand of a class.
+type StateFile struct {
+	Now     time.Time     `json:"now"`
+	Demand  float64       `json:"demand"` // requests per second that would go by the table
+	Cold    SlowStartFile `json:"cold"`
+	Servers []ServerFile  `json:"servers"`
+}
+
+// ServerFile is a server in a state file.
+type ServerFile struct {
+	Name     string    `json:"name"`
+	State    string    `json:"state,omitempty"` // ready (also ""), draining, gone
+	Started  time.Time `json:"started,omitzero"`
+	Capacity float64   `json:"capacity,omitempty"` // requests per second, as measured; 0: not known
+}
+
+// SlowStartFile states how servers warm up, in the form of the settings.
+type SlowStartFile struct {
+	InitialFraction         float64 `json:"from"`
+	DurationSeconds         float64 `json:"for_s"`
+	OverloadFactor          float64 `json:"fall_factor"`
+	OverloadDurationSeconds float64 `json:"fall_for_s"`
+}
+
+// TableFile is a table to be checked.
+type TableFile struct {
+	Lines []TableFileLine `json:"lines"`
+}
+
+// TableFileLine is an entry of a table file.
+type TableFileLine struct {
+	Server    string  `json:"server"`
+	Weight    float64 `json:"weight"`
+	Withdrawn bool    `json:"withdrawn,omitempty"`
+}
+
+func decodeFile(name string, text []byte, into any) error {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		return fmt.Errorf("%s: byte %d: %w", name, decoder.InputOffset(), err)
+	}
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return fmt.Errorf("%s: byte %d: more after its end", name, decoder.InputOffset())
+	}
+	return nil
+}
+
+// Check checks a table file against a state file and describes each violation. The names of the files are for
+// errors.
+func Check(tableName string, table []byte, stateName string, state []byte) ([]string, error) {
+	var tableFile TableFile
+	var stateFile StateFile
+	err := errors.Join(decodeFile(tableName, table, &tableFile), decodeFile(stateName, state, &stateFile))
+	if err != nil {
+		return nil, err
+	}
+	if stateFile.Now.IsZero() {
+		return nil, fmt.Errorf("%s: now: is missing", stateName)
+	}
+	now := fleet.Time(stateFile.Now.UnixNano())
+	guard, names, err := stateFile.newGuard(now, stateName)
+	if err != nil {
+		return nil, err
+	}
+	lines, err := tableFile.lines(names, tableName)
+	if err != nil {
+		return nil, err
+	}
+	var texts []string
+	for _, harm := range guard.Table(now, lines, stateFile.Demand) {
+		text := harm.Why + ": " + harm.Text
+		if !harm.None {
+			text = "server " + names.name(harm.Server) + ": " + text
+		}
+		texts = append(texts, text)
+	}
+	return texts, nil
+}
+
+// serverNames gives servers ids in the order in which their names are added.
+type serverNames struct {
+	names []string
+	ids   map[string]fleet.ServerID
+}
+
+// add gives a name the next id, in place of an earlier one.
+func (n *serverNames) add(name string) fleet.ServerID {
+	id := fleet.ServerID(len(n.names))
+	n.names = append(n.names, name)
+	n.ids[name] = id
+	return id
+}
+
+// id returns the id of a name and adds the name if it is new.
+func (n *serverNames) id(name string) fleet.ServerID {
+	if id, known := n.ids[name]; known {
+		return id
+	}
+	return n.add(name)
+}
+
+func (n *serverNames) name(id fleet.ServerID) string { return n.names[id] }
+
+// newGuard returns a guard that knows the servers of the file.
+func (f *StateFile) newGuard(now fleet.Time, fileName string) (*Guard, *serverNames, error) {
+	guard := New(fleet.Site{
+		Zones:   []string{""},
+		Classes: make([]fleet.RequestClass, 1),
+		SlowStart: fleet.SlowStart{
+			InitialFraction: f.Cold.InitialFraction,
+			Duration:        fleet.Second.Scale(f.Cold.DurationSeconds),
+		},
+		RecoveryRamp: fleet.RecoveryRamp{
+			OverloadFactor: f.Cold.OverloadFactor,
+			Duration:       fleet.Second.Scale(f.Cold.OverloadDurationSeconds),
+		},
+	})
+	names := &serverNames{ids: map[string]fleet.ServerID{}}
+	var list fleet.EndpointList
+	for i, server := range f.Servers {
+		state, known := parseServerState(server.State)
+		if !known {
+			return nil, nil, fmt.Errorf("%s: servers[%d].state: %q is none of ready, draining, gone",
+				fileName, i, server.State)
+		}
+		endpoint := fleet.Endpoint{Server: names.add(server.Name), State: state}
+		if !server.Started.IsZero() {
+			endpoint.Started = fleet.Time(server.Started.UnixNano())
+		}
+		list.Endpoints = append(list.Endpoints, endpoint)
+	}
+	guard.Hear(now, list)
+	for i, server := range f.Servers {
+		if server.Capacity > 0 {
+			known := guard.servers[fleet.ServerID(i)]
+			known.handledRate = server.Capacity
+			known.capacity = server.Capacity
+			known.measuredAt = now
+		}
+	}
+	return guard, names, nil
+}
+
+func parseServerState(text string) (state fleet.ServerState, known bool) {
+	switch text {
+	case "", "ready":
+		return fleet.ServerReady, true
+	case "draining":
+		return fleet.ServerDraining, true
+	case "gone":
+		return fleet.ServerGone, true
+	}
+	return 0, false
+}
+
+// lines returns the entries of the file. Servers that are not listed get ids of their own.
+func (f *TableFile) lines(names *serverNames, fileName string) ([]TableLine, error) {
+	var lines []TableLine
+	for i, line := range f.Lines {
+		id := names.id(line.Server)
+		if line.Weight < 0 {
+			return nil, fmt.Errorf("%s: lines[%d].weight: %v is negative", fileName, i, line.Weight)
+		}
+		lines = append(lines, TableLine{id, line.Weight, line.Withdrawn})
+	}
+	return lines, nil
+}
--- a/internal/safety/guard_test.go
+++ b/internal/safety/guard_test.go
@@ -253,8 +253,8 @@
 	return false
 }
 
-// TestAgainstAnOracle: of thousands of drawn messages, with others on their way, each that is stopped is truly harmful,
-// each safe one passes as it is, and what is let pass of a harmful one does no harm.
+// TestAgainstAnOracle: of thousands of drawn messages, with others on their way, each that is stopped is truly
+// harmful, each safe one passes as it is, and what is let pass of a harmful one does no harm.
 func TestAgainstAnOracle(t *testing.T) {
 	judged, stopped, wronglyStopped, wronglyPassed, leftHarm := 0, 0, 0, 0, 0
 	why := map[string]int{}
@@ -324,30 +324,31 @@
 	}
 }
 
-// TestTrustFallsWithAge: a capacity counts in full while fresh, as what was carried when old, evenly between; a clock that
-// goes back makes nothing younger.
+// TestTrustFallsWithAge: a capacity counts in full while fresh, as what was carried when old, evenly between; a
+// clock that goes back makes nothing younger.
 func TestTrustFallsWithAge(t *testing.T) {
 	g := New(site())
 	g.Hear(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}}})
 	g.Hear(now, fleet.OutcomeReport{Server: 1, Attempts: 100, Interval: 10 * fleet.Second, Load: []float32{0.25}})
-	for age, want := range map[fleet.Time]float64{-fleet.Second: 40, 0: 40, trustFull: 40, (trustFull + trustGone) / 2: 25, trustGone: 10, 10 * trustGone: 10} {
+	for age, want := range map[fleet.Time]float64{-fleet.Second: 40, 0: 40, fullTrustAge: 40, (fullTrustAge + noTrustAge) / 2: 25, noTrustAge: 10, 10 * noTrustAge: 10} {
 		if got, known := g.servers[1].trustedCapacity(now + age); math.Abs(got-want) > 1e-6 || !known {
 			t.Errorf("at an age of %v s: %v, not %v", age.Seconds(), got, want)
 		}
 	}
 }
 
-// TestStartedAgainWhileWarming: a second start makes a server as cold as the first did, whatever was counted between.
+// TestStartedAgainWhileWarming: a second start makes a server as cold as the first did, whatever was counted
+// between.
 func TestStartedAgainWhileWarming(t *testing.T) {
 	g := New(site())
 	g.Hear(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2, Started: now - 9*fleet.Second}}})
 	g.Hear(now, fleet.OutcomeReport{Server: 1, Attempts: 200, Interval: 10 * fleet.Second, Load: []float32{0.5}})
-	before := g.Bearable(now, 2)
+	before := g.bearableRate(now, 2)
 	g.Hear(now, fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 2, Started: now}}})
-	if after := g.Bearable(now, 2); after > before/2 {
+	if after := g.bearableRate(now, 2); after > before/2 {
 		t.Errorf("it bears %v after its second start, %v before", after, before)
 	}
-	if back := g.Bearable(now-fleet.Second, 2); back > before/2 || back <= 0 { // the clock went back over the start
+	if back := g.bearableRate(now-fleet.Second, 2); back > before/2 || back <= 0 { // the clock went back over the start
 		t.Errorf("with the clock gone back it bears %v", back)
 	}
 }
@@ -371,8 +372,8 @@
 	}
 }
 
-// fleetOf makes a guard and a plane that asks it, with so many proxies bound to one table over three servers that can do
-// 20 visits a second each; 24 come in all.
+// fleetOf makes a guard and a plane that asks it, with so many proxies bound to one table over three servers that
+// can do 20 visits a second each; 24 come in all.
 func fleetOf(t *testing.T, proxies int) (*Guard, *reconcile.Reconciler) {
 	t.Helper()
 	s := site()
@@ -409,20 +410,20 @@
 	return changes
 }
 
-// TestLinesOfARestartedServer: a server that starts anew while proxies hold its lines has no room for more, and is cut at
-// the next message to each; when those are answered there is room for as much as it bears.
+// TestLinesOfARestartedServer: a server that starts anew while proxies hold its lines has no room for more, and is
+// cut at the next message to each; when those are answered there is room for as much as it bears.
 func TestLinesOfARestartedServer(t *testing.T) {
 	g, p := fleetOf(t, 3)
 	l := fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 2, Started: now}}}
 	g.Hear(now, l)
 	p.SetEndpoints(now, l)
-	if got := g.otherProxiesLoad(2, 99); math.Abs(got-8) > 0.2 {
+	if got := g.otherProxiesRate(2, 99); math.Abs(got-8) > 0.2 {
 		t.Errorf("its standing lines count as %v visits a second, not 8", got)
 	}
-	bears := g.Bearable(now, 2)
+	bears := g.bearableRate(now, 2)
 	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 1.1}}) // that alone would lower its share, but not enough
 	settle(p, now)
-	if got := g.otherProxiesLoad(2, 99); got > bears || got < bears/2 {
+	if got := g.otherProxiesRate(2, 99); got > bears || got < bears/2 {
 		t.Errorf("%v visits a second after the cut, it bears %v", got, bears)
 	}
 	if len(p.Refusals()) != 1 || p.Refusals()[0].Server != 2 || p.Refusals()[0].Reason != ReasonWarmingOverload || p.Refusals()[0].Proxies != 3 {
@@ -433,8 +434,8 @@
 	}
 }
 
-// TestLeastChange: of several lines taken the largest warm one stays; a cold line that others' leaving would crowd is cut
-// and the rest passes; what the module wants comes by itself once it is safe.
+// TestLeastChange: of several lines taken the largest warm one stays; a cold line that others' leaving would crowd
+// is cut and the rest passes; what the module wants comes by itself once it is safe.
 func TestLeastChange(t *testing.T) {
 	_, p := fleetOf(t, 1)
 	p.Apply(now, []fleet.Order{fleet.SetWeight{Server: 1}, fleet.SetWeight{Server: 2, Weight: 0.5}, fleet.SetWeight{Server: 3}})
@@ -489,23 +490,23 @@
 	}
 	d := &reconcile.UpdatePlan{Proxy: 1, NothingInFlight: true, EntryCounts: []int{2, 2}, WeightSums: []int{200, 200}, Warming: []reconcile.WarmingEntry{{Server: 2, State: in(100)}}}
 	g.ProxyJoined(now, d)
-	if got := g.otherProxiesLoad(2, 9); math.Abs(got-5) > 1e-9 {
+	if got := g.otherProxiesRate(2, 9); math.Abs(got-5) > 1e-9 {
 		t.Errorf("%v counted, not 5", got)
 	}
 	g.Hear(now, fleet.ProxyLeft{Proxy: 1})
 	again := func(at fleet.Time) {
 		g.Hear(at, fleet.EndpointList{Scope: fleet.ListDelta, Endpoints: []fleet.Endpoint{{Server: 2, Started: at}}})
 	}
-	if again(now + 5*fleet.Second); g.otherProxiesLoad(2, 9) == 0 {
+	if again(now + 5*fleet.Second); g.otherProxiesRate(2, 9) == 0 {
 		t.Error("a proxy that just left goes on with what it holds, but is not counted")
 	}
-	if again(now + 11*fleet.Second); g.otherProxiesLoad(2, 9) != 0 {
+	if again(now + 11*fleet.Second); g.otherProxiesRate(2, 9) != 0 {
 		t.Error("a proxy gone for long is counted")
 	}
 	g.ProxyJoined(now, d)
 	d.Warming, d.WeightSums = nil, []int{100, 100}
 	g.ProxyAcknowledged(now, d)
-	if got := g.otherProxiesLoad(2, 9); got != 0 {
+	if got := g.otherProxiesRate(2, 9); got != 0 {
 		t.Errorf("%v counted after the line is gone", got)
 	}
 }
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -6,75 +6,110 @@
 	"cressknot/internal/fleet"
 )
 
-// Bounds of forcing what was refused.
+// Operators may force what was refused, within bounds.
 const (
-	ForceFor  = 30 * fleet.Second // so long a refusal may be forced: it was judged on what was known then
-	ForceMost = 64                // forces that wait at a time
+	// ForceFor is how long a refusal may be forced: it was decided by what was known then.
+	ForceFor = 30 * fleet.Second
+	// ForceMost bounds the refusals that may be forced at a time.
+	ForceMost = 64
 )
 
-// TableLine is a line of a whole table that is judged.
+// maxTableUtilization is the fraction of their capacity that the servers of a table may be asked for.
+const maxTableUtilization = 1.0
+
+// TableLine is an entry of a complete table to be checked.
 type TableLine struct {
 	Server    fleet.ServerID
 	Weight    float64
 	Withdrawn bool
 }
 
-// Harm is one thing that a table would do.
+func (l TableLine) usable() bool { return l.Weight > 0 && !l.Withdrawn }
+
+// Harm is a rule that a table would violate.
 type Harm struct {
 	Why    string
 	Server fleet.ServerID
-	None   bool // it names no server
+	None   bool // it is about no single server
 	Text   string
-	Force  bool // staff may force it, in two steps
+	Force  bool // operators may force it, in two steps
 }
 
-// Table judges a whole table for classes whose visits come at so many a second in all. It is what staff are told
-// before a push; messages are judged one by one all the same.
-func (g *Guard) Table(now fleet.Time, lines []TableLine, demand float64) (harms []Harm) {
-	sum, can, all, warmReady := 0.0, 0.0, 0.0, 0
-	known := true
-	for _, s := range g.servers {
-		if s.State == fleet.ServerReady {
-			c, heard := s.trustedCapacity(now)
-			if !heard {
-				known = false
-			}
-			if all += c; !g.cold(now, s) {
-				warmReady++
-			}
+// readyCapacity sums up the servers that are listed as ready.
+type readyCapacity struct {
+	total float64
+	known bool // of all
+	warm  int  // servers that are not warming up
+}
+
+func (g *Guard) readyCapacity(now fleet.Time) readyCapacity {
+	sum := readyCapacity{known: true}
+	for _, server := range g.servers {
+		if server.State != fleet.ServerReady {
+			continue
 		}
-	}
-	usable := 0
-	for _, l := range lines {
-		s := g.servers[l.Server]
-		switch {
-		case l.Weight <= 0 || l.Withdrawn:
-		case s == nil || g.binds(l.Server):
-			harms = append(harms, Harm{Why: ReasonServerNotReady, Server: l.Server, Text: "visits would go to a server that is draining, gone or not listed"})
-		case s.State == fleet.ServerReady:
-			usable++
-			sum += l.Weight
-			c, _ := s.trustedCapacity(now)
-			can += c
+		capacity, known := server.trustedCapacity(now)
+		sum.total += capacity
+		if !known {
+			sum.known = false
+		}
+		if !g.isWarmingUp(now, server) {
+			sum.warm++
 		}
 	}
-	if usable == 0 {
-		return append(harms, Harm{Why: ReasonNoEndpoints, None: true, Text: fmt.Sprintf("no ready server would have a line; %d ready and warm ones are listed", warmReady)})
-	}
-	for _, l := range lines {
-		if s := g.servers[l.Server]; s == nil || l.Weight <= 0 || l.Withdrawn || s.State != fleet.ServerReady {
+	return sum
+}
+
+// Table checks a complete table for classes whose requests come at a rate of demand per second in all. It tells
+// operators in advance; messages are checked one by one all the same.
+func (g *Guard) Table(now fleet.Time, lines []TableLine, demand float64) (harms []Harm) {
+	var ready []TableLine
+	weightSum, capacity := 0.0, 0.0
+	for _, line := range lines {
+		if !line.usable() {
 			continue
 		}
-		load, bears := demand*l.Weight/sum, g.Bearable(now, l.Server)
-		if load > bears {
-			harms = append(harms, Harm{Why: ReasonWarmingOverload, Server: l.Server, Text: fmt.Sprintf(
-				"it is cold and would get %.1f visits a second; it bears %.1f now, which is a weight of %.4g here", load, bears,
-				max(0, bears/max(none, demand-bears)*(sum-l.Weight)))})
+		server := g.servers[line.Server]
+		if server == nil || g.mustNotGetRequests(line.Server) {
+			harms = append(harms, Harm{
+				Why:    ReasonServerNotReady,
+				Server: line.Server,
+				Text:   "visits would go to a server that is draining, gone or not listed",
+			})
+		} else if server.State == fleet.ServerReady {
+			ready = append(ready, line)
+			weightSum += line.Weight
+			trusted, _ := server.trustedCapacity(now)
+			capacity += trusted
 		}
 	}
-	if known && demand > overload*can && all > can {
+	all := g.readyCapacity(now)
+	if len(ready) == 0 {
+		text := fmt.Sprintf("no ready server would have a line; %d ready and warm ones are listed", all.warm)
+		return append(harms, Harm{Why: ReasonNoEndpoints, None: true, Text: text})
+	}
+	for _, line := range ready {
+		if harm, overloaded := g.checkWarming(now, line, demand, weightSum); overloaded {
+			harms = append(harms, harm)
+		}
+	}
+	if all.known && demand > maxTableUtilization*capacity && all.total > capacity {
 		harms = append(harms, Harm{Why: ReasonInsufficientCapacity, None: true, Force: true, Text: fmt.Sprintf(
-			"%.1f visits a second would come to servers that can do %.1f; all that are ready can do %.1f", demand, can, all)})
+			"%.1f visits a second would come to servers that can do %.1f; all that are ready can do %.1f",
+			demand, capacity, all.total)})
 	}
 	return harms
 }
+
+// checkWarming checks whether an entry would overload a server that is warming up.
+func (g *Guard) checkWarming(now fleet.Time, line TableLine, demand, weightSum float64) (Harm, bool) {
+	rate := demand * line.Weight / weightSum
+	bearable := g.bearableRate(now, line.Server)
+	if rate <= bearable {
+		return Harm{}, false
+	}
+	bearableWeight := max(0, bearable/max(epsilon, demand-bearable)*(weightSum-line.Weight))
+	return Harm{Why: ReasonWarmingOverload, Server: line.Server, Text: fmt.Sprintf(
+		"it is cold and would get %.1f visits a second; it bears %.1f now, which is a weight of %.4g here",
+		rate, bearable, bearableWeight)}, true
+}
--- /dev/null
+++ b/internal/safety/warming.go
@@ -0,0 +1,242 @@
+package safety
+
+import (
+	"slices"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+)
+
+// maxLowerAttempts bounds how often the entries of a warming server are lowered before the changes that would
+// overload it are refused.
+const maxLowerAttempts = 3
+
+// ProxyJoined notes what a proxy has at its join.
+func (g *Guard) ProxyJoined(now fleet.Time, plan *reconcile.UpdatePlan) {
+	g.ProxyAcknowledged(now, plan)
+}
+
+// ProxyAcknowledged notes that a proxy has what it was sent, and nothing else if no message is in flight.
+func (g *Guard) ProxyAcknowledged(now fleet.Time, plan *reconcile.UpdatePlan) {
+	rates := g.ratesAt(plan, entriesBefore(plan), plan.WeightSums)
+	if plan.NothingInFlight {
+		for id, server := range g.servers {
+			if server.rateOf(plan.Proxy) > 0 {
+				rates[id] = max(rates[id], 0) // 0 where the proxy has no entry any more
+			}
+		}
+	}
+	g.commitRates(plan, rates)
+}
+
+// ProxyLeft changes nothing: a proxy without a session may go on sending, so its rates count until the servers are
+// warm.
+func (g *Guard) ProxyLeft(fleet.ProxyID) {}
+
+// commitRates notes the rates that a proxy may send to warming servers. While other messages are in flight, the
+// larger one of the old and the new rate counts.
+func (g *Guard) commitRates(plan *reconcile.UpdatePlan, rates serverRates) {
+	for id, rate := range rates {
+		server := g.servers[id]
+		if server != nil && (plan.NothingInFlight || rate > server.rateOf(plan.Proxy)) {
+			server.setRate(plan.Proxy, rate)
+		}
+	}
+}
+
+// otherProxiesRate returns the rate that other proxies may send to a server.
+func (g *Guard) otherProxiesRate(id fleet.ServerID, except fleet.ProxyID) float64 {
+	server := g.servers[id]
+	if server == nil {
+		return 0
+	}
+	return max(0, server.totalRate-server.rateOf(except))
+}
+
+// limitWarming lowers entries of warming servers until each bears what all proxies may send it: this one at each
+// moment while it applies the message, the others as much as they have or as is in flight to them, whichever is
+// more. What lowering does not mend is refused.
+func (g *Guard) limitWarming(now fleet.Time, plan *reconcile.UpdatePlan) {
+	if g.isHarmless(now, plan) {
+		return
+	}
+	entries := entriesAfter(plan)
+	attempts := map[fleet.ServerID]int{}
+	load := warmingLoad{before: g.ratesAt(plan, entriesBefore(plan), plan.WeightSums)}
+	load.peaks, load.afterDecrease = g.peakRates(plan)
+	for range maxLowerAttempts * (len(entries) + 1) {
+		worst, found := g.worstOverload(now, plan.Proxy, entries, load, attempts)
+		if !found {
+			break
+		}
+		attempts[worst.server]++
+		g.lowerServer(plan, entries, worst, attempts[worst.server] >= maxLowerAttempts)
+		entries = entriesAfter(plan)
+		load.peaks, load.afterDecrease = g.peakRates(plan)
+	}
+	g.commitRates(plan, load.peaks)
+}
+
+// warmingLoad is what a proxy sends to warming servers before a message, and at most while it applies it.
+type warmingLoad struct {
+	before, peaks, afterDecrease serverRates
+}
+
+// overload is a warming server that would get more than it bears from a proxy.
+type overload struct {
+	server    fleet.ServerID
+	excess    float64 // rate that is too much
+	available float64 // rate that the proxy may send
+}
+
+// worstOverload returns the server with the largest excess. It goes by the order of the entries, so that the same
+// plan is always decided in the same way.
+func (g *Guard) worstOverload(
+	now fleet.Time, proxy fleet.ProxyID, entries []warmingEntry, load warmingLoad, attempts map[fleet.ServerID]int,
+) (worst overload, found bool) {
+	for _, entry := range entries {
+		available := max(0, g.bearableRate(now, entry.Server)-g.otherProxiesRate(entry.Server, proxy))
+		rate := load.peaks[entry.Server]
+		if before := load.before[entry.Server]; before > available { // too high already: what a decrease leaves counts
+			rate = load.afterDecrease[entry.Server]
+			if server := g.servers[entry.Server]; server != nil && server.totalRate > 0 {
+				// The other proxies are lowered as well: each keeps its part.
+				part := min(1, before/server.totalRate)
+				available = max(available, part*g.bearableRate(now, entry.Server))
+			}
+		}
+		excess := rate - available
+		significant := excess > epsilon*available+epsilon
+		if significant && excess > worst.excess && attempts[entry.Server] <= maxLowerAttempts {
+			worst = overload{entry.Server, excess, available}
+		}
+	}
+	return worst, worst.excess > 0
+}
+
+// lowerServer lowers the entries of an overloaded server, or refuses what changes their classes.
+func (g *Guard) lowerServer(plan *reconcile.UpdatePlan, entries []warmingEntry, worst overload, refuse bool) {
+	part := worst.available / (worst.available + worst.excess)
+	weightSums := weightSumsAfter(plan, entries)
+	for i := range entries {
+		entry := &entries[i]
+		if entry.Server != worst.server {
+			continue
+		}
+		if refuse || entry.weight > 0 && !lowerEntry(plan, entry, entries, weightSums, part) {
+			refuseClass(plan, entry.Class)
+		}
+	}
+}
+
+// weightSumsAfter returns the sums of weights of each class's usable entries of ready servers after a message.
+func weightSumsAfter(plan *reconcile.UpdatePlan, entries []warmingEntry) []int {
+	sums := slices.Clone(plan.WeightSums)
+	for i := range plan.Proposals {
+		if proposal := &plan.Proposals[i]; !proposal.Warming {
+			sums[proposal.Class] += proposal.WeightDelta()
+		}
+	}
+	for _, entry := range entries {
+		sums[entry.Class] += entry.weight
+	}
+	for _, entry := range plan.Warming {
+		sums[entry.Class] -= int(entry.State.Weight)
+	}
+	return sums
+}
+
+// lowerEntry gives a warming server so little weight that its fraction of the requests is at most a part of what it
+// would be, whatever becomes of other warming servers. It returns false where the class would have warming servers
+// only.
+func lowerEntry(
+	plan *reconcile.UpdatePlan, entry *warmingEntry, entries []warmingEntry, weightSums []int, part float64,
+) bool {
+	warmSum := weightSums[entry.Class]
+	for _, other := range entries {
+		if other.Class == entry.Class {
+			warmSum -= other.weight
+		}
+	}
+	if warmSum == 0 {
+		return false
+	}
+	fraction := part * float64(entry.weight) / float64(max(1, weightSums[entry.Class]))
+	weight := int(fraction / max(epsilon, 1-fraction) * float64(warmSum))
+	if weight >= entry.weight {
+		return true
+	}
+	entry.weight = weight
+	if entry.proposal < 0 {
+		plan.AddWeightCut(entry.WarmingEntry, int16(weight), ReasonWarmingOverload)
+		entry.proposal = len(plan.Proposals) - 1
+		return true
+	}
+	proposal := &plan.Proposals[entry.proposal]
+	if weight == 0 && !proposal.Have.Usable() {
+		proposal.HoldReason = ReasonWarmingOverload
+	} else {
+		proposal.LowerWeight(int16(weight), ReasonWarmingOverload)
+	}
+	return true
+}
+
+// refuseClass refuses all that a message changes for a class's ready servers. Where that leaves nothing to refuse,
+// the class has warming servers only, and having endpoints takes precedence.
+func refuseClass(plan *reconcile.UpdatePlan, class fleet.ClassID) {
+	for i := range plan.Proposals {
+		proposal := &plan.Proposals[i]
+		if proposal.Class == class && proposal.Kind != reconcile.UpdateAdmission && proposal.WeightDelta() != 0 {
+			proposal.HoldReason = ReasonWarmingOverload
+		}
+	}
+}
+
+// isHarmless passes most messages at low cost: nothing raises an entry of a warming server, and after the message
+// none brings its server more than it bears. As reconcile.Arrange keeps every fraction within what it was before
+// and will be after, no moment in between is worse.
+func (g *Guard) isHarmless(now fleet.Time, plan *reconcile.UpdatePlan) bool {
+	for i := range plan.Proposals {
+		if changesWarmingEntry(&plan.Proposals[i]) {
+			return false
+		}
+	}
+	if len(plan.Warming) == 0 {
+		return true
+	}
+	g.updateUnitRates(plan)
+	for i := 0; i < len(plan.Warming); {
+		id := plan.Warming[i].Server
+		rate := 0.0
+		for ; i < len(plan.Warming) && plan.Warming[i].Server == id; i++ { // a server's entries are adjacent
+			rate += g.unitRates[plan.Warming[i].Class] * float64(plan.Warming[i].State.Weight)
+		}
+		server := g.servers[id]
+		if server == nil {
+			continue
+		}
+		before := server.rateOf(plan.Proxy)
+		if max(0, rate-before)+server.totalRate > g.bearableRateOf(now, server) {
+			return false // the complete check decides
+		}
+		if rate > before {
+			server.setRate(plan.Proxy, rate)
+		}
+	}
+	return true
+}
+
+// updateUnitRates works out the rate by class that a weight of one brings after a message.
+func (g *Guard) updateUnitRates(plan *reconcile.UpdatePlan) {
+	g.weightSums = append(g.weightSums[:0], plan.WeightSums...)
+	for i := range plan.Proposals {
+		if proposal := &plan.Proposals[i]; proposal.Kind != reconcile.UpdateAdmission {
+			g.weightSums[proposal.Class] += proposal.WeightDelta()
+		}
+	}
+	g.unitRates = g.unitRates[:0]
+	for class, sum := range g.weightSums {
+		rate := g.Demand(plan.Proxy, fleet.ClassID(class)) / float64(max(1, sum))
+		g.unitRates = append(g.unitRates, rate)
+	}
+}
