--- a/internal/safety/capacity.go
+++ b/internal/safety/capacity.go
@@ -140,7 +140,7 @@
 	warmedUp := max(0, min(1, (now-server.Started).Seconds()/max(epsilon, slowStart.Duration.Seconds())))
 	fraction := slowStart.InitialFraction + (1-slowStart.InitialFraction)*warmedUp
 	interval := max(epsilon, g.site.RecoveryRamp.Duration.Seconds())
-	budget := g.site.RecoveryRamp.OverloadFactor * fraction * g.fullCapacity(now, server) * interval
+	budget := g.site.OverloadFactor * fraction * g.fullCapacity(now, server) * interval
 	server.bearable = rateWithinBudget(budget, interval)
 	server.bearableFrom = now
 	return server.bearable
--- /dev/null
+++ b/internal/safety/helpers_test.go
@@ -0,0 +1,105 @@
+package safety
+
+import (
+	"flag"
+	"os"
+	"testing"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+)
+
+// TestMain fixes the seed, so that CI gives the same verdict each time; -rapid.seed and -rapid.checks play more.
+func TestMain(m *testing.M) {
+	flag.Parse()
+	set := map[string]bool{}
+	flag.Visit(func(f *flag.Flag) { set[f.Name] = true })
+	for name, value := range map[string]string{"rapid.seed": "11", "rapid.checks": "20000", "rapid.nofailfile": "true"} {
+		if !set[name] {
+			_ = flag.Set(name, value)
+		}
+	}
+	os.Exit(m.Run())
+}
+
+const now = 1000 * fleet.Second
+
+func testSite() fleet.Site {
+	return fleet.Site{
+		Zones:                []string{"a"},
+		LoadFields:           []fleet.LoadField{fleet.LoadFieldUtilization},
+		ProxyCount:           2,
+		AttemptTimeoutFactor: 1,
+		SlowStart:            fleet.SlowStart{InitialFraction: 0.2, Duration: 10 * fleet.Second},
+		RecoveryRamp:         fleet.RecoveryRamp{OverloadFactor: 2, Duration: 2 * fleet.Second},
+		Classes: []fleet.RequestClass{
+			{Idempotency: fleet.Idempotent, LatencyObjective: fleet.Second},
+			{Idempotency: fleet.NotIdempotent, LatencyObjective: fleet.Second},
+		},
+	}
+}
+
+func readyEntry(weight int16) reconcile.EntryState {
+	return reconcile.EntryState{Present: true, State: reconcile.StateReady, Weight: weight}
+}
+
+// outcomeReport returns a report of attempts over ten seconds, without failures, at a utilization.
+func outcomeReport(server fleet.ServerID, attempts uint32, utilization float32) fleet.OutcomeReport {
+	return fleet.OutcomeReport{
+		Server:   server,
+		Attempts: attempts,
+		Interval: 10 * fleet.Second,
+		Load:     []float32{utilization},
+	}
+}
+
+// startedList returns a list that changes the start of a server.
+func startedList(server fleet.ServerID, at fleet.Time) fleet.EndpointList {
+	return fleet.EndpointList{
+		Scope:     fleet.ListDelta,
+		Endpoints: []fleet.Endpoint{{Server: server, Started: at}},
+	}
+}
+
+// newCheckedReconciler returns a guard and a reconciler that asks it, with proxies that have one table with three
+// servers. Each server has a capacity of 20 requests per second; 24 come in all.
+func newCheckedReconciler(t *testing.T, proxies int) (*Guard, *reconcile.Reconciler) {
+	t.Helper()
+	site := testSite()
+	site.Classes = site.Classes[:1]
+	site.EntriesPerSecond = 1e6
+	site.MaxBacklog = 1e6
+	guard := New(site)
+	reconciler := reconcile.New(site)
+	reconciler.UseSafetyCheck(guard)
+	list := fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2}, {Server: 3}}}
+	guard.Hear(now, list)
+	reconciler.SetEndpoints(now, list)
+	var orders []fleet.Order
+	for id := range fleet.ServerID(3) {
+		guard.Hear(now, outcomeReport(id+1, 100, 0.5))
+		orders = append(orders, fleet.SetWeight{Server: id + 1, Weight: 1})
+	}
+	for i := range proxies {
+		id := fleet.ProxyID(i)
+		reconciler.Join(now, id, reconcile.Snapshot{})
+		guard.Hear(now, fleet.ProxyJoined{Proxy: id})
+		guard.Hear(now, fleet.DemandReport{Proxy: id, Requests: uint32(2400 / proxies), Interval: 100 * fleet.Second})
+		orders = append(orders, fleet.AssignTable{Proxy: id})
+	}
+	reconciler.Apply(now, orders)
+	acknowledgeAll(reconciler, now)
+	return guard, reconciler
+}
+
+// acknowledgeAll acknowledges all messages that leave within 400 ms and returns their changes.
+func acknowledgeAll(reconciler *reconcile.Reconciler, from fleet.Time) (changes []reconcile.Change) {
+	for at := from; at < from+400*fleet.Millisecond; at += 50 * fleet.Millisecond {
+		messages, _, _, _ := reconciler.Next(at)
+		for _, message := range messages {
+			changes = append(changes, message.Changes...)
+			reconciler.Acknowledge(at, message.Proxy, message.Sequence, nil)
+		}
+	}
+	return changes
+}
--- /dev/null
+++ b/internal/safety/oracle_test.go
@@ -0,0 +1,385 @@
+package safety
+
+import (
+	"math"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+)
+
+const (
+	oracleServers = 4
+	oracleProxies = 2
+	oracleClasses = 2
+)
+
+// entryTable is what a proxy has, by class and server.
+type entryTable [oracleClasses][oracleServers]reconcile.EntryState
+
+// oracle is a small fleet of which everything is known.
+type oracle struct {
+	guard      *Guard
+	states     [oracleServers]fleet.ServerState
+	startedAt  [oracleServers]fleet.Time
+	capacities [oracleServers]float64
+	demand     [oracleProxies][oracleClasses]float64
+	// moments of each proxy: what it has for certain, then what it may have after each change that is in flight.
+	moments [oracleProxies][]entryTable
+}
+
+func (o *oracle) isWarmingUp(server int) bool {
+	return o.startedAt[server] > 0 && now < o.startedAt[server]+10*fleet.Second
+}
+
+func (o *oracle) isReady(server int) bool { return o.states[server] == fleet.ServerReady }
+
+// latest returns what a proxy has once all that is in flight has arrived.
+func (o *oracle) latest(proxy int) entryTable {
+	return o.moments[proxy][len(o.moments[proxy])-1]
+}
+
+// drawOracle draws a fleet and reports it to a guard.
+func drawOracle(t *rapid.T) *oracle {
+	o := &oracle{guard: New(testSite())}
+	list := fleet.EndpointList{Scope: fleet.ListFull}
+	for server := range oracleServers {
+		o.states[server] = fleet.ServerState(max(0, rapid.IntRange(-4, 2).Draw(t, "state")))
+		if rapid.IntRange(0, 2).Draw(t, "warming") == 0 {
+			o.startedAt[server] = now - fleet.Time(rapid.IntRange(0, 12).Draw(t, "age"))*fleet.Second
+		}
+		list.Endpoints = append(list.Endpoints, fleet.Endpoint{
+			Server:  fleet.ServerID(server),
+			State:   o.states[server],
+			Started: o.startedAt[server],
+		})
+	}
+	o.guard.Hear(now, list)
+	for server := range oracleServers {
+		o.capacities[server] = float64(rapid.IntRange(2, 40).Draw(t, "capacity"))
+		if !o.isWarmingUp(server) { // it handles half of its capacity at a utilization of a half
+			o.guard.Hear(now, fleet.OutcomeReport{
+				Server:   fleet.ServerID(server),
+				Attempts: uint32(10 * o.capacities[server]),
+				Interval: 20 * fleet.Second,
+				Load:     []float32{0.5},
+			})
+		}
+	}
+	for proxy := range oracleProxies {
+		o.guard.Hear(now, fleet.ProxyJoined{Proxy: fleet.ProxyID(proxy)})
+		for class := range oracleClasses {
+			requests := rapid.IntRange(0, 30).Draw(t, "requests")
+			o.demand[proxy][class] = float64(requests) / 2
+			o.guard.Hear(now, fleet.DemandReport{
+				Proxy:    fleet.ProxyID(proxy),
+				Class:    fleet.ClassID(class),
+				Requests: uint32(requests),
+				Interval: 2 * fleet.Second,
+			})
+		}
+	}
+	return o
+}
+
+func drawEntry(t *rapid.T) reconcile.EntryState {
+	entry := reconcile.EntryState{Present: rapid.IntRange(0, 4).Draw(t, "present") > 0}
+	if entry.Present {
+		entry.Weight = int16(rapid.SampledFrom([]int{0, 1, 20, 128, 256}).Draw(t, "weight"))
+		entry.State = reconcile.State(1 + max(0, rapid.IntRange(-3, 2).Draw(t, "unusable")))
+	}
+	return entry
+}
+
+// drawInitialTables draws what each proxy has at its join.
+func (o *oracle) drawInitialTables(t *rapid.T) {
+	for proxy := range oracleProxies {
+		var initial entryTable
+		for class := range oracleClasses {
+			for server := range oracleServers {
+				initial[class][server] = drawEntry(t)
+			}
+		}
+		o.moments[proxy] = []entryTable{initial}
+	}
+}
+
+// newPlan returns the plan of a message to a proxy.
+func (o *oracle) newPlan(proxy int, proposals []reconcile.Proposal) *reconcile.UpdatePlan {
+	latest := o.latest(proxy)
+	plan := &reconcile.UpdatePlan{
+		Proxy:           fleet.ProxyID(proxy),
+		EntryCounts:     make([]int, oracleClasses),
+		WeightSums:      make([]int, oracleClasses),
+		NothingInFlight: len(o.moments[proxy]) == 1,
+		Proposals:       proposals,
+	}
+	for server := range oracleServers {
+		for class := range oracleClasses {
+			entry := latest[class][server]
+			if !entry.Usable() || !o.isReady(server) {
+				continue
+			}
+			plan.EntryCounts[class]++
+			plan.WeightSums[class] += int(entry.Weight)
+			if o.isWarmingUp(server) {
+				plan.Warming = append(plan.Warming, reconcile.WarmingEntry{
+					Class:  fleet.ClassID(class),
+					Server: fleet.ServerID(server),
+					State:  entry,
+				})
+			}
+		}
+	}
+	return plan
+}
+
+func (o *oracle) drawProposals(t *rapid.T, proxy int) (proposals []reconcile.Proposal) {
+	latest := o.latest(proxy)
+	for range rapid.IntRange(1, 4).Draw(t, "changes") {
+		class := rapid.IntRange(0, oracleClasses-1).Draw(t, "class")
+		server := rapid.IntRange(0, oracleServers-1).Draw(t, "server")
+		want := drawEntry(t)
+		want.Present = true
+		isSame := func(proposal reconcile.Proposal) bool {
+			return int(proposal.Class) == class && int(proposal.Server) == server
+		}
+		if want == latest[class][server] || slices.ContainsFunc(proposals, isSame) {
+			continue
+		}
+		if want.State == reconcile.StateUnchanged {
+			want.State = reconcile.StateReady
+		}
+		proposals = append(proposals, reconcile.Proposal{
+			Change: reconcile.Change{
+				Class:  fleet.ClassID(class),
+				Server: fleet.ServerID(server),
+				Weight: want.Weight,
+			},
+			Have:    latest[class][server],
+			Want:    want,
+			Ready:   o.isReady(server),
+			Warming: o.isWarmingUp(server),
+			Urgent:  want.State != reconcile.StateReady,
+		})
+	}
+	return proposals
+}
+
+// momentsAfter returns what a proxy may have after each of the proposals in their order.
+func momentsAfter(table entryTable, proposals []reconcile.Proposal) (moments []entryTable) {
+	for _, proposal := range proposals {
+		if proposal.HoldReason == "" {
+			table[proposal.Class][proposal.Server] = proposal.Want
+			moments = append(moments, table)
+		}
+	}
+	return moments
+}
+
+// usable returns number and sum of weights of a class's usable entries of ready servers.
+func (o *oracle) usable(table entryTable, class int) (count, weightSum int) {
+	for server, entry := range table[class] {
+		if entry.Usable() && o.isReady(server) {
+			count++
+			weightSum += int(entry.Weight)
+		}
+	}
+	return count, weightSum
+}
+
+// violation returns which rule a message violates, "" for none: it plays out every order of arrival, from first
+// principles.
+func (o *oracle) violation(proxy int, proposals []reconcile.Proposal, moments []entryTable) string {
+	for _, proposal := range proposals {
+		becomesUsable := proposal.Want.Usable() && !proposal.Have.Usable()
+		if proposal.HoldReason == "" && !o.isReady(int(proposal.Server)) && becomesUsable {
+			return ReasonServerNotReady
+		}
+	}
+	before := o.latest(proxy)
+	for class := range oracleClasses {
+		countBefore, _ := o.usable(before, class)
+		for _, moment := range moments {
+			if count, _ := o.usable(moment, class); countBefore > 0 && count == 0 {
+				return ReasonNoEndpoints
+			}
+		}
+	}
+	all := o.moments
+	all[proxy] = append(slices.Clone(all[proxy]), moments...)
+	for server := range oracleServers {
+		if o.isWarmingUp(server) && o.isReady(server) && o.isOverloaded(server, all) {
+			return ReasonWarmingOverload
+		}
+	}
+	return ""
+}
+
+// isOverloaded reports whether a warming server gets more than it bears at any pair of moments of the proxies.
+func (o *oracle) isOverloaded(server int, moments [oracleProxies][]entryTable) bool {
+	bearable := o.bearableRate(server)
+	for _, first := range moments[0] {
+		for _, second := range moments[1] {
+			rate := 0.0
+			for proxy, table := range []entryTable{first, second} {
+				for class := range oracleClasses {
+					entry := table[class][server]
+					if _, weightSum := o.usable(table, class); weightSum > 0 && entry.Usable() {
+						rate += o.demand[proxy][class] * float64(entry.Weight) / float64(weightSum)
+					}
+				}
+			}
+			if rate > bearable+1e-9 {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// bearableRate finds by bisection the rate that a warming server bears.
+func (o *oracle) bearableRate(server int) float64 {
+	var known []float64
+	for other := range oracleServers {
+		if !o.isWarmingUp(other) && o.isReady(other) {
+			known = append(known, o.capacities[other])
+		}
+	}
+	capacity := 0.0
+	if slices.Sort(known); len(known) > 0 {
+		capacity = known[len(known)/4]
+	}
+	warmedUp := (now - o.startedAt[server]).Seconds() / 10
+	budget := 2 * (0.2 + 0.8*math.Min(1, warmedUp)) * capacity * 2
+	low, high := 0.0, 1e6
+	for range 200 {
+		middle := (low + high) / 2
+		if middle*2+2*math.Sqrt(middle*2) <= budget+2 {
+			low = middle
+		} else {
+			high = middle
+		}
+	}
+	return low
+}
+
+// fillsEmptyClassWithWarming reports whether a class that was without endpoints has warming servers only.
+func (o *oracle) fillsEmptyClassWithWarming(before, after entryTable) bool {
+	for class := range oracleClasses {
+		countBefore, _ := o.usable(before, class)
+		var alone entryTable
+		alone[class] = after[class]
+		if countBefore == 0 && o.hasWarmingOnly(alone) {
+			return true
+		}
+	}
+	return false
+}
+
+// hasWarmingOnly reports whether some class has warming servers only. Then having endpoints takes precedence.
+func (o *oracle) hasWarmingOnly(table entryTable) bool {
+	for class := range oracleClasses {
+		usable, warm := 0, 0
+		for server, entry := range table[class] {
+			if entry.Usable() && o.isReady(server) {
+				usable++
+				if !o.isWarmingUp(server) {
+					warm++
+				}
+			}
+		}
+		if usable > 0 && warm == 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// oracleCounts count the verdicts over all draws.
+type oracleCounts struct {
+	checked, stopped                              int
+	wronglyStopped, wronglyPassed, stillViolating int
+	byReason                                      map[string]int
+}
+
+// checkMessage lets the guard check a drawn message. It returns false where the fleet must not be used further.
+func (o *oracle) checkMessage(t *rapid.T, proxy int, counts *oracleCounts) bool {
+	original := o.newPlan(proxy, o.drawProposals(t, proxy))
+	checked := o.newPlan(proxy, slices.Clone(original.Proposals))
+	latest := o.latest(proxy)
+	reconcile.Arrange(original)
+	moments := momentsAfter(latest, original.Proposals)
+	violation := o.violation(proxy, original.Proposals, moments)
+	if violation == ReasonWarmingOverload && slices.ContainsFunc(moments, func(moment entryTable) bool {
+		return o.fillsEmptyClassWithWarming(latest, moment)
+	}) {
+		return false // having endpoints takes precedence
+	}
+	o.guard.CheckPlan(now, checked)
+	isStopped := slices.ContainsFunc(checked.Proposals, func(proposal reconcile.Proposal) bool {
+		return proposal.HoldReason != "" || proposal.LowerReason != ""
+	})
+	counts.checked++
+	counts.byReason[violation]++
+	if isStopped {
+		counts.stopped++
+	}
+	switch {
+	case isStopped && violation == "":
+		counts.wronglyStopped++
+		t.Errorf("stopped, though safe: %+v", checked.Proposals)
+	case !isStopped && violation != "":
+		counts.wronglyPassed++
+		t.Errorf("passed, though %s: %+v", violation, checked.Proposals)
+	}
+	reconcile.Arrange(checked)
+	moments = momentsAfter(latest, checked.Proposals)
+	if left := o.violation(proxy, checked.Proposals, moments); left != "" {
+		if left == ReasonWarmingOverload && slices.ContainsFunc(append(moments, latest), o.hasWarmingOnly) {
+			return false // having endpoints takes precedence
+		}
+		counts.stillViolating++
+		t.Errorf("what passed: %s: %+v", left, checked.Proposals)
+	}
+	o.moments[proxy] = append(o.moments[proxy], moments...)
+	return true
+}
+
+// TestGuardAgreesWithOracle checks for thousands of drawn messages, with others in flight, that each one that is
+// stopped violates a rule, that each safe one passes unchanged, and that what passes of one that is stopped
+// violates none.
+func TestGuardAgreesWithOracle(t *testing.T) {
+	counts := &oracleCounts{byReason: map[string]int{}}
+	rapid.Check(t, func(t *rapid.T) {
+		o := drawOracle(t)
+		o.drawInitialTables(t)
+		if o.violation(0, nil, nil) != "" {
+			return // violated from the beginning, by no message
+		}
+		for proxy := range oracleProxies {
+			o.guard.ProxyJoined(now, o.newPlan(proxy, nil))
+		}
+		for range rapid.IntRange(1, 4).Draw(t, "messages") {
+			proxy := rapid.IntRange(0, oracleProxies-1).Draw(t, "proxy")
+			if rapid.IntRange(0, 3).Draw(t, "acknowledged") == 0 { // all that was in flight has arrived
+				o.moments[proxy] = o.moments[proxy][len(o.moments[proxy])-1:]
+				o.guard.ProxyAcknowledged(now, o.newPlan(proxy, nil))
+			}
+			if !o.checkMessage(t, proxy, counts) {
+				return
+			}
+		}
+	})
+	t.Logf("%d messages checked, %d stopped; stopped though safe %d, passed though harmful %d, "+
+		"violations in what passed %d; by the oracle %v", counts.checked, counts.stopped, counts.wronglyStopped,
+		counts.wronglyPassed, counts.stillViolating, counts.byReason)
+	for _, reason := range []string{"", ReasonServerNotReady, ReasonNoEndpoints, ReasonWarmingOverload} {
+		if counts.byReason[reason] < counts.checked/100 {
+			t.Errorf("%q was drawn %d times of %d only", reason, counts.byReason[reason], counts.checked)
+		}
+	}
+}
