--- /dev/null
+++ b/internal/lease/lease.go
@@ -0,0 +1,267 @@
+package lease
+
+import (
+	"cmp"
+	"slices"
+	"strconv"
+
+	"cressknot/internal/fleet"
+)
+
+const (
+	// CheckInterval is the time between two readings of the entries of a proxy. Heartbeats are as frequent.
+	CheckInterval = fleet.Second
+	// leaseDuration is how long a holder may miss heartbeats: five, as many as a restart may cost.
+	leaseDuration = 5 * fleet.Second
+	// rankDelay is added for each controller with a better rank, which should take over first.
+	rankDelay = 2 * fleet.Second
+	// minHoldDuration is how long a proxy is held before it is handed over, so that controllers that come and go move
+	// nothing back and forth.
+	minHoldDuration = 10 * fleet.Second
+)
+
+// Act is what a controller has to do about a proxy.
+type Act uint8
+
+// The acts.
+const (
+	Wait    Act = iota // another controller holds the lease: check again
+	Want               // the same, and request the lease
+	Claim              // take the lease over
+	Keep               // continue to hold the lease
+	Release            // hand the lease over: end what is in flight and remove the entry
+	Lost               // another controller holds the lease: send nothing more
+)
+
+// heartbeat is a count of a holder's heartbeats, and when it was read first on this controller's clock.
+type heartbeat struct {
+	count uint64
+	at    fleet.Time
+}
+
+// Lease is one controller's part of the protocol at one proxy. It is not safe for concurrent use.
+type Lease struct {
+	me     string
+	ranked []string // controllers that may serve the proxy, the preferred one first
+
+	// Set by operators.
+	retired bool
+	manual  bool // this controller is to have the lease
+
+	// While another controller holds the lease.
+	freeSince fleet.Time           // since when no holder is known; 0: there is one
+	holders   map[uint64]heartbeat // by epoch: the latest heartbeat of the holder
+	wantBeat  uint64
+	requested bool // the lease, since it was held last
+
+	// While this controller holds the lease or takes it over.
+	epoch       uint64 // of the takeover; 0: none
+	heldSince   fleet.Time
+	beat        uint64
+	requests    map[string]uint64 // by controller: its latest request
+	handingOver bool              // hand over without a request
+
+	lastHolder   Entry
+	lastHolderAt fleet.Time // when the last holder's entry changed
+}
+
+// NewLease returns the part of a controller at a proxy. All controllers that may serve the proxy are ranked, the
+// preferred one first.
+func NewLease(me string, ranked []string) *Lease {
+	return &Lease{me: me, ranked: ranked, holders: map[uint64]heartbeat{}, requests: map[string]uint64{}}
+}
+
+// Retire lets a controller hand over what it holds and take only what no other one does, until that is requested;
+// or ends that.
+func (l *Lease) Retire(on bool) {
+	l.retired = on
+	l.handingOver = on && l.heldSince > 0
+}
+
+// Take lets a controller have the lease whatever its rank, as operators want, or ends that.
+func (l *Lease) Take(on bool) { l.manual = on }
+
+// Seen returns the holder when the entries were read last, and when its entry was seen to change.
+func (l *Lease) Seen() (holder Entry, changedAt fleet.Time) { return l.lastHolder, l.lastHolderAt }
+
+// Epoch returns the epoch of the takeover that is in progress or succeeded, 0 for none.
+func (l *Lease) Epoch() uint64 { return l.epoch }
+
+func (l *Lease) observe(now fleet.Time, entries []Entry) {
+	if holder := Holder(entries); holder != l.lastHolder {
+		l.lastHolder = holder
+		l.lastHolderAt = now
+	}
+}
+
+// rank returns the rank of a controller, 0 for the preferred one. A retired controller comes last.
+func (l *Lease) rank(controller string) int {
+	if l.retired && controller == l.me {
+		return len(l.ranked)
+	}
+	if at := slices.Index(l.ranked, controller); at >= 0 {
+		return at
+	}
+	return len(l.ranked)
+}
+
+// Look decides from the entries what to do about a proxy that is not held, and when to check again.
+func (l *Lease) Look(now fleet.Time, entries []Entry) (act Act, checkAt fleet.Time) {
+	l.observe(now, entries)
+	holder := Holder(entries)
+	if holder.Epoch == 0 || holder.Controller == l.me { // free, or held by this controller before a restart
+		return l.lookAtFree(now, holder, entries)
+	}
+	l.freeSince = 0
+	if now >= l.expiry(now, holder) {
+		return Claim, now
+	}
+	preferred := l.rank(l.me) < l.rank(holder.Controller) || holder.Retired && !l.retired
+	if l.manual || !holder.Hand && preferred {
+		return Want, now + CheckInterval
+	}
+	return Wait, now + CheckInterval
+}
+
+// lookAtFree decides about a proxy without a living holder. Controllers with a better rank come first.
+func (l *Lease) lookAtFree(now fleet.Time, holder Entry, entries []Entry) (act Act, checkAt fleet.Time) {
+	l.freeSince = cmp.Or(l.freeSince, now)
+	delay := rankDelay * fleet.Time(l.controllersBefore(entries))
+	if l.manual {
+		delay = 0
+	} else if slices.ContainsFunc(entries, func(entry Entry) bool {
+		return entry.WantHand && entry.Controller != l.me
+	}) {
+		delay += rankDelay // it is handed over to that one
+	}
+	if holder.Controller == l.me && !l.retired || now >= l.freeSince+delay {
+		return Claim, now
+	}
+	return Wait, min(now+CheckInterval, l.freeSince+delay)
+}
+
+// expiry returns when the lease of another controller may be taken over.
+func (l *Lease) expiry(now fleet.Time, holder Entry) fleet.Time {
+	last, known := l.holders[holder.Epoch]
+	if !known || last.count != holder.Beat {
+		clear(l.holders)
+		last = heartbeat{holder.Beat, now}
+		l.holders[holder.Epoch] = last
+	}
+	before := l.rank(l.me)
+	if l.rank(holder.Controller) < before {
+		before-- // the holder itself will be gone
+	}
+	return last.at + leaseDuration + rankDelay*fleet.Time(before)
+}
+
+// controllersBefore counts the controllers that may take a free proxy before this one: those with a better rank
+// that have not announced to leave. It returns 0 where this one has requested the lease and no better one does.
+func (l *Lease) controllersBefore(entries []Entry) (count int) {
+	rank := l.rank(l.me)
+	betterRequests := false
+	leaving := map[string]bool{}
+	for _, entry := range entries {
+		leaving[entry.Controller] = entry.Retired && entry.Epoch == 0
+		if entry.Want > 0 && l.rank(entry.Controller) < rank {
+			betterRequests = true
+		}
+	}
+	if l.requested && !betterRequests {
+		return 0
+	}
+	for i, controller := range l.ranked {
+		if i < rank && controller != l.me && !leaving[controller] {
+			count++
+		}
+	}
+	return count
+}
+
+// Ask returns the value to store as a request for the lease.
+func (l *Lease) Ask() string {
+	l.wantBeat++
+	l.requested = true
+	value := strconv.FormatUint(l.wantBeat, 10)
+	if l.manual {
+		value += manualSuffix
+	}
+	return value
+}
+
+// Begin begins a takeover and returns the entry to store.
+func (l *Lease) Begin(now fleet.Time, entries []Entry) Entry {
+	l.epoch = NextEpoch(now, entries)
+	l.beat = 1
+	return l.entry()
+}
+
+// Took decides, from the entries read after all other sessions were ended, whether the lease is held from now on.
+func (l *Lease) Took(now fleet.Time, entries []Entry) bool {
+	if !Wins(l.me, l.epoch, entries) {
+		l.Drop()
+		return false
+	}
+	l.heldSince = now
+	l.requested = false
+	clear(l.requests)
+	return true
+}
+
+// Next returns the entry of the next heartbeat.
+func (l *Lease) Next() Entry {
+	l.beat++
+	return l.entry()
+}
+
+func (l *Lease) entry() Entry {
+	return Entry{Controller: l.me, Epoch: l.epoch, Beat: l.beat, Retired: l.retired, Hand: l.manual}
+}
+
+// Holding decides, from the entries read with a heartbeat, whether the lease continues. It is handed over only
+// where moves allows it.
+func (l *Lease) Holding(now fleet.Time, entries []Entry, moves *Moves) Act {
+	l.observe(now, entries)
+	if !Wins(l.me, l.epoch, entries) {
+		return Lost
+	}
+	if l.handingOver && moves.Take(now) {
+		return Release
+	}
+	for _, entry := range entries {
+		if !l.isLiveRequest(entry) {
+			continue
+		}
+		if (entry.WantHand || now >= l.heldSince+minHoldDuration) && moves.Take(now) {
+			return Release
+		}
+	}
+	return Keep
+}
+
+// isLiveRequest reports whether a controller that should have the lease requests it. A request that does not change
+// may be left from long ago.
+func (l *Lease) isLiveRequest(entry Entry) bool {
+	preferred := !l.manual && l.rank(entry.Controller) < l.rank(l.me)
+	if entry.Want == 0 || !entry.WantHand && !preferred {
+		return false
+	}
+	last, known := l.requests[entry.Controller]
+	l.requests[entry.Controller] = entry.Want
+	return known && last != entry.Want
+}
+
+// Leave returns the entry that a controller leaves when it hands a proxy over. One that retires or stops says so,
+// so that nobody waits for it.
+func (l *Lease) Leave(stopping bool) Entry {
+	return Entry{Controller: l.me, Retired: l.retired || stopping}
+}
+
+// Drop forgets a takeover that is over, or a session that was lost. The heartbeats of another holder stay: a holder
+// that is gone must not gain time by sessions that break.
+func (l *Lease) Drop() {
+	l.epoch = 0
+	l.heldSince = 0
+	l.freeSince = 0
+	l.handingOver = false
+}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -13,8 +13,8 @@
 
 const sec = fleet.Second
 
-// TestRankMovesFew: of proxies over governors each gets a fair part; one that leaves moves its own proxies only, one that joins takes only
-// what becomes its own.
+// TestRankMovesFew: of proxies over governors each gets a fair part; one that leaves moves its own proxies only,
+// one that joins takes only what becomes its own.
 func TestRankMovesFew(t *testing.T) {
 	var all []string
 	for i := range 10 {
@@ -48,8 +48,9 @@
 	}
 }
 
-// TestPlanIsEven: whatever the visits of proxies and however few they are, no governor has more than a tenth over an even part, or half of
-// the largest proxy; one that joins or leaves moves little more than has to move; the order of names changes nothing.
+// TestPlanIsEven: whatever the visits of proxies and however few they are, no governor has more than a tenth over
+// an even part, or half of the largest proxy; one that joins or leaves moves little more than has to move; the
+// order of names changes nothing.
 func TestPlanIsEven(t *testing.T) {
 	governors := []string{"governor-1", "governor-2", "governor-3", "governor-4", "governor-5"}
 	loads := func(shares []ProxyLoad, plan map[string][]string) (most float64) {
@@ -71,7 +72,7 @@
 		n := rapid.IntRange(1, 4).Draw(t, "governors")
 		plan := Plan(shares, governors[:n])
 		even := total / float64(n)
-		if most := loads(shares, plan); most > max(fullBy*even, even+largest/2)+largest/2+1e-9 {
+		if most := loads(shares, plan); most > max(maxOverload*even, even+largest/2)+largest/2+1e-9 {
 			t.Fatalf("%.1f visits at one governor, %.1f are even, the largest proxy has %.1f", most, even, largest)
 		}
 		slices.Reverse(shares)
@@ -99,7 +100,8 @@
 	}
 }
 
-// world of one proxy's entries and some governors' leases, on time of its own. Sessions and takeovers go as the front makes them, at once.
+// world of one proxy's entries and some governors' leases, on time of its own. Sessions and takeovers go as the
+// front makes them, at once.
 type proxy struct {
 	entries map[string]Entry
 	leases  map[string]*Lease
@@ -194,8 +196,9 @@
 	return who
 }
 
-// TestWhoHolds: the best ranked takes a proxy first; when it dies the next one does within its time; when it is back it asks and is given
-// it, but not before it has been held for a while, and not by one word left from long ago; clocks that differ by an hour change nothing.
+// TestWhoHolds: the best ranked takes a proxy first; when it dies the next one does within its time; when it is
+// back it asks and is given it, but not before it has been held for a while, and not by one word left from long
+// ago; clocks that differ by an hour change nothing.
 func TestWhoHolds(t *testing.T) {
 	r := Rank("p", []string{"a", "b", "c"})
 	p := newProxy("a", "b", "c")
@@ -220,7 +223,7 @@
 	p.tick()
 	p.leases[r[1]].Drop() // its session broke meanwhile
 	until(r[1], 9)
-	if after := p.now - died; after < leaseFor || after > leaseFor+2*sec {
+	if after := p.now - died; after < leaseDuration || after > leaseDuration+2*sec {
 		t.Errorf("taken after %.0f s", after.Seconds())
 	}
 	p.holds[r[1]], p.leases[r[1]] = false, NewLease(r[1], r) // a new life of the holder
@@ -238,7 +241,7 @@
 	if p.changes != changes+1 {
 		t.Errorf("went through %d hands on its way back", p.changes-changes)
 	}
-	if p.now-took < holdLeast-sec {
+	if p.now-took < minHoldDuration-sec {
 		t.Errorf("handed on after %.0f s", (p.now - took).Seconds())
 	}
 	p.dead[r[0]], p.dead[r[1]] = true, true
@@ -251,7 +254,8 @@
 	}
 }
 
-// TestRandomLives: whoever dies, stands still and comes back when, never do two hold; somebody does within a bound when somebody lives.
+// TestRandomLives: whoever dies, stands still and comes back when, never do two hold; somebody does within a bound
+// when somebody lives.
 func TestRandomLives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newProxy("a", "b", "c")
@@ -295,7 +299,8 @@
 	})
 }
 
-// TestRetired: a governor that retires hands on at once and takes nothing that others would; it serves what nobody else does.
+// TestRetired: a governor that retires hands on at once and takes nothing that others would; it serves what nobody
+// else does.
 func TestRetired(t *testing.T) {
 	r := Rank("p", []string{"a", "b", "c"})
 	p := newProxy("a", "b", "c")
@@ -334,8 +339,8 @@
 	}
 }
 
-// TestByHand: staff move a proxy to the worst ranked governor, which keeps it though others rank better, until staff end that; when it dies
-// the others take it as any.
+// TestByHand: staff move a proxy to the worst ranked governor, which keeps it though others rank better, until
+// staff end that; when it dies the others take it as any.
 func TestByHand(t *testing.T) {
 	r := Rank("p", []string{"a", "b", "c"})
 	p := newProxy("a", "b", "c")
@@ -370,7 +375,7 @@
 		}
 		now += sec
 	}
-	if m.Made > movesBurst+9*movesPerS+1 || m.Made < 9*movesPerS {
+	if m.Made > maxMovesBurst+9*movesPerSecond+1 || m.Made < 9*movesPerSecond {
 		t.Errorf("%d moves in ten seconds", m.Made)
 	}
 }
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -7,9 +7,10 @@
 	"cressknot/internal/fleet"
 )
 
-// The model: three governors at one proxy, any of which may decide at any time that it is to take over (so nothing depends on clocks), be
-// paused between any two steps, lose any connection, and have an order under way that arrives late or never. What each step does is what
-// the front does; what is written and decided comes from this package.
+// The model: three governors at one proxy, any of which may decide at any time that it is to take over (so nothing
+// depends on clocks), be paused between any two steps, lose any connection, and have an order under way that
+// arrives late or never. What each step does is what the front does; what is written and decided comes from this
+// package.
 
 const governors = 3
 
@@ -66,8 +67,8 @@
 
 func (w *world) up(session uint8) bool { return session > 0 && w.alive&(1<<session) != 0 }
 
-// steps gives all that may happen next. Unfenced leaves out that sessions are ended, unread that entries are read again: each must be found
-// out by the search.
+// steps gives all that may happen next. Unfenced leaves out that sessions are ended, unread that entries are read
+// again: each must be found out by the search.
 func (w world) steps(unfenced, unread bool) (all []world) {
 	for g := range w.of {
 		me := string(rune('a' + g))
@@ -162,8 +163,9 @@
 	return states, false, served
 }
 
-// TestModel searches all that can happen: no order takes effect after a later takeover stood, or after an order of a later one. Without
-// ending sessions, and without reading the entries again, the search finds how that goes wrong.
+// TestModel searches all that can happen: no order takes effect after a later takeover stood, or after an order of
+// a later one. Without ending sessions, and without reading the entries again, the search finds how that goes
+// wrong.
 func TestModel(t *testing.T) {
 	states, violated, served := search(false, false)
 	t.Logf("%d states", states)
