--- /dev/null
+++ b/internal/gossip/override.go
@@ -0,0 +1,185 @@
+package gossip
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"cressknot/internal/fleet"
+)
+
+const (
+	// newerListDelay is how long a peer's list has to be newer before it counts. Our own mostly catches up by then.
+	newerListDelay = 2 * fleet.Second
+	// maxOverrideFraction of our servers may be kept without requests by peers. More is a fault of the peers.
+	maxOverrideFraction = 0.5
+	// minOverrides may be kept without requests whatever the number of servers.
+	minOverrides = 3
+)
+
+// Change is what a server counts as from now on: as in a peer's newer list, or as in our own again.
+type Change struct {
+	Name string
+	As   LocalServer
+	Peer bool // as in a peer's list
+}
+
+// Notice is something that operators should hear of.
+type Notice struct {
+	Server string // "" for none
+	Text   string
+}
+
+// overrideSet is what peers with newer lists make of our list.
+type overrideSet struct {
+	servers map[string]LocalServer
+	sources map[string]string // by server: the controller
+}
+
+// Next works out what the messages of peers make of our list, and returns the changes since the last call.
+func (p *PeerState) Next(now fleet.Time) (changes []Change, notices []Notice) {
+	wanted := p.wantedOverrides(now)
+	unready, ready := p.countUnready(wanted)
+	ignored := unready > minOverrides && float64(unready) > maxOverrideFraction*float64(ready)
+	if ignored {
+		if !p.ignored {
+			text := fmt.Sprintf("peers would keep visits from %d of %d servers: that is not followed", unready, ready)
+			notices = append(notices, Notice{Text: text})
+		}
+		clear(wanted.servers)
+	}
+	p.ignored = ignored
+	changes = p.endOverrides(wanted)
+	for _, name := range slices.Sorted(maps.Keys(wanted.servers)) {
+		server := wanted.servers[name]
+		if p.overrides[name] == server {
+			continue
+		}
+		p.overrides[name] = server
+		changes = append(changes, Change{Name: name, As: server, Peer: true})
+		text := fmt.Sprintf("counts as %s: governor %s goes by a newer list than ours",
+			describeOverride(server, p.servers[name]), wanted.sources[name])
+		notices = append(notices, Notice{name, text})
+	}
+	return changes, append(notices, p.healthNotices(now)...)
+}
+
+// wantedOverrides merges the newer lists of peers: each can only make a server count as less ready or as started
+// later.
+func (p *PeerState) wantedOverrides(now fleet.Time) overrideSet {
+	wanted := overrideSet{servers: map[string]LocalServer{}, sources: map[string]string{}}
+	for _, peer := range p.activePeers(now) {
+		if !peer.message.Live || peer.message.ListRevision <= p.revision {
+			peer.newerSince = 0
+			continue
+		}
+		peer.newerSince = cmp.Or(peer.newerSince, now)
+		if now < peer.newerSince+newerListDelay {
+			continue
+		}
+		for _, status := range peer.message.Servers {
+			ours, listed := p.servers[status.Name]
+			if !listed {
+				continue // peers add no servers
+			}
+			server, overridden := wanted.servers[status.Name]
+			if !overridden {
+				server = ours
+			}
+			server.State = max(server.State, status.State)
+			if status.Started > server.Started && status.Started <= now {
+				server.Started = status.Started
+			}
+			if server != ours {
+				wanted.servers[status.Name] = server
+				wanted.sources[status.Name] = peer.message.Controller
+			}
+		}
+	}
+	return wanted
+}
+
+// countUnready counts our ready servers, and those of them that overrides would keep without requests.
+func (p *PeerState) countUnready(wanted overrideSet) (unready, ready int) {
+	for name, server := range p.servers {
+		if server.State != fleet.ServerReady {
+			continue
+		}
+		ready++
+		if wanted.servers[name].State != fleet.ServerReady {
+			unready++
+		}
+	}
+	return unready, ready
+}
+
+// endOverrides lets servers that are not overridden any more count as in our list.
+func (p *PeerState) endOverrides(wanted overrideSet) (changes []Change) {
+	for _, name := range slices.Sorted(maps.Keys(p.overrides)) {
+		if _, overridden := wanted.servers[name]; overridden {
+			continue
+		}
+		if ours, listed := p.servers[name]; listed {
+			changes = append(changes, Change{Name: name, As: ours})
+		}
+		delete(p.overrides, name)
+	}
+	return changes
+}
+
+func describeOverride(server, ours LocalServer) string {
+	switch {
+	case server.State == fleet.ServerGone:
+		return "gone"
+	case server.State == fleet.ServerDraining:
+		return "draining"
+	case server.Started != ours.Started:
+		return "started anew"
+	}
+	return "ready"
+}
+
+// Given returns how many servers count otherwise than in our list.
+func (p *PeerState) Given() int { return len(p.overrides) }
+
+// healthNotices tells for servers that are unhealthy for our proxies whether peers agree: if not, the fault is on
+// the network path and not of the server.
+func (p *PeerState) healthNotices(now fleet.Time) (notices []Notice) {
+	active := p.activePeers(now)
+	for _, name := range slices.Sorted(maps.Keys(p.outcomes)) {
+		last := p.noticeSent[name]
+		if !p.observation(now, name).isUnhealthy() || last > 0 && now < last+noticeInterval {
+			continue
+		}
+		healthy, unhealthy := healthForPeers(active, name)
+		if len(healthy)+len(unhealthy) == 0 {
+			continue
+		}
+		p.noticeSent[name] = now
+		text := "bad for " + strings.Join(unhealthy, ", ") + ", too: the server's own trouble"
+		if len(healthy) > 0 {
+			text = "bad here, but not for " + strings.Join(healthy, ", ") + ": trouble on the way to it"
+		}
+		notices = append(notices, Notice{name, text})
+	}
+	return notices
+}
+
+// healthForPeers returns the controllers for which a server is healthy, and those for which it is not.
+func healthForPeers(peers []*peer, server string) (healthy, unhealthy []string) {
+	for _, peer := range peers {
+		for _, observation := range peer.message.Observations {
+			if observation.Name != server {
+				continue
+			}
+			if observation.isHealthy() {
+				healthy = append(healthy, peer.message.Controller)
+			} else if observation.isUnhealthy() {
+				unhealthy = append(unhealthy, peer.message.Controller)
+			}
+		}
+	}
+	return healthy, unhealthy
+}
--- /dev/null
+++ b/internal/gossip/state_test.go
@@ -0,0 +1,349 @@
+package gossip
+
+import (
+	"fmt"
+	"maps"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"cressknot/internal/fleet"
+)
+
+const startTime = 1000 * fleet.Second
+
+// newPeerStates returns two peers, of which the second has a list of some ready servers in revision 7.
+func newPeerStates(servers int) (first, second *PeerState, list map[string]LocalServer) {
+	first = NewPeerState("a", 5)
+	second = NewPeerState("b", 6)
+	list = map[string]LocalServer{}
+	for i := range servers {
+		list[fmt.Sprint("s", i)] = LocalServer{}
+	}
+	second.SetLocalList(startTime, 7, true, list)
+	return first, second, list
+}
+
+// withChanges returns a copy of a list in which some servers are changed.
+func withChanges(list, changed map[string]LocalServer) map[string]LocalServer {
+	merged := maps.Clone(list)
+	maps.Copy(merged, changed)
+	return merged
+}
+
+// sendIfDue lets one peer send its message to another if it is due.
+func sendIfDue(t *testing.T, now, warmUp fleet.Time, from, to *PeerState) {
+	t.Helper()
+	message, due := from.NextMessage(now, warmUp)
+	if !due {
+		return
+	}
+	if err := to.Merge(now, message); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// newerListTest has two peers, of which the first one has a newer list.
+type newerListTest struct {
+	*testing.T
+	first, second *PeerState
+	list, newer   map[string]LocalServer
+	now           fleet.Time
+}
+
+func newNewerListTest(t *testing.T) *newerListTest {
+	t.Helper()
+	first, second, list := newPeerStates(10)
+	newer := withChanges(list, map[string]LocalServer{
+		"s1": {State: fleet.ServerDraining},
+		"s2": {Started: 999 * fleet.Second},
+	})
+	delete(newer, "s3")
+	first.SetLocalList(startTime, 7, true, list)
+	first.SetLocalList(startTime, 9, true, newer)
+	return &newerListTest{t, first, second, list, newer, startTime}
+}
+
+func (n *newerListTest) send() {
+	n.Helper()
+	sendIfDue(n.T, n.now, 15*fleet.Second, n.first, n.second)
+}
+
+// sendUntilNewerListCounts lets time pass until the newer list counts.
+func (n *newerListTest) sendUntilNewerListCounts() {
+	n.Helper()
+	n.send()
+	n.changes()
+	for range 3 {
+		n.now += fleet.Second
+		n.send()
+	}
+}
+
+// changes returns what the second peer changes, as name=state,start,whether by a peer.
+func (n *newerListTest) changes() (text string) {
+	changes, _ := n.second.Next(n.now)
+	for _, change := range changes {
+		text += fmt.Sprintf("%s=%d,%d,%v ", change.Name, change.As.State, change.As.Started/fleet.Second, change.Peer)
+	}
+	return text
+}
+
+func (n *newerListTest) expect(when, want string) {
+	n.Helper()
+	if got := n.changes(); got != want {
+		n.Errorf("%s: %q, not %q", when, got, want)
+	}
+}
+
+const (
+	overridesOfNewerList = "s1=1,0,true s2=0,999,true s3=2,0,true "
+	overridesEnded       = "s1=0,0,false s2=0,0,false s3=0,0,false "
+)
+
+// TestNewerListOfPeerCountsAfterDelay checks that draining, gone and restarted servers of a peer's newer list count
+// after a while, again after our list was replaced, and until the peer is silent.
+func TestNewerListOfPeerCountsAfterDelay(t *testing.T) {
+	n := newNewerListTest(t)
+	n.send()
+	n.expect("at once", "")
+	repeated := Message{Controller: "a", Epoch: 5, Sequence: 1, ListRevision: 99}
+	err := n.second.Merge(n.now, repeated)
+	if err != nil || n.second.Old != 1 || n.second.peers["a"].message.ListRevision != 9 {
+		t.Errorf("a repeated message: %v, %d old", err, n.second.Old)
+	}
+	for range 3 {
+		n.now += fleet.Second
+		n.send()
+	}
+	n.expect("from a newer list", overridesOfNewerList)
+	n.expect("again", "")
+	n.second.SetLocalList(n.now, 7, true, n.list) // the same list, as after a reconnect
+	n.expect("after our list", overridesOfNewerList)
+	n.now += messageLifetime
+	n.expect("when the peer is silent", overridesEnded)
+}
+
+// TestNewerListOfPeerEndsWithOurOwn checks that a peer's list no longer counts once ours has caught up, and that an
+// older one counts nothing.
+func TestNewerListOfPeerEndsWithOurOwn(t *testing.T) {
+	n := newNewerListTest(t)
+	n.sendUntilNewerListCounts()
+	n.expect("from a newer list", overridesOfNewerList)
+	n.second.SetLocalList(n.now, 9, true, n.newer)
+	n.expect("caught up", "")
+	if n.second.Given() != 0 {
+		t.Errorf("%d servers count otherwise than in our list", n.second.Given())
+	}
+	n.second.SetLocalList(n.now, 12, true, n.list)
+	gone := map[string]LocalServer{"s5": {State: fleet.ServerGone}}
+	n.second.SetLocalList(n.now, 12, true, withChanges(n.list, gone))
+	n.now += 3 * fleet.Second
+	n.send()
+	n.expect("from an older list", "")
+}
+
+// TestTooManyOverridesAreIgnored checks that a peer that would keep requests from more than half of the servers is
+// not followed, with one notice.
+func TestTooManyOverridesAreIgnored(t *testing.T) {
+	first, second, list := newPeerStates(10)
+	now := startTime
+	changed := map[string]LocalServer{}
+	for i := range 6 {
+		changed[fmt.Sprint("s", i)] = LocalServer{State: fleet.ServerDraining}
+	}
+	first.SetLocalList(now, 9, true, withChanges(list, changed))
+	noticeCount := 0
+	for range 10 {
+		sendIfDue(t, now, 0, first, second)
+		changes, notices := second.Next(now)
+		if len(changes) > 0 {
+			t.Fatalf("%+v", changes)
+		}
+		noticeCount += len(notices)
+		now += fleet.Second
+	}
+	if noticeCount != 1 {
+		t.Errorf("%d notices", noticeCount)
+	}
+}
+
+// TestUnhealthyServerIsComparedWithPeers checks that a server that is unhealthy here and healthy for a peer is
+// reported as a fault on the path, and one that is unhealthy for both as its own, once per minute.
+func TestUnhealthyServerIsComparedWithPeers(t *testing.T) {
+	first, second, list := newPeerStates(4)
+	now := startTime
+	first.SetLocalList(now, 7, true, list)
+	texts := ""
+	for range 30 {
+		first.ObserveOutcome(now, "s0", 10, 0)
+		first.ObserveOutcome(now, "s1", 10, 9)
+		second.ObserveOutcome(now, "s0", 10, 9)
+		second.ObserveOutcome(now, "s1", 10, 9)
+		sendIfDue(t, now, 0, first, second)
+		sendIfDue(t, now, 0, second, first)
+		_, notices := second.Next(now)
+		for _, notice := range notices {
+			texts += notice.Server + " " + notice.Text + ";"
+		}
+		now += fleet.Second
+	}
+	onPath := strings.Count(texts, "s0 bad here, but not for a")
+	ofServer := strings.Count(texts, "s1 bad for a, too")
+	if onPath != 1 || ofServer != 1 || strings.Count(texts, ";") != 2 {
+		t.Error(texts)
+	}
+}
+
+// TestInvalidMessagesAreRefused checks that nothing of an invalid message is taken, and that the error names the
+// place.
+func TestInvalidMessagesAreRefused(t *testing.T) {
+	_, state, _ := newPeerStates(4)
+	for want, message := range map[string]Message{
+		"nobody":       {},
+		"are the most": {Controller: "a", Servers: make([]ServerStatus, maxServersPerMessage+1)},
+		"servers[1]":   {Controller: "a", Servers: []ServerStatus{{Name: "s0"}, {Name: "s1", State: 7}}},
+		"views[0]":     {Controller: "a", Observations: []Observation{{"s0", 1, 2}}},
+	} {
+		if err := state.Merge(startTime, message); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%v, want %q", err, want)
+		}
+	}
+	if len(state.peers) != 0 || state.Refused != 4 {
+		t.Errorf("%d peers, %d refused", len(state.peers), state.Refused)
+	}
+}
+
+// TestNumberOfPeersIsBounded sends messages of a flood of names.
+func TestNumberOfPeersIsBounded(t *testing.T) {
+	_, state, _ := newPeerStates(4)
+	failures := 0
+	for i := range 1000 {
+		err := state.Merge(startTime, Message{Controller: fmt.Sprint("g", i), Epoch: 1, Sequence: 1})
+		if err != nil {
+			failures++
+		}
+	}
+	if len(state.peers) != MaxControllers || failures != 1000-MaxControllers {
+		t.Errorf("%d peers, %d errors", len(state.peers), failures)
+	}
+}
+
+// messageSimulation sends messages of two peers with drawn lists late, twice or not at all.
+type messageSimulation struct {
+	t       *rapid.T
+	now     fleet.Time
+	state   *PeerState
+	senders [2]*PeerState
+	all     map[string]LocalServer // every server
+	ours    map[string]LocalServer // our list
+	counts  map[string]LocalServer // as the controller takes the servers
+	sent    []Message
+}
+
+func newMessageSimulation(t *rapid.T) *messageSimulation {
+	_, state, list := newPeerStates(8)
+	return &messageSimulation{
+		t:       t,
+		now:     startTime,
+		state:   state,
+		senders: [2]*PeerState{NewPeerState("a", 1), NewPeerState("c", 2)},
+		all:     list,
+		ours:    list,
+		counts:  maps.Clone(list),
+	}
+}
+
+func (m *messageSimulation) drawList() map[string]LocalServer {
+	list := map[string]LocalServer{}
+	for name := range m.all {
+		if rapid.IntRange(0, 7).Draw(m.t, "gone") > 0 {
+			state := fleet.ServerState(rapid.IntRange(0, 5).Draw(m.t, "state") / 5)
+			started := fleet.Time(rapid.IntRange(0, 1).Draw(m.t, "started")) * 999 * fleet.Second
+			list[name] = LocalServer{State: state, Started: started}
+		}
+	}
+	return list
+}
+
+func (m *messageSimulation) drawRevision() uint64 {
+	return uint64(rapid.IntRange(5, 12).Draw(m.t, "revision"))
+}
+
+func (m *messageSimulation) step() {
+	m.now += fleet.Time(rapid.IntRange(1, 2500).Draw(m.t, "ms")) * fleet.Millisecond
+	sender := m.senders[rapid.IntRange(0, 1).Draw(m.t, "peer")]
+	switch rapid.IntRange(0, 4).Draw(m.t, "action") {
+	case 0:
+		sender.SetLocalList(m.now, m.drawRevision(), rapid.Bool().Draw(m.t, "live"), m.drawList())
+	case 1:
+		m.ours = m.drawList()
+		m.state.SetLocalList(m.now, m.drawRevision(), true, m.ours)
+		m.counts = maps.Clone(m.ours)
+	case 2:
+		if len(m.sent) > 0 {
+			m.merge(m.sent[rapid.IntRange(0, len(m.sent)-1).Draw(m.t, "late")])
+		}
+	default:
+		if message, due := sender.NextMessage(m.now, 3600*fleet.Second); due {
+			m.sent = append(m.sent, message)
+			if rapid.Bool().Draw(m.t, "arrives") {
+				m.merge(message)
+			}
+		}
+	}
+	m.applyChanges()
+}
+
+func (m *messageSimulation) merge(message Message) {
+	if err := m.state.Merge(m.now, message); err != nil {
+		m.t.Fatal(err)
+	}
+}
+
+func (m *messageSimulation) applyChanges() {
+	changes, _ := m.state.Next(m.now)
+	for _, change := range changes {
+		m.counts[change.Name] = change.As
+	}
+}
+
+// check checks that peers make no server ready, and keep requests from at most half of the servers.
+func (m *messageSimulation) check() {
+	unready, ready := 0, 0
+	for name, server := range m.ours {
+		if m.counts[name].State < server.State {
+			m.t.Fatalf("%s is made ready by peers", name)
+		}
+		if server.State == fleet.ServerReady {
+			ready++
+			if m.counts[name].State != fleet.ServerReady {
+				unready++
+			}
+		}
+	}
+	if unready > minOverrides && 2*unready > ready {
+		m.t.Fatalf("peers keep requests from %d of %d", unready, ready)
+	}
+}
+
+// TestPeersOnlyKeepRequestsAway checks that, whatever messages come late, twice or not at all, of whichever peers
+// and lists, peers keep requests from no more than half of the servers and make none ready, and that nothing is
+// left when all are silent.
+func TestPeersOnlyKeepRequestsAway(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newMessageSimulation(t)
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			m.step()
+			m.check()
+		}
+		m.now += messageLifetime + noticeInterval
+		m.applyChanges()
+		for name, server := range m.ours {
+			if m.counts[name] != server {
+				t.Fatalf("%s counts as %+v when all are silent, our list has %+v", name, m.counts[name], server)
+			}
+		}
+	})
+}
--- a/internal/gossip/transcript_test.go
+++ b/internal/gossip/transcript_test.go
@@ -8,22 +8,28 @@
 	"cressknot/internal/fleet"
 )
 
-// TestNewsKeepTheirBytes holds the text that governors tell each other.
-func TestNewsKeepTheirBytes(t *testing.T) {
-	for text, news := range map[string]Message{
-		`{"g":"g-1","e":9,"q":3,"r":41,"l":true,"s":[{"n":"s-1","s":1},{"n":"s-2","t":5000000000},{"n":"s-3","s":2}],"v":[{"n":"s-4","t":9,"f":7}]}`: {
+// TestMessageEncodingIsStable holds the text that controllers send each other.
+func TestMessageEncodingIsStable(t *testing.T) {
+	for text, message := range map[string]Message{
+		`{"g":"g-1","e":9,"q":3,"r":41,"l":true,` +
+			`"s":[{"n":"s-1","s":1},{"n":"s-2","t":5000000000},{"n":"s-3","s":2}],"v":[{"n":"s-4","t":9,"f":7}]}`: {
 			Controller: "g-1", Epoch: 9, Sequence: 3, ListRevision: 41, Live: true,
-			Servers:      []ServerStatus{{Name: "s-1", State: fleet.ServerDraining}, {Name: "s-2", Started: 5 * fleet.Second}, {Name: "s-3", State: fleet.ServerGone}},
-			Observations: []Observation{{Name: "s-4", Attempts: 9, Failures: 7}}},
+			Servers: []ServerStatus{
+				{Name: "s-1", State: fleet.ServerDraining},
+				{Name: "s-2", Started: 5 * fleet.Second},
+				{Name: "s-3", State: fleet.ServerGone},
+			},
+			Observations: []Observation{{Name: "s-4", Attempts: 9, Failures: 7}},
+		},
 		`{"g":"g-1","e":0,"q":0,"r":0,"l":false}`: {Controller: "g-1"},
 	} {
-		written, err := json.Marshal(news)
-		if err != nil || string(written) != text {
-			t.Errorf("written as %s, %v; want %s", written, err, text)
+		encoded, err := json.Marshal(message)
+		if err != nil || string(encoded) != text {
+			t.Errorf("encoded as %s, %v; want %s", encoded, err, text)
 		}
-		var read Message
-		if err := json.Unmarshal([]byte(text), &read); err != nil || !reflect.DeepEqual(read, news) {
-			t.Errorf("read as %+v, %v", read, err)
+		var decoded Message
+		if err := json.Unmarshal([]byte(text), &decoded); err != nil || !reflect.DeepEqual(decoded, message) {
+			t.Errorf("decoded as %+v, %v", decoded, err)
 		}
 	}
 }
