--- /dev/null
+++ b/internal/membership/membership_test.go
@@ -0,0 +1,207 @@
+package membership
+
+import (
+	"fmt"
+	"net"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/gossip"
+)
+
+const waitTimeout = 30 * time.Second
+
+// testNode is a controller's membership and what it received.
+type testNode struct {
+	*Membership
+	address string
+
+	mu       sync.Mutex
+	messages []gossip.Message
+	errors   []error
+}
+
+func startNode(t testing.TB, name string, key []byte, join ...string) *testNode {
+	t.Helper()
+	return startNodeOfVersion(t, 0, name, key, join...)
+}
+
+func startNodeOfVersion(t testing.TB, major int, name string, key []byte, join ...string) *testNode {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	node := &testNode{address: listener.Addr().String()}
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	node.Membership, err = Start(Options{
+		Name:     name,
+		Listen:   node.address,
+		Join:     join,
+		Key:      key,
+		major:    major,
+		OnChange: func(string, bool) {},
+		OnMessage: func(message gossip.Message) {
+			node.mu.Lock()
+			defer node.mu.Unlock()
+			node.messages = append(node.messages, message)
+		},
+		OnError: func(err error) {
+			node.mu.Lock()
+			defer node.mu.Unlock()
+			node.errors = append(node.errors, err)
+		},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return node
+}
+
+// closeNode ends a node after a test. Others may have ended before, so that its leave may time out.
+func closeNode(node *testNode) { _ = node.Close() }
+
+func waitUntil(t *testing.T, failure string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal(failure)
+		}
+	}
+}
+
+// received reports whether a message of a controller with so many servers came.
+func (n *testNode) received(controller string, servers int) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return slices.ContainsFunc(n.messages, func(message gossip.Message) bool {
+		return message.Controller == controller && len(message.Servers) == servers
+	})
+}
+
+func (n *testNode) receivedErrors() []error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return slices.Clone(n.errors)
+}
+
+// TestControllersFindEachOther checks that three controllers that know one address each find all, receive small and
+// large messages, and notice one that leaves; and that one with another key neither sends nor receives.
+func TestControllersFindEachOther(t *testing.T) {
+	key := []byte("sixteen bytes of")
+	a := startNode(t, "a", key)
+	b := startNode(t, "b", key, a.address)
+	c := startNode(t, "c", key, b.address)
+	other := startNode(t, "other", []byte("another sixteen."), a.address)
+	defer closeNode(a)
+	defer closeNode(c)
+	defer closeNode(other)
+	waitUntil(t, "they do not find each other", func() bool {
+		return len(a.Names()) == 3 && len(b.Names()) == 3 && len(c.Names()) == 3
+	})
+	large := gossip.Message{Controller: "c", Epoch: 1, Sequence: 2}
+	for i := range 1500 {
+		name := fmt.Sprint("server-", i)
+		large.Servers = append(large.Servers, gossip.ServerStatus{Name: name, State: fleet.ServerDraining})
+	}
+	waitUntil(t, "messages do not come", func() bool {
+		c.Send(gossip.Message{Controller: "c", Epoch: 1, Sequence: 1, Servers: large.Servers[:2]})
+		return a.received("c", 2) && b.received("c", 2)
+	})
+	c.Send(large)
+	waitUntil(t, "large messages do not come", func() bool { return a.received("c", 1500) && b.received("c", 1500) })
+	if errs := c.receivedErrors(); len(errs) != 0 {
+		t.Errorf("%v", errs)
+	}
+	if err := b.Close(); err != nil {
+		t.Error(err)
+	}
+	waitUntil(t, "one that left is still there", func() bool { return len(a.Names()) == 2 && len(c.Names()) == 2 })
+	if len(other.Names()) != 1 || other.received("c", 2) {
+		t.Errorf("with another key: %v", other.Names())
+	}
+}
+
+// TestInvalidMessagesAreReported checks that what cannot be understood is an error that names the place.
+func TestInvalidMessagesAreReported(t *testing.T) {
+	node := startNode(t, "a", nil)
+	defer closeNode(node)
+	node.receive([]byte(`{"g": 5}`))
+	node.receive([]byte(`{"g": "x", "v": [{"n": ""}]}`))
+	errs := node.receivedErrors()
+	if len(errs) != 2 || !strings.Contains(errs[1].Error(), "views[0]") {
+		t.Errorf("%v", errs)
+	}
+}
+
+// TestOtherMajorVersionGetsNoMessages checks that a controller of another version is seen and reported, but sent
+// nothing.
+func TestOtherMajorVersionGetsNoMessages(t *testing.T) {
+	a := startNode(t, "a", nil)
+	b := startNodeOfVersion(t, 2, "b", nil, a.address)
+	defer closeNode(a)
+	defer closeNode(b)
+	waitUntil(t, "they do not find each other", func() bool { return len(a.Names()) == 2 && len(b.Names()) == 2 })
+	waitUntil(t, "the version is not reported", func() bool {
+		errs := a.receivedErrors()
+		return len(errs) == 1 && strings.Contains(errs[0].Error(), `"b" speaks another version`)
+	})
+	a.Send(gossip.Message{Controller: "a", Epoch: 1, Sequence: 1})
+	if a.Sent() != 0 {
+		t.Error("it is sent messages that it does not understand")
+	}
+}
+
+// benchmarkMessage returns a message with ten servers and ten observations.
+func benchmarkMessage(controller string) gossip.Message {
+	message := gossip.Message{Controller: controller, Epoch: 1 << 60, Sequence: 1}
+	for i := range 10 {
+		name := fmt.Sprint("server-", i)
+		message.Servers = append(message.Servers, gossip.ServerStatus{Name: name, State: fleet.ServerDraining})
+		observation := gossip.Observation{Name: name, Attempts: 90, Failures: 60}
+		message.Observations = append(message.Observations, observation)
+	}
+	return message
+}
+
+// BenchmarkMembers lets controllers join one at once, then sends a message of each: how long it takes until all
+// know all, and how many bytes of messages per second that is for all of them together.
+func BenchmarkMembers(b *testing.B) {
+	for _, count := range []int{2, 4, 8, 16, 30} {
+		b.Run(fmt.Sprint("governors=", count), func(b *testing.B) {
+			for b.Loop() {
+				startedAt := time.Now()
+				nodes := []*testNode{startNode(b, "g0", nil)}
+				for i := 1; i < count; i++ {
+					nodes = append(nodes, startNode(b, fmt.Sprint("g", i), nil, nodes[0].address))
+				}
+				for _, node := range nodes {
+					for len(node.Names()) < count {
+						time.Sleep(5 * time.Millisecond)
+					}
+				}
+				duration := time.Since(startedAt)
+				sentBytes := uint64(0)
+				for i, node := range nodes {
+					node.Send(benchmarkMessage(fmt.Sprint("g", i)))
+					sentBytes += node.Sent()
+				}
+				b.ReportMetric(duration.Seconds(), "s_until_all_know_all")
+				b.ReportMetric(float64(sentBytes)/1000, "kB/s")
+				for _, node := range nodes { // without the announcement of a graceful leave
+					node.cancel()
+					node.done.Wait()
+					if err := node.list.Shutdown(); err != nil {
+						b.Error(err)
+					}
+				}
+			}
+		})
+	}
+}
