--- a/internal/gossip/override.go
+++ b/internal/gossip/override.go
@@ -13,10 +13,10 @@
 const (
 	// newerListDelay is how long a peer's list has to be newer before it counts. Our own mostly catches up by then.
 	newerListDelay = 2 * fleet.Second
-	// maxOverrideFraction of our servers may be kept without requests by peers. More is a fault of the peers.
+	// maxOverrideFraction bounds the servers that peers may keep without requests. More is a fault of the peers.
 	maxOverrideFraction = 0.5
-	// minOverrides may be kept without requests whatever the number of servers.
-	minOverrides = 3
+	// alwaysAllowedOverrides is how many servers peers may keep without requests whatever fraction that is.
+	alwaysAllowedOverrides = 3
 )
 
 // Change is what a server counts as from now on: as in a peer's newer list, or as in our own again.
@@ -26,7 +26,7 @@
 	Peer bool // as in a peer's list
 }
 
-// Notice is something that operators should hear of.
+// Notice is an event that operators should be notified of.
 type Notice struct {
 	Server string // "" for none
 	Text   string
@@ -42,7 +42,7 @@
 func (p *PeerState) Next(now fleet.Time) (changes []Change, notices []Notice) {
 	wanted := p.wantedOverrides(now)
 	unready, ready := p.countUnready(wanted)
-	ignored := unready > minOverrides && float64(unready) > maxOverrideFraction*float64(ready)
+	ignored := unready > alwaysAllowedOverrides && float64(unready) > maxOverrideFraction*float64(ready)
 	if ignored {
 		if !p.ignored {
 			text := fmt.Sprintf("peers would keep visits from %d of %d servers: that is not followed", unready, ready)
@@ -144,7 +144,7 @@
 // Given returns how many servers count otherwise than in our list.
 func (p *PeerState) Given() int { return len(p.overrides) }
 
-// healthNotices tells for servers that are unhealthy for our proxies whether peers agree: if not, the fault is on
+// healthNotices reports for servers that are unhealthy for our proxies whether peers agree: if not, the fault is on
 // the network path and not of the server.
 func (p *PeerState) healthNotices(now fleet.Time) (notices []Notice) {
 	active := p.activePeers(now)
--- a/internal/gossip/state_test.go
+++ b/internal/gossip/state_test.go
@@ -323,7 +323,7 @@
 			}
 		}
 	}
-	if unready > minOverrides && 2*unready > ready {
+	if unready > alwaysAllowedOverrides && 2*unready > ready {
 		m.t.Fatalf("peers keep requests from %d of %d", unready, ready)
 	}
 }
--- a/internal/lease/entry.go
+++ b/internal/lease/entry.go
@@ -21,8 +21,8 @@
 	Epoch      uint64 // of its takeover; 0: it has no lease
 	Beat       uint64 // counts its heartbeats
 	Want       uint64 // counts its requests for the lease; 0: none
-	Retired    bool   // it holds the lease only because nobody else does
-	Hand       bool   // operators gave it the lease: nobody requests it
+	Retired    bool   // it holds the lease only because no other controller does
+	Hand       bool   // operators gave it the lease: no other controller requests it
 	WantHand   bool   // operators want it to have the lease
 }
 
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -252,7 +252,7 @@
 }
 
 // Leave returns the entry that a controller leaves when it hands a proxy over. One that retires or stops says so,
-// so that nobody waits for it.
+// so that no controller waits for it.
 func (l *Lease) Leave(stopping bool) Entry {
 	return Entry{Controller: l.me, Retired: l.retired || stopping}
 }
--- a/internal/reconcile/acknowledge.go
+++ b/internal/reconcile/acknowledge.go
@@ -95,7 +95,7 @@
 		return resendNow
 	case FailureEntryInUse:
 		r.setSent(proxy, at, EntryState{Present: true, Weight: change.Weight, State: StateMaintenance})
-		return resendNever // deleteGoneEntries tries again
+		return resendNever // deleteGoneEntries retries
 	}
 	entry := proxy.sent[at]
 	entry.Unknown = change.Kind != AddEntry
--- a/internal/reconcile/desired.go
+++ b/internal/reconcile/desired.go
@@ -6,7 +6,7 @@
 	"cressknot/internal/fleet"
 )
 
-// Weights of the runtime API are whole numbers from 0 to maxWeight.
+// Weights of the runtime API are integers from 0 to maxWeight.
 const (
 	maxWeight = 256
 	// targetLargestWeight is the weight of a table's largest entry after scaling. It may double before the table is
@@ -19,7 +19,7 @@
 
 const (
 	perMille = 1000
-	// unlimitedRate is a rate in requests per second that no proxy reaches: it stands for no limit.
+	// unlimitedRate is a rate in requests per second that no proxy reaches: it means no limit.
 	unlimitedRate = 1e6
 )
 
--- a/internal/reconcile/endpoints.go
+++ b/internal/reconcile/endpoints.go
@@ -45,8 +45,8 @@
 	return i
 }
 
-// SetEndpoints takes an endpoint list or a change of it, so that a draining server is distinguished from one that is gone,
-// and a warming one from a warm one.
+// SetEndpoints takes an endpoint list or a change of it, so that a draining server is distinguished from one that
+// is gone, and a warming one from a warm one.
 func (r *Reconciler) SetEndpoints(now fleet.Time, list fleet.EndpointList) {
 	if list.Scope == fleet.ListFailed {
 		return
@@ -169,7 +169,7 @@
 		if server.goneSince == 0 || !server.withdrawn || now < server.goneSince+goneEntryRetention {
 			continue
 		}
-		server.goneSince = now - goneEntryRetention/2 // entries that are still in use are tried again after half the time
+		server.goneSince = now - goneEntryRetention/2 // entries still in use are retried after half the time
 		for _, proxy := range r.proxyOrder {
 			r.deleteEntries(now, proxy, int32(i))
 		}
--- a/internal/reconcile/message.go
+++ b/internal/reconcile/message.go
@@ -37,7 +37,7 @@
 // FailureKind says why a change was not applied.
 type FailureKind uint8
 
-// The failures that a transport tells apart.
+// The failures that a transport distinguishes.
 const (
 	FailureOther        FailureKind = iota // any other error, or an answer that could not be understood
 	FailureEntryMissing                    // the entry to be set or deleted does not exist
--- a/internal/reconcile/plan.go
+++ b/internal/reconcile/plan.go
@@ -61,7 +61,7 @@
 	WeightSums      []int          // by class: the weights of those
 	Warming         []WarmingEntry // usable entries of ready servers that are warming up
 	NothingInFlight bool           // no other message is in flight to the proxy
-	sorted          []Proposal     // kept to reuse its memory
+	sorted          []Proposal     // reused to avoid allocations
 }
 
 // WarmingEntry is a usable entry of a server that is warming up.
--- a/internal/reconcile/queue.go
+++ b/internal/reconcile/queue.go
@@ -10,7 +10,7 @@
 	// maxInFlightMessages bounds the messages to one proxy that are not acknowledged: one is applied while another
 	// travels.
 	maxInFlightMessages = 2
-	// reservedMessages of Site.MaxMessages are kept for urgent changes.
+	// reservedMessages of Site.MaxMessages are reserved for urgent changes.
 	reservedMessages = 3
 	// maxBurstDuration is how much lost pace may be caught up, such as after a timer that fired late under load.
 	maxBurstDuration = 50 * fleet.Millisecond
@@ -227,7 +227,7 @@
 	return wake
 }
 
-// earlier returns the earlier of two times, of which 0 stands for never.
+// earlier returns the earlier of two times, of which 0 means never.
 func earlier(a, b fleet.Time) fleet.Time {
 	if a == 0 || b > 0 && b < a {
 		return max(0, b)
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -34,7 +34,7 @@
 	manualWeights    map[manualKey]manualWeight
 	refusals         map[refusalKey]*Refusal
 	safety           SafetyCheck // nil: every change passes
-	plan             UpdatePlan  // of the message being written; kept to reuse its memory
+	plan             UpdatePlan  // of the message being written; reused to avoid allocations
 	sweptAt          fleet.Time
 	counters         counters
 
@@ -49,7 +49,7 @@
 	epoch         uint64
 	serverName    tableversion.NameFunc  // nil: tables have no versions
 	changedTables map[fleet.TableID]bool // by the orders of this step
-	entries       []tableversion.Entry   // kept to reuse its memory
+	entries       []tableversion.Entry   // reused to avoid allocations
 }
 
 // counters count what left the update channel.
@@ -118,7 +118,7 @@
 	refusedRetry fleet.Time         // when refused items are proposed again; 0: none
 }
 
-// Notice is something that operators should hear of.
+// Notice is an event that operators should be notified of.
 type Notice struct {
 	Proxy   fleet.ProxyID
 	Text    string
--- a/internal/reconcile/versions.go
+++ b/internal/reconcile/versions.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// VersionStamps calls each proxy and class with the version that it was sent; newest tells that it is the present
+// VersionStamps calls each proxy and class with the version that it was sent; newest reports that it is the present
 // one and acknowledged.
 func (r *Reconciler) VersionStamps(each func(id fleet.ProxyID, class fleet.ClassID, stamp string, newest bool)) {
 	for _, proxy := range r.proxyOrder {
--- a/internal/safety/capacity.go
+++ b/internal/safety/capacity.go
@@ -23,7 +23,7 @@
 	randomDeviations = 2.0
 	// slackRequests may come on top in an interval: single requests weigh much for a small server.
 	slackRequests = 2.0
-	// anyKind stands for the servers of all kinds. No site has as many kinds.
+	// anyKind means the servers of all kinds. No site has as many kinds.
 	anyKind fleet.KindID = math.MaxUint8
 )
 
--- a/internal/safety/guard.go
+++ b/internal/safety/guard.go
@@ -89,7 +89,7 @@
 	kindCapacities   map[fleet.KindID]float64 // low quartile of the warm servers of a kind
 	kindCapacitiesAt fleet.Time               // time for which they were worked out; negative: outdated
 
-	weightSums []int     // kept to reuse its memory
+	weightSums []int     // reused to avoid allocations
 	unitRates  []float64 // the same
 
 	passed, stopped uint64
--- a/internal/safety/rules.go
+++ b/internal/safety/rules.go
@@ -5,7 +5,7 @@
 	"cressknot/internal/reconcile"
 )
 
-// maxProxyStall is how long a proxy may stand still between two attempts of a request.
+// maxProxyStall is how long a proxy may be stalled between two attempts of a request.
 const maxProxyStall = 2 * fleet.Second
 
 // keepFromUnready refuses to make the entry of a draining or gone server usable.
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -60,7 +60,7 @@
 	return sum
 }
 
-// Table checks a complete table for classes whose requests come at a rate of demand per second in all. It tells
+// Table checks a complete table for classes whose requests come at a rate of demand per second in all. It informs
 // operators in advance; messages are checked one by one all the same.
 func (g *Guard) Table(now fleet.Time, lines []TableLine, demand float64) (harms []Harm) {
 	var ready []TableLine
