--- /dev/null
+++ b/internal/reconcile/reconciler_test.go
@@ -0,0 +1,275 @@
+package reconcile
+
+import (
+	"math"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"cressknot/internal/fleet"
+)
+
+const (
+	simulatedProxies = 3
+	simulatedServers = 5
+)
+
+// simulation drives a reconciler and fake proxies with drawn orders and faults, and knows what is desired.
+type simulation struct {
+	t          *rapid.T
+	r          *Reconciler
+	now        fleet.Time
+	startedAt  fleet.Time
+	proxies    [simulatedProxies]*fakeProxy
+	connected  [simulatedProxies]bool
+	weights    map[fleet.TableID]map[fleet.ServerID]float64
+	tables     [simulatedProxies]fleet.TableID // of both classes; 0: none assigned
+	withdrawn  map[fleet.ServerID]bool
+	admission  Admission
+	entries    float64 // that have left
+	newBarrier fleet.BarrierID
+	barriers   map[fleet.BarrierID]int // how often each was reached
+}
+
+func newSimulation(t *rapid.T) *simulation {
+	s := &simulation{
+		t:         t,
+		r:         New(testSite()),
+		now:       fleet.Second,
+		startedAt: fleet.Second,
+		weights:   map[fleet.TableID]map[fleet.ServerID]float64{},
+		withdrawn: map[fleet.ServerID]bool{},
+		barriers:  map[fleet.BarrierID]int{},
+	}
+	list := fleet.EndpointList{Scope: fleet.ListFull}
+	for server := range simulatedServers {
+		list.Endpoints = append(list.Endpoints, fleet.Endpoint{Server: fleet.ServerID(server)})
+	}
+	s.r.SetEndpoints(s.now, list)
+	return s
+}
+
+func (s *simulation) join(i int) {
+	if s.proxies[i] == nil {
+		s.proxies[i] = &fakeProxy{entries: map[entryKey]EntryState{}, admissions: map[fleet.ClassID]Admission{}}
+		for server := range 3 {
+			for class := range 2 {
+				key := entryKey{fleet.ServerID(server), fleet.ClassID(class)}
+				s.proxies[i].entries[key] = EntryState{Present: true, Weight: 100, State: StateReady}
+			}
+		}
+	}
+	s.connected[i] = true
+	s.tables[i] = 0
+	s.proxies[i].inbox = nil
+	s.r.Join(s.now, fleet.ProxyID(i), s.proxies[i].snapshot())
+}
+
+func (s *simulation) leave(i int) {
+	s.connected[i] = false
+	s.r.Leave(fleet.ProxyID(i))
+}
+
+// next takes what the reconciler emits and checks its pace.
+func (s *simulation) next() {
+	messages, events, disconnects, _ := s.r.Next(s.now)
+	for _, message := range messages {
+		s.proxies[message.Proxy].inbox = append(s.proxies[message.Proxy].inbox, message)
+		s.entries += float64(message.Entries)
+		if len(message.Changes) == 0 {
+			s.t.Fatalf("an empty message to %d", message.Proxy)
+		}
+	}
+	for _, id := range disconnects {
+		s.connected[id] = false
+	}
+	for _, event := range events {
+		if reached, ok := event.(fleet.BarrierReached); ok {
+			s.barriers[reached.Barrier]++
+		}
+	}
+	rate := s.r.site.EntriesPerSecond
+	limit := (s.now-s.startedAt).Seconds()*rate + 2*maxBurstDuration.Seconds()*rate + 100
+	if s.entries > limit {
+		s.t.Fatalf("%.0f entries have left, the pace allows %.0f", s.entries, limit)
+	}
+}
+
+// deliver lets a proxy apply its next message. With a limit below its number of changes the session breaks after
+// some.
+func (s *simulation) deliver(i, limit int) {
+	proxy := s.proxies[i]
+	if !s.connected[i] || len(proxy.inbox) == 0 {
+		return
+	}
+	message := proxy.inbox[0]
+	proxy.inbox = proxy.inbox[1:]
+	if limit < len(message.Changes) {
+		proxy.apply(message, limit)
+		s.leave(i)
+		return
+	}
+	s.r.Acknowledge(s.now, fleet.ProxyID(i), message.Sequence, proxy.apply(message, limit))
+}
+
+func (s *simulation) drawTable() fleet.TableID {
+	return fleet.TableID(rapid.IntRange(1, 2).Draw(s.t, "table"))
+}
+
+// step draws one order or fault.
+func (s *simulation) step() {
+	s.now += fleet.Time(rapid.IntRange(1, 200).Draw(s.t, "ms")) * fleet.Millisecond
+	i := rapid.IntRange(0, simulatedProxies-1).Draw(s.t, "proxy")
+	server := fleet.ServerID(rapid.IntRange(0, simulatedServers-1).Draw(s.t, "server"))
+	switch rapid.IntRange(0, 9).Draw(s.t, "action") {
+	case 0:
+		if !s.connected[i] {
+			s.join(i)
+		}
+	case 1:
+		if s.connected[i] {
+			s.leave(i)
+		}
+	case 2:
+		if s.connected[i] && s.proxies[i] != nil { // changed by hand: the next errors or the next readback show it
+			delete(s.proxies[i].entries, entryKey{server, 0})
+			s.leave(i)
+		}
+	case 3, 4:
+		s.setWeight(server)
+	case 5:
+		withdrawn := rapid.Bool().Draw(s.t, "withdrawn")
+		s.withdrawn[server] = withdrawn
+		s.r.Apply(s.now, []fleet.Order{fleet.WithdrawServer{Server: server, Withdrawn: withdrawn}})
+	case 6:
+		if s.connected[i] {
+			s.tables[i] = s.drawTable()
+			s.r.Apply(s.now, []fleet.Order{fleet.AssignTable{Proxy: fleet.ProxyID(i), Table: s.tables[i]}})
+		}
+	case 7:
+		s.setAdmission()
+	case 8:
+		s.deliver(i, rapid.IntRange(0, 4).Draw(s.t, "limit"))
+	default:
+		s.deliver(i, math.MaxInt)
+	}
+	s.next()
+}
+
+func (s *simulation) setWeight(server fleet.ServerID) {
+	table := s.drawTable()
+	weight := float32(rapid.Float64Range(0, 1.5).Draw(s.t, "weight"))
+	if s.weights[table] == nil {
+		s.weights[table] = map[fleet.ServerID]float64{}
+	}
+	s.weights[table][server] = float64(weight)
+	s.newBarrier++
+	s.r.Apply(s.now, []fleet.Order{
+		fleet.SetWeight{Table: table, Server: server, Weight: weight},
+		fleet.Barrier{ID: s.newBarrier},
+	})
+}
+
+func (s *simulation) setAdmission() {
+	limit := float32(int32(rapid.IntRange(1, 999).Draw(s.t, "limit"))) / 1000
+	s.r.Apply(s.now, []fleet.Order{fleet.SetAdmission{Table: fleet.AllTables, Limit: limit}})
+	s.admission = Admission{Known: true, Limit: int32(perMille * float64(limit))}
+}
+
+// heal lets all proxies join and apply their messages until all must be done.
+func (s *simulation) heal() {
+	joinMissing := func() {
+		for i := range simulatedProxies {
+			if !s.connected[i] {
+				s.join(i)
+			}
+		}
+	}
+	joinMissing()
+	for range 400 {
+		s.now += 50 * fleet.Millisecond
+		s.next()
+		for i := range simulatedProxies {
+			if !s.connected[i] {
+				s.join(i)
+			}
+			s.deliver(i, math.MaxInt)
+		}
+	}
+}
+
+// checkProxy compares what a proxy has with what is desired.
+func (s *simulation) checkProxy(i int, proxy *fakeProxy) {
+	if proxy.violation != "" {
+		s.t.Error(proxy.violation)
+	}
+	for server := range fleet.ServerID(simulatedServers) {
+		for class := range fleet.ClassID(2) {
+			got := proxy.entries[entryKey{server, class}]
+			withdrawn, ordered := s.withdrawn[server]
+			if ordered && got.Present && withdrawn != (got.State != StateReady) {
+				s.t.Errorf("proxy %d, server %d: withdrawn %v, but has %+v", i, server, withdrawn, got)
+			}
+			if s.tables[i] == 0 {
+				continue
+			}
+			want := Round(s.weights[s.tables[i]][server], s.r.tables[s.tables[i]].scale)
+			if got.Weight != want {
+				s.t.Errorf("proxy %d, server %d: has weight %d, wanted %d", i, server, got.Weight, want)
+			}
+		}
+	}
+	if s.admission.Known && proxy.admissions[0] != s.admission {
+		s.t.Errorf("proxy %d: admission %+v, wanted %+v", i, proxy.admissions[0], s.admission)
+	}
+}
+
+// TestEveryProxyReachesDesiredState checks that, whatever is ordered, lost, cut halfway, repeated, changed by hand
+// or answered late, each proxy that can be reached ends in the desired state, no message leaves ahead of the pace,
+// and every barrier is reached at most once by each proxy.
+func TestEveryProxyReachesDesiredState(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := newSimulation(t)
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			s.step()
+		}
+		s.heal()
+		if !s.r.Idle() || s.r.Backlog() != 0 {
+			t.Fatalf("not idle: %.0f entries wait", s.r.Backlog())
+		}
+		for i, proxy := range s.proxies {
+			s.checkProxy(i, proxy)
+		}
+		for barrier, count := range s.barriers {
+			if count > simulatedProxies {
+				t.Errorf("barrier %d reached %d times", barrier, count)
+			}
+		}
+	})
+}
+
+// TestRoundKeepsProportions checks that a positive weight never becomes 0, and that rounding is off by at most half
+// a unit, or up to one for the smallest weights.
+func TestRoundKeepsProportions(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		weights := rapid.SliceOfN(rapid.Float64Range(0.01, 1), 1, 50).Draw(t, "weights")
+		largest := 0.0
+		for _, weight := range weights {
+			largest = max(largest, weight)
+		}
+		for scale := minLargestWeight / largest; scale <= maxWeight/largest; scale *= 1.3 {
+			for _, weight := range weights {
+				rounded := float64(Round(weight, scale))
+				off := math.Abs(rounded - weight*scale)
+				if rounded < 1 || off > max(0.5, 1-weight*scale)+1e-9 || rounded > maxWeight {
+					t.Fatalf("%v at %v becomes %v", weight, scale, rounded)
+				}
+			}
+		}
+	})
+	for weight, want := range map[float64]int16{0: 0, -1: 0, 1e-9: 1, 1e9: 256, 0.5: 64} {
+		if got := Round(weight, 128); got != want {
+			t.Errorf("Round(%v) = %d, not %d", weight, got, want)
+		}
+	}
+}
