--- a/internal/controller/dark_test.go
+++ b/internal/controller/discovery_outage_test.go
@@ -7,7 +7,6 @@
 	"net/http/httptest"
 	"strings"
 	"testing"
-	"time"
 
 	"cressknot/internal/discovery"
 	"cressknot/internal/discovery/verification"
@@ -35,17 +34,17 @@
 		DrainTimeout: 3 * fleet.Second, EntriesPerSecond: 1e6, MaxBacklog: 1e6, ReportsPerSecond: 500, ReportInterval: fleet.Second, ProxyCount: 2, MaxUnservedDuration: 5 * fleet.Second,
 		MeanUpdateDelay: fleet.Millisecond, MaxUpdateDelay: 10 * fleet.Millisecond, LoadFields: []fleet.LoadField{fleet.LoadFieldUtilization}, LoadReports: fleet.LoadReportInline}
 	d := &dark{now: 1_000_000 * fleet.Second, up: up, held: [2]map[string]int16{{}, {}}}
-	d.core = NewCore(site, 1, []transport.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}}, NewNames())
+	d.core = NewCore(CoreOptions{Site: site, Seed: 1, Proxies: []transport.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}}, Names: NewNames()})
 	return d
 }
 
-func (d *dark) turn(inputs ...Input) Output {
-	out := d.core.Turn(d.now, inputs)
-	for _, l := range out.Logs {
+func (d *dark) step(inputs ...Input) Output {
+	out := d.core.Step(d.now, inputs)
+	for _, l := range out.Log {
 		d.logs = append(d.logs, l.Text)
 	}
-	if out.List != nil {
-		d.doc, d.at = out.List, out.ListAt
+	if out.Endpoints != nil {
+		d.doc, d.at = out.Endpoints, out.EndpointsConfirmedAt
 	}
 	return out
 }
@@ -57,7 +56,7 @@
 		if each != nil {
 			each()
 		}
-		out := d.turn(next...)
+		out := d.step(next...)
 		next = nil
 		for _, m := range out.Messages {
 			for _, c := range m.Changes {
@@ -71,13 +70,13 @@
 					}
 				}
 			}
-			next = append(next, transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence})
+			next = append(next, TransportEvent{transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence}})
 		}
-		for _, id := range out.Proves {
+		for _, id := range out.Verifications {
 			name, _ := d.core.names.Of(id)
-			p := Proof{Server: id}
+			p := VerificationResult{Server: id}
 			if d.up[name] {
-				p.Of = verification.Someone
+				p.Evidence = verification.Someone
 			}
 			next = append(next, p)
 		}
@@ -85,7 +84,13 @@
 }
 
 func (d *dark) join() {
-	d.turn(transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{RequestRate: 5, Fresh: true}}, transport.Connected{Proxy: 1, Stream: 1, Snapshot: reconcile.Snapshot{RequestRate: 5, Fresh: true}})
+	fresh := reconcile.Snapshot{RequestRate: 5, Fresh: true}
+	d.step(connected(0, fresh), connected(1, fresh))
+}
+
+// connected is the input by which a proxy connects with its first stream.
+func connected(proxy fleet.ProxyID, snapshot reconcile.Snapshot) Input {
+	return TransportEvent{transport.Connected{Proxy: proxy, Stream: 1, Snapshot: snapshot}}
 }
 
 func (d *dark) logged(text string) bool {
@@ -106,8 +111,8 @@
 // truncated list on the source's return is measured against those that are left, and held.
 func TestOldListServes(t *testing.T) {
 	d := newDark(map[string]bool{"s0": true, "s1": true, "s2": true, "s3": true})
-	u := discovery.Update{Scope: fleet.ListCached, List: docOf(4, "s0", "s1", "s2", "s3", "g0", "g1", "g2", "g3", "g4", "g5"), ConfirmedAt: d.now - aDay}
-	d.turn(u)
+	u := EndpointUpdate{Scope: fleet.ListCached, List: docOf(4, "s0", "s1", "s2", "s3", "g0", "g1", "g2", "g3", "g4", "g5"), ConfirmedAt: d.now - aDay}
+	d.step(u)
 	d.join()
 	d.run(d.now+10*fleet.Second, nil)
 	for p, held := range d.held {
@@ -117,9 +122,9 @@
 			}
 		}
 	}
-	d.turn(discovery.Update{Scope: fleet.ListFull, List: docOf(5, "s0", "s1", "s2")}) // over half of those that are left
-	if len(d.core.entries) != 3 || d.logged("asked for again") {
-		t.Errorf("%d are listed: %v", len(d.core.entries), d.logs)
+	d.step(EndpointUpdate{Scope: fleet.ListFull, List: docOf(5, "s0", "s1", "s2")}) // over half of those that are left
+	if len(d.core.endpoints.listed) != 3 || d.logged("asked for again") {
+		t.Errorf("%d are listed: %v", len(d.core.endpoints.listed), d.logs)
 	}
 }
 
@@ -128,18 +133,18 @@
 func TestSourceFlaps(t *testing.T) {
 	d := newDark(map[string]bool{"s0": true, "s1": true, "s2": true})
 	doc := docOf(4, "s0", "s1", "s2")
-	d.turn(discovery.Update{Scope: fleet.ListCached, List: doc, ConfirmedAt: d.now - 3600*fleet.Second})
+	d.step(EndpointUpdate{Scope: fleet.ListCached, List: doc, ConfirmedAt: d.now - 3600*fleet.Second})
 	d.join()
 	d.run(d.now+8*fleet.Second, nil)
 	before := fmt.Sprint(d.held)
 	for i := range 40 {
 		switch i % 4 {
 		case 0:
-			d.turn(discovery.Update{Scope: fleet.ListFull, List: doc})
+			d.step(EndpointUpdate{Scope: fleet.ListFull, List: doc})
 		case 2:
-			d.turn(discovery.Update{Scope: fleet.ListDelta, List: discovery.EndpointList{Revision: 4, Delta: true}})
+			d.step(EndpointUpdate{Scope: fleet.ListDelta, List: discovery.EndpointList{Revision: 4, Delta: true}})
 		default:
-			d.turn(discovery.Update{Scope: fleet.ListFailed, Err: fmt.Errorf("list: away")})
+			d.step(EndpointUpdate{Scope: fleet.ListFailed, Err: fmt.Errorf("list: away")})
 		}
 		d.run(d.now+fleet.Second, nil)
 	}
@@ -150,7 +155,7 @@
 		t.Errorf("kept %.0f s before", (d.now - d.at).Seconds())
 	}
 	kept := d.at
-	d.run(d.now+2*verification.ConfirmGap, func() { d.core.list(d.now, discovery.Update{Unchanged: true}, &Output{}) })
+	d.run(d.now+2*verification.ConfirmGap, func() { d.core.handleEndpoints(d.now, discovery.Update{Unchanged: true}, &Output{}) })
 	if d.at < kept+verification.ConfirmGap {
 		t.Error("a source that says that nothing has changed does not count")
 	}
@@ -159,34 +164,50 @@
 // TestEmptyAndLateLists: an empty kept list takes nobody out, one that comes after the source's own is none.
 func TestEmptyAndLateLists(t *testing.T) {
 	d := newDark(nil)
-	d.turn(discovery.Update{Scope: fleet.ListCached, ConfirmedAt: d.now})
-	if len(d.core.entries) != 0 || !d.logged("the kept list is empty") || d.core.rev != 0 {
+	d.step(EndpointUpdate{Scope: fleet.ListCached, ConfirmedAt: d.now})
+	if len(d.core.endpoints.listed) != 0 || !d.logged("the kept list is empty") || d.core.endpoints.revision != 0 {
 		t.Error(d.logs)
 	}
-	d.turn(discovery.Update{Scope: fleet.ListFull, List: docOf(4, "s0")})
-	d.turn(discovery.Update{Scope: fleet.ListCached, List: docOf(3, "s0", "s1"), ConfirmedAt: d.now})
-	if len(d.core.entries) != 1 || d.core.rev != 4 {
-		t.Errorf("%d are listed, rev %d", len(d.core.entries), d.core.rev)
+	d.step(EndpointUpdate{Scope: fleet.ListFull, List: docOf(4, "s0")})
+	d.step(EndpointUpdate{Scope: fleet.ListCached, List: docOf(3, "s0", "s1"), ConfirmedAt: d.now})
+	if len(d.core.endpoints.listed) != 1 || d.core.endpoints.revision != 4 {
+		t.Errorf("%d are listed, rev %d", len(d.core.endpoints.listed), d.core.endpoints.revision)
 	}
 }
 
-// TestProofs asks servers on loopback: one that says its name, one that says another's, one that says none, and nobody.
-func TestProofs(t *testing.T) {
-	names := NewNames()
-	l := &Loop{names: names, ctx: context.Background(), probe: "/probe", notify: make(chan struct{}, 1), wall: time.Now()}
-	for says, want := range map[string][2]verification.Evidence{"a": {verification.Someone, verification.Itself}, "b": {verification.Someone, verification.Another}, "": {verification.Someone, verification.Someone}, "nobody": {}} {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Server", says) }))
-		names.Listed("a", strings.TrimPrefix(s.URL, "http://"))
-		if says == "nobody" {
-			s.Close()
+// TestVerificationTellsWhoAnswers asks servers on loopback by a connection and by a probe: one that says its name, one
+// that says another's, one that says none, and nobody.
+func TestVerificationTellsWhoAnswers(t *testing.T) {
+	const name = "a"
+	for _, c := range []struct {
+		says         string // in the answer to a probe
+		down         bool
+		byConnection verification.Evidence
+		byProbe      verification.Evidence
+	}{
+		{says: name, byConnection: verification.Someone, byProbe: verification.Itself},
+		{says: "b", byConnection: verification.Someone, byProbe: verification.Another},
+		{says: "", byConnection: verification.Someone, byProbe: verification.Someone},
+		{says: "nobody", down: true},
+	} {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			w.Header().Set("X-Server", c.says)
+		}))
+		names := NewNames()
+		id, _ := names.Listed(name, strings.TrimPrefix(server.URL, "http://"))
+		if c.down {
+			server.Close()
 		}
-		for i, prove := range []string{"connect", "probe"} {
-			l.prove, l.mail = prove, nil
-			if l.proof(0); l.mail[0] != (Proof{0, want[i]}) {
-				t.Errorf("%q by %s: %+v", says, prove, l.mail)
+		for mode, want := range map[string]verification.Evidence{
+			VerifyByConnection: c.byConnection,
+			VerifyByProbe:      c.byProbe,
+		} {
+			p := prober{names: names, path: "/probe", verificationMode: mode}
+			if got := p.verify(context.Background(), id); got != (VerificationResult{id, want}) {
+				t.Errorf("%q by %s: %+v, want evidence %v", c.says, mode, got, want)
 			}
 		}
-		s.Close()
+		server.Close()
 	}
 }
 
@@ -195,19 +216,19 @@
 	l := NewLoop(Options{Core: newDark(nil).core, Names: NewNames()})
 	for seq := range uint64(1000) {
 		for g := range 200 {
-			l.Peer(gossip.Message{Controller: fmt.Sprint("g", g), Epoch: 1, Sequence: (seq*7)%1000 + 1})
+			l.ReceiveGossip(gossip.Message{Controller: fmt.Sprint("g", g), Epoch: 1, Sequence: (seq*7)%1000 + 1})
 		}
 	}
-	inputs, _ := l.collect(0, 0)
+	inputs, _ := l.mailbox.collect(0, 0)
 	if len(inputs) != gossip.MaxControllers {
 		t.Errorf("a turn takes %d", len(inputs))
 	}
 	for _, in := range inputs {
-		if in.(gossip.Message).Sequence != 1000 {
+		if in.(GossipMessage).Sequence != 1000 {
 			t.Errorf("%+v is not the newest", in)
 		}
 	}
-	if inputs, _ = l.collect(0, 0); len(inputs) != 0 {
+	if inputs, _ = l.mailbox.collect(0, 0); len(inputs) != 0 {
 		t.Error("taken twice")
 	}
 }
@@ -216,21 +237,21 @@
 // and so is all that other proxies are told from then on. A version that no clock could have made changes nothing.
 func TestVersionsNeverGoBack(t *testing.T) {
 	d := newDark(nil)
-	d.turn(discovery.Update{Scope: fleet.ListFull, List: docOf(1, "s0", "s1")})
+	d.step(EndpointUpdate{Scope: fleet.ListFull, List: docOf(1, "s0", "s1")})
 	d.join()
 	d.run(d.now+8*fleet.Second, nil)
-	before := d.core.plane.TableVersions(0).Version()
+	before := d.core.reconciler.TableVersions(0).Version()
 	later := tableversion.Version{Epoch: before.Epoch + 5_000_000_000, Count: 7}
-	d.turn(transport.Connected{Proxy: 1, Stream: 1, Snapshot: reconcile.Snapshot{RequestRate: 5, VersionStamps: []string{later.String() + "/00"}}})
-	if v := d.core.plane.TableVersions(0).Version(); v.Compare(later) <= 0 {
+	d.step(connected(1, reconcile.Snapshot{RequestRate: 5, VersionStamps: []string{later.String() + "/00"}}))
+	if v := d.core.reconciler.TableVersions(0).Version(); v.Compare(later) <= 0 {
 		t.Errorf("%s is what the proxy is told, %s is what it holds", v, later)
 	}
-	d.core.plane.SetManualWeight(d.now, 0, 0, 9, d.now+fleet.Second)
-	if v := d.core.plane.TableVersions(0).Version(); v.Compare(later) <= 0 {
+	d.core.reconciler.SetManualWeight(d.now, 0, 0, 9, d.now+fleet.Second)
+	if v := d.core.reconciler.TableVersions(0).Version(); v.Compare(later) <= 0 {
 		t.Errorf("%s follows %s at the proxy", v, later)
 	}
 	epoch := d.core.epoch
-	d.turn(transport.Connected{Proxy: 1, Stream: 1, Snapshot: reconcile.Snapshot{RequestRate: 5, VersionStamps: []string{tableversion.Version{Epoch: 1<<64 - 1, Count: 7}.String() + "/00", "x"}}})
+	d.step(connected(1, reconcile.Snapshot{RequestRate: 5, VersionStamps: []string{tableversion.Version{Epoch: 1<<64 - 1, Count: 7}.String() + "/00", "x"}}))
 	if d.core.epoch != epoch {
 		t.Errorf("epoch %d by a version that nobody made", d.core.epoch)
 	}
--- /dev/null
+++ b/internal/controller/endpoints.go
@@ -0,0 +1,268 @@
+package controller
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+
+	"cressknot/internal/discovery"
+	"cressknot/internal/discovery/verification"
+	"cressknot/internal/fleet"
+)
+
+// endpointState is the endpoint list as the controller goes by it.
+type endpointState struct {
+	zones map[string]fleet.ZoneID
+	kinds map[string]fleet.KindID
+	// byName is the list as its source gave it; listed is what the balancer was given of it, which gossip and
+	// verification may have changed.
+	byName      map[string]discovery.Endpoint
+	listed      map[fleet.ServerID]fleet.Endpoint
+	revision    uint64
+	updatedAt   fleet.Time
+	live        bool       // the source itself was heard, not only a cache
+	confirmedAt fleet.Time // when the source last confirmed the list
+	cachedAt    fleet.Time // confirmedAt of what was cached last
+	lastError   string     // of the source, as logged last
+	shrinkGate  *verification.ShrinkGate
+	heldList    discovery.Update // by the shrink gate
+	verifier    *verification.Verifier
+}
+
+func newEndpointState(site fleet.Site) endpointState {
+	e := endpointState{
+		zones:      map[string]fleet.ZoneID{},
+		kinds:      map[string]fleet.KindID{},
+		byName:     map[string]discovery.Endpoint{},
+		listed:     map[fleet.ServerID]fleet.Endpoint{},
+		shrinkGate: verification.NewShrinkGate(site.DrainTimeout),
+		verifier:   verification.NewVerifier(site, true),
+	}
+	for i, zone := range site.Zones {
+		e.zones[zone] = fleet.ZoneID(i)
+	}
+	for i, kind := range site.Kinds {
+		e.kinds[kind] = fleet.KindID(i)
+	}
+	return e
+}
+
+// Server states as endpoint sources spell them.
+const (
+	stateReady    = "ready"
+	stateDraining = "draining"
+	stateGone     = "gone"
+)
+
+var (
+	stateByName = map[string]fleet.ServerState{
+		"":            fleet.ServerReady,
+		stateReady:    fleet.ServerReady,
+		stateDraining: fleet.ServerDraining,
+		stateGone:     fleet.ServerGone,
+	}
+	stateNames = map[fleet.ServerState]string{
+		fleet.ServerReady:    stateReady,
+		fleet.ServerDraining: stateDraining,
+		fleet.ServerGone:     stateGone,
+	}
+)
+
+// toFleet gives an endpoint as the balancer knows it, with the state and start given.
+func (e *endpointState) toFleet(
+	id fleet.ServerID, s discovery.Endpoint, state fleet.ServerState, started fleet.Time,
+) fleet.Endpoint {
+	return fleet.Endpoint{
+		Server:  id,
+		Zone:    e.zones[s.Zone],
+		Kind:    e.kinds[s.Kind],
+		Cell:    fleet.CellID(s.Cell),
+		Weight:  cmp.Or(s.Weight, 1),
+		State:   state,
+		Started: started,
+	}
+}
+
+// startOf gives the time at which a server says that it started; 0 where it says none.
+func startOf(s discovery.Endpoint) fleet.Time {
+	if s.Started.IsZero() {
+		return 0
+	}
+	return fleet.Time(s.Started.UnixNano())
+}
+
+// put takes an endpoint over into what is listed.
+func (e *endpointState) put(endpoint fleet.Endpoint) {
+	if endpoint.State == fleet.ServerGone {
+		delete(e.listed, endpoint.Server)
+	} else {
+		e.listed[endpoint.Server] = endpoint
+	}
+}
+
+// list gives the full list, by name.
+func (e *endpointState) list() *discovery.EndpointList {
+	list := discovery.EndpointList{Revision: e.revision}
+	for _, s := range e.byName {
+		list.Endpoints = append(list.Endpoints, s)
+	}
+	slices.SortFunc(list.Endpoints, func(a, b discovery.Endpoint) int { return strings.Compare(a.Name, b.Name) })
+	return &list
+}
+
+// handleEndpoints takes in what the endpoint source or a cache has to say.
+func (c *Core) handleEndpoints(now fleet.Time, update discovery.Update, out *Output) {
+	c.logSourceError(now, update.Err, out)
+	switch {
+	case update.Scope == fleet.ListFailed:
+		if c.site.ListOnRequest {
+			c.events.current = append(c.events.current, fleet.EndpointList{Scope: fleet.ListFailed})
+		}
+	case update.Unchanged:
+		c.endpoints.confirmedAt = now
+	case update.Scope == fleet.ListCached:
+		c.startFromCache(now, update, out)
+	case update.Scope == fleet.ListFull:
+		if !c.holdIfShrunk(now, update, out) {
+			c.takeList(now, update, out)
+		}
+	default:
+		if update.Scope == fleet.ListDelta && c.holdsList() { // it continues the list that is held
+			c.endpoints.shrinkGate.Drop()
+			c.takeHeldList(now, out)
+		}
+		c.takeList(now, update, out)
+	}
+}
+
+// logSourceError logs each reason once: a source may be away for hours.
+func (c *Core) logSourceError(now fleet.Time, err error, out *Output) {
+	if err == nil {
+		c.endpoints.lastError = ""
+		return
+	}
+	reason := err.Error()
+	if reason != c.endpoints.lastError {
+		c.endpoints.lastError = reason
+		c.log(out, LogEntry{now, LevelWarn, "list", reason})
+	}
+}
+
+func (c *Core) holdsList() bool {
+	held := &c.endpoints.heldList
+	return held.Scope == fleet.ListFull && held.List.Revision > 0
+}
+
+func (c *Core) takeHeldList(now fleet.Time, out *Output) {
+	c.takeList(now, c.endpoints.heldList, out)
+	c.endpoints.heldList = discovery.Update{}
+}
+
+// holdIfShrunk holds a full list back that names too few of the known servers, and tells whether it did.
+func (c *Core) holdIfShrunk(now fleet.Time, update discovery.Update, out *Output) bool {
+	e := &c.endpoints
+	remaining := 0
+	digest := xxhash.New()
+	for _, s := range update.List.Endpoints {
+		if _, known := e.byName[s.Name]; known && s.State != stateGone {
+			remaining++
+		}
+		_, _ = fmt.Fprintln(digest, s.Name, s.State) // a hash never fails
+	}
+	known := len(e.byName) - e.verifier.Refuted() // those are known to be gone already
+	if e.shrinkGate.Whole(now, known, remaining, digest.Sum64()) == verification.Take {
+		e.heldList = discovery.Update{}
+		return false
+	}
+	e.heldList = update
+	text := fmt.Sprintf("rev %d names only %d of %d servers: it is asked for again before it is obeyed",
+		update.List.Revision, remaining, known)
+	c.log(out, LogEntry{now, LevelWarn, "list", text})
+	return true
+}
+
+// releaseHeldList takes the list that is held back when nothing better came in its time.
+func (c *Core) releaseHeldList(now fleet.Time, out *Output) (due fleet.Time) {
+	release, fetch, due := c.endpoints.shrinkGate.Due(now)
+	out.FetchEndpoints = out.FetchEndpoints || fetch
+	if release {
+		text := fmt.Sprintf("rev %d is obeyed: nothing better came", c.endpoints.heldList.List.Revision)
+		c.log(out, LogEntry{now, LevelWarn, "list", text})
+		c.takeHeldList(now, out)
+	}
+	return due
+}
+
+// takeList goes by a list from now on.
+func (c *Core) takeList(now fleet.Time, update discovery.Update, out *Output) {
+	e := &c.endpoints
+	if update.Scope != fleet.ListDelta {
+		clear(e.byName)
+		clear(e.listed)
+	}
+	list := fleet.EndpointList{Scope: update.Scope, Revision: fleet.ListRevision(update.List.Revision)}
+	for _, s := range update.List.Endpoints {
+		if _, ok := e.zones[s.Zone]; !ok && s.State != stateGone { // one that is gone needs no zone
+			text := fmt.Sprintf("server %s: zone %q is none of this site's; left out", s.Name, s.Zone)
+			c.log(out, LogEntry{now, LevelError, "list", text})
+			continue
+		}
+		endpoint := c.takeEndpoint(s)
+		if endpoint.State == fleet.ServerGone && update.Scope != fleet.ListDelta {
+			continue
+		}
+		list.Endpoints = append(list.Endpoints, endpoint)
+	}
+	e.revision = update.List.Revision
+	e.updatedAt = now
+	if update.Scope != fleet.ListCached {
+		e.live = true
+		e.confirmedAt = now
+		e.verifier.Live(now, list)
+		out.Endpoints = e.list()
+	}
+	c.applyEndpoints(now, list)
+	c.shareListWithGossip(now)
+}
+
+// takeEndpoint takes one endpoint of a list over, and has the reconciler follow a changed address.
+func (c *Core) takeEndpoint(s discovery.Endpoint) fleet.Endpoint {
+	id, moved := c.names.Listed(s.Name, s.Addr)
+	if moved {
+		c.reconciler.AddressChanged(id)
+	}
+	endpoint := c.endpoints.toFleet(id, s, stateByName[s.State], startOf(s))
+	c.endpoints.put(endpoint)
+	if endpoint.State == fleet.ServerGone {
+		delete(c.endpoints.byName, s.Name)
+	} else {
+		c.endpoints.byName[s.Name] = s
+	}
+	return endpoint
+}
+
+// applyEndpoints hands a list on to all that go by it.
+func (c *Core) applyEndpoints(now fleet.Time, list fleet.EndpointList) {
+	c.published.changed = true
+	c.updateReportSources(list)
+	c.guard.Hear(now, list) // first, as the reconciler asks it what the list makes of the entries at proxies
+	c.reconciler.SetEndpoints(now, list)
+	c.events.current = append(c.events.current, list)
+}
+
+// updateReportSources tells the pipeline which servers are listed.
+func (c *Core) updateReportSources(list fleet.EndpointList) {
+	if list.Scope != fleet.ListDelta {
+		for id := range c.names.Count() {
+			if _, listed := c.endpoints.listed[fleet.ServerID(id)]; !listed {
+				c.pipeline.Listed(fleet.ServerID(id), true)
+			}
+		}
+	}
+	for _, e := range list.Endpoints {
+		c.pipeline.Listed(e.Server, e.State == fleet.ServerGone)
+	}
+}
--- /dev/null
+++ b/internal/controller/gossip.go
@@ -0,0 +1,86 @@
+package controller
+
+import (
+	"cressknot/internal/fleet"
+	"cressknot/internal/gossip"
+)
+
+// gossipInterval is the time between two looks at what peers say: a step comes as often in any case.
+const gossipInterval = fleet.Second / 4
+
+// gossipState merges what other controllers say. The merged state is nil where none are heard.
+type gossipState struct {
+	peers       *gossip.PeerState
+	exchangedAt fleet.Time
+}
+
+// EnableGossip lets the controller hear others and be heard by them under its name.
+func (c *Core) EnableGossip(name string) { c.gossip.peers = gossip.NewPeerState(name, c.epoch) }
+
+func (c *Core) handleGossip(now fleet.Time, message gossip.Message, out *Output) {
+	if c.gossip.peers == nil {
+		return
+	}
+	if err := c.gossip.peers.Merge(now, message); err != nil {
+		c.log(out, LogEntry{now, LevelWarn, "peers", err.Error()})
+	}
+}
+
+// shareListWithGossip gives the gossip our own list, for comparison with those of peers.
+func (c *Core) shareListWithGossip(now fleet.Time) {
+	if c.gossip.peers == nil {
+		return
+	}
+	e := &c.endpoints
+	own := make(map[string]gossip.LocalServer, len(e.byName))
+	for name, s := range e.byName {
+		own[name] = gossip.LocalServer{State: stateByName[s.State], Started: startOf(s)}
+	}
+	c.gossip.peers.SetLocalList(now, e.revision, e.live, own)
+}
+
+func (c *Core) observeOutcomeForGossip(now fleet.Time, report fleet.OutcomeReport) {
+	if c.gossip.peers != nil {
+		c.gossip.peers.ObserveOutcome(now, c.serverName(report.Server), report.Attempts, report.Failures)
+	}
+}
+
+// exchangeGossip takes over what follows from what peers say, and gives our message when one is due.
+func (c *Core) exchangeGossip(now fleet.Time, out *Output) {
+	if c.gossip.peers == nil || now < c.gossip.exchangedAt+gossipInterval {
+		return
+	}
+	c.gossip.exchangedAt = now
+	changes, notices := c.gossip.peers.Next(now)
+	list := fleet.EndpointList{Scope: fleet.ListDelta, Revision: fleet.ListRevision(c.endpoints.revision)}
+	for _, change := range changes {
+		if endpoint, listed := c.takePeerEndpoint(change.Name, change.As); listed {
+			list.Endpoints = append(list.Endpoints, endpoint)
+		}
+	}
+	if len(list.Endpoints) > 0 {
+		c.applyEndpoints(now, list)
+	}
+	for _, notice := range notices {
+		text := notice.Text
+		if notice.Server != "" {
+			text = "server " + notice.Server + " " + text
+		}
+		c.log(out, LogEntry{now, LevelWarn, "peers", text})
+	}
+	if message, due := c.gossip.peers.NextMessage(now, c.site.SlowStart.Duration); due {
+		out.Gossip = &message
+	}
+}
+
+// takePeerEndpoint takes state and start of a server over from peers; listed is false for one that our list lacks.
+func (c *Core) takePeerEndpoint(name string, as gossip.LocalServer) (endpoint fleet.Endpoint, listed bool) {
+	s, listed := c.endpoints.byName[name]
+	id, known := c.names.Server(name)
+	if !listed || !known {
+		return fleet.Endpoint{}, false
+	}
+	endpoint = c.endpoints.toFleet(id, s, as.State, as.Started)
+	c.endpoints.put(endpoint)
+	return endpoint, true
+}
--- /dev/null
+++ b/internal/controller/inputs.go
@@ -0,0 +1,144 @@
+package controller
+
+import (
+	"fmt"
+
+	"cressknot/internal/discovery"
+	"cressknot/internal/discovery/verification"
+	"cressknot/internal/fleet"
+	"cressknot/internal/gossip"
+	"cressknot/internal/ingest"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/transport"
+)
+
+// Input is something that a step takes in. The types below are all there are.
+type Input interface{ isInput() }
+
+// The inputs of a step.
+type (
+	// TransportEvent is any event of the proxies' transport but a reading of counters.
+	TransportEvent struct{ transport.Event }
+	// CountersPolled is a reading of a proxy's counters.
+	CountersPolled transport.CountersPolled
+	// EndpointUpdate is what an endpoint source or a cache has to say.
+	EndpointUpdate discovery.Update
+	// VerificationResult is what came of asking a server of a cached list whether it is there.
+	VerificationResult struct {
+		Server   fleet.ServerID
+		Evidence verification.Evidence
+	}
+	// GossipMessage is one from another controller.
+	GossipMessage gossip.Message
+	// ProbeResult is what came of probing a server.
+	ProbeResult fleet.ProbeResult
+	// PushedRecords are load reports that servers pushed. A step does not retain them.
+	PushedRecords []ingest.Record
+)
+
+func (TransportEvent) isInput()     {}
+func (CountersPolled) isInput()     {}
+func (EndpointUpdate) isInput()     {}
+func (VerificationResult) isInput() {}
+func (GossipMessage) isInput()      {}
+func (ProbeResult) isInput()        {}
+func (PushedRecords) isInput()      {}
+
+// handle takes one input in.
+func (c *Core) handle(now fleet.Time, in Input, out *Output) {
+	switch in := in.(type) {
+	case TransportEvent:
+		c.handleTransport(now, in.Event, out)
+	case CountersPolled:
+		c.handleCounters(now, in)
+	case EndpointUpdate:
+		c.handleEndpoints(now, discovery.Update(in), out)
+	case VerificationResult:
+		c.endpoints.verifier.Asked(now, in.Server, in.Evidence)
+	case GossipMessage:
+		c.handleGossip(now, gossip.Message(in), out)
+	case ProbeResult:
+		c.events.current = append(c.events.current, fleet.ProbeResult(in))
+	case PushedRecords:
+		c.handlePushedRecords(now, in, out)
+	}
+}
+
+func (c *Core) handleTransport(now fleet.Time, event transport.Event, out *Output) {
+	switch event := event.(type) {
+	case transport.Connected:
+		c.handleConnected(now, event, out)
+	case transport.Disconnected:
+		c.handleDisconnected(now, event, out)
+	case transport.Unreachable:
+		c.handleUnreachable(now, event, out)
+	case transport.Progress:
+		if c.currentStream(event.Proxy, event.Stream) {
+			c.reconciler.Progress(now, event.Proxy)
+		}
+	case transport.Answered:
+		if c.currentStream(event.Proxy, event.Stream) {
+			c.reconciler.Acknowledge(now, event.Proxy, event.Sequence, event.Failures)
+		}
+	case transport.CountersPolled:
+		c.handleCounters(now, CountersPolled(event))
+	}
+}
+
+// currentStream tells whether an event is of a proxy's current stream; what an older one delivers is dropped.
+func (c *Core) currentStream(proxy fleet.ProxyID, stream uint64) bool {
+	return c.proxies.streams[proxy] == stream
+}
+
+func (c *Core) handleConnected(now fleet.Time, event transport.Connected, out *Output) {
+	c.proxies.streams[event.Proxy] = event.Stream
+	c.raiseEpoch(now, reconcile.LatestEpoch(event.Snapshot.VersionStamps), out)
+	delete(c.proxies.unreachable, event.Proxy)
+	c.reconciler.Join(now, event.Proxy, event.Snapshot)
+	c.pipeline.Join(now, event.Proxy, event.Snapshot.Zone, event.Snapshot.Fresh)
+	text := fmt.Sprintf("proxy %s joined: %d lines held, fresh %v",
+		c.proxies.configured[event.Proxy].Name, len(event.Snapshot.Entries), event.Snapshot.Fresh)
+	c.log(out, LogEntry{now, LevelInfo, "proxy", text})
+}
+
+func (c *Core) handleDisconnected(now fleet.Time, event transport.Disconnected, out *Output) {
+	if !c.currentStream(event.Proxy, event.Stream) {
+		return
+	}
+	delete(c.proxies.streams, event.Proxy)
+	c.reconciler.Leave(event.Proxy)
+	c.pipeline.Leave(event.Proxy)
+	text := fmt.Sprintf("proxy %s left: %v", c.proxies.configured[event.Proxy].Name, event.Err)
+	c.log(out, LogEntry{now, LevelWarn, "proxy", text})
+}
+
+// handleUnreachable logs each reason once: a proxy may be away for hours.
+func (c *Core) handleUnreachable(now fleet.Time, event transport.Unreachable, out *Output) {
+	reason := event.Err.Error()
+	if c.proxies.unreachable[event.Proxy] == reason {
+		return
+	}
+	c.proxies.unreachable[event.Proxy] = reason
+	text := fmt.Sprintf("proxy %s can't be reached: %s", c.proxies.configured[event.Proxy].Name, reason)
+	c.log(out, LogEntry{now, LevelWarn, "proxy", text})
+}
+
+func (c *Core) handleCounters(now fleet.Time, event CountersPolled) {
+	if !c.currentStream(event.Proxy, event.Stream) {
+		return
+	}
+	c.pipeline.Polled(now, event.Proxy, event.Reading)
+	c.reconciler.ObserveEntries(now, event.Proxy, event.Reading.Entries)
+	event.Reading.Release()
+}
+
+func (c *Core) handlePushedRecords(now fleet.Time, records PushedRecords, out *Output) {
+	for i := range records {
+		server := records[i].Server
+		before := c.pipeline.Distrusted(server)
+		c.pipeline.Pushed(now, records[i])
+		if c.pipeline.Distrusted(server) != before {
+			out.TrustChanges = append(out.TrustChanges, server)
+		}
+	}
+}
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -4,15 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
-	"maps"
 	"math"
-	"net"
-	"net/http"
-	"os"
-	"slices"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -20,208 +12,160 @@
 	"github.com/rs/zerolog"
 
 	"cressknot/internal/discovery"
-	"cressknot/internal/discovery/verification"
 	"cressknot/internal/eventlog"
 	"cressknot/internal/fleet"
 	"cressknot/internal/gossip"
 	"cressknot/internal/ingest"
 	"cressknot/internal/ingest/timeseries"
-	"cressknot/internal/reconcile"
 	"cressknot/internal/service"
 	"cressknot/internal/store"
 	"cressknot/internal/transport"
 )
 
+// backlogDelay is the time before a step that takes what the last one had no room for, so that urgent inputs come
+// between.
+const backlogDelay = 5 * fleet.Millisecond
+
+// The histogram of step durations, in nanoseconds.
 const (
-	tookMost  = int64(time.Hour)      // of the histogram of turns
-	probeBody = 1 << 12               // bytes read of a probe's answer
-	moreGap   = 5 * fleet.Millisecond // before a turn that takes what the last one had no room for: urgent inputs come between
-	loadUnit  = 1000                  // load figures stand in thousandths, as proxies keep whole numbers
+	minStepDuration    = int64(time.Microsecond)
+	maxStepDuration    = int64(time.Hour)
+	stepDurationDigits = 3
 )
 
 // Loop runs a Core: one goroutine that owns it, a mailbox, a clock and a timer.
 type Loop struct {
-	core    *Core
-	names   *Names
-	front   transport.Transport
-	source  discovery.EndpointSource
-	log     zerolog.Logger
-	name    string
-	facts   func(service.PublishedState)
-	sharing transport.LeaseTransport
-	tell    func(gossip.Message)
-	wall    time.Time // at the start; the clock goes on by the monotonic one
-	cache   string
-	probe   string // path of probes
-	prove   string // how servers of a kept list are asked
-
-	mu     sync.Mutex
-	mail   []Input                    // lists, joins, leaves, answers, probes: never shed, never folded
-	polled []transport.CountersPolled // readings, at most one of each proxy, oldest first
-	place  map[fleet.ProxyID]int
-	box    *ingest.Queue // what servers pushed
-	pushed []ingest.Record
-	inputs []Input
-	folded uint64
-	news   map[string]gossip.Message // of other governors, by name
-	shed   uint64                    // of them, those that were not heard
-	notify chan struct{}
-	asks   chan func(*Core)
-
-	recMu   sync.Mutex
-	records *eventlog.Writer
-	recFile io.Closer
+	core     *Core
+	names    *Names
+	mailbox  *mailbox
+	clock    Clock
+	log      zerolog.Logger
+	name     string // of the controller
+	prober   prober
+	recorder stepRecorder
+	calls    chan func(*Core) // what Do has to run
+	timings  stepTimings
+
+	transport        transport.Transport
+	source           discovery.EndpointSource
+	leases           transport.LeaseTransport     // nil where proxies are not shared
+	series           Series                       // may be nil
+	store            *store.Store                 // may be nil
+	sendGossip       func(gossip.Message)         // may be nil
+	onPublishedState func(service.PublishedState) // may be nil
+	cachePath        string
+
+	probesCtx context.Context // ends with Run
+	probes    sync.WaitGroup  // probes and verifications on their way
+}
 
-	series Series       // may be nil
-	store  *store.Store // may be nil
-	took   *hdrhistogram.Histogram
-	tookMu sync.Mutex
-	turns  uint64
-	ctx    context.Context
+// stepTimings counts steps and holds the histogram of their durations.
+type stepTimings struct {
+	mu        sync.Mutex
+	durations *hdrhistogram.Histogram
+	steps     uint64
 }
 
-// Options are what a loop is made of.
+// Options are what a Loop is made of.
 type Options struct {
 	Core             *Core
 	Names            *Names
 	Transport        transport.Transport
 	Source           discovery.EndpointSource
 	Log              zerolog.Logger
-	CachePath        string            // file that keeps the last list; "" for none
-	CachedList       *discovery.Update // a kept list to start from, if any
-	VerificationMode string            // how servers of it are asked: "connect", "probe", "answers" (not at all)
-	ProbePath        string
+	CachePath        string                       // file that holds the last endpoint list; "" for none
+	CachedList       *discovery.Update            // a cached list to start from, if any
+	VerificationMode string                       // how servers of it are verified
+	ProbePath        string                       // of the URL of probes
 	Series           Series                       // of reports, for operators; may be nil
-	Store            *store.Store                 // what must last; may be nil
-	SendGossip       func(gossip.Message)         // carries news to other governors; may be nil
-	Leases           transport.LeaseTransport     // where other governors may serve the same proxies; else nil
-	Name             string                       // of the governor
-	OnPublishedState func(service.PublishedState) // hears what callers of the service are told; may be nil
+	Store            *store.Store                 // of what must survive a restart; may be nil
+	SendGossip       func(gossip.Message)         // carries messages to other controllers; may be nil
+	Leases           transport.LeaseTransport     // where other controllers may serve the same proxies; else nil
+	Name             string                       // of the controller
+	OnPublishedState func(service.PublishedState) // hears what the service's clients are told; may be nil
 }
 
-// Series keeps what proxies met over time.
+// Series holds what proxies met at servers over time.
 type Series interface {
 	Add(ingest.CounterDelta)
 	Read(server fleet.ServerID, from fleet.Time) (points []timeseries.Point, damaged int, err error)
 }
 
 // NewLoop makes a loop that Run runs.
-func NewLoop(p Options) *Loop {
-	l := &Loop{core: p.Core, names: p.Names, front: p.Transport, source: p.Source, log: p.Log, wall: time.Now(),
-		cache: p.CachePath, probe: p.ProbePath, place: map[fleet.ProxyID]int{}, news: map[string]gossip.Message{}, box: &ingest.Queue{}, notify: make(chan struct{}, 1),
-		asks: make(chan func(*Core)), took: hdrhistogram.New(1000, tookMost, 3)}
-	l.sharing, l.tell = p.Leases, p.SendGossip
-	l.store, l.name, l.facts = p.Store, p.Name, p.OnPublishedState
-	if l.series = p.Series; l.series != nil {
-		l.core.intake.Keep(l.series.Add)
-	}
-	if l.prove = p.VerificationMode; l.prove == "answers" {
-		l.core.AnswersOnly()
-	}
-	if p.CachedList != nil {
-		l.post(*p.CachedList)
+func NewLoop(o Options) *Loop {
+	l := &Loop{
+		core:    o.Core,
+		names:   o.Names,
+		mailbox: newMailbox(),
+		clock:   NewClock(),
+		log:     o.Log,
+		name:    o.Name,
+		prober:  prober{names: o.Names, path: o.ProbePath, verificationMode: o.VerificationMode},
+		calls:   make(chan func(*Core)),
+		timings: stepTimings{
+			durations: hdrhistogram.New(minStepDuration, maxStepDuration, stepDurationDigits),
+		},
+		transport:        o.Transport,
+		source:           o.Source,
+		leases:           o.Leases,
+		series:           o.Series,
+		store:            o.Store,
+		sendGossip:       o.SendGossip,
+		onPublishedState: o.OnPublishedState,
+		cachePath:        o.CachePath,
+	}
+	if l.series != nil {
+		l.core.pipeline.Keep(l.series.Add)
+	}
+	if o.VerificationMode == VerifyByOutcomes {
+		l.core.verifyByOutcomesOnly()
+	}
+	if o.CachedList != nil {
+		l.receiveEndpoints(*o.CachedList)
 	}
 	return l
 }
 
-// now is the governor's clock: the wall clock at the start, going on by the monotonic one, in nanoseconds.
-func (l *Loop) now() fleet.Time {
-	return fleet.Time(l.wall.UnixNano() + time.Since(l.wall).Nanoseconds())
-}
+// Now is the time of the controller's clock.
+func (l *Loop) Now() fleet.Time { return l.clock.Now() }
 
-// post puts an input into the mailbox. Nothing is lost: a reading that still waits is replaced by a newer one of the
-// same stream, as counters are sums.
-func (l *Loop) post(in Input) {
-	l.mu.Lock()
-	if p, ok := in.(transport.CountersPolled); ok {
-		p.Reading.At = l.now()
-		if at, waits := l.place[p.Proxy]; waits && l.polled[at].Stream == p.Stream {
-			l.polled[at].Reading.Release()
-			l.polled[at] = p
-			l.folded++
-		} else {
-			l.place[p.Proxy] = len(l.polled)
-			l.polled = append(l.polled, p)
-		}
-	} else {
-		l.mail = append(l.mail, in)
+// receiveTransport is the transport's sink.
+func (l *Loop) receiveTransport(event transport.Event) {
+	if reading, ok := event.(transport.CountersPolled); ok {
+		reading.Reading.At = l.Now()
+		l.mailbox.putReading(reading)
+		return
 	}
-	l.mu.Unlock()
-	l.wake()
+	l.mailbox.put(TransportEvent{event})
 }
 
-func (l *Loop) wake() {
-	select {
-	case l.notify <- struct{}{}:
-	default:
-	}
-}
+// receiveEndpoints is the endpoint source's sink.
+func (l *Loop) receiveEndpoints(update discovery.Update) { l.mailbox.put(EndpointUpdate(update)) }
 
-// Push takes in what servers pushed, and says what they are to be told.
+// Push takes in load reports that servers pushed, and gives what they are to be told.
 func (l *Loop) Push(records []ingest.Record) ingest.Reply {
-	reply := l.box.Put(l.now(), records)
-	l.wake()
+	reply := l.mailbox.pushed.Put(l.Now(), records)
+	l.mailbox.wake()
 	return reply
 }
 
-// Peer takes in what another governor tells. Of each only the newest waits, and of so many governors: a flood fills no mailbox.
-func (l *Loop) Peer(n gossip.Message) {
-	l.mu.Lock()
-	if old, waits := l.news[n.Controller]; waits && n.Epoch == old.Epoch && n.Sequence < old.Sequence || !waits && len(l.news) >= gossip.MaxControllers {
-		l.shed++
-	} else {
-		l.news[n.Controller] = n
-	}
-	l.mu.Unlock()
-	l.wake()
-}
-
-// Note puts a line into the log.
-func (l *Loop) Note(level, from, text string) { l.say(Line{l.now(), level, from, text}) }
+// ReceiveGossip takes in a message of another controller.
+func (l *Loop) ReceiveGossip(message gossip.Message) { l.mailbox.putGossip(message) }
 
-// Now is the governor's clock.
-func (l *Loop) Now() fleet.Time { return l.now() }
-
-// collect gives what the next turn takes in: all that is urgent, then readings and pushed records as far as there is room
-// for them in a turn. More tells that some wait.
-func (l *Loop) collect(pushed, rows int) (inputs []Input, more bool) {
-	l.mu.Lock()
-	inputs, l.mail = append(l.inputs[:0], l.mail...), l.mail[:0]
-	n := 0
-	for n < len(l.polled) && rows > 0 {
-		rows -= max(1, len(l.polled[n].Reading.Rows))
-		inputs = append(inputs, l.polled[n])
-		n++
-	}
-	if n == len(l.polled) {
-		l.polled = l.polled[:0]
-		clear(l.place)
-	} else {
-		l.polled = l.polled[:copy(l.polled, l.polled[n:])]
-		clear(l.place)
-		for i := range l.polled {
-			l.place[l.polled[i].Proxy] = i
-		}
-	}
-	more = len(l.polled) > 0
-	for _, g := range slices.Sorted(maps.Keys(l.news)) {
-		inputs = append(inputs, l.news[g])
-		delete(l.news, g)
-	}
-	l.mu.Unlock()
-	if l.pushed = l.box.Take(pushed, l.pushed[:0]); len(l.pushed) > 0 {
-		inputs = append(inputs, Pushed(l.pushed))
-	}
-	l.inputs = inputs
-	waits, _, _ := l.box.Waiting()
-	return inputs, more || waits > 0
+// Notice writes a line to the process's log.
+func (l *Loop) Notice(level Level, source, text string) {
+	l.writeLog(LogEntry{l.Now(), level, source, text})
 }
 
-// Ask runs a question in the loop's goroutine, between two turns.
-func (l *Loop) Ask(ctx context.Context, question func(*Core)) error {
+// Do runs a function in the loop's goroutine, between two steps.
+func (l *Loop) Do(ctx context.Context, call func(*Core)) error {
 	done := make(chan struct{})
+	run := func(c *Core) {
+		call(c)
+		close(done)
+	}
 	select {
-	case l.asks <- func(c *Core) { question(c); close(done) }:
+	case l.calls <- run:
 	case <-ctx.Done():
 		return fmt.Errorf("the governor is busy: %w", ctx.Err())
 	}
@@ -229,16 +173,17 @@
 	return nil
 }
 
-// Run decides until the context ends; then orders in hand leave for as long as stop allows, and streams close.
-func (l *Loop) Run(ctx context.Context, stop time.Duration) error {
-	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
+// Run decides until the context ends; then messages in hand leave for as long as stopTimeout allows, and streams close.
+func (l *Loop) Run(ctx context.Context, stopTimeout time.Duration) error {
+	inner, cancel := context.WithCancel(context.WithoutCancel(ctx)) // outlives ctx by the drain
+	defer l.probes.Wait()                                           // after cancel
 	defer cancel()
-	l.ctx = inner
-	if err := l.front.Start(inner, func(e transport.Event) { l.post(e) }); err != nil {
+	l.probesCtx = inner
+	if err := l.transport.Start(inner, l.receiveTransport); err != nil {
 		return fmt.Errorf("front: %w", err)
 	}
-	if err := l.source.Start(inner, func(u discovery.Update) { l.post(u) }); err != nil {
-		return errors.Join(err, l.front.Stop(inner))
+	if err := l.source.Start(inner, l.receiveEndpoints); err != nil {
+		return errors.Join(err, l.transport.Stop(inner))
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -246,282 +191,179 @@
 		select {
 		case <-ctx.Done():
 			continue
-		case ask := <-l.asks:
-			ask(l.core)
+		case call := <-l.calls:
+			call(l.core)
 			continue
-		case <-l.notify:
+		case <-l.mailbox.notify:
 		case <-timer.C:
 		}
-		wake := l.turn()
-		timer.Reset(max(0, time.Duration(wake-l.now())))
+		next := l.step()
+		timer.Reset(max(0, time.Duration(next-l.Now())))
 	}
-	return l.stop(inner, stop)
+	return l.drain(inner, stopTimeout)
 }
 
-func (l *Loop) turn() fleet.Time {
-	inputs, more := l.collect(l.core.intake.Room())
-	now := l.now()
-	out := l.core.Turn(now, inputs)
-	took := l.now() - now
-	l.core.intake.Took(now, took)
-	l.tookMu.Lock()
-	l.turns++
-	_ = l.took.RecordValue(min(tookMost, max(1000, int64(took))))
-	l.tookMu.Unlock()
-	for _, id := range out.Distrust {
-		l.box.Distrust(id, l.core.intake.Distrusted(id))
+// step takes one step of the core and carries out what it gives. It returns when the next one is due.
+func (l *Loop) step() fleet.Time {
+	inputs, more := l.mailbox.collect(l.core.pipeline.Room())
+	now := l.Now()
+	out := l.core.Step(now, inputs)
+	took := l.Now() - now
+	l.core.pipeline.Took(now, took)
+	l.timings.add(took)
+	l.carryOut(&out)
+	if out.BalancerStepped {
+		if err := l.recorder.record(now, out, l.names); err != nil {
+			l.log.Error().Err(err).Msg("event log failed; recording ended")
+		}
 	}
+	l.persist(out.Persist, nil)
 	if more {
-		out.Wake = now + moreGap
+		return now + backlogDelay
+	}
+	return out.NextStep
+}
+
+// carryOut does what a step wants done at the network and on the file of the cached list.
+func (l *Loop) carryOut(out *Output) {
+	for _, id := range out.TrustChanges {
+		l.mailbox.pushed.Distrust(id, l.core.pipeline.Distrusted(id))
 	}
 	for _, id := range out.Drops {
-		l.front.Drop(id)
+		l.transport.Drop(id)
 	}
-	for _, m := range out.Messages {
-		l.front.Send(m)
+	for _, message := range out.Messages {
+		l.transport.Send(message)
 	}
 	for _, id := range out.Polls {
-		l.front.Poll(id)
+		l.transport.Poll(id)
 	}
 	for _, id := range out.Probes {
-		go l.ask(id)
+		l.probes.Go(func() { l.mailbox.put(l.prober.probe(l.probesCtx, id)) })
 	}
-	for _, id := range out.Proves {
-		go l.proof(id)
+	for _, id := range out.Verifications {
+		l.probes.Go(func() { l.mailbox.put(l.prober.verify(l.probesCtx, id)) })
 	}
-	if out.Watch != nil {
-		l.source.Watch(*out.Watch)
+	if out.WatchEndpoints != nil {
+		l.source.Watch(*out.WatchEndpoints)
 	}
-	if out.Fetch {
+	if out.FetchEndpoints {
 		l.source.Fetch()
 	}
-	for _, line := range out.Logs {
-		l.say(line)
+	for _, entry := range out.Log {
+		l.writeLog(entry)
 	}
-	if out.List != nil && l.cache != "" {
-		if err := discovery.WriteCache(l.cache, *out.List, out.ListAt); err != nil {
-			l.log.Error().Err(err).Msg("the list was not kept; the governor goes on without")
+	if out.Endpoints != nil && l.cachePath != "" {
+		if err := discovery.WriteCache(l.cachePath, *out.Endpoints, out.EndpointsConfirmedAt); err != nil {
+			l.log.Error().Err(err).Msg("endpoint list was not cached; continuing without")
 		}
 	}
-	if out.News != nil && l.tell != nil {
-		l.tell(*out.News)
-	}
-	if out.Facts != nil && l.facts != nil {
-		l.facts(*out.Facts)
+	if out.Gossip != nil && l.sendGossip != nil {
+		l.sendGossip(*out.Gossip)
 	}
-	if out.Stepped {
-		l.record(now, out)
+	if out.PublishedState != nil && l.onPublishedState != nil {
+		l.onPublishedState(*out.PublishedState)
 	}
-	l.keep(out.Keep, nil)
-	return out.Wake
 }
 
-// keep hands what must last to the store, which never makes the loop wait.
-func (l *Loop) keep(changes []store.Change, done func(error)) {
+// persist hands changes to the store, which never makes the loop wait; done, if any, is called once they are on disk.
+func (l *Loop) persist(changes []store.Change, done func(error)) {
 	if l.store == nil || len(changes) == 0 && done == nil {
 		return
 	}
 	if err := l.store.Put(changes, done); err != nil {
-		l.log.Error().Err(err).Msg("not kept")
+		l.log.Error().Err(err).Msg("state was not persisted")
 		if done != nil {
 			done(err)
 		}
 	}
 }
 
-// Kept waits until all that was decided so far is on disk, and tells what keeps it from that.
-func (l *Loop) Kept(ctx context.Context) error {
+// errNotPersisted tells operators that what they set is not on disk.
+var errNotPersisted = errors.New("not kept on disk yet")
+
+// WaitPersisted waits until all that was decided so far is on disk, and gives what prevents that.
+func (l *Loop) WaitPersisted(ctx context.Context) error {
 	if l.store == nil {
 		return nil
 	}
 	done := make(chan error, 1)
-	if err := l.Ask(ctx, func(c *Core) { l.keep(c.keep(), func(err error) { done <- err }) }); err != nil {
+	if err := l.Do(ctx, func(c *Core) { l.persist(c.persistChanges(), func(err error) { done <- err }) }); err != nil {
 		return err
 	}
 	select {
 	case err := <-done:
 		return err
 	case <-ctx.Done():
-		return errBehind
+		return errNotPersisted
 	}
 }
 
-func (l *Loop) say(line Line) {
-	var e *zerolog.Event
-	switch line.Level {
-	case "warn":
-		e = l.log.Warn()
-	case "error":
-		e = l.log.Error()
+func (l *Loop) writeLog(entry LogEntry) {
+	var event *zerolog.Event
+	switch entry.Level {
+	case LevelWarn:
+		event = l.log.Warn()
+	case LevelError:
+		event = l.log.Error()
 	default:
-		e = l.log.Info()
+		event = l.log.Info()
 	}
-	e.Str("from", line.From).Time("at", time.Unix(0, int64(line.At))).Msg(line.Text)
+	event.Str("source", entry.Source).Time("at", time.Unix(0, int64(entry.At))).Str("notice", entry.Text).
+		Msg("controller notice")
 }
 
-// ask probes a server over HTTP; the load figures stand in the answer's X-Load header, in thousandths,
-// separated by commas.
-func (l *Loop) ask(id fleet.ServerID) {
-	_, addr := l.names.Of(id)
-	began := time.Now()
-	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(reconcile.DialTimeout))
-	defer cancel()
-	p := fleet.ProbeResult{Server: id, Outcome: fleet.ProbeUnreachable}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+l.probe, nil)
-	if err == nil {
-		var res *http.Response
-		if res, err = http.DefaultClient.Do(req); err == nil {
-			_, _ = io.CopyN(io.Discard, res.Body, probeBody)
-			res.Body.Close()
-			switch {
-			case res.StatusCode == http.StatusOK:
-				p.Outcome, p.Load = fleet.ProbeAnswered, readLoad(res.Header.Get("X-Load"))
-			case res.StatusCode == http.StatusServiceUnavailable:
-				p.Outcome = fleet.ProbeRejected
-			default:
-				p.Outcome = fleet.ProbeFailed
-			}
-		} else if ctx.Err() != nil {
-			p.Outcome = fleet.ProbeTimedOut
-		}
-	}
-	p.Duration = fleet.Time(time.Since(began))
-	l.post(p)
-}
-
-// proof asks a server of a kept list whether it is there: by a connection, or by a probe whose answer may say in X-Server who answers.
-func (l *Loop) proof(id fleet.ServerID) {
-	name, addr := l.names.Of(id)
-	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(reconcile.DialTimeout))
-	defer cancel()
-	p := Proof{Server: id}
-	if l.prove != "probe" {
-		var dialer net.Dialer
-		if conn, err := dialer.DialContext(ctx, "tcp", addr); err == nil {
-			conn.Close()
-			p.Of = verification.Someone
-		}
-	} else if req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+l.probe, nil); err == nil {
-		if res, err := http.DefaultClient.Do(req); err == nil {
-			_, _ = io.CopyN(io.Discard, res.Body, probeBody)
-			res.Body.Close()
-			switch says := res.Header.Get("X-Server"); {
-			case says == name:
-				p.Of = verification.Itself
-			case says != "":
-				p.Of = verification.Another
-			default:
-				p.Of = verification.Someone
-			}
-		}
-	}
-	l.post(p)
-}
-
-func readLoad(text string) (load []float32) {
-	for _, f := range strings.Split(text, ",") {
-		v, err := strconv.ParseUint(f, 10, 32)
-		if err != nil {
-			break
-		}
-		load = append(load, float32(v)/loadUnit)
-	}
-	return load
-}
-
-// rest gives what is left for a governor that stops.
-func (l *Loop) rest() []Input {
-	inputs, _ := l.collect(0, math.MaxInt)
-	return inputs
-}
-
-func (l *Loop) stop(ctx context.Context, within time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// drain lets messages in hand leave, then stops the transport and closes the event log.
+func (l *Loop) drain(ctx context.Context, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		messages, wake, idle := l.core.Settle(l.now(), l.rest())
-		for _, m := range messages {
-			l.front.Send(m)
+		inputs, _ := l.mailbox.collect(0, math.MaxInt)
+		messages, next, idle := l.core.Drain(l.Now(), inputs)
+		for _, message := range messages {
+			l.transport.Send(message)
 		}
 		if idle {
 			break
 		}
-		timer := time.NewTimer(max(0, time.Duration(wake-l.now())))
+		timer := time.NewTimer(max(0, time.Duration(next-l.Now())))
 		select {
-		case <-l.notify:
+		case <-l.mailbox.notify:
 		case <-timer.C:
 		case <-ctx.Done():
 		}
 		timer.Stop()
 	}
-	return errors.Join(l.front.Stop(ctx), l.closeRecords())
+	return errors.Join(l.transport.Stop(ctx), l.recorder.close())
 }
 
-// RecordTo begins to record steps to a file made by open, or ends it with nil. Replay needs the start of the
-// governor, so that recording begun later serves to read, not to replay.
+// RecordTo begins to record the balancer's steps to a file, or ends that with "". A replay needs all steps since the
+// start of the controller: a recording that began later serves to read, not to replay.
 func (l *Loop) RecordTo(path string, start eventlog.Header) error {
-	if err := l.closeRecords(); err != nil {
-		l.log.Error().Err(err).Msg("records were not closed")
+	if err := l.recorder.close(); err != nil {
+		l.log.Error().Err(err).Msg("event log was not closed")
 	}
 	if path == "" {
 		return nil
 	}
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
-	if err != nil {
-		return fmt.Errorf("records: %w", err)
-	}
-	w, err := eventlog.NewWriter(f, start)
-	if err != nil {
-		f.Close()
-		return fmt.Errorf("records: %s: %w", path, err)
-	}
-	l.recMu.Lock()
-	l.records, l.recFile = w, f
-	l.recMu.Unlock()
-	return nil
-}
-
-func (l *Loop) record(now fleet.Time, out Output) {
-	l.recMu.Lock()
-	defer l.recMu.Unlock()
-	if l.records == nil {
-		return
-	}
-	l.records.Step(now, out.Events, out.Orders, l.names.Count(), func(id fleet.ServerID) string {
-		name, _ := l.names.Of(id)
-		return name
-	})
-	if err := l.records.Flush(); err != nil {
-		l.log.Error().Err(err).Msg("records end here; the governor goes on without")
-		l.recFile.Close()
-		l.records, l.recFile = nil, nil
-	}
+	return l.recorder.open(path, start)
 }
 
-func (l *Loop) closeRecords() error {
-	l.recMu.Lock()
-	defer l.recMu.Unlock()
-	if l.records == nil {
-		return nil
-	}
-	err := errors.Join(l.records.Flush(), l.recFile.Close())
-	l.records, l.recFile = nil, nil
-	return err
+func (t *stepTimings) add(took fleet.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.steps++
+	_ = t.durations.RecordValue(min(maxStepDuration, max(minStepDuration, int64(took)))) // always in its range
 }
 
-// Took gives how long turns took, in nanoseconds at the quantiles asked for (0 to 100), and how many there were.
-func (l *Loop) Took(quantiles ...float64) (ns []int64, turns uint64) {
-	l.tookMu.Lock()
-	defer l.tookMu.Unlock()
+// StepDurations gives how long steps took, in nanoseconds at the quantiles asked for (0 to 100), and how many there
+// were.
+func (l *Loop) StepDurations(quantiles ...float64) (nanoseconds []int64, steps uint64) {
+	t := &l.timings
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, q := range quantiles {
-		ns = append(ns, l.took.ValueAtQuantile(q))
+		nanoseconds = append(nanoseconds, t.durations.ValueAtQuantile(q))
 	}
-	return ns, l.turns
-}
-
-// Folded tells how many readings were replaced by newer ones before they were heard.
-func (l *Loop) Folded() uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.folded
+	return nanoseconds, t.steps
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/loop_bench_test.go
@@ -33,33 +33,32 @@
 			for i := range proxies {
 				all = append(all, transport.Proxy{ID: fleet.ProxyID(i), Name: fmt.Sprint("p", i), Zone: fleet.ZoneID(i % 4), RequestRate: 3})
 			}
-			core := NewCore(site, 1, all, names)
-			core.Guarded()
+			core := NewCore(CoreOptions{Site: site, Seed: 1, Proxies: all, Names: names, SafetyChecks: true})
 			now := 1000 * fleet.Second
 			doc := discovery.EndpointList{Revision: 1}
 			for i := range servers {
 				doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: site.Zones[i%4]})
 			}
-			in := []Input{discovery.Update{Scope: fleet.ListFull, List: doc}}
+			in := []Input{EndpointUpdate{Scope: fleet.ListFull, List: doc}}
 			met := make([][]counters.ServerCounters, proxies)
 			came := make([][]counters.ClassCounters, proxies)
 			for i := range proxies {
-				in = append(in, transport.Connected{Proxy: fleet.ProxyID(i), Stream: 1, Snapshot: reconcile.Snapshot{Zone: fleet.ZoneID(i % 4), RequestRate: 3, Fresh: true}})
+				in = append(in, TransportEvent{transport.Connected{Proxy: fleet.ProxyID(i), Stream: 1, Snapshot: reconcile.Snapshot{Zone: fleet.ZoneID(i % 4), RequestRate: 3, Fresh: true}}})
 				met[i], came[i] = make([]counters.ServerCounters, servers), make([]counters.ClassCounters, 3)
 			}
 			rng := rand.New(rand.NewPCG(1, 1))
 			took, decided := hdrhistogram.New(1000, int64(time.Minute), 3), hdrhistogram.New(1000, int64(time.Minute), 3)
 			turn := func() {
 				began := time.Now()
-				out := core.Turn(now, in)
+				out := core.Step(now, in)
 				spent := time.Since(began).Nanoseconds()
 				_ = took.RecordValue(max(1000, spent))
-				if out.Stepped {
+				if out.BalancerStepped {
 					_ = decided.RecordValue(max(1000, spent))
 				}
 				in = in[:0]
 				for _, m := range out.Messages {
-					in = append(in, transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence})
+					in = append(in, TransportEvent{transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence}})
 				}
 				for _, id := range out.Polls {
 					for range 9 { // visits of a second
@@ -75,9 +74,9 @@
 					for s, m := range met[id] {
 						r.Row(fleet.ServerID(s)).ServerCounters = m
 					}
-					in = append(in, transport.CountersPolled{Proxy: id, Stream: 1, Reading: r})
+					in = append(in, CountersPolled{Proxy: id, Stream: 1, Reading: r})
 				}
-				now = max(now+fleet.Millisecond, min(out.Wake, now+10*fleet.Millisecond))
+				now = max(now+fleet.Millisecond, min(out.NextStep, now+10*fleet.Millisecond))
 			}
 			second := func() {
 				for end := now + fleet.Second; now < end; {
--- /dev/null
+++ b/internal/controller/mailbox.go
@@ -0,0 +1,131 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+	"sync"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/gossip"
+	"cressknot/internal/ingest"
+	"cressknot/internal/transport"
+)
+
+// mailbox gathers the inputs of the next step from any goroutine. It is bounded without losing anything that counts:
+// lists, connections, answers and probes are never dropped or merged; of counters, which are sums, the newest reading
+// of a stream is enough; of gossip the newest message of each controller is; of pushed reports the queue takes care.
+type mailbox struct {
+	notify chan struct{} // has room for one: set while inputs wait
+	pushed *ingest.Queue
+
+	mu               sync.Mutex
+	urgent           []Input
+	readings         []CountersPolled // oldest first
+	readingIndex     map[fleet.ProxyID]int
+	gossip           map[string]gossip.Message // by the name of the controller
+	replacedReadings uint64
+
+	// Buffers of collect, which one goroutine calls.
+	inputs  []Input
+	records []ingest.Record
+}
+
+func newMailbox() *mailbox {
+	return &mailbox{
+		notify:       make(chan struct{}, 1),
+		pushed:       &ingest.Queue{},
+		readingIndex: map[fleet.ProxyID]int{},
+		gossip:       map[string]gossip.Message{},
+	}
+}
+
+// wake has the loop take a step soon.
+func (m *mailbox) wake() {
+	select {
+	case m.notify <- struct{}{}:
+	default:
+	}
+}
+
+// put adds an input that is never dropped.
+func (m *mailbox) put(in Input) {
+	m.mu.Lock()
+	m.urgent = append(m.urgent, in)
+	m.mu.Unlock()
+	m.wake()
+}
+
+// putReading adds a reading, in place of one of the same stream that still waits.
+func (m *mailbox) putReading(reading transport.CountersPolled) {
+	m.mu.Lock()
+	at, waits := m.readingIndex[reading.Proxy]
+	if waits && m.readings[at].Stream == reading.Stream {
+		m.readings[at].Reading.Release()
+		m.readings[at] = CountersPolled(reading)
+		m.replacedReadings++
+	} else {
+		m.readingIndex[reading.Proxy] = len(m.readings)
+		m.readings = append(m.readings, CountersPolled(reading))
+	}
+	m.mu.Unlock()
+	m.wake()
+}
+
+// putGossip adds a message, in place of an older one of the same controller. Messages of more than
+// gossip.MaxControllers controllers are dropped, so that a flood fills no memory.
+func (m *mailbox) putGossip(message gossip.Message) {
+	m.mu.Lock()
+	old, waits := m.gossip[message.Controller]
+	outdated := waits && message.Epoch == old.Epoch && message.Sequence < old.Sequence
+	full := !waits && len(m.gossip) >= gossip.MaxControllers
+	if !outdated && !full {
+		m.gossip[message.Controller] = message
+	}
+	m.mu.Unlock()
+	m.wake()
+}
+
+// collect gives what the next step takes in: all that is urgent, then readings of at most maxRows rows and at most
+// maxPushed pushed records. More tells that some wait. The slice is valid until the next call.
+func (m *mailbox) collect(maxPushed, maxRows int) (inputs []Input, more bool) {
+	m.mu.Lock()
+	inputs = append(m.inputs[:0], m.urgent...)
+	m.urgent = m.urgent[:0]
+	inputs = m.collectReadings(inputs, maxRows)
+	more = len(m.readings) > 0
+	for _, controller := range slices.Sorted(maps.Keys(m.gossip)) {
+		inputs = append(inputs, GossipMessage(m.gossip[controller]))
+		delete(m.gossip, controller)
+	}
+	m.mu.Unlock()
+	m.records = m.pushed.Take(maxPushed, m.records[:0])
+	if len(m.records) > 0 {
+		inputs = append(inputs, PushedRecords(m.records))
+	}
+	m.inputs = inputs
+	waiting, _, _ := m.pushed.Waiting()
+	return inputs, more || waiting > 0
+}
+
+// collectReadings takes readings while there is room for rows; at least one row counts for each. The caller holds mu.
+func (m *mailbox) collectReadings(inputs []Input, maxRows int) []Input {
+	taken := 0
+	for taken < len(m.readings) && maxRows > 0 {
+		maxRows -= max(1, len(m.readings[taken].Reading.Rows))
+		inputs = append(inputs, m.readings[taken])
+		taken++
+	}
+	m.readings = m.readings[:copy(m.readings, m.readings[taken:])]
+	clear(m.readingIndex)
+	for i := range m.readings {
+		m.readingIndex[m.readings[i].Proxy] = i
+	}
+	return inputs
+}
+
+// replaced gives how many readings were replaced by newer ones before a step took them.
+func (m *mailbox) replaced() uint64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.replacedReadings
+}
--- /dev/null
+++ b/internal/controller/operators_leases.go
@@ -0,0 +1,105 @@
+package controller
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"cressknot/internal/fleet"
+)
+
+const errNotShared = commandError("This governor shares its proxies with no other one.\n")
+
+// holderSummary is what is seen of a controller at the proxies.
+type holderSummary struct {
+	proxies       int
+	lastHeartbeat fleet.Time
+}
+
+// formatHolder gives the name and the age of the heartbeat of a lease holder; "" is nobody.
+func (q *query) formatHolder(name string, lastHeartbeat fleet.Time) (shownName, age string) {
+	if name == "" {
+		return "(nobody)", "-"
+	}
+	return name, fmt.Sprintf("%.1f", (q.now - lastHeartbeat).Seconds())
+}
+
+// showMembers tells which controllers serve how many proxies, as the proxies say.
+func (q *query) showMembers() (string, error) {
+	if q.loop.leases == nil {
+		return "", errNotShared
+	}
+	holders := q.loop.leases.Holders()
+	q.now = q.loop.Now() // heartbeats may have been seen since
+	byName := map[string]holderSummary{}
+	for _, h := range holders {
+		summary := byName[h.Controller]
+		summary.proxies++
+		summary.lastHeartbeat = max(summary.lastHeartbeat, h.LastHeartbeat)
+		byName[h.Controller] = summary
+	}
+	var b strings.Builder
+	b.WriteString("# governor proxies beat_age_s\n")
+	for _, controller := range slices.Sorted(maps.Keys(byName)) {
+		name, age := q.formatHolder(controller, byName[controller].lastHeartbeat)
+		if controller == q.loop.name {
+			name += "(this)"
+		}
+		fmt.Fprintf(&b, "%s %d %s\n", name, byName[controller].proxies, age)
+	}
+	if q.hasOption("proxies") {
+		b.WriteString("# proxy governor epoch beat_age_s steered_here\n")
+		for _, h := range holders {
+			name, age := q.formatHolder(h.Controller, h.LastHeartbeat)
+			proxy := q.core.proxies.configured[h.Proxy].Name
+			fmt.Fprintf(&b, "%s %s %d %s %v\n", proxy, name, h.Epoch, age, h.Own)
+		}
+	}
+	return b.String(), nil
+}
+
+// retire is "retire on|off": it hands all proxies on, or takes this controller's part again.
+func (q *query) retire() (string, error) {
+	if q.loop.leases == nil {
+		return "", errNotShared
+	}
+	const usage = commandError("'retire' expects on or off.\n")
+	if len(q.args) != 1 {
+		return "", usage
+	}
+	on, ok := parseSwitch(q.args[0])
+	if !ok {
+		return "", usage
+	}
+	q.loop.leases.Retire(on)
+	if on {
+		return "Hands its proxies on; 'show members' tells how far that is.\n", nil
+	}
+	return "Takes its part of the proxies again.\n", nil
+}
+
+// takeProxy is "take <proxy> on|off": it moves a proxy to this controller by hand, or ends that.
+func (q *query) takeProxy() (string, error) {
+	if q.loop.leases == nil {
+		return "", errNotShared
+	}
+	const usage = commandError("'take' expects a proxy's name, and on or off.\n")
+	if len(q.args) != 2 {
+		return "", usage
+	}
+	on, ok := parseSwitch(q.args[1])
+	if !ok {
+		return "", usage
+	}
+	for id, p := range q.core.proxies.configured {
+		if p.Name != q.args[0] || !q.loop.leases.Take(id, on) {
+			continue
+		}
+		if on {
+			return answerf("Asks for it; it is this governor's until 'take %s off', or a restart.\n", p.Name)
+		}
+		return "It goes where the plan has it.\n", nil
+	}
+	return "", refusef("Refused: %.80q is no proxy that is shared.\n", q.args[0])
+}
--- /dev/null
+++ b/internal/controller/operators_reports.go
@@ -0,0 +1,184 @@
+package controller
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest"
+	"cressknot/internal/ingest/timeseries"
+)
+
+const (
+	defaultTopServers    = 20 // rows of "top servers", and violations of "show intake"
+	maxTopServers        = 500
+	defaultSeriesMinutes = 60 // of "show series"
+	maxSeriesMinutes     = 24 * 60
+	minute               = 60 * fleet.Second
+)
+
+func (q *query) showReports() (string, error) {
+	staleOnly := q.hasOption("stale")
+	if len(q.args) > 0 && !staleOnly {
+		return "", commandError("'show reports' expects nothing or 'stale'.\n")
+	}
+	var b strings.Builder
+	b.WriteString("# server sight since_s report_age_s met_age_s tries failed served erred clock_off_s believed\n")
+	for _, v := range q.core.pipeline.Views(q.now) {
+		if !staleOnly || v.Verdict != ingest.Well || v.Distrust != 0 {
+			b.WriteString(q.formatSource(v))
+		}
+	}
+	b.WriteString("# proxy counters_age_s asked_every_s\n")
+	var lines []string
+	for id, p := range q.core.proxies.configured {
+		age, interval, read := q.core.pipeline.ProxyAge(q.now, id)
+		if staleOnly && read && age <= 2*interval {
+			continue
+		}
+		ageText := "-"
+		if read {
+			ageText = fmt.Sprintf("%.1f", age.Seconds())
+		}
+		lines = append(lines, fmt.Sprintf("%s %s %.1f\n", p.Name, ageText, interval.Seconds()))
+	}
+	slices.Sort(lines)
+	return b.String() + strings.Join(lines, ""), nil
+}
+
+// formatSource gives the line of a server as a source of reports.
+func (q *query) formatSource(v ingest.View) string {
+	age := "-"
+	if v.Reports {
+		age = fmt.Sprintf("%.1f", v.Age.Seconds())
+	}
+	since := "-"
+	if v.Verdict != ingest.Well {
+		since = formatSeconds(q.now - v.Since)
+	}
+	believed := "yes"
+	if v.Distrust > 0 {
+		believed = fmt.Sprintf("in %.0f s", (v.Distrust - q.now).Seconds())
+	}
+	return fmt.Sprintf("%s %s %s %s %s %d %d %d %d %.1f %s\n",
+		q.core.serverName(v.Server), v.Verdict, since, age, formatSeconds(v.Met),
+		v.Tries, v.Failed, v.Served, v.Erred, -v.Skew.Seconds(), believed)
+}
+
+func (q *query) showIngest() (string, error) {
+	p := q.core.pipeline
+	totals := p.Totals()
+	waiting, oldest := p.Waiting(q.now)
+	sources, records, thinned := q.loop.mailbox.pushed.Waiting()
+	violations, repeated, odd, unbelieved := p.Trusts()
+	level, misses, shedText := p.Shed()
+	var b strings.Builder
+	b.WriteString(formatFacts([]fact{
+		{"Tries_counted", totals.Counted},
+		{"Tries_told", totals.Told},
+		{"Tries_waiting", totals.Waiting},
+		{"Tries_aged", totals.Aged},
+		{"Tries_unheard", totals.Unheard},
+		{"Lines_waiting", waiting},
+		{"Oldest_line_ms", int64(oldest / fleet.Millisecond)},
+		{"Pushed_records", records},
+		{"Pushed_thinned", thinned},
+		{"Pushed_waiting", sources},
+		{"Pushed_repeated", repeated},
+		{"Pushed_odd", odd},
+		{"Pushed_unbelieved", unbelieved},
+		{"Counter_resets", p.Resets()},
+		{"Deadlines_missed", misses},
+		{"Shed_level", level},
+		{"Shed_says", shedText},
+	}))
+	for _, v := range violations[max(0, len(violations)-defaultTopServers):] {
+		fmt.Fprintf(&b, "%s server %s: %s\n", formatTime(v.At), q.core.serverName(v.Server), v.Text)
+	}
+	return b.String(), nil
+}
+
+// rankServers gives the figure by which "top servers" ranks, nil for an unknown one.
+func rankServers(by string) func(v *ingest.View) float64 {
+	switch by {
+	case "age":
+		return func(v *ingest.View) float64 { return v.Age.Seconds() }
+	case "load":
+		return func(v *ingest.View) float64 { return float64(v.Load[0]) }
+	case "failures":
+		return func(v *ingest.View) float64 { return float64(v.Failed) }
+	}
+	return nil
+}
+
+func (q *query) topServers() (string, error) {
+	limit := defaultTopServers
+	if len(q.args) == 2 {
+		n, err := strconv.Atoi(q.args[1])
+		if err != nil || n < 1 || n > maxTopServers {
+			return "", refusef("'top servers' shows 1 to %d lines, not %.20q.\n", maxTopServers, q.args[1])
+		}
+		limit = n
+	}
+	const usage = commandError("'top servers' expects age, load or failures, and how many.\n")
+	if len(q.args) < 1 || len(q.args) > 2 {
+		return "", usage
+	}
+	rank := rankServers(q.args[0])
+	if rank == nil {
+		return "", usage
+	}
+	views := q.core.pipeline.Views(q.now)
+	slices.SortStableFunc(views, func(a, b ingest.View) int { return cmp.Compare(rank(&b), rank(&a)) })
+	var b strings.Builder
+	fmt.Fprintf(&b, "# server %s sight tries failed\n", q.args[0])
+	for _, v := range views[:min(limit, len(views))] {
+		fmt.Fprintf(&b, "%s %.3f %s %d %d\n", q.core.serverName(v.Server), rank(&v), v.Verdict, v.Tries, v.Failed)
+	}
+	return b.String(), nil
+}
+
+func (q *query) showSeries() (string, error) {
+	if len(q.args) < 1 || len(q.args) > 2 {
+		return "", commandError("'show series' expects one server's name, and how many minutes.\n")
+	}
+	id, err := q.server(q.args[0])
+	if err != nil {
+		return "", err
+	}
+	minutes := defaultSeriesMinutes
+	if len(q.args) == 2 {
+		n, err := strconv.Atoi(q.args[1])
+		if err != nil || n < 1 || n > maxSeriesMinutes {
+			return "", refusef("'show series' goes back 1 to %d minutes, not %.20q.\n", maxSeriesMinutes, q.args[1])
+		}
+		minutes = n
+	}
+	if q.loop.series == nil {
+		return "", commandError("No series are kept.\n")
+	}
+	points, damaged, err := q.loop.series.Read(id, q.now-fleet.Time(minutes)*minute)
+	if err != nil {
+		return "", refusef("%v\n", err)
+	}
+	var b strings.Builder
+	b.WriteString("# minute tries failed p50_ms p99_ms most_ms load\n")
+	for i := range points {
+		b.WriteString(formatPoint(formatTime(points[i].At), &points[i]))
+	}
+	total := timeseries.Sum(points)
+	b.WriteString(formatPoint("all", &total))
+	if damaged > 0 {
+		fmt.Fprintf(&b, "# %d rows could not be read\n", damaged)
+	}
+	return b.String(), nil
+}
+
+// formatPoint gives the row of a time series.
+func formatPoint(label string, p *timeseries.Point) string {
+	return fmt.Sprintf("%s %d %d %d %d %d %.3f\n", label, p.Attempts, p.Failures,
+		p.Latencies.ValueAtQuantile(50), p.Latencies.ValueAtQuantile(99), p.Latencies.Max(), p.Load)
+}
--- /dev/null
+++ b/internal/controller/operators_show.go
@@ -0,0 +1,259 @@
+package controller
+
+import (
+	"cmp"
+	"fmt"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+
+	"cressknot/internal/fleet"
+)
+
+// fact is one line "name: value" of an answer.
+type fact struct {
+	name  string
+	value any
+}
+
+func formatFacts(facts []fact) string {
+	var b strings.Builder
+	for _, f := range facts {
+		fmt.Fprintf(&b, "%s: %v\n", f.name, f.value)
+	}
+	return b.String()
+}
+
+func (q *query) showInfo() (string, error) {
+	c := q.core
+	entries, messages, changes, replaced := c.reconciler.Counters()
+	durations, steps := q.loop.StepDurations(50, 99, 100)
+	passed, stopped := c.guard.Counts()
+	versions, deltaPercent := c.versionTotals()
+	reportsWaiting, _ := c.pipeline.Waiting(q.now)
+	return formatFacts([]fact{
+		{"Name", "cressknot"},
+		{"Version", q.version},
+		{"Pid", os.Getpid()},
+		{"Uptime_sec", int64((q.now - c.startedAt) / fleet.Second)},
+		{"Servers", len(c.endpoints.listed)},
+		{"List_rev", c.endpoints.revision},
+		{"List_age_ms", int64((q.now - c.endpoints.updatedAt) / fleet.Millisecond)},
+		{"Proxies_up", len(c.proxies.streams)},
+		{"Proxies_all", len(c.proxies.configured)},
+		{"Turns", steps},
+		{"Steps", c.events.steps},
+		{"Turn_p50_us", durations[0] / 1000},
+		{"Turn_p99_us", durations[1] / 1000},
+		{"Turn_most_us", durations[2] / 1000},
+		{"Lines_waiting", int64(c.reconciler.Backlog())},
+		{"Lines_sent", entries},
+		{"Messages_sent", messages},
+		{"Changes_sent", changes},
+		{"Lines_replaced", replaced},
+		{"Reports_waiting", reportsWaiting},
+		{"Versions", versions},
+		{"Delta_share_percent", fmt.Sprintf("%.1f", deltaPercent)},
+		{"Guard_passed", passed},
+		{"Guard_stopped", stopped},
+		{"Counter_resets", c.pipeline.Resets()},
+		{"Readings_folded", q.loop.mailbox.replaced()},
+	}), nil
+}
+
+// versionTotals counts the versions that all tables hold, and tells how much of the full tables their deltas are.
+func (c *Core) versionTotals() (versions int, deltaPercent float64) {
+	changed := 0
+	full := 0
+	for _, id := range c.reconciler.TableIDs() {
+		table := c.reconciler.TableVersions(id)
+		if table == nil {
+			continue
+		}
+		history := table.History()
+		for _, d := range history[min(1, len(history)):] { // the first is the full table
+			versions++
+			changed += len(d.Entries)
+			full += table.Len()
+		}
+	}
+	return versions, 100 * float64(changed) / float64(max(1, full))
+}
+
+func (q *query) showServers() (string, error) {
+	c := q.core
+	weights := map[fleet.ServerID][]string{}
+	for _, e := range c.reconciler.Entries() {
+		weights[e.Server] = append(weights[e.Server], fmt.Sprintf("%d=%d", e.Table, e.Published))
+	}
+	var ids []fleet.ServerID
+	for id := range c.endpoints.listed {
+		ids = append(ids, id)
+	}
+	slices.SortFunc(ids, func(a, b fleet.ServerID) int { return strings.Compare(c.serverName(a), c.serverName(b)) })
+	var b strings.Builder
+	b.WriteString("# name addr zone state age_s withdrawn weights\n")
+	for _, id := range ids {
+		e := c.endpoints.listed[id]
+		name, addr := c.names.Of(id)
+		age := "-"
+		if e.Started > 0 {
+			age = strconv.FormatInt(int64((q.now-e.Started)/fleet.Second), 10)
+		}
+		fmt.Fprintf(&b, "%s %s %s %s %s %v %s\n", name, addr, c.site.Zones[e.Zone], stateNames[e.State], age,
+			c.reconciler.Withdrawn(id), cmp.Or(strings.Join(weights[id], ","), "-"))
+	}
+	return b.String(), nil
+}
+
+func (q *query) showTables() (string, error) {
+	var b strings.Builder
+	b.WriteString("# table server weight published withdrawn\n")
+	for _, e := range q.core.reconciler.Entries() {
+		name := q.core.serverName(e.Server)
+		fmt.Fprintf(&b, "%d %s %.4f %d %v\n", e.Table, name, e.Weight, e.Published, e.Withdrawn)
+	}
+	return b.String(), nil
+}
+
+func (q *query) showProxies() (string, error) {
+	c := q.core
+	var b strings.Builder
+	b.WriteString("# name zone addr stream tables lines_held lines_waiting messages_unanswered messages_written answered_ms\n")
+	connected := map[fleet.ProxyID]bool{}
+	for _, v := range c.reconciler.Proxies() {
+		connected[v.ID] = true
+		var assigned []string
+		for i, table := range v.Tables {
+			if v.Assigned[i] {
+				assigned = append(assigned, fmt.Sprintf("%s=%d", c.site.Classes[i].Name, table))
+			}
+		}
+		p := c.proxies.configured[v.ID]
+		fmt.Fprintf(&b, "%s %s %s up %s %d %d %d %d %.1f\n", p.Name, c.site.Zones[v.Zone], p.Addr,
+			cmp.Or(strings.Join(assigned, ","), "own"), v.Entries, v.Waiting, v.InFlight, v.Written,
+			float64(v.AnswerDelay)/float64(fleet.Millisecond))
+	}
+	var disconnected []string
+	for id, p := range c.proxies.configured {
+		if !connected[id] {
+			line := fmt.Sprintf("%s %s %s down - - - - - -\n", p.Name, c.site.Zones[p.Zone], p.Addr)
+			disconnected = append(disconnected, line)
+		}
+	}
+	slices.Sort(disconnected)
+	return b.String() + strings.Join(disconnected, ""), nil
+}
+
+func (q *query) showOrders() (string, error) {
+	var b strings.Builder
+	for _, order := range q.core.history.orders {
+		fmt.Fprintf(&b, "%s %s\n", formatTime(order.at), order.text)
+	}
+	return b.String(), nil
+}
+
+func (q *query) showLog() (string, error) {
+	var b strings.Builder
+	for _, e := range q.core.history.log {
+		fmt.Fprintf(&b, "%s %s %s: %s\n", formatTime(e.At), e.Level, e.Source, e.Text)
+	}
+	return b.String(), nil
+}
+
+func (q *query) showVerification() (string, error) {
+	var b strings.Builder
+	b.WriteString("# server sight part out why\n")
+	for _, v := range q.core.endpoints.verifier.Views() {
+		reason := cmp.Or(v.Why, "-")
+		fmt.Fprintf(&b, "%s %s %.2f %v %s\n", q.core.serverName(v.Server), v.Sight, v.Part, v.Out, reason)
+	}
+	return b.String(), nil
+}
+
+func (q *query) showPeers() (string, error) {
+	peers := q.core.gossip.peers
+	if peers == nil {
+		return "", commandError("No peers are heard.\n")
+	}
+	var b strings.Builder
+	b.WriteString("# governor age_s list_rev live tells_of list_ahead\n")
+	for _, p := range peers.Peers(q.now) {
+		fmt.Fprintf(&b, "%s %.1f %d %v %d %v\n",
+			p.Controller, p.Age.Seconds(), p.ListRevision, p.Live, p.Servers, p.Ahead)
+	}
+	fmt.Fprintf(&b, "# %d servers count as peers say; %d news refused, %d old\n",
+		peers.Given(), peers.Refused, peers.Old)
+	return b.String(), nil
+}
+
+func (q *query) explain() (string, error) {
+	if len(q.args) != 1 {
+		return "", commandError("'explain' expects one server's name.\n")
+	}
+	id, err := q.server(q.args[0])
+	if err != nil {
+		return "", err
+	}
+	c := q.core
+	var b strings.Builder
+	b.WriteString(q.explainListing(id))
+	if c.reconciler.Withdrawn(id) {
+		b.WriteString("It is withdrawn from all proxies.\n")
+	}
+	inTable := false
+	for _, e := range c.reconciler.Entries() {
+		if e.Server == id {
+			inTable = true
+			fmt.Fprintf(&b, "Table %d: weight %.4f, sent as %d.\n", e.Table, e.Weight, e.Published)
+		}
+	}
+	if !inTable {
+		b.WriteString("It stands in no table.\n")
+	}
+	attempts, failed := c.pipeline.Heard(id)
+	fmt.Fprintf(&b, "Reports that wait to be heard: %d tries, %d without a good answer.\n", attempts, failed)
+	entries := c.history.logOf(q.args[0])
+	for _, e := range entries {
+		fmt.Fprintf(&b, "%s %s: %s\n", formatTime(e.At), e.Source, e.Text)
+	}
+	if len(entries) == 0 {
+		b.WriteString("No line of the log names it.\n")
+	}
+	return b.String(), nil
+}
+
+// explainListing says how a server is listed.
+func (q *query) explainListing(id fleet.ServerID) string {
+	c := q.core
+	name, addr := c.names.Of(id)
+	e, listed := c.endpoints.listed[id]
+	if !listed {
+		return fmt.Sprintf("%s (%s) is not listed: visits are kept from it.\n", name, addr)
+	}
+	text := fmt.Sprintf("%s (%s) is listed as %s in %s.\n", name, addr, stateNames[e.State], c.site.Zones[e.Zone])
+	if c.warmingUp(q.now, id) {
+		remaining := e.Started + c.site.SlowStart.Duration - q.now
+		text += fmt.Sprintf("It is cold for %.1f s more and bounded to what a cold server surely can do.\n",
+			remaining.Seconds())
+	}
+	return text
+}
+
+func (q *query) getWeight() (string, error) {
+	if len(q.args) != 1 {
+		return "", commandError("'get weight' expects one server's name.\n")
+	}
+	id, err := q.server(q.args[0])
+	if err != nil {
+		return "", err
+	}
+	var b strings.Builder
+	for _, e := range q.core.reconciler.Entries() {
+		if e.Server == id {
+			fmt.Fprintf(&b, "%d: %d (initial 1)\n", e.Table, e.Published)
+		}
+	}
+	return cmp.Or(b.String(), "In no table.\n"), nil
+}
--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -30,11 +30,11 @@
 }
 
 func (l *Loop) acknowledge() {
-	s := l.front.(*still)
+	s := l.transport.(*still)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.sent {
-		l.post(transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence})
+		l.receiveTransport(transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence})
 	}
 	s.sent = nil
 }
@@ -64,7 +64,7 @@
 		EntriesPerSecond: 1000, MaxBacklog: 2000, ReportInterval: fleet.Second, ReportsPerSecond: 100, MaxUnservedDuration: 5 * fleet.Second}
 	doc := discovery.EndpointList{Revision: 4, Endpoints: []discovery.Endpoint{{Name: "n1", Addr: "127.0.0.1:1", Zone: "a"},
 		{Name: "n2", Addr: "127.0.0.1:2", Zone: "nowhere"}}}
-	return NewLoop(Options{Core: NewCore(site, 1, []transport.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}}, names), Names: names,
+	return NewLoop(Options{Core: NewCore(CoreOptions{Site: site, Seed: 1, Proxies: []transport.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}}, Names: names}), Names: names,
 		Transport: &still{}, Source: fixedList{doc}, Log: zerolog.Nop()})
 }
 
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- loop.Run(ctx, time.Second) }()
-	loop.post(transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{Entries: []reconcile.SnapshotEntry{
+	loop.receiveTransport(transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{Entries: []reconcile.SnapshotEntry{
 		{Server: loop.names.Learn("n9", "127.0.0.1:9"), State: reconcile.EntryState{Weight: 3, State: reconcile.StateReady}}}}})
 	ask := func(text string) string {
 		t.Helper()
@@ -172,23 +172,25 @@
 	for i := range many {
 		r := counters.NewReading(1)
 		r.Row(3).Attempts, r.Classes[0].Requests = 1, uint64(i)
-		loop.post(transport.CountersPolled{Proxy: fleet.ProxyID(i % 2), Stream: 1, Reading: r})
-		loop.post(transport.Progress{Proxy: 0, Stream: 1})
+		loop.receiveTransport(transport.CountersPolled{Proxy: fleet.ProxyID(i % 2), Stream: 1, Reading: r})
+		loop.receiveTransport(transport.Progress{Proxy: 0, Stream: 1})
 		loop.Push([]ingest.Record{{Server: fleet.ServerID(i % 3), Attempts: uint64(i)}})
 	}
-	loop.post(transport.CountersPolled{Proxy: 0, Stream: 2, Reading: counters.NewReading(0)}) // of another stream: not the same counters
+	loop.receiveTransport(transport.CountersPolled{Proxy: 0, Stream: 2, Reading: counters.NewReading(0)}) // of another stream: not the same counters
 	progress, streams, pushed, turns := 0, 0, 0, 0
 	last := map[fleet.ProxyID]uint64{}
 	for more := true; more; turns++ {
 		var inputs []Input
-		inputs, more = loop.collect(1, 1)
+		inputs, more = loop.mailbox.collect(1, 1)
 		for _, in := range inputs {
 			switch in := in.(type) {
-			case transport.Progress:
-				progress++
-			case Pushed:
+			case TransportEvent:
+				if _, ok := in.Event.(transport.Progress); ok {
+					progress++
+				}
+			case PushedRecords:
 				pushed += len(in)
-			case transport.CountersPolled:
+			case CountersPolled:
 				if in.Stream == 2 {
 					streams++
 				} else {
@@ -200,8 +202,8 @@
 			t.Errorf("%d of %d urgent inputs in the first turn", progress, many)
 		}
 	}
-	if streams != 1 || last[1] != many-1 || last[0] != many-2 || loop.Folded() != many-2 || pushed != 3 || turns != 3 {
-		t.Errorf("newest readings %v, %d of the other stream, %d folded, %d pushed, %d turns", last, streams, loop.Folded(), pushed, turns)
+	if streams != 1 || last[1] != many-1 || last[0] != many-2 || loop.mailbox.replaced() != many-2 || pushed != 3 || turns != 3 {
+		t.Errorf("newest readings %v, %d of the other stream, %d folded, %d pushed, %d turns", last, streams, loop.mailbox.replaced(), pushed, turns)
 	}
 }
 
@@ -215,14 +217,14 @@
 		t.Fatal(err)
 	}
 	now := fleet.Second
-	in := []Input{discovery.Update{Scope: fleet.ListFull, List: loop.source.(fixedList).doc}, transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{RequestRate: 5}}}
+	in := []Input{EndpointUpdate{Scope: fleet.ListFull, List: loop.source.(fixedList).doc}, TransportEvent{transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{RequestRate: 5}}}}
 	for range 400 {
-		out := loop.core.Turn(now, in)
-		if in = nil; out.Stepped {
+		out := loop.core.Step(now, in)
+		if in = nil; out.BalancerStepped {
 			w.Step(now, out.Events, out.Orders, loop.names.Count(), func(id fleet.ServerID) string { n, _ := loop.names.Of(id); return n })
 		}
 		for _, m := range out.Messages {
-			in = append(in, transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence})
+			in = append(in, TransportEvent{transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence}})
 		}
 		now += 50 * fleet.Millisecond
 	}
--- /dev/null
+++ b/internal/controller/operators_weights.go
@@ -0,0 +1,217 @@
+package controller
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/haproxyapi"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/safety"
+)
+
+// overrideConfirmations are the manual weights that were refused and may be forced with a token.
+type overrideConfirmations struct {
+	byToken map[string]overrideConfirmation
+	issued  int
+}
+
+type overrideConfirmation struct {
+	command string // "<table>/<server> <weight>"
+	until   fleet.Time
+}
+
+func newOverrideConfirmations() overrideConfirmations {
+	return overrideConfirmations{byToken: map[string]overrideConfirmation{}}
+}
+
+// redeem ends a token and tells whether it confirms the command.
+func (o *overrideConfirmations) redeem(now fleet.Time, token, command string) bool {
+	confirmation, known := o.byToken[token]
+	delete(o.byToken, token)
+	return known && confirmation.command == command && now < confirmation.until
+}
+
+// issue makes a token for a command; ok is false where too many wait.
+func (o *overrideConfirmations) issue(now fleet.Time, command string) (token string, ok bool) {
+	for token, confirmation := range o.byToken {
+		if now >= confirmation.until {
+			delete(o.byToken, token)
+		}
+	}
+	if len(o.byToken) >= safety.ForceMost {
+		return "", false
+	}
+	o.issued++
+	token = fmt.Sprintf("f%d", o.issued)
+	o.byToken[token] = overrideConfirmation{command, now + safety.ForceFor}
+	return token, true
+}
+
+// setWeightArgs are the arguments of "set weight <table>/<server> <0-256> [force <token>]".
+type setWeightArgs struct {
+	target  string // as it was written
+	table   fleet.TableID
+	server  fleet.ServerID
+	weight  int
+	command string // what a token confirms
+	token   string
+	forced  bool
+}
+
+func (q *query) parseSetWeight() (a setWeightArgs, err error) {
+	a.forced = len(q.args) == 4 && q.args[2] == "force"
+	if len(q.args) != 2 && !a.forced {
+		return a, commandError("'set weight' expects <table>/<server> and a weight from 0 to 256.\n")
+	}
+	a.target = q.args[0]
+	a.table, a.server, err = q.parseTarget(a.target)
+	if err != nil {
+		return a, err
+	}
+	a.weight, err = strconv.Atoi(q.args[1])
+	if err != nil || a.weight < 0 || a.weight > haproxyapi.MaxWeight {
+		return a, commandError(haproxyapi.BadWeight)
+	}
+	a.command = q.args[0] + " " + q.args[1]
+	if a.forced {
+		a.token = q.args[3]
+	}
+	return a, nil
+}
+
+// parseTarget reads "<table>/<server>".
+func (q *query) parseTarget(target string) (fleet.TableID, fleet.ServerID, error) {
+	tableText, name, ok := strings.Cut(target, "/")
+	table, err := strconv.ParseUint(tableText, 10, 16)
+	if !ok || err != nil {
+		return 0, 0, commandError("Require '<table>/<server>', the table by its number.\n")
+	}
+	server, err := q.server(name)
+	return fleet.TableID(table), server, err
+}
+
+func (q *query) setWeight() (string, error) {
+	a, err := q.parseSetWeight()
+	if err != nil {
+		return "", err
+	}
+	c := q.core
+	harms := c.harmsOfWeight(q.now, a.table, a.server, a.weight)
+	if a.forced && !c.overrides.redeem(q.now, a.token, a.command) {
+		return "", commandError("Refused: that token is not for this, or its time is over.\n")
+	}
+	forcible := true
+	for _, harm := range harms {
+		forcible = forcible && harm.Force
+	}
+	if len(harms) > 0 && !(forcible && a.forced) {
+		return "", q.refuseWeight(a.command, harms, forcible)
+	}
+	c.reconciler.SetManualWeight(q.now, a.table, a.server, int16(a.weight), q.now+reconcile.ManualWeightDuration)
+	suffix := ""
+	if a.forced {
+		suffix = ", forced"
+	}
+	c.logOperatorAction(q.now, "%s was set to %d by hand for %.0f s%s",
+		a.target, a.weight, reconcile.ManualWeightDuration.Seconds(), suffix)
+	return "", nil
+}
+
+// refuseWeight says why a weight is refused, and gives the token by which it may be forced, if it may.
+func (q *query) refuseWeight(command string, harms []safety.Harm, forcible bool) error {
+	var b strings.Builder
+	for _, harm := range harms {
+		subject := ""
+		if !harm.None {
+			subject = q.core.serverName(harm.Server) + ": "
+		}
+		fmt.Fprintf(&b, "Refused: %s%s: %s.\n", subject, harm.Why, harm.Text)
+	}
+	if !forcible {
+		b.WriteString("This can't be forced.\n")
+		return commandError(b.String())
+	}
+	token, ok := q.core.overrides.issue(q.now, command)
+	if !ok {
+		b.WriteString("Too many refusals wait to be forced.\n")
+		return commandError(b.String())
+	}
+	fmt.Fprintf(&b, "To force it all the same, within %.0f s: set weight %s force %s\n",
+		safety.ForceFor.Seconds(), command, token)
+	return commandError(b.String())
+}
+
+// clearWeight is "clear weight <table>/<server>".
+func (q *query) clearWeight() (string, error) {
+	if len(q.args) != 1 {
+		return "", commandError("'clear weight' expects <table>/<server>.\n")
+	}
+	table, server, err := q.parseTarget(q.args[0])
+	if err != nil {
+		return "", err
+	}
+	if !q.core.reconciler.ClearManualWeight(q.now, table, server) {
+		return "", commandError("That line is not set by hand.\n")
+	}
+	return "", nil
+}
+
+// harmsOfWeight tells what harm a manual weight would do to its table.
+func (c *Core) harmsOfWeight(now fleet.Time, table fleet.TableID, server fleet.ServerID, weight int) []safety.Harm {
+	if !c.safetyChecks {
+		return nil
+	}
+	lines := c.tableLines(table)
+	found := false
+	for i := range lines {
+		if lines[i].Server == server {
+			lines[i].Weight = float64(weight)
+			found = true
+		}
+	}
+	if !found {
+		withdrawn := c.reconciler.Withdrawn(server)
+		lines = append(lines, safety.TableLine{Server: server, Weight: float64(weight), Withdrawn: withdrawn})
+	}
+	demand := 0.0
+	c.reconciler.Users(table, func(proxy fleet.ProxyID, class fleet.ClassID) {
+		demand += c.guard.Demand(proxy, class)
+	})
+	return c.guard.Table(now, lines, demand)
+}
+
+// tableLines gives a table with its manual weights.
+func (c *Core) tableLines(table fleet.TableID) (lines []safety.TableLine) {
+	manual := map[fleet.ServerID]int16{}
+	for _, m := range c.reconciler.ManualWeights() {
+		if m.Table == table {
+			manual[m.Server] = m.Weight
+		}
+	}
+	for _, e := range c.reconciler.Entries() {
+		if e.Table != table {
+			continue
+		}
+		weight := e.Published
+		if w, isManual := manual[e.Server]; isManual {
+			weight = w
+		}
+		lines = append(lines, safety.TableLine{Server: e.Server, Weight: float64(weight), Withdrawn: e.Withdrawn})
+	}
+	return lines
+}
+
+func (q *query) showRefusals() (string, error) {
+	var b strings.Builder
+	b.WriteString("# since proxies what\n")
+	for _, r := range q.core.reconciler.Refusals() {
+		fmt.Fprintf(&b, "%s %d %s\n", formatTime(r.Since), r.Proxies, safety.Say(r, q.core.serverName(r.Server)))
+	}
+	for _, m := range q.core.reconciler.ManualWeights() {
+		fmt.Fprintf(&b, "%s - set by hand until then: table %d, server %s, weight %d\n",
+			formatTime(m.Until), m.Table, q.core.serverName(m.Server), m.Weight)
+	}
+	return b.String(), nil
+}
--- a/internal/controller/ordertext_test.go
+++ b/internal/controller/orders_test.go
@@ -11,7 +11,7 @@
 func TestOrdersKeepTheirText(t *testing.T) {
 	names := NewNames()
 	server := names.Learn("n1", "127.0.0.1:1")
-	core := NewCore(fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1)}, 1, []transport.Proxy{{ID: 4, Name: "p4"}}, names)
+	core := NewCore(CoreOptions{Site: fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1)}, Seed: 1, Proxies: []transport.Proxy{{ID: 4, Name: "p4"}}, Names: names})
 	for want, order := range map[string]fleet.Order{
 		"share table=3 server=n1 weight=0.5":                fleet.SetWeight{Table: 3, Server: server, Weight: 0.5},
 		"withdraw server=n1 out=true":                       fleet.WithdrawServer{Server: server, Withdrawn: true},
@@ -26,7 +26,7 @@
 		"fleet.Clear {Table:9}":                             fleet.ClearTable{Table: 9},
 		"fleet.Mark {ID:12 All:true}":                       fleet.Barrier{ID: 12, AllProxies: true},
 	} {
-		if got := core.say(order); got != want {
+		if got := core.formatOrder(order); got != want {
 			t.Errorf("%T is printed as %q, want %q", order, got, want)
 		}
 	}
--- a/internal/controller/kept_test.go
+++ b/internal/controller/persist_test.go
@@ -31,8 +31,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &life{store: s, core: NewCore(fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1), EntriesPerSecond: 1e6, MaxBacklog: 1e6}, 1, nil, NewNames())}
-	before := keptEpoch{}
+	l := &life{store: s, core: NewCore(CoreOptions{Site: fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1), EntriesPerSecond: 1e6, MaxBacklog: 1e6}, Seed: 1, Names: NewNames()})}
+	before := persistedEpoch{}
 	if _, err := s.Read("epoch", func(_ string, payload []byte) error { return json.Unmarshal(payload, &before) }); err != nil {
 		t.Fatal(err)
 	}
@@ -57,23 +57,23 @@
 // state tells all that must last.
 func (l *life) state() string {
 	var b strings.Builder
-	for _, id := range l.core.plane.TableIDs() {
-		if book := l.core.plane.TableVersions(id); book != nil {
+	for _, id := range l.core.reconciler.TableIDs() {
+		if book := l.core.reconciler.TableVersions(id); book != nil {
 			fmt.Fprintf(&b, "table %d %s %s %d\n", id, book.Version(), book.Digest(), book.Len())
 			for _, d := range book.History() {
-				lines := l.core.namedLines(d.Entries)
-				slices.SortFunc(lines, func(a, b keptLine) int { return strings.Compare(a.Server, b.Server) })
+				lines := l.core.namedEntries(d.Entries)
+				slices.SortFunc(lines, func(a, b persistedEntry) int { return strings.Compare(a.Server, b.Server) })
 				fmt.Fprintf(&b, " %s-%s %v %q\n", d.From, d.To, lines, d.Reason)
 			}
 		}
 	}
-	for _, p := range l.core.plane.Pins() {
-		lines := l.core.namedLines(p.Weights)
-		slices.SortFunc(lines, func(a, b keptLine) int { return strings.Compare(a.Server, b.Server) })
+	for _, p := range l.core.reconciler.Pins() {
+		lines := l.core.namedEntries(p.Weights)
+		slices.SortFunc(lines, func(a, b persistedEntry) int { return strings.Compare(a.Server, b.Server) })
 		fmt.Fprintf(&b, "pin %d %d %q %v\n", p.Table, p.Until, p.Reason, lines)
 	}
 	var hands []string
-	for _, o := range l.core.plane.ManualWeights() {
+	for _, o := range l.core.reconciler.ManualWeights() {
 		name, _ := l.core.names.Of(o.Server)
 		hands = append(hands, fmt.Sprintf("hand %d %s %d %d\n", o.Table, name, o.Weight, o.Until))
 	}
@@ -95,7 +95,7 @@
 			if got := l.state(); got != before || len(l.woken.Unreadable) > 0 {
 				t.Fatalf("seed %d: woke with\n%s\nkept was\n%s\nlost %v", seed, got, before, l.woken.Unreadable)
 			}
-			l.keep(t, l.core.Turn(now, nil).Keep)
+			l.keep(t, l.core.Step(now, nil).Persist)
 			for range rng.IntN(150) {
 				if now += fleet.Second / 10; rng.IntN(60) == 0 { // half a day: the oldest versions are forgotten
 					now += 13 * 3600 * fleet.Second
@@ -104,19 +104,19 @@
 				server := l.core.names.Learn(fmt.Sprint("s", rng.IntN(12)), "x:1")
 				switch rng.IntN(8) {
 				case 0:
-					l.core.plane.SetManualWeight(now, id, server, int16(rng.IntN(256)), now+reconcile.ManualWeightDuration)
+					l.core.reconciler.SetManualWeight(now, id, server, int16(rng.IntN(256)), now+reconcile.ManualWeightDuration)
 				case 1:
-					l.core.plane.ClearManualWeight(now, id, server)
+					l.core.reconciler.ClearManualWeight(now, id, server)
 				case 2:
-					_ = l.core.plane.Pin(now, id, now+fleet.Time(rng.IntN(60)+1)*fleet.Second)
+					_ = l.core.reconciler.Pin(now, id, now+fleet.Time(rng.IntN(60)+1)*fleet.Second)
 				case 3:
-					l.core.plane.Unpin(now, id, "lifted")
+					l.core.reconciler.Unpin(now, id, "lifted")
 				default:
-					l.core.plane.Apply(now, []fleet.Order{fleet.SetWeight{Table: id, Server: server, Weight: float32(rng.IntN(9)) / 8}})
+					l.core.reconciler.Apply(now, []fleet.Order{fleet.SetWeight{Table: id, Server: server, Weight: float32(rng.IntN(9)) / 8}})
 				}
-				out := l.core.Turn(now, nil)
-				l.keep(t, out.Keep)
-				if book := l.core.plane.TableVersions(id); book != nil {
+				out := l.core.Step(now, nil)
+				l.keep(t, out.Persist)
+				if book := l.core.reconciler.TableVersions(id); book != nil {
 					if v := book.Version(); v.Compare(newest[id]) < 0 {
 						t.Fatalf("seed %d: version %s after %s", seed, v, newest[id])
 					} else {
@@ -151,9 +151,9 @@
 	for i := range 5 {
 		doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: "a"})
 	}
-	l.keep(t, l.core.keepList(2*fleet.Second, &doc))
+	l.keep(t, l.core.persistEndpoints(2*fleet.Second, &doc))
 	doc.Revision, doc.Endpoints = 8, doc.Endpoints[:4]
-	changes := l.core.keepList(3*fleet.Second, &doc)
+	changes := l.core.persistEndpoints(3*fleet.Second, &doc)
 	l.keep(t, changes[:len(changes)-1]) // all but the head
 	wakes := func(rev uint64, servers, lost, doubtful int) *life {
 		t.Helper()
@@ -168,9 +168,9 @@
 		return n
 	}
 	l = wakes(7, 5, 0, 0)
-	l.keep(t, l.core.keepList(12*fleet.Second, &doc))
+	l.keep(t, l.core.persistEndpoints(12*fleet.Second, &doc))
 	l = wakes(8, 4, 0, 0)
-	l.keep(t, l.core.keepList(13*fleet.Second, &doc)) // confirmed
+	l.keep(t, l.core.persistEndpoints(13*fleet.Second, &doc)) // confirmed
 	if len(l.woken.Lists) != 2 {
 		t.Errorf("%d generations", len(l.woken.Lists))
 	}
@@ -178,7 +178,7 @@
 	l.keep(t, []store.Change{{Key: "list/0/entry/s2", Value: "no server"}})
 	l = wakes(8, 5, 1, 2) // the entry; s2 and s4 are in the generation before
 	doc.Revision = 9
-	l.keep(t, l.core.keepList(14*fleet.Second, &doc))
+	l.keep(t, l.core.persistEndpoints(14*fleet.Second, &doc))
 	l = wakes(9, 4, 0, 0)
 	_ = l.store.Close()
 }
@@ -191,7 +191,7 @@
 		b.Fatal(err)
 	}
 	core := func() *Core {
-		return NewCore(fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1), EntriesPerSecond: 1e9, MaxBacklog: 1e9}, 1, nil, NewNames())
+		return NewCore(CoreOptions{Site: fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1), EntriesPerSecond: 1e9, MaxBacklog: 1e9}, Seed: 1, Names: NewNames()})
 	}
 	c, now := core(), 1000*fleet.Second
 	if _, err := c.Restore(now, s); err != nil {
@@ -210,7 +210,7 @@
 			b.Fatal(err)
 		}
 	}
-	put(c.keepList(now, &doc))
+	put(c.persistEndpoints(now, &doc))
 	for i := range 43_200 {
 		now += 2 * fleet.Second
 		var orders []fleet.Order
@@ -219,8 +219,8 @@
 				orders = append(orders, fleet.SetWeight{Table: fleet.TableID(t), Server: c.names.Learn(fmt.Sprintf("node-%04d", (i*7+j*35)%700), ""), Weight: float32(1+(i+j)%9) / 9})
 			}
 		}
-		c.plane.Apply(now, orders)
-		if changes := c.keep(); i%100 == 99 {
+		c.reconciler.Apply(now, orders)
+		if changes := c.persistChanges(); i%100 == 99 {
 			put(changes)
 		} else {
 			_ = s.Put(changes, nil)
--- /dev/null
+++ b/internal/controller/probes.go
@@ -0,0 +1,118 @@
+package controller
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"cressknot/internal/discovery/verification"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+)
+
+const (
+	maxProbeBody = 1 << 12  // bytes read of a probe's answer
+	loadUnit     = 1000     // load figures are in thousandths, as proxies hold whole numbers
+	loadHeader   = "X-Load" // of a probe's answer: load figures, separated by commas
+	serverHeader = "X-Server"
+)
+
+// Ways to verify servers of a cached list, as settings name them. Any other value means VerifyByConnection.
+const (
+	VerifyByConnection = "connect"
+	VerifyByProbe      = "probe"
+	VerifyByOutcomes   = "answers" // by what proxies meet there: servers aren't asked themselves
+)
+
+// prober asks servers over the network. Each call takes at most reconcile.DialTimeout.
+type prober struct {
+	names            *Names
+	path             string // of probes
+	verificationMode string
+}
+
+// get asks a server by a probe, and gives the answer with its body closed.
+func (p *prober) get(ctx context.Context, addr string) (*http.Response, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+p.path, nil)
+	if err != nil {
+		return nil, err
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	_, _ = io.CopyN(io.Discard, response.Body, maxProbeBody) // lets the connection be used again
+	_ = response.Body.Close()
+	return response, nil
+}
+
+// probe asks a server for its health and load.
+func (p *prober) probe(ctx context.Context, id fleet.ServerID) ProbeResult {
+	_, addr := p.names.Of(id)
+	began := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(reconcile.DialTimeout))
+	defer cancel()
+	result := ProbeResult{Server: id}
+	response, err := p.get(ctx, addr)
+	switch {
+	case err != nil && ctx.Err() != nil:
+		result.Outcome = fleet.ProbeTimedOut
+	case err != nil:
+		result.Outcome = fleet.ProbeUnreachable
+	case response.StatusCode == http.StatusOK:
+		result.Outcome = fleet.ProbeAnswered
+		result.Load = parseLoad(response.Header.Get(loadHeader))
+	case response.StatusCode == http.StatusServiceUnavailable:
+		result.Outcome = fleet.ProbeRejected
+	default:
+		result.Outcome = fleet.ProbeFailed
+	}
+	result.Duration = fleet.Time(time.Since(began))
+	return result
+}
+
+// verify asks a server of a cached list whether it is there: by a connection, or by a probe whose answer may name the
+// server that gives it.
+func (p *prober) verify(ctx context.Context, id fleet.ServerID) VerificationResult {
+	name, addr := p.names.Of(id)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(reconcile.DialTimeout))
+	defer cancel()
+	result := VerificationResult{Server: id}
+	if p.verificationMode != VerifyByProbe {
+		var dialer net.Dialer
+		if conn, err := dialer.DialContext(ctx, "tcp", addr); err == nil {
+			_ = conn.Close()
+			result.Evidence = verification.Someone
+		}
+		return result
+	}
+	response, err := p.get(ctx, addr)
+	if err != nil {
+		return result
+	}
+	switch response.Header.Get(serverHeader) {
+	case name:
+		result.Evidence = verification.Itself
+	case "":
+		result.Evidence = verification.Someone
+	default:
+		result.Evidence = verification.Another
+	}
+	return result
+}
+
+// parseLoad reads load figures up to the first that is no number.
+func parseLoad(text string) (load []float32) {
+	for _, field := range strings.Split(text, ",") {
+		thousandths, err := strconv.ParseUint(field, 10, 32)
+		if err != nil {
+			break
+		}
+		load = append(load, float32(thousandths)/loadUnit)
+	}
+	return load
+}
--- /dev/null
+++ b/internal/controller/queries.go
@@ -0,0 +1,149 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"slices"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/service"
+)
+
+// maxReasons is the number of log entries that the service gives of a server.
+const maxReasons = 10
+
+// QueryHandler answers what only the controller's loop knows, for the service.
+type QueryHandler struct {
+	Loop    *Loop
+	Program string // its version
+}
+
+var _ service.QueryHandler = QueryHandler{}
+
+// Server gives the state of a server.
+func (h QueryHandler) Server(ctx context.Context, name string) (state service.ServerState, err error) {
+	callErr := h.Loop.Do(ctx, func(c *Core) { state, err = c.serverState(h.Loop.Now(), name) })
+	if callErr != nil {
+		return state, callErr
+	}
+	return state, err
+}
+
+func (c *Core) serverState(now fleet.Time, name string) (service.ServerState, error) {
+	var state service.ServerState
+	id, known := c.names.Server(name)
+	if !known {
+		return state, &service.Fault{Code: service.NoServer, Text: fmt.Sprintf("%q was never heard of", name)}
+	}
+	e, listed := c.endpoints.listed[id]
+	state.Name, state.Addr = c.names.Of(id)
+	state.State = stateGone
+	if listed {
+		state.State = stateNames[e.State]
+		state.Zone = c.site.Zones[e.Zone]
+		state.Verdict = c.pipeline.Verdict(id).String()
+		if c.warmingUp(now, id) {
+			state.SlowStartRemaining = e.Started + c.site.SlowStart.Duration - now
+		}
+	}
+	state.Withdrawn = c.reconciler.Withdrawn(id)
+	state.Weights = c.serverWeights(id)
+	entries := c.history.logOf(name)
+	for _, entry := range entries[max(0, len(entries)-maxReasons):] {
+		reason := fmt.Sprintf("%s %s: %s", formatTime(entry.At), entry.Source, entry.Text)
+		state.Reasons = append(state.Reasons, reason)
+	}
+	return state, nil
+}
+
+// serverWeights gives the weights of a server for the programs of each zone.
+func (c *Core) serverWeights(id fleet.ServerID) (weights []service.ClassWeight) {
+	for _, zone := range c.published.zones {
+		for class, of := range c.site.Classes {
+			table, assigned := c.reconciler.TableOf(zone.Proxy, fleet.ClassID(class))
+			if !assigned {
+				continue
+			}
+			weights = append(weights, service.ClassWeight{
+				Zone:   zone.Name,
+				Class:  of.Name,
+				Weight: int(c.reconciler.Published(table, id)),
+			})
+		}
+	}
+	return weights
+}
+
+// History gives the latest versions of the table that a class goes by in a zone, oldest first.
+func (h QueryHandler) History(
+	ctx context.Context, zone, class string, limit int,
+) (rows []service.VersionRow, err error) {
+	callErr := h.Loop.Do(ctx, func(c *Core) { rows, err = c.tableHistory(zone, class, limit) })
+	if callErr != nil {
+		return nil, callErr
+	}
+	return rows, err
+}
+
+func (c *Core) tableHistory(zoneName, className string, limit int) (rows []service.VersionRow, err error) {
+	zones := c.published.zones
+	zone := slices.IndexFunc(zones, func(z service.Zone) bool { return z.Name == zoneName })
+	class := slices.IndexFunc(c.site.Classes, func(k fleet.RequestClass) bool { return k.Name == className })
+	switch {
+	case zone < 0:
+		text := fmt.Sprintf("zone %.256q is none of this governor's", zoneName)
+		return nil, &service.Fault{Code: service.NoZone, Text: text}
+	case class < 0:
+		text := fmt.Sprintf("%.256q is none of the classes", className)
+		return nil, &service.Fault{Code: service.NoClass, Text: text}
+	}
+	id, assigned := c.reconciler.TableOf(zones[zone].Proxy, fleet.ClassID(class))
+	if !assigned || c.reconciler.TableVersions(id) == nil {
+		return nil, &service.Fault{Code: service.Unready, Text: "no table is laid yet", RetryAfter: fleet.Second}
+	}
+	history := c.reconciler.TableVersions(id).History()
+	for _, v := range history[max(0, len(history)-limit):] {
+		rows = append(rows, service.VersionRow{
+			Version:   v.To,
+			Digest:    v.ToDigest,
+			CreatedAt: v.CreatedAt,
+			Entries:   len(v.Entries),
+			Reason:    v.Reason,
+		})
+	}
+	return rows, nil
+}
+
+// Summary gives the state of the fleet in figures.
+func (h QueryHandler) Summary(ctx context.Context) (summary service.Summary, err error) {
+	err = h.Loop.Do(ctx, func(c *Core) { summary = c.summary(h.Loop.Now()) })
+	if err == nil {
+		summary.Program = h.Program
+	}
+	summary.Controller = h.Loop.name
+	return summary, err
+}
+
+func (c *Core) summary(now fleet.Time) service.Summary {
+	s := service.Summary{
+		Epoch:        c.epoch,
+		ListRevision: c.endpoints.revision,
+		ListAge:      now - c.endpoints.updatedAt,
+		Live:         c.endpoints.live,
+		Servers:      len(c.endpoints.listed),
+		ProxiesUp:    len(c.proxies.streams),
+		ProxiesAll:   len(c.proxies.configured),
+	}
+	for id, e := range c.endpoints.listed {
+		if e.State == fleet.ServerReady {
+			s.Ready++
+		}
+		if c.warmingUp(now, id) {
+			s.WarmingUp++
+		}
+		if c.reconciler.Withdrawn(id) {
+			s.Withdrawn++
+		}
+	}
+	return s
+}
--- a/internal/controller/flood_test.go
+++ b/internal/controller/report_flood_test.go
@@ -28,18 +28,17 @@
 	for i := range proxies {
 		all = append(all, transport.Proxy{ID: fleet.ProxyID(i), Name: fmt.Sprint("p", i), Zone: fleet.ZoneID(i % 2), RequestRate: 20})
 	}
-	core, box := NewCore(site, 1, all, names), &ingest.Queue{}
-	core.Guarded()
-	core.PushedLoads()
+	core := NewCore(CoreOptions{Site: site, Seed: 1, Proxies: all, Names: names, SafetyChecks: true, PushedLoads: true})
+	box := &ingest.Queue{}
 	now := 1000 * s
 	doc := discovery.EndpointList{Revision: 1}
 	for i := range servers {
 		doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: site.Zones[i%2]})
 	}
-	in := []Input{discovery.Update{Scope: fleet.ListFull, List: doc}}
+	in := []Input{EndpointUpdate{Scope: fleet.ListFull, List: doc}}
 	met, came := make([][]counters.ServerCounters, proxies), make([]uint64, proxies)
 	for i := range proxies {
-		in = append(in, transport.Connected{Proxy: fleet.ProxyID(i), Stream: 1, Snapshot: reconcile.Snapshot{Zone: fleet.ZoneID(i % 2), RequestRate: 20, Fresh: true}})
+		in = append(in, TransportEvent{transport.Connected{Proxy: fleet.ProxyID(i), Stream: 1, Snapshot: reconcile.Snapshot{Zone: fleet.ZoneID(i % 2), RequestRate: 20, Fresh: true}}})
 		met[i] = make([]counters.ServerCounters, servers)
 	}
 	var share, handled, load [servers]float64
@@ -95,17 +94,17 @@
 			}
 			box.Put(now, []ingest.Record{r})
 		}
-		pushed, _ := core.intake.Room()
+		pushed, _ := core.pipeline.Room()
 		taken = box.Take(pushed, taken[:0])
 		for _, r := range taken {
 			if r.Server < servers && r.Stated == r.Arrived {
 				waited = max(waited, now-r.Arrived)
 			}
 		}
-		out := core.Turn(now, append(in, Pushed(taken)))
+		out := core.Step(now, append(in, PushedRecords(taken)))
 		in = in[:0]
 		for _, m := range out.Messages {
-			in = append(in, transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence})
+			in = append(in, TransportEvent{transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence}})
 		}
 		for _, id := range out.Polls {
 			r := counters.NewReading(2)
@@ -114,9 +113,9 @@
 			for i, m := range met[id] {
 				r.Row(fleet.ServerID(i)).ServerCounters = m
 			}
-			in = append(in, transport.CountersPolled{Proxy: id, Stream: 1, Reading: r})
+			in = append(in, CountersPolled{Proxy: id, Stream: 1, Reading: r})
 		}
-		for i, l := range core.plane.Entries() {
+		for i, l := range core.reconciler.Entries() {
 			if i == 0 {
 				share = [servers]float64{}
 			}
@@ -133,7 +132,7 @@
 	for i, w := range share {
 		weights[fmt.Sprint("s", i)] = w / total * servers
 	}
-	return weights, waited, core.intake.Totals()
+	return weights, waited, core.pipeline.Totals()
 }
 
 // TestWeightsUnderFlood: the same day without and with 10,000 and 100,000 reports a second that nobody needs. Weights differ by
--- a/internal/controller/names.go
+++ b/internal/controller/server_names.go
@@ -1,5 +1,3 @@
-// Package governor is one governor: a loop that owns all decision state, hears what fronts, list and timers bring,
-// lets the module decide, and hands its orders to the front through package steer.
 package controller
 
 import (
@@ -9,15 +7,14 @@
 	"cressknot/internal/transport"
 )
 
-// Names keeps the ids of servers, which live as long as the governor. Fronts look names up from their own
-// goroutines.
+// Names holds the ids of servers, which live as long as the process. It may be used from any goroutine.
 type Names struct {
 	mu      sync.RWMutex
 	byName  map[string]fleet.ServerID
-	servers []named
+	servers []namedServer // by id
 }
 
-type named struct{ name, addr string }
+type namedServer struct{ name, addr string }
 
 var _ transport.ServerNames = (*Names)(nil)
 
@@ -40,13 +37,14 @@
 	return id, ok
 }
 
-// Learn gives the id of a name, a new one for a new name; an address that is told replaces none that the list told.
+// Learn gives the id of a name, a new one for a new name. Its address replaces none that is known.
 func (n *Names) Learn(name, addr string) fleet.ServerID {
 	id, _ := n.put(name, addr, false)
 	return id
 }
 
-// Listed is Learn for what the list says: its address counts. Moved tells that it was another one before.
+// Listed is Learn for the endpoint list, whose address replaces the known one. Moved tells that it was another one
+// before.
 func (n *Names) Listed(name, addr string) (id fleet.ServerID, moved bool) {
 	return n.put(name, addr, true)
 }
@@ -58,25 +56,29 @@
 	if !ok {
 		id = fleet.ServerID(len(n.servers))
 		n.byName[name] = id
-		n.servers = append(n.servers, named{name, addr})
-	} else if at := &n.servers[id]; replace && addr != "" || at.addr == "" {
-		moved = at.addr != "" && at.addr != addr
-		at.addr = addr
+		n.servers = append(n.servers, namedServer{name, addr})
+		return id, false
+	}
+	server := &n.servers[id]
+	if replace && addr != "" || server.addr == "" {
+		moved = server.addr != "" && server.addr != addr
+		server.addr = addr
 	}
 	return id, moved
 }
 
-// Of gives name and address of an id.
+// Of gives name and address of an id, both "" for an unknown one.
 func (n *Names) Of(id fleet.ServerID) (name, addr string) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	if int(id) >= len(n.servers) {
 		return "", ""
 	}
-	return n.servers[id].name, n.servers[id].addr
+	server := n.servers[id]
+	return server.name, server.addr
 }
 
-// Count tells how many names there are; ids go from 0 to one less.
+// Count gives the number of names; ids go from 0 to one less.
 func (n *Names) Count() int {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
--- a/internal/controller/gate_test.go
+++ b/internal/controller/shrink_gate_test.go
@@ -24,39 +24,39 @@
 		want int                           // servers 1.6 s after
 	}{
 		"a whole list follows": {func(c *Core, now fleet.Time) {
-			c.Turn(now, []Input{discovery.Update{Scope: fleet.ListFull, List: doc(3, 12)}})
+			c.Step(now, []Input{EndpointUpdate{Scope: fleet.ListFull, List: doc(3, 12)}})
 		}, 12},
 		"nothing better follows": {func(*Core, fleet.Time) {}, 4},
 		"it is said again": {func(c *Core, now fleet.Time) {
-			c.Turn(now, []Input{discovery.Update{Scope: fleet.ListFull, List: doc(2, 4)}})
-			if len(c.entries) != 4 {
-				t.Errorf("said twice, %d servers are listed", len(c.entries))
+			c.Step(now, []Input{EndpointUpdate{Scope: fleet.ListFull, List: doc(2, 4)}})
+			if len(c.endpoints.listed) != 4 {
+				t.Errorf("said twice, %d servers are listed", len(c.endpoints.listed))
 			}
 		}, 4},
 		"a delta goes on from it": {func(c *Core, now fleet.Time) {
-			c.Turn(now, []Input{discovery.Update{Scope: fleet.ListDelta, List: discovery.EndpointList{Revision: 3, Endpoints: []discovery.Endpoint{{Name: "s9", Addr: "x:1", Zone: "a"}}}}})
+			c.Step(now, []Input{EndpointUpdate{Scope: fleet.ListDelta, List: discovery.EndpointList{Revision: 3, Endpoints: []discovery.Endpoint{{Name: "s9", Addr: "x:1", Zone: "a"}}}}})
 		}, 5},
 	} {
-		c := NewCore(fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1), DrainTimeout: 3 * s, EntriesPerSecond: 1e6, MaxBacklog: 1e6}, 1, nil, NewNames())
+		c := NewCore(CoreOptions{Site: fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1), DrainTimeout: 3 * s, EntriesPerSecond: 1e6, MaxBacklog: 1e6}, Seed: 1, Names: NewNames()})
 		now, asked := 100*s, 0
-		c.Turn(now, []Input{discovery.Update{Scope: fleet.ListFull, List: doc(1, 12)}})
+		c.Step(now, []Input{EndpointUpdate{Scope: fleet.ListFull, List: doc(1, 12)}})
 		began := now + s
-		c.Turn(began, []Input{discovery.Update{Scope: fleet.ListFull, List: doc(2, 4)}})
-		if len(c.entries) != 12 {
+		c.Step(began, []Input{EndpointUpdate{Scope: fleet.ListFull, List: doc(2, 4)}})
+		if len(c.endpoints.listed) != 12 {
 			t.Errorf("%s: obeyed at once", name)
 		}
 		for now = began; now < began+16*s/10; now += s / 10 {
 			if now == began+s {
 				day.then(c, now)
 			}
-			if out := c.Turn(now, nil); out.Fetch {
+			if out := c.Step(now, nil); out.FetchEndpoints {
 				asked++
-			} else if out.Wake > now+idleMost {
-				t.Errorf("%s: no look before %d", name, out.Wake)
+			} else if out.NextStep > now+maxStepInterval {
+				t.Errorf("%s: no look before %d", name, out.NextStep)
 			}
 		}
-		if len(c.entries) != day.want || asked != 1 {
-			t.Errorf("%s: %d servers are listed, asked %d times", name, len(c.entries), asked)
+		if len(c.endpoints.listed) != day.want || asked != 1 {
+			t.Errorf("%s: %d servers are listed, asked %d times", name, len(c.endpoints.listed), asked)
 		}
 	}
 }
--- a/internal/controller/governor_test.go
+++ b/internal/controller/simulated_fleet_test.go
@@ -587,7 +587,7 @@
 		names := controller.NewNames()
 		f := haproxy.New(haproxy.Options{Proxies: to, Classes: []transport.Class{{Name: backend, Backend: backend}}, Map: "cressknot",
 			Table: "nodes", Admission: site.Admission, Names: names})
-		loop = controller.NewLoop(controller.Options{Core: controller.NewCore(site, seed, to, names), Names: names, Transport: f,
+		loop = controller.NewLoop(controller.Options{Core: controller.NewCore(controller.CoreOptions{Site: site, Seed: seed, Proxies: to, Names: names}), Names: names, Transport: f,
 			Source: &memory{doc: doc}, Log: zerolog.Nop()})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
@@ -596,7 +596,7 @@
 	}
 	bound := func(loop *controller.Loop) bool {
 		all := false
-		_ = loop.Ask(context.Background(), func(c *controller.Core) {
+		_ = loop.Do(context.Background(), func(c *controller.Core) {
 			all = !slices.ContainsFunc(c.ProxyViews(), func(v reconcile.ProxyView) bool { return !v.Assigned[0] || v.InFlight > 0 }) &&
 				len(c.ProxyViews()) == 3
 		})
@@ -624,7 +624,7 @@
 	loop, kill = run(2)
 	defer kill()
 	wait("taken over", func() bool { return bound(loop) })
-	_ = loop.Ask(context.Background(), func(c *controller.Core) {
+	_ = loop.Do(context.Background(), func(c *controller.Core) {
 		if slices.ContainsFunc(c.ProxyViews(), func(v reconcile.ProxyView) bool { return v.Fresh }) {
 			t.Error("a proxy that the governor before steered counts as fresh")
 		}
--- a/internal/controller/storeddata_test.go
+++ b/internal/controller/storeddata_test.go
@@ -21,10 +21,10 @@
 var writeFixtures = flag.Bool("write-fixtures", false, "write the stored data in testdata anew")
 
 const (
-	storedFolder = "testdata/store"
-	storedState  = "testdata/store-state.golden"   // what is made of the folder
-	storedText   = "testdata/store-records.golden" // keys and payloads of all records
-	storedNow    = 5000 * fleet.Second             // when the folder was written last
+	goldenFolder  = "testdata/store"
+	goldenState   = "testdata/store-state.golden"   // what is made of the folder
+	goldenRecords = "testdata/store-records.golden" // keys and payloads of all records
+	storedNow     = 5000 * fleet.Second             // when the folder was written last
 )
 
 // storedLife plays a governor's life that leaves versions, pins, weights set by hand, two lists and an epoch.
@@ -38,27 +38,27 @@
 	}
 	doc.Endpoints[1].State = "draining"
 	doc.Endpoints[2].Started = fleetMoment(3990 * fleet.Second)
-	l.keep(t, l.core.keepList(4001*fleet.Second, &doc))
+	l.keep(t, l.core.persistEndpoints(4001*fleet.Second, &doc))
 	doc.Revision, doc.Endpoints = 42, doc.Endpoints[:4]
-	l.keep(t, l.core.keepList(4002*fleet.Second, &doc))
+	l.keep(t, l.core.persistEndpoints(4002*fleet.Second, &doc))
 	now := 4003 * fleet.Second
 	for i := range 12 {
 		now += 2 * fleet.Second
 		for table := range fleet.TableID(2) {
 			server := l.core.names.Learn(fmt.Sprint("node-", (i+int(table))%4), "10.0.0.9:80")
-			l.core.plane.Apply(now, []fleet.Order{fleet.SetWeight{Table: table, Server: server, Weight: float32(i%8+1) / 8}})
+			l.core.reconciler.Apply(now, []fleet.Order{fleet.SetWeight{Table: table, Server: server, Weight: float32(i%8+1) / 8}})
 		}
-		l.keep(t, l.core.Turn(now, nil).Keep)
+		l.keep(t, l.core.Step(now, nil).Persist)
 	}
 	now = storedNow
 	first, _ := l.core.names.Server("node-1")
 	second, _ := l.core.names.Server("node-2")
-	l.core.plane.SetManualWeight(now, 0, first, 7, now+reconcile.ManualWeightDuration)
-	l.core.plane.SetManualWeight(now, 1, second, 0, now+reconcile.ManualWeightDuration/2)
-	if err := l.core.plane.Pin(now, 1, now+600*fleet.Second); err != nil {
+	l.core.reconciler.SetManualWeight(now, 0, first, 7, now+reconcile.ManualWeightDuration)
+	l.core.reconciler.SetManualWeight(now, 1, second, 0, now+reconcile.ManualWeightDuration/2)
+	if err := l.core.reconciler.Pin(now, 1, now+600*fleet.Second); err != nil {
 		t.Fatal(err)
 	}
-	l.keep(t, l.core.Turn(now, nil).Keep)
+	l.keep(t, l.core.Step(now, nil).Persist)
 	return l
 }
 
@@ -102,19 +102,19 @@
 		writeStoredFolder(t)
 	}
 	folder := filepath.Join(t.TempDir(), "store")
-	if err := os.CopyFS(folder, os.DirFS(storedFolder)); err != nil {
+	if err := os.CopyFS(folder, os.DirFS(goldenFolder)); err != nil {
 		t.Fatal(err)
 	}
 	l := wakeFolder(t, folder)
 	defer func() { _ = l.store.Close() }()
-	want, err := os.ReadFile(storedState)
+	want, err := os.ReadFile(goldenState)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := wokenText(l); got != string(want) {
 		t.Errorf("woke with\n%s\nwant\n%s", got, want)
 	}
-	if changes := l.core.Turn(storedNow+2*fleet.Second, nil).Keep; len(changes) > 0 {
+	if changes := l.core.Step(storedNow+2*fleet.Second, nil).Persist; len(changes) > 0 {
 		for _, c := range changes {
 			if !strings.HasPrefix(c.Key, "table/") { // the new epoch begins versions of its own
 				t.Errorf("what was read is to be kept anew: %s", c.Key)
@@ -127,7 +127,7 @@
 func TestStoreIsWrittenAsBefore(t *testing.T) {
 	l := storedLife(t, vfs.NewCrashableMem())
 	defer func() { _ = l.store.Close() }()
-	want, err := os.ReadFile(storedText)
+	want, err := os.ReadFile(goldenRecords)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	site := fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1), EntriesPerSecond: 1e6, MaxBacklog: 1e6}
-	l := &life{store: s, core: NewCore(site, 1, nil, NewNames())}
+	l := &life{store: s, core: NewCore(CoreOptions{Site: site, Seed: 1, Names: NewNames()})}
 	if l.woken, err = l.core.Restore(storedNow+fleet.Second, s); err != nil {
 		t.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 
 func writeStoredFolder(t *testing.T) {
 	t.Helper()
-	folder, err := filepath.Abs(storedFolder)
+	folder, err := filepath.Abs(goldenFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,7 +179,7 @@
 	}
 	_ = s.Close()
 	_ = l.store.Close()
-	if err := os.WriteFile(storedText, []byte(text), 0o644); err != nil {
+	if err := os.WriteFile(goldenRecords, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	copied := filepath.Join(t.TempDir(), "copy")
@@ -188,7 +188,7 @@
 	}
 	woken := wakeFolder(t, copied)
 	defer func() { _ = woken.store.Close() }()
-	if err := os.WriteFile(storedState, []byte(wokenText(woken)), 0o644); err != nil {
+	if err := os.WriteFile(goldenState, []byte(wokenText(woken)), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/controller/transcript_test.go
+++ b/internal/controller/transcript_test.go
@@ -64,7 +64,7 @@
 		}
 		return string(answer)
 	}
-	loop.post(transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{}})
+	loop.receiveTransport(transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{}})
 	for end := time.Now().Add(30 * time.Second); !strings.Contains(ask("show proxies"), "look=") || !strings.Contains(ask("table proxies"), "/"); {
 		if time.Now().After(end) {
 			t.Fatalf("no table was laid: %s", ask("show proxies"))
@@ -72,7 +72,7 @@
 		loop.acknowledge()
 		time.Sleep(50 * time.Millisecond)
 	}
-	loop.post(discovery.Update{Scope: fleet.ListFull, List: discovery.EndpointList{Revision: 5, Endpoints: []discovery.Endpoint{
+	loop.receiveEndpoints(discovery.Update{Scope: fleet.ListFull, List: discovery.EndpointList{Revision: 5, Endpoints: []discovery.Endpoint{
 		{Name: "n1", Addr: "127.0.0.1:1", Zone: "a"}, {Name: "n3", Addr: "127.0.0.1:3", Zone: "a", State: "draining"}}}})
 	for end := time.Now().Add(30 * time.Second); !strings.Contains(ask("show servers"), "n3 127.0.0.1:3 a draining"); {
 		if time.Now().After(end) {
--- /dev/null
+++ b/internal/controller/verification.go
@@ -0,0 +1,75 @@
+package controller
+
+import (
+	"fmt"
+
+	"cressknot/internal/discovery"
+	"cressknot/internal/discovery/verification"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+)
+
+// verifyByOutcomesOnly verifies servers of a cached list by what proxies meet there alone: they aren't asked themselves.
+func (c *Core) verifyByOutcomesOnly() {
+	c.endpoints.verifier = verification.NewVerifier(c.site, false)
+}
+
+// startFromCache takes a cached list over, unless the source itself was quicker.
+func (c *Core) startFromCache(now fleet.Time, update discovery.Update, out *Output) {
+	if c.endpoints.live {
+		return
+	}
+	if len(update.List.Endpoints) == 0 { // taken over, it would take every server out
+		text := "the kept list is empty: proxies go on by what they hold until the list's source is heard"
+		c.log(out, LogEntry{now, LevelWarn, "list", text})
+		return
+	}
+	c.takeList(now, update, out)
+	age, known := verification.Age(now, update.ConfirmedAt)
+	var named []verification.NamedEndpoint
+	for id, e := range c.endpoints.listed {
+		name, addr := c.names.Of(id)
+		named = append(named, verification.NamedEndpoint{Endpoint: e, Addr: addr, Unverified: update.Unverified[name]})
+	}
+	c.endpoints.verifier.Begin(now, age, named)
+	text := fmt.Sprintf("starts from a list of %d servers that is %.0f s old", len(named), age.Seconds())
+	if !known {
+		text = fmt.Sprintf("starts from a list of %d servers whose age can't be told", len(named))
+	}
+	text = fmt.Sprintf("%s; a name is worth %.2f", text, verification.Trust(age))
+	c.log(out, LogEntry{now, LevelInfo, "list", text})
+}
+
+// verifyEndpoints carries out what the verifier decides of servers of a cached list.
+func (c *Core) verifyEndpoints(now fleet.Time, out *Output) (due fleet.Time) {
+	plan := c.endpoints.verifier.Next(now)
+	out.Verifications = plan.Ask
+	if changed := append(plan.Out, plan.In...); len(changed) > 0 {
+		list := fleet.EndpointList{
+			Scope:     fleet.ListDelta,
+			Revision:  fleet.ListRevision(c.endpoints.revision),
+			Endpoints: changed,
+		}
+		for _, e := range list.Endpoints {
+			c.endpoints.put(e)
+		}
+		c.applyEndpoints(now, list)
+	}
+	if len(plan.Parts) > 0 {
+		var parts []reconcile.Part
+		for _, part := range plan.Parts {
+			parts = append(parts, reconcile.Part(part))
+		}
+		c.reconciler.Parts(now, parts, "a kept list's names")
+	}
+	for _, notice := range plan.Notices {
+		entry := LogEntry{now, LevelInfo, "list", notice.Text}
+		if notice.OfServer {
+			name, addr := c.names.Of(notice.Server)
+			entry.Level = LevelWarn
+			entry.Text = fmt.Sprintf("server %s (%s) %s", name, addr, notice.Text)
+		}
+		c.log(out, entry)
+	}
+	return plan.Wake
+}
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -66,18 +66,13 @@
 	proxies := s.Fleet()
 	site := s.Site()
 	callers := s.Callers()
-	core := controller.NewCore(site, s.Seed, append(slices.Clone(proxies), callers...), names)
-	if s.Guard {
-		core.Guarded()
-	} else {
+	core := controller.NewCore(controller.CoreOptions{Site: site, Seed: s.Seed, Proxies: append(slices.Clone(proxies), callers...), Names: names,
+		SafetyChecks: s.Guard, PushedLoads: s.Reports.Load == "pushed", Faults: s.Faults})
+	if !s.Guard {
 		log.Warn().Msg("goes without its guard: for drills only")
 	}
-	if s.Reports.Load == "pushed" {
-		core.PushedLoads()
-	}
 	for _, f := range s.Faults {
 		log.Warn().Str("fault", f).Msg("broken on purpose: for drills only")
-		core.Break(f)
 	}
 	carrier := frontOf(s, site, proxies, names)
 	parts := controller.Options{Core: core, Names: names, Transport: carrier, Source: sourceOf(s), Log: log,
@@ -125,9 +120,9 @@
 	var loop *controller.Loop
 	if s.Peers.Listen != "" {
 		if core.Epoch() == 0 {
-			core.Serve(nil, uint64(time.Now().UnixNano()))
+			core.BeginEpoch(uint64(time.Now().UnixNano()))
 		}
-		core.Peers(s.Name)
+		core.EnableGossip(s.Name)
 		here, err := meet(s, func() *controller.Loop { return loop })
 		if err != nil {
 			return err
@@ -238,17 +233,17 @@
 	}
 	o.OnMessage = func(n gossip.Message) {
 		if l := loop(); l != nil {
-			l.Peer(n)
+			l.ReceiveGossip(n)
 		}
 	}
 	o.OnError = func(err error) {
 		if l := loop(); l != nil {
-			l.Note("warn", "peers", err.Error())
+			l.Notice("warn", "peers", err.Error())
 		}
 	}
 	o.OnChange = func(name string, here bool) {
 		if l := loop(); l != nil {
-			l.Note("info", "peers", fmt.Sprintf("governor %s %s", name, map[bool]string{true: "is here", false: "left"}[here]))
+			l.Notice("info", "peers", fmt.Sprintf("governor %s %s", name, map[bool]string{true: "is here", false: "left"}[here]))
 		}
 	}
 	return membership.Start(o)
@@ -265,7 +260,8 @@
 	for _, p := range callers {
 		o.Zones = append(o.Zones, service.Zone{Name: s.Zones[p.Zone], ID: p.Zone, Proxy: p.ID, RequestRate: p.RequestRate})
 	}
-	core.Serve(o.Zones, uint64(began.UnixNano()))
+	core.ServeZones(o.Zones)
+	core.BeginEpoch(uint64(began.UnixNano()))
 	o.Epoch = core.Epoch()
 	hub := service.NewHub(o)
 	mux := &transport.Mux{Default: parts.Transport, ByProxy: map[fleet.ProxyID]transport.Transport{}}
