--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -224,26 +224,13 @@
 	return out.NextStep
 }
 
-// carryOut does what a step wants done at the network and on the file of the cached list.
+// carryOut does what a step wants done outside the core.
 func (l *Loop) carryOut(out *Output) {
 	for _, id := range out.TrustChanges {
 		l.mailbox.pushed.Distrust(id, l.core.pipeline.Distrusted(id))
 	}
-	for _, id := range out.Drops {
-		l.transport.Drop(id)
-	}
-	for _, message := range out.Messages {
-		l.transport.Send(message)
-	}
-	for _, id := range out.Polls {
-		l.transport.Poll(id)
-	}
-	for _, id := range out.Probes {
-		l.probes.Go(func() { l.mailbox.put(l.prober.probe(l.probesCtx, id)) })
-	}
-	for _, id := range out.Verifications {
-		l.probes.Go(func() { l.mailbox.put(l.prober.verify(l.probesCtx, id)) })
-	}
+	l.sendToProxies(out)
+	l.askServers(out)
 	if out.WatchEndpoints != nil {
 		l.source.Watch(*out.WatchEndpoints)
 	}
@@ -266,6 +253,28 @@
 	}
 }
 
+func (l *Loop) sendToProxies(out *Output) {
+	for _, id := range out.Drops {
+		l.transport.Drop(id)
+	}
+	for _, message := range out.Messages {
+		l.transport.Send(message)
+	}
+	for _, id := range out.Polls {
+		l.transport.Poll(id)
+	}
+}
+
+// askServers starts probes and verifications; their results come as inputs of later steps.
+func (l *Loop) askServers(out *Output) {
+	for _, id := range out.Probes {
+		l.probes.Go(func() { l.mailbox.put(l.prober.probe(l.probesCtx, id)) })
+	}
+	for _, id := range out.Verifications {
+		l.probes.Go(func() { l.mailbox.put(l.prober.verify(l.probesCtx, id)) })
+	}
+}
+
 // persist hands changes to the store, which never makes the loop wait; done, if any, is called once they are on disk.
 func (l *Loop) persist(changes []store.Change, done func(error)) {
 	if l.store == nil || len(changes) == 0 && done == nil {
--- a/internal/controller/operators_commands.go
+++ b/internal/controller/operators_commands.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 
 	"cressknot/internal/fleet"
@@ -42,121 +43,13 @@
 
 // commands gives all commands, in the order in which "help" lists them.
 func commands() []command {
-	return []command{
-		{
-			words:  []string{"show", "info"},
-			help:   "the governor: version, clock, counters, time of decisions",
-			handle: (*query).showInfo,
-		},
-		{
-			words:  []string{"show", "servers"},
-			help:   "listed servers: state, health as the module logged it, weights",
-			handle: (*query).showServers,
-		},
-		{
-			words:  []string{"show", "tables"},
-			help:   "lines of all tables, with the weight that proxies are sent",
-			handle: (*query).showTables,
-		},
-		{
-			words:  []string{"show", "proxies"},
-			help:   "proxies: stream, tables, what waits for them",
-			handle: (*query).showProxies,
-		},
-		{
-			words:  []string{"show", "orders"},
-			help:   "the latest orders, oldest first",
-			handle: (*query).showOrders,
-		},
-		{
-			words:  []string{"show", "doubts"},
-			help:   "servers of a kept list that the list's source has not confirmed yet",
-			handle: (*query).showVerification,
-		},
-		{
-			words:  []string{"show", "reports"},
-			help:   "[stale]: servers as sources: what is made of their silence, age, load, trust",
-			handle: (*query).showReports,
-		},
-		{
-			words:  []string{"show", "intake"},
-			help:   "where reports went: sums, what was thinned, shed or not believed",
-			handle: (*query).showIngest,
-		},
-		{
-			words:  []string{"show", "series"},
-			help:   "<server> [minutes]: what proxies met there, a row a minute",
-			handle: (*query).showSeries,
-		},
-		{
-			words:  []string{"top", "servers"},
-			help:   "age|load|failures [n]: the servers that stand out",
-			handle: (*query).topServers,
-		},
-		{
-			words:  []string{"show", "log"},
-			help:   "the latest log lines, oldest first",
-			handle: (*query).showLog,
-		},
-		{
-			words:  []string{"explain"},
-			help:   "<server>: its weights and the reasons that were logged",
-			handle: (*query).explain,
-		},
-		{
-			words:  []string{"get", "weight"},
-			help:   "<server>: its weight in each table",
-			handle: (*query).getWeight,
-		},
-		{
-			words:  []string{"show", "refusals"},
-			help:   "what the guard holds back now, and what is set by hand",
-			handle: (*query).showRefusals,
-		},
-		{
-			words:    []string{"set", "weight"},
-			help:     "<table>/<server> <0-256>: set a line by hand for 5 minutes",
-			handle:   (*query).setWeight,
-			persists: true,
-		},
-		{
-			words:    []string{"clear", "weight"},
-			help:     "<table>/<server>: let the module's weight count again",
-			handle:   (*query).clearWeight,
-			persists: true,
-		},
-		{
-			words:    []string{"table"},
-			help:     "history|show|diff|rollback|pin|unpin T ..., proxies: versions of a table",
-			handle:   (*query).table,
-			persists: true,
-		},
-		{
-			words:  []string{"show", "members"},
-			help:   "[proxies]: governors that share the proxies, and who serves which",
-			handle: (*query).showMembers,
-		},
-		{
-			words:  []string{"show", "peers"},
-			help:   "other governors that are heard, and what their news change",
-			handle: (*query).showPeers,
-		},
-		{
-			words:  []string{"take"},
-			help:   "<proxy> on|off: have a proxy by hand, whoever should by the plan, or end that",
-			handle: (*query).takeProxy,
-		},
-		{
-			words:  []string{"retire"},
-			help:   "on|off: hand all proxies on to other governors, or take its part again",
-			handle: (*query).retire,
-		},
-		{
-			words:  []string{"help"},
-			help:   "this list",
-			handle: func(*query) (string, error) { return helpText(), nil },
-		},
+	help := command{
+		words:  []string{"help"},
+		help:   "this list",
+		handle: func(*query) (string, error) { return helpText(), nil },
 	}
+	return slices.Concat(
+		stateCommands(), reportCommands(), explainCommands(), overrideCommands(), peerCommands(), []command{help})
 }
 
 func helpText() string {
--- /dev/null
+++ b/internal/controller/operators_explain.go
@@ -0,0 +1,127 @@
+package controller
+
+import (
+	"cmp"
+	"fmt"
+	"strings"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/safety"
+)
+
+// explainCommands are those that say why weights are what they are.
+func explainCommands() []command {
+	return []command{
+		{
+			words:  []string{"show", "log"},
+			help:   "the latest log lines, oldest first",
+			handle: (*query).showLog,
+		},
+		{
+			words:  []string{"explain"},
+			help:   "<server>: its weights and the reasons that were logged",
+			handle: (*query).explain,
+		},
+		{
+			words:  []string{"get", "weight"},
+			help:   "<server>: its weight in each table",
+			handle: (*query).getWeight,
+		},
+		{
+			words:  []string{"show", "refusals"},
+			help:   "what the guard holds back now, and what is set by hand",
+			handle: (*query).showRefusals,
+		},
+	}
+}
+
+func (q *query) showLog() (string, error) {
+	var b strings.Builder
+	for _, e := range q.core.history.log {
+		fmt.Fprintf(&b, "%s %s %s: %s\n", formatTime(e.At), e.Level, e.Source, e.Text)
+	}
+	return b.String(), nil
+}
+
+func (q *query) explain() (string, error) {
+	if len(q.args) != 1 {
+		return "", commandError("'explain' expects one server's name.\n")
+	}
+	id, err := q.server(q.args[0])
+	if err != nil {
+		return "", err
+	}
+	c := q.core
+	var b strings.Builder
+	b.WriteString(q.explainListing(id))
+	if c.reconciler.Withdrawn(id) {
+		b.WriteString("It is withdrawn from all proxies.\n")
+	}
+	inTable := false
+	for _, e := range c.reconciler.Entries() {
+		if e.Server == id {
+			inTable = true
+			fmt.Fprintf(&b, "Table %d: weight %.4f, sent as %d.\n", e.Table, e.Weight, e.Published)
+		}
+	}
+	if !inTable {
+		b.WriteString("It stands in no table.\n")
+	}
+	attempts, failed := c.pipeline.Heard(id)
+	fmt.Fprintf(&b, "Reports that wait to be heard: %d tries, %d without a good answer.\n", attempts, failed)
+	entries := c.history.logOf(q.args[0])
+	for _, e := range entries {
+		fmt.Fprintf(&b, "%s %s: %s\n", formatTime(e.At), e.Source, e.Text)
+	}
+	if len(entries) == 0 {
+		b.WriteString("No line of the log names it.\n")
+	}
+	return b.String(), nil
+}
+
+// explainListing says how a server is listed.
+func (q *query) explainListing(id fleet.ServerID) string {
+	c := q.core
+	name, addr := c.names.Of(id)
+	e, listed := c.endpoints.listed[id]
+	if !listed {
+		return fmt.Sprintf("%s (%s) is not listed: visits are kept from it.\n", name, addr)
+	}
+	text := fmt.Sprintf("%s (%s) is listed as %s in %s.\n", name, addr, stateNames[e.State], c.site.Zones[e.Zone])
+	if c.warmingUp(q.now, id) {
+		remaining := e.Started + c.site.SlowStart.Duration - q.now
+		text += fmt.Sprintf("It is cold for %.1f s more and bounded to what a cold server surely can do.\n",
+			remaining.Seconds())
+	}
+	return text
+}
+
+func (q *query) getWeight() (string, error) {
+	if len(q.args) != 1 {
+		return "", commandError("'get weight' expects one server's name.\n")
+	}
+	id, err := q.server(q.args[0])
+	if err != nil {
+		return "", err
+	}
+	var b strings.Builder
+	for _, e := range q.core.reconciler.Entries() {
+		if e.Server == id {
+			fmt.Fprintf(&b, "%d: %d (initial 1)\n", e.Table, e.Published)
+		}
+	}
+	return cmp.Or(b.String(), "In no table.\n"), nil
+}
+
+func (q *query) showRefusals() (string, error) {
+	var b strings.Builder
+	b.WriteString("# since proxies what\n")
+	for _, r := range q.core.reconciler.Refusals() {
+		fmt.Fprintf(&b, "%s %d %s\n", formatTime(r.Since), r.Proxies, safety.Say(r, q.core.serverName(r.Server)))
+	}
+	for _, m := range q.core.reconciler.ManualWeights() {
+		fmt.Fprintf(&b, "%s - set by hand until then: table %d, server %s, weight %d\n",
+			formatTime(m.Until), m.Table, q.core.serverName(m.Server), m.Weight)
+	}
+	return b.String(), nil
+}
--- a/internal/controller/operators_leases.go
+++ b/internal/controller/operators_peers.go
@@ -9,6 +9,32 @@
 	"cressknot/internal/fleet"
 )
 
+// peerCommands are those about other controllers.
+func peerCommands() []command {
+	return []command{
+		{
+			words:  []string{"show", "members"},
+			help:   "[proxies]: governors that share the proxies, and who serves which",
+			handle: (*query).showMembers,
+		},
+		{
+			words:  []string{"show", "peers"},
+			help:   "other governors that are heard, and what their news change",
+			handle: (*query).showPeers,
+		},
+		{
+			words:  []string{"take"},
+			help:   "<proxy> on|off: have a proxy by hand, whoever should by the plan, or end that",
+			handle: (*query).takeProxy,
+		},
+		{
+			words:  []string{"retire"},
+			help:   "on|off: hand all proxies on to other governors, or take its part again",
+			handle: (*query).retire,
+		},
+	}
+}
+
 const errNotShared = commandError("This governor shares its proxies with no other one.\n")
 
 // holderSummary is what is seen of a controller at the proxies.
@@ -103,3 +129,19 @@
 	}
 	return "", refusef("Refused: %.80q is no proxy that is shared.\n", q.args[0])
 }
+
+func (q *query) showPeers() (string, error) {
+	peers := q.core.gossip.peers
+	if peers == nil {
+		return "", commandError("No peers are heard.\n")
+	}
+	var b strings.Builder
+	b.WriteString("# governor age_s list_rev live tells_of list_ahead\n")
+	for _, p := range peers.Peers(q.now) {
+		fmt.Fprintf(&b, "%s %.1f %d %v %d %v\n",
+			p.Controller, p.Age.Seconds(), p.ListRevision, p.Live, p.Servers, p.Ahead)
+	}
+	fmt.Fprintf(&b, "# %d servers count as peers say; %d news refused, %d old\n",
+		peers.Given(), peers.Refused, peers.Old)
+	return b.String(), nil
+}
--- a/internal/controller/operators_reports.go
+++ b/internal/controller/operators_reports.go
@@ -20,6 +20,32 @@
 	minute               = 60 * fleet.Second
 )
 
+// reportCommands are those about load reports.
+func reportCommands() []command {
+	return []command{
+		{
+			words:  []string{"show", "reports"},
+			help:   "[stale]: servers as sources: what is made of their silence, age, load, trust",
+			handle: (*query).showReports,
+		},
+		{
+			words:  []string{"show", "intake"},
+			help:   "where reports went: sums, what was thinned, shed or not believed",
+			handle: (*query).showIngest,
+		},
+		{
+			words:  []string{"show", "series"},
+			help:   "<server> [minutes]: what proxies met there, a row a minute",
+			handle: (*query).showSeries,
+		},
+		{
+			words:  []string{"top", "servers"},
+			help:   "age|load|failures [n]: the servers that stand out",
+			handle: (*query).topServers,
+		},
+	}
+}
+
 func (q *query) showReports() (string, error) {
 	staleOnly := q.hasOption("stale")
 	if len(q.args) > 0 && !staleOnly {
--- a/internal/controller/operators_show.go
+++ b/internal/controller/operators_show.go
@@ -11,6 +11,42 @@
 	"cressknot/internal/fleet"
 )
 
+// stateCommands are those that print the state of the controller, its servers, tables and proxies.
+func stateCommands() []command {
+	return []command{
+		{
+			words:  []string{"show", "info"},
+			help:   "the governor: version, clock, counters, time of decisions",
+			handle: (*query).showInfo,
+		},
+		{
+			words:  []string{"show", "servers"},
+			help:   "listed servers: state, health as the module logged it, weights",
+			handle: (*query).showServers,
+		},
+		{
+			words:  []string{"show", "tables"},
+			help:   "lines of all tables, with the weight that proxies are sent",
+			handle: (*query).showTables,
+		},
+		{
+			words:  []string{"show", "proxies"},
+			help:   "proxies: stream, tables, what waits for them",
+			handle: (*query).showProxies,
+		},
+		{
+			words:  []string{"show", "orders"},
+			help:   "the latest orders, oldest first",
+			handle: (*query).showOrders,
+		},
+		{
+			words:  []string{"show", "doubts"},
+			help:   "servers of a kept list that the list's source has not confirmed yet",
+			handle: (*query).showVerification,
+		},
+	}
+}
+
 // fact is one line "name: value" of an answer.
 type fact struct {
 	name  string
@@ -120,7 +156,8 @@
 func (q *query) showProxies() (string, error) {
 	c := q.core
 	var b strings.Builder
-	b.WriteString("# name zone addr stream tables lines_held lines_waiting messages_unanswered messages_written answered_ms\n")
+	b.WriteString("# name zone addr stream tables lines_held lines_waiting messages_unanswered " +
+		"messages_written answered_ms\n")
 	connected := map[fleet.ProxyID]bool{}
 	for _, v := range c.reconciler.Proxies() {
 		connected[v.ID] = true
@@ -154,14 +191,6 @@
 	return b.String(), nil
 }
 
-func (q *query) showLog() (string, error) {
-	var b strings.Builder
-	for _, e := range q.core.history.log {
-		fmt.Fprintf(&b, "%s %s %s: %s\n", formatTime(e.At), e.Level, e.Source, e.Text)
-	}
-	return b.String(), nil
-}
-
 func (q *query) showVerification() (string, error) {
 	var b strings.Builder
 	b.WriteString("# server sight part out why\n")
@@ -171,89 +200,3 @@
 	}
 	return b.String(), nil
 }
-
-func (q *query) showPeers() (string, error) {
-	peers := q.core.gossip.peers
-	if peers == nil {
-		return "", commandError("No peers are heard.\n")
-	}
-	var b strings.Builder
-	b.WriteString("# governor age_s list_rev live tells_of list_ahead\n")
-	for _, p := range peers.Peers(q.now) {
-		fmt.Fprintf(&b, "%s %.1f %d %v %d %v\n",
-			p.Controller, p.Age.Seconds(), p.ListRevision, p.Live, p.Servers, p.Ahead)
-	}
-	fmt.Fprintf(&b, "# %d servers count as peers say; %d news refused, %d old\n",
-		peers.Given(), peers.Refused, peers.Old)
-	return b.String(), nil
-}
-
-func (q *query) explain() (string, error) {
-	if len(q.args) != 1 {
-		return "", commandError("'explain' expects one server's name.\n")
-	}
-	id, err := q.server(q.args[0])
-	if err != nil {
-		return "", err
-	}
-	c := q.core
-	var b strings.Builder
-	b.WriteString(q.explainListing(id))
-	if c.reconciler.Withdrawn(id) {
-		b.WriteString("It is withdrawn from all proxies.\n")
-	}
-	inTable := false
-	for _, e := range c.reconciler.Entries() {
-		if e.Server == id {
-			inTable = true
-			fmt.Fprintf(&b, "Table %d: weight %.4f, sent as %d.\n", e.Table, e.Weight, e.Published)
-		}
-	}
-	if !inTable {
-		b.WriteString("It stands in no table.\n")
-	}
-	attempts, failed := c.pipeline.Heard(id)
-	fmt.Fprintf(&b, "Reports that wait to be heard: %d tries, %d without a good answer.\n", attempts, failed)
-	entries := c.history.logOf(q.args[0])
-	for _, e := range entries {
-		fmt.Fprintf(&b, "%s %s: %s\n", formatTime(e.At), e.Source, e.Text)
-	}
-	if len(entries) == 0 {
-		b.WriteString("No line of the log names it.\n")
-	}
-	return b.String(), nil
-}
-
-// explainListing says how a server is listed.
-func (q *query) explainListing(id fleet.ServerID) string {
-	c := q.core
-	name, addr := c.names.Of(id)
-	e, listed := c.endpoints.listed[id]
-	if !listed {
-		return fmt.Sprintf("%s (%s) is not listed: visits are kept from it.\n", name, addr)
-	}
-	text := fmt.Sprintf("%s (%s) is listed as %s in %s.\n", name, addr, stateNames[e.State], c.site.Zones[e.Zone])
-	if c.warmingUp(q.now, id) {
-		remaining := e.Started + c.site.SlowStart.Duration - q.now
-		text += fmt.Sprintf("It is cold for %.1f s more and bounded to what a cold server surely can do.\n",
-			remaining.Seconds())
-	}
-	return text
-}
-
-func (q *query) getWeight() (string, error) {
-	if len(q.args) != 1 {
-		return "", commandError("'get weight' expects one server's name.\n")
-	}
-	id, err := q.server(q.args[0])
-	if err != nil {
-		return "", err
-	}
-	var b strings.Builder
-	for _, e := range q.core.reconciler.Entries() {
-		if e.Server == id {
-			fmt.Fprintf(&b, "%d: %d (initial 1)\n", e.Table, e.Published)
-		}
-	}
-	return cmp.Or(b.String(), "In no table.\n"), nil
-}
--- a/internal/controller/operators_weights.go
+++ b/internal/controller/operators_weights.go
@@ -11,6 +11,30 @@
 	"cressknot/internal/safety"
 )
 
+// overrideCommands are those that set weights and table versions by hand.
+func overrideCommands() []command {
+	return []command{
+		{
+			words:    []string{"set", "weight"},
+			help:     "<table>/<server> <0-256>: set a line by hand for 5 minutes",
+			handle:   (*query).setWeight,
+			persists: true,
+		},
+		{
+			words:    []string{"clear", "weight"},
+			help:     "<table>/<server>: let the module's weight count again",
+			handle:   (*query).clearWeight,
+			persists: true,
+		},
+		{
+			words:    []string{"table"},
+			help:     "history|show|diff|rollback|pin|unpin T ..., proxies: versions of a table",
+			handle:   (*query).table,
+			persists: true,
+		},
+	}
+}
+
 // overrideConfirmations are the manual weights that were refused and may be forced with a token.
 type overrideConfirmations struct {
 	byToken map[string]overrideConfirmation
@@ -106,7 +130,7 @@
 	for _, harm := range harms {
 		forcible = forcible && harm.Force
 	}
-	if len(harms) > 0 && !(forcible && a.forced) {
+	if len(harms) > 0 && (!forcible || !a.forced) {
 		return "", q.refuseWeight(a.command, harms, forcible)
 	}
 	c.reconciler.SetManualWeight(q.now, a.table, a.server, int16(a.weight), q.now+reconcile.ManualWeightDuration)
@@ -202,16 +226,3 @@
 	}
 	return lines
 }
-
-func (q *query) showRefusals() (string, error) {
-	var b strings.Builder
-	b.WriteString("# since proxies what\n")
-	for _, r := range q.core.reconciler.Refusals() {
-		fmt.Fprintf(&b, "%s %d %s\n", formatTime(r.Since), r.Proxies, safety.Say(r, q.core.serverName(r.Server)))
-	}
-	for _, m := range q.core.reconciler.ManualWeights() {
-		fmt.Fprintf(&b, "%s - set by hand until then: table %d, server %s, weight %d\n",
-			formatTime(m.Until), m.Table, q.core.serverName(m.Server), m.Weight)
-	}
-	return b.String(), nil
-}
--- a/internal/controller/verification.go
+++ b/internal/controller/verification.go
@@ -9,7 +9,8 @@
 	"cressknot/internal/reconcile"
 )
 
-// verifyByOutcomesOnly verifies servers of a cached list by what proxies meet there alone: they aren't asked themselves.
+// verifyByOutcomesOnly verifies servers of a cached list by what proxies meet there alone: they aren't asked
+// themselves.
 func (c *Core) verifyByOutcomesOnly() {
 	c.endpoints.verifier = verification.NewVerifier(c.site, false)
 }
