--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -73,7 +73,7 @@
 	unreachable map[fleet.ProxyID]string // the last logged reason
 }
 
-// publication is what the service's clients are told beside tables.
+// publication is what the service's clients are notified of beside tables.
 type publication struct {
 	zones   []service.Zone // whose programs ask the service
 	changed bool
@@ -221,7 +221,7 @@
 	return out
 }
 
-// nextStep gives the earliest of the times at which something is due; a time of 0 stands for nothing.
+// nextStep gives the earliest of the times at which something is due; 0 means never.
 func (c *Core) nextStep(now fleet.Time, due ...fleet.Time) fleet.Time {
 	if len(c.events.deferred) > 0 {
 		return now
@@ -298,7 +298,7 @@
 	c.timers = pending
 }
 
-// balancerDue tells whether the balancer has anything to decide on. Its first step waits for the endpoint list where
+// balancerDue reports whether the balancer has anything to decide on. Its first step waits for the endpoint list where
 // that comes by itself.
 func (c *Core) balancerDue() bool {
 	return len(c.events.current) > 0 || c.events.steps == 0 && c.site.ListOnRequest
@@ -341,7 +341,7 @@
 	out.Persist = append(out.Persist, c.persistChanges()...)
 }
 
-// publishState gives clients of the service what they are told beside tables, where that has changed.
+// publishState gives clients of the service the state beside tables, where that has changed.
 func (c *Core) publishState(out *Output) {
 	if !c.published.changed {
 		return
@@ -363,7 +363,7 @@
 	return name
 }
 
-// warmingUp tells whether a server is in its slow start.
+// warmingUp reports whether a server is in its slow start.
 func (c *Core) warmingUp(now fleet.Time, id fleet.ServerID) bool {
 	e := c.endpoints.listed[id]
 	return e.Started > 0 && now < e.Started+c.site.SlowStart.Duration
--- /dev/null
+++ b/internal/controller/crash_recovery_test.go
@@ -0,0 +1,155 @@
+package controller_test
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cressknot/internal/controller"
+	"cressknot/internal/discovery"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/testing/fakes"
+	"cressknot/internal/testing/invariants"
+	"cressknot/internal/transport"
+	"cressknot/internal/transport/haproxy"
+)
+
+// fakeSource is an endpoint source with a fixed list.
+type fakeSource struct {
+	mu   sync.Mutex
+	sink func(discovery.Update)
+	list discovery.EndpointList
+}
+
+func (m *fakeSource) Start(_ context.Context, sink func(discovery.Update)) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.sink = sink
+	sink(discovery.Update{Scope: fleet.ListFull, List: m.list})
+	return nil
+}
+func (m *fakeSource) Watch(bool) {}
+func (m *fakeSource) Fetch()     {}
+
+// TestControllerCrashLeavesProxiesServed kills a controller after it has sent tables: proxies go on with them, the next
+// controller finds that they are not fresh, and at no time does a proxy lack an entry.
+func TestControllerCrashLeavesProxiesServed(t *testing.T) {
+	dir := t.TempDir()
+	watch := invariants.NewWatch()
+	var to []transport.Proxy
+	var proxies []*fakes.Proxy
+	for i := range 3 {
+		p := newProxy(t, dir, fmt.Sprintf("p%d", i), watch, 3)
+		if err := p.Up(); err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(p.Down)
+		proxies = append(proxies, p)
+		to = append(to, transport.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Addr: p.Runtime, RequestRate: 1})
+		watch.Owner(p.Name, "g")
+	}
+	doc := discovery.EndpointList{Revision: 1}
+	for _, e := range testEndpoints(6) {
+		watch.Told("g", e.Name, "ready", time.Time{})
+		doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{Name: e.Name, Addr: e.Addr, Zone: "a"})
+	}
+	site := testSite()
+	site.Classes[0] = fleet.RequestClass{
+		Name:             backend,
+		PriorityWeight:   1,
+		LatencyObjective: fleet.Second,
+		Deadline:         2 * fleet.Second,
+	}
+	site.ReportInterval = 200 * fleet.Millisecond
+	site.ReportsPerSecond = 1000
+	site.MaxUnservedDuration = 2 * fleet.Second
+	site.DrainTimeout = fleet.Second
+	site.ProxyCount = 3
+	site.Controllers = 1
+	site.LoadFields = []fleet.LoadField{fleet.LoadFieldUtilization}
+	run := func(seed uint64) (loop *controller.Loop, kill func()) {
+		names := controller.NewNames()
+		f := haproxy.New(haproxy.Options{
+			Proxies:   to,
+			Classes:   []transport.Class{{Name: backend, Backend: backend}},
+			Map:       "cressknot",
+			Table:     "nodes",
+			Admission: site.Admission,
+			Names:     names,
+		})
+		loop = controller.NewLoop(controller.Options{
+			Core:      controller.NewCore(controller.CoreOptions{Site: site, Seed: seed, Proxies: to, Names: names}),
+			Names:     names,
+			Transport: f,
+			Source:    &fakeSource{list: doc},
+			Log:       zerolog.Nop(),
+		})
+		ctx, cancel := context.WithCancel(context.Background())
+		done := make(chan error, 1)
+		go func() { done <- loop.Run(ctx, 0) }()
+		return loop, func() {
+			cancel()
+			if err := <-done; err != nil { // streams are cut, as by a kill
+				t.Logf("the killed controller ended with: %v", err)
+			}
+		}
+	}
+	served := func(loop *controller.Loop) bool {
+		all := false
+		_ = loop.Do(context.Background(), func(c *controller.Core) {
+			all = !slices.ContainsFunc(c.ProxyViews(), func(v reconcile.ProxyView) bool {
+				return !v.Assigned[0] || v.InFlight > 0
+			}) && len(c.ProxyViews()) == 3
+		})
+		return all
+	}
+	wait := func(what string, holds func() bool) {
+		t.Helper()
+		for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
+			if time.Now().After(end) {
+				t.Fatalf("%s: not within 20 s", what)
+			}
+		}
+	}
+	loop, kill := run(1)
+	wait("table applied", func() bool { return served(loop) })
+	for _, p := range proxies {
+		if p.Held(backend, "n5") == "No such server." || p.Level("cressknot.steered") != "1" {
+			t.Errorf("%s was not served: n5 %s", p.Name, p.Held(backend, "n5"))
+		}
+	}
+	kill()
+	for _, p := range proxies {
+		p.Commands()
+	}
+	loop, kill = run(2)
+	defer kill()
+	wait("taken over by the next controller", func() bool { return served(loop) })
+	_ = loop.Do(context.Background(), func(c *controller.Core) {
+		if slices.ContainsFunc(c.ProxyViews(), func(v reconcile.ProxyView) bool { return v.Fresh }) {
+			t.Error("a proxy that an earlier controller has served counts as fresh")
+		}
+	})
+	for _, p := range proxies {
+		if n, log := p.Commands(); n > 6 {
+			t.Errorf("%s was sent %d commands for tables that it held: %q", p.Name, n, log)
+		}
+	}
+	for _, v := range watch.Judge(invariants.Figures{
+		Bare:      time.Millisecond,
+		Grace:     time.Second,
+		LinesPerS: 1e6,
+		Backlog:   1e6,
+		Head:      4,
+	}) {
+		if len(v.Breaks) > 0 {
+			t.Errorf("%s: %v", v.Rule, v.Breaks)
+		}
+	}
+}
--- a/internal/controller/discovery_outage_test.go
+++ b/internal/controller/discovery_outage_test.go
@@ -17,40 +17,63 @@
 	"cressknot/internal/transport"
 )
 
-// dark is a core with two proxies that join fresh, on time of its own. Servers answer asks if they are up; proxies take what they
-// are sent.
-type dark struct {
-	core *Core
-	now  fleet.Time
-	up   map[string]bool
-	held [2]map[string]int16     // by proxy: weights of lines that may be picked
-	doc  *discovery.EndpointList // kept last, and its time
-	at   fleet.Time
-	logs []string
+// simulation is a core with two proxies that connect fresh, on time of its own. Servers answer verifications while
+// they are reachable; proxies apply what they are sent.
+type simulation struct {
+	core       *Core
+	now        fleet.Time
+	reachable  map[string]bool
+	weights    [2]map[string]int16     // by proxy: 0 for servers in maintenance or draining
+	cachedList *discovery.EndpointList // the last that a step wanted cached
+	cachedAt   fleet.Time
+	logs       []string
 }
 
-func newDark(up map[string]bool) *dark {
-	site := fleet.Site{Zones: []string{"a"}, Classes: []fleet.RequestClass{{Name: "look", LatencyObjective: fleet.Second, Deadline: 2 * fleet.Second, PriorityWeight: 1}},
-		DrainTimeout: 3 * fleet.Second, EntriesPerSecond: 1e6, MaxBacklog: 1e6, ReportsPerSecond: 500, ReportInterval: fleet.Second, ProxyCount: 2, MaxUnservedDuration: 5 * fleet.Second,
-		MeanUpdateDelay: fleet.Millisecond, MaxUpdateDelay: 10 * fleet.Millisecond, LoadFields: []fleet.LoadField{fleet.LoadFieldUtilization}, LoadReports: fleet.LoadReportInline}
-	d := &dark{now: 1_000_000 * fleet.Second, up: up, held: [2]map[string]int16{{}, {}}}
-	d.core = NewCore(CoreOptions{Site: site, Seed: 1, Proxies: []transport.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}}, Names: NewNames()})
-	return d
+func newSimulation(reachable map[string]bool) *simulation {
+	site := fleet.Site{
+		Zones: []string{"a"},
+		Classes: []fleet.RequestClass{{
+			Name:             "look",
+			LatencyObjective: fleet.Second,
+			Deadline:         2 * fleet.Second,
+			PriorityWeight:   1,
+		}},
+		DrainTimeout:        3 * fleet.Second,
+		EntriesPerSecond:    1e6,
+		MaxBacklog:          1e6,
+		ReportsPerSecond:    500,
+		ReportInterval:      fleet.Second,
+		ProxyCount:          2,
+		MaxUnservedDuration: 5 * fleet.Second,
+		MeanUpdateDelay:     fleet.Millisecond,
+		MaxUpdateDelay:      10 * fleet.Millisecond,
+		LoadFields:          []fleet.LoadField{fleet.LoadFieldUtilization},
+		LoadReports:         fleet.LoadReportInline,
+	}
+	sim := &simulation{now: 1_000_000 * fleet.Second, reachable: reachable, weights: [2]map[string]int16{{}, {}}}
+	sim.core = NewCore(CoreOptions{
+		Site:    site,
+		Seed:    1,
+		Proxies: []transport.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}},
+		Names:   NewNames(),
+	})
+	return sim
 }
 
-func (d *dark) step(inputs ...Input) Output {
+func (d *simulation) step(inputs ...Input) Output {
 	out := d.core.Step(d.now, inputs)
 	for _, l := range out.Log {
 		d.logs = append(d.logs, l.Text)
 	}
 	if out.Endpoints != nil {
-		d.doc, d.at = out.Endpoints, out.EndpointsConfirmedAt
+		d.cachedList = out.Endpoints
+		d.cachedAt = out.EndpointsConfirmedAt
 	}
 	return out
 }
 
-// run turns until a time, and answers all that is asked.
-func (d *dark) run(until fleet.Time, each func()) {
+// runUntil steps until a time, and answers messages and verifications. It calls each, if any, before each step.
+func (d *simulation) runUntil(until fleet.Time, each func()) {
 	var next []Input
 	for ; d.now < until; d.now += 50 * fleet.Millisecond {
 		if each != nil {
@@ -63,10 +86,10 @@
 				name, _ := d.core.names.Of(c.Server)
 				if c.Kind == reconcile.UpdateEntry || c.Kind == reconcile.AddEntry {
 					if c.Weight >= 0 {
-						d.held[m.Proxy][name] = c.Weight
+						d.weights[m.Proxy][name] = c.Weight
 					}
 					if c.State == reconcile.StateMaintenance || c.State == reconcile.StateDrain {
-						d.held[m.Proxy][name] = 0
+						d.weights[m.Proxy][name] = 0
 					}
 				}
 			}
@@ -75,7 +98,7 @@
 		for _, id := range out.Verifications {
 			name, _ := d.core.names.Of(id)
 			p := VerificationResult{Server: id}
-			if d.up[name] {
+			if d.reachable[name] {
 				p.Evidence = verification.Someone
 			}
 			next = append(next, p)
@@ -83,7 +106,7 @@
 	}
 }
 
-func (d *dark) join() {
+func (d *simulation) connectProxies() {
 	fresh := reconcile.Snapshot{RequestRate: 5, Fresh: true}
 	d.step(connected(0, fresh), connected(1, fresh))
 }
@@ -93,90 +116,103 @@
 	return TransportEvent{transport.Connected{Proxy: proxy, Stream: 1, Snapshot: snapshot}}
 }
 
-func (d *dark) logged(text string) bool {
+func (d *simulation) logged(text string) bool {
 	return strings.Contains(strings.Join(d.logs, "\n"), text)
 }
 
-func docOf(rev uint64, names ...string) discovery.EndpointList {
-	d := discovery.EndpointList{Revision: rev}
+func listOf(rev uint64, names ...string) discovery.EndpointList {
+	list := discovery.EndpointList{Revision: rev}
 	for i, n := range names {
-		d.Endpoints = append(d.Endpoints, discovery.Endpoint{Name: n, Addr: fmt.Sprint("x:", i), Zone: "a"})
+		list.Endpoints = append(list.Endpoints, discovery.Endpoint{Name: n, Addr: fmt.Sprint("x:", i), Zone: "a"})
 	}
-	return d
+	return list
 }
 
-const aDay = 24 * 3600 * fleet.Second
+const day = 24 * 3600 * fleet.Second
 
-// TestOldListServes: from a list a day old tables stand within ten seconds, with the servers that answer and without the others; a
-// truncated list on the source's return is measured against those that are left, and held.
-func TestOldListServes(t *testing.T) {
-	d := newDark(map[string]bool{"s0": true, "s1": true, "s2": true, "s3": true})
-	u := EndpointUpdate{Scope: fleet.ListCached, List: docOf(4, "s0", "s1", "s2", "s3", "g0", "g1", "g2", "g3", "g4", "g5"), ConfirmedAt: d.now - aDay}
-	d.step(u)
-	d.join()
-	d.run(d.now+10*fleet.Second, nil)
-	for p, held := range d.held {
+// TestOldCachedListServesAnsweringServers starts from a list that is a day old: within ten seconds proxies have tables
+// with the servers that answer and without the others. The list of the source on its return is compared with the
+// servers that are left alone, so that it does not count as shrunk.
+func TestOldCachedListServesAnsweringServers(t *testing.T) {
+	sim := newSimulation(map[string]bool{"s0": true, "s1": true, "s2": true, "s3": true})
+	u := EndpointUpdate{
+		Scope:       fleet.ListCached,
+		List:        listOf(4, "s0", "s1", "s2", "s3", "g0", "g1", "g2", "g3", "g4", "g5"),
+		ConfirmedAt: sim.now - day,
+	}
+	sim.step(u)
+	sim.connectProxies()
+	sim.runUntil(sim.now+10*fleet.Second, nil)
+	for p, weights := range sim.weights {
 		for name, up := range map[string]bool{"s0": true, "s1": true, "s2": true, "s3": true, "g0": false, "g5": false} {
-			if held[name] > 0 != up {
-				t.Errorf("proxy %d holds %s at %d", p, name, held[name])
+			if weights[name] > 0 != up {
+				t.Errorf("proxy %d has %s at weight %d", p, name, weights[name])
 			}
 		}
 	}
-	d.step(EndpointUpdate{Scope: fleet.ListFull, List: docOf(5, "s0", "s1", "s2")}) // over half of those that are left
-	if len(d.core.endpoints.listed) != 3 || d.logged("asked for again") {
-		t.Errorf("%d are listed: %v", len(d.core.endpoints.listed), d.logs)
+	sim.step(EndpointUpdate{
+		Scope: fleet.ListFull,
+		List:  listOf(5, "s0", "s1", "s2"),
+	}) // more than half of those that are left
+	if len(sim.core.endpoints.listed) != 3 || sim.logged("asked for again") {
+		t.Errorf("%d are listed: %v", len(sim.core.endpoints.listed), sim.logs)
 	}
 }
 
-// TestSourceFlaps: a source that comes and goes each second, with the same list, moves no weight and withdraws nobody; what is kept says
-// when it stood to its list last.
-func TestSourceFlaps(t *testing.T) {
-	d := newDark(map[string]bool{"s0": true, "s1": true, "s2": true})
-	doc := docOf(4, "s0", "s1", "s2")
-	d.step(EndpointUpdate{Scope: fleet.ListCached, List: doc, ConfirmedAt: d.now - 3600*fleet.Second})
-	d.join()
-	d.run(d.now+8*fleet.Second, nil)
-	before := fmt.Sprint(d.held)
+// TestFlappingSourceMovesNoWeight has a source come and go each second with the same list: no weight changes and no
+// server is withdrawn, and the cached list says when the source last confirmed it.
+func TestFlappingSourceMovesNoWeight(t *testing.T) {
+	sim := newSimulation(map[string]bool{"s0": true, "s1": true, "s2": true})
+	list := listOf(4, "s0", "s1", "s2")
+	sim.step(EndpointUpdate{Scope: fleet.ListCached, List: list, ConfirmedAt: sim.now - 3600*fleet.Second})
+	sim.connectProxies()
+	sim.runUntil(sim.now+8*fleet.Second, nil)
+	before := fmt.Sprint(sim.weights)
 	for i := range 40 {
 		switch i % 4 {
 		case 0:
-			d.step(EndpointUpdate{Scope: fleet.ListFull, List: doc})
+			sim.step(EndpointUpdate{Scope: fleet.ListFull, List: list})
 		case 2:
-			d.step(EndpointUpdate{Scope: fleet.ListDelta, List: discovery.EndpointList{Revision: 4, Delta: true}})
+			sim.step(EndpointUpdate{Scope: fleet.ListDelta, List: discovery.EndpointList{Revision: 4, Delta: true}})
 		default:
-			d.step(EndpointUpdate{Scope: fleet.ListFailed, Err: fmt.Errorf("list: away")})
+			sim.step(EndpointUpdate{Scope: fleet.ListFailed, Err: fmt.Errorf("list: away")})
 		}
-		d.run(d.now+fleet.Second, nil)
+		sim.runUntil(sim.now+fleet.Second, nil)
 	}
-	if is := fmt.Sprint(d.held); is != before || strings.Count(strings.Join(d.logs, "\n"), "list: away") > 20 {
-		t.Errorf("from %s to %s\n%v", before, is, d.logs)
+	after := fmt.Sprint(sim.weights)
+	errorsLogged := strings.Count(strings.Join(sim.logs, "\n"), "list: away")
+	if after != before || errorsLogged > 20 {
+		t.Errorf("from %s to %s\n%v", before, after, sim.logs)
 	}
-	if d.doc == nil || d.at < d.now-verification.ConfirmGap-4*fleet.Second {
-		t.Errorf("kept %.0f s before", (d.now - d.at).Seconds())
+	if sim.cachedList == nil || sim.cachedAt < sim.now-verification.ConfirmGap-4*fleet.Second {
+		t.Errorf("cached list was confirmed %.0f s before", (sim.now - sim.cachedAt).Seconds())
 	}
-	kept := d.at
-	d.run(d.now+2*verification.ConfirmGap, func() { d.core.handleEndpoints(d.now, discovery.Update{Unchanged: true}, &Output{}) })
-	if d.at < kept+verification.ConfirmGap {
-		t.Error("a source that says that nothing has changed does not count")
+	cachedBefore := sim.cachedAt
+	sim.runUntil(sim.now+2*verification.ConfirmGap,
+		func() { sim.core.handleEndpoints(sim.now, discovery.Update{Unchanged: true}, &Output{}) })
+	if sim.cachedAt < cachedBefore+verification.ConfirmGap {
+		t.Error("an unchanged answer of the source does not confirm the list")
 	}
 }
 
-// TestEmptyAndLateLists: an empty kept list takes nobody out, one that comes after the source's own is none.
-func TestEmptyAndLateLists(t *testing.T) {
-	d := newDark(nil)
-	d.step(EndpointUpdate{Scope: fleet.ListCached, ConfirmedAt: d.now})
-	if len(d.core.endpoints.listed) != 0 || !d.logged("the kept list is empty") || d.core.endpoints.revision != 0 {
-		t.Error(d.logs)
+// TestEmptyOrLateCachedListIsIgnored: an empty cached list removes no server, and one that comes after the source's own
+// list changes nothing.
+func TestEmptyOrLateCachedListIsIgnored(t *testing.T) {
+	sim := newSimulation(nil)
+	sim.step(EndpointUpdate{Scope: fleet.ListCached, ConfirmedAt: sim.now})
+	endpoints := &sim.core.endpoints
+	if len(endpoints.listed) != 0 || !sim.logged("the kept list is empty") || endpoints.revision != 0 {
+		t.Error(sim.logs)
 	}
-	d.step(EndpointUpdate{Scope: fleet.ListFull, List: docOf(4, "s0")})
-	d.step(EndpointUpdate{Scope: fleet.ListCached, List: docOf(3, "s0", "s1"), ConfirmedAt: d.now})
-	if len(d.core.endpoints.listed) != 1 || d.core.endpoints.revision != 4 {
-		t.Errorf("%d are listed, rev %d", len(d.core.endpoints.listed), d.core.endpoints.revision)
+	sim.step(EndpointUpdate{Scope: fleet.ListFull, List: listOf(4, "s0")})
+	sim.step(EndpointUpdate{Scope: fleet.ListCached, List: listOf(3, "s0", "s1"), ConfirmedAt: sim.now})
+	if len(sim.core.endpoints.listed) != 1 || sim.core.endpoints.revision != 4 {
+		t.Errorf("%d are listed, rev %d", len(sim.core.endpoints.listed), sim.core.endpoints.revision)
 	}
 }
 
-// TestVerificationTellsWhoAnswers asks servers on loopback by a connection and by a probe: one that says its name, one
-// that says another's, one that says none, and nobody.
+// TestVerificationTellsWhoAnswers verifies servers on loopback by a connection and by a probe: one that gives its name,
+// one that gives another, one that gives none, and one that is down.
 func TestVerificationTellsWhoAnswers(t *testing.T) {
 	const name = "a"
 	for _, c := range []struct {
@@ -211,48 +247,54 @@
 	}
 }
 
-// TestFloodOfNews: however many news come between two turns, of however many names, a turn takes the newest of each, of so many governors.
-func TestFloodOfNews(t *testing.T) {
-	l := NewLoop(Options{Core: newDark(nil).core, Names: NewNames()})
+// TestGossipFloodKeepsNewestOfEachController: however many messages arrive between two steps, a step takes the newest
+// of each controller, of gossip.MaxControllers controllers at most.
+func TestGossipFloodKeepsNewestOfEachController(t *testing.T) {
+	loop := NewLoop(Options{Core: newSimulation(nil).core, Names: NewNames()})
 	for seq := range uint64(1000) {
 		for g := range 200 {
-			l.ReceiveGossip(gossip.Message{Controller: fmt.Sprint("g", g), Epoch: 1, Sequence: (seq*7)%1000 + 1})
+			loop.ReceiveGossip(gossip.Message{Controller: fmt.Sprint("g", g), Epoch: 1, Sequence: (seq*7)%1000 + 1})
 		}
 	}
-	inputs, _ := l.mailbox.collect(0, 0)
+	inputs, _ := loop.mailbox.collect(0, 0)
 	if len(inputs) != gossip.MaxControllers {
-		t.Errorf("a turn takes %d", len(inputs))
+		t.Errorf("a step takes %d", len(inputs))
 	}
 	for _, in := range inputs {
 		if in.(GossipMessage).Sequence != 1000 {
 			t.Errorf("%+v is not the newest", in)
 		}
 	}
-	if inputs, _ = l.mailbox.collect(0, 0); len(inputs) != 0 {
+	inputs, _ = loop.mailbox.collect(0, 0)
+	if len(inputs) != 0 {
 		t.Error("taken twice")
 	}
 }
 
-// TestVersionsNeverGoBack: a proxy that is taken over holds a version of a governor that started later: what it is told next is newer still,
-// and so is all that other proxies are told from then on. A version that no clock could have made changes nothing.
-func TestVersionsNeverGoBack(t *testing.T) {
-	d := newDark(nil)
-	d.step(EndpointUpdate{Scope: fleet.ListFull, List: docOf(1, "s0", "s1")})
-	d.join()
-	d.run(d.now+8*fleet.Second, nil)
-	before := d.core.reconciler.TableVersions(0).Version()
+// TestVersionsNeverGoBackAfterTakeover takes over a proxy that holds a version of a controller that started later: the
+// versions that it and all other proxies are sent from then on are newer. A version of an epoch that no clock could
+// have given changes nothing.
+func TestVersionsNeverGoBackAfterTakeover(t *testing.T) {
+	sim := newSimulation(nil)
+	sim.step(EndpointUpdate{Scope: fleet.ListFull, List: listOf(1, "s0", "s1")})
+	sim.connectProxies()
+	sim.runUntil(sim.now+8*fleet.Second, nil)
+	before := sim.core.reconciler.TableVersions(0).Version()
 	later := tableversion.Version{Epoch: before.Epoch + 5_000_000_000, Count: 7}
-	d.step(connected(1, reconcile.Snapshot{RequestRate: 5, VersionStamps: []string{later.String() + "/00"}}))
-	if v := d.core.reconciler.TableVersions(0).Version(); v.Compare(later) <= 0 {
-		t.Errorf("%s is what the proxy is told, %s is what it holds", v, later)
+	sim.step(connected(1, reconcile.Snapshot{RequestRate: 5, VersionStamps: []string{later.String() + "/00"}}))
+	if v := sim.core.reconciler.TableVersions(0).Version(); v.Compare(later) <= 0 {
+		t.Errorf("the proxy is sent version %s and holds %s", v, later)
 	}
-	d.core.reconciler.SetManualWeight(d.now, 0, 0, 9, d.now+fleet.Second)
-	if v := d.core.reconciler.TableVersions(0).Version(); v.Compare(later) <= 0 {
+	sim.core.reconciler.SetManualWeight(sim.now, 0, 0, 9, sim.now+fleet.Second)
+	if v := sim.core.reconciler.TableVersions(0).Version(); v.Compare(later) <= 0 {
 		t.Errorf("%s follows %s at the proxy", v, later)
 	}
-	epoch := d.core.epoch
-	d.step(connected(1, reconcile.Snapshot{RequestRate: 5, VersionStamps: []string{tableversion.Version{Epoch: 1<<64 - 1, Count: 7}.String() + "/00", "x"}}))
-	if d.core.epoch != epoch {
-		t.Errorf("epoch %d by a version that nobody made", d.core.epoch)
+	epoch := sim.core.epoch
+	sim.step(connected(1, reconcile.Snapshot{
+		RequestRate:   5,
+		VersionStamps: []string{tableversion.Version{Epoch: 1<<64 - 1, Count: 7}.String() + "/00", "x"},
+	}))
+	if sim.core.epoch != epoch {
+		t.Errorf("epoch %d by a version of an impossible epoch", sim.core.epoch)
 	}
 }
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -161,7 +161,7 @@
 	c.endpoints.heldList = discovery.Update{}
 }
 
-// holdIfShrunk holds a full list back that names too few of the known servers, and tells whether it did.
+// holdIfShrunk holds a full list back that names too few of the known servers, and reports whether it did.
 func (c *Core) holdIfShrunk(now fleet.Time, update discovery.Update, out *Output) bool {
 	e := &c.endpoints
 	remaining := 0
@@ -253,7 +253,7 @@
 	c.events.current = append(c.events.current, list)
 }
 
-// updateReportSources tells the pipeline which servers are listed.
+// updateReportSources gives the pipeline the servers that are listed.
 func (c *Core) updateReportSources(list fleet.EndpointList) {
 	if list.Scope != fleet.ListDelta {
 		for id := range c.names.Count() {
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// currentStream tells whether an event is of a proxy's current stream; what an older one delivers is dropped.
+// currentStream reports whether an event is of a proxy's current stream; what an older one delivers is dropped.
 func (c *Core) currentStream(proxy fleet.ProxyID, stream uint64) bool {
 	return c.proxies.streams[proxy] == stream
 }
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -82,7 +82,7 @@
 	SendGossip       func(gossip.Message)         // carries messages to other controllers; may be nil
 	Leases           transport.LeaseTransport     // where other controllers may serve the same proxies; else nil
 	Name             string                       // of the controller
-	OnPublishedState func(service.PublishedState) // hears what the service's clients are told; may be nil
+	OnPublishedState func(service.PublishedState) // called with what the service's clients see; may be nil
 }
 
 // Series holds what proxies met at servers over time.
@@ -142,7 +142,7 @@
 // receiveEndpoints is the endpoint source's sink.
 func (l *Loop) receiveEndpoints(update discovery.Update) { l.mailbox.put(EndpointUpdate(update)) }
 
-// Push takes in load reports that servers pushed, and gives what they are to be told.
+// Push takes in load reports that servers pushed, and gives the answer for their sender.
 func (l *Loop) Push(records []ingest.Record) ingest.Reply {
 	reply := l.mailbox.pushed.Put(l.Now(), records)
 	l.mailbox.wake()
@@ -288,7 +288,7 @@
 	}
 }
 
-// errNotPersisted tells operators that what they set is not on disk.
+// errNotPersisted is the answer to operators where what they set is not on disk.
 var errNotPersisted = errors.New("not kept on disk yet")
 
 // WaitPersisted waits until all that was decided so far is on disk, and gives what prevents that.
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -86,7 +86,7 @@
 }
 
 // collect gives what the next step takes in: all that is urgent, then readings of at most maxRows rows and at most
-// maxPushed pushed records. More tells that some wait. The slice is valid until the next call.
+// maxPushed pushed records. More reports that some wait. The slice is valid until the next call.
 func (m *mailbox) collect(maxPushed, maxRows int) (inputs []Input, more bool) {
 	m.mu.Lock()
 	inputs = append(m.inputs[:0], m.urgent...)
--- a/internal/controller/operators_commands.go
+++ b/internal/controller/operators_commands.go
@@ -70,7 +70,7 @@
 	return id, nil
 }
 
-// hasOption tells whether the only argument is an option, with or without dashes.
+// hasOption reports whether the only argument is an option, with or without dashes.
 func (q *query) hasOption(name string) bool {
 	return len(q.args) == 1 && strings.TrimLeft(q.args[0], "-") == name
 }
--- a/internal/controller/operators_peers.go
+++ b/internal/controller/operators_peers.go
@@ -51,7 +51,7 @@
 	return name, fmt.Sprintf("%.1f", (q.now - lastHeartbeat).Seconds())
 }
 
-// showMembers tells which controllers serve how many proxies, as the proxies say.
+// showMembers lists which controllers serve how many proxies, as the proxies say.
 func (q *query) showMembers() (string, error) {
 	if q.loop.leases == nil {
 		return "", errNotShared
--- a/internal/controller/operators_show.go
+++ b/internal/controller/operators_show.go
@@ -98,7 +98,7 @@
 	}), nil
 }
 
-// versionTotals counts the versions that all tables hold, and tells how much of the full tables their deltas are.
+// versionTotals counts the versions that all tables hold, and the size of their deltas in percent of the full tables.
 func (c *Core) versionTotals() (versions int, deltaPercent float64) {
 	changed := 0
 	full := 0
--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -23,14 +23,14 @@
 	"cressknot/internal/transport"
 )
 
-// still is a front that reaches nobody; what it is sent is answered by acknowledge.
-type still struct {
+// fakeTransport is a transport without proxies; acknowledge answers the messages that it was sent.
+type fakeTransport struct {
 	mu   sync.Mutex
 	sent []reconcile.Message
 }
 
 func (l *Loop) acknowledge() {
-	s := l.transport.(*still)
+	s := l.transport.(*fakeTransport)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.sent {
@@ -39,45 +39,65 @@
 	s.sent = nil
 }
 
-func (s *still) Start(context.Context, transport.Sink) error { return nil }
-func (s *still) Send(m reconcile.Message) {
+func (s *fakeTransport) Start(context.Context, transport.Sink) error { return nil }
+func (s *fakeTransport) Send(m reconcile.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sent = append(s.sent, m)
 }
-func (s *still) Poll(fleet.ProxyID)         {}
-func (s *still) Drop(fleet.ProxyID)         {}
-func (s *still) Stop(context.Context) error { return nil }
+func (s *fakeTransport) Poll(fleet.ProxyID)         {}
+func (s *fakeTransport) Drop(fleet.ProxyID)         {}
+func (s *fakeTransport) Stop(context.Context) error { return nil }
 
-type fixedList struct{ doc discovery.EndpointList }
+type fakeSource struct{ list discovery.EndpointList }
 
-func (f fixedList) Start(_ context.Context, sink func(discovery.Update)) error {
-	sink(discovery.Update{Scope: fleet.ListFull, List: f.doc})
+func (f fakeSource) Start(_ context.Context, sink func(discovery.Update)) error {
+	sink(discovery.Update{Scope: fleet.ListFull, List: f.list})
 	return nil
 }
-func (fixedList) Watch(bool) {}
-func (fixedList) Fetch()     {}
+func (fakeSource) Watch(bool) {}
+func (fakeSource) Fetch()     {}
 
 func testLoop(t *testing.T) *Loop {
 	names := NewNames()
-	site := fleet.Site{Zones: []string{"a"}, Classes: []fleet.RequestClass{{Name: "look", PriorityWeight: 1, LatencyObjective: fleet.Second}},
-		EntriesPerSecond: 1000, MaxBacklog: 2000, ReportInterval: fleet.Second, ReportsPerSecond: 100, MaxUnservedDuration: 5 * fleet.Second}
-	doc := discovery.EndpointList{Revision: 4, Endpoints: []discovery.Endpoint{{Name: "n1", Addr: "127.0.0.1:1", Zone: "a"},
-		{Name: "n2", Addr: "127.0.0.1:2", Zone: "nowhere"}}}
-	return NewLoop(Options{Core: NewCore(CoreOptions{Site: site, Seed: 1, Proxies: []transport.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}}, Names: names}), Names: names,
-		Transport: &still{}, Source: fixedList{doc}, Log: zerolog.Nop()})
+	site := fleet.Site{
+		Zones:               []string{"a"},
+		Classes:             []fleet.RequestClass{{Name: "look", PriorityWeight: 1, LatencyObjective: fleet.Second}},
+		EntriesPerSecond:    1000,
+		MaxBacklog:          2000,
+		ReportInterval:      fleet.Second,
+		ReportsPerSecond:    100,
+		MaxUnservedDuration: 5 * fleet.Second,
+	}
+	list := discovery.EndpointList{
+		Revision: 4,
+		Endpoints: []discovery.Endpoint{{Name: "n1", Addr: "127.0.0.1:1", Zone: "a"},
+			{Name: "n2", Addr: "127.0.0.1:2", Zone: "nowhere"}},
+	}
+	return NewLoop(Options{
+		Core: NewCore(CoreOptions{
+			Site:    site,
+			Seed:    1,
+			Proxies: []transport.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}},
+			Names:   names,
+		}),
+		Names:     names,
+		Transport: &fakeTransport{},
+		Source:    fakeSource{list},
+		Log:       zerolog.Nop(),
+	})
 }
 
-// TestOperatorsSocket: its mode, its answers, and that a killed governor's socket is taken over while a living one's
-// is not.
-func TestOperatorsSocket(t *testing.T) {
+// TestOperatorsSocketAnswersCommands checks the socket's mode and answers, and that the socket of a killed controller
+// is taken over while that of a running one is not.
+func TestOperatorsSocketAnswersCommands(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "g.sock")
 	dead, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dead.(*net.UnixListener).SetUnlinkOnClose(false)
-	dead.Close() // as kill -9 leaves it
+	_ = dead.Close() // leaves the socket as kill -9 does
 	loop := testLoop(t)
 	o, err := ServeOperators(loop, path, "1.2")
 	if err != nil {
@@ -88,20 +108,27 @@
 		t.Errorf("mode %v, %v", info.Mode(), err)
 	}
 	if _, err := ServeOperators(loop, path, "1.2"); err == nil {
-		t.Error("a second governor took a living one's socket")
+		t.Error("a second controller took over the socket of a running one")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- loop.Run(ctx, time.Second) }()
-	loop.receiveTransport(transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{Entries: []reconcile.SnapshotEntry{
-		{Server: loop.names.Learn("n9", "127.0.0.1:9"), State: reconcile.EntryState{Weight: 3, State: reconcile.StateReady}}}}})
+	loop.receiveTransport(transport.Connected{
+		Proxy:  0,
+		Stream: 1,
+		Snapshot: reconcile.Snapshot{Entries: []reconcile.SnapshotEntry{
+			{
+				Server: loop.names.Learn("n9", "127.0.0.1:9"),
+				State:  reconcile.EntryState{Weight: 3, State: reconcile.StateReady},
+			}}},
+	})
 	ask := func(text string) string {
 		t.Helper()
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 		if _, err := io.WriteString(c, text); err != nil {
 			t.Fatal(err)
@@ -117,7 +144,7 @@
 			t.Fatalf("not joined: %s", ask("show proxies\n"))
 		}
 	}
-	// A table's versions: what stands, what differs, a pin and its end, a way back that is refused.
+	// Versions of a table: their content, differences, a pin and its end, a rollback that is refused.
 	for end := time.Now().Add(20 * time.Second); !strings.Contains(ask("table proxies\n"), "/"); {
 		if time.Now().After(end) {
 			t.Fatalf("no version was told: %s", ask("table proxies\n"))
@@ -126,12 +153,21 @@
 	}
 	history := strings.Fields(strings.Split(ask("table history 0\n"), "\n")[1])
 	for _, c := range [][2]string{
-		{"table show 0\n", "n1 128"}, {"table show 0 " + history[1] + "\n", "# table 0 version " + history[1]},
-		{"table diff 0 " + history[1] + "\n", "server before after"}, {"table show 0 x.y\n", "is no version"},
-		{"table show 0 zz.9\n", "is not kept"}, {"table pin 0 nonsense\n", "is no time"}, {"table pin 0 1m\n", "is pinned at"},
-		{"table history 0\n", "# pinned until"}, {"table unpin 0\n", "goes by the module again"}, {"table unpin 0\n", "is not pinned"},
-		{"table rollback 0 " + history[1] + "\n", "Refused: that is what stands already"}, {"table rollback 0 zz.9\n", "Refused: version zz.9 is not kept"},
-		{"table history 9\n", "Table 9 is not there"}, {"table\n", "'table' expects"}, {"table pin 0 1m 2m\n", "'table' expects"},
+		{"table show 0\n", "n1 128"},
+		{"table show 0 " + history[1] + "\n", "# table 0 version " + history[1]},
+		{"table diff 0 " + history[1] + "\n", "server before after"},
+		{"table show 0 x.y\n", "is no version"},
+		{"table show 0 zz.9\n", "is not kept"},
+		{"table pin 0 nonsense\n", "is no time"},
+		{"table pin 0 1m\n", "is pinned at"},
+		{"table history 0\n", "# pinned until"},
+		{"table unpin 0\n", "goes by the module again"},
+		{"table unpin 0\n", "is not pinned"},
+		{"table rollback 0 " + history[1] + "\n", "Refused: that is what stands already"},
+		{"table rollback 0 zz.9\n", "Refused: version zz.9 is not kept"},
+		{"table history 9\n", "Table 9 is not there"},
+		{"table\n", "'table' expects"},
+		{"table pin 0 1m 2m\n", "'table' expects"},
 	} {
 		if answer := ask(c[0]); !strings.Contains(answer, c[1]) {
 			t.Errorf("%q: no %q in %q", c[0], c[1], answer)
@@ -164,22 +200,29 @@
 	}
 }
 
-// TestMailboxKeepsWhatIsUrgent: a newer reading of a stream takes the older one's place and a newer push its source's; what a
-// turn has no room for waits; nothing else is ever dropped.
-func TestMailboxKeepsWhatIsUrgent(t *testing.T) {
+// TestMailboxDropsNothingUrgent: a newer reading replaces an older one of its stream, and a newer pushed record one
+// of its source; what a step has no room for waits; nothing else is dropped.
+func TestMailboxDropsNothingUrgent(t *testing.T) {
 	loop := testLoop(t)
-	const many = 5000
-	for i := range many {
+	const inputCount = 5000
+	for i := range inputCount {
 		r := counters.NewReading(1)
 		r.Row(3).Attempts, r.Classes[0].Requests = 1, uint64(i)
 		loop.receiveTransport(transport.CountersPolled{Proxy: fleet.ProxyID(i % 2), Stream: 1, Reading: r})
 		loop.receiveTransport(transport.Progress{Proxy: 0, Stream: 1})
 		loop.Push([]ingest.Record{{Server: fleet.ServerID(i % 3), Attempts: uint64(i)}})
 	}
-	loop.receiveTransport(transport.CountersPolled{Proxy: 0, Stream: 2, Reading: counters.NewReading(0)}) // of another stream: not the same counters
-	progress, streams, pushed, turns := 0, 0, 0, 0
+	loop.receiveTransport(transport.CountersPolled{
+		Proxy:   0,
+		Stream:  2,
+		Reading: counters.NewReading(0),
+	}) // of another stream, so that it replaces none
+	progress := 0
+	streams := 0
+	pushed := 0
+	steps := 0
 	last := map[fleet.ProxyID]uint64{}
-	for more := true; more; turns++ {
+	for more := true; more; steps++ {
 		var inputs []Input
 		inputs, more = loop.mailbox.collect(1, 1)
 		for _, in := range inputs {
@@ -198,18 +241,21 @@
 				}
 			}
 		}
-		if turns == 0 && progress != many {
-			t.Errorf("%d of %d urgent inputs in the first turn", progress, many)
+		if steps == 0 && progress != inputCount {
+			t.Errorf("%d of %d urgent inputs in the first step", progress, inputCount)
 		}
 	}
-	if streams != 1 || last[1] != many-1 || last[0] != many-2 || loop.mailbox.replaced() != many-2 || pushed != 3 || turns != 3 {
-		t.Errorf("newest readings %v, %d of the other stream, %d folded, %d pushed, %d turns", last, streams, loop.mailbox.replaced(), pushed, turns)
+	if streams != 1 || last[1] != inputCount-1 || last[0] != inputCount-2 ||
+		loop.mailbox.replaced() != inputCount-2 || pushed != 3 ||
+		steps != 3 {
+		t.Errorf("newest readings %v, %d of the other stream, %d replaced, %d pushed, %d steps", last, streams,
+			loop.mailbox.replaced(), pushed, steps)
 	}
 }
 
-// TestReplayNamesWhatDiffers: records replay; a changed order, an unknown event and a cut last line are told with file
-// and line.
-func TestReplayNamesWhatDiffers(t *testing.T) {
+// TestReplayReportsFirstDifference replays an event log, and reports a changed order, an unknown event and a truncated
+// last line by file and line.
+func TestReplayReportsFirstDifference(t *testing.T) {
 	loop := testLoop(t)
 	var text bytes.Buffer
 	w, err := eventlog.NewWriter(&text, eventlog.Header{Controller: "g", Site: loop.core.site, Seed: 1})
@@ -217,11 +263,16 @@
 		t.Fatal(err)
 	}
 	now := fleet.Second
-	in := []Input{EndpointUpdate{Scope: fleet.ListFull, List: loop.source.(fixedList).doc}, TransportEvent{transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{RequestRate: 5}}}}
+	in := []Input{
+		EndpointUpdate{Scope: fleet.ListFull, List: loop.source.(fakeSource).list},
+		TransportEvent{transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{RequestRate: 5}}},
+	}
 	for range 400 {
 		out := loop.core.Step(now, in)
-		if in = nil; out.BalancerStepped {
-			w.Step(now, out.Events, out.Orders, loop.names.Count(), func(id fleet.ServerID) string { n, _ := loop.names.Of(id); return n })
+		in = nil
+		if out.BalancerStepped {
+			w.Step(now, out.Events, out.Orders, loop.names.Count(),
+				func(id fleet.ServerID) string { n, _ := loop.names.Of(id); return n })
 		}
 		for _, m := range out.Messages {
 			in = append(in, TransportEvent{transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence}})
@@ -231,18 +282,19 @@
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	whole := text.String()
-	steps, orders, err := eventlog.Replay("r", strings.NewReader(whole))
+	recorded := text.String()
+	steps, orders, err := eventlog.Replay("r", strings.NewReader(recorded))
 	if err != nil || steps < 50 || orders < 50 {
 		t.Fatalf("%d steps, %d orders: %v", steps, orders, err)
 	}
-	lines := strings.SplitAfter(whole, "\n")
-	changed := strings.Replace(whole, `"Is":"Share","V":{"Table":0,"Server":0,"Weight":`, `"Is":"Share","V":{"Table":0,"Server":0,"Weight":1`, 1)
+	lines := strings.SplitAfter(recorded, "\n")
+	changed := strings.Replace(recorded, `"Is":"Share","V":{"Table":0,"Server":0,"Weight":`,
+		`"Is":"Share","V":{"Table":0,"Server":0,"Weight":1`, 1)
 	for bad, want := range map[string]string{
-		changed:               "the module gives Share",
-		whole[:len(whole)-20]: "unexpected end of JSON",
+		changed:                     "the module gives Share",
+		recorded[:len(recorded)-20]: "unexpected end of JSON",
 		strings.Join(lines[:1], "") + `{"Now":1,"Events":[{"Is":"Odd","V":{}}]}`: `r:2: event 0: "Odd" is no event`,
-		strings.Replace(whole, `"Format":1`, `"Format":9`, 1):                    "r:1: format 9 is not known",
+		strings.Replace(recorded, `"Format":1`, `"Format":9`, 1):                 "r:1: format 9 is not known",
 		"": "r: is empty",
 	} {
 		if _, _, err := eventlog.Replay("r", strings.NewReader(bad)); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/controller/operators_weights.go
+++ b/internal/controller/operators_weights.go
@@ -50,7 +50,7 @@
 	return overrideConfirmations{byToken: map[string]overrideConfirmation{}}
 }
 
-// redeem ends a token and tells whether it confirms the command.
+// redeem ends a token and reports whether it confirms the command.
 func (o *overrideConfirmations) redeem(now fleet.Time, token, command string) bool {
 	confirmation, known := o.byToken[token]
 	delete(o.byToken, token)
@@ -182,7 +182,7 @@
 	return "", nil
 }
 
-// harmsOfWeight tells what harm a manual weight would do to its table.
+// harmsOfWeight gives the harm that a manual weight would do to its table.
 func (c *Core) harmsOfWeight(now fleet.Time, table fleet.TableID, server fleet.ServerID, weight int) []safety.Harm {
 	if !c.safetyChecks {
 		return nil
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -25,7 +25,7 @@
 	c.reconciler.Apply(now, orders)
 }
 
-// applyOrder carries out what of an order is not the reconciler's; shown tells whether "show orders" prints it.
+// applyOrder carries out what of an order is not the reconciler's; shown reports whether "show orders" prints it.
 func (c *Core) applyOrder(now fleet.Time, order fleet.Order, out *Output) (shown bool) {
 	switch order := order.(type) {
 	case fleet.SetTimer:
--- a/internal/controller/server_names.go
+++ b/internal/controller/server_names.go
@@ -43,7 +43,7 @@
 	return id
 }
 
-// Listed is Learn for the endpoint list, whose address replaces the known one. Moved tells that it was another one
+// Listed is Learn for the endpoint list, whose address replaces the known one. Moved reports that it was another one
 // before.
 func (n *Names) Listed(name, addr string) (id fleet.ServerID, moved bool) {
 	return n.put(name, addr, true)
--- a/internal/controller/storeddata_test.go
+++ b/internal/controller/storeddata_test.go
@@ -22,48 +22,58 @@
 
 const (
 	goldenFolder  = "testdata/store"
-	goldenState   = "testdata/store-state.golden"   // what is made of the folder
+	goldenState   = "testdata/store-state.golden"   // what is restored from the folder
 	goldenRecords = "testdata/store-records.golden" // keys and payloads of all records
-	storedNow     = 5000 * fleet.Second             // when the folder was written last
+	storedNow     = 5000 * fleet.Second             // the time of its last record
 )
 
-// storedLife plays a governor's life that leaves versions, pins, weights set by hand, two lists and an epoch.
-func storedLife(t *testing.T, fs vfs.FS) *life {
+// playStoredController runs a controller that leaves versions, pins, manual weights, two lists and an epoch.
+func playStoredController(t *testing.T, fs vfs.FS) *storedController {
 	t.Helper()
-	l := live(t, fs, 4000*fleet.Second)
-	doc := discovery.EndpointList{Revision: 41}
+	stored := startController(t, fs, 4000*fleet.Second)
+	list := discovery.EndpointList{Revision: 41}
 	for i := range 5 {
-		doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{Name: fmt.Sprint("node-", i), Addr: fmt.Sprint("10.0.0.", i, ":80"), Zone: "a", Kind: "m2",
-			Cell: uint16(i), Weight: 1.5})
-	}
-	doc.Endpoints[1].State = "draining"
-	doc.Endpoints[2].Started = fleetMoment(3990 * fleet.Second)
-	l.keep(t, l.core.persistEndpoints(4001*fleet.Second, &doc))
-	doc.Revision, doc.Endpoints = 42, doc.Endpoints[:4]
-	l.keep(t, l.core.persistEndpoints(4002*fleet.Second, &doc))
+		list.Endpoints = append(list.Endpoints, discovery.Endpoint{
+			Name:   fmt.Sprint("node-", i),
+			Addr:   fmt.Sprint("10.0.0.", i, ":80"),
+			Zone:   "a",
+			Kind:   "m2",
+			Cell:   uint16(i),
+			Weight: 1.5,
+		})
+	}
+	list.Endpoints[1].State = "draining"
+	list.Endpoints[2].Started = wallTime(3990 * fleet.Second)
+	stored.persist(t, stored.core.persistEndpoints(4001*fleet.Second, &list))
+	list.Revision, list.Endpoints = 42, list.Endpoints[:4]
+	stored.persist(t, stored.core.persistEndpoints(4002*fleet.Second, &list))
 	now := 4003 * fleet.Second
 	for i := range 12 {
 		now += 2 * fleet.Second
 		for table := range fleet.TableID(2) {
-			server := l.core.names.Learn(fmt.Sprint("node-", (i+int(table))%4), "10.0.0.9:80")
-			l.core.reconciler.Apply(now, []fleet.Order{fleet.SetWeight{Table: table, Server: server, Weight: float32(i%8+1) / 8}})
+			server := stored.core.names.Learn(fmt.Sprint("node-", (i+int(table))%4), "10.0.0.9:80")
+			stored.core.reconciler.Apply(now, []fleet.Order{fleet.SetWeight{
+				Table:  table,
+				Server: server,
+				Weight: float32(i%8+1) / 8,
+			}})
 		}
-		l.keep(t, l.core.Step(now, nil).Persist)
+		stored.persist(t, stored.core.Step(now, nil).Persist)
 	}
 	now = storedNow
-	first, _ := l.core.names.Server("node-1")
-	second, _ := l.core.names.Server("node-2")
-	l.core.reconciler.SetManualWeight(now, 0, first, 7, now+reconcile.ManualWeightDuration)
-	l.core.reconciler.SetManualWeight(now, 1, second, 0, now+reconcile.ManualWeightDuration/2)
-	if err := l.core.reconciler.Pin(now, 1, now+600*fleet.Second); err != nil {
+	first, _ := stored.core.names.Server("node-1")
+	second, _ := stored.core.names.Server("node-2")
+	stored.core.reconciler.SetManualWeight(now, 0, first, 7, now+reconcile.ManualWeightDuration)
+	stored.core.reconciler.SetManualWeight(now, 1, second, 0, now+reconcile.ManualWeightDuration/2)
+	if err := stored.core.reconciler.Pin(now, 1, now+600*fleet.Second); err != nil {
 		t.Fatal(err)
 	}
-	l.keep(t, l.core.Step(now, nil).Persist)
-	return l
+	stored.persist(t, stored.core.Step(now, nil).Persist)
+	return stored
 }
 
-// storedRecords prints all records of a store, by key.
-func storedRecords(t *testing.T, s *store.Store) string {
+// formatRecords prints all records of a store, by key.
+func formatRecords(t *testing.T, s *store.Store) string {
 	t.Helper()
 	var lines []string
 	damage, err := s.Read("", func(key string, payload []byte) error {
@@ -77,13 +87,15 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// wokenText prints what a governor woke with.
-func wokenText(l *life) string {
+// formatRestored prints what a controller has restored.
+func formatRestored(l *storedController) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "epoch %d at %d, %d tables, %d pins, %d weights by hand, lost %v\n", l.woken.Epoch.Epoch, l.woken.Epoch.At, l.woken.Tables,
-		l.woken.Pins, l.woken.ManualWeights, l.woken.Unreadable)
-	for _, g := range l.woken.Lists {
-		fmt.Fprintf(&b, "list rev %d at %d, %d entries stated, whole %v\n", g.Revision, g.ConfirmedAt, g.DeclaredSize, g.Complete)
+	fmt.Fprintf(&b, "epoch %d at %d, %d tables, %d pins, %d weights by hand, lost %v\n", l.restored.Epoch.Epoch,
+		l.restored.Epoch.At, l.restored.Tables,
+		l.restored.Pins, l.restored.ManualWeights, l.restored.Unreadable)
+	for _, g := range l.restored.Lists {
+		fmt.Fprintf(&b, "list rev %d at %d, %d entries stated, whole %v\n", g.Revision, g.ConfirmedAt, g.DeclaredSize,
+			g.Complete)
 		var names []string
 		for name := range g.Entries {
 			names = append(names, name)
@@ -91,66 +103,74 @@
 		slices.Sort(names)
 		for _, name := range names {
 			e := g.Entries[name]
-			fmt.Fprintf(&b, " %s %s %s %s %d %q %d %g\n", e.Name, e.Addr, e.Zone, e.Kind, e.Cell, e.State, e.Started.Unix(), e.Weight)
+			fmt.Fprintf(&b, " %s %s %s %s %d %q %d %g\n", e.Name, e.Addr, e.Zone, e.Kind, e.Cell, e.State, e.Started.Unix(),
+				e.Weight)
 		}
 	}
-	return b.String() + l.state()
+	return b.String() + l.persistentState()
 }
 
-func TestStoreOfAnEarlierProgramIsRead(t *testing.T) {
+func TestStoreOfEarlierVersionIsRestored(t *testing.T) {
 	if *writeFixtures {
-		writeStoredFolder(t)
+		writeGoldenFolder(t)
 	}
 	folder := filepath.Join(t.TempDir(), "store")
 	if err := os.CopyFS(folder, os.DirFS(goldenFolder)); err != nil {
 		t.Fatal(err)
 	}
-	l := wakeFolder(t, folder)
-	defer func() { _ = l.store.Close() }()
+	stored := restoreFolder(t, folder)
+	defer func() { _ = stored.store.Close() }()
 	want, err := os.ReadFile(goldenState)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := wokenText(l); got != string(want) {
-		t.Errorf("woke with\n%s\nwant\n%s", got, want)
+	if got := formatRestored(stored); got != string(want) {
+		t.Errorf("restored\n%s\nwant\n%s", got, want)
 	}
-	if changes := l.core.Step(storedNow+2*fleet.Second, nil).Persist; len(changes) > 0 {
+	if changes := stored.core.Step(storedNow+2*fleet.Second, nil).Persist; len(changes) > 0 {
 		for _, c := range changes {
-			if !strings.HasPrefix(c.Key, "table/") { // the new epoch begins versions of its own
-				t.Errorf("what was read is to be kept anew: %s", c.Key)
+			if !strings.HasPrefix(c.Key, "table/") { // the new epoch begins its own versions
+				t.Errorf("an unchanged record is persisted again: %s", c.Key)
 			}
 		}
 	}
 }
 
-// TestStoreIsWrittenAsBefore plays the life that the folder in testdata was written by: all records are the same to the byte.
-func TestStoreIsWrittenAsBefore(t *testing.T) {
-	l := storedLife(t, vfs.NewCrashableMem())
-	defer func() { _ = l.store.Close() }()
+// TestStoredRecordsAreStable repeats the run that the folder in testdata was written by: all records are the same to
+// the byte.
+func TestStoredRecordsAreStable(t *testing.T) {
+	stored := playStoredController(t, vfs.NewCrashableMem())
+	defer func() { _ = stored.store.Close() }()
 	want, err := os.ReadFile(goldenRecords)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := storedRecords(t, l.store); got != string(want) {
+	if got := formatRecords(t, stored.store); got != string(want) {
 		t.Errorf("wrote\n%s\nwant\n%s", got, want)
 	}
 }
 
-func wakeFolder(t *testing.T, folder string) *life {
+func restoreFolder(t *testing.T, folder string) *storedController {
 	t.Helper()
 	s, err := store.Open(store.Options{Directory: folder})
 	if err != nil {
 		t.Fatal(err)
 	}
-	site := fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1), EntriesPerSecond: 1e6, MaxBacklog: 1e6}
-	l := &life{store: s, core: NewCore(CoreOptions{Site: site, Seed: 1, Names: NewNames()})}
-	if l.woken, err = l.core.Restore(storedNow+fleet.Second, s); err != nil {
+	site := fleet.Site{
+		Zones:            []string{"a"},
+		Classes:          make([]fleet.RequestClass, 1),
+		EntriesPerSecond: 1e6,
+		MaxBacklog:       1e6,
+	}
+	l := &storedController{store: s, core: NewCore(CoreOptions{Site: site, Seed: 1, Names: NewNames()})}
+	l.restored, err = l.core.Restore(storedNow+fleet.Second, s)
+	if err != nil {
 		t.Fatal(err)
 	}
 	return l
 }
 
-func writeStoredFolder(t *testing.T) {
+func writeGoldenFolder(t *testing.T) {
 	t.Helper()
 	folder, err := filepath.Abs(goldenFolder)
 	if err != nil {
@@ -159,26 +179,26 @@
 	if err := os.MkdirAll(filepath.Dir(folder), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	l := storedLife(t, vfs.NewCrashableMem())
-	text := storedRecords(t, l.store)
+	stored := playStoredController(t, vfs.NewCrashableMem())
+	text := formatRecords(t, stored.store)
 	s, err := store.Open(store.Options{Directory: filepath.Join(t.TempDir(), "store")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	on := &life{core: l.core, store: s}
+	copyTarget := &storedController{core: stored.core, store: s}
 	var changes []store.Change
-	if _, err := l.store.Read("", func(key string, payload []byte) error {
+	if _, err := stored.store.Read("", func(key string, payload []byte) error {
 		changes = append(changes, store.Change{Key: key, Value: rawPayload(slices.Clone(payload))})
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	on.keep(t, changes)
+	copyTarget.persist(t, changes)
 	if err := s.Backup(folder); err != nil {
 		t.Fatal(err)
 	}
 	_ = s.Close()
-	_ = l.store.Close()
+	_ = stored.store.Close()
 	if err := os.WriteFile(goldenRecords, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -186,17 +206,17 @@
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
 	}
-	woken := wakeFolder(t, copied)
-	defer func() { _ = woken.store.Close() }()
-	if err := os.WriteFile(goldenState, []byte(wokenText(woken)), 0o644); err != nil {
+	restored := restoreFolder(t, copied)
+	defer func() { _ = restored.store.Close() }()
+	if err := os.WriteFile(goldenState, []byte(formatRestored(restored)), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// rawPayload is written as it is.
+// rawPayload is a payload that is written without encoding it again.
 type rawPayload []byte
 
 // MarshalJSON gives the payload itself.
 func (p rawPayload) MarshalJSON() ([]byte, error) { return p, nil }
 
-func fleetMoment(t fleet.Time) time.Time { return time.Unix(0, int64(t)).UTC() }
+func wallTime(t fleet.Time) time.Time { return time.Unix(0, int64(t)).UTC() }
