--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -187,7 +187,7 @@
 	c.epoch = latest + 1
 	c.reconciler.RaiseEpoch(now, c.epoch, "a proxy holds versions of a later governor")
 	if c.persister.enabled {
-		out.Persist = append(out.Persist, store.Change{Key: epochKey, Value: persistedEpoch{c.epoch, now}})
+		out.Persist = append(out.Persist, store.Change{Key: EpochKey, Value: persistedEpoch{c.epoch, now}})
 	}
 }
 
--- a/internal/controller/persist.go
+++ b/internal/controller/persist.go
@@ -61,11 +61,10 @@
 	}
 )
 
-// Keys of records that stand for themselves. Table keys are made by tableKey and deltaKey.
-const (
-	epochKey     = "epoch"
-	pinKeyFormat = "pin/%05d"
-)
+// EpochKey is the key of the record of the epoch.
+const EpochKey = "epoch"
+
+const pinKeyFormat = "pin/%05d"
 
 // listGenerations is the number of endpoint lists that are persisted: the current one and the one before it.
 const listGenerations = 2
--- a/internal/controller/restore.go
+++ b/internal/controller/restore.go
@@ -78,7 +78,7 @@
 	var slot int
 	var rest string
 	switch {
-	case key == epochKey:
+	case key == EpochKey:
 		return json.Unmarshal(payload, &s.epoch)
 	case parseKey(key, "table/%05d/%s", &table, &rest):
 		return s.decodeTable(table, key, rest, payload)
--- /dev/null
+++ b/internal/server/controller_signals.go
@@ -0,0 +1,78 @@
+package server
+
+import (
+	"context"
+	"os"
+	"sync"
+	"syscall"
+
+	"cressknot/internal/config"
+)
+
+// signalHandler is the goroutine that takes signals until the process is closed.
+type signalHandler struct {
+	done    chan struct{}
+	running sync.WaitGroup
+}
+
+func newSignalHandler() signalHandler { return signalHandler{done: make(chan struct{})} }
+
+// handleSignals reloads settings at SIGHUP and calls stop at the first other signal; a second one ends the program.
+func (p *controllerProcess) handleSignals(ctx context.Context, stop context.CancelFunc, signals <-chan os.Signal) {
+	current := p.settings
+	p.signals.running.Go(func() {
+		for {
+			select {
+			case <-p.signals.done:
+				return
+			case signal := <-signals:
+				if signal == syscall.SIGHUP {
+					current = p.reload(current)
+					continue
+				}
+				if ctx.Err() != nil {
+					p.log.Warn().Stringer("signal", signal).Msg("second signal to stop; exiting at once")
+					os.Exit(1)
+				}
+				p.log.Info().Stringer("signal", signal).Msg("shutdown started")
+				stop()
+			}
+		}
+	})
+}
+
+// stopSignals ends handleSignals. It comes last, so that a second signal ends the program also while it is closing.
+func (p *controllerProcess) stopSignals() {
+	close(p.signals.done)
+	p.signals.running.Wait()
+}
+
+// reload takes over what may change of the settings file, and refuses the file where it changes anything else.
+func (p *controllerProcess) reload(current *config.Settings) *config.Settings {
+	fresh, err := config.Load(p.path)
+	if err != nil {
+		p.log.Error().Err(err).Msg("settings not reloaded")
+		return current
+	}
+	fixed := config.Unchangeable(current, fresh)
+	if len(fixed) == 0 && (fresh.Log.Format != current.Log.Format || fresh.Log.File != current.Log.File) {
+		fixed = []string{"log.format", "log.file"}
+	}
+	if len(fixed) > 0 {
+		p.log.Error().Strs("fields", fixed).Msg("settings not reloaded: these fields need a restart")
+		return current
+	}
+	if fresh.Records != current.Records {
+		loop := p.currentLoop()
+		if err := loop.RecordTo(fresh.Records, p.eventLogStart()); err != nil {
+			p.log.Error().Err(err).Msg("settings not reloaded")
+			if err := loop.RecordTo(current.Records, p.eventLogStart()); err != nil {
+				p.log.Error().Err(err).Msg("event log could not be opened again")
+			}
+			return current
+		}
+	}
+	setLogLevel(fresh)
+	p.log.Info().Msg("settings reloaded")
+	return fresh
+}
--- /dev/null
+++ b/internal/server/controller_sockets.go
@@ -0,0 +1,163 @@
+package server
+
+import (
+	"context"
+	"encoding/hex"
+	"fmt"
+	"os"
+	"strings"
+	"time"
+
+	"cressknot/internal/controller"
+	"cressknot/internal/fleet"
+	"cressknot/internal/gossip"
+	"cressknot/internal/ingest/push"
+	"cressknot/internal/membership"
+	"cressknot/internal/service"
+	"cressknot/internal/service/rpc"
+	"cressknot/internal/service/text"
+	"cressknot/internal/transport"
+)
+
+// joinPeers has the core hear other controllers, where settings say so.
+func (p *controllerProcess) joinPeers() error {
+	if p.settings.Peers.Listen == "" {
+		return nil
+	}
+	p.core.BeginEpoch(uint64(time.Now().UnixNano()))
+	p.core.EnableGossip(p.settings.Name)
+	options, err := p.membershipOptions()
+	if err != nil {
+		return err
+	}
+	members, err := membership.Start(options)
+	if err != nil {
+		return err
+	}
+	p.onClose(func() { _ = members.Close() }) // others notice by themselves
+	p.options.SendGossip = members.Send
+	p.log.Info().Str("addr", p.settings.Peers.Listen).Bool("encrypted", p.settings.Peers.KeyFile != "").
+		Msg("gossip started")
+	return nil
+}
+
+// membershipOptions has the loop, once there is one, hear of messages, members and errors.
+func (p *controllerProcess) membershipOptions() (membership.Options, error) {
+	s := p.settings
+	options := membership.Options{Name: s.Name, Listen: s.Peers.Listen, Join: s.Peers.Join}
+	if s.Peers.KeyFile != "" {
+		encoded, err := os.ReadFile(s.Peers.KeyFile)
+		if err != nil {
+			return options, fmt.Errorf("peers.keyFile: %w", err)
+		}
+		options.Key, err = hex.DecodeString(strings.TrimSpace(string(encoded)))
+		if err != nil {
+			return options, fmt.Errorf("peers.keyFile: %s: %w", s.Peers.KeyFile, err)
+		}
+	}
+	notice := func(level controller.Level, text string) {
+		if loop := p.currentLoop(); loop != nil {
+			loop.Notice(level, "peers", text)
+		}
+	}
+	options.OnMessage = func(message gossip.Message) {
+		if loop := p.currentLoop(); loop != nil {
+			loop.ReceiveGossip(message)
+		}
+	}
+	options.OnError = func(err error) { notice(controller.LevelWarn, err.Error()) }
+	options.OnChange = func(name string, joined bool) {
+		if joined {
+			notice(controller.LevelInfo, fmt.Sprintf("governor %s is here", name))
+		} else {
+			notice(controller.LevelInfo, fmt.Sprintf("governor %s left", name))
+		}
+	}
+	return options, nil
+}
+
+// buildServiceHub has the programs of zones be proxies of the controller, where they may ask it.
+func (p *controllerProcess) buildServiceHub() {
+	if len(p.callers) == 0 {
+		return
+	}
+	clock := controller.NewClock()
+	options := service.HubOptions{
+		Controller: p.settings.Name,
+		Names:      p.names,
+		Classes:    p.site.Classes,
+		Now:        clock.Now,
+	}
+	for _, caller := range p.callers {
+		options.Zones = append(options.Zones, service.Zone{
+			Name:        p.settings.Zones[caller.Zone],
+			ID:          caller.Zone,
+			Proxy:       caller.ID,
+			RequestRate: caller.RequestRate,
+		})
+	}
+	p.core.ServeZones(options.Zones)
+	p.core.BeginEpoch(uint64(clock.Now()))
+	options.Epoch = p.core.Epoch()
+	p.hub = service.NewHub(options)
+	mux := &transport.Mux{Default: p.options.Transport, ByProxy: map[fleet.ProxyID]transport.Transport{}}
+	for _, caller := range p.callers {
+		mux.ByProxy[caller.ID] = p.hub
+	}
+	p.options.Transport = mux
+	p.options.OnPublishedState = p.hub.Facts
+}
+
+// listenForClients opens the service's sockets.
+func (p *controllerProcess) listenForClients() error {
+	if p.hub == nil {
+		return nil
+	}
+	core := service.New(p.hub, controller.QueryHandler{Loop: p.currentLoop(), Program: Version})
+	var servers []interface{ Close(context.Context) error }
+	p.onClose(func() {
+		ctx, cancel := p.stopContext()
+		defer cancel()
+		_ = p.hub.Stop(ctx) // watches end first, so that their callers go elsewhere
+		for _, server := range servers {
+			_ = server.Close(ctx) // what is not answered in time is cut
+		}
+	})
+	if addr := p.settings.Service.RPC; addr != "" {
+		server, err := rpc.Listen(addr, core)
+		if err != nil {
+			return err
+		}
+		servers = append(servers, server)
+		p.log.Info().Str("addr", server.Addr()).Msg("service listening for gRPC")
+	}
+	if addr := p.settings.Service.Text; addr != "" {
+		server, err := text.Listen(addr, core)
+		if err != nil {
+			return err
+		}
+		servers = append(servers, server)
+		p.log.Info().Str("addr", server.Addr()).Msg("service listening for the text protocol")
+	}
+	return nil
+}
+
+// listenForReports opens the socket where servers push their reports.
+func (p *controllerProcess) listenForReports() error {
+	addr := p.settings.Reports.Listen
+	if addr == "" {
+		return nil
+	}
+	vocabulary := push.Words{Loads: p.settings.Reports.Fields, Lookup: p.names.ServerBytes}
+	server, err := push.Listen(addr, p.currentLoop(), vocabulary)
+	if err != nil {
+		return err
+	}
+	p.log.Info().Str("addr", server.Addr()).Msg("listening for load reports")
+	p.onClose(func() {
+		ctx, cancel := p.stopContext()
+		defer cancel()
+		_ = server.Close(ctx) // what is not answered in time is cut
+	})
+	return nil
+}
--- /dev/null
+++ b/internal/server/controller_test.go
@@ -0,0 +1,87 @@
+package server
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"cressknot/internal/config"
+)
+
+// settingsForm is a minimal settings file, with the paths of the endpoint list and of the log.
+const settingsForm = `name: "g", zones: ["a"], classes: [{name: "look", expected: "1s", hardStop: "2s"}]
+list: path: %q
+log: file: %q
+`
+
+const runTimeout = 20 * time.Second // for anything that must happen
+
+func writeFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// waitForLog waits until the log holds a text.
+func waitForLog(t *testing.T, path, want string) {
+	t.Helper()
+	for end := time.Now().Add(runTimeout); ; time.Sleep(5 * time.Millisecond) {
+		text, err := os.ReadFile(path)
+		if err == nil && strings.Contains(string(text), want) {
+			return
+		}
+		if time.Now().After(end) {
+			t.Fatalf("no %q in\n%s", want, text)
+		}
+	}
+}
+
+// TestControllerReloadsSettingsAndStops: SIGHUP takes over what may change and refuses any other file as a whole;
+// SIGTERM stops the controller.
+func TestControllerReloadsSettingsAndStops(t *testing.T) {
+	dir := t.TempDir()
+	path := filepath.Join(dir, "g.cue")
+	log := filepath.Join(dir, "log")
+	list := filepath.Join(dir, "servers.json")
+	writeSettings := func(more string) {
+		t.Helper()
+		writeFile(t, path, fmt.Sprintf(settingsForm, list, log)+more)
+	}
+	writeFile(t, list, `{"rev": 1, "servers": []}`)
+	writeSettings("")
+	settings, err := config.Load(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	signals := make(chan os.Signal, signalCapacity)
+	done := make(chan error, 1)
+	go func() { done <- run(path, settings, signals) }()
+	waitForLog(t, log, "controller started")
+	records := filepath.Join(dir, "records")
+	writeSettings(fmt.Sprintf("records: %q", records))
+	signals <- syscall.SIGHUP
+	waitForLog(t, log, "settings reloaded")
+	if _, err := os.Stat(records); err != nil {
+		t.Error("recording did not begin:", err)
+	}
+	writeSettings(`channel: linesPerS: 10, log: level: "debug"`)
+	signals <- syscall.SIGHUP
+	waitForLog(t, log, `"fields":["channel"]`)
+	writeSettings(`channel: linesPerS: -10`)
+	signals <- syscall.SIGHUP
+	waitForLog(t, log, "channel.linesPerS: is -10")
+	signals <- syscall.SIGTERM
+	select {
+	case err := <-done:
+		if err != nil {
+			t.Error(err)
+		}
+	case <-time.After(runTimeout):
+		t.Fatal("not stopped within 20 s")
+	}
+}
