--- /dev/null
+++ b/internal/config/site.go
@@ -0,0 +1,178 @@
+package config
+
+import (
+	"slices"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/lease"
+	"cressknot/internal/transport"
+)
+
+// Settings that are names, and what they stand for in a site.
+var (
+	idempotencies = map[string]fleet.Idempotency{
+		effectSafe: fleet.Idempotent,
+		"keyed":    fleet.IdempotentWithKey,
+		"unsafe":   fleet.NotIdempotent,
+	}
+	deduplicationScopes = map[string]fleet.DeduplicationScope{
+		"all":  fleet.DeduplicationFleet,
+		"zone": fleet.DeduplicationZone,
+		"cell": fleet.DeduplicationCell,
+	}
+	admissionModes = map[string]fleet.AdmissionMode{
+		"all":         fleet.AdmissionUnlimited,
+		"share":       fleet.AdmissionFraction,
+		admissionRate: fleet.AdmissionRate,
+	}
+	loadReportModes = map[string]fleet.LoadReportMode{
+		"none":     fleet.LoadReportNone,
+		"answers":  fleet.LoadReportInline,
+		"probe":    fleet.LoadReportOnProbe,
+		loadPushed: fleet.LoadReportInline,
+	}
+	listWeights = map[string]fleet.ListWeight{
+		"none":    fleet.ListWeightNone,
+		"nominal": fleet.ListWeightNominal,
+		"rough":   fleet.ListWeightApproximate,
+		"live":    fleet.ListWeightLive,
+	}
+	loadFields = map[string]fleet.LoadField{
+		"busy":    fleet.LoadFieldUtilization,
+		"held":    fleet.LoadFieldInFlight,
+		"queue":   fleet.LoadFieldQueueLength,
+		"service": fleet.LoadFieldServiceTimeMs,
+		"rate":    fleet.LoadFieldRequestRate,
+		"errors":  fleet.LoadFieldErrorRate,
+	}
+)
+
+// Site gives what the balancer is made with.
+func (s *Settings) Site() fleet.Site {
+	site := fleet.Site{
+		ControllerIndex:      s.ControllerIndex,
+		Controllers:          s.Controllers,
+		Zone:                 s.ZoneID(s.Zone),
+		Zones:                s.Zones,
+		Kinds:                s.Kinds,
+		Tick:                 fleet.Millisecond,
+		ListOnRequest:        s.List.OnRequest,
+		ListWeight:           listWeights[s.List.Weight],
+		LoadReports:          loadReportModes[s.Reports.Load],
+		ProbesAllowed:        s.Reports.ProbesAllowed,
+		Admission:            admissionModes[s.Transport.Admission],
+		ProxyCount:           max(s.Transport.ProxyCount, len(s.Proxies)) + len(s.ClientProxies()),
+		JoinByZone:           s.Transport.JoinByZone,
+		StandingTableSize:    s.Transport.StandingTableSize,
+		AttemptTimeoutFactor: s.Transport.AttemptTimeoutFactor,
+		DefaultRetry:         fleet.RetryMode(s.Transport.DefaultRetry),
+		ProxyOutlierFailures: s.Transport.OutlierFailures,
+		MinServerConnections: s.Transport.MinServerConnections,
+		ReportInterval:       fleet.Time(s.Reports.Interval),
+		ReportsPerSecond:     s.Reports.ReportsPerSecond,
+		MeanUpdateDelay:      fleet.Time(s.Channel.MeanUpdateDelay),
+		MaxUpdateDelay:       fleet.Time(s.Channel.MaxUpdateDelay),
+		EntriesPerSecond:     s.Channel.EntriesPerSecond,
+		MessageOverhead:      s.Channel.MessageOverhead,
+		MaxBacklog:           s.Channel.MaxBacklog,
+		MaxMessages:          s.Channel.MaxMessages,
+		MessageWindow:        fleet.Time(s.Channel.MessageWindow),
+		MaxUnservedDuration:  fleet.Time(s.Channel.MaxUnservedDuration),
+		ConnectTimeout:       fleet.Time(s.Transport.ConnectTimeout),
+		SlowStart: fleet.SlowStart{
+			InitialFraction: s.Servers.SlowStartFraction,
+			Duration:        fleet.Time(s.Servers.SlowStartDuration),
+		},
+		RecoveryRamp: fleet.RecoveryRamp{
+			OverloadFactor: s.Servers.OverloadFactor,
+			Duration:       fleet.Time(s.Servers.RecoveryDuration),
+		},
+		DrainTimeout:      fleet.Time(s.Servers.DrainTimeout),
+		MaxPollInterval:   fleet.Time(s.List.MaxPollInterval),
+		RemovalNotBinding: !s.Servers.RemovalBinding,
+		WorstClassWeight:  s.Goal.WorstClassWeight,
+		OverallWeight:     s.Goal.OverallWeight,
+	}
+	for _, field := range s.Reports.LoadFields {
+		site.LoadFields = append(site.LoadFields, loadFields[field])
+	}
+	site.Classes = s.requestClasses()
+	return site
+}
+
+func (s *Settings) requestClasses() (classes []fleet.RequestClass) {
+	for _, c := range s.Classes {
+		classes = append(classes, fleet.RequestClass{
+			Name:                c.Name,
+			Idempotency:         idempotencies[c.Idempotency],
+			DeduplicationScope:  deduplicationScopes[c.DeduplicationScope],
+			DeduplicationWindow: fleet.Time(c.DeduplicationWindow),
+			LatencyObjective:    fleet.Time(c.LatencyObjective),
+			Deadline:            fleet.Time(c.Deadline),
+			PriorityWeight:      c.PriorityWeight,
+			LateValueFraction:   c.LateValueFraction,
+			ZoneLocal:           c.ZoneLocal,
+			Writes:              c.Writes,
+		})
+	}
+	return classes
+}
+
+// ZoneID gives the id of a zone; that of the first zone for an unknown name.
+func (s *Settings) ZoneID(name string) fleet.ZoneID {
+	return fleet.ZoneID(max(0, slices.Index(s.Zones, name)))
+}
+
+// TransportProxies gives the proxies that this controller serves.
+func (s *Settings) TransportProxies() (proxies []transport.Proxy) {
+	for i, p := range s.Proxies {
+		proxies = append(proxies, transport.Proxy{
+			ID:          fleet.ProxyID(i),
+			Name:        p.Name,
+			Zone:        s.ZoneID(p.Zone),
+			RequestRate: p.RequestRate,
+			Addr:        p.Addr,
+		})
+	}
+	return proxies
+}
+
+// PushedLoads reports whether servers push their load figures.
+func (s *Settings) PushedLoads() bool { return s.Reports.Load == loadPushed }
+
+// ServesClients reports whether programs may ask this controller.
+func (s *Settings) ServesClients() bool { return s.Service.RPC != "" || s.Service.Text != "" }
+
+// ClientProxies gives the proxies that stand for the programs of each zone, one a zone; none where no programs may ask
+// this controller.
+func (s *Settings) ClientProxies() (proxies []transport.Proxy) {
+	if !s.ServesClients() {
+		return nil
+	}
+	for i, zone := range s.Zones {
+		proxies = append(proxies, transport.Proxy{
+			ID:          fleet.ProxyID(len(s.Proxies) + i),
+			Name:        "callers." + zone,
+			Zone:        fleet.ZoneID(i),
+			RequestRate: s.Service.RequestRate,
+			Addr:        "-",
+		})
+	}
+	return proxies
+}
+
+// Shares gives the proxies as controllers plan who serves them.
+func (s *Settings) Shares() (loads []lease.ProxyLoad) {
+	for _, p := range s.Proxies {
+		loads = append(loads, lease.ProxyLoad{Proxy: p.Name, RequestRate: p.RequestRate})
+	}
+	return loads
+}
+
+// TransportClasses gives the request classes by the names that they have at proxies.
+func (s *Settings) TransportClasses() (classes []transport.Class) {
+	for _, c := range s.Classes {
+		classes = append(classes, transport.Class{Name: c.Name, Backend: c.Backend})
+	}
+	return classes
+}
--- a/internal/server/controller.go
+++ b/internal/server/controller.go
@@ -30,9 +30,6 @@
 // signalCapacity is the number of signals that may wait: while a reload takes its time, both signals to stop fit in.
 const signalCapacity = 4
 
-// loadsPushed is the value of the setting reports.load where servers push their load figures.
-const loadsPushed = "pushed"
-
 // RunController runs the controller of a settings file. SIGHUP reads the file again; the first SIGINT or SIGTERM lets
 // messages in hand leave and stops, a second one ends the program at once.
 func RunController(path string) error {
@@ -62,9 +59,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p.handleSignals(ctx, cancel, signals)
-	log.Info().Str("version", Version).Int("proxies", len(p.proxies)).Str("transport", settings.Front.Kind).
+	log.Info().Str("version", Version).Int("proxies", len(p.proxies)).Str("transport", settings.Transport.Kind).
 		Msg("controller started")
-	err = p.currentLoop().Run(ctx, time.Duration(settings.Operators.Stop))
+	err = p.currentLoop().Run(ctx, time.Duration(settings.Operators.StopTimeout))
 	log.Info().Err(err).Msg("controller stopped")
 	return err
 }
@@ -93,8 +90,8 @@
 		log:      log,
 		site:     settings.Site(),
 		names:    controller.NewNames(),
-		proxies:  settings.Fleet(),
-		callers:  settings.Callers(),
+		proxies:  settings.TransportProxies(),
+		callers:  settings.ClientProxies(),
 		signals:  newSignalHandler(),
 	}
 }
@@ -127,9 +124,9 @@
 		Transport:        newTransport(s, p.site, p.proxies, p.names),
 		Source:           newEndpointSource(s),
 		Log:              p.log,
-		CachePath:        s.List.Cache,
+		CachePath:        s.List.CachePath,
 		ProbePath:        s.Reports.ProbePath,
-		VerificationMode: s.List.Prove,
+		VerificationMode: s.List.VerificationMode,
 		Name:             s.Name,
 	}
 	if leases, ok := p.options.Transport.(transport.LeaseTransport); ok && len(s.Sharing.Governors) > 0 {
@@ -149,7 +146,7 @@
 
 func (p *controllerProcess) buildCore() {
 	s := p.settings
-	if !s.Guard {
+	if !s.SafetyChecks {
 		p.log.Warn().Msg("safety checks are off: for fault drills only")
 	}
 	for _, fault := range s.Faults {
@@ -160,8 +157,8 @@
 		Seed:         s.Seed,
 		Proxies:      append(slices.Clone(p.proxies), p.callers...),
 		Names:        p.names,
-		SafetyChecks: s.Guard,
-		PushedLoads:  s.Reports.Load == loadsPushed,
+		SafetyChecks: s.SafetyChecks,
+		PushedLoads:  s.PushedLoads(),
 		Faults:       s.Faults,
 	})
 }
@@ -169,14 +166,14 @@
 // restore reads the cached list and the store, and chooses the list to start from.
 func (p *controllerProcess) restore() error {
 	var lists []verification.Generation[discovery.Endpoint]
-	if p.settings.List.Cache != "" {
+	if p.settings.List.CachePath != "" {
 		var damage []error
-		lists, damage = discovery.ReadCache(p.settings.List.Cache)
+		lists, damage = discovery.ReadCache(p.settings.List.CachePath)
 		for _, err := range damage {
 			p.log.Warn().Err(err).Msg("cached endpoint list is damaged")
 		}
 	}
-	if p.settings.Store.Folder != "" {
+	if p.settings.Store.Directory != "" {
 		restored, err := p.openStore()
 		if err != nil {
 			return err
@@ -193,7 +190,7 @@
 		name, _ := p.names.Of(id)
 		return name
 	}
-	series, err := timeseries.Open(p.settings.Reports.Series, nameOf)
+	series, err := timeseries.Open(p.settings.Reports.SeriesPath, nameOf)
 	if err != nil {
 		p.log.Error().Err(err).Msg("time series of reports could not be opened; continuing without")
 		return
@@ -214,7 +211,7 @@
 	if err := p.listenForReports(); err != nil {
 		return err
 	}
-	if err := p.currentLoop().RecordTo(p.settings.Records, p.eventLogStart()); err != nil {
+	if err := p.currentLoop().RecordTo(p.settings.EventLog, p.eventLogStart()); err != nil {
 		return err
 	}
 	if p.settings.Operators.Socket == "" {
@@ -230,5 +227,5 @@
 
 // stopContext bounds the closing of a socket by the operators' longest wait for a stop.
 func (p *controllerProcess) stopContext() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), time.Duration(p.settings.Operators.Stop))
+	return context.WithTimeout(context.Background(), time.Duration(p.settings.Operators.StopTimeout))
 }
--- a/internal/server/controller_build.go
+++ b/internal/server/controller_build.go
@@ -49,7 +49,7 @@
 
 func newEndpointSource(s *config.Settings) discovery.EndpointSource {
 	if s.List.Source == "http" {
-		return &discovery.HTTPSource{URL: s.List.URL, Wait: fleet.Time(s.List.Wait), OnRequest: s.List.OnRequest}
+		return &discovery.HTTPSource{URL: s.List.URL, Wait: fleet.Time(s.List.LongPollTimeout), OnRequest: s.List.OnRequest}
 	}
 	return &discovery.FileSource{Path: s.List.Path, OnRequest: s.List.OnRequest}
 }
@@ -57,19 +57,19 @@
 func newTransport(
 	s *config.Settings, site fleet.Site, proxies []transport.Proxy, names *controller.Names,
 ) transport.Transport {
-	if s.Front.Kind != "runtime" {
+	if s.Transport.Kind != "runtime" {
 		return files.New(files.Options{
 			Proxies:   proxies,
-			Classes:   s.Backends(),
+			Classes:   s.TransportClasses(),
 			Admission: site.Admission,
 			Names:     names,
 		})
 	}
 	o := haproxy.Options{
 		Proxies:   proxies,
-		Classes:   s.Backends(),
-		Map:       s.Front.Map,
-		Table:     s.Front.Table,
+		Classes:   s.TransportClasses(),
+		Map:       s.Transport.Map,
+		Table:     s.Transport.Table,
 		Admission: site.Admission,
 		Names:     names,
 		Me:        s.Name,
--- a/internal/server/controller_restore.go
+++ b/internal/server/controller_restore.go
@@ -19,7 +19,7 @@
 // process has open, or that a newer program wrote, prevents the start: going on would run one controller twice, or lose
 // what the newer one persisted. Any other fault costs the store only.
 func (p *controllerProcess) openStore() ([]verification.Generation[discovery.Endpoint], error) {
-	opened, err := store.Open(store.Options{Directory: p.settings.Store.Folder, OnHealthChange: p.logStoreHealth})
+	opened, err := store.Open(store.Options{Directory: p.settings.Store.Directory, OnHealthChange: p.logStoreHealth})
 	var newer *store.NewerError
 	var busy *store.BusyError
 	switch {
--- a/internal/server/controller_signals.go
+++ b/internal/server/controller_signals.go
@@ -62,11 +62,11 @@
 		p.log.Error().Strs("fields", fixed).Msg("settings not reloaded: these fields need a restart")
 		return current
 	}
-	if fresh.Records != current.Records {
+	if fresh.EventLog != current.EventLog {
 		loop := p.currentLoop()
-		if err := loop.RecordTo(fresh.Records, p.eventLogStart()); err != nil {
+		if err := loop.RecordTo(fresh.EventLog, p.eventLogStart()); err != nil {
 			p.log.Error().Err(err).Msg("settings not reloaded")
-			if err := loop.RecordTo(current.Records, p.eventLogStart()); err != nil {
+			if err := loop.RecordTo(current.EventLog, p.eventLogStart()); err != nil {
 				p.log.Error().Err(err).Msg("event log could not be opened again")
 			}
 			return current
--- a/internal/server/controller_sockets.go
+++ b/internal/server/controller_sockets.go
@@ -148,7 +148,7 @@
 	if addr == "" {
 		return nil
 	}
-	vocabulary := push.Words{Loads: p.settings.Reports.Fields, Lookup: p.names.ServerBytes}
+	vocabulary := push.Words{Loads: p.settings.Reports.LoadFields, Lookup: p.names.ServerBytes}
 	server, err := push.Listen(addr, p.currentLoop(), vocabulary)
 	if err != nil {
 		return err
