--- a/internal/controller/discovery_outage_test.go
+++ b/internal/controller/discovery_outage_test.go
@@ -93,7 +93,7 @@
 					}
 				}
 			}
-			next = append(next, TransportEvent{transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence}})
+			next = append(next, answered(m))
 		}
 		for _, id := range out.Verifications {
 			name, _ := d.core.names.Of(id)
@@ -111,11 +111,6 @@
 	d.step(connected(0, fresh), connected(1, fresh))
 }
 
-// connected is the input by which a proxy connects with its first stream.
-func connected(proxy fleet.ProxyID, snapshot reconcile.Snapshot) Input {
-	return TransportEvent{transport.Connected{Proxy: proxy, Stream: 1, Snapshot: snapshot}}
-}
-
 func (d *simulation) logged(text string) bool {
 	return strings.Contains(strings.Join(d.logs, "\n"), text)
 }
--- a/internal/controller/faulty_proxies_test.go
+++ b/internal/controller/faulty_proxies_test.go
@@ -8,9 +8,7 @@
 	"testing"
 	"time"
 
-	"cressknot/internal/controller"
 	"cressknot/internal/fleet"
-	"cressknot/internal/reconcile"
 	"cressknot/internal/testing/invariants"
 	"cressknot/internal/transport"
 	"cressknot/internal/transport/haproxy"
@@ -66,16 +64,7 @@
 	for i := range proxies {
 		proxies[i].ID = fleet.ProxyID(i)
 	}
-	sim := &simulatedFleet{
-		t:          t,
-		reconciler: reconcile.New(testSite()),
-		names:      controller.NewNames(),
-		events:     make(chan transport.Event, 1<<16),
-		streams:    map[fleet.ProxyID]uint64{},
-		lastErrors: map[fleet.ProxyID]string{},
-		joins:      map[fleet.ProxyID]int{},
-		start:      time.Now(),
-	}
+	sim := newSimulatedFleet(t)
 	sim.transport = haproxy.New(haproxy.Options{
 		Proxies: proxies,
 		Classes: []transport.Class{{Name: backend, Backend: backend}},
--- a/internal/controller/loop_bench_test.go
+++ b/internal/controller/loop_bench_test.go
@@ -80,11 +80,8 @@
 			serverRows := make([][]counters.ServerCounters, proxies)
 			classes := make([][]counters.ClassCounters, proxies)
 			for i := range proxies {
-				inputs = append(inputs, TransportEvent{transport.Connected{
-					Proxy:    fleet.ProxyID(i),
-					Stream:   1,
-					Snapshot: reconcile.Snapshot{Zone: fleet.ZoneID(i % 4), RequestRate: 3, Fresh: true},
-				}})
+				snapshot := reconcile.Snapshot{Zone: fleet.ZoneID(i % 4), RequestRate: 3, Fresh: true}
+				inputs = append(inputs, connected(fleet.ProxyID(i), snapshot))
 				serverRows[i] = make([]counters.ServerCounters, servers)
 				classes[i] = make([]counters.ClassCounters, 3)
 			}
@@ -101,7 +98,7 @@
 				}
 				inputs = inputs[:0]
 				for _, m := range out.Messages {
-					inputs = append(inputs, TransportEvent{transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence}})
+					inputs = append(inputs, answered(m))
 				}
 				for _, id := range out.Polls {
 					for range 9 { // requests of a second
--- a/internal/controller/operators_commands.go
+++ b/internal/controller/operators_commands.go
@@ -75,15 +75,12 @@
 	return len(q.args) == 1 && strings.TrimLeft(q.args[0], "-") == name
 }
 
-// parseSwitch reads an argument that is "on" or "off".
-func parseSwitch(text string) (on, ok bool) {
-	switch text {
-	case "on":
-		return true, true
-	case "off":
-		return false, true
+// switchAt reads the last argument, which is "on" or "off", at an index.
+func (q *query) switchAt(i int) (on, ok bool) {
+	if len(q.args) != i+1 {
+		return false, false
 	}
-	return false, false
+	return q.args[i] == "on", q.args[i] == "on" || q.args[i] == "off"
 }
 
 // joinAnswers gives one error whose text is those of all, one after the other; nil for none.
--- a/internal/controller/operators_peers.go
+++ b/internal/controller/operators_peers.go
@@ -90,13 +90,9 @@
 	if q.loop.leases == nil {
 		return "", errNotShared
 	}
-	const usage = commandError("'retire' expects on or off.\n")
-	if len(q.args) != 1 {
-		return "", usage
-	}
-	on, ok := parseSwitch(q.args[0])
+	on, ok := q.switchAt(0)
 	if !ok {
-		return "", usage
+		return "", commandError("'retire' expects on or off.\n")
 	}
 	q.loop.leases.Retire(on)
 	if on {
@@ -110,13 +106,9 @@
 	if q.loop.leases == nil {
 		return "", errNotShared
 	}
-	const usage = commandError("'take' expects a proxy's name, and on or off.\n")
-	if len(q.args) != 2 {
-		return "", usage
-	}
-	on, ok := parseSwitch(q.args[1])
+	on, ok := q.switchAt(1)
 	if !ok {
-		return "", usage
+		return "", commandError("'take' expects a proxy's name, and on or off.\n")
 	}
 	for id, p := range q.core.proxies.configured {
 		if p.Name != q.args[0] || !q.loop.leases.Take(id, on) {
--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -88,6 +88,40 @@
 	})
 }
 
+// startLoop runs a loop until stop is called, which fails the test where the loop gives an error.
+func startLoop(t *testing.T, loop *Loop) (stop func()) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- loop.Run(ctx, time.Second) }()
+	return func() {
+		t.Helper()
+		cancel()
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	}
+}
+
+// askOperators sends a line to the operators' socket and gives all that it answers.
+func askOperators(t *testing.T, path, line string, timeout time.Duration) string {
+	t.Helper()
+	conn, err := net.Dial("unix", path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(time.Now().Add(timeout)) // a later read fails otherwise
+	if _, err := io.WriteString(conn, line); err != nil {
+		t.Fatal(err)
+	}
+	answer, err := io.ReadAll(conn)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(answer)
+}
+
 // TestOperatorsSocketAnswersCommands checks the socket's mode and answers, and that the socket of a killed controller
 // is taken over while that of a running one is not.
 func TestOperatorsSocketAnswersCommands(t *testing.T) {
@@ -110,9 +144,7 @@
 	if _, err := ServeOperators(loop, path, "1.2"); err == nil {
 		t.Error("a second controller took over the socket of a running one")
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan error, 1)
-	go func() { done <- loop.Run(ctx, time.Second) }()
+	stop := startLoop(t, loop)
 	loop.receiveTransport(transport.Connected{
 		Proxy:  0,
 		Stream: 1,
@@ -124,20 +156,7 @@
 	})
 	ask := func(text string) string {
 		t.Helper()
-		c, err := net.Dial("unix", path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer func() { _ = c.Close() }()
-		_ = c.SetDeadline(time.Now().Add(10 * time.Second))
-		if _, err := io.WriteString(c, text); err != nil {
-			t.Fatal(err)
-		}
-		answer, err := io.ReadAll(c)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return string(answer)
+		return askOperators(t, path, text, 10*time.Second)
 	}
 	for end := time.Now().Add(10 * time.Second); !strings.Contains(ask("show proxies\n"), "p0 a  up"); {
 		if time.Now().After(end) {
@@ -194,10 +213,7 @@
 			}
 		}
 	}
-	cancel()
-	if err := <-done; err != nil {
-		t.Error(err)
-	}
+	stop()
 }
 
 // TestMailboxDropsNothingUrgent: a newer reading replaces an older one of its stream, and a newer pushed record one
@@ -265,7 +281,7 @@
 	now := fleet.Second
 	in := []Input{
 		EndpointUpdate{Scope: fleet.ListFull, List: loop.source.(fakeSource).list},
-		TransportEvent{transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{RequestRate: 5}}},
+		connected(0, reconcile.Snapshot{RequestRate: 5}),
 	}
 	for range 400 {
 		out := loop.core.Step(now, in)
@@ -275,7 +291,7 @@
 				func(id fleet.ServerID) string { n, _ := loop.names.Of(id); return n })
 		}
 		for _, m := range out.Messages {
-			in = append(in, TransportEvent{transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence}})
+			in = append(in, answered(m))
 		}
 		now += 50 * fleet.Millisecond
 	}
--- a/internal/controller/persist_test.go
+++ b/internal/controller/persist_test.go
@@ -59,9 +59,15 @@
 }
 
 func (l *storedController) persist(t *testing.T, changes []store.Change) {
+	t.Helper()
+	persist(t, l.store, changes)
+}
+
+// persist writes changes and waits until they are on disk.
+func persist(t testing.TB, s *store.Store, changes []store.Change) {
 	t.Helper()
 	done := make(chan error, 1)
-	if err := l.store.Put(changes, func(err error) { done <- err }); err != nil {
+	if err := s.Put(changes, func(err error) { done <- err }); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-done; err != nil {
@@ -241,13 +247,8 @@
 		})
 	}
 	put := func(changes []store.Change) {
-		done := make(chan error, 1)
-		if err := s.Put(changes, func(err error) { done <- err }); err != nil {
-			b.Fatal(err)
-		}
-		if err := <-done; err != nil {
-			b.Fatal(err)
-		}
+		b.Helper()
+		persist(b, s, changes)
 	}
 	put(c.persistEndpoints(now, &doc))
 	for i := range 43_200 {
--- a/internal/controller/report_flood_test.go
+++ b/internal/controller/report_flood_test.go
@@ -69,11 +69,8 @@
 	rows := make([][]counters.ServerCounters, proxies)
 	requests := make([]uint64, proxies)
 	for i := range proxies {
-		inputs = append(inputs, TransportEvent{transport.Connected{
-			Proxy:    fleet.ProxyID(i),
-			Stream:   1,
-			Snapshot: reconcile.Snapshot{Zone: fleet.ZoneID(i % 2), RequestRate: 20, Fresh: true},
-		}})
+		snapshot := reconcile.Snapshot{Zone: fleet.ZoneID(i % 2), RequestRate: 20, Fresh: true}
+		inputs = append(inputs, connected(fleet.ProxyID(i), snapshot))
 		rows[i] = make([]counters.ServerCounters, servers)
 	}
 	var published, handled, load [servers]float64
@@ -153,7 +150,7 @@
 		out := core.Step(now, append(inputs, PushedRecords(taken)))
 		inputs = inputs[:0]
 		for _, m := range out.Messages {
-			inputs = append(inputs, TransportEvent{transport.Answered{Proxy: m.Proxy, Stream: 1, Sequence: m.Sequence}})
+			inputs = append(inputs, answered(m))
 		}
 		for _, id := range out.Polls {
 			r := counters.NewReading(2)
--- a/internal/controller/simulated_fleet_test.go
+++ b/internal/controller/simulated_fleet_test.go
@@ -22,26 +22,26 @@
 )
 
 const (
-	backend     = "look"
-	waitTimeout = 30 * time.Second // for anything that must happen, also on a loaded machine
+	backend       = "look"
+	waitTimeout   = 30 * time.Second // for anything that must happen, also on a loaded machine
+	eventCapacity = 1 << 16          // so that a transport never waits for a test
 )
 
 // simulatedFleet is a transport with fake proxies, driven by a reconciler alone, so that tests choose the orders.
 type simulatedFleet struct {
-	t              *testing.T
-	reconciler     *reconcile.Reconciler
-	names          *controller.Names
-	transport      transport.Transport
-	dir            string
-	addresses      []transport.Proxy
-	proxies        []*fakes.Proxy
-	events         chan transport.Event
-	streams        map[fleet.ProxyID]uint64
-	lastErrors     map[fleet.ProxyID]string
-	joins          map[fleet.ProxyID]int
-	start          time.Time
-	watch          *invariants.Watch
-	disconnectedAt map[fleet.ProxyID]time.Time
+	t          *testing.T
+	reconciler *reconcile.Reconciler
+	names      *controller.Names
+	transport  transport.Transport
+	dir        string
+	addresses  []transport.Proxy
+	proxies    []*fakes.Proxy
+	events     chan transport.Event
+	streams    map[fleet.ProxyID]uint64
+	lastErrors map[fleet.ProxyID]string
+	joins      map[fleet.ProxyID]int
+	start      time.Time
+	watch      *invariants.Watch
 }
 
 func testSite() fleet.Site {
@@ -72,20 +72,24 @@
 		Runtime: filepath.Join(dir, name+".sock")}, testEndpoints(servers), watch, 1)
 }
 
+// newSimulatedFleet is a fleet without proxies and transport.
+func newSimulatedFleet(t *testing.T) *simulatedFleet {
+	return &simulatedFleet{
+		t:          t,
+		reconciler: reconcile.New(testSite()),
+		names:      controller.NewNames(),
+		events:     make(chan transport.Event, eventCapacity),
+		streams:    map[fleet.ProxyID]uint64{},
+		lastErrors: map[fleet.ProxyID]string{},
+		joins:      map[fleet.ProxyID]int{},
+		start:      time.Now(),
+		watch:      invariants.NewWatch(),
+	}
+}
+
 func newSocketFleet(t *testing.T, proxies, servers int, prepare func(i int, p *fakes.Proxy)) *simulatedFleet {
 	t.Helper()
-	sim := &simulatedFleet{
-		t:              t,
-		reconciler:     reconcile.New(testSite()),
-		names:          controller.NewNames(),
-		events:         make(chan transport.Event, 1<<16),
-		streams:        map[fleet.ProxyID]uint64{},
-		lastErrors:     map[fleet.ProxyID]string{},
-		joins:          map[fleet.ProxyID]int{},
-		start:          time.Now(),
-		watch:          invariants.NewWatch(),
-		disconnectedAt: map[fleet.ProxyID]time.Time{},
-	}
+	sim := newSimulatedFleet(t)
 	sim.reconciler.SetEpoch(7, func(id fleet.ServerID) string { name, _ := sim.names.Of(id); return name })
 	dir := t.TempDir()
 	l := fleet.EndpointList{Scope: fleet.ListFull}
@@ -247,13 +251,8 @@
 // newFileFleet is a fleet whose proxies read files.
 func newFileFleet(t *testing.T, proxies, servers int) *simulatedFleet {
 	t.Helper()
-	sim := &simulatedFleet{
-		t:     t,
-		names: controller.NewNames(),
-		watch: invariants.NewWatch(),
-		dir:   newMemoryDir(t),
-		start: time.Now(),
-	}
+	sim := newSimulatedFleet(t)
+	sim.dir = newMemoryDir(t)
 	for i := range proxies {
 		name := fmt.Sprintf("p%d", i)
 		p := fakes.NewProxy(fakes.ProxySetup{Name: name, Map: "cressknot", Folder: filepath.Join(sim.dir, name),
@@ -276,7 +275,7 @@
 func (sim *simulatedFleet) restartController(servers int, fault func(string, int) error) {
 	sim.t.Helper()
 	sim.reconciler = reconcile.New(testSite())
-	sim.events = make(chan transport.Event, 1<<16)
+	sim.events = make(chan transport.Event, eventCapacity)
 	sim.streams = map[fleet.ProxyID]uint64{}
 	sim.lastErrors = map[fleet.ProxyID]string{}
 	sim.joins = map[fleet.ProxyID]int{}
--- a/internal/controller/transcript_test.go
+++ b/internal/controller/transcript_test.go
@@ -1,9 +1,6 @@
 package controller
 
 import (
-	"context"
-	"io"
-	"net"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -45,31 +42,10 @@
 		t.Fatal(err)
 	}
 	defer o.Close()
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan error, 1)
-	go func() { done <- loop.Run(ctx, time.Second) }()
-	defer func() {
-		cancel()
-		if err := <-done; err != nil {
-			t.Error(err)
-		}
-	}()
+	defer startLoop(t, loop)()
 	ask := func(text string) string {
 		t.Helper()
-		c, err := net.Dial("unix", path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer func() { _ = c.Close() }()
-		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-		if _, err := io.WriteString(c, text+"\n"); err != nil {
-			t.Fatal(err)
-		}
-		answer, err := io.ReadAll(c)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return string(answer)
+		return askOperators(t, path, text+"\n", 20*time.Second)
 	}
 	loop.receiveTransport(transport.Connected{Proxy: 0, Stream: 1, Snapshot: reconcile.Snapshot{}})
 	for end := time.Now().Add(30 * time.Second); !strings.Contains(ask("show proxies"), "look=") ||
