--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -81,7 +81,7 @@
 	Weight           string   `json:"weight"`
 }
 
-// TransportSettings are those of the transport to the proxies, and of what proxies do by themselves.
+// TransportSettings are those of the transport to the proxies, and of the proxies' own behavior.
 type TransportSettings struct {
 	Kind                 string   `json:"kind"`
 	Map                  string   `json:"map"`
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -8,7 +8,7 @@
 	"cressknot/internal/transport"
 )
 
-// Settings that are names, and what they stand for in a site.
+// The values of settings that are names.
 var (
 	idempotencies = map[string]fleet.Idempotency{
 		effectSafe: fleet.Idempotent,
@@ -143,8 +143,7 @@
 // ServesClients reports whether programs may ask this controller.
 func (s *Settings) ServesClients() bool { return s.Service.RPC != "" || s.Service.Text != "" }
 
-// ClientProxies gives the proxies that stand for the programs of each zone, one a zone; none where no programs may ask
-// this controller.
+// ClientProxies gives the proxies that represent the clients of the service, one a zone; none without the service.
 func (s *Settings) ClientProxies() (proxies []transport.Proxy) {
 	if !s.ServesClients() {
 		return nil
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -106,7 +106,7 @@
 	PublishedState *service.PublishedState // for clients of the service, where it has changed
 	Persist        []store.Change
 	Log            []LogEntry
-	// Endpoints is a full list that is worth caching, as its source confirmed it at EndpointsConfirmedAt.
+	// Endpoints is a full list to cache, which its source confirmed at EndpointsConfirmedAt; nil for none.
 	Endpoints            *discovery.EndpointList
 	EndpointsConfirmedAt fleet.Time
 	// NextStep is when Step is to be called again at the latest.
@@ -191,7 +191,8 @@
 	}
 }
 
-// Step takes in what has arrived and gives what is to be done now.
+// Step handles the inputs that have arrived and returns what is to be done now. It must be called again at
+// Output.NextStep, or earlier with further inputs.
 func (c *Core) Step(now fleet.Time, inputs []Input) Output {
 	if c.startedAt < 0 {
 		c.startedAt = now
@@ -298,8 +299,8 @@
 	c.timers = pending
 }
 
-// balancerDue reports whether the balancer has anything to decide on. Its first step waits for the endpoint list where
-// that comes by itself.
+// balancerDue reports whether the balancer has anything to decide on. Its first step waits for the endpoint list,
+// unless the list comes only on request.
 func (c *Core) balancerDue() bool {
 	return len(c.events.current) > 0 || c.events.steps == 0 && c.site.ListOnRequest
 }
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -13,7 +13,7 @@
 	"cressknot/internal/fleet"
 )
 
-// endpointState is the endpoint list as the controller goes by it.
+// endpointState is the endpoint list that the controller uses, and the state of its source.
 type endpointState struct {
 	zones map[string]fleet.ZoneID
 	kinds map[string]fleet.KindID
@@ -23,7 +23,7 @@
 	listed      map[fleet.ServerID]fleet.Endpoint
 	revision    uint64
 	updatedAt   fleet.Time
-	live        bool       // the source itself was heard, not only a cache
+	live        bool       // the source itself has answered, not only a cache
 	confirmedAt fleet.Time // when the source last confirmed the list
 	cachedAt    fleet.Time // confirmedAt of what was cached last
 	lastError   string     // of the source, as logged last
@@ -94,7 +94,7 @@
 	return fleet.Time(s.Started.UnixNano())
 }
 
-// put takes an endpoint over into what is listed.
+// put updates the endpoint in listed, or removes it where it is gone.
 func (e *endpointState) put(endpoint fleet.Endpoint) {
 	if endpoint.State == fleet.ServerGone {
 		delete(e.listed, endpoint.Server)
@@ -113,7 +113,7 @@
 	return &list
 }
 
-// handleEndpoints takes in what the endpoint source or a cache has to say.
+// handleEndpoints handles an update of the endpoint source or of a cache.
 func (c *Core) handleEndpoints(now fleet.Time, update discovery.Update, out *Output) {
 	c.logSourceError(now, update.Err, out)
 	switch {
@@ -161,7 +161,7 @@
 	c.endpoints.heldList = discovery.Update{}
 }
 
-// holdIfShrunk holds a full list back that names too few of the known servers, and reports whether it did.
+// holdIfShrunk holds back a full list that names too few of the known servers, and reports whether it did.
 func (c *Core) holdIfShrunk(now fleet.Time, update discovery.Update, out *Output) bool {
 	e := &c.endpoints
 	remaining := 0
@@ -184,7 +184,7 @@
 	return true
 }
 
-// releaseHeldList takes the list that is held back when nothing better came in its time.
+// releaseHeldList applies the list that is held back when no better one came in time.
 func (c *Core) releaseHeldList(now fleet.Time, out *Output) (due fleet.Time) {
 	release, fetch, due := c.endpoints.shrinkGate.Due(now)
 	out.FetchEndpoints = out.FetchEndpoints || fetch
@@ -196,7 +196,7 @@
 	return due
 }
 
-// takeList goes by a list from now on.
+// takeList applies an update of the endpoint list.
 func (c *Core) takeList(now fleet.Time, update discovery.Update, out *Output) {
 	e := &c.endpoints
 	if update.Scope != fleet.ListDelta {
@@ -228,7 +228,7 @@
 	c.shareListWithGossip(now)
 }
 
-// takeEndpoint takes one endpoint of a list over, and has the reconciler follow a changed address.
+// takeEndpoint applies one endpoint of a list, and notifies the reconciler of a changed address.
 func (c *Core) takeEndpoint(s discovery.Endpoint) fleet.Endpoint {
 	id, moved := c.names.Listed(s.Name, s.Addr)
 	if moved {
@@ -244,7 +244,7 @@
 	return endpoint
 }
 
-// applyEndpoints hands a list on to all that go by it.
+// applyEndpoints gives a list to the report pipeline, the safety checks, the reconciler and the balancer.
 func (c *Core) applyEndpoints(now fleet.Time, list fleet.EndpointList) {
 	c.published.changed = true
 	c.updateReportSources(list)
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -5,16 +5,16 @@
 	"cressknot/internal/gossip"
 )
 
-// gossipInterval is the time between two looks at what peers say: a step comes as often in any case.
+// gossipInterval is the time between two exchanges; steps are at least as frequent in any case.
 const gossipInterval = fleet.Second / 4
 
-// gossipState merges what other controllers say. The merged state is nil where none are heard.
+// gossipState is the merged state of other controllers; peers is nil where gossip is off.
 type gossipState struct {
 	peers       *gossip.PeerState
 	exchangedAt fleet.Time
 }
 
-// EnableGossip lets the controller hear others and be heard by them under its name.
+// EnableGossip has the controller exchange gossip with others under its name.
 func (c *Core) EnableGossip(name string) { c.gossip.peers = gossip.NewPeerState(name, c.epoch) }
 
 func (c *Core) handleGossip(now fleet.Time, message gossip.Message, out *Output) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// shareListWithGossip gives the gossip our own list, for comparison with those of peers.
+// shareListWithGossip gives our own list to the merged state, which compares it with those of peers.
 func (c *Core) shareListWithGossip(now fleet.Time) {
 	if c.gossip.peers == nil {
 		return
@@ -45,7 +45,8 @@
 	}
 }
 
-// exchangeGossip takes over what follows from what peers say, and gives our message when one is due.
+// exchangeGossip applies the server states that follow from the peers' messages, and outputs our own message when one
+// is due.
 func (c *Core) exchangeGossip(now fleet.Time, out *Output) {
 	if c.gossip.peers == nil || now < c.gossip.exchangedAt+gossipInterval {
 		return
@@ -73,7 +74,8 @@
 	}
 }
 
-// takePeerEndpoint takes state and start of a server over from peers; listed is false for one that our list lacks.
+// takePeerEndpoint applies state and start of a server as peers report them; listed is false for one that our list
+// lacks.
 func (c *Core) takePeerEndpoint(name string, as gossip.LocalServer) (endpoint fleet.Endpoint, listed bool) {
 	s, listed := c.endpoints.byName[name]
 	id, known := c.names.Server(name)
--- a/internal/controller/operators_peers.go
+++ b/internal/controller/operators_peers.go
@@ -37,7 +37,7 @@
 
 const errNotShared = commandError("This governor shares its proxies with no other one.\n")
 
-// holderSummary is what is seen of a controller at the proxies.
+// holderSummary is what the leases at the proxies show of a controller.
 type holderSummary struct {
 	proxies       int
 	lastHeartbeat fleet.Time
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -74,7 +74,7 @@
 	return weights
 }
 
-// History gives the latest versions of the table that a class goes by in a zone, oldest first.
+// History gives the latest versions of the table that serves a class in a zone, oldest first.
 func (h QueryHandler) History(
 	ctx context.Context, zone, class string, limit int,
 ) (rows []service.VersionRow, err error) {
--- a/internal/controller/restore.go
+++ b/internal/controller/restore.go
@@ -130,7 +130,7 @@
 	return err == nil && n == len(into)
 }
 
-// restoreTables goes by table number, so that servers get the same ids each time.
+// restoreTables restores tables in the order of their numbers, so that servers get the same ids each time.
 func (c *Core) restoreTables(restored *Restored, stored *storedState) {
 	for _, id := range slices.Sorted(maps.Keys(stored.snapshots)) {
 		snapshot := stored.snapshots[id]
@@ -196,8 +196,8 @@
 	}
 }
 
-// restoreLists gives both generations with what is left of them, the latest confirmed first; persisting goes on from
-// the newer one.
+// restoreLists returns both generations with their readable entries, the latest confirmed first; persisting continues
+// from the newer one.
 func (c *Core) restoreLists(restored *Restored, stored *storedState) {
 	p := &c.persister
 	for slot, head := range stored.heads {
--- a/internal/server/controller_sockets.go
+++ b/internal/server/controller_sockets.go
@@ -19,7 +19,7 @@
 	"cressknot/internal/transport"
 )
 
-// joinPeers has the core hear other controllers, where settings say so.
+// joinPeers starts gossip with other controllers, where it is configured.
 func (p *controllerProcess) joinPeers() error {
 	if p.settings.Peers.Listen == "" {
 		return nil
@@ -34,14 +34,14 @@
 	if err != nil {
 		return err
 	}
-	p.onClose(func() { _ = members.Close() }) // others notice by themselves
+	p.onClose(func() { _ = members.Close() }) // peers detect a member that is gone
 	p.options.SendGossip = members.Send
 	p.log.Info().Str("addr", p.settings.Peers.Listen).Bool("encrypted", p.settings.Peers.KeyFile != "").
 		Msg("gossip started")
 	return nil
 }
 
-// membershipOptions has the loop, once there is one, hear of messages, members and errors.
+// membershipOptions routes messages, changes of members and errors to the loop, once there is one.
 func (p *controllerProcess) membershipOptions() (membership.Options, error) {
 	s := p.settings
 	options := membership.Options{Name: s.Name, Listen: s.Peers.Listen, Join: s.Peers.Join}
@@ -76,7 +76,7 @@
 	return options, nil
 }
 
-// buildServiceHub has the programs of zones be proxies of the controller, where they may ask it.
+// buildServiceHub makes the clients of each zone a proxy of the controller, where the service is configured.
 func (p *controllerProcess) buildServiceHub() {
 	if len(p.callers) == 0 {
 		return
@@ -120,7 +120,7 @@
 		defer cancel()
 		_ = p.hub.Stop(ctx) // watches end first, so that their callers go elsewhere
 		for _, server := range servers {
-			_ = server.Close(ctx) // what is not answered in time is cut
+			_ = server.Close(ctx) // requests that outlast the timeout are cut
 		}
 	})
 	if addr := p.settings.Service.RPC; addr != "" {
@@ -157,7 +157,7 @@
 	p.onClose(func() {
 		ctx, cancel := p.stopContext()
 		defer cancel()
-		_ = server.Close(ctx) // what is not answered in time is cut
+		_ = server.Close(ctx) // requests that outlast the timeout are cut
 	})
 	return nil
 }
