--- /dev/null
+++ b/internal/controller/files_transport_test.go
@@ -0,0 +1,191 @@
+package controller_test
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/transport/files"
+)
+
+// TestFileSwapCutAtAnyStepConverges: a kill at any step of any swap leaves a complete file in place, old or new; the
+// next controller reads back what the proxy holds, removes temporary files and reaches the desired state.
+func TestFileSwapCutAtAnyStepConverges(t *testing.T) {
+	const servers = 6
+	for step := range 5 {
+		for nth := range 3 { // of the swaps: tables, admission limits, tables again
+			sim := newFileFleet(t, 1, servers)
+			var mu sync.Mutex // swaps are retried from a timer
+			swaps := 0
+			dead := false
+			sim.restartController(servers, func(_ string, s int) error {
+				mu.Lock()
+				defer mu.Unlock()
+				if s == 0 {
+					swaps++
+				}
+				dead = dead || swaps > nth && s == step
+				if dead {
+					return files.ErrCut
+				}
+				return nil
+			})
+			before := sim.transport
+			sim.applyTable(servers)
+			sim.waitUntil("cut", func() bool {
+				mu.Lock()
+				defer mu.Unlock()
+				if swaps == 2 && !dead { // for a third swap; waitUntil sends it without the lock
+					sim.reconciler.Apply(sim.now(), []fleet.Order{fleet.SetWeight{Server: 4, Weight: 0.9}})
+				}
+				return dead
+			})
+			text, err := os.ReadFile(filepath.Join(sim.addresses[0].Addr, files.TablesFile))
+			if err == nil {
+				_, err = files.DecodeTables(text)
+			}
+			if err != nil && !errors.Is(err, os.ErrNotExist) {
+				t.Fatalf("step %d of swap %d: %v", step, nth, err)
+			}
+			_ = before.Stop(cancelledContext())
+			sim.restartController(servers, nil)
+			connections := 0
+			sim.waitUntil(fmt.Sprintf("step %d of swap %d: in the desired state", step, nth), func() bool {
+				if connections < sim.joins[0] { // on a slow disk it may connect twice; its assignment ends with a stream
+					connections = sim.joins[0]
+					sim.applyTable(servers)
+				}
+				return sim.holdsTable(sim.proxies[0], servers) && sim.reconciler.Idle()
+			})
+			left, _ := filepath.Glob(filepath.Join(sim.addresses[0].Addr, files.TablesFile+".*"))
+			if len(left) > 0 {
+				t.Errorf("step %d: temporary files are left: %v", step, left)
+			}
+			sim.proxies[0].Down()
+		}
+	}
+}
+
+// TestReaderNeverSeesPartialFile: while tables are swapped again and again, every reader finds a complete file.
+func TestReaderNeverSeesPartialFile(t *testing.T) {
+	sim := newFileFleet(t, 1, 200)
+	sim.restartController(200, nil)
+	sim.applyTable(200)
+	sim.waitUntil("table applied", func() bool { return sim.holdsTable(sim.proxies[0], 200) })
+	stop := make(chan struct{})
+	var reads atomic.Int64
+	var done sync.WaitGroup
+	for range 2 {
+		done.Add(1)
+		go func() {
+			defer done.Done()
+			for {
+				select {
+				case <-stop:
+					return
+				default:
+				}
+				text, err := os.ReadFile(filepath.Join(sim.addresses[0].Addr, files.TablesFile))
+				if err == nil {
+					_, err = files.DecodeTables(text)
+				}
+				if err != nil {
+					t.Errorf("read a partial file: %v", err)
+					return
+				}
+				reads.Add(1)
+			}
+		}()
+	}
+	for i := range 40 {
+		sim.reconciler.Apply(sim.now(), []fleet.Order{fleet.SetWeight{Server: fleet.ServerID(i), Weight: 0.95}})
+		sim.waitUntil("swapped", sim.reconciler.Idle)
+	}
+	close(stop)
+	done.Wait()
+	if reads.Load() < 40 {
+		t.Errorf("only %d reads", reads.Load())
+	}
+}
+
+// TestFullDiskAndManualFileChanges: while the disk is full the old files stay and the reason is reported; once there is
+// room the proxy reaches the desired state. A file that is removed, emptied or damaged is written again.
+func TestFullDiskAndManualFileChanges(t *testing.T) {
+	const servers = 5
+	sim := newFileFleet(t, 1, servers)
+	var full atomic.Bool
+	sim.restartController(servers, func(string, int) error {
+		if full.Load() {
+			return syscall.ENOSPC
+		}
+		return nil
+	})
+	p := sim.proxies[0]
+	path := filepath.Join(sim.addresses[0].Addr, files.TablesFile)
+	sim.applyTable(servers)
+	sim.waitUntil("table applied", func() bool { return sim.holdsTable(p, servers) && sim.reconciler.Idle() })
+	full.Store(true)
+	sim.reconciler.Apply(sim.now(), []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.31}})
+	sim.waitUntil("reported", func() bool { return strings.Contains(sim.lastErrors[0], "no space left") })
+	if held := p.Held(backend, "n2"); held == "" || sim.holdsTable(p, servers) {
+		t.Errorf("holds %q though nothing could be written", held)
+	}
+	full.Store(false)
+	sim.waitUntil("written once there is room", func() bool { return sim.holdsTable(p, servers) && sim.reconciler.Idle() })
+	for what, harm := range map[string]func() error{
+		"removed":   func() error { return os.Remove(path) },
+		"emptied":   func() error { return os.WriteFile(path, nil, 0o644) },
+		"truncated": func() error { return os.Truncate(path, 100) },
+		"replaced":  func() error { return os.WriteFile(path, []byte(`{"version_info": "x", "resources": []}`), 0o644) },
+	} {
+		want, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := harm(); err != nil {
+			t.Fatal(err)
+		}
+		sim.waitUntil(what+" and written again", func() bool {
+			text, err := os.ReadFile(path)
+			return err == nil && string(text) == string(want) && sim.holdsTable(p, servers)
+		})
+	}
+}
+
+// TestDroppedStreamReconnectsWhileAcknowledged: a stream that is dropped while the proxy has acknowledged all files
+// connects again.
+func TestDroppedStreamReconnectsWhileAcknowledged(t *testing.T) {
+	sim := newFileFleet(t, 1, 3)
+	sim.restartController(3, nil)
+	sim.applyTable(3)
+	sim.waitUntil("table applied", func() bool { return sim.holdsTable(sim.proxies[0], 3) && sim.reconciler.Idle() })
+	sim.transport.Drop(0)
+	sim.waitUntil("connected again", func() bool { return sim.joins[0] == 2 })
+}
+
+// TestSilentProxyIsDroppedAndTakenUpAgain: a proxy that never acknowledges is dropped, and connects again when it
+// acknowledges something new.
+func TestSilentProxyIsDroppedAndTakenUpAgain(t *testing.T) {
+	const servers = 4
+	sim := newFileFleet(t, 2, servers)
+	sim.restartController(servers, nil)
+	sim.proxies[0].Mute(true)
+	sim.applyTable(servers)
+	sim.waitUntil("the other one is served", func() bool { return sim.holdsTable(sim.proxies[1], servers) })
+	sim.waitUntil("dropped", func() bool { return len(sim.reconciler.Proxies()) == 1 })
+	sim.proxies[0].Mute(false)
+	sim.proxies[0].Down()
+	if err := sim.proxies[0].Up(); err != nil {
+		t.Fatal(err)
+	}
+	sim.waitUntil("connected again", func() bool { return sim.joins[0] == 2 })
+	sim.reconciler.Apply(sim.now(), []fleet.Order{fleet.AssignTable{Proxy: 0}})
+	sim.waitUntil("in the desired state", func() bool { return sim.holdsTable(sim.proxies[0], servers) })
+}
--- /dev/null
+++ b/internal/controller/shrink_gate_test.go
@@ -0,0 +1,78 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+
+	"cressknot/internal/discovery"
+	"cressknot/internal/fleet"
+)
+
+// TestShrunkListIsFetchedAgain has the source come back with a third of the servers. That list is held and fetched
+// again: either a full list follows and nobody was withdrawn, or it is applied within half a drain timeout; a delta
+// on it is applied with it.
+func TestShrunkListIsFetchedAgain(t *testing.T) {
+	s := fleet.Second
+	list := func(revision uint64, n int) discovery.EndpointList {
+		list := discovery.EndpointList{Revision: revision}
+		for i := range n {
+			endpoint := discovery.Endpoint{Name: fmt.Sprint("s", i), Addr: "x:1", Zone: "a"}
+			list.Endpoints = append(list.Endpoints, endpoint)
+		}
+		return list
+	}
+	for name, c := range map[string]struct {
+		then func(core *Core, now fleet.Time) // a second after
+		want int                              // servers 1.6 s after
+	}{
+		"a full list follows": {func(core *Core, now fleet.Time) {
+			core.Step(now, []Input{EndpointUpdate{Scope: fleet.ListFull, List: list(3, 12)}})
+		}, 12},
+		"nothing better follows": {func(*Core, fleet.Time) {}, 4},
+		"the same list comes again": {func(core *Core, now fleet.Time) {
+			core.Step(now, []Input{EndpointUpdate{Scope: fleet.ListFull, List: list(2, 4)}})
+			if len(core.endpoints.listed) != 4 {
+				t.Errorf("given twice, %d servers are listed", len(core.endpoints.listed))
+			}
+		}, 4},
+		"a delta follows on it": {func(core *Core, now fleet.Time) {
+			core.Step(now, []Input{EndpointUpdate{
+				Scope: fleet.ListDelta,
+				List:  discovery.EndpointList{Revision: 3, Endpoints: []discovery.Endpoint{{Name: "s9", Addr: "x:1", Zone: "a"}}},
+			}})
+		}, 5},
+	} {
+		core := NewCore(CoreOptions{
+			Site: fleet.Site{
+				Zones:            []string{"a"},
+				Classes:          make([]fleet.RequestClass, 1),
+				DrainTimeout:     3 * s,
+				EntriesPerSecond: 1e6,
+				MaxBacklog:       1e6,
+			},
+			Seed:  1,
+			Names: NewNames(),
+		})
+		now := 100 * s
+		fetches := 0
+		core.Step(now, []Input{EndpointUpdate{Scope: fleet.ListFull, List: list(1, 12)}})
+		began := now + s
+		core.Step(began, []Input{EndpointUpdate{Scope: fleet.ListFull, List: list(2, 4)}})
+		if len(core.endpoints.listed) != 12 {
+			t.Errorf("%s: applied at once", name)
+		}
+		for now = began; now < began+16*s/10; now += s / 10 {
+			if now == began+s {
+				c.then(core, now)
+			}
+			if out := core.Step(now, nil); out.FetchEndpoints {
+				fetches++
+			} else if out.NextStep > now+maxStepInterval {
+				t.Errorf("%s: no step before %d", name, out.NextStep)
+			}
+		}
+		if len(core.endpoints.listed) != c.want || fetches != 1 {
+			t.Errorf("%s: %d servers are listed, fetched %d times", name, len(core.endpoints.listed), fetches)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/simulated_fleet_test.go
@@ -0,0 +1,304 @@
+package controller_test
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"cressknot/internal/controller"
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/tableversion"
+	"cressknot/internal/testing/fakes"
+	"cressknot/internal/testing/invariants"
+	"cressknot/internal/transport"
+	"cressknot/internal/transport/files"
+	"cressknot/internal/transport/haproxy"
+)
+
+const (
+	backend       = "look"
+	waitTimeout   = 30 * time.Second // for anything that must happen, also on a loaded machine
+	eventCapacity = 1 << 16          // so that a transport never waits for a test
+)
+
+// simulatedFleet is a transport with fake proxies, driven by a reconciler alone, so that tests choose the orders.
+type simulatedFleet struct {
+	t          *testing.T
+	reconciler *reconcile.Reconciler
+	names      *controller.Names
+	transport  transport.Transport
+	dir        string
+	addresses  []transport.Proxy
+	proxies    []*fakes.Proxy
+	events     chan transport.Event
+	streams    map[fleet.ProxyID]uint64
+	lastErrors map[fleet.ProxyID]string
+	joins      map[fleet.ProxyID]int
+	start      time.Time
+	watch      *invariants.Watch
+}
+
+func testSite() fleet.Site {
+	return fleet.Site{
+		Zones:            []string{"a"},
+		Classes:          []fleet.RequestClass{{Name: backend}},
+		EntriesPerSecond: 1e6,
+		MessageOverhead:  4,
+		MaxBacklog:       1e6,
+		MeanUpdateDelay:  50 * fleet.Millisecond,
+		MaxUpdateDelay:   200 * fleet.Millisecond,
+		SlowStart:        fleet.SlowStart{Duration: 10 * fleet.Second},
+		Admission:        fleet.AdmissionFraction,
+	}
+}
+
+func testEndpoints(n int) (entries []fakes.Entry) {
+	for i := range n {
+		entries = append(entries, fakes.Entry{Name: fmt.Sprintf("n%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 9000+i)})
+	}
+	return entries
+}
+
+func newProxy(t *testing.T, dir, name string, watch *invariants.Watch, servers int) *fakes.Proxy {
+	t.Helper()
+	return fakes.NewProxy(fakes.ProxySetup{Name: name, Map: "cressknot", Table: "nodes",
+		Classes: []fakes.ProxyClass{{Name: backend, Backend: backend, HardStop: time.Second}},
+		Runtime: filepath.Join(dir, name+".sock")}, testEndpoints(servers), watch, 1)
+}
+
+// newSimulatedFleet is a fleet without proxies and transport.
+func newSimulatedFleet(t *testing.T) *simulatedFleet {
+	return &simulatedFleet{
+		t:          t,
+		reconciler: reconcile.New(testSite()),
+		names:      controller.NewNames(),
+		events:     make(chan transport.Event, eventCapacity),
+		streams:    map[fleet.ProxyID]uint64{},
+		lastErrors: map[fleet.ProxyID]string{},
+		joins:      map[fleet.ProxyID]int{},
+		start:      time.Now(),
+		watch:      invariants.NewWatch(),
+	}
+}
+
+func newSocketFleet(t *testing.T, proxies, servers int, prepare func(i int, p *fakes.Proxy)) *simulatedFleet {
+	t.Helper()
+	sim := newSimulatedFleet(t)
+	sim.reconciler.SetEpoch(7, func(id fleet.ServerID) string { name, _ := sim.names.Of(id); return name })
+	dir := t.TempDir()
+	l := fleet.EndpointList{Scope: fleet.ListFull}
+	for _, e := range testEndpoints(servers) {
+		id, _ := sim.names.Listed(e.Name, e.Addr)
+		l.Endpoints = append(l.Endpoints, fleet.Endpoint{Server: id})
+	}
+	sim.reconciler.SetEndpoints(1, l)
+	var to []transport.Proxy
+	for i := range proxies {
+		p := newProxy(t, dir, fmt.Sprintf("p%d", i), sim.watch, min(3, servers))
+		if prepare != nil {
+			prepare(i, p)
+		}
+		if err := p.Up(); err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(p.Down)
+		sim.proxies = append(sim.proxies, p)
+		to = append(to, transport.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Addr: p.Runtime})
+	}
+	sim.dir = dir
+	sim.addresses = to
+	sim.startTransport(haproxy.New(haproxy.Options{
+		Proxies:   to,
+		Classes:   []transport.Class{{Name: backend, Backend: backend}},
+		Map:       "cressknot",
+		Table:     "nodes",
+		Admission: fleet.AdmissionFraction,
+		Names:     sim.names,
+	}))
+	return sim
+}
+
+// startTransport starts a transport and stops it with the test.
+func (sim *simulatedFleet) startTransport(f transport.Transport) {
+	sim.transport = f
+	events := sim.events // a later transport of this fleet has a channel of its own
+	if err := f.Start(context.Background(), func(e transport.Event) { events <- e }); err != nil {
+		sim.t.Fatal(err)
+	}
+	sim.t.Cleanup(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
+		defer cancel()
+		_ = f.Stop(ctx)
+	})
+}
+
+func (sim *simulatedFleet) now() fleet.Time { return fleet.Second + fleet.Time(time.Since(sim.start)) }
+
+// waitUntil handles events and sends messages until the condition holds.
+func (sim *simulatedFleet) waitUntil(what string, holds func() bool) {
+	sim.t.Helper()
+	deadline := time.After(waitTimeout)
+	tick := time.NewTicker(2 * time.Millisecond)
+	defer tick.Stop()
+	for {
+		out, _, drops, _ := sim.reconciler.Next(sim.now())
+		for _, m := range out {
+			sim.transport.Send(m)
+		}
+		for _, id := range drops {
+			sim.transport.Drop(id)
+		}
+		if holds() {
+			return
+		}
+		select {
+		case e := <-sim.events:
+			sim.handleEvent(e)
+		case <-tick.C:
+		case <-deadline:
+			for _, to := range sim.addresses {
+				ack, _ := os.ReadFile(filepath.Join(to.Addr, "ack.json"))
+				sim.t.Logf("proxy %s acknowledges %s", to.Name, ack)
+			}
+			sim.t.Fatalf("%s: not within 30 s; refusals %v; joins %v; proxies %+v", what, sim.lastErrors, sim.joins,
+				sim.reconciler.Proxies())
+		}
+	}
+}
+
+func (sim *simulatedFleet) handleEvent(e transport.Event) {
+	switch e := e.(type) {
+	case transport.Connected:
+		sim.streams[e.Proxy] = e.Stream
+		sim.joins[e.Proxy]++
+		sim.reconciler.Join(sim.now(), e.Proxy, e.Snapshot)
+	case transport.Disconnected:
+		sim.lastErrors[e.Proxy] = e.Err.Error()
+		sim.reconciler.Leave(e.Proxy)
+	case transport.Unreachable:
+		sim.lastErrors[e.Proxy] = e.Err.Error()
+	case transport.Progress:
+		sim.reconciler.Progress(sim.now(), e.Proxy)
+	case transport.CountersPolled:
+		sim.reconciler.ObserveEntries(sim.now(), e.Proxy, e.Reading.Entries)
+	case transport.Answered:
+		if sim.streams[e.Proxy] == e.Stream {
+			sim.reconciler.Acknowledge(sim.now(), e.Proxy, e.Sequence, e.Failures)
+		}
+	}
+}
+
+// applyTable orders a table of the first servers for all proxies, with an admission limit and a withdrawal.
+func (sim *simulatedFleet) applyTable(servers int) {
+	var orders []fleet.Order
+	for i := range servers {
+		orders = append(orders, fleet.SetWeight{Server: fleet.ServerID(i), Weight: 0.2 + float32(i)/20})
+	}
+	for i := range sim.proxies {
+		orders = append(orders, fleet.AssignTable{Proxy: fleet.ProxyID(i)})
+	}
+	sim.reconciler.Apply(sim.now(), append(orders, fleet.WithdrawServer{Server: 1, Withdrawn: true},
+		fleet.SetAdmission{Table: fleet.AllTables, Limit: 0.75}))
+}
+
+// holdsTable reports whether a proxy holds what applyTable has ordered.
+func (sim *simulatedFleet) holdsTable(p *fakes.Proxy, servers int) bool {
+	for _, l := range sim.reconciler.Entries() {
+		state := "ready"
+		if l.Withdrawn {
+			state = "maint"
+		}
+		name, _ := sim.names.Of(l.Server)
+		if p.Held(backend, name) != fmt.Sprintf("%d %s", l.Published, state) {
+			return false
+		}
+	}
+	return p.Level(backend+".share") == "750"
+}
+
+func (sim *simulatedFleet) allConnected() bool { return len(sim.streams) == len(sim.proxies) }
+
+// holdsNewestVersion reports whether a proxy holds the newest version, by its version stamp and by its entries.
+func (sim *simulatedFleet) holdsNewestVersion(p *fakes.Proxy, servers int) bool {
+	table := sim.reconciler.TableVersions(0)
+	digest := tableversion.Digest(0)
+	for i := range servers {
+		name := fmt.Sprint("n", i)
+		weight, _ := strconv.Atoi(strings.Fields(p.Held(backend, name) + " x")[0])
+		digest += tableversion.EntryDigest(name, weight)
+	}
+	return digest == table.Digest() && p.Level(backend+".version") == table.Version().String()+"/"+table.Digest().String()
+}
+
+// newMemoryDir gives a folder in memory where the machine has one: syncing a file may take seconds on a disk that
+// builds write to, and these tests are not about that.
+func newMemoryDir(t *testing.T) string {
+	t.Helper()
+	dir, err := os.MkdirTemp("/dev/shm", "files")
+	if err != nil {
+		return t.TempDir()
+	}
+	t.Cleanup(func() { _ = os.RemoveAll(dir) })
+	return dir
+}
+
+// newFileFleet is a fleet whose proxies read files.
+func newFileFleet(t *testing.T, proxies, servers int) *simulatedFleet {
+	t.Helper()
+	sim := newSimulatedFleet(t)
+	sim.dir = newMemoryDir(t)
+	for i := range proxies {
+		name := fmt.Sprintf("p%d", i)
+		p := fakes.NewProxy(fakes.ProxySetup{Name: name, Map: "cressknot", Folder: filepath.Join(sim.dir, name),
+			Classes: []fakes.ProxyClass{{
+				Name:     backend,
+				Backend:  backend,
+				HardStop: time.Second,
+			}}}, testEndpoints(min(3, servers)), sim.watch, 1)
+		if err := p.Up(); err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(p.Down)
+		sim.proxies = append(sim.proxies, p)
+		sim.addresses = append(sim.addresses, transport.Proxy{ID: fleet.ProxyID(i), Name: name, Addr: p.Folder})
+	}
+	return sim
+}
+
+// restartController starts over with a new reconciler and transport, as a new process does.
+func (sim *simulatedFleet) restartController(servers int, fault func(string, int) error) {
+	sim.t.Helper()
+	sim.reconciler = reconcile.New(testSite())
+	sim.events = make(chan transport.Event, eventCapacity)
+	sim.streams = map[fleet.ProxyID]uint64{}
+	sim.lastErrors = map[fleet.ProxyID]string{}
+	sim.joins = map[fleet.ProxyID]int{}
+	sim.reconciler.SetEpoch(uint64(time.Now().UnixNano()),
+		func(id fleet.ServerID) string { name, _ := sim.names.Of(id); return name })
+	l := fleet.EndpointList{Scope: fleet.ListFull}
+	for _, e := range testEndpoints(servers) {
+		id, _ := sim.names.Listed(e.Name, e.Addr)
+		l.Endpoints = append(l.Endpoints, fleet.Endpoint{Server: id})
+	}
+	sim.reconciler.SetEndpoints(1, l)
+	sim.startTransport(files.New(files.Options{
+		Proxies:   sim.addresses,
+		Classes:   []transport.Class{{Name: backend, Backend: backend}},
+		Admission: fleet.AdmissionFraction,
+		Names:     sim.names,
+		Fault:     fault,
+	}))
+	sim.waitUntil("connected", sim.allConnected)
+}
+
+func cancelledContext() context.Context {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	return ctx
+}
