--- a/internal/transport/relay/answer.go
+++ b/internal/transport/relay/answer.go
@@ -1,138 +1,122 @@
 package relay
 
 import (
+	"bytes"
 	"encoding/xml"
 	"errors"
 	"fmt"
 	"io"
-	"net/url"
 	"strconv"
 	"strings"
+)
+
+// callOutcome is the result of a call.
+type callOutcome uint8
+
+const (
+	callAnswered  callOutcome = iota // the relay stated how many operations it carried out
+	callUncertain                    // carried out as if it had been answered, or not at all
+	callRejected                     // nothing was carried out
+	callMalformed                    // nothing was carried out, nor will it be when it is repeated unchanged
+)
+
+var (
+	errCallLimit     = errors.New("answer: call limit reached")
+	errCallMalformed = errors.New("answer: malformed call")
+)
+
+// notSentError reports that no byte of a call has left: the relay can't have carried it out.
+type notSentError struct{ err error }
 
-	"cressknot/internal/fleet"
+func (e *notSentError) Error() string { return "call not sent: " + e.err.Error() }
+
+func (e *notSentError) Unwrap() error { return e.err }
+
+// outcomeOf classifies the error of a call.
+func outcomeOf(err error) callOutcome {
+	var notSent *notSentError
+	switch {
+	case err == nil:
+		return callAnswered
+	case errors.Is(err, errCallLimit), errors.As(err, &notSent):
+		return callRejected
+	case errors.Is(err, errCallMalformed):
+		return callMalformed
+	}
+	return callUncertain
+}
+
+// Names that the relay uses in its answers.
+const (
+	acceptedElement = "accepted"
+	limitCode       = "limit"
+	malformedCode   = "malformed"
 )
 
-// Read makes out what an answer says of a call with so many orders.
-func Read(text []byte, orders int) (was CallOutcome, taken int, err error) {
-	dec := xml.NewDecoder(strings.NewReader(string(text)))
-	var inside []string
-	found := -1
-	words := map[string]bool{}
+// parseAnswer reads how many operations the relay carried out of a call with the given number. It returns errCallLimit
+// or errCallMalformed where the relay states that it carried out none; any other error leaves the call uncertain.
+func parseAnswer(body []byte, operations int) (accepted int, err error) {
+	decoder := xml.NewDecoder(bytes.NewReader(body))
+	answer := answerFields{operations: operations}
 	for {
-		token, err := dec.Token()
+		token, err := decoder.Token()
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
-			return CallUncertain, 0, fmt.Errorf("answer: byte %d: %w", dec.InputOffset(), err)
+			return 0, fmt.Errorf("answer: byte %d: %w", decoder.InputOffset(), err)
 		}
-		switch t := token.(type) {
-		case xml.StartElement:
-			inside = append(inside, t.Name.Local)
-		case xml.EndElement:
-			inside = inside[:len(inside)-1]
-		case xml.CharData:
-			word := strings.TrimSpace(string(t))
-			if len(inside) == 0 || word == "" {
-				continue
-			}
-			if inside[len(inside)-1] != "accepted" {
-				words[word] = true
-				continue
-			}
-			n, err := strconv.Atoi(word)
-			if err != nil || n < 0 || n > orders || found >= 0 {
-				return CallUncertain, 0, fmt.Errorf("answer: accepted %.20q of %d orders", word, orders)
-			}
-			found = n
+		if err := answer.add(token); err != nil {
+			return 0, err
 		}
 	}
 	switch {
-	case found >= 0:
-		return CallAnswered, found, nil
-	case words["limit"]:
-		return CallRefused, 0, errors.New("answer: limit")
-	case words["malformed"]:
-		return CallMalformed, 0, errors.New("answer: malformed")
+	case answer.found:
+		return answer.accepted, nil
+	case answer.limit:
+		return 0, errCallLimit
+	case answer.malformed:
+		return 0, errCallMalformed
 	}
-	return CallUncertain, 0, fmt.Errorf("answer: nothing is accepted in %.80q", text)
+	return 0, fmt.Errorf("answer: no %s element in %.80q", acceptedElement, body)
 }
 
-// StreamEvent is what the relay's stream tells. Streams are numbered from 1: what an older one told late never counts.
-type StreamEvent struct {
-	Stream     uint64
-	Kind       StreamEventKind
-	Event      fleet.Event // of Told: Joined, Left or Applied
-	Continuous bool        // of Opened: the stream before it stood until now
-	Err        error       // of Ended
+// answerFields collects what an answer states while its tokens are read.
+type answerFields struct {
+	operations int      // of the call
+	path       []string // the open elements
+	accepted   int
+	found      bool // accepted was stated
+	limit      bool
+	malformed  bool
 }
 
-// Unconfirmed are orders of which nobody knows whether they were carried out. They are not sent again.
-type Unconfirmed struct{ Operations []Operation }
-
-// StreamEventKind is a kind of news.
-type StreamEventKind uint8
-
-// The kinds of news.
-const (
-	StreamOpened     StreamEventKind = iota // a new stream; it shows first who is joined
-	ProxyEvent                              // an event
-	SnapshotComplete                        // it has shown all
-	StreamEnded
-)
-
-// String names it.
-func (w StreamEventKind) String() string { return [...]string{"opened", "told", "settled", "ended"}[w] }
-
-// event reads one event of the stream.
-func event(name, data string, zones []string, proxies int) (fleet.Event, error) {
-	fields, err := url.ParseQuery(data)
-	if err != nil {
-		return nil, fmt.Errorf("news: %s: %w", name, err)
-	}
-	r := reader{fields: fields}
-	node := fleet.ProxyID(r.number("node", float64(proxies-1)))
-	var e fleet.Event
-	switch name {
-	case "joined":
-		zone := -1
-		for i, z := range zones {
-			if z == fields.Get("locality") {
-				zone = i
-			}
-		}
-		if zone < 0 {
-			r.err = errors.Join(r.err, fmt.Errorf("locality %.40q is unknown", fields.Get("locality")))
-		}
-		e = fleet.ProxyJoined{Proxy: node, Zone: fleet.ZoneID(zone), RequestRate: r.number("w", 1e9), Fresh: r.number("cold", 1) == 1}
-	case "left":
-		e = fleet.ProxyLeft{Proxy: node}
-	case "applied":
-		e = fleet.BarrierReached{Proxy: node, Barrier: fleet.BarrierID(r.number("nonce", 65535)),
-			Delay: fleet.Millisecond.Scale(r.number("latency", 1e9))}
-	default:
-		return nil, nil // of a later protocol
+func (a *answerFields) add(token xml.Token) error {
+	switch token := token.(type) {
+	case xml.StartElement:
+		a.path = append(a.path, token.Name.Local)
+	case xml.EndElement:
+		a.path = a.path[:len(a.path)-1]
+	case xml.CharData:
+		return a.addText(strings.TrimSpace(string(token)))
 	}
-	if r.err != nil {
-		return nil, fmt.Errorf("news: %s: %w", name, r.err)
-	}
-	return e, nil
+	return nil
 }
 
-type reader struct {
-	fields url.Values
-	err    error
-}
-
-func (r *reader) number(key string, most float64) float64 {
-	text := r.fields[key]
-	if len(text) == 1 {
-		if v, err := strconv.ParseFloat(text[0], 64); err == nil && v >= 0 && v <= most {
-			return v
-		}
+func (a *answerFields) addText(text string) error {
+	if len(a.path) == 0 || text == "" {
+		return nil
+	}
+	if a.path[len(a.path)-1] != acceptedElement {
+		a.limit = a.limit || text == limitCode
+		a.malformed = a.malformed || text == malformedCode
+		return nil
 	}
-	if r.err == nil {
-		r.err = fmt.Errorf("%s %.40q is not a number from 0 to %g", key, strings.Join(text, ","), most)
+	accepted, err := strconv.Atoi(text)
+	if err != nil || accepted < 0 || accepted > a.operations || a.found {
+		return fmt.Errorf("answer: accepted %.20q of %d operations", text, a.operations)
 	}
-	return 0
+	a.accepted = accepted
+	a.found = true
+	return nil
 }
--- /dev/null
+++ b/internal/transport/relay/calls.go
@@ -0,0 +1,161 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"strings"
+	"time"
+)
+
+const (
+	// callTimeout exceeds the relay's answer time of 50 ms by what this process may wait for its share of a core.
+	callTimeout = 300 * time.Millisecond
+
+	// maxAnswerSize is in bytes.
+	maxAnswerSize = 64 << 10
+
+	// rejectedCallDelay precedes the repeat of a call that the relay rejected.
+	rejectedCallDelay = 150 * time.Millisecond
+
+	// The delay after an uncertain call doubles from initialCallBackoff to maxCallBackoff. The users' rules allow 0.5 s
+	// for a broken call.
+	initialCallBackoff = 20 * time.Millisecond
+	maxCallBackoff     = 500 * time.Millisecond
+)
+
+// callBackoff is the delay between calls. It grows with each uncertain call until a call is answered.
+type callBackoff struct{ uncertain time.Duration }
+
+func newCallBackoff() callBackoff { return callBackoff{uncertain: initialCallBackoff} }
+
+// next returns how long to wait after a call with the given outcome.
+func (b *callBackoff) next(outcome callOutcome) time.Duration {
+	switch outcome {
+	case callAnswered:
+		b.uncertain = initialCallBackoff
+		return 0
+	case callUncertain:
+		delay := b.uncertain
+		b.uncertain = min(maxCallBackoff, 2*b.uncertain)
+		return delay
+	}
+	return rejectedCallDelay
+}
+
+// sendCalls sends the queued operations, one call at a time, until the context ends.
+func (c *Client) sendCalls(ctx context.Context) {
+	backoff := newCallBackoff()
+	for c.awaitOperations(ctx) {
+		outcome := c.sendNextCall(ctx)
+		delay := backoff.next(outcome)
+		if delay == 0 {
+			continue
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(delay):
+		}
+	}
+}
+
+// awaitOperations waits until an operation is queued. It returns false when the context has ended.
+func (c *Client) awaitOperations(ctx context.Context) bool {
+	for c.queueEmpty() {
+		select {
+		case <-ctx.Done():
+			return false
+		case <-c.enqueued:
+		}
+	}
+	return ctx.Err() == nil
+}
+
+func (c *Client) queueEmpty() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.queue.empty()
+}
+
+// sendNextCall sends the next call and settles its operations.
+func (c *Client) sendNextCall(ctx context.Context) callOutcome {
+	c.mu.Lock()
+	text, operations := c.queue.next()
+	addr := c.addr
+	c.mu.Unlock()
+
+	began := time.Now()
+	accepted, callErr := c.call(ctx, addr, text, operations)
+	outcome := outcomeOf(callErr)
+
+	c.mu.Lock()
+	dropped, unconfirmed := c.queue.finish(outcome, accepted)
+	c.statistics.addCall(outcome, operations, accepted)
+	c.mu.Unlock()
+
+	if len(unconfirmed) > 0 {
+		c.options.OnUnconfirmed(Unconfirmed{Operations: unconfirmed})
+	}
+	for _, operation := range dropped {
+		c.sampledLog.Warn().Str("operation", operation.Text(c.options.Classes)).Msg("operation rejected by relay")
+	}
+	if callErr != nil {
+		c.sampledLog.Warn().Err(callErr).Int("operations", operations).Int("unconfirmed", len(unconfirmed)).
+			Dur("duration", time.Since(began)).Msg("call failed")
+	} else {
+		c.options.Log.Debug().Int("operations", operations).Int("accepted", accepted).
+			Dur("duration", time.Since(began)).Msg("call answered")
+	}
+	return outcome
+}
+
+func (s *Statistics) addCall(outcome callOutcome, operations, accepted int) {
+	s.Calls++
+	s.Operations += uint64(accepted)
+	switch {
+	case outcome == callUncertain:
+		s.Uncertain++
+	case outcome != callAnswered:
+		s.Rejected++
+	case accepted < operations:
+		s.Partial++
+	}
+}
+
+// call sends one call and returns how many of its operations the relay carried out; outcomeOf classifies the error. It
+// ignores the end of the context, since a call that is cancelled at shutdown would be uncertain.
+func (c *Client) call(ctx context.Context, addr, text string, operations int) (accepted int, err error) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
+	defer cancel()
+	form := url.Values{"Action": {"CommitChanges"}, "ops": {text}}
+	body := strings.NewReader(form.Encode())
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/api/", body)
+	if err != nil {
+		return 0, &notSentError{err: err}
+	}
+	request.Header.Set("Content-Type", "application/x-www-form-urlencoded")
+	response, err := c.callClient.Do(request)
+	if err != nil {
+		var network *net.OpError
+		if errors.As(err, &network) && network.Op == "dial" {
+			return 0, &notSentError{err: err}
+		}
+		return 0, err
+	}
+	defer func() { _ = response.Body.Close() }()
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerSize+1))
+	if err != nil {
+		return 0, fmt.Errorf("read answer: %w", err)
+	}
+	accepted, err = parseAnswer(answer, operations)
+	if outcomeOf(err) == callUncertain {
+		// The next answer is to come on a new connection where this one delivers what can't be read.
+		c.callClient.CloseIdleConnections()
+	}
+	return accepted, err
+}
--- /dev/null
+++ b/internal/transport/relay/stream_test.go
@@ -0,0 +1,140 @@
+package relay
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"cressknot/internal/fleet"
+)
+
+// expectSnapshot expects that a stream opens, with a gap to its predecessor, and shows the given number of proxies.
+func expectSnapshot(t *testing.T, events chan StreamEvent, stream uint64, proxies int) {
+	t.Helper()
+	want := []StreamEventKind{StreamOpened}
+	for range proxies {
+		want = append(want, ProxyEvent)
+	}
+	for _, kind := range append(want, SnapshotComplete) {
+		if e := next(t, events); e.Kind != kind || e.Stream != stream || e.Continuous {
+			t.Fatalf("%+v, want kind %v of stream %d", e, kind, stream)
+		}
+	}
+}
+
+// expectOpened expects that a stream opens.
+func expectOpened(t *testing.T, events chan StreamEvent, stream uint64, continuous bool) {
+	t.Helper()
+	e := next(t, events)
+	if e.Kind != StreamOpened || e.Stream != stream || e.Continuous != continuous {
+		t.Fatalf("%+v, want stream %d opened, continuous %v", e, stream, continuous)
+	}
+}
+
+func expectLeft(t *testing.T, events chan StreamEvent, stream uint64) {
+	t.Helper()
+	e := next(t, events)
+	if e.Kind != ProxyEvent || e.Stream != stream || e.Event != (fleet.ProxyLeft{Proxy: 1}) {
+		t.Fatalf("%+v, want the last event of stream %d", e, stream)
+	}
+}
+
+const leftText = "event: left\ndata: node=1\n\n"
+
+func TestStreamIsReopenedAfterABreakAndOverlapsAfterAMove(t *testing.T) {
+	old, moved := newFakeRelay(t), newFakeRelay(t)
+	client, events, _ := startClient(t, old)
+	first := old.openStream(t, 1)
+	expectSnapshot(t, events, 1, 1)
+	close(first)
+	second := old.openStream(t, 1)
+	expectSnapshot(t, events, 2, 1)
+	client.SetAddress(moved.addr())
+	third := next(t, moved.streams)
+	second <- leftText
+	expectLeft(t, events, 2)
+	expectOpened(t, events, 3, true)
+	third <- heartbeatText
+}
+
+// Events may be lost where the old stream ends during the overlap because of what can't be read, so that the new
+// stream is not continuous. A stream that is closed was read to its end.
+func TestNewStreamIsContinuousUnlessTheOldOneFails(t *testing.T) {
+	for name, test := range map[string]struct {
+		last       string
+		continuous bool
+	}{
+		"unreadable event": {last: "event: joined\ndata: node=999\n\n", continuous: false},
+		"close":            {last: closeStream, continuous: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			old, moved := newFakeRelay(t), newFakeRelay(t)
+			client, events, _ := startClient(t, old)
+			first := old.openStream(t, 1)
+			expectSnapshot(t, events, 1, 1)
+			client.SetAddress(moved.addr())
+			next(t, moved.streams)
+			awaitStreams(t, client, 2)
+			first <- test.last
+			expectOpened(t, events, 2, test.continuous)
+		})
+	}
+}
+
+// awaitStreams waits until the client has opened the given number of streams.
+func awaitStreams(t *testing.T, client *Client, count uint64) {
+	t.Helper()
+	deadline := time.Now().Add(20 * time.Second)
+	for client.Statistics().Streams < count {
+		if time.Now().After(deadline) {
+			t.Fatal("the new stream is not opened")
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// A snapshot that breaks off is not completed, and the next stream begins anew. Only a heartbeat completes a snapshot,
+// however long it takes.
+func TestSnapshotIsCompletedByAHeartbeatOnly(t *testing.T) {
+	relay := newFakeRelay(t)
+	_, events, _ := startClient(t, relay)
+	texts := next(t, relay.streams)
+	texts <- joinedText(1)
+	texts <- "event: joined\ndata: node=2&loc"
+	close(texts)
+	texts = next(t, relay.streams)
+	texts <- joinedText(1)
+	var got []string
+	for range 4 {
+		e := next(t, events)
+		got = append(got, fmt.Sprint(e.Stream, e.Kind))
+	}
+	if fmt.Sprint(got) != "[1 opened 1 event 2 opened 2 event]" {
+		t.Errorf("events %v", got)
+	}
+	select {
+	case e := <-events:
+		t.Errorf("%+v before a heartbeat", e)
+	case <-time.After(1200 * time.Millisecond): // longer than the relay's interval of a second
+	}
+	texts <- heartbeatText
+	if e := next(t, events); e.Kind != SnapshotComplete || e.Stream != 2 {
+		t.Errorf("%+v, want the complete snapshot of stream 2", e)
+	}
+}
+
+// The address changes again before the stream at the second one is active: that stream delivers nothing, and no
+// event of the first one is lost.
+func TestSecondMoveReplacesAStreamThatIsNotActive(t *testing.T) {
+	old, passed, last := newFakeRelay(t), newFakeRelay(t), newFakeRelay(t)
+	client, events, _ := startClient(t, old)
+	first := old.openStream(t)
+	expectSnapshot(t, events, 1, 0)
+	client.SetAddress(passed.addr())
+	next(t, passed.streams)
+	client.SetAddress(last.addr())
+	next(t, last.streams)
+	first <- leftText
+	expectLeft(t, events, 1)
+	expectOpened(t, events, 3, true)
+}
