--- /dev/null
+++ b/internal/ingest/collector/message.go
@@ -0,0 +1,139 @@
+package collector
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Kinds of messages.
+const (
+	kindPing     = "ping"
+	kindRegister = "collector"
+	kindOutcome  = "heard"
+	kindDemand   = "usage"
+)
+
+// maxFields of a message.
+const maxFields = 32
+
+// errBinaryData reports a message that isn't text. Nothing that follows it on the connection can be trusted.
+var errBinaryData = errors.New("binary data")
+
+// isBinary reports whether the data holds a byte that no text of the protocol does.
+func isBinary(data []byte) bool {
+	return slices.ContainsFunc(data, func(c byte) bool { return (c < ' ' || c > '~') && c != '\r' })
+}
+
+type field struct {
+	name  string
+	value string
+}
+
+// message is one line of the protocol: its kind, then fields of the form name=value.
+type message struct {
+	kind       string
+	fields     [maxFields]field // an array, so that reading a report allocates little
+	fieldCount int
+}
+
+// parseMessage parses a line without its end. It returns errBinaryData for a line that isn't text.
+func parseMessage(text string) (m message, err error) {
+	if isBinary([]byte(text)) {
+		return m, errBinaryData
+	}
+	for part := range strings.SplitSeq(text, " ") {
+		if part == "" {
+			continue
+		}
+		if m.kind == "" {
+			m.kind = part
+			continue
+		}
+		if err := m.addField(part); err != nil {
+			return m, err
+		}
+	}
+	return m, nil
+}
+
+func (m *message) addField(text string) error {
+	name, value, ok := strings.Cut(text, "=")
+	if !ok || name == "" {
+		return fmt.Errorf("%.40q is not name=value", text)
+	}
+	if m.fieldCount == maxFields {
+		return fmt.Errorf("more than %d fields", maxFields)
+	}
+	if _, repeated := m.value(name); repeated {
+		return fmt.Errorf("field %.40q is repeated", name)
+	}
+	m.fields[m.fieldCount] = field{name: name, value: value}
+	m.fieldCount++
+	return nil
+}
+
+func (m *message) value(name string) (value string, ok bool) {
+	for _, f := range m.fields[:m.fieldCount] {
+		if f.name == name {
+			return f.value, true
+		}
+	}
+	return "", false
+}
+
+// fieldReader reads typed fields of a message. It records the first error; after one, the values have no meaning.
+type fieldReader struct {
+	message *message
+	err     error
+}
+
+func (r *fieldReader) fail(format string, args ...any) {
+	if r.err == nil {
+		r.err = fmt.Errorf(format, args...)
+	}
+}
+
+// text reads a field that must not be empty.
+func (r *fieldReader) text(name string) string {
+	value, _ := r.message.value(name)
+	if value == "" {
+		r.fail("field %s is missing", name)
+	}
+	return value
+}
+
+// number reads a number from lowest to highest.
+func (r *fieldReader) number(name string, lowest, highest float64) float64 {
+	text, _ := r.message.value(name)
+	number, err := strconv.ParseFloat(text, 64)
+	inRange := number >= lowest && number <= highest // false for NaN
+	if err != nil || !inRange {
+		r.fail("field %s: %.40q is not a number from %g to %g", name, text, lowest, highest)
+		return 0
+	}
+	return number
+}
+
+// count reads a whole number from 0 to highest.
+func (r *fieldReader) count(name string, highest float64) uint32 {
+	number := r.number(name, 0, highest)
+	if number != math.Trunc(number) {
+		r.fail("field %s: %g is not a whole number", name, number)
+	}
+	return uint32(number)
+}
+
+// index reads one of the names and returns its index.
+func (r *fieldReader) index(field string, names []string) int {
+	name, _ := r.message.value(field)
+	index := slices.Index(names, name)
+	if index < 0 {
+		r.fail("field %s: %.40q is unknown", field, name)
+		return 0
+	}
+	return index
+}
