--- a/internal/ingest/collector/connection.go
+++ b/internal/ingest/collector/connection.go
@@ -184,11 +184,10 @@
 	if err == nil && m.kind != kindRegister {
 		err = fmt.Errorf("kind %.40q before the registration", m.kind)
 	}
-	fields := fieldReader{message: m}
 	zone := 0
 	if err == nil {
-		zone = fields.index("locality", c.server.options.Vocabulary.Zones)
-		err = fields.err
+		zone = m.index("locality", c.server.options.Vocabulary.Zones)
+		err = m.fieldErr
 	}
 	if err != nil {
 		c.reject(err)
--- a/internal/ingest/collector/message.go
+++ b/internal/ingest/collector/message.go
@@ -38,6 +38,7 @@
 	kind       string
 	fields     [maxFields]field // an array, so that reading a report allocates little
 	fieldCount int
+	fieldErr   error // the first error of reading a typed field
 }
 
 // parseMessage parses a line without its end. It returns errBinaryData for a line that isn't text.
@@ -85,54 +86,49 @@
 	return "", false
 }
 
-// fieldReader reads typed fields of a message. It records the first error; after one, the values have no meaning.
-type fieldReader struct {
-	message *message
-	err     error
-}
-
-func (r *fieldReader) fail(format string, args ...any) {
-	if r.err == nil {
-		r.err = fmt.Errorf(format, args...)
+// fail records the first error of reading a field. After one, the values that were read have no meaning.
+func (m *message) fail(format string, args ...any) {
+	if m.fieldErr == nil {
+		m.fieldErr = fmt.Errorf(format, args...)
 	}
 }
 
 // text reads a field that must not be empty.
-func (r *fieldReader) text(name string) string {
-	value, _ := r.message.value(name)
+func (m *message) text(name string) string {
+	value, _ := m.value(name)
 	if value == "" {
-		r.fail("field %s is missing", name)
+		m.fail("field %s is missing", name)
 	}
 	return value
 }
 
 // number reads a number from lowest to highest.
-func (r *fieldReader) number(name string, lowest, highest float64) float64 {
-	text, _ := r.message.value(name)
+func (m *message) number(name string, lowest, highest float64) float64 {
+	text, _ := m.value(name)
 	number, err := strconv.ParseFloat(text, 64)
 	inRange := number >= lowest && number <= highest // false for NaN
 	if err != nil || !inRange {
-		r.fail("field %s: %.40q is not a number from %g to %g", name, text, lowest, highest)
+		m.fail("field %s: %.40q is not a number from %g to %g", name, text, lowest, highest)
 		return 0
 	}
 	return number
 }
 
 // count reads a whole number from 0 to highest.
-func (r *fieldReader) count(name string, highest float64) uint32 {
-	number := r.number(name, 0, highest)
+func (m *message) count(name string, highest float64) uint32 {
+	number := m.number(name, 0, highest)
 	if number != math.Trunc(number) {
-		r.fail("field %s: %g is not a whole number", name, number)
+		m.fail("field %s: %g is not a whole number", name, number)
 	}
 	return uint32(number)
 }
 
 // index reads one of the names and returns its index.
-func (r *fieldReader) index(field string, names []string) int {
-	name, _ := r.message.value(field)
+func (m *message) index(field string, names []string) int {
+	name, _ := m.value(field)
 	index := slices.Index(names, name)
 	if index < 0 {
-		r.fail("field %s: %.40q is unknown", field, name)
+		m.fail("field %s: %.40q is unknown", field, name)
 		return 0
 	}
 	return index
--- a/internal/ingest/collector/report.go
+++ b/internal/ingest/collector/report.go
@@ -59,60 +59,59 @@
 
 // parseReport reads an outcome or demand report.
 func (v *Vocabulary) parseReport(m *message) (Report, error) {
-	fields := fieldReader{message: m}
 	var report Report
 	switch m.kind {
 	case kindOutcome:
-		report.Server = fields.text("endpoint")
-		report.Outcome = v.readOutcome(&fields)
+		report.Server = m.text("endpoint")
+		report.Outcome = v.readOutcome(m)
 	case kindDemand:
 		report.IsDemand = true
-		report.Demand = v.readDemand(&fields)
+		report.Demand = v.readDemand(m)
 	default:
-		fields.fail("kind %.40q is unknown", m.kind)
+		m.fail("kind %.40q is unknown", m.kind)
 	}
-	return report, fields.err
+	return report, m.fieldErr
 }
 
-func (v *Vocabulary) readOutcome(fields *fieldReader) fleet.OutcomeReport {
+func (v *Vocabulary) readOutcome(m *message) fleet.OutcomeReport {
 	outcome := fleet.OutcomeReport{
-		Attempts: fields.count("total", maxReportedCount),
-		Failures: fields.count("errors", maxReportedCount),
-		Interval: readInterval(fields),
-		Zone:     fleet.ZoneID(fields.index("locality", v.Zones)),
+		Attempts: m.count("total", maxReportedCount),
+		Failures: m.count("errors", maxReportedCount),
+		Interval: readInterval(m),
+		Zone:     fleet.ZoneID(m.index("locality", v.Zones)),
 	}
 	if outcome.Failures > outcome.Attempts {
-		fields.fail("field errors: %d of %d attempts", outcome.Failures, outcome.Attempts)
+		m.fail("field errors: %d of %d attempts", outcome.Failures, outcome.Attempts)
 	}
-	_, hasLatency := fields.message.value("rtt")
+	_, hasLatency := m.value("rtt")
 	if hasLatency || outcome.Failures < outcome.Attempts {
-		outcome.Latency = fleet.Milliseconds(fields.number("rtt", 0, maxReportedLatency))
+		outcome.Latency = fleet.Milliseconds(m.number("rtt", 0, maxReportedLatency))
 	}
-	if load, _ := fields.message.value("metrics"); load != "" {
-		outcome.Load = v.readLoad(fields, load)
+	if load, _ := m.value("metrics"); load != "" {
+		outcome.Load = v.readLoad(m, load)
 	}
 	return outcome
 }
 
 // readDemand reads a demand report. Its unanswered requests may be more than its requests, as some came in an earlier
 // interval.
-func (v *Vocabulary) readDemand(fields *fieldReader) fleet.DemandReport {
+func (v *Vocabulary) readDemand(m *message) fleet.DemandReport {
 	return fleet.DemandReport{
-		Requests:   fields.count("total", maxReportedCount),
-		Unanswered: fields.count("errors", maxReportedCount),
-		Interval:   readInterval(fields),
-		Proxy:      fleet.ProxyID(fields.count("node", float64(v.ProxyCount-1))),
-		Class:      fleet.ClassID(fields.index("route", v.Classes)),
+		Requests:   m.count("total", maxReportedCount),
+		Unanswered: m.count("errors", maxReportedCount),
+		Interval:   readInterval(m),
+		Proxy:      fleet.ProxyID(m.count("node", float64(v.ProxyCount-1))),
+		Class:      fleet.ClassID(m.index("route", v.Classes)),
 	}
 }
 
-func readInterval(fields *fieldReader) fleet.Time {
-	return fleet.Milliseconds(fields.number("interval", math.SmallestNonzeroFloat64, maxReportedInterval))
+func readInterval(m *message) fleet.Time {
+	return fleet.Milliseconds(m.number("interval", math.SmallestNonzeroFloat64, maxReportedInterval))
 }
 
 // readLoad reads load figures into the order of LoadFields, with missingLoad where there is none. Figures that
 // LoadFields doesn't name are checked and dropped.
-func (v *Vocabulary) readLoad(fields *fieldReader, text string) []float32 {
+func (v *Vocabulary) readLoad(m *message, text string) []float32 {
 	load := make([]float32, len(v.LoadFields))
 	for i := range load {
 		load[i] = missingLoad
@@ -127,7 +126,7 @@
 		}
 		inRange := figure >= 0 && figure <= highest // false for NaN
 		if err != nil || !inRange {
-			fields.fail("field metrics: %.40q is out of range", part)
+			m.fail("field metrics: %.40q is out of range", part)
 			return nil
 		}
 		if i := slices.Index(v.LoadFields, loadField); known && i >= 0 {
