--- a/internal/discovery/cache_test.go
+++ b/internal/discovery/cache_test.go
@@ -13,88 +13,138 @@
 	"cressknot/internal/fleet"
 )
 
-func kept(rev uint64, n int) EndpointList {
-	d := EndpointList{Revision: rev}
+// listOf returns a list of n endpoints.
+func listOf(revision uint64, n int) EndpointList {
+	list := EndpointList{Revision: revision}
 	for i := range n {
-		d.Endpoints = append(d.Endpoints, Endpoint{Name: fmt.Sprint("s", i), Addr: fmt.Sprint("127.0.0.1:", 8000+i), Zone: "a", Started: time.Unix(int64(i), 0).UTC()})
+		list.Endpoints = append(list.Endpoints, Endpoint{
+			Name:    fmt.Sprint("s", i),
+			Addr:    fmt.Sprint("127.0.0.1:", 8000+i),
+			Zone:    "a",
+			Started: time.Unix(int64(i), 0).UTC(),
+		})
 	}
-	return d
+	return list
 }
 
-// TestCacheCutAndFlipped cuts a cache at every byte and flips every one: what is read then is entries that stood in it, each loss is
-// told with file and line, and the generation before is there whole.
-func TestCacheCutAndFlipped(t *testing.T) {
+func byName(endpoints []Endpoint) map[string]Endpoint {
+	entries := make(map[string]Endpoint, len(endpoints))
+	for _, endpoint := range endpoints {
+		entries[endpoint.Name] = endpoint
+	}
+	return entries
+}
+
+func writeFile(t *testing.T, path string, text []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// damagedCache checks what is read of a cache of two generations whose newer file is damaged.
+type damagedCache struct {
+	path       string
+	intact     []byte // the newer file as it was written
+	headerSize int
+	want       map[string]Endpoint // of the newer generation
+	cases      int
+	lost       int // cases in which entries were lost
+}
+
+func newDamagedCache(t *testing.T) *damagedCache {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "list")
-	if err := WriteCache(path, kept(1, 6), 5*fleet.Second); err != nil {
+	if err := WriteCache(path, listOf(1, 6), 5*fleet.Second); err != nil {
 		t.Fatal(err)
 	}
-	for range 3 { // confirmed again and again: the one before stays
-		if err := WriteCache(path, kept(2, 5), 9*fleet.Second); err != nil {
+	for range 3 { // confirmed repeatedly: the previous generation stays
+		if err := WriteCache(path, listOf(2, 5), 9*fleet.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := map[string]Endpoint{}
-	for _, s := range kept(2, 5).Endpoints {
-		want[s.Name] = s
+	return &damagedCache{
+		path:       path,
+		intact:     intact,
+		headerSize: bytes.IndexByte(intact, '\n') + 1,
+		want:       byName(listOf(2, 5).Endpoints),
 	}
-	head := bytes.IndexByte(whole, '\n') + 1
-	cases, lost := 0, 0
-	look := func(text []byte, at int) {
-		cases++
-		if err := os.WriteFile(path, text, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		got, wrong := ReadCache(path)
-		before := got[len(got)-1]
-		if before.Revision != 1 || !before.Complete || len(before.Entries) != 6 || before.ConfirmedAt != 5*fleet.Second {
-			t.Fatalf("byte %d: the generation before: %+v", at, before)
-		}
-		for _, err := range wrong {
-			if !strings.Contains(err.Error(), path+":") {
-				t.Fatalf("byte %d: %v names no line", at, err)
-			}
-		}
-		if len(got) == 1 {
-			if at >= head {
-				t.Fatalf("byte %d is none of the head, and the list is lost: %v", at, wrong)
-			}
-			return
-		}
-		for name, s := range got[0].Entries {
-			if want[name] != s {
-				t.Fatalf("byte %d: %+v", at, s)
-			}
+}
+
+// check reads the cache with the text, which is damaged at a byte, in place of its newer file.
+func (d *damagedCache) check(t *testing.T, text []byte, at int) {
+	t.Helper()
+	d.cases++
+	writeFile(t, d.path, text)
+	generations, errs := ReadCache(d.path)
+	for _, err := range errs {
+		if !strings.Contains(err.Error(), d.path+":") {
+			t.Fatalf("byte %d: %v names no line", at, err)
 		}
-		if n := len(got[0].Entries); n < 5 {
-			lost++
-			if got[0].Complete || at >= head && n < 3 && // a flipped end of a line takes two
-				len(text) == len(whole) {
-				t.Fatalf("byte %d: %d entries are left, whole %v", at, n, got[0].Complete)
-			}
+	}
+	previous := generations[len(generations)-1]
+	if previous.Revision != 1 || !previous.Complete || len(previous.Entries) != 6 ||
+		previous.ConfirmedAt != 5*fleet.Second {
+		t.Fatalf("byte %d: previous generation %+v", at, previous)
+	}
+	if len(generations) == 1 {
+		if at >= d.headerSize {
+			t.Fatalf("byte %d is not in the header, and the list is lost: %v", at, errs)
 		}
-		if c, ok := verification.Choose(10*fleet.Second, got); !ok || len(c.Entries) < 5 {
-			t.Fatalf("byte %d: starts from %+v", at, c)
+		return
+	}
+	d.checkNewer(t, generations[0], len(text), at)
+	chosen, ok := verification.Choose(10*fleet.Second, generations)
+	if !ok || len(chosen.Entries) < 5 {
+		t.Fatalf("byte %d: starts from %+v", at, chosen)
+	}
+}
+
+func (d *damagedCache) checkNewer(t *testing.T, newer verification.Generation[Endpoint], size, at int) {
+	t.Helper()
+	for name, endpoint := range newer.Entries {
+		if d.want[name] != endpoint {
+			t.Fatalf("byte %d: %+v", at, endpoint)
 		}
 	}
-	for at := range whole {
-		look(whole[:at], at)
-		flipped := bytes.Clone(whole)
-		flipped[at] ^= 1 << (at % 7)
-		look(flipped, at)
+	count := len(newer.Entries)
+	if count == len(d.want) {
+		return
 	}
-	if lost < len(whole)/2 {
-		t.Errorf("%d of %d cases lost an entry", lost, cases)
+	d.lost++
+	const maxLost = 2 // by a changed end of line
+	cut := size < len(d.intact)
+	if newer.Complete || !cut && at >= d.headerSize && count < len(d.want)-maxLost {
+		t.Fatalf("byte %d: %d entries remain, complete %v", at, count, newer.Complete)
 	}
-	look(whole, head)
-	// A list as earlier versions kept it.
-	if err := os.WriteFile(path, []byte(`{"rev": 3, "servers": [{"name": "a", "addr": "x:1"}]}`), 0o600); err != nil {
-		t.Fatal(err)
+}
+
+// A cache is cut at every byte, and every byte is changed: what is read are entries that were written, each loss is
+// reported with file and line, and the previous generation is complete.
+func TestReadCacheOfDamagedFiles(t *testing.T) {
+	cache := newDamagedCache(t)
+	for at := range cache.intact {
+		cache.check(t, cache.intact[:at], at)
+		changed := bytes.Clone(cache.intact)
+		changed[at] ^= 1 << (at % 7)
+		cache.check(t, changed, at)
+	}
+	if cache.lost < len(cache.intact)/2 {
+		t.Errorf("%d of %d cases lost an entry", cache.lost, cache.cases)
 	}
-	if got, wrong := ReadCache(path); len(wrong) > 0 || got[0].Revision != 3 || len(got[0].Entries) != 1 {
-		t.Errorf("%+v, %v", got, wrong)
+	cache.check(t, cache.intact, cache.headerSize)
+}
+
+// Earlier versions stored a list without checksums.
+func TestReadCacheOfAPlainList(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "list")
+	writeFile(t, path, []byte(`{"rev": 3, "servers": [{"name": "a", "addr": "x:1"}]}`))
+	generations, errs := ReadCache(path)
+	if len(errs) > 0 || generations[0].Revision != 3 || len(generations[0].Entries) != 1 {
+		t.Errorf("%+v, %v", generations, errs)
 	}
 }
--- /dev/null
+++ b/internal/discovery/filesource_test.go
@@ -0,0 +1,48 @@
+package discovery
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"cressknot/internal/fleet"
+)
+
+// replaceListFile replaces the file by a list of one endpoint.
+func replaceListFile(t *testing.T, path string, revision uint64) {
+	t.Helper()
+	text, err := json.Marshal(EndpointList{Revision: revision, Endpoints: []Endpoint{{Name: "a", Addr: "x:1"}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path+".new", text, 0o644); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(path+".new", path); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestFileSourceDeliversChangesAndFailures(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "servers.json")
+	replaceListFile(t, path, 1)
+	updates := start(t, &FileSource{Path: path})
+	if update := next(t, updates); update.List.Revision != 1 || update.Scope != fleet.ListFull {
+		t.Fatalf("%+v", update)
+	}
+	replaceListFile(t, path, 2)
+	for next(t, updates).List.Revision != 2 {
+	}
+	if err := os.WriteFile(path, []byte(`{"rev": 3, "serv`), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	update := next(t, updates)
+	for update.Err == nil {
+		update = next(t, updates)
+	}
+	if update.Scope != fleet.ListFailed || !strings.Contains(update.Err.Error(), "servers.json") {
+		t.Errorf("%+v", update)
+	}
+}
--- /dev/null
+++ b/internal/discovery/platformclient.go
@@ -0,0 +1,168 @@
+package discovery
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+)
+
+// platformPath is the path of the list; watchQuery with a revision turns the request into a watch.
+const (
+	platformPath = "/v1/endpoints"
+	watchQuery   = "?watch=1&after=%d"
+)
+
+// initialLineSize is the size of a watch's buffer at first, in bytes; it grows to maxPlatformListSize.
+const initialLineSize = 4 << 10
+
+// Causes of the end of a watch.
+var (
+	errWatchSilent = errors.New("no heartbeat")
+	errLineTimeout = errors.New("no line ended")
+)
+
+// openWatch starts a watch at the current address.
+func (p *PlatformSource) openWatch(ctx context.Context, unanswered bool) *platformWatch {
+	ctx, cancel := context.WithCancel(ctx)
+	watch := &platformWatch{cancel: cancel, unanswered: unanswered}
+	addr := p.currentAddr
+	url := "http://" + addr + platformPath + fmt.Sprintf(watchQuery, p.Revision)
+	p.workers.Go(func() {
+		err := p.readWatch(ctx, url, func(list *EndpointList) {
+			p.send(ctx, watchMessage{watch: watch, list: list})
+		})
+		p.send(ctx, watchMessage{watch: watch, err: fmt.Errorf("list: watch at %s: %w", addr, err)})
+	})
+	return watch
+}
+
+// openFetch starts a fetch at the current address.
+func (p *PlatformSource) openFetch(ctx context.Context) {
+	addr := p.currentAddr
+	knownRevision := p.Revision
+	p.workers.Go(func() {
+		list, err := p.fetch(ctx, "http://"+addr+platformPath)
+		if err != nil {
+			err = fmt.Errorf("list: %s: %w", addr, err)
+		}
+		p.send(ctx, fetchMessage{list: list, knownRevision: knownRevision, err: err})
+	})
+}
+
+// send hands a message to run, unless the context ends first.
+func (p *PlatformSource) send(ctx context.Context, message platformMessage) {
+	select {
+	case p.messages <- message:
+	case <-ctx.Done():
+	}
+}
+
+func (p *PlatformSource) fetch(ctx context.Context, url string) (*EndpointList, error) {
+	ctx, cancel := context.WithTimeout(ctx, platformHeaderTimeout+platformHeartbeatTimeout)
+	defer cancel()
+	body, err := p.get(ctx, url)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = body.Close() }()
+	text, err := readAll(body, maxPlatformListSize)
+	if err != nil {
+		return nil, err
+	}
+	return p.Decode(text)
+}
+
+// get returns the body of an answer with status 200.
+func (p *PlatformSource) get(ctx context.Context, url string) (io.ReadCloser, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return nil, err
+	}
+	response, err := p.client.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	if response.StatusCode != http.StatusOK {
+		_ = response.Body.Close()
+		return nil, &statusError{status: response.Status}
+	}
+	return response.Body, nil
+}
+
+// readWatch reads a watch until it ends, sends no heartbeat or can't be read, and never returns nil. It calls
+// receive for each list, and with nil for each heartbeat.
+func (p *PlatformSource) readWatch(ctx context.Context, url string, receive func(*EndpointList)) error {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	body, err := p.get(ctx, url)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = body.Close() }()
+	heartbeat := time.AfterFunc(platformHeartbeatTimeout, func() {
+		cancel(fmt.Errorf("%w within %v", errWatchSilent, platformHeartbeatTimeout))
+	})
+	defer heartbeat.Stop()
+	line := time.AfterFunc(p.lineTimeout, func() {
+		cancel(fmt.Errorf("%w within %v", errLineTimeout, p.lineTimeout))
+	})
+	defer line.Stop()
+
+	lines := bufio.NewScanner(&watchdogReader{reader: body, watchdog: heartbeat, timeout: platformHeartbeatTimeout})
+	lines.Buffer(make([]byte, 0, initialLineSize), maxPlatformListSize)
+	lines.Split(splitCompleteLines)
+	for lines.Scan() {
+		line.Reset(p.lineTimeout)
+		list, err := p.decodeLine(lines.Bytes())
+		if err != nil {
+			return err
+		}
+		receive(list)
+	}
+	if cause := context.Cause(ctx); cause != nil {
+		return cause
+	}
+	if err := lines.Err(); err != nil {
+		return err
+	}
+	return io.ErrUnexpectedEOF
+}
+
+// decodeLine reads one line of a watch. It returns nil for an empty line, which is a heartbeat.
+func (p *PlatformSource) decodeLine(line []byte) (*EndpointList, error) {
+	text := bytes.TrimSpace(line)
+	if len(text) == 0 {
+		return nil, nil
+	}
+	return p.Decode(text)
+}
+
+// watchdogReader resets a watchdog after each read.
+type watchdogReader struct {
+	reader   io.Reader
+	watchdog *time.Timer
+	timeout  time.Duration
+}
+
+// Read reads from the underlying reader.
+func (r *watchdogReader) Read(buffer []byte) (int, error) {
+	n, err := r.reader.Read(buffer)
+	r.watchdog.Reset(r.timeout)
+	return n, err
+}
+
+// splitCompleteLines is a bufio.SplitFunc for lines with an end. A line that was cut short by a break is an error.
+func splitCompleteLines(data []byte, atEOF bool) (advance int, token []byte, err error) {
+	if end := bytes.IndexByte(data, '\n'); end >= 0 {
+		return end + 1, data[:end], nil
+	}
+	if atEOF && len(data) > 0 {
+		return 0, nil, io.ErrUnexpectedEOF
+	}
+	return 0, nil, nil
+}
--- /dev/null
+++ b/internal/discovery/platformdecode.go
@@ -0,0 +1,117 @@
+package discovery
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"time"
+
+	"cressknot/internal/simwire"
+)
+
+const (
+	nanosecondsPerMillisecond = 1e6
+
+	// maxStartTime, in ms since 1970, is half of what a time in nanoseconds can hold.
+	maxStartTime = math.MaxInt64 / (2 * nanosecondsPerMillisecond)
+)
+
+var (
+	errMissingRevision = errors.New("key rev is missing")
+	errMissingAll      = errors.New("key all is missing")
+	errTargetName      = errors.New("uid or endpoint is empty or too long")
+)
+
+// platformStates maps the states of the platform to those of an Endpoint.
+var platformStates = map[string]string{
+	"in_service":  stateReady,
+	"terminating": stateDraining,
+	"terminated":  stateGone,
+}
+
+// platformList is a list as the platform writes it.
+type platformList struct {
+	Revision *uint64          `json:"rev"`
+	Complete *bool            `json:"all"`
+	Targets  []platformTarget `json:"targets"`
+}
+
+// platformTarget is one server as the platform writes it.
+type platformTarget struct {
+	UID          string  `json:"uid"`
+	Endpoint     string  `json:"endpoint"`
+	Zone         string  `json:"az"`
+	Model        string  `json:"model"`
+	PodGroup     uint16  `json:"pod_group"`
+	State        string  `json:"state"`
+	CapacityHint float64 `json:"capacity_hint"`
+	StartTime    float64 `json:"boot_ms"` // ms since 1970; 0: long ago
+}
+
+// Decode reads one list of the platform. Errors state the byte, the key or the entry.
+func (p *PlatformSource) Decode(text []byte) (*EndpointList, error) {
+	var source platformList
+	if err := json.Unmarshal(text, &source); err != nil {
+		return nil, simwire.JSONFault(err)
+	}
+	switch {
+	case source.Revision == nil:
+		return nil, errMissingRevision
+	case source.Complete == nil:
+		return nil, errMissingAll
+	case len(source.Targets) > maxEndpoints:
+		return nil, fmt.Errorf("key targets: %d servers, %d are the most", len(source.Targets), maxEndpoints)
+	}
+	list := &EndpointList{Revision: *source.Revision, Delta: !*source.Complete}
+	names := make(map[string]bool, len(source.Targets))
+	for i, target := range source.Targets {
+		if err := p.validateTarget(target, names); err != nil {
+			return nil, fmt.Errorf("targets[%d]: %w", i, err)
+		}
+		names[target.UID] = true
+		list.Endpoints = append(list.Endpoints, target.toEndpoint())
+	}
+	return list, nil
+}
+
+// validateTarget returns what is wrong with a target, given the names of those before it.
+func (p *PlatformSource) validateTarget(target platformTarget, names map[string]bool) error {
+	if target.UID == "" || len(target.UID) > maxPlatformNameSize || len(target.Endpoint) > maxPlatformNameSize {
+		return errTargetName
+	}
+	state, known := platformStates[target.State]
+	inRange := target.StartTime >= 0 && target.StartTime < maxStartTime // false for NaN
+	switch {
+	case names[target.UID]:
+		return fmt.Errorf("uid %q stands twice", target.UID)
+	case !known:
+		return fmt.Errorf("state %.40q is unknown", target.State)
+	case state != stateGone && !slices.Contains(p.Zones, target.Zone):
+		return fmt.Errorf("az %.40q is unknown", target.Zone)
+	case state != stateGone && !slices.Contains(p.Kinds, target.Model):
+		return fmt.Errorf("model %.40q is unknown", target.Model)
+	case !inRange:
+		return fmt.Errorf("boot_ms %g is out of range", target.StartTime)
+	case !(target.CapacityHint >= 0):
+		return fmt.Errorf("capacity_hint %g is out of range", target.CapacityHint)
+	}
+	return nil
+}
+
+func (t *platformTarget) toEndpoint() Endpoint {
+	endpoint := Endpoint{
+		Name:   t.UID,
+		Addr:   t.Endpoint,
+		Zone:   t.Zone,
+		Kind:   t.Model,
+		Cell:   t.PodGroup,
+		State:  platformStates[t.State],
+		Weight: t.CapacityHint,
+	}
+	if t.StartTime > 0 {
+		endpoint.Started = time.Unix(0, int64(math.Round(t.StartTime*nanosecondsPerMillisecond)))
+	}
+	return endpoint
+}
--- a/internal/discovery/storeddata_test.go
+++ b/internal/discovery/storeddata_test.go
@@ -11,22 +11,25 @@
 	"cressknot/internal/fleet"
 )
 
-var writeFixtures = flag.Bool("write-fixtures", false, "write the stored data in testdata anew")
+var writeFixtures = flag.Bool("write-fixtures", false, "rewrite the stored data in testdata")
 
 const storedCache = "testdata/cache"
 
-func storedDocuments() (before, now EndpointList) {
-	before, now = kept(6, 5), kept(7, 4)
-	now.Endpoints[1].State, now.Endpoints[2].Kind, now.Endpoints[2].Cell, now.Endpoints[3].Weight = "draining", "m2", 9, 0.5
+func storedLists() (before, now EndpointList) {
+	before, now = listOf(6, 5), listOf(7, 4)
+	now.Endpoints[1].State = "draining"
+	now.Endpoints[2].Kind = "m2"
+	now.Endpoints[2].Cell = 9
+	now.Endpoints[3].Weight = 0.5
 	return before, now
 }
 
-// TestCacheOfAnEarlierProgramIsRead reads a cache and its generation before, and writes both again to the same bytes.
+// TestCacheOfAnEarlierProgramIsRead reads a cache and its previous generation, and writes both again to the same bytes.
 func TestCacheOfAnEarlierProgramIsRead(t *testing.T) {
-	before, now := storedDocuments()
+	before, now := storedLists()
 	path := filepath.Join(t.TempDir(), "cache")
-	for i, d := range []EndpointList{before, now} {
-		if err := WriteCache(path, d, fleet.Time(i+4)*fleet.Second); err != nil {
+	for i, list := range []EndpointList{before, now} {
+		if err := WriteCache(path, list, fleet.Time(i+4)*fleet.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -44,18 +47,16 @@
 			t.Errorf("%q is written as\n%s (%v), not\n%s", suffix, got, err, want)
 		}
 	}
-	got, wrong := ReadCache(storedCache)
-	if len(wrong) > 0 || len(got) != 2 {
-		t.Fatalf("%v, %d generations", wrong, len(got))
+	generations, errs := ReadCache(storedCache)
+	if len(errs) > 0 || len(generations) != 2 {
+		t.Fatalf("%v, %d generations", errs, len(generations))
 	}
-	for i, d := range []EndpointList{now, before} {
-		want := map[string]Endpoint{}
-		for _, s := range d.Endpoints {
-			want[s.Name] = s
-		}
-		g := got[i]
-		if g.Revision != d.Revision || g.ConfirmedAt != fleet.Time(5-i)*fleet.Second || g.DeclaredSize != len(d.Endpoints) || !g.Complete || !reflect.DeepEqual(g.Entries, want) {
-			t.Errorf("generation %d: %+v", i, g)
+	for i, list := range []EndpointList{now, before} {
+		got := generations[i]
+		if got.Revision != list.Revision || got.ConfirmedAt != fleet.Time(5-i)*fleet.Second ||
+			got.DeclaredSize != len(list.Endpoints) || !got.Complete ||
+			!reflect.DeepEqual(got.Entries, byName(list.Endpoints)) {
+			t.Errorf("generation %d: %+v", i, got)
 		}
 	}
 }
--- a/internal/discovery/transcript_test.go
+++ b/internal/discovery/transcript_test.go
@@ -1,7 +1,6 @@
 package discovery
 
 import (
-	"context"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -12,40 +11,51 @@
 	"cressknot/internal/fleet"
 )
 
-// TestRequestsToDiscoveryKeepTheirBytes holds the requests for a watch and a whole list, and what an object becomes.
+// TestRequestsToDiscoveryKeepTheirBytes checks the requests for a watch and a complete list, and what a list becomes.
 func TestRequestsToDiscoveryKeepTheirBytes(t *testing.T) {
 	requests := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requests <- fmt.Sprintf("%s %s %s", r.Method, r.RequestURI, r.Proto)
-		fmt.Fprintln(w, `{"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"10.1.0.18:7070","az":"b","model":"m2","pod_group":3,`+
-			`"state":"terminating","capacity_hint":1.5,"boot_ms":1700000000123}]}`)
+		_, _ = fmt.Fprintln(w, `{"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"10.1.0.18:7070","az":"b",`+
+			`"model":"m2","pod_group":3,"state":"terminating","capacity_hint":1.5,"boot_ms":1700000000123}]}`)
 		w.(http.Flusher).Flush()
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 		}
 	}))
-	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	p := &PlatformSource{Addr: s.Listener.Addr().String(), Revision: 40, Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
-	updates := make(chan Update, 10)
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	if err := p.Start(ctx, func(u Update) { updates <- u }); err != nil {
-		t.Fatal(err)
+	t.Cleanup(func() {
+		s.CloseClientConnections()
+		s.Close()
+	})
+	source := &PlatformSource{
+		Addr:     s.Listener.Addr().String(),
+		Revision: 40,
+		Zones:    []string{"a", "b"},
+		Kinds:    []string{"m1", "m2"},
 	}
-	want := Update{Scope: fleet.ListFull, List: EndpointList{Revision: 41, Endpoints: []Endpoint{{Name: "s-1", Addr: "10.1.0.18:7070", Zone: "b", Kind: "m2", Cell: 3,
-		State: "draining", Started: time.Unix(1_700_000_000, 123_000_064), Weight: 1.5}}}}
-	p.Watch(true)
-	if got := hear(t, requests); got != "GET /v1/endpoints?watch=1&after=40 HTTP/1.1" {
-		t.Errorf("a watch is asked for by %q", got)
+	updates := start(t, source)
+	want := Update{Scope: fleet.ListFull, List: EndpointList{Revision: 41, Endpoints: []Endpoint{{
+		Name:    "s-1",
+		Addr:    "10.1.0.18:7070",
+		Zone:    "b",
+		Kind:    "m2",
+		Cell:    3,
+		State:   "draining",
+		Started: time.Unix(1_700_000_000, 123_000_064),
+		Weight:  1.5,
+	}}}}
+	source.Watch(true)
+	if got := next(t, requests); got != "GET /v1/endpoints?watch=1&after=40 HTTP/1.1" {
+		t.Errorf("a watch is requested by %q", got)
 	}
-	if got := hear(t, updates); !reflect.DeepEqual(got, want) {
-		t.Errorf("heard %+v, want %+v", got, want)
+	if got := next(t, updates); !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
 	}
-	p.Fetch()
-	if got := hear(t, requests); got != "GET /v1/endpoints HTTP/1.1" {
-		t.Errorf("a whole list is asked for by %q", got)
+	source.Fetch()
+	if got := next(t, requests); got != "GET /v1/endpoints HTTP/1.1" {
+		t.Errorf("a complete list is requested by %q", got)
 	}
-	if got := hear(t, updates); !reflect.DeepEqual(got, want) {
-		t.Errorf("heard %+v, want %+v", got, want)
+	if got := next(t, updates); !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
