--- a/internal/discovery/filesource.go
+++ b/internal/discovery/filesource.go
@@ -11,10 +11,12 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fsnotify/fsnotify"
 
-	"cressknot/internal/discovery/verification"
 	"cressknot/internal/fleet"
 )
 
+// resyncInterval is the time between two reads of a file whose directory reports nothing: some file systems never do.
+const resyncInterval = 20 * time.Second
+
 // FileSource watches a list in a file. It reads the file when the file's directory reports a change, and resyncs
 // now and then, as some file systems report nothing.
 type FileSource struct {
@@ -46,7 +48,7 @@
 
 func (f *FileSource) run(ctx context.Context, watcher *fsnotify.Watcher) {
 	defer func() { _ = watcher.Close() }()
-	resync := time.NewTicker(time.Duration(verification.LookAgain))
+	resync := time.NewTicker(resyncInterval)
 	defer resync.Stop()
 	f.readWatched()
 	for {
--- /dev/null
+++ b/internal/discovery/verification/generation_test.go
@@ -0,0 +1,125 @@
+package verification
+
+import (
+	"strings"
+	"testing"
+
+	"cressknot/internal/fleet"
+)
+
+// generation returns a stored list whose entries hold the name of its source.
+func generation(source string, confirmedAt fleet.Time, revision uint64, size int, names ...string) Generation[string] {
+	g := Generation[string]{
+		Source:       source,
+		ConfirmedAt:  confirmedAt,
+		Revision:     revision,
+		DeclaredSize: size,
+		Complete:     size == len(names),
+		Entries:      map[string]string{},
+	}
+	for _, name := range names {
+		g.Entries[name] = source
+	}
+	return g
+}
+
+// The list that was confirmed last is chosen. Lost entries are taken from the one before it; empty lists and those from
+// the future come last.
+func TestChoose(t *testing.T) {
+	const now = 100_000 * second
+	for name, test := range map[string]struct {
+		generations []Generation[string]
+		source      string
+		entries     int
+		unverified  string
+		notice      string
+	}{
+		"nothing": {},
+		"empty": {
+			generations: []Generation[string]{generation("a", now, 4, 0)},
+			notice:      "no entry",
+		},
+		"empty and an older one": {
+			generations: []Generation[string]{generation("a", now, 4, 0), generation("b", now-second, 3, 1, "x")},
+			source:      "b",
+			entries:     1,
+			notice:      "no entry",
+		},
+		"newest": {
+			generations: []Generation[string]{
+				generation("a", now-9*second, 4, 1, "x"), generation("b", now-second, 3, 1, "y")},
+			source:  "b",
+			entries: 1,
+		},
+		"confirmed at the same time, higher revision": {
+			generations: []Generation[string]{generation("a", now, 3, 1, "x"), generation("b", now, 4, 1, "y")},
+			source:      "b",
+			entries:     1,
+		},
+		"last entry damaged": {
+			generations: []Generation[string]{
+				generation("a", now, 4, 3, "x", "y"), generation("b", now-second, 3, 2, "x", "z")},
+			source:     "a",
+			entries:    3,
+			unverified: "z",
+			notice:     "1 of 3 entries",
+		},
+		"damaged without another one": {
+			generations: []Generation[string]{generation("a", now, 4, 3, "x", "y")},
+			source:      "a",
+			entries:     2,
+			notice:      "1 of 3 entries",
+		},
+		"from the future": {
+			generations: []Generation[string]{
+				generation("a", now+hour, 9, 1, "x"), generation("b", now-second, 3, 1, "y")},
+			source:  "b",
+			entries: 1,
+		},
+		"only from the future": {
+			generations: []Generation[string]{generation("a", now+hour, 9, 1, "x")},
+			source:      "a",
+			entries:     1,
+			notice:      "from the future",
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got, ok := Choose(now, test.generations)
+			if ok != (test.source != "") || got.Source != test.source || len(got.Entries) != test.entries {
+				t.Errorf("%v, %+v", ok, got)
+			}
+			if len(got.Unverified) != min(1, len(test.unverified)) ||
+				test.unverified != "" && !got.Unverified[test.unverified] {
+				t.Errorf("unverified %v, want %q", got.Unverified, test.unverified)
+			}
+			notices := strings.Join(got.Notices, ";")
+			if !strings.Contains(notices, test.notice) || test.notice == "" && notices != "" {
+				t.Errorf("notices %q, want %q", notices, test.notice)
+			}
+		})
+	}
+}
+
+func TestTrustFallsWithAge(t *testing.T) {
+	last := 2.0
+	for age := fleet.Time(0); age < 2*day; age += 10 * minute {
+		trust := Trust(age)
+		if trust > last || trust < minTrust {
+			t.Errorf("%.0f s: %v after %v", age.Seconds(), trust, last)
+			continue
+		}
+		last = trust
+	}
+	if Trust(30*second) != 1 || Trust(day) != minTrust || Trust(2*hour) > 0.26 {
+		t.Error(Trust(30*second), Trust(2*hour), Trust(day))
+	}
+}
+
+func TestAgeAllowsForClockSkew(t *testing.T) {
+	if age, known := Age(100*second, 130*second); age != 0 || !known {
+		t.Error(age, known)
+	}
+	if _, known := Age(100*second, 200*second); known {
+		t.Error("a list from the future has an age")
+	}
+}
