--- /dev/null
+++ b/internal/ingest/push/body.go
@@ -0,0 +1,79 @@
+package push
+
+import (
+	"bytes"
+	"compress/gzip"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"cressknot/internal/fleet"
+)
+
+// bodyError reports a body that can't be read, with the HTTP status of the answer.
+type bodyError struct {
+	status int
+	err    error
+}
+
+func (e *bodyError) Error() string { return e.err.Error() }
+
+func (e *bodyError) Unwrap() error { return e.err }
+
+// readBody reads and decompresses a batch.
+func readBody(buffer *bytes.Buffer, r *http.Request) *bodyError {
+	body := io.Reader(r.Body)
+	switch encoding := r.Header.Get("Content-Encoding"); encoding {
+	case "", "identity":
+	case "gzip":
+		decompressed, err := gzip.NewReader(r.Body)
+		if err != nil {
+			return &bodyError{http.StatusBadRequest, fmt.Errorf("the batch is not packed by gzip: %w", err)}
+		}
+		body = decompressed
+	default:
+		return &bodyError{http.StatusUnsupportedMediaType, fmt.Errorf("encoding %.20q is not known; gzip is", encoding)}
+	}
+	size, err := buffer.ReadFrom(io.LimitReader(body, maxBodySize+1))
+	if err != nil {
+		return &bodyError{http.StatusBadRequest, fmt.Errorf("the batch broke off after %d bytes: %w", size, err)}
+	}
+	if size > maxBodySize {
+		return &bodyError{http.StatusRequestEntityTooLarge, fmt.Errorf("a batch has %d bytes at most", maxBodySize)}
+	}
+	return nil
+}
+
+// rejection is the answer to a batch that is not accepted.
+type rejection struct {
+	status     int
+	code       string
+	message    string
+	retryAfter fleet.Time // 0: not stated
+}
+
+func invalid(status int, err error) rejection {
+	return rejection{status: status, code: "invalid", message: err.Error()}
+}
+
+// rejectionBody is the body of a rejection, in the form of InfluxDB.
+type rejectionBody struct {
+	Code    string `json:"code"`
+	Message string `json:"message"`
+}
+
+func (s *Server) reject(w http.ResponseWriter, r rejection) {
+	s.rejected.Add(1)
+	header := w.Header()
+	if r.retryAfter > 0 {
+		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(r.retryAfter.Seconds()))))
+	}
+	header.Set("Content-Type", "application/json; charset=utf-8")
+	w.WriteHeader(r.status)
+	body := rejectionBody{Code: r.code, Message: strings.ToValidUTF8(r.message, "?")}
+	_ = json.NewEncoder(w).Encode(body) // the source may be gone
+}
--- a/internal/ingest/push/decode.go
+++ b/internal/ingest/push/decode.go
@@ -1,6 +1,3 @@
-// Package push takes in what servers push: the line protocol that InfluxDB publishes, over HTTP POST, as most agents and
-// libraries for reports can send it. It decodes and carries; what is believed, kept or told back is decided in package
-// intake.
 package push
 
 import (
@@ -15,25 +12,43 @@
 )
 
 const (
-	measurement = "server" // the lines that are ours; others in a batch are left alone
-	nameTag     = "name"
-	linesMost   = 10_000 // of a batch
-	nameMost    = 64     // bytes, as in settings
+	// measurement of the lines that are read. Lines of other measurements are skipped.
+	measurement = "server"
+
+	// nameTag holds the name of the server.
+	nameTag = "name"
+
+	// maxLines of a batch.
+	maxLines = 10_000
+
+	// maxNameSize is in bytes, as in the settings.
+	maxNameSize = 64
 )
 
-// Words say how things are called in lines.
+// Fields of a line, besides load figures.
+const (
+	fieldAttempts      = "tries"
+	fieldFailures      = "failed"
+	fieldSuccesses     = "good"
+	fieldSuccessMillis = "good_ms"
+	fieldStarted       = "started"
+)
+
+var errStarted = errors.New("field started is a time in nanoseconds since 1970, as 1733071000000000000i")
+
+// Words holds the names that lines may use.
 type Words struct {
-	Loads  []string                                 // by place: the fields with load figures
-	Lookup func(name []byte) (fleet.ServerID, bool) // of servers that are known
+	Loads  []string                                 // the fields of the load figures, in order
+	Lookup func(name []byte) (fleet.ServerID, bool) // returns the number of a known server
 }
 
-// Ignored counts what a batch held beside records.
+// Ignored counts the lines of a batch that hold no record.
 type Ignored struct {
 	Lines   int // of other measurements
-	Unknown int // of servers that nothing names
+	Unknown int // of unknown servers
 }
 
-// LineError tells where in a batch something is wrong.
+// LineError reports the line of a batch that can't be read.
 type LineError struct {
 	Line int
 	Err  error
@@ -41,156 +56,216 @@
 
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
+// Unwrap returns what is wrong with the line.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Decode reads a batch whole or, with an error that names line and byte, not at all:
+// Decode appends the records of a batch. On an error, which is a *LineError, it appends none:
 //
-//	server,name=node-07 started=1733071000000000000i,tries=1200i,failed=3i,good=1190i,good_ms=238000i,busy=0.61 1733071234000000000
+//	server,name=n7 started=1733071000000000000i,tries=120i,failed=3i,good=117i,good_ms=2380i,busy=0.6 1733071234000000000
 //
-// Sums are whole numbers since the start of the process, started is that start in nanoseconds; load figures are called as in
-// the settings; fields that aren't known are left alone. Without a time of its own a line is of when it came.
-func Decode(into []ingest.Record, body []byte, w *Words, unit lineprotocol.Precision, now fleet.Time) ([]ingest.Record, Ignored, error) {
+// Sums are whole numbers since the start of the process; started is that start in nanoseconds; load figures have
+// the names of the settings; unknown fields are skipped. A line without a time counts as of now.
+func Decode(
+	records []ingest.Record, body []byte, words *Words, unit lineprotocol.Precision, now fleet.Time,
+) ([]ingest.Record, Ignored, error) {
 	var ignored Ignored
-	keep := into
-	d := lineprotocol.NewDecoderWithBytes(body)
-	for n := 1; d.Next(); n++ {
-		r := ingest.Record{Arrived: now}
-		known, ours, err := line(d, &r, w, unit)
-		if err == nil && n > linesMost {
-			err = fmt.Errorf("%d lines are the most in a batch", linesMost)
+	before := records
+	decoder := lineDecoder{Decoder: lineprotocol.NewDecoderWithBytes(body), words: words, unit: unit}
+	for number := 1; decoder.Next(); number++ {
+		decoder.record = ingest.Record{Arrived: now}
+		kind, err := decoder.line()
+		if err == nil && number > maxLines {
+			err = fmt.Errorf("%d lines are the most in a batch", maxLines)
 		}
 		if err != nil {
-			var at *lineprotocol.DecodeError
-			if errors.As(err, &at) {
-				return keep, Ignored{}, &LineError{int(at.Line), fmt.Errorf("byte %d: %w", at.Column, at.Err)}
-			}
-			return keep, Ignored{}, &LineError{n, err}
+			return before, Ignored{}, lineErrorOf(number, err)
 		}
-		switch {
-		case !ours:
+		switch kind {
+		case otherMeasurement:
 			ignored.Lines++
-		case !known:
+		case unknownServer:
 			ignored.Unknown++
-		default:
-			into = append(into, r)
+		case knownServer:
+			records = append(records, decoder.record)
 		}
 	}
-	return into, ignored, nil
+	return records, ignored, nil
+}
+
+// lineErrorOf prefers the line that the line protocol's decoder states.
+func lineErrorOf(number int, err error) *LineError {
+	var syntax *lineprotocol.DecodeError
+	if errors.As(err, &syntax) {
+		return &LineError{Line: int(syntax.Line), Err: fmt.Errorf("byte %d: %w", syntax.Column, syntax.Err)}
+	}
+	return &LineError{Line: number, Err: err}
+}
+
+// lineKind is what a line is about.
+type lineKind uint8
+
+const (
+	otherMeasurement lineKind = iota
+	unknownServer
+	knownServer
+)
+
+// lineDecoder reads one line after another into its record.
+type lineDecoder struct {
+	*lineprotocol.Decoder
+	words  *Words
+	unit   lineprotocol.Precision
+	record ingest.Record
 }
 
-func line(d *lineprotocol.Decoder, r *ingest.Record, w *Words, unit lineprotocol.Precision) (known, ours bool, err error) {
-	what, err := d.Measurement()
+func (d *lineDecoder) line() (lineKind, error) {
+	name, err := d.Measurement()
+	if err != nil {
+		return otherMeasurement, err
+	}
+	ours := string(name) == measurement
+	kind, err := d.tags(ours)
 	if err != nil {
-		return false, false, err
+		return otherMeasurement, err
 	}
-	ours = string(what) == measurement
-	named := false
+	if err := d.fields(ours); err != nil {
+		return otherMeasurement, err
+	}
+	text, err := d.TimeBytes()
+	if err != nil || text == nil {
+		return kind, err
+	}
+	d.record.Stated, err = parseTime(text, d.unit)
+	return kind, err
+}
+
+// tags reads the tags of a line. A line of ours needs the name of a server.
+func (d *lineDecoder) tags(ours bool) (lineKind, error) {
+	kind := otherMeasurement
 	for {
 		key, value, err := d.NextTag()
 		if err != nil {
-			return false, false, err
+			return otherMeasurement, err
 		}
 		if key == nil {
 			break
 		}
-		if ours && string(key) == nameTag {
-			if len(value) == 0 || len(value) > nameMost {
-				return false, false, fmt.Errorf("a name has 1 to %d bytes, %d here", nameMost, len(value))
-			}
-			named = true
-			r.Server, known = w.Lookup(value)
+		if !ours || string(key) != nameTag {
+			continue
+		}
+		if len(value) == 0 || len(value) > maxNameSize {
+			return otherMeasurement, fmt.Errorf("a name has 1 to %d bytes, %d here", maxNameSize, len(value))
 		}
+		kind = unknownServer
+		server, known := d.words.Lookup(value)
+		if known {
+			kind = knownServer
+		}
+		d.record.Server = server
 	}
-	if ours && !named {
-		return false, false, fmt.Errorf("a line of %s needs the tag %s", measurement, nameTag)
+	if ours && kind == otherMeasurement {
+		return otherMeasurement, fmt.Errorf("a line of %s needs the tag %s", measurement, nameTag)
 	}
+	return kind, nil
+}
+
+func (d *lineDecoder) fields(ours bool) error {
 	for {
 		key, value, err := d.NextField()
 		if err != nil {
-			return false, false, err
+			return err
 		}
 		if key == nil {
-			break
+			return nil
 		}
-		if ours {
-			if err := field(r, key, value, w); err != nil {
-				return false, false, err
-			}
+		if !ours {
+			continue
+		}
+		if err := d.field(key, value); err != nil {
+			return err
 		}
 	}
-	at, err := d.TimeBytes()
-	if err != nil || at == nil {
-		return known, ours, err
-	}
-	n, err := nanos(at, unit)
-	r.Stated = n
-	return known, ours, err
 }
 
-// field takes one field.
-func field(r *ingest.Record, key []byte, v lineprotocol.Value, w *Words) error {
-	sum := func(to *uint64) error {
-		switch {
-		case v.Kind() == lineprotocol.Uint:
-			*to = v.UintV()
-		case v.Kind() == lineprotocol.Int && v.IntV() >= 0:
-			*to = uint64(v.IntV())
-		default:
-			return fmt.Errorf("field %s is a sum: a whole number from 0, as 12i", key)
-		}
-		return nil
-	}
+func (d *lineDecoder) field(key []byte, value lineprotocol.Value) error {
 	switch string(key) {
-	case "tries":
-		return sum(&r.Attempts)
-	case "failed":
-		return sum(&r.Failures)
-	case "good":
-		return sum(&r.Successes)
-	case "good_ms":
-		return sum(&r.SuccessMillis)
-	case "started":
-		var n uint64
-		if err := sum(&n); err != nil || n > math.MaxInt64 {
-			return fmt.Errorf("field started is a time in nanoseconds since 1970, as 1733071000000000000i")
-		}
-		r.Started = fleet.Time(n)
-		return nil
+	case fieldAttempts:
+		return readSum(&d.record.Attempts, key, value)
+	case fieldFailures:
+		return readSum(&d.record.Failures, key, value)
+	case fieldSuccesses:
+		return readSum(&d.record.Successes, key, value)
+	case fieldSuccessMillis:
+		return readSum(&d.record.SuccessMillis, key, value)
+	case fieldStarted:
+		return d.started(key, value)
 	}
-	for i, name := range w.Loads {
+	for i, name := range d.words.Loads {
 		if string(key) != name {
 			continue
 		}
-		switch v.Kind() {
-		case lineprotocol.Float:
-			r.Load[i] = float32(v.FloatV())
-		case lineprotocol.Int:
-			r.Load[i] = float32(v.IntV())
-		case lineprotocol.Uint:
-			r.Load[i] = float32(v.UintV())
-		default:
-			return fmt.Errorf("field %s is a load figure: a number", key)
+		if err := readLoad(&d.record.Load[i], key, value); err != nil {
+			return err
 		}
-		r.HasLoad = true
+		d.record.HasLoad = true
+	}
+	return nil
+}
+
+func (d *lineDecoder) started(key []byte, value lineprotocol.Value) error {
+	var started uint64
+	if err := readSum(&started, key, value); err != nil || started > math.MaxInt64 {
+		return errStarted
+	}
+	d.record.Started = fleet.Time(started)
+	return nil
+}
+
+// readSum reads a whole number from 0.
+func readSum(sum *uint64, key []byte, value lineprotocol.Value) error {
+	switch {
+	case value.Kind() == lineprotocol.Uint:
+		*sum = value.UintV()
+	case value.Kind() == lineprotocol.Int && value.IntV() >= 0:
+		*sum = uint64(value.IntV())
+	default:
+		return fmt.Errorf("field %s is a sum: a whole number from 0, as 12i", key)
+	}
+	return nil
+}
+
+// readLoad reads any number.
+func readLoad(load *float32, key []byte, value lineprotocol.Value) error {
+	switch value.Kind() {
+	case lineprotocol.Float:
+		*load = float32(value.FloatV())
+	case lineprotocol.Int:
+		*load = float32(value.IntV())
+	case lineprotocol.Uint:
+		*load = float32(value.UintV())
+	default:
+		return fmt.Errorf("field %s is a load figure: a number", key)
 	}
 	return nil
 }
 
-func nanos(text []byte, unit lineprotocol.Precision) (fleet.Time, error) {
-	n, neg := int64(0), false
+// parseTime reads a time since 1970 in a unit.
+func parseTime(text []byte, unit lineprotocol.Precision) (fleet.Time, error) {
+	count := int64(0)
+	negative := false
 	for i, c := range text {
 		switch {
 		case i == 0 && c == '-':
-			neg = true
-		case c < '0' || c > '9' || n > (math.MaxInt64-9)/10:
+			negative = true
+		case c < '0' || c > '9' || count > (math.MaxInt64-9)/10:
 			return 0, fmt.Errorf("%.24q is no time", text)
 		default:
-			n = n*10 + int64(c-'0')
+			count = count*10 + int64(c-'0')
 		}
 	}
-	by := int64(unit.Duration())
-	if neg || n > math.MaxInt64/by {
+	nanoseconds := int64(unit.Duration())
+	if negative || count > math.MaxInt64/nanoseconds {
 		return 0, fmt.Errorf("%.24q is no time since 1970 in %s", text, unit)
 	}
-	return fleet.Time(n * by), nil
+	return fleet.Time(count * nanoseconds), nil
 }
--- /dev/null
+++ b/internal/ingest/push/decode_test.go
@@ -0,0 +1,128 @@
+package push
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/influxdata/line-protocol/v2/lineprotocol"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest"
+)
+
+// testServers is the number of known servers, which are named "node-" and their number.
+const testServers = 1000
+
+var testWords = Words{
+	Loads: []string{"busy", "held"},
+	Lookup: func(name []byte) (fleet.ServerID, bool) {
+		var id fleet.ServerID
+		n, err := fmt.Sscanf(string(name), "node-%d", &id)
+		return id, n == 1 && err == nil && id < testServers
+	},
+}
+
+// arrival is the time at which batches are decoded.
+const arrival fleet.Time = 77
+
+const validLine = "server,name=node-1 tries=1i\n"
+
+func decode(text string) ([]ingest.Record, Ignored, error) {
+	return Decode(nil, []byte(text), &testWords, lineprotocol.Nanosecond, arrival)
+}
+
+func TestDecode(t *testing.T) {
+	records, ignored, err := decode("# of an agent\n" +
+		"cpu,host=x idle=3\n" +
+		"server,name=node-7,zone=a started=5i,tries=12i,failed=3u,good=9i,good_ms=1800i,busy=0.5,held=4i,more=\"x\" 99\n" +
+		"server,name=other tries=1i\n\n" +
+		"server,name=node-8 tries=1i\n")
+	if err != nil || len(records) != 2 || ignored != (Ignored{Lines: 1, Unknown: 1}) {
+		t.Fatalf("%+v %+v %v", records, ignored, err)
+	}
+	want := ingest.Record{
+		Server:        7,
+		Started:       5,
+		Stated:        99,
+		Arrived:       arrival,
+		Attempts:      12,
+		Failures:      3,
+		Successes:     9,
+		SuccessMillis: 1800,
+		Load:          [4]float32{0.5, 4},
+		HasLoad:       true,
+	}
+	if records[0] != want {
+		t.Errorf("got %+v, want %+v", records[0], want)
+	}
+	if want := (ingest.Record{Server: 8, Arrived: arrival, Attempts: 1}); records[1] != want {
+		t.Errorf("got %+v, want %+v", records[1], want)
+	}
+}
+
+func TestDecodeReturnsNothingOfAnInvalidBatch(t *testing.T) {
+	for text, want := range map[string]string{
+		"server tries=1i":                                      "line 2: a line of server needs the tag name",
+		"server,name=node-1 tries=-1i":                         "line 2: field tries is a sum",
+		"server,name=node-1 tries=1.5":                         "line 2: field tries is a sum",
+		"server,name=node-1 busy=NaN":                          "line 2: byte 25:",
+		"server,name=node-1 busy=\"x\"":                        "line 2: field busy is a load figure",
+		"server,name=node-1 started=\"x\"":                     "line 2: field started is a time",
+		"server,name=node-1 tries=99999999999999999999i":       "line 2: byte 26:",
+		"server,name=node-1":                                   "line 2: byte",
+		"server,name=node-1 tries=1i 12x":                      "line 2:",
+		"server,name=node-1 tries=1i -5":                       "line 2: \"-5\" is no time",
+		"server,name=node-1 tries=1i 9999999999999999999":      "line 2: \"9999999999999999999\" is no time",
+		"server,name=" + strings.Repeat("x", 65) + " tries=1i": "line 2: a name has 1 to 64 bytes",
+		strings.Repeat("cpu x=1\n", maxLines):                  "lines are the most",
+	} {
+		records, _, err := decode(validLine + text)
+		var lineError *LineError
+		if err == nil || !strings.Contains(err.Error(), want) || len(records) != 0 || !errors.As(err, &lineError) {
+			t.Errorf("%.60q: %v, %d records", text, err, len(records))
+		}
+	}
+}
+
+func FuzzDecode(f *testing.F) {
+	f.Add("server,name=node-7 started=5i,tries=12i,busy=0.5 99\n")
+	f.Add("server,name=node-7 tries=1u\ncpu x=1\n#\n\\")
+	f.Fuzz(func(t *testing.T, text string) {
+		records, _, err := decode(text)
+		for _, r := range records {
+			if err != nil || r.Server >= testServers || r.Arrived != arrival || r.Stated < 0 || r.Started < 0 {
+				t.Fatalf("%+v %v", r, err)
+			}
+		}
+	})
+}
+
+// BenchmarkDecode measures one line.
+func BenchmarkDecode(b *testing.B) {
+	const lines = 700
+	var body bytes.Buffer
+	ids := map[string]fleet.ServerID{}
+	for i := range lines {
+		name := fmt.Sprint("node-", i)
+		ids[name] = fleet.ServerID(i)
+		fmt.Fprintf(&body, "server,name=%s started=1733071000000000000i,tries=1200i,failed=3i,good=1190i,"+
+			"good_ms=238000i,busy=0.61,held=4 1733071234000000000\n", name)
+	}
+	words := testWords
+	words.Lookup = func(name []byte) (fleet.ServerID, bool) {
+		id, ok := ids[string(name)]
+		return id, ok
+	}
+	var records []ingest.Record
+	b.ReportAllocs()
+	for n := 0; n < b.N; n += lines {
+		var err error
+		records, _, err = Decode(records[:0], body.Bytes(), &words, lineprotocol.Nanosecond, arrival)
+		if err != nil {
+			b.Fatal(err)
+		}
+	}
+}
--- a/internal/ingest/push/server.go
+++ b/internal/ingest/push/server.go
@@ -1,18 +1,15 @@
+// Package push receives the reports that servers push: the line protocol that InfluxDB publishes, over HTTP POST,
+// which most agents and client libraries can send. It decodes and forwards; package ingest decides which reports
+// count and what their source is answered.
 package push
 
 import (
 	"bytes"
-	"compress/gzip"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
-	"math"
 	"net"
 	"net/http"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -26,164 +23,202 @@
 )
 
 const (
-	bodyMost     = 1 << 20  // bytes of a batch, unpacked
-	inHandMost   = 16 << 20 // bytes of all batches being read: the rest waits in its sockets
-	connsMost    = 2048     // connections at once: more wait to be accepted
-	waitMost     = 2 * time.Second
-	headMost     = 8 << 10
-	readWithin   = 10 * time.Second
-	idleWithin   = 2 * time.Minute
-	answerWithin = 5 * time.Second
+	// maxBodySize of a batch after decompression, in bytes.
+	maxBodySize = 1 << 20
+
+	// maxBytesInFlight of all batches that are being read. Further batches wait in their sockets.
+	maxBytesInFlight = 16 << 20
+
+	// maxConnections at a time; more wait to be accepted.
+	maxConnections = 2048
+
+	// maxWait of a batch for its share of maxBytesInFlight.
+	maxWait = 2 * time.Second
+
+	// maxHeaderSize is in bytes.
+	maxHeaderSize = 8 << 10
+
+	readTimeout  = 10 * time.Second
+	writeTimeout = readTimeout + 5*time.Second // it begins with the read
+	idleTimeout  = 2 * time.Minute
+
+	// busyRetryAfter is what a source is told for which there is no capacity.
+	busyRetryAfter = fleet.Second
 )
 
-// Sink takes records and says what their source is told.
+// Sink receives records and decides what their source is answered.
 type Sink interface {
 	Now() fleet.Time
 	Push(records []ingest.Record) ingest.Reply
 }
 
-// Counts tell what came, for operators.
-type Counts struct{ Batches, Refused, Unknown, Ignored, Busy uint64 }
+// Counts are the figures since the start, for operators.
+type Counts struct {
+	Batches uint64
+	Refused uint64 // batches
+	Unknown uint64 // lines of unknown servers
+	Ignored uint64 // lines of other measurements
+	Busy    uint64 // batches for which there was no capacity
+}
 
-// Server takes in reports over HTTP: POST /api/v2/write or /write, ?precision=ns|us|ms|s.
+// Server receives reports over HTTP: POST /api/v2/write or /write, ?precision=ns|us|ms|s.
 type Server struct {
-	sink    Sink
-	words   Words
-	http    *http.Server
-	inHand  *semaphore.Weighted
-	addr    net.Addr
-	batches atomic.Uint64
-	refused atomic.Uint64
-	unknown atomic.Uint64
-	ignored atomic.Uint64
-	busy    atomic.Uint64
+	sink          Sink
+	words         Words
+	http          *http.Server
+	bytesInFlight *semaphore.Weighted
+	addr          net.Addr
+	serving       sync.WaitGroup
+
+	batches  atomic.Uint64
+	rejected atomic.Uint64
+	unknown  atomic.Uint64
+	ignored  atomic.Uint64
+	busy     atomic.Uint64
 }
 
-// Listen begins to take in reports at host:port.
+// Listen begins to receive reports at host:port.
 func Listen(addr string, sink Sink, words Words) (*Server, error) {
-	l, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("reports: %w", err)
 	}
-	s := &Server{sink: sink, words: words, inHand: semaphore.NewWeighted(inHandMost), addr: l.Addr()}
+	s := &Server{
+		sink:          sink,
+		words:         words,
+		bytesInFlight: semaphore.NewWeighted(maxBytesInFlight),
+		addr:          listener.Addr(),
+	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /api/v2/write", s.write)
 	mux.HandleFunc("POST /write", s.write)
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: readWithin, ReadTimeout: readWithin, WriteTimeout: readWithin + answerWithin,
-		IdleTimeout: idleWithin, MaxHeaderBytes: headMost}
-	go func() { _ = s.http.Serve(netutil.LimitListener(l, connsMost)) }()
+	s.http = &http.Server{
+		Handler:           mux,
+		ReadHeaderTimeout: readTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderSize,
+	}
+	s.serving.Go(func() { _ = s.http.Serve(netutil.LimitListener(listener, maxConnections)) })
 	return s, nil
 }
 
-// Addr tells where it listens.
+// Addr returns the host:port at which the server listens.
 func (s *Server) Addr() string { return s.addr.String() }
 
-// Close ends it; batches in hand are answered for as long as the context stands.
+// Close ends the server. Batches in flight are answered until the context ends.
 func (s *Server) Close(ctx context.Context) error {
+	defer s.serving.Wait()
 	if err := s.http.Shutdown(ctx); err != nil {
 		return errors.Join(err, s.http.Close())
 	}
 	return nil
 }
 
-// Counts tell what came.
+// Counts returns the figures since the start.
 func (s *Server) Counts() Counts {
-	return Counts{s.batches.Load(), s.refused.Load(), s.unknown.Load(), s.ignored.Load(), s.busy.Load()}
+	return Counts{
+		Batches: s.batches.Load(),
+		Refused: s.rejected.Load(),
+		Unknown: s.unknown.Load(),
+		Ignored: s.ignored.Load(),
+		Busy:    s.busy.Load(),
+	}
+}
+
+// units are the values of the parameter precision.
+var units = map[string]lineprotocol.Precision{
+	"":   lineprotocol.Nanosecond,
+	"ns": lineprotocol.Nanosecond,
+	"us": lineprotocol.Microsecond,
+	"ms": lineprotocol.Millisecond,
+	"s":  lineprotocol.Second,
 }
 
-// room is what a batch is read into.
-type room struct {
+// buffers are what a batch is read into.
+type buffers struct {
 	body    bytes.Buffer
 	records []ingest.Record
 }
 
-var rooms = sync.Pool{New: func() any { return new(room) }}
+var bufferPool = sync.Pool{New: func() any { return new(buffers) }}
 
 func (s *Server) write(w http.ResponseWriter, r *http.Request) {
 	s.batches.Add(1)
-	unit, ok := units[r.URL.Query().Get("precision")]
+	precision := r.URL.Query().Get("precision")
+	unit, ok := units[precision]
 	if !ok {
-		s.refuse(w, http.StatusBadRequest, "invalid", fmt.Sprintf("precision %.10q: ns, us, ms and s are known", r.URL.Query().Get("precision")), 0)
+		s.reject(w, invalid(http.StatusBadRequest, fmt.Errorf("precision %.10q: ns, us, ms and s are known", precision)))
 		return
 	}
-	// What isn't read yet stays in its socket, and at its source: memory doesn't grow with a flood.
-	ctx, cancel := context.WithTimeout(r.Context(), waitMost)
-	defer cancel()
-	weight := int64(bodyMost)
-	if n := r.ContentLength; n >= 0 && n < bodyMost && r.Header.Get("Content-Encoding") == "" {
-		weight = max(1, n)
-	}
-	if s.inHand.Acquire(ctx, weight) != nil {
+	release, ok := s.acquire(r)
+	if !ok {
 		s.busy.Add(1)
-		s.refuse(w, http.StatusServiceUnavailable, "unavailable", "too much is being read", fleet.Second)
+		s.reject(w, rejection{
+			status:     http.StatusServiceUnavailable,
+			code:       "unavailable",
+			message:    "too much is being read",
+			retryAfter: busyRetryAfter,
+		})
 		return
 	}
-	defer s.inHand.Release(weight)
-	in := rooms.Get().(*room)
-	defer rooms.Put(in)
-	in.body.Reset()
-	status, err := readBody(&in.body, r)
-	if err != nil {
-		s.refuse(w, status, "invalid", err.Error(), 0)
+	defer release()
+	pooled := bufferPool.Get().(*buffers)
+	defer bufferPool.Put(pooled)
+	pooled.body.Reset()
+	if err := readBody(&pooled.body, r); err != nil {
+		s.reject(w, invalid(err.status, err))
 		return
 	}
-	records, ignored, err := Decode(in.records[:0], in.body.Bytes(), &s.words, unit, s.sink.Now())
-	in.records = records[:0]
+	records, ignored, err := Decode(pooled.records[:0], pooled.body.Bytes(), &s.words, unit, s.sink.Now())
+	pooled.records = records[:0]
 	if err != nil {
-		s.refuse(w, http.StatusBadRequest, "invalid", err.Error()+"; nothing of the batch was taken", 0)
+		s.reject(w, invalid(http.StatusBadRequest, fmt.Errorf("%w; nothing of the batch was taken", err)))
 		return
 	}
 	s.unknown.Add(uint64(ignored.Unknown))
 	s.ignored.Add(uint64(ignored.Lines))
-	reply := ingest.Reply{}
+	var reply ingest.Reply
 	if len(records) > 0 {
 		reply = s.sink.Push(records)
 	}
-	switch {
-	case reply.Distrust > 0:
-		s.refuse(w, http.StatusForbidden, "forbidden", reply.Text, reply.Distrust-s.sink.Now())
-	case reply.Text != "":
-		s.refuse(w, http.StatusTooManyRequests, "too many requests", reply.Text, reply.Wait)
-	default:
-		w.WriteHeader(http.StatusNoContent)
-	}
+	s.answer(w, reply)
 }
 
-var units = map[string]lineprotocol.Precision{"": lineprotocol.Nanosecond, "ns": lineprotocol.Nanosecond, "us": lineprotocol.Microsecond,
-	"ms": lineprotocol.Millisecond, "s": lineprotocol.Second}
-
-// readBody reads a batch, packed or not, within its bounds.
-func readBody(into *bytes.Buffer, r *http.Request) (status int, err error) {
-	body := io.Reader(r.Body)
-	switch e := r.Header.Get("Content-Encoding"); e {
-	case "", "identity":
-	case "gzip":
-		z, err := gzip.NewReader(r.Body)
-		if err != nil {
-			return http.StatusBadRequest, fmt.Errorf("the batch is not packed by gzip: %w", err)
-		}
-		body = z
-	default:
-		return http.StatusUnsupportedMediaType, fmt.Errorf("encoding %.20q is not known; gzip is", e)
+// acquire waits for the capacity to read the request. What isn't read yet stays in its socket and at its source, so
+// that memory doesn't grow with a flood. The caller releases the capacity.
+func (s *Server) acquire(r *http.Request) (release func(), ok bool) {
+	ctx, cancel := context.WithTimeout(r.Context(), maxWait)
+	defer cancel()
+	size := int64(maxBodySize)
+	if length := r.ContentLength; length >= 0 && length < maxBodySize && r.Header.Get("Content-Encoding") == "" {
+		size = max(1, length)
 	}
-	n, err := into.ReadFrom(io.LimitReader(body, bodyMost+1))
-	switch {
-	case err != nil:
-		return http.StatusBadRequest, fmt.Errorf("the batch broke off after %d bytes: %w", n, err)
-	case n > bodyMost:
-		return http.StatusRequestEntityTooLarge, fmt.Errorf("a batch has %d bytes at most", bodyMost)
+	if err := s.bytesInFlight.Acquire(ctx, size); err != nil {
+		return nil, false
 	}
-	return 0, nil
+	return func() { s.bytesInFlight.Release(size) }, true
 }
 
-func (s *Server) refuse(w http.ResponseWriter, status int, code, text string, wait fleet.Time) {
-	s.refused.Add(1)
-	h := w.Header()
-	if wait > 0 {
-		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(wait.Seconds()))))
+func (s *Server) answer(w http.ResponseWriter, reply ingest.Reply) {
+	switch {
+	case reply.Distrust > 0:
+		s.reject(w, rejection{
+			status:     http.StatusForbidden,
+			code:       "forbidden",
+			message:    reply.Text,
+			retryAfter: reply.Distrust - s.sink.Now(),
+		})
+	case reply.Text != "":
+		s.reject(w, rejection{
+			status:     http.StatusTooManyRequests,
+			code:       "too many requests",
+			message:    reply.Text,
+			retryAfter: reply.Wait,
+		})
+	default:
+		w.WriteHeader(http.StatusNoContent)
 	}
-	h.Set("Content-Type", "application/json; charset=utf-8")
-	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(map[string]string{"code": code, "message": strings.ToValidUTF8(text, "?")})
 }
