--- a/internal/ingest/timeseries/storeddata_test.go
+++ b/internal/ingest/timeseries/storeddata_test.go
@@ -10,7 +10,7 @@
 	"cressknot/internal/ingest"
 )
 
-var writeFixtures = flag.Bool("write-fixtures", false, "write the stored data in testdata anew")
+var writeFixtures = flag.Bool("write-fixtures", false, "rewrite the stored data in testdata")
 
 const (
 	storedFolder  = "testdata/series"
@@ -20,13 +20,15 @@
 // TestSeriesOfAnEarlierProgramIsRead reads a folder of time series.
 func TestSeriesOfAnEarlierProgramIsRead(t *testing.T) {
 	if *writeFixtures {
-		s, err := Open(storedFolder, names)
+		s, err := Open(storedFolder, nameOf)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for minute := range fleet.Time(storedMinutes) {
-			at := (minute + 1) * step
-			s.Add(ingest.CounterDelta{At: at, Server: 1, Attempts: 10 + uint64(minute), Failures: 2, Successes: 8, SuccessMillis: 8 * 120, HasLoad: true, Load: [4]float32{0.25}})
+			at := (minute + 1) * rowInterval
+			s.Add(ingest.CounterDelta{
+				At: at, Server: 1, Attempts: 10 + uint64(minute), Failures: 2, Successes: 8, SuccessMillis: 8 * 120,
+				HasLoad: true, Load: [4]float32{0.25}})
 			s.Add(ingest.CounterDelta{At: at + fleet.Second, Server: 1, Attempts: 1, Successes: 1, SuccessMillis: 900})
 			s.Add(ingest.CounterDelta{At: at, Server: 2, Attempts: 3, Successes: 3, SuccessMillis: 30})
 		}
@@ -38,7 +40,7 @@
 	if err := os.CopyFS(folder, os.DirFS(storedFolder)); err != nil {
 		t.Fatal(err)
 	}
-	s, err := Open(folder, names)
+	s, err := Open(folder, nameOf)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +50,8 @@
 		t.Fatalf("%d rows, %d damaged, %v", len(points), damaged, err)
 	}
 	for i, p := range points {
-		if p.At != fleet.Time(i+1)*step || p.Attempts != uint64(11+i) || p.Failures != 2 || p.Load != 0.25 || p.Latencies.TotalCount() != 9 ||
+		if p.At != fleet.Time(i+1)*rowInterval || p.Attempts != uint64(11+i) || p.Failures != 2 || p.Load != 0.25 ||
+			p.Latencies.TotalCount() != 9 ||
 			p.Latencies.ValueAtQuantile(50) != 120 || p.Latencies.Max() < 895 || p.Latencies.Max() > 905 {
 			t.Errorf("row %d: %+v, median %d ms, largest %d ms", i, p, p.Latencies.ValueAtQuantile(50), p.Latencies.Max())
 		}
