--- /dev/null
+++ b/internal/ingest/conservation_test.go
@@ -0,0 +1,152 @@
+package ingest
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"cressknot/internal/fleet"
+)
+
+// conservationRun drives a pipeline, and counts what proxies counted and what was reported.
+type conservationRun struct {
+	pipeline *Pipeline
+	start    fleet.Time
+	now      fleet.Time
+	proxies  [3]conservedProxy
+	gone     map[fleet.ServerID]bool
+	// lastReport is the time of the last outcome report by server and zone.
+	lastReport map[seriesKey]fleet.Time
+	counted    uint64 // by proxies, between readings
+	passedOn   uint64
+	reports    int
+}
+
+type seriesKey struct {
+	server fleet.ServerID
+	zone   fleet.ZoneID
+}
+
+type conservedProxy struct {
+	*fakeProxy
+	attempts uint64 // since the test began
+	base     uint64 // attempts at the last reading
+	hasBase  bool
+}
+
+func newConservationRun() *conservationRun {
+	r := &conservationRun{
+		pipeline:   New(testSite()),
+		start:      second,
+		now:        second,
+		gone:       map[fleet.ServerID]bool{},
+		lastReport: map[seriesKey]fleet.Time{},
+	}
+	for i := range r.proxies {
+		r.proxies[i].fakeProxy = newFakeProxy()
+		r.pipeline.Join(r.now, fleet.ProxyID(i), fleet.ZoneID(i%2), true)
+	}
+	return r
+}
+
+// step does something at a random proxy or server.
+func (r *conservationRun) step(t *rapid.T) {
+	r.now += fleet.Time(rapid.SampledFrom([]int{20, 300, 900, 900, 20_000}).Draw(t, "ms")) * millisecond
+	i := rapid.IntRange(0, len(r.proxies)-1).Draw(t, "proxy")
+	switch rapid.IntRange(0, 7).Draw(t, "action") {
+	case 0, 1, 2:
+		attempts := uint64(rapid.IntRange(1, 50).Draw(t, "attempts"))
+		server := fleet.ServerID(rapid.IntRange(0, testServers-1).Draw(t, "server"))
+		r.proxies[i].attempt(server, attempts, attempts/3)
+		r.proxies[i].attempts += attempts
+	case 3, 4:
+		r.poll(i)
+	case 5:
+		r.rejoin(i, rapid.Bool().Draw(t, "fresh"))
+	case 6:
+		server := fleet.ServerID(rapid.IntRange(0, testServers-1).Draw(t, "listed"))
+		r.gone[server] = rapid.Bool().Draw(t, "gone")
+		r.pipeline.Listed(server, r.gone[server])
+	default:
+		r.tell(t)
+	}
+	r.pipeline.Look(r.now)
+}
+
+func (r *conservationRun) poll(i int) {
+	proxy := &r.proxies[i]
+	if proxy.hasBase {
+		r.counted += proxy.attempts - proxy.base
+	}
+	proxy.hasBase = true
+	proxy.base = proxy.attempts
+	reading := proxy.reading(r.now)
+	r.pipeline.Polled(r.now, fleet.ProxyID(i), reading)
+	reading.Release()
+}
+
+// rejoin lets a proxy leave and join. A fresh one has restarted meanwhile.
+func (r *conservationRun) rejoin(i int, fresh bool) {
+	r.pipeline.Leave(fleet.ProxyID(i))
+	if fresh {
+		r.proxies[i].fakeProxy = newFakeProxy()
+		r.proxies[i].hasBase = false
+	}
+	r.pipeline.Join(r.now, fleet.ProxyID(i), fleet.ZoneID(i%2), fresh)
+}
+
+// tell checks the reports that are due, and the totals.
+func (r *conservationRun) tell(t *rapid.T) {
+	events, _ := r.pipeline.Tell(r.now)
+	for _, event := range events {
+		r.reports++
+		switch event := event.(type) {
+		case fleet.OutcomeReport:
+			r.checkOutcome(t, event)
+		case fleet.DemandReport:
+			if event.Interval <= 0 || event.Requests > 1e6 {
+				t.Fatalf("%+v", event)
+			}
+		default:
+			t.Fatalf("%+v", event)
+		}
+	}
+	if limit := int((r.now-r.start).Seconds()*5) + 6; r.reports > limit {
+		t.Fatalf("%d reports, want at most %d", r.reports, limit)
+	}
+	totals := r.pipeline.Totals()
+	if totals.Counted != r.counted || totals.Told != r.passedOn ||
+		totals.Counted != totals.Told+totals.Waiting+totals.Aged+totals.Unheard {
+		t.Fatalf("%+v, but proxies counted %d and %d were reported", totals, r.counted, r.passedOn)
+	}
+}
+
+func (r *conservationRun) checkOutcome(t *rapid.T, report fleet.OutcomeReport) {
+	r.passedOn += uint64(report.Attempts)
+	key := seriesKey{server: report.Server, zone: report.Zone}
+	last := r.lastReport[key]
+	invalid := report.Failures > report.Attempts || report.Interval <= 0 || report.Attempts > 1e6 || report.Load != nil
+	tooEarly := last > 0 && r.now < last+second*3/4
+	if invalid || tooEarly || r.gone[report.Server] {
+		t.Fatalf("%+v, gone %v, last at %d, now %d", report, r.gone[report.Server], last, r.now)
+	}
+	r.lastReport[key] = r.now
+}
+
+// Whatever is polled when, through departures, restarts and late readings, each attempt that proxies counted was
+// reported, is pending, was too old, or was of a server that is gone; and no more is reported than the site allows.
+func TestAttemptsAreConserved(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		run := newConservationRun()
+		for range rapid.IntRange(1, 80).Draw(t, "steps") {
+			run.step(t)
+		}
+		for range 200 {
+			run.now += second
+			run.tell(t)
+		}
+		if pending, _ := run.pipeline.Waiting(run.now); pending != 0 || run.pipeline.totals.Waiting != 0 {
+			t.Fatalf("%d reports remain pending: %+v", pending, run.pipeline.totals)
+		}
+	})
+}
--- /dev/null
+++ b/internal/ingest/health_test.go
@@ -0,0 +1,163 @@
+package ingest
+
+import (
+	"strings"
+	"testing"
+
+	"cressknot/internal/fleet"
+)
+
+// behaviour is what a server does.
+type behaviour struct {
+	reports    bool
+	good       bool // attempts succeed
+	failed     bool // attempts fail
+	elsewhere  bool // it serves others than the polled proxies
+	lateReport bool // one of its reports is late
+	zoneFails  bool // attempts of one zone fail
+}
+
+const (
+	// faultAt is the time from which server 1 has a behaviour of its own.
+	faultAt = 10 * second
+
+	faultyServer = 1
+)
+
+// healthRun lets four proxies and four servers run in steps of a quarter of a second.
+type healthRun struct {
+	pipeline *Pipeline
+	proxies  []*fakeProxy
+	fault    behaviour
+	served   uint64
+}
+
+func newHealthRun(fault behaviour) *healthRun {
+	r := &healthRun{pipeline: New(testSite()), fault: fault}
+	r.proxies = newFakeProxies(r.pipeline, 4)
+	listAll(r.pipeline, testServers)
+	return r
+}
+
+func (r *healthRun) step(now fleet.Time) {
+	for server := range fleet.ServerID(testServers) {
+		does := behaviour{reports: true, good: true}
+		if server == faultyServer && now > faultAt {
+			does = r.fault
+		}
+		r.attempt(server, does)
+		r.served += 3
+		r.report(server, does, now)
+	}
+	for i, proxy := range r.proxies {
+		if now%second == fleet.Time(i)*second/4 {
+			r.pipeline.Polled(now, fleet.ProxyID(i), proxy.reading(now))
+		}
+	}
+}
+
+func (r *healthRun) attempt(server fleet.ServerID, does behaviour) {
+	for i, proxy := range r.proxies {
+		switch {
+		case does.failed, does.zoneFails && i%2 == 1:
+			proxy.attempt(server, 3, 3)
+		case does.good:
+			proxy.attempt(server, 3, 0)
+		}
+	}
+}
+
+// report pushes the record of a server, which is due every second.
+func (r *healthRun) report(server fleet.ServerID, does behaviour, now fleet.Time) {
+	due := (does.reports || does.elsewhere) && now%second == 0
+	if does.lateReport {
+		missed := now >= faultAt+second && now <= faultAt+3*second
+		due = due && !missed || now == faultAt+3*second+second/4
+	}
+	if !due {
+		return
+	}
+	served := r.served
+	if !does.good && !does.elsewhere {
+		served = 500
+	}
+	r.pipeline.Pushed(now, Record{Server: server, Stated: now, Arrived: now, Attempts: served})
+}
+
+func TestHealthVerdicts(t *testing.T) {
+	for name, test := range map[string]struct {
+		fault behaviour
+		want  HealthVerdict
+	}{
+		"all is well":                      {behaviour{reports: true, good: true}, Well},
+		"its reporter failed":              {behaviour{good: true}, ReportsMissing},
+		"it is down":                       {behaviour{failed: true}, Down},
+		"silent and unused":                {behaviour{}, Unknown},
+		"proxies can't reach it":           {behaviour{reports: true, failed: true}, Unreachable},
+		"one zone gets no answers":         {behaviour{reports: true, good: true, zoneFails: true}, PartlyUnreachable},
+		"requests of nobody who is polled": {behaviour{reports: true, elsewhere: true}, UnpolledTraffic},
+		"idle":                             {behaviour{reports: true}, Well},
+		"one report is late":               {behaviour{reports: true, good: true, lateReport: true}, Well},
+	} {
+		t.Run(name, func(t *testing.T) {
+			const end = 30 * second
+			run := newHealthRun(test.fault)
+			noticedAt := fleet.Time(0)
+			notices := 0
+			for now := second; now < end; now += second / 4 {
+				run.step(now)
+				for _, notice := range run.pipeline.Look(now) {
+					if notice.OfProxy || notice.OfAll || notice.Server != faultyServer || notice.Good {
+						t.Errorf("at %.1f: %+v", now.Seconds(), notice)
+						continue
+					}
+					notices++
+					if notice.Verdict == test.want && noticedAt == 0 {
+						noticedAt = now
+					}
+				}
+			}
+			if got := run.pipeline.Views(end)[faultyServer].Verdict; got != test.want {
+				t.Errorf("verdict %s, want %s", got, test.want)
+			}
+			if test.want != Well && (noticedAt == 0 || noticedAt > faultAt+5*second) {
+				t.Errorf("noticed after %.1f s", (noticedAt - faultAt).Seconds())
+			}
+			if notices > 2 {
+				t.Errorf("%d notices", notices)
+			}
+		})
+	}
+}
+
+// When most reporters fall silent while their servers answer, operators are notified once and no server is blamed.
+// A proxy that stops to answer polls is a notice of its own.
+func TestLostReportPathBlamesNoServer(t *testing.T) {
+	p := New(testSite())
+	proxy := newFakeProxy()
+	p.Join(0, 0, 0, true)
+	p.Join(0, 1, 1, true)
+	listAll(p, testServers)
+	var texts []string
+	for now := second; now < 40*second; now += second {
+		for server := range fleet.ServerID(testServers) {
+			proxy.attempt(server, 5, 0)
+			if now < 10*second || now > 20*second {
+				p.Pushed(now, Record{Server: server, Stated: now, Arrived: now, Attempts: uint64(now)})
+			}
+		}
+		polls, _ := p.Polls(now)
+		for _, id := range polls {
+			if id == 0 || now < 25*second {
+				p.Polled(now, id, proxy.reading(now))
+			}
+		}
+		for _, notice := range p.Look(now) {
+			texts = append(texts, notice.Text)
+		}
+	}
+	if len(texts) != 3 || !strings.Contains(texts[0], "no reports come from 4 of 4") ||
+		!strings.Contains(texts[1], "come again") || !strings.Contains(texts[2], "has not answered its poll") {
+		t.Errorf("notices:\n%s", strings.Join(texts, "\n"))
+	}
+}
--- a/internal/ingest/polls.go
+++ b/internal/ingest/polls.go
@@ -1,168 +1,142 @@
 package ingest
 
 import (
-	"container/heap"
 	"math"
 
 	"cressknot/internal/fleet"
 	"cressknot/internal/ingest/counters"
 )
 
-// watched is a proxy that is polled.
-type watched struct {
-	id    fleet.ProxyID
-	zone  fleet.ZoneID
-	next  fleet.Time // when it is to be asked again
-	place int        // in polls, -1: a poll is on its way
-	sent  fleet.Time
-	rows  int // of its last reading
-	read  bool
-	since fleet.Time // of the last reading
-	met   []counters.ServerCounters
-	came  []counters.ClassCounters
-	mute  bool // told as not answering
+const (
+	// maxRowsPerSecond is the number of counter rows per second that are requested. To read them takes a third of a core.
+	maxRowsPerSecond = 500_000
+
+	// goldenRatio spreads consecutive numbers evenly over a period.
+	goldenRatio = 0.6180339887498949
+
+	// minCounterGrowth is the least number of servers by which the counters of a proxy grow.
+	minCounterGrowth = 16
+)
+
+// polledProxy is a proxy whose counters are polled.
+type polledProxy struct {
+	id       fleet.ProxyID
+	zone     fleet.ZoneID
+	pollAt   fleet.Time
+	index    int // in the heap of polls; notInHeap while a poll is in flight
+	polledAt fleet.Time
+	rowCount int  // of its last reading
+	reported bool // operators know that it doesn't answer
+
+	hasReading bool
+	readAt     fleet.Time // of the last reading
+	servers    []counters.ServerCounters
+	classes    []counters.ClassCounters
 }
 
-func (w *watched) of(server fleet.ServerID) *counters.ServerCounters {
-	for int(server) >= len(w.met) {
-		w.met = append(w.met, make([]counters.ServerCounters, max(16, int(server)+1-len(w.met)))...)
+func (pp *polledProxy) heapIndex() *int { return &pp.index }
+
+// before orders proxies by their next poll.
+func (pp *polledProxy) before(other *polledProxy) bool {
+	if pp.pollAt != other.pollAt {
+		return pp.pollAt < other.pollAt
 	}
-	return &w.met[server]
+	return pp.id < other.id
 }
 
-// Join begins to poll a proxy. Those of a zone are spread evenly over the period, so that each second brings news of each
-// server from each zone, however long a period has become. A proxy that comes back goes on where its counters stood, unless
-// it is fresh: then they began anew.
-func (k *Pipeline) Join(now fleet.Time, id fleet.ProxyID, zone fleet.ZoneID, fresh bool) {
-	k.Leave(id)
+// countersOf returns the counters of a server at the last reading.
+func (pp *polledProxy) countersOf(server fleet.ServerID) *counters.ServerCounters {
+	if missing := int(server) + 1 - len(pp.servers); missing > 0 {
+		pp.servers = append(pp.servers, make([]counters.ServerCounters, max(minCounterGrowth, missing))...)
+	}
+	return &pp.servers[server]
+}
+
+// Join begins to poll a proxy. The polls of a zone's proxies are spread evenly over the period, so that each second
+// brings counters of each server from each zone, however long the period is. A proxy that comes back continues from
+// its last counters unless it is fresh.
+func (p *Pipeline) Join(now fleet.Time, id fleet.ProxyID, zone fleet.ZoneID, fresh bool) {
+	p.Leave(id)
 	rank := 0
-	for _, w := range k.proxies {
-		if w.zone == zone {
+	for _, other := range p.proxies {
+		if other.zone == zone {
 			rank++
 		}
 	}
-	w := k.left[id]
-	if delete(k.left, id); w == nil || fresh {
-		w = &watched{id: id}
+	proxy := p.departed[id]
+	delete(p.departed, id)
+	if proxy == nil || fresh {
+		proxy = &polledProxy{id: id}
 	}
-	_, part := math.Modf(float64(rank)*golden + float64(zone)*golden*golden)
-	w.zone, w.next, w.sent, w.mute = zone, now+k.period().Scale(part), 0, false
-	k.proxies[id] = w
-	k.zone(zone).proxies++
-	k.rows += w.rows
-	k.polls.push(w)
+	_, phase := math.Modf(float64(rank)*goldenRatio + float64(zone)*goldenRatio*goldenRatio)
+	proxy.zone = zone
+	proxy.pollAt = now + p.pollPeriod().Scale(phase)
+	proxy.polledAt = 0
+	proxy.reported = false
+	p.proxies[id] = proxy
+	p.coverageOf(zone).proxies++
+	p.rowCount += proxy.rowCount
+	p.polls.push(proxy)
 }
 
-// Leave ends that. What was summed is told all the same.
-func (k *Pipeline) Leave(id fleet.ProxyID) {
-	w := k.proxies[id]
-	if w == nil {
+// Leave ends the polls of a proxy. What its counters added is reported all the same.
+func (p *Pipeline) Leave(id fleet.ProxyID) {
+	proxy := p.proxies[id]
+	if proxy == nil {
 		return
 	}
-	if delete(k.proxies, id); w.place >= 0 {
-		k.polls.remove(w)
+	delete(p.proxies, id)
+	if proxy.index != notInHeap {
+		p.polls.remove(proxy)
 	}
-	k.zone(w.zone).proxies--
-	k.rows -= w.rows
-	k.left[id] = w
+	p.coverageOf(proxy.zone).proxies--
+	p.rowCount -= proxy.rowCount
+	p.departed[id] = proxy
 }
 
-// period tells how often each proxy is asked: as the site says, or less often where all counters would be more rows than
-// may be asked for. As counters are sums, a longer period loses nothing but time.
-func (k *Pipeline) period() fleet.Time {
-	need := fleet.Second.Scale(float64(k.rows) / (rowsPerS * k.pace.polls()))
-	return max(k.site.ReportInterval, need)
+// pollPeriod is the site's report interval, or longer where the counters of all proxies would exceed
+// maxRowsPerSecond. As counters are sums, a longer period loses nothing but time.
+func (p *Pipeline) pollPeriod() fleet.Time {
+	needed := fleet.Second.Scale(float64(p.rowCount) / (maxRowsPerSecond * p.shedder.pollShare()))
+	return max(p.site.ReportInterval, needed)
 }
 
-// Polls gives the proxies to be asked now, and when to call again. A proxy that has not answered is not asked again until
-// its answer, or its end, came.
-func (k *Pipeline) Polls(now fleet.Time) (ask []fleet.ProxyID, wake fleet.Time) {
-	k.at = max(k.at, now)
-	period := k.period()
-	for len(k.polls) > 0 && k.polls[0].next <= now {
-		w := k.polls.pop()
-		w.sent = now
-		if w.next += period; w.next <= now { // asked late
-			w.next += ((now-w.next)/period + 1) * period
+// Polls returns the proxies to poll now, and when to call again. A proxy is not polled again until it has answered
+// or left.
+func (p *Pipeline) Polls(now fleet.Time) (due []fleet.ProxyID, wake fleet.Time) {
+	p.advance(now)
+	period := p.pollPeriod()
+	for len(p.polls) > 0 && p.polls[0].pollAt <= now {
+		proxy := p.polls.pop()
+		proxy.polledAt = now
+		proxy.pollAt += period
+		if proxy.pollAt <= now {
+			proxy.skipMissedPolls(now, period)
 		}
-		ask = append(ask, w.id)
-	}
-	if len(k.polls) > 0 {
-		wake = k.polls[0].next
+		due = append(due, proxy.id)
 	}
-	return ask, wake
-}
-
-func (k *Pipeline) answered(w *watched, r *counters.Reading) {
-	n := max(len(r.Entries), len(r.Rows)) // "show stat" has a row for each class
-	k.rows += n - w.rows
-	w.rows = n
-	if w.place < 0 {
-		if period := k.period(); w.next <= k.at { // answered late: it keeps its place in the period, as all answers do that come at once after a stall
-			w.next += ((k.at-w.next)/period + 1) * period
-		}
-		k.polls.push(w)
+	if len(p.polls) > 0 {
+		wake = p.polls[0].pollAt
 	}
+	return due, wake
 }
 
-// placed is what a queue holds: it knows its order and its place.
-type placed[T any] interface {
-	before(T) bool
-	at() *int // its place, -1: it is in none
+// skipMissedPolls moves the next poll into the future without a change of its place in the period.
+func (pp *polledProxy) skipMissedPolls(now, period fleet.Time) {
+	pp.pollAt += ((now-pp.pollAt)/period + 1) * period
 }
 
-// queue is a heap of what waits, the first one first.
-type queue[T placed[T]] []T
-
-func (q queue[T]) Len() int           { return len(q) }
-func (q queue[T]) Less(a, b int) bool { return q[a].before(q[b]) }
-func (q queue[T]) Swap(a, b int) {
-	q[a], q[b] = q[b], q[a]
-	*q[a].at(), *q[b].at() = a, b
-}
-
-// Push and Pop are the library's; push, pop and remove are what to call.
-func (q *queue[T]) Push(x any) {
-	one := x.(T)
-	*one.at() = len(*q)
-	*q = append(*q, one)
-}
-
-// Pop takes the last one off.
-func (q *queue[T]) Pop() any {
-	last := len(*q) - 1
-	one := (*q)[last]
-	clear((*q)[last:])
-	*q, *one.at() = (*q)[:last], -1
-	return one
-}
-
-func (q *queue[T]) push(one T)   { heap.Push(q, one) }
-func (q *queue[T]) pop() T       { return heap.Pop(q).(T) }
-func (q *queue[T]) remove(one T) { heap.Remove(q, *one.at()) }
-
-func (w *watched) at() *int { return &w.place }
-
-// before orders proxies by when they are asked next.
-func (w *watched) before(o *watched) bool {
-	return w.next < o.next || w.next == o.next && w.id < o.id
-}
-
-func (l *line) at() *int { return &l.place }
-
-// before orders lines by when they may be told; of those due at once the order is fixed.
-func (l *line) before(o *line) bool {
-	switch {
-	case l.dueAt != o.dueAt:
-		return l.dueAt < o.dueAt
-	case l.usage != o.usage:
-		return o.usage
-	case l.server != o.server:
-		return l.server < o.server
-	case l.zone != o.zone:
-		return l.zone < o.zone
-	case l.key.proxy != o.key.proxy:
-		return l.key.proxy < o.key.proxy
+// answered schedules the next poll. A proxy that answers late stays at its place in the period, so that many that
+// answer at once after a stall are spread again.
+func (p *Pipeline) answered(proxy *polledProxy, reading *counters.Reading) {
+	rows := max(len(reading.Entries), len(reading.Rows)) // "show stat" has a row for each class
+	p.rowCount += rows - proxy.rowCount
+	proxy.rowCount = rows
+	if proxy.index != notInHeap {
+		return
+	}
+	if proxy.pollAt <= p.now {
+		proxy.skipMissedPolls(p.now, p.pollPeriod())
 	}
-	return l.key.class < o.key.class
+	p.polls.push(proxy)
 }
--- a/internal/ingest/push/server.go
+++ b/internal/ingest/push/server.go
@@ -42,7 +42,7 @@
 	writeTimeout = readTimeout + 5*time.Second // it begins with the read
 	idleTimeout  = 2 * time.Minute
 
-	// busyRetryAfter is what a source is told for which there is no capacity.
+	// busyRetryAfter is the Retry-After of a batch for which there is no capacity.
 	busyRetryAfter = fleet.Second
 )
 
--- /dev/null
+++ b/internal/ingest/queue_test.go
@@ -0,0 +1,168 @@
+package ingest
+
+import (
+	"math"
+	"math/rand/v2"
+	"testing"
+
+	"cressknot/internal/fleet"
+)
+
+const (
+	floodTick = 10 * millisecond
+
+	// honestServers each push a record every second.
+	honestServers = 90
+
+	// floodedServers is the number of the listed ones, of which the flood uses those from 99 on.
+	floodedServers = 700
+	greedyServer   = 99
+)
+
+// flood pushes records of many sources, of which one sends half of all, and broken ones.
+func flood(q *Queue, rng *rand.Rand, now fleet.Time, count int) {
+	batch := make([]Record, 0, 100)
+	for i := range count {
+		record := Record{
+			Server:   fleet.ServerID(greedyServer + 1 + rng.IntN(600)),
+			Stated:   now - fleet.Time(rng.IntN(9))*second,
+			Arrived:  now,
+			Attempts: uint64(rng.IntN(1e6)),
+			HasLoad:  true,
+			Load:     [4]float32{rng.Float32() * 9},
+		}
+		switch rng.IntN(4) {
+		case 0, 1:
+			record.Server = greedyServer
+		case 2:
+			record.Load[0] = float32(math.NaN())
+			record.Failures = math.MaxUint64
+		}
+		batch = append(batch, record)
+		if len(batch) == cap(batch) || i == count-1 {
+			q.Put(now, batch)
+			batch = batch[:0]
+		}
+	}
+}
+
+// floodResult is what a flood did to honest servers.
+type floodResult struct {
+	longestGap map[fleet.ServerID]fleet.Time // between two records that were taken
+	longest    fleet.Time                    // that a record of an honest server was queued
+	totals     Totals
+	queued     int // sources at a time
+}
+
+// runFlood runs ten seconds with so many records of a flood per tick.
+func runFlood(perTick int) floodResult {
+	result := floodResult{longestGap: map[fleet.ServerID]fleet.Time{}}
+	p := New(testSite())
+	q := &Queue{}
+	rng := rand.New(rand.NewPCG(5, 5))
+	proxy := newFakeProxy()
+	p.Join(0, 1, 0, true)
+	listAll(p, floodedServers)
+	last := map[fleet.ServerID]fleet.Time{}
+	var records []Record
+	for now := second; now < 11*second; now += floodTick {
+		flood(q, rng, now, perTick)
+		pushHonest(q, now)
+		limit, _ := p.Room()
+		records = q.Take(limit, records[:0])
+		for _, record := range records {
+			p.Pushed(now, record)
+			if record.Server >= honestServers {
+				continue
+			}
+			result.longest = max(result.longest, now-record.Arrived)
+			if at := last[record.Server]; at > 0 {
+				result.longestGap[record.Server] = max(result.longestGap[record.Server], now-at)
+			}
+			last[record.Server] = now
+		}
+		if now%second == 0 {
+			proxy.attempt(1, 20, 2)
+			p.Polled(now, 1, proxy.reading(now))
+		}
+		queued, _, _ := q.Waiting()
+		result.queued = max(result.queued, queued)
+		p.Tell(now)
+		p.Look(now)
+	}
+	result.totals = p.Totals()
+	return result
+}
+
+// pushHonest pushes the records of the honest servers that are due.
+func pushHonest(q *Queue, now fleet.Time) {
+	const ticksPerSecond = second / floodTick
+	for server := range fleet.ServerID(honestServers) {
+		if (now/floodTick+fleet.Time(server))%ticksPerSecond == 0 {
+			record := Record{Server: server, Stated: now, Arrived: now, Attempts: uint64(now / second), HasLoad: true}
+			q.Put(now, []Record{record})
+		}
+	}
+}
+
+// 100,000 records per second are pushed for ten seconds. The records of each honest server are taken within a
+// second, the queue stays as small as the fleet, and the sums of polls are the same as without the flood.
+func TestFloodStarvesNoSource(t *testing.T) {
+	result := runFlood(1000)
+	calm := runFlood(0)
+	for server, gap := range result.longestGap {
+		if gap > 2*second {
+			t.Errorf("no record of server %d was taken for %.1f s", server, gap.Seconds())
+		}
+	}
+	if result.longest > second || len(result.longestGap) != honestServers || result.queued > floodedServers {
+		t.Errorf("a record was queued for %.2f s, %d sources were heard, %d were queued at once",
+			result.longest.Seconds(), len(result.longestGap), result.queued)
+	}
+	if result.totals.Counted != calm.totals.Counted || result.totals.Counted == 0 {
+		t.Errorf("totals %+v, without the flood %+v", result.totals, calm.totals)
+	}
+}
+
+func TestSourceOverItsRateIsToldToWait(t *testing.T) {
+	q := &Queue{}
+	for range 20 {
+		reply := q.Put(second, []Record{{Server: 1}})
+		if reply.Taken == 0 && (reply.Wait <= 0 || reply.Wait > second || reply.Text == "") {
+			t.Errorf("%+v", reply)
+		}
+	}
+	if sources, records, thinned := q.Waiting(); sources != 1 || records != 20 || thinned != 12 {
+		t.Errorf("%d sources queued, %d records came, %d dropped", sources, records, thinned)
+	}
+}
+
+// BenchmarkPushed measures a record that is put, taken and added.
+func BenchmarkPushed(b *testing.B) {
+	p := New(testSite())
+	q := &Queue{}
+	batch := make([]Record, floodedServers)
+	now := second
+	var taken []Record
+	round := func() {
+		now += second
+		for i := range batch {
+			batch[i] = Record{
+				Server: fleet.ServerID(i), Stated: now, Arrived: now, Attempts: uint64(now), HasLoad: true}
+		}
+		q.Put(now, batch)
+		taken = q.Take(1000, taken[:0])
+		for _, record := range taken {
+			p.Pushed(now, record)
+		}
+		p.Tell(now)
+	}
+	for range 10 {
+		round()
+	}
+	b.ReportAllocs()
+	b.ResetTimer()
+	for n := 0; n < b.N; n += len(batch) {
+		round()
+	}
+}
--- /dev/null
+++ b/internal/ingest/readings.go
@@ -0,0 +1,171 @@
+package ingest
+
+import (
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest/counters"
+)
+
+const (
+	// maxCounterStep is the difference between two readings from which a counter can't be right.
+	maxCounterStep = 1 << 40
+
+	// minInterval is the shortest interval that gives a useful rate.
+	minInterval = 10 * fleet.Millisecond
+
+	// maxCountedPeriods bounds, in periods of polls, what counts of a longer interval.
+	maxCountedPeriods = 2
+)
+
+// CounterDelta is the difference between two readings of a proxy's counters of one server.
+type CounterDelta struct {
+	At            fleet.Time // of the later reading
+	Span          fleet.Time
+	Server        fleet.ServerID
+	Zone          fleet.ZoneID
+	Proxy         fleet.ProxyID
+	Attempts      uint64
+	Failures      uint64
+	Successes     uint64
+	SuccessMillis uint64
+	Load          [4]float32
+	HasLoad       bool
+}
+
+// Polled takes in a reading of a proxy's counters. It does not retain it.
+func (p *Pipeline) Polled(now fleet.Time, id fleet.ProxyID, reading *counters.Reading) {
+	p.advance(now)
+	proxy := p.proxies[id]
+	if proxy == nil {
+		return
+	}
+	p.answered(proxy, reading)
+	switch {
+	case !proxy.hasReading:
+		proxy.setBase(reading)
+	case reading.At < proxy.readAt+minInterval:
+	case proxy.countersReset(reading):
+		p.resets++
+		proxy.setBase(reading)
+	default:
+		interval := reading.At - proxy.readAt
+		proxy.readAt = reading.At
+		p.addOutcomes(proxy, reading, interval)
+		p.addDemand(proxy, reading, interval)
+	}
+}
+
+// setBase makes a reading the one that later ones are compared to.
+func (pp *polledProxy) setBase(reading *counters.Reading) {
+	pp.hasReading = true
+	pp.readAt = reading.At
+	clear(pp.servers)
+	for i := range reading.Rows {
+		row := &reading.Rows[i]
+		*pp.countersOf(row.Server) = row.ServerCounters
+	}
+	pp.classes = append(pp.classes[:0], reading.Classes...)
+}
+
+// countersReset reports whether a counter fell or jumped, so that differences mean nothing.
+func (pp *polledProxy) countersReset(reading *counters.Reading) bool {
+	for i := range reading.Rows {
+		row := &reading.Rows[i]
+		base := pp.countersOf(row.Server)
+		if isReset(row.Attempts, base.Attempts) || isReset(row.Failures, base.Failures) ||
+			isReset(row.Successes, base.Successes) || isReset(row.SuccessMillis, base.SuccessMillis) {
+			return true
+		}
+	}
+	for class := range min(len(reading.Classes), len(pp.classes)) {
+		current := &reading.Classes[class]
+		base := &pp.classes[class]
+		if isReset(current.Requests, base.Requests) || isReset(current.Unanswered, base.Unanswered) {
+			return true
+		}
+	}
+	return false
+}
+
+func isReset(current, base uint64) bool { return current < base || current-base > maxCounterStep }
+
+// addOutcomes adds the differences of the servers' counters to the pending reports.
+func (p *Pipeline) addOutcomes(proxy *polledProxy, reading *counters.Reading, interval fleet.Time) {
+	counted, fraction := p.countedPart(interval)
+	coverage := p.coverageOf(proxy.zone)
+	before := coverage.read
+	coverage.read += counted
+	for i := range reading.Rows {
+		row := &reading.Rows[i]
+		base := proxy.countersOf(row.Server)
+		if row.Attempts == base.Attempts {
+			base.Successes = row.Successes
+			base.SuccessMillis = row.SuccessMillis
+			continue
+		}
+		delta := CounterDelta{
+			At:            reading.At,
+			Span:          interval,
+			Server:        row.Server,
+			Zone:          proxy.zone,
+			Proxy:         proxy.id,
+			Attempts:      row.Attempts - base.Attempts,
+			Failures:      min(row.Failures-base.Failures, row.Attempts-base.Attempts),
+			Successes:     row.Successes - base.Successes,
+			SuccessMillis: row.SuccessMillis - base.SuccessMillis,
+			Load:          row.Load,
+			HasLoad:       row.HasLoad,
+		}
+		*base = row.ServerCounters
+		p.totals.Counted += delta.Attempts
+		if p.observer != nil {
+			p.observer(delta)
+		}
+		p.recordOutcome(&delta)
+		if fraction < 1 {
+			p.scaleDown(&delta, fraction)
+		}
+		report := p.outcomeReport(row.Server, proxy.zone)
+		if report.attempts == 0 {
+			p.beginCoverage(report, coverage, before)
+		}
+		p.schedule(report, reading.At-counted, reading.At)
+		report.addOutcome(&delta)
+		p.totals.Waiting += delta.Attempts
+	}
+}
+
+// countedPart returns how much of an interval counts, and the fraction of it. Sums that gathered while a proxy was
+// out of reach say little of the present; reported as those of one period they would read as a surge.
+func (p *Pipeline) countedPart(interval fleet.Time) (counted fleet.Time, fraction float64) {
+	if limit := p.maxCountedInterval(); interval > limit {
+		return limit, float64(limit) / float64(interval)
+	}
+	return interval, 1
+}
+
+func (p *Pipeline) maxCountedInterval() fleet.Time {
+	return maxCountedPeriods * max(p.site.ReportInterval, p.pollPeriod())
+}
+
+// scaleDown reduces a difference to a fraction, and counts the other attempts as aged.
+func (p *Pipeline) scaleDown(delta *CounterDelta, fraction float64) {
+	attempts := min(delta.Attempts, scaled(delta.Attempts, fraction))
+	p.totals.Aged += delta.Attempts - attempts
+	delta.Attempts = attempts
+	delta.Failures = min(scaled(delta.Failures, fraction), attempts)
+	delta.Successes = scaled(delta.Successes, fraction)
+	delta.SuccessMillis = scaled(delta.SuccessMillis, fraction)
+}
+
+func scaled(count uint64, fraction float64) uint64 { return uint64(float64(count)*fraction + 0.5) }
+
+// addDemand adds the differences of the classes' counters to the pending reports.
+func (p *Pipeline) addDemand(proxy *polledProxy, reading *counters.Reading, interval fleet.Time) {
+	for class := range min(len(reading.Classes), len(proxy.classes)) {
+		report := p.demandReport(demandKey{proxy: proxy.id, class: fleet.ClassID(class)})
+		p.schedule(report, reading.At-interval, reading.At)
+		report.attempts += reading.Classes[class].Requests - proxy.classes[class].Requests
+		report.failures += reading.Classes[class].Unanswered - proxy.classes[class].Unanswered
+	}
+	proxy.classes = append(proxy.classes[:0], reading.Classes...)
+}
--- /dev/null
+++ b/internal/ingest/shedding.go
@@ -0,0 +1,98 @@
+package ingest
+
+import (
+	"fmt"
+
+	"cressknot/internal/fleet"
+)
+
+const (
+	// turnDeadline bounds a turn of the control loop: ordinary decisions have seconds, urgent ones have not.
+	turnDeadline = 50 * fleet.Millisecond
+
+	// raiseInterval is the least time between two raises of the level, until the effect of the first one shows.
+	raiseInterval = fleet.Second
+
+	// calmDuration without a missed deadline lowers the level.
+	calmDuration = 5 * fleet.Second
+
+	// maxRecordsPerTurn takes all of a fleet in two turns.
+	maxRecordsPerTurn = 512
+
+	// maxRowsPerTurn of counters take some 5 ms.
+	maxRowsPerTurn = 100_000
+)
+
+// sheddingLevels are what remains at each level. Pushed reports are shed first, then polls, and orders never.
+var sheddingLevels = [...]struct {
+	pushed, polls float64
+	text          string
+}{
+	{1, 1, "all reports are heard"},
+	{0.25, 1, "pushed reports are thinned to a quarter"},
+	{0.1, 0.5, "pushed reports are thinned to a tenth, polls to half"},
+	{0.02, 0.25, "pushed reports are thinned to a fiftieth, polls to a quarter"},
+}
+
+// loadShedder reduces what is taken in so that turns meet their deadline.
+type loadShedder struct {
+	level     int
+	missedAt  fleet.Time // the latest missed deadline
+	changedAt fleet.Time
+	misses    uint64
+	longest   fleet.Time // turn since the last change
+	notices   []Notice
+}
+
+// Took takes in the duration of a turn.
+func (p *Pipeline) Took(now, duration fleet.Time) { p.shedder.turnEnded(now, duration) }
+
+// Room returns how many pushed records and rows of counters the next turn may take.
+func (p *Pipeline) Room() (records, rows int) {
+	share := sheddingLevels[p.shedder.level].pushed
+	return max(1, int(maxRecordsPerTurn*share)), maxRowsPerTurn
+}
+
+// Shed returns the level of shedding, the number of missed deadlines, and what the level means.
+func (p *Pipeline) Shed() (level int, misses uint64, text string) {
+	return p.shedder.level, p.shedder.misses, sheddingLevels[p.shedder.level].text
+}
+
+func (s *loadShedder) turnEnded(now, duration fleet.Time) {
+	if duration <= turnDeadline {
+		if s.level > 0 && now >= max(s.missedAt, s.changedAt)+calmDuration {
+			s.setLevel(now, s.level-1)
+		}
+		return
+	}
+	s.misses++
+	s.missedAt = now
+	s.longest = max(s.longest, duration)
+	mayRaise := s.changedAt == 0 || now >= s.changedAt+raiseInterval
+	if mayRaise && s.level < len(sheddingLevels)-1 {
+		s.setLevel(now, s.level+1)
+	}
+}
+
+func (s *loadShedder) setLevel(now fleet.Time, level int) {
+	text := sheddingLevels[level].text
+	if level > s.level {
+		text = fmt.Sprintf("turns took up to %.0f ms, the deadline is %.0f ms: %s",
+			milliseconds(s.longest), milliseconds(turnDeadline), text)
+	}
+	s.notices = append(s.notices, Notice{OfAll: true, Good: level < s.level, Text: text})
+	s.level = level
+	s.changedAt = now
+	s.longest = 0
+}
+
+func milliseconds(t fleet.Time) float64 { return float64(t) / float64(fleet.Millisecond) }
+
+func (s *loadShedder) takeNotices() []Notice {
+	notices := s.notices
+	s.notices = nil
+	return notices
+}
+
+// pollShare is the part of the polls that remains.
+func (s *loadShedder) pollShare() float64 { return sheddingLevels[s.level].polls }
--- /dev/null
+++ b/internal/ingest/shedding_test.go
@@ -0,0 +1,49 @@
+package ingest
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"cressknot/internal/fleet"
+)
+
+// Pushed reports are shed first and polls second; all comes back when turns are short again.
+func TestLongTurnsShedReportsAndPolls(t *testing.T) {
+	const turnInterval = 100 * millisecond
+	p := New(testSite())
+	p.rowCount = 10 * maxRowsPerSecond
+	var limits []int
+	var periods, raisedAt []fleet.Time
+	now := second
+	for ; now < 4*second; now += turnInterval {
+		p.Took(now, 80*millisecond)
+		records, rows := p.Room()
+		if n := len(limits); n == 0 || limits[n-1] != records {
+			limits = append(limits, records)
+			periods = append(periods, p.pollPeriod())
+			raisedAt = append(raisedAt, now)
+		}
+		if rows != maxRowsPerTurn {
+			t.Error("readings that came are not taken")
+		}
+	}
+	if fmt.Sprint(limits) != "[128 51 10]" {
+		t.Fatalf("%v pushed records a turn", limits)
+	}
+	if periods[0] != 10*second || periods[1] != 20*second || periods[2] != 40*second {
+		t.Errorf("periods of polls %v", periods)
+	}
+	if raisedAt[1]-raisedAt[0] < raiseInterval || raisedAt[2]-raisedAt[1] < raiseInterval {
+		t.Errorf("raised at %v", raisedAt)
+	}
+	for ; now < 30*second; now += turnInterval {
+		p.Took(now, millisecond)
+	}
+	level, misses, _ := p.Shed()
+	notices := p.Look(now)
+	if level != 0 || misses != 30 || len(notices) != 6 ||
+		!strings.Contains(notices[0].Text, "turns took up to 80 ms") {
+		t.Errorf("level %d, %d misses, %+v", level, misses, notices)
+	}
+}
