--- a/internal/gossip/state_test.go
+++ b/internal/gossip/state_test.go
@@ -123,6 +123,12 @@
 	n.expect("after our list", overridesOfNewerList)
 	n.now += messageLifetime
 	n.expect("when the peer is silent", overridesEnded)
+	n.send()
+	n.now += 3 * fleet.Second
+	n.send()
+	n.expect("when the peer is heard again", overridesOfNewerList)
+	n.second.SetLocalList(n.now, 9, true, n.newer)
+	n.expect("caught up after the silence", "")
 }
 
 // TestNewerListOfPeerEndsWithOurOwn checks that a peer's list no longer counts once ours has caught up, and that an
