--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -58,9 +58,9 @@
 						b.Error(err)
 						return
 					}
-					defer conn.Close()
+					defer func() { _ = conn.Close() }()
 					if via.name == "runtime" { // a watch has a connection of its own; sockets of one process are bounded
-						conn.Close()
+						_ = conn.Close()
 					}
 					holds := tableversion.NoVersion
 					for ctx.Err() == nil {
@@ -145,7 +145,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				defer conn.Close()
+				defer func() { _ = conn.Close() }()
 				conns = append(conns, conn)
 			}
 			var mu sync.Mutex
--- a/client/client.go
+++ b/client/client.go
@@ -87,7 +87,7 @@
 	nodes    map[string]*Node // those of the present table, and those with counts to report
 	conn     Conn             // of the governor that is followed; nil: none
 	governor string
-	why      *service.Fault // why none is
+	why      *service.Error // why none is
 	ready    chan struct{}  // closed when there is a table
 	pending  []*service.Report
 	seq      uint64
@@ -116,7 +116,7 @@
 		cfg.OnStream = func(bool, string) {}
 	}
 	c := &Client{cfg: cfg, via: via, finder: NewFinder(len(cfg.Governors), cfg.Seed), budget: NewBudget(), session: rand.Uint64(), held: NewHeld(),
-		nodes: map[string]*Node{}, ready: make(chan struct{}), why: &service.Fault{Code: service.Unreachable, Text: "no governor was asked yet"}}
+		nodes: map[string]*Node{}, ready: make(chan struct{}), why: &service.Error{Code: service.Unreachable, Text: "no governor was asked yet"}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.done.Add(2)
 	go c.follow()
@@ -160,12 +160,12 @@
 }
 
 // asFault makes a fault of any error.
-func asFault(err error) *service.Fault {
-	var f *service.Fault
+func asFault(err error) *service.Error {
+	var f *service.Error
 	if errors.As(err, &f) {
 		return f
 	}
-	return &service.Fault{Code: service.Unreachable, Text: err.Error()}
+	return &service.Error{Code: service.Unreachable, Text: err.Error()}
 }
 
 // errBehind ends the watch of a governor that knows less than was known.
@@ -203,16 +203,16 @@
 	if err != nil {
 		return err
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	hello, err := conn.Greet(dial, service.Hello{Major: service.Major, Minor: service.Minor, Name: c.cfg.Name})
 	if err != nil {
 		return err
 	}
 	if hello.Major != service.Major {
-		return &service.Fault{Code: service.OtherMajor, Text: fmt.Sprintf("governor %s speaks version %d.%d", hello.Name, hello.Major, hello.Minor)}
+		return &service.Error{Code: service.OtherMajor, Text: fmt.Sprintf("governor %s speaks version %d.%d", hello.Name, hello.Major, hello.Minor)}
 	}
 	if !slices.Contains(hello.Zones, c.cfg.Zone) {
-		return &service.Fault{Code: service.NoZone, Text: fmt.Sprintf("governor %s does not serve zone %q", hello.Name, c.cfg.Zone)}
+		return &service.Error{Code: service.NoZone, Text: fmt.Sprintf("governor %s does not serve zone %q", hello.Name, c.cfg.Zone)}
 	}
 	c.learn(hello.Classes)
 	c.mu.Lock()
@@ -231,7 +231,7 @@
 	ctx, stop := context.WithCancelCause(c.ctx)
 	defer stop(nil)
 	silent := time.AfterFunc(time.Duration(silentAfter), func() {
-		stop(&service.Fault{Code: service.Unreachable, Text: fmt.Sprintf("governor %s is silent", hello.Name)})
+		stop(&service.Error{Code: service.Unreachable, Text: fmt.Sprintf("governor %s is silent", hello.Name)})
 	})
 	defer silent.Stop()
 	err = conn.Watch(ctx, c.cfg.Zone, holds, func(u *service.Update) error {
@@ -291,11 +291,11 @@
 	case Taken:
 	case Resync:
 		c.held.Forget()
-		return &service.Fault{Code: service.Malformed, Text: why}
+		return &service.Error{Code: service.Malformed, Text: why}
 	case Behind:
 		return fmt.Errorf("%w: %s", errBehind, why)
 	default:
-		return &service.Fault{Code: service.Malformed, Text: why}
+		return &service.Error{Code: service.Malformed, Text: why}
 	}
 	c.word.Store(int64(now))
 	lines := 0
@@ -309,7 +309,7 @@
 
 func (c *Client) lay(now fleet.Time) {
 	t := &table{at: now}
-	used, any := map[*Node]bool{}, false
+	used, hasEndpoints := map[*Node]bool{}, false
 	node := func(name, addr string) *Node {
 		n := c.nodes[name]
 		if n == nil || n.Addr != addr {
@@ -328,7 +328,7 @@
 			t.classes = append(t.classes, classTable{})
 			continue
 		}
-		any = any || len(lines) > 0
+		hasEndpoints = hasEndpoints || len(lines) > 0
 		t.classes = append(t.classes, newClassTable(lines, amount, retry, node))
 	}
 	for name, n := range c.nodes {
@@ -336,7 +336,7 @@
 			delete(c.nodes, name)
 		}
 	}
-	if !any && c.table.Load() == nil {
+	if !hasEndpoints && c.table.Load() == nil {
 		return
 	}
 	c.table.Store(t)
@@ -446,7 +446,7 @@
 	c.mu.Unlock()
 	if conn == nil {
 		var none T
-		return none, &service.Fault{Code: service.Unreachable, Text: why.Text}
+		return none, &service.Error{Code: service.Unreachable, Text: why.Text}
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(callWithin))
 	defer cancel()
--- a/client/do.go
+++ b/client/do.go
@@ -171,7 +171,7 @@
 
 // worthless tells that a governor will never count a batch, however often it comes.
 func worthless(err error) bool {
-	var f *service.Fault
+	var f *service.Error
 	if !errors.As(err, &f) {
 		return false
 	}
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -18,7 +18,7 @@
 		fmt.Println(err)
 		return
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	if err := c.Ready(ctx); err != nil { // no governor answers yet
@@ -39,7 +39,7 @@
 		if err != nil {
 			return client.Result{Outcome: client.Failed, Err: err} // it may have run
 		}
-		defer res.Body.Close()
+		defer func() { _ = res.Body.Close() }()
 		if res.StatusCode != http.StatusOK {
 			return client.Result{Outcome: client.Failed, Err: fmt.Errorf("%s", res.Status)}
 		}
--- a/client/finder.go
+++ b/client/finder.go
@@ -49,7 +49,7 @@
 }
 
 // Failed hears that a governor failed, or that it asked to be left alone for a while.
-func (f *Finder) Failed(now fleet.Time, governor int, why *service.Fault) {
+func (f *Finder) Failed(now fleet.Time, governor int, why *service.Error) {
 	l := &f.leads[governor]
 	wait := min(redialLast, redialFirst<<min(l.failures, 8))
 	l.failures++
--- a/client/pure_test.go
+++ b/client/pure_test.go
@@ -38,10 +38,9 @@
 		var late []service.Update
 		highest, heard := uint64(0), fleet.Time(0)
 		deliver := func(u service.Update) {
-			before, version := "", tableversion.NoVersion
 			lines, _, _, _ := h.Lines("look")
-			before = show(lines)
-			_, version = h.Holds()
+			before := show(lines)
+			_, version := h.Holds()
 			verdict, why := h.Update(now, &u)
 			lines, _, _, known := h.Lines("look")
 			switch _, v := h.Holds(); verdict {
@@ -371,7 +370,7 @@
 	if b, wait := f.Next(now); b == a || wait != 0 {
 		t.Errorf("%d after %d, in %d", b, a, wait)
 	}
-	f.Failed(now, 1-a, &service.Fault{RetryAfter: 60 * sec})
+	f.Failed(now, 1-a, &service.Error{RetryAfter: 60 * sec})
 	for i := range 12 {
 		at, wait := f.Next(now)
 		if at != a || wait > redialLast || i == 0 && wait > redialFirst {
--- a/client/rpc/rpc.go
+++ b/client/rpc/rpc.go
@@ -40,7 +40,7 @@
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: service.PingInterval, Timeout: service.PingTimeout}), grpc.WithNoProxy()}, t.Options...)
 	c, err := grpc.NewClient("passthrough:///"+addr, options...)
 	if err != nil {
-		return nil, &service.Fault{Code: service.Unreachable, Text: err.Error()}
+		return nil, &service.Error{Code: service.Unreachable, Text: err.Error()}
 	}
 	return &conn{c, pb.NewGovernorClient(c), caller}, nil
 }
@@ -100,7 +100,7 @@
 	for {
 		p, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
-			return &service.Fault{Code: service.Closing, Text: "the governor ended the watch"}
+			return &service.Error{Code: service.Closing, Text: "the governor ended the watch"}
 		}
 		if err != nil {
 			return rpc.FaultOf(err)
--- a/client/runtime/runtime.go
+++ b/client/runtime/runtime.go
@@ -48,7 +48,7 @@
 }
 
 func unreachable(err error) error {
-	return &service.Fault{Code: service.Unreachable, Text: err.Error()}
+	return &service.Error{Code: service.Unreachable, Text: err.Error()}
 }
 
 // Dial connects.
@@ -81,7 +81,7 @@
 	defer c.mu.Unlock()
 	c.closed = true
 	if c.line != nil {
-		return c.line.Conn.Close()
+		return c.line.Close()
 	}
 	return nil
 }
@@ -95,11 +95,11 @@
 			return nil
 		})
 		if fed != nil {
-			return nil, &service.Fault{Code: service.Malformed, Text: fed.Error()}
+			return nil, &service.Error{Code: service.Malformed, Text: fed.Error()}
 		}
 		if err != nil && len(l.ready) == 0 {
 			if e := net.Error(nil); errors.As(err, &e) && e.Timeout() {
-				return nil, &service.Fault{Code: service.Busy, Text: "no answer in time"}
+				return nil, &service.Error{Code: service.Busy, Text: "no answer in time"}
 			}
 			return nil, unreachable(err)
 		}
@@ -135,14 +135,14 @@
 		}
 		if c.hello != "" {
 			if _, err := c.line.ask(ctx, []byte(c.hello)); err != nil {
-				c.line.Conn.Close()
+				_ = c.line.Close()
 				c.line = nil
 				return nil, err
 			}
 		}
 	}
 	if text, err = c.line.ask(ctx, request); err != nil {
-		c.line.Conn.Close()
+		_ = c.line.Close()
 		c.line = nil
 	}
 	return text, err
@@ -208,8 +208,8 @@
 	if err != nil {
 		return err
 	}
-	defer l.Conn.Close()
-	stop := context.AfterFunc(ctx, func() { l.Conn.Close() })
+	defer func() { _ = l.Close() }()
+	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
 	c.mu.Lock()
 	hello := c.hello
--- a/client/suite_test.go
+++ b/client/suite_test.go
@@ -55,7 +55,7 @@
 
 func (desk) Server(_ context.Context, name string) (service.ServerState, error) {
 	if name != "s1" {
-		return service.ServerState{}, &service.Fault{Code: service.NoServer, Text: fmt.Sprintf("%q was never heard of", name)}
+		return service.ServerState{}, &service.Error{Code: service.NoServer, Text: fmt.Sprintf("%q was never heard of", name)}
 	}
 	return service.ServerState{Name: "s1", Addr: "127.0.0.1:7001", Zone: "a", State: "draining", SlowStartRemaining: 3 * fleet.Second, Withdrawn: true, Verdict: "well",
 		Weights: []service.ClassWeight{{Zone: "a", Class: "look", Weight: 12}}, Reasons: []string{"it drains; so says the list", "= \\ 100%"}}, nil
@@ -63,7 +63,7 @@
 
 func (desk) History(_ context.Context, zone, class string, most int) (rows []service.VersionRow, err error) {
 	if class != "look" {
-		return nil, &service.Fault{Code: service.NoClass, Text: "no class"}
+		return nil, &service.Error{Code: service.NoClass, Text: "no class"}
 	}
 	for i := range most {
 		rows = append(rows, service.VersionRow{Version: tableversion.Version{Epoch: 9, Count: uint64(i + 1)}, Digest: tableversion.Digest(i), CreatedAt: fleet.Time(i), Entries: i, Reason: "by hand"})
@@ -218,7 +218,7 @@
 
 // code gives the code of an error, and whether it asks for patience.
 func code(err error) (service.Code, bool) {
-	var f *service.Fault
+	var f *service.Error
 	if errors.As(err, &f) {
 		return f.Code, f.RetryAfter > 0
 	}
@@ -410,7 +410,7 @@
 					t.Errorf("%q: %s", frame, answer[:n])
 				}
 			}
-			conn.Close()
+			_ = conn.Close()
 		}
 	}
 	for i, via := range transports {
@@ -427,7 +427,7 @@
 		if is, _ := code(err); is != service.TooLarge && is != service.BadRequest && is != service.Unreachable {
 			t.Errorf("%s: a huge batch: %v", via.name, err)
 		}
-		conn.Close()
+		_ = conn.Close()
 		cancel()
 	}
 	g.lay(reconcile.UpdateEntry, reconcile.StateUnchanged, 50, 0)
--- a/cmd/cressknot/main.go
+++ b/cmd/cressknot/main.go
@@ -60,7 +60,7 @@
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage{err} })
 	root.AddCommand(serveCommand(), nodeCommand(), checkCommand(), showCommand(), topCommand(), explainCommand(), guardCommand(), tableCommand(), storeCommand(), retireCommand(), takeCommand(), planCommand(), rollingCommand(), replayCommand(),
 		&cobra.Command{Use: "version", Short: "Print the version", Args: args(cobra.NoArgs),
-			Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), server.Version) }})
+			Run: func(c *cobra.Command, _ []string) { printLine(c.OutOrStdout(), server.Version) }})
 	return root
 }
 
@@ -100,12 +100,12 @@
 				switch {
 				case errors.As(err, &faults):
 					wrong += len(faults)
-					fmt.Fprintln(c.OutOrStdout(), faults)
+					printLine(c.OutOrStdout(), faults)
 				case err != nil:
 					wrong++
-					fmt.Fprintln(c.OutOrStdout(), err)
+					printLine(c.OutOrStdout(), err)
 				default:
-					fmt.Fprintf(c.OutOrStdout(), "%s: good: governor %s, %d proxies, %d classes\n", path, s.Name,
+					printf(c.OutOrStdout(), "%s: good: governor %s, %d proxies, %d classes\n", path, s.Name,
 						len(s.Proxies), len(s.Classes))
 				}
 			}
@@ -222,12 +222,12 @@
 				return err
 			}
 			for _, h := range harms {
-				fmt.Fprintln(c.OutOrStdout(), h)
+				printLine(c.OutOrStdout(), h)
 			}
 			if len(harms) > 0 {
 				return fmt.Errorf("%d harms", len(harms))
 			}
-			fmt.Fprintln(c.OutOrStdout(), "harmless")
+			printLine(c.OutOrStdout(), "harmless")
 			return nil
 		}}
 	check.Flags().StringVar(&table, "table", "", "the table")
@@ -271,9 +271,9 @@
 			if err != nil {
 				return err
 			}
-			defer f.Close()
+			defer func() { _ = f.Close() }()
 			steps, orders, err := eventlog.Replay(a[0], f)
-			fmt.Fprintf(c.OutOrStdout(), "%d steps, %d orders the same\n", steps, orders)
+			printf(c.OutOrStdout(), "%d steps, %d orders the same\n", steps, orders)
 			return err
 		}}
 }
--- /dev/null
+++ b/cmd/cressknot/output.go
@@ -0,0 +1,16 @@
+package main
+
+import (
+	"fmt"
+	"io"
+)
+
+// printf writes formatted text to a command's output. An output that can't be written to has nobody to tell.
+func printf(out io.Writer, format string, values ...any) {
+	_, _ = fmt.Fprintf(out, format, values...)
+}
+
+// printLine writes values and a line break to a command's output, as printf does.
+func printLine(out io.Writer, values ...any) {
+	_, _ = fmt.Fprintln(out, values...)
+}
--- a/cmd/cressknot/sharing.go
+++ b/cmd/cressknot/sharing.go
@@ -86,12 +86,12 @@
 			if before[p.Proxy][0] != g {
 				moved++
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s %s\n", p.Proxy, strings.Join(after[p.Proxy], " "))
+			printf(c.OutOrStdout(), "%s %s\n", p.Proxy, strings.Join(after[p.Proxy], " "))
 		}
 		for _, g := range governors {
-			fmt.Fprintf(c.OutOrStdout(), "# %s: %d proxies, %.1f visits a second\n", g, proxies[g], visits[g])
+			printf(c.OutOrStdout(), "# %s: %d proxies, %.1f visits a second\n", g, proxies[g], visits[g])
 		}
-		fmt.Fprintf(c.OutOrStdout(), "# %d of %d proxies move\n", moved, len(shares))
+		printf(c.OutOrStdout(), "# %d of %d proxies move\n", moved, len(shares))
 		return nil
 	}
 	return c
@@ -117,7 +117,7 @@
 			if err := run.Run(); err != nil {
 				return fmt.Errorf("%s: %w", command[0], err)
 			}
-			fmt.Fprintln(c.OutOrStdout(), socket+": restarted")
+			printLine(c.OutOrStdout(), socket+": restarted")
 			return nil
 		})
 	}
--- a/cmd/cressknot/store.go
+++ b/cmd/cressknot/store.go
@@ -49,7 +49,7 @@
 						return nil
 					})
 					if err == nil {
-						fmt.Fprintf(c.OutOrStdout(), "%d records, %d bytes, %d bytes on disk: all whole\n", n, size, s.Statistics().OnDisk)
+						printf(c.OutOrStdout(), "%d records, %d bytes, %d bytes on disk: all whole\n", n, size, s.Statistics().OnDisk)
 					}
 					return err
 				})
@@ -75,7 +75,7 @@
 					if err := s.Compact(); err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%d bytes were %d\n", s.Statistics().OnDisk, before)
+					printf(c.OutOrStdout(), "%d bytes were %d\n", s.Statistics().OnDisk, before)
 					return nil
 				})
 			}},
--- a/internal/haproxyapi/listen.go
+++ b/internal/haproxyapi/listen.go
@@ -21,7 +21,7 @@
 		return l, err
 	}
 	if c, dialed := net.DialTimeout("unix", addr, time.Second); dialed == nil {
-		c.Close()
+		_ = c.Close()
 		return nil, err
 	}
 	if err := os.Remove(addr); err != nil {
--- a/internal/haproxyapi/request.go
+++ b/internal/haproxyapi/request.go
@@ -1,4 +1,4 @@
-// Package runtimeapi is the text protocol of a proxy's runtime socket, in the manner of HAProxy's, as the
+// Package haproxyapi is the text protocol of a proxy's runtime socket, in the manner of HAProxy's, as the
 // management guide of that program publishes it ("9.3. Unix Socket commands"): request lines with commands
 // separated by ";", words separated by spaces, backslashes that keep a space or a semicolon, a payload
 // after "<<", answers that end with an empty line, and the tables that such answers hold. But for Listen it does no I/O:
--- a/internal/service/hub.go
+++ b/internal/service/hub.go
@@ -123,7 +123,7 @@
 	free    bool   // nobody waits for it
 	spoke   fleet.Time
 	beat    bool
-	ended   *Fault
+	ended   *Error
 }
 
 type sent struct {
@@ -267,7 +267,7 @@
 				h.end(w, fault(TooSlow, "nothing was acknowledged for %.0f s", (now-since).Seconds()))
 				continue
 			}
-			if now >= w.spoke+BeatEvery && len(w.waits) < windowMost {
+			if now >= w.spoke+heartbeatInterval && len(w.waits) < windowMost {
 				w.beat = true
 				w.wake()
 			}
@@ -281,7 +281,7 @@
 	}
 }
 
-func (h *Hub) end(w *Watcher, why *Fault) {
+func (h *Hub) end(w *Watcher, why *Error) {
 	if w.ended != nil {
 		return
 	}
@@ -295,7 +295,7 @@
 
 // Watch begins to follow a zone from what a caller holds. Wake is called whenever Next may have something, from any goroutine; it
 // must not block and not call back.
-func (h *Hub) Watch(zone string, holds tableversion.Version, wake func()) (*Watcher, *Fault) {
+func (h *Hub) Watch(zone string, holds tableversion.Version, wake func()) (*Watcher, *Error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	z, f := h.zone(zone)
@@ -303,7 +303,7 @@
 		return nil, f
 	}
 	if h.watchers >= watchersMost {
-		return nil, &Fault{Overloaded, "too many watchers", retryMost}
+		return nil, &Error{Overloaded, "too many watchers", retryMost}
 	}
 	w := &Watcher{hub: h, zone: z, wake: wake, sent: holds, acked: holds, free: true, base: z.n, spoke: h.opt.Now()}
 	z.watchers[w] = struct{}{}
@@ -311,7 +311,7 @@
 	return w, nil
 }
 
-func (h *Hub) zone(name string) (*zoneHub, *Fault) {
+func (h *Hub) zone(name string) (*zoneHub, *Error) {
 	if h.closing {
 		return nil, fault(Closing, "governor %s stops", h.opt.Controller)
 	}
@@ -326,7 +326,7 @@
 func (z *zoneHub) known() bool { return z.view.Any() || z.view.facts.Open != nil }
 
 // Next gives what is to be sent now, nil for nothing, or why the watch is over.
-func (w *Watcher) Next() (*Shared, *Fault) {
+func (w *Watcher) Next() (*Shared, *Error) {
 	h := w.hub
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -404,7 +404,7 @@
 }
 
 // Table gives the whole of a zone.
-func (h *Hub) Table(zone string) (*Shared, *Fault) {
+func (h *Hub) Table(zone string) (*Shared, *Error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	z, f := h.zone(zone)
@@ -412,7 +412,7 @@
 		return nil, f
 	}
 	if !z.view.Any() {
-		return nil, &Fault{Unready, "no table is laid yet", fleet.Second}
+		return nil, &Error{Unready, "no table is laid yet", fleet.Second}
 	}
 	s := z.shared[tableversion.NoVersion]
 	if s == nil {
@@ -424,7 +424,7 @@
 
 // Report counts a batch, all of it or nothing, and gives the number of the newest batch that is counted. Rows of servers that this
 // governor never heard of are left out.
-func (h *Hub) Report(r *Report) (uint64, *Fault) {
+func (h *Hub) Report(r *Report) (uint64, *Error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	z, f := h.zone(r.Zone)
@@ -462,7 +462,7 @@
 	s := h.sessions[r.Session]
 	if s == nil {
 		if len(h.sessions) >= sessionsMost {
-			return 0, &Fault{Overloaded, "too many callers report", retryMost}
+			return 0, &Error{Overloaded, "too many callers report", retryMost}
 		}
 		s = &session{}
 		h.sessions[r.Session] = s
--- a/internal/service/hub_test.go
+++ b/internal/service/hub_test.go
@@ -62,7 +62,7 @@
 }
 
 // TestMessagesAreAnsweredWhenTakenIn: whatever watchers come, leave, take in and fall asleep when, each message is answered once, in
-// order, when all who were there and are not slow have taken it in and not before; who takes in nothing is ended after CutAfter, within
+// order, when all who were there and are not slow have taken it in and not before; who takes in nothing is ended after watcherTimeout, within
 // which the governor has its answer in any case; who falls behind gets one change that has it all.
 func TestMessagesAreAnsweredWhenTakenIn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -126,7 +126,7 @@
 			if next <= y.seq { // somebody holds it up, rightly
 				reason := false
 				for _, w := range all {
-					reason = reason || !w.Watcher.free && w.acked.Compare(version[next]) < 0
+					reason = reason || !w.free && w.acked.Compare(version[next]) < 0
 				}
 				if !reason {
 					t.Fatalf("message %d waits for nobody", next)
@@ -140,7 +140,7 @@
 				}
 			}
 		}
-		y.now += CutAfter + fleet.Millisecond
+		y.now += watcherTimeout + fleet.Millisecond
 		y.hub.Tick(y.now)
 		for _, w := range all {
 			if w.asleep && len(w.got) > 0 && w.ended == nil {
@@ -148,7 +148,7 @@
 			}
 		}
 		if n := len(y.answers()); n != int(y.seq) {
-			t.Fatalf("%d of %d messages are answered after %.0f s", n, y.seq, CutAfter.Seconds())
+			t.Fatalf("%d of %d messages are answered after %.0f s", n, y.seq, watcherTimeout.Seconds())
 		}
 	})
 }
@@ -247,7 +247,7 @@
 func TestLimits(t *testing.T) {
 	l, now := NewLimits(), 100*fleet.Second
 	taken := 0
-	var f *Fault
+	var f *Error
 	for f = l.Ask(now, "a", AskHistory); f == nil; f = l.Ask(now, "a", AskHistory) {
 		l.Done(now, fleet.Millisecond)
 		taken++
--- a/internal/service/limits.go
+++ b/internal/service/limits.go
@@ -32,23 +32,23 @@
 }
 
 const (
-	callersMost  = 20_000                  // callers whose asking is remembered
-	limitFirst   = 64.0                    // questions at a time, before anything is measured
-	limitLeast   = 8.0                     // some for each kind whatever is measured
-	limitMost    = 4096.0                  // memory, not time, bounds beyond
-	lookEvery    = 100 * fleet.Millisecond // between two looks at how long answers take
-	lookLeast    = 10                      // answers that make a look: fewer are chance
-	tolerance    = 2.0                     // times the best time that answers may take before fewer are taken at a time
-	bestKeeps    = 0.99                    // by which the best time of answers fades up at each look: it is forgotten in ten seconds
-	quickEnough  = 0.005                   // seconds: answers that take less never mean too much, however quick the best was
-	smoothing    = 0.2                     // part of a look that counts
-	retryLeast   = 100 * fleet.Millisecond // before an overloaded governor is asked again
-	retryMost    = 5 * fleet.Second
-	watchersMost = 8192             // of a governor
-	SlowAfter    = fleet.Second     // without word of what a watcher was sent: it gets the newest only
-	CutAfter     = 3 * fleet.Second // the same: its stream is ended, as a table that is not followed is none
-	BeatEvery    = fleet.Second     // signs of life to a watcher that gets nothing else
-	forgetCaller = 60 * fleet.Second
+	callersMost       = 20_000                  // callers whose asking is remembered
+	limitFirst        = 64.0                    // questions at a time, before anything is measured
+	limitLeast        = 8.0                     // some for each kind whatever is measured
+	limitMost         = 4096.0                  // memory, not time, bounds beyond
+	lookEvery         = 100 * fleet.Millisecond // between two looks at how long answers take
+	lookLeast         = 10                      // answers that make a look: fewer are chance
+	tolerance         = 2.0                     // times the best time that answers may take before fewer are taken at a time
+	bestKeeps         = 0.99                    // by which the best time of answers fades up at each look: it is forgotten in ten seconds
+	quickEnough       = 0.005                   // seconds: answers that take less never mean too much, however quick the best was
+	smoothing         = 0.2                     // part of a look that counts
+	retryLeast        = 100 * fleet.Millisecond // before an overloaded governor is asked again
+	retryMost         = 5 * fleet.Second
+	watchersMost      = 8192             // of a governor
+	slowWatcherDelay  = fleet.Second     // without word of what a watcher was sent: it gets the newest only
+	watcherTimeout    = 3 * fleet.Second // the same: its stream is ended, as a table that is not followed is none
+	heartbeatInterval = fleet.Second     // signs of life to a watcher that gets nothing else
+	forgetCaller      = 60 * fleet.Second
 )
 
 type bucket struct {
@@ -83,13 +83,13 @@
 func NewLimits() *Limits { return &Limits{callers: map[string]*caller{}, limit: limitFirst} }
 
 // Ask takes a question, or refuses it with a time after which to ask again. Each taken one ends with Done.
-func (l *Limits) Ask(now fleet.Time, who string, k Kind) *Fault {
+func (l *Limits) Ask(now fleet.Time, who string, k Kind) *Error {
 	l.sweep(now)
 	c := l.callers[who]
 	if c == nil {
 		if len(l.callers) >= callersMost {
 			l.Refused++
-			return &Fault{Overloaded, "too many callers", retryMost}
+			return &Error{Overloaded, "too many callers", retryMost}
 		}
 		c = &caller{}
 		for i := range c.buckets {
@@ -102,11 +102,11 @@
 	b.tokens, b.at = min(kind.burst, b.tokens+(now-b.at).Seconds()*kind.perS), max(b.at, now)
 	if b.tokens < 1 {
 		l.Refused, l.Repeated = l.Refused+1, l.Repeated+1
-		return &Fault{Overloaded, "this caller asks too often", bound(fleet.Second.Scale((1 - b.tokens) / kind.perS))}
+		return &Error{Overloaded, "this caller asks too often", bound(fleet.Second.Scale((1 - b.tokens) / kind.perS))}
 	}
 	if float64(l.flying) >= l.limit*kind.share {
 		l.Refused++
-		return &Fault{Overloaded, "too many questions at a time", bound(fleet.Second.Scale(l.mean * float64(l.flying) / l.limit))}
+		return &Error{Overloaded, "too many questions at a time", bound(fleet.Second.Scale(l.mean * float64(l.flying) / l.limit))}
 	}
 	b.tokens--
 	l.flying++
@@ -166,9 +166,9 @@
 // Judge says what is made of a watcher: since is when it was sent the oldest update that it has not acknowledged, 0 for none.
 func Judge(now, since fleet.Time) Patience {
 	switch {
-	case since == 0 || now < since+SlowAfter:
+	case since == 0 || now < since+slowWatcherDelay:
 		return Waits
-	case now < since+CutAfter:
+	case now < since+watcherTimeout:
 		return Slow
 	}
 	return Cut
--- a/internal/service/rpc/server.go
+++ b/internal/service/rpc/server.go
@@ -70,7 +70,7 @@
 	return ""
 }
 
-func answer[T any](v T, f *service.Fault) (T, error) {
+func answer[T any](v T, f *service.Error) (T, error) {
 	if f != nil {
 		var none T
 		return none, Status(f)
--- a/internal/service/rpc/words.go
+++ b/internal/service/rpc/words.go
@@ -20,7 +20,7 @@
 }
 
 // Status puts a fault into a status.
-func Status(f *service.Fault) error {
+func Status(f *service.Error) error {
 	s := status.New(codesOf[f.Code], f.Text)
 	if with, err := s.WithDetails(&pb.Fault{Code: string(f.Code), Text: f.Text, RetryAfterNs: uint64(f.RetryAfter)}); err == nil {
 		s = with
@@ -29,25 +29,25 @@
 }
 
 // FaultOf reads a status, nil for none.
-func FaultOf(err error) *service.Fault {
+func FaultOf(err error) *service.Error {
 	if err == nil {
 		return nil
 	}
 	s := status.Convert(err)
 	for _, d := range s.Details() {
 		if f, ok := d.(*pb.Fault); ok {
-			return &service.Fault{Code: service.Code(f.Code), Text: f.Text, RetryAfter: fleet.Time(f.RetryAfterNs)}
+			return &service.Error{Code: service.Code(f.Code), Text: f.Text, RetryAfter: fleet.Time(f.RetryAfterNs)}
 		}
 	}
 	switch s.Code() {
 	case codes.Unimplemented:
-		return &service.Fault{Code: service.OtherMajor, Text: s.Message()}
+		return &service.Error{Code: service.OtherMajor, Text: s.Message()}
 	case codes.DeadlineExceeded, codes.Canceled:
-		return &service.Fault{Code: service.Busy, Text: s.Message()}
+		return &service.Error{Code: service.Busy, Text: s.Message()}
 	case codes.Internal, codes.ResourceExhausted: // of the library: frames that make no sense, or are over its bounds
-		return &service.Fault{Code: service.Malformed, Text: s.Message()}
+		return &service.Error{Code: service.Malformed, Text: s.Message()}
 	}
-	return &service.Fault{Code: service.Unreachable, Text: s.Message()}
+	return &service.Error{Code: service.Unreachable, Text: s.Message()}
 }
 
 // VersionOf and VersionTo turn versions.
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -30,7 +30,7 @@
 }
 
 // take asks the limits; done ends what they took.
-func (s *Service) take(caller string, k Kind) (done func(), f *Fault) {
+func (s *Service) take(caller string, k Kind) (done func(), f *Error) {
 	began := s.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +46,7 @@
 }
 
 // Greet answers a caller's words about itself.
-func (s *Service) Greet(h Hello) (Hello, *Fault) {
+func (s *Service) Greet(h Hello) (Hello, *Error) {
 	if h.Major != Major {
 		return Hello{}, fault(OtherMajor, "version %d.%d of the protocol is not spoken here, %d.%d is", h.Major, h.Minor, Major, Minor)
 	}
@@ -54,7 +54,7 @@
 }
 
 // Table gives the whole of a zone.
-func (s *Service) Table(caller, zone string) (*Shared, *Fault) {
+func (s *Service) Table(caller, zone string) (*Shared, *Error) {
 	done, f := s.take(caller, AskTable)
 	if f != nil {
 		return nil, f
@@ -64,7 +64,7 @@
 }
 
 // Watch follows a zone.
-func (s *Service) Watch(caller, zone string, holds tableversion.Version, wake func()) (*Watcher, *Fault) {
+func (s *Service) Watch(caller, zone string, holds tableversion.Version, wake func()) (*Watcher, *Error) {
 	done, f := s.take(caller, AskWatch)
 	if f != nil {
 		return nil, f
@@ -74,7 +74,7 @@
 }
 
 // Report counts a batch.
-func (s *Service) Report(caller string, r *Report) (uint64, *Fault) {
+func (s *Service) Report(caller string, r *Report) (uint64, *Error) {
 	done, f := s.take(caller, AskReport)
 	if f != nil {
 		return 0, f
@@ -84,7 +84,7 @@
 }
 
 // Server tells of a server.
-func (s *Service) Server(ctx context.Context, caller, name string) (st ServerState, f *Fault) {
+func (s *Service) Server(ctx context.Context, caller, name string) (st ServerState, f *Error) {
 	if len(name) > namesMost {
 		return st, fault(TooLarge, "a name of %d bytes, %d are the most", len(name), namesMost)
 	}
@@ -94,7 +94,7 @@
 }
 
 // History tells of a class's versions in a zone.
-func (s *Service) History(ctx context.Context, caller, zone, class string, most int) (h History, f *Fault) {
+func (s *Service) History(ctx context.Context, caller, zone, class string, most int) (h History, f *Error) {
 	if most < 0 || most > historyMost {
 		return h, fault(BadRequest, "%d versions; 0 to %d can be asked for", most, historyMost)
 	}
@@ -107,13 +107,13 @@
 }
 
 // Summary tells how the fleet stands.
-func (s *Service) Summary(ctx context.Context, caller string) (m Summary, f *Fault) {
+func (s *Service) Summary(ctx context.Context, caller string) (m Summary, f *Error) {
 	f = s.ask(ctx, caller, AskSummary, func(ctx context.Context) (err error) { m, err = s.desk.Summary(ctx); return err })
 	m.Minor, m.Watchers = Minor, s.Hub.Watchers()
 	return m, f
 }
 
-func (s *Service) ask(ctx context.Context, caller string, k Kind, question func(context.Context) error) *Fault {
+func (s *Service) ask(ctx context.Context, caller string, k Kind, question func(context.Context) error) *Error {
 	done, f := s.take(caller, k)
 	if f != nil {
 		return f
@@ -122,14 +122,14 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(answerWithin))
 	defer cancel()
 	err := question(ctx)
-	var of *Fault
+	var of *Error
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &of):
 		return of
 	}
-	return &Fault{Busy, err.Error(), fleet.Second}
+	return &Error{Busy, err.Error(), fleet.Second}
 }
 
 // Limits tells what is taken and refused.
--- a/internal/service/text/server.go
+++ b/internal/service/text/server.go
@@ -124,8 +124,8 @@
 		return nil
 	})
 	if err != nil {
-		l.answer(PrintFault(&service.Fault{Code: service.BadRequest, Text: "can't read the request: " + err.Error()}))
-		l.conn.Close()
+		l.answer(PrintFault(&service.Error{Code: service.BadRequest, Text: "can't read the request: " + err.Error()}))
+		_ = l.conn.Close()
 	}
 }
 
@@ -183,16 +183,16 @@
 }
 
 func (l *link) fault(code service.Code, format string, args ...any) {
-	l.answer(PrintFault(&service.Fault{Code: code, Text: fmt.Sprintf(format, args...)}))
+	l.answer(PrintFault(&service.Error{Code: code, Text: fmt.Sprintf(format, args...)}))
 }
 
 // reply answers with what a question gave.
-func reply[T any](l *link, v T, f *service.Fault, print func(T) []byte) {
+func reply[T any](l *link, v T, f *service.Error, format func(T) []byte) {
 	if f != nil {
 		l.answer(PrintFault(f))
 		return
 	}
-	l.answer(print(v))
+	l.answer(format(v))
 }
 
 // command carries one command out.
@@ -255,7 +255,7 @@
 	case is("prompt", "MODE"): // a connection stays open after an answer in any case
 		l.answer(nil)
 	case is("quit"):
-		l.conn.Close()
+		_ = l.conn.Close()
 	default:
 		l.fault(service.BadRequest, "byte %d: no such command: %.200q; known are hello VERSION NAME, get table Z, watch table Z [VERSION], report Z SESSION SEQ, get server S, get history Z CLASS N, get summary, quit",
 			c.Offset, strings.Join(words, " "))
@@ -307,7 +307,7 @@
 		u, f := w.Next()
 		if f != nil {
 			l.write(PrintFault(f))
-			l.conn.Close()
+			_ = l.conn.Close()
 			return
 		}
 		if u == nil {
--- a/internal/service/text/transcript_test.go
+++ b/internal/service/text/transcript_test.go
@@ -37,7 +37,7 @@
 
 func (desk) Server(_ context.Context, name string) (service.ServerState, error) {
 	if name != "s1" {
-		return service.ServerState{}, &service.Fault{Code: service.NoServer, Text: "never heard of"}
+		return service.ServerState{}, &service.Error{Code: service.NoServer, Text: "never heard of"}
 	}
 	return service.ServerState{Name: "s1", Addr: "x:1", Zone: "a", State: "ready", Verdict: "well",
 		Weights: []service.ClassWeight{{Zone: "a", Class: "look", Weight: 12}}, Reasons: []string{"it drains; so says the list"}}, nil
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 	requests := []string{"hello 1.0 shop", "hello odd shop", "get server s1", "get server s9", "get history a look 5", "get history a look x",
 		"get summary", "get table zz", "report a 1f 3 <<\nmet server=s1 tries=3 failed=1 good=2 good_ms=90\ncame class=look visits=4 no_answer=1\n",
--- a/internal/service/text/words.go
+++ b/internal/service/text/words.go
@@ -78,7 +78,7 @@
 }
 
 // PrintFault prints a fault.
-func PrintFault(f *service.Fault) []byte {
+func PrintFault(f *service.Error) []byte {
 	return new(out).row("#", "fault").text("code", string(f.Code)).num("retry_ns", uint64(f.RetryAfter)).text("text", f.Text).bytes()
 }
 
@@ -241,11 +241,11 @@
 // answer reads an answer of a kind; a fault comes as such, anything else as malformed.
 func answer(text []byte, kind string, each func(row)) error {
 	first := true
-	var fault *service.Fault
+	var fault *service.Error
 	err := read(text, func(r row) {
 		switch {
 		case first && r.kind == "# fault":
-			fault = &service.Fault{Code: service.Code(r.text("code")), Text: r.text("text"), RetryAfter: fleet.Time(r.num("retry_ns", 63))}
+			fault = &service.Error{Code: service.Code(r.text("code")), Text: r.text("text"), RetryAfter: fleet.Time(r.num("retry_ns", 63))}
 		case first && r.kind != "# "+kind:
 			*r.err = fmt.Errorf("line 1: %.40q where an answer of kind %q was to come", r.kind, kind)
 		case fault == nil:
@@ -257,7 +257,7 @@
 		err = errors.New("line 1: an empty answer")
 	}
 	if err != nil {
-		return &service.Fault{Code: service.Malformed, Text: err.Error()}
+		return &service.Error{Code: service.Malformed, Text: err.Error()}
 	}
 	if fault != nil {
 		return fault
--- a/internal/service/words.go
+++ b/internal/service/words.go
@@ -39,17 +39,20 @@
 	Malformed   Code = "malformed"   // an answer that can't be read; only client libraries say so
 )
 
-// Fault is an answer that is none.
-type Fault struct {
+// Error is an answer that is none.
+type Error struct {
 	Code       Code
 	Text       string
 	RetryAfter fleet.Time
 }
 
-func (f *Fault) Error() string { return string(f.Code) + ": " + f.Text }
+// Fault is the former name of Error, for package controller.
+type Fault = Error //nolint:errname // goes when package controller uses Error
 
-func fault(code Code, format string, args ...any) *Fault {
-	return &Fault{Code: code, Text: fmt.Sprintf(format, args...)}
+func (f *Error) Error() string { return string(f.Code) + ": " + f.Text }
+
+func fault(code Code, format string, args ...any) *Error {
+	return &Error{Code: code, Text: fmt.Sprintf(format, args...)}
 }
 
 // Endpoint is a server that a class may use, with its weight: 1 to 256; in a change 0 takes it out.
--- a/internal/testing/fakes/files.go
+++ b/internal/testing/fakes/files.go
@@ -20,11 +20,10 @@
 
 // filesState is what a proxy on the files front keeps besides its tables.
 type filesState struct {
-	stop    chan struct{}
-	done    sync.WaitGroup
-	ack     files.Ack
-	mute    bool // never acknowledges
-	holdOff bool // reads nothing for now
+	stop chan struct{}
+	done sync.WaitGroup
+	ack  files.Ack
+	mute bool // never acknowledges
 }
 
 // Mute lets it acknowledge nothing, or again.
@@ -56,7 +55,7 @@
 	p.files.done.Add(1)
 	go func() {
 		defer p.files.done.Done()
-		defer w.Close()
+		defer func() { _ = w.Close() }()
 		tick := time.NewTicker(time.Second)
 		defer tick.Stop()
 		for {
--- a/internal/testing/fakes/lister.go
+++ b/internal/testing/fakes/lister.go
@@ -204,4 +204,4 @@
 }
 
 // Close ends the service.
-func (s *Lister) Close() { s.server.Close() }
+func (s *Lister) Close() { _ = s.server.Close() }
--- a/internal/testing/fakes/node.go
+++ b/internal/testing/fakes/node.go
@@ -1,4 +1,4 @@
-// Package standin has the small stand-ins that governors are run against: booking nodes, proxies, the list service
+// Package fakes has the small stand-ins that governors are run against: booking nodes, proxies, the list service
 // and callers. They speak on loopback sockets only and tell a rules.Watch what they see.
 package fakes
 
@@ -134,7 +134,7 @@
 	}
 	n.mu.Unlock()
 	if s != nil {
-		s.Close()
+		_ = s.Close()
 	}
 }
 
--- a/internal/testing/fakes/proxy.go
+++ b/internal/testing/fakes/proxy.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -107,7 +108,7 @@
 	var l net.Listener
 	var err error
 	if p.Folder == "" {
-		os.Remove(p.Runtime)
+		_ = os.Remove(p.Runtime)
 		if l, err = net.Listen("unix", p.Runtime); err != nil {
 			return fmt.Errorf("proxy %s: %w", p.Name, err)
 		}
@@ -119,7 +120,7 @@
 	v, err := listenAgain(visit)
 	if err != nil {
 		if l != nil {
-			l.Close()
+			_ = l.Close()
 		}
 		return fmt.Errorf("proxy %s: %w", p.Name, err)
 	}
@@ -165,13 +166,13 @@
 		return
 	}
 	if l != nil {
-		l.Close()
+		_ = l.Close()
 	} else {
 		p.unfollow()
 	}
-	v.Close()
+	_ = v.Close()
 	for c := range conns {
-		c.Close()
+		_ = c.Close()
 	}
 	p.http.CloseIdleConnections()
 }
@@ -186,7 +187,7 @@
 	}
 	p.mu.Unlock()
 	for _, c := range conns {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -288,7 +289,7 @@
 		p.mu.Lock()
 		if p.conns == nil {
 			p.mu.Unlock()
-			c.Close()
+			_ = c.Close()
 			return
 		}
 		p.controls++
@@ -339,7 +340,7 @@
 	joined := false
 	touched := map[string]bool{}
 	defer func() {
-		c.Close()
+		_ = c.Close()
 		p.mu.Lock()
 		delete(p.conns, c)
 		p.mu.Unlock()
@@ -462,7 +463,7 @@
 		for conn, s := range p.conns {
 			if s.id == words[0] {
 				s.ended = true
-				conn.Close()
+				_ = conn.Close()
 				return nil
 			}
 		}
@@ -780,28 +781,17 @@
 	req.Header.Set("X-Visit", strconv.FormatUint(visit, 10))
 	res, err := over.Do(req)
 	if err != nil {
-		op := new(net.OpError)
-		return false, asDial(err, &op), "", err
+		return false, isDialError(err), "", err
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }()
 	_, _ = io.Copy(io.Discard, res.Body)
 	return res.StatusCode == http.StatusOK, res.Header.Get("X-Never-Ran") != "", res.Header.Get("X-Load"), nil
 }
 
-// asDial tells whether an error is that of a dial: the visit has never left.
-func asDial(err error, op **net.OpError) bool {
-	for e := err; e != nil; {
-		if o, ok := e.(*net.OpError); ok {
-			*op = o
-			return o.Op == "dial"
-		}
-		u, ok := e.(interface{ Unwrap() error })
-		if !ok {
-			return false
-		}
-		e = u.Unwrap()
-	}
-	return false
+// isDialError tells whether an error is that of a dial: the request was never sent.
+func isDialError(err error) bool {
+	var operation *net.OpError
+	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
 // Weights gives the shares of a class's lines.
--- a/internal/testing/fakes/relay.go
+++ b/internal/testing/fakes/relay.go
@@ -51,24 +51,24 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.open {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
 // Close ends it.
 func (r *Relay) Close() {
-	r.l.Close()
+	_ = r.l.Close()
 	r.Cut()
 }
 
 func (r *Relay) carry(c net.Conn) {
 	if r.shut.Load() {
-		c.Close()
+		_ = c.Close()
 		return
 	}
 	to, err := net.Dial("tcp", *r.to.Load())
 	if err != nil {
-		c.Close()
+		_ = c.Close()
 		return
 	}
 	r.mu.Lock()
@@ -78,8 +78,8 @@
 	both.Add(2)
 	pump := func(from, into net.Conn) {
 		defer both.Done()
-		defer from.Close()
-		defer into.Close()
+		defer func() { _ = from.Close() }()
+		defer func() { _ = into.Close() }()
 		buffer := make([]byte, 32<<10)
 		for {
 			n, err := from.Read(buffer)
--- a/internal/testing/fakes/shares_test.go
+++ b/internal/testing/fakes/shares_test.go
@@ -53,7 +53,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		res.Body.Close()
+		_ = res.Body.Close()
 		seen[res.Header.Get("X-Node")]++
 	}
 	worst := 0.0
--- a/internal/testing/invariants/rules.go
+++ b/internal/testing/invariants/rules.go
@@ -1,4 +1,4 @@
-// Package rules judges the five rules from what stand-in proxies and nodes saw on their sockets, and from what the
+// Package invariants judges the five rules from what stand-in proxies and nodes saw on their sockets, and from what the
 // list service answered. It never reads a governor's own records. Stand-ins write into a Watch while they run;
 // Judge works it out afterwards.
 package invariants
@@ -157,17 +157,17 @@
 }
 
 // Lines tells whether a proxy has a line to pick for a class now.
-func (w *Watch) Lines(proxy, class string, any bool) {
+func (w *Watch) Lines(proxy, class string, hasLine bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lookups++
 	k := [2]string{proxy, class}
 	i, lasts := w.open[k]
 	switch {
-	case any && lasts:
+	case hasLine && lasts:
 		w.bare[i].to = max(w.now(), 1)
 		delete(w.open, k)
-	case !any && !lasts:
+	case !hasLine && !lasts:
 		w.open[k] = len(w.bare)
 		w.bare = append(w.bare, bareSpan{proxy: proxy, class: class, from: w.now()})
 	}
@@ -349,7 +349,7 @@
 		histories = append(histories, w.history(governor, n))
 	}
 	for at := from; at < to; at += step {
-		any := false
+		found := false
 		for _, h := range histories {
 			i, _ := slices.BinarySearchFunc(h, at, func(t telling, at time.Duration) int { return cmp.Compare(t.at, at) })
 			if i == 0 {
@@ -357,11 +357,11 @@
 			}
 			t := h[i-1]
 			if t.state == "ready" && (!t.cold || at >= t.started+f.ColdFor) {
-				any = true
+				found = true
 				break
 			}
 		}
-		if covered += step; !any {
+		if covered += step; !found {
 			covered = 0
 		}
 		longest = max(longest, covered)
--- a/internal/testing/scenario/day.go
+++ b/internal/testing/scenario/day.go
@@ -1,4 +1,4 @@
-// Package drill plays scripted days: stand-in nodes, proxies, callers and list service on loopback, real governors
+// Package scenario plays scripted days: stand-in nodes, proxies, callers and list service on loopback, real governors
 // as processes of their own, and the rules judged from what passed on the sockets.
 package scenario
 
--- a/internal/testing/scenario/drill.go
+++ b/internal/testing/scenario/drill.go
@@ -96,7 +96,7 @@
 		if p.dir, err = os.MkdirTemp("", "drill"); err != nil {
 			return nil, err
 		}
-		defer os.RemoveAll(p.dir)
+		defer func() { _ = os.RemoveAll(p.dir) }()
 	} else if err := os.MkdirAll(p.dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -339,7 +339,7 @@
 	if err != nil {
 		return err
 	}
-	defer out.Close()
+	defer func() { _ = out.Close() }()
 	cmd.Stderr = out
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives a drill that fails
 	if err := cmd.Start(); err != nil {
@@ -392,7 +392,7 @@
 	if err := cmd.Process.Signal(sig); err != nil {
 		return err
 	}
-	timer := time.AfterFunc(10*time.Second, func() { cmd.Process.Kill() })
+	timer := time.AfterFunc(10*time.Second, func() { _ = cmd.Process.Kill() })
 	defer timer.Stop()
 	err := cmd.Wait()
 	if cmd.ProcessState != nil {
@@ -469,7 +469,7 @@
 					}
 				}
 				p.background.Add(1)
-				go p.call(client, i, p.drawClass(rng, shares), p.ids.Add(1))
+				go p.call(ctx, client, i, p.drawClass(rng, shares), p.ids.Add(1))
 			}
 		}()
 	}
@@ -485,10 +485,10 @@
 	return class
 }
 
-func (p *play) call(client *http.Client, proxy, class int, id uint64) {
+func (p *play) call(ctx context.Context, client *http.Client, proxy, class int, id uint64) {
 	defer p.background.Done()
 	c := p.Day.Classes[class]
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(c.HardStop))
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Duration(c.HardStop))
 	defer cancel()
 	began := time.Now()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.proxies[proxy].Visit+"/", nil)
@@ -501,7 +501,7 @@
 	status := 0
 	if err == nil {
 		_, _ = io.Copy(io.Discard, res.Body)
-		res.Body.Close()
+		_ = res.Body.Close()
 		status = res.StatusCode
 	}
 	p.tally.count(class, status, time.Since(began), time.Duration(c.Expected), time.Since(p.started))
@@ -524,7 +524,7 @@
 			}
 			at := time.Since(p.started)
 			if p.Progress != nil {
-				fmt.Fprintf(p.Progress, "\r%4.0f s of %.0f s  %s", at.Seconds(), length.Seconds(), p.tally.short())
+				_, _ = fmt.Fprintf(p.Progress, "\r%4.0f s of %.0f s  %s", at.Seconds(), length.Seconds(), p.tally.short())
 			}
 			if at >= next {
 				next += length / 10
--- a/internal/testing/scenario/drill_test.go
+++ b/internal/testing/scenario/drill_test.go
@@ -21,7 +21,7 @@
 func TestMain(m *testing.M) {
 	if path := os.Getenv("DRILL_GOVERNOR"); path != "" {
 		if err := server.RunController(path); err != nil {
-			os.Stderr.WriteString(err.Error() + "\n")
+			_, _ = os.Stderr.WriteString(err.Error() + "\n")
 			os.Exit(1)
 		}
 		return
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	steps, orders, err := eventlog.Replay("records", f)
 	if err != nil || steps < 20 || orders < 20 {
 		t.Errorf("replayed %d steps, %d orders: %v", steps, orders, err)
--- a/internal/testing/scenario/library.go
+++ b/internal/testing/scenario/library.go
@@ -106,11 +106,11 @@
 			return
 		}
 		p.background.Add(1)
-		go p.visit(l, p.drawClass(rng, shares), p.ids.Add(1))
+		go p.visit(ctx, l, p.drawClass(rng, shares), p.ids.Add(1))
 	}
 }
 
-func (p *play) visit(l *library, class int, id uint64) {
+func (p *play) visit(ctx context.Context, l *library, class int, id uint64) {
 	defer p.background.Done()
 	c := p.Day.Classes[class]
 	at, err := l.client.Class(c.Name)
@@ -118,7 +118,7 @@
 		return
 	}
 	began := time.Now()
-	err = l.client.Do(context.Background(), at, func(ctx context.Context, t client.Try) client.Result {
+	err = l.client.Do(context.WithoutCancel(ctx), at, func(ctx context.Context, t client.Try) client.Result {
 		p.watch.Sent(l.name, t.Node.Name, c.Name, id, t.N, t.MayHaveRun)
 		good, neverRan, load, err := fakes.SendVisit(ctx, &l.http, t.Node.Addr, l.name, c.Name, id)
 		r := client.Result{Outcome: client.Failed, Err: err}
--- a/internal/testing/scenario/report.go
+++ b/internal/testing/scenario/report.go
@@ -106,15 +106,15 @@
 		c.took = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	}
 	c.visits++
-	switch {
-	case status == http.StatusOK:
+	switch status {
+	case http.StatusOK:
 		_ = c.took.RecordValue(took.Microseconds())
 		if took <= expected {
 			c.inTime++
 		} else {
 			c.late++
 		}
-	case status == http.StatusTooManyRequests:
+	case http.StatusTooManyRequests:
 		c.refused++
 	default:
 		c.failed++
@@ -155,6 +155,12 @@
 
 // Print writes the report as a table.
 func (r *Report) Print(out io.Writer) {
+	_, _ = io.WriteString(out, r.text())
+}
+
+// text formats the report as a table.
+func (r *Report) text() string {
+	out := new(strings.Builder)
 	fmt.Fprintf(out, "day %s, %.0f s\n\n%-30s %9s  %s\n", r.Day, r.Length, "rule", "tried", "seen")
 	for _, v := range r.Rules {
 		word := "kept"
@@ -265,6 +271,7 @@
 	} else {
 		fmt.Fprintln(out, "\nA RULE BROKE or the drill failed: the run counts for nothing")
 	}
+	return out.String()
 }
 
 // ask sends one line to a governor's operators' socket.
@@ -273,7 +280,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(3 * time.Second))
 	if _, err := io.WriteString(c, text); err != nil {
 		return "", err
--- a/internal/testing/scenario/troubles.go
+++ b/internal/testing/scenario/troubles.go
@@ -437,7 +437,7 @@
 			if folder := p.proxies[i].Folder; folder == "" {
 				p.proxies[i].CutSessions(after)
 			} else if path := filepath.Join(folder, files.TablesFile); after%2 == 0 {
-				os.Remove(path)
+				_ = os.Remove(path)
 			} else {
 				_ = os.Truncate(path, int64(after))
 			}
--- a/internal/transport/files/disk.go
+++ b/internal/transport/files/disk.go
@@ -43,9 +43,9 @@
 	}
 	defer func() {
 		if err != nil {
-			f.Close()
+			_ = f.Close()
 			if !errors.Is(err, ErrCut) { // after a cut nobody cleans up; the next start does
-				os.Remove(f.Name())
+				_ = os.Remove(f.Name())
 			}
 		}
 	}()
@@ -78,7 +78,7 @@
 	if err != nil {
 		return fmt.Errorf("syncing the folder: %w", err)
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }()
 	if err := d.Sync(); err != nil {
 		return fmt.Errorf("syncing the folder: %w", err)
 	}
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	text, err := io.ReadAll(io.LimitReader(f, sizeMost+1))
 	if err != nil {
 		return nil, err
--- a/internal/transport/files/front.go
+++ b/internal/transport/files/front.go
@@ -135,13 +135,17 @@
 	for {
 		select {
 		case <-f.ctx.Done():
-			f.watcher.Close()
+			_ = f.watcher.Close()
 			return
 		case e := <-f.watcher.Events:
 			if o := f.folders[filepath.Dir(e.Name)]; o != nil && !strings.Contains(e.Name, asideMark) && !e.Has(fsnotify.Chmod) {
 				o.look(filepath.Base(e.Name))
 			}
-		case <-f.watcher.Errors: // events were lost: look at all
+		case err := <-f.watcher.Errors:
+			if err == nil {
+				continue
+			}
+			// Events were lost: look at all files.
 			for _, o := range f.folders {
 				for _, name := range []string{AckFile, StatFile, TablesFile, LevelsFile} {
 					o.look(name)
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -1,4 +1,4 @@
-// Package front says what a front is: what carries the governor's messages to proxies and brings back what they
+// Package transport says what a transport is: what carries the governor's messages to proxies and brings back what they
 // answer. The governor's loop owns all state; a front posts to it and never decides.
 package transport
 
--- a/internal/transport/haproxy/front.go
+++ b/internal/transport/haproxy/front.go
@@ -172,7 +172,7 @@
 func (l *link) open(conn net.Conn, before *session) error {
 	c, err := nbio.NBConn(conn)
 	if err != nil {
-		conn.Close()
+		_ = conn.Close()
 		return fmt.Errorf("proxy %s: %w", l.proxy.Name, err)
 	}
 	s := l.session(c, before)
@@ -184,7 +184,7 @@
 	if _, err := l.front.engine.AddConn(c); err != nil {
 		s.mu.Unlock()
 		l.front.sessions.Delete(c)
-		c.Close()
+		_ = c.Close()
 		return fmt.Errorf("proxy %s: %w", l.proxy.Name, err)
 	}
 	s.begin()
--- a/internal/transport/haproxy/session.go
+++ b/internal/transport/haproxy/session.go
@@ -116,7 +116,7 @@
 		s.why = why
 	}
 	s.mu.Unlock()
-	s.conn.Close()
+	_ = s.conn.Close()
 }
 
 // closed tells the governor and lets the link dial again.
--- a/internal/transport/mux.go
+++ b/internal/transport/mux.go
@@ -47,7 +47,7 @@
 	return all
 }
 
-// Send, Poll and Drop go to the proxy's front.
+// Send carries a message over the transport of its proxy.
 func (m *Mux) Send(msg reconcile.Message) { m.of(msg.Proxy).Send(msg) }
 
 // Poll asks a proxy for its counters.
