--- /dev/null
+++ b/internal/transport/admission.go
@@ -0,0 +1,54 @@
+package transport
+
+import (
+	"context"
+	"time"
+
+	"cressknot/internal/fleet"
+)
+
+// Suffixes of the keys under which proxies find what belongs to a class: the retry mode and the version of its table.
+const (
+	RetryKey   = ".retry"
+	VersionKey = ".version"
+)
+
+// Suffixes of the keys of admission limits, and the values that stand for no limit. A share is in thousandths of the
+// requests, a rate in thousandths of a request per second.
+const (
+	shareKey       = ".share"
+	rateKey        = ".rate"
+	unlimitedShare = 1000
+	unlimitedRate  = 1_000_000_000
+)
+
+// idlePollInterval is the time between two looks at whether answers are outstanding while a transport stops.
+const idlePollInterval = 10 * time.Millisecond
+
+// AdmissionKey returns the key of a class's admission limit.
+func AdmissionKey(mode fleet.AdmissionMode, class string) string {
+	if mode == fleet.AdmissionRate {
+		return class + rateKey
+	}
+	return class + shareKey
+}
+
+// UnlimitedAdmission returns the limit that admits every request.
+func UnlimitedAdmission(mode fleet.AdmissionMode) int32 {
+	if mode == fleet.AdmissionRate {
+		return unlimitedRate
+	}
+	return unlimitedShare
+}
+
+// DrainUntilIdle waits until busy returns false or the context ends.
+func DrainUntilIdle(ctx context.Context, busy func() bool) {
+	tick := time.NewTicker(idlePollInterval)
+	defer tick.Stop()
+	for busy() && ctx.Err() == nil {
+		select {
+		case <-tick.C:
+		case <-ctx.Done():
+		}
+	}
+}
--- a/internal/transport/mux.go
+++ b/internal/transport/mux.go
@@ -8,59 +8,62 @@
 	"cressknot/internal/reconcile"
 )
 
-// Mux lets some proxies go by a front of their own.
+// Mux routes each proxy to its transport.
 type Mux struct {
-	Default Transport
-	ByProxy map[fleet.ProxyID]Transport // those that don't go by Most
-	inner   []Transport
+	Default Transport                   // serves the proxies that ByProxy does not name
+	ByProxy map[fleet.ProxyID]Transport // several proxies may share one transport
+	started []Transport
 }
 
 var _ Transport = (*Mux)(nil)
 
-func (m *Mux) of(id fleet.ProxyID) Transport {
-	if f := m.ByProxy[id]; f != nil {
-		return f
-	}
-	return m.Default
-}
-
-// Start starts each front once.
+// Start starts each transport once. After a failure those already started are stopped.
 func (m *Mux) Start(ctx context.Context, sink Sink) error {
-	started := map[Transport]bool{}
-	for _, f := range append([]Transport{m.Default}, m.others()...) {
-		if started[f] {
+	seen := map[Transport]bool{}
+	for _, t := range m.transports() {
+		if seen[t] {
 			continue
 		}
-		started[f] = true
-		if err := f.Start(ctx, sink); err != nil {
+		seen[t] = true
+		if err := t.Start(ctx, sink); err != nil {
 			return errors.Join(err, m.Stop(ctx))
 		}
-		m.inner = append(m.inner, f)
+		m.started = append(m.started, t)
 	}
 	return nil
 }
 
-func (m *Mux) others() (all []Transport) {
-	for _, f := range m.ByProxy {
-		all = append(all, f)
+// transports lists the default transport and then that of each named proxy, with repetitions.
+func (m *Mux) transports() []Transport {
+	all := []Transport{m.Default}
+	for _, t := range m.ByProxy {
+		all = append(all, t)
 	}
 	return all
 }
 
 // Send carries a message over the transport of its proxy.
-func (m *Mux) Send(msg reconcile.Message) { m.of(msg.Proxy).Send(msg) }
+func (m *Mux) Send(message reconcile.Message) { m.forProxy(message.Proxy).Send(message) }
 
 // Poll asks a proxy for its counters.
-func (m *Mux) Poll(id fleet.ProxyID) { m.of(id).Poll(id) }
+func (m *Mux) Poll(id fleet.ProxyID) { m.forProxy(id).Poll(id) }
 
-// Drop breaks a proxy's stream.
-func (m *Mux) Drop(id fleet.ProxyID) { m.of(id).Drop(id) }
+// Drop closes a proxy's stream.
+func (m *Mux) Drop(id fleet.ProxyID) { m.forProxy(id).Drop(id) }
 
-// Stop stops each front that was started.
-func (m *Mux) Stop(ctx context.Context) (err error) {
-	for _, f := range m.inner {
-		err = errors.Join(err, f.Stop(ctx))
+// Stop stops each transport that was started.
+func (m *Mux) Stop(ctx context.Context) error {
+	var err error
+	for _, t := range m.started {
+		err = errors.Join(err, t.Stop(ctx))
 	}
-	m.inner = nil
+	m.started = nil
 	return err
 }
+
+func (m *Mux) forProxy(id fleet.ProxyID) Transport {
+	if t := m.ByProxy[id]; t != nil {
+		return t
+	}
+	return m.Default
+}
