--- a/internal/haproxyapi/runtimeapi_test.go
+++ b/internal/haproxyapi/haproxyapi_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// feed takes a stream in two pieces, cut at the given byte.
+// feed parses a stream of requests in two pieces, cut at the given byte, and returns the words of each command.
 func feed(t *testing.T, text string, cut int) (lines [][]string, err error) {
 	t.Helper()
-	var r Requests
+	var r RequestParser
 	for _, piece := range []string{text[:cut], text[cut:]} {
 		err = r.Feed([]byte(piece), func(commands []Command) error {
 			for _, c := range commands {
@@ -28,7 +28,7 @@
 	return lines, err
 }
 
-func TestRequestsSurviveAnySplit(t *testing.T) {
+func TestRequestParserAcceptsAnySplit(t *testing.T) {
 	text := "show stat; set weight be/n1 12\r\n\n add map #1 a\\ b c\\;d\\\\ <<\nk1 v 1\nk2 ;v2\n\n" +
 		"set map m k <<END\nx\n\ny\nEND\nquit\n"
 	want := [][]string{{"show", "stat"}, {"set", "weight", "be/n1", "12"},
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestRequestsNameTheBadByte(t *testing.T) {
+func TestRequestParserReportsOffsetOfBadByte(t *testing.T) {
 	for text, at := range map[string]int64{
 		"show info\nset\x01 weight\n":                                  13,
 		"ab\n" + strings.Repeat("x", MaxLineLength+1):                  3 + MaxLineLength,
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestAnswersSurviveAnySplit(t *testing.T) {
+func TestAnswersAcceptAnySplit(t *testing.T) {
 	stream := "\n> New server registered.\n\n> \n> # a,b\n1,2\n\n> > \n"
 	want := []string{"", "New server registered.\n", "", "# a,b\n1,2\n", ""}
 	for cut := range len(stream) + 1 {
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestSessionModes(t *testing.T) {
+func TestSessionFollowsPromptModes(t *testing.T) {
 	echo := func(c Command) []byte { return []byte(strings.Join(c.Words, "+") + "\n") }
 	for _, c := range []struct {
 		in, out string
@@ -103,8 +103,20 @@
 }
 
 func TestTablesRoundTrip(t *testing.T) {
-	stat := Stat{Proxy: []byte("look"), Server: []byte("n1"), Status: []byte("UP"), Sessions: 12, Held: 2, Denied: 1, ConnFailed: 3,
-		RespFailed: 4, Retries: 5, Weight: 256, Good: 6, Errors: 7}
+	stat := Stat{
+		Proxy:           []byte("look"),
+		Server:          []byte("n1"),
+		Status:          []byte("UP"),
+		Sessions:        12,
+		CurrentSessions: 2,
+		Denied:          1,
+		ConnFailed:      3,
+		RespFailed:      4,
+		Retries:         5,
+		Weight:          256,
+		Good:            6,
+		Errors:          7,
+	}
 	text := AppendStat(AppendStatHeader(nil), &stat)
 	if err := ReadStat(text, func(s *Stat) error {
 		if !reflect.DeepEqual(*s, stat) {
@@ -137,7 +149,7 @@
 	}
 }
 
-func TestGarbageNamesLineAndColumn(t *testing.T) {
+func TestReadersReportLineAndColumnOfGarbage(t *testing.T) {
 	stat := string(AppendStatHeader(nil))
 	for _, c := range []struct {
 		read func() error
@@ -151,7 +163,7 @@
 		{func() error { return ReadServersState([]byte("1\n# a b\n"), nil) }, `line 2: no column "be_name"`},
 		{func() error { return ReadMap([]byte("0x1 a b\nnonsense\n"), func(_, _ []byte) error { return nil }) }, "line 2:"},
 		{func() error { return ReadTable([]byte("0x1: key=a gpc0=x\n"), nil) }, "line 1: gpc0"},
-		{func() error { return ReadPairs([]byte("no pair\n"), nil) }, "line 1:"},
+		{func() error { return ReadInfo([]byte("no pair\n"), nil) }, "line 1:"},
 	} {
 		if err := c.read(); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v, want %q", err, c.want)
@@ -159,20 +171,20 @@
 	}
 }
 
-// FuzzRequests: whatever comes, in whatever pieces, gives the same commands as in one piece, and what is
-// printed from them reads back the same.
+// FuzzRequests checks that a stream parses the same in one piece and in two, and that commands written again parse back
+// to the same words.
 func FuzzRequests(f *testing.F) {
 	f.Add([]byte("show stat;set weight a/b 3\n"), 3)
 	f.Add([]byte("add map #1 <<\nk v\n\nprompt\n"), 14)
 	f.Add([]byte("a\\\\\\ b;;; c\\;\n\x00"), 5)
 	f.Fuzz(func(t *testing.T, text []byte, cut int) {
 		cut = max(0, min(len(text), cut))
-		whole, wholeErr := feed(t, string(text), len(text))
+		complete, completeErr := feed(t, string(text), len(text))
 		pieces, piecesErr := feed(t, string(text), cut)
-		if !reflect.DeepEqual(whole, pieces) || fmt.Sprint(wholeErr) != fmt.Sprint(piecesErr) {
-			t.Fatalf("in one piece %q (%v), cut at %d %q (%v)", whole, wholeErr, cut, pieces, piecesErr)
+		if !reflect.DeepEqual(complete, pieces) || fmt.Sprint(completeErr) != fmt.Sprint(piecesErr) {
+			t.Fatalf("in one piece %q (%v), cut at %d %q (%v)", complete, completeErr, cut, pieces, piecesErr)
 		}
-		for _, words := range whole {
+		for _, words := range complete {
 			line := AppendCommand(nil, words...)
 			if bytes.ContainsAny(line, "\n\x00") || len(words) > MaxWords {
 				continue // a payload
--- /dev/null
+++ b/internal/haproxyapi/rows.go
@@ -0,0 +1,103 @@
+package haproxyapi
+
+import (
+	"bytes"
+	"fmt"
+)
+
+// rows calls handle for every line of a text with the line's number from 1 and its fields, which are valid until handle
+// returns. It is the base of the readers of tables and allocates nothing per line.
+func rows(text []byte, separator byte, handle func(number int, line []byte, fields [][]byte) error) error {
+	var fields [][]byte
+	number := 0
+	for len(text) > 0 {
+		line := text
+		if end := bytes.IndexByte(text, '\n'); end >= 0 {
+			line = text[:end]
+			text = text[end+1:]
+		} else {
+			text = nil
+		}
+		number++
+		fields = splitFields(fields[:0], line, separator)
+		if err := handle(number, line, fields); err != nil {
+			return fmt.Errorf("line %d: %w", number, err)
+		}
+	}
+	return nil
+}
+
+func splitFields(fields [][]byte, line []byte, separator byte) [][]byte {
+	for {
+		end := bytes.IndexByte(line, separator)
+		if end < 0 {
+			break
+		}
+		fields = append(fields, line[:end])
+		line = line[end+1:]
+	}
+	return append(fields, line)
+}
+
+// maxColumns is the largest number of columns that a reader asks for.
+const maxColumns = 16
+
+// columns finds the columns of a table by its header. The first textColumns names are texts, the others counts.
+type columns struct {
+	names       []string
+	textColumns int
+	positions   [maxColumns]int    // by name: the place of the column in a row
+	counts      [maxColumns]uint64 // by name: of the row read last; 0 for texts
+}
+
+// locate reads the header.
+func (c *columns) locate(header [][]byte) error {
+	for i, name := range c.names {
+		c.positions[i] = -1
+		for position, field := range header {
+			if string(field) == name {
+				c.positions[i] = position
+			}
+		}
+		if c.positions[i] < 0 {
+			return fmt.Errorf("no column %q", name)
+		}
+	}
+	return nil
+}
+
+// read takes a row and parses its counts.
+func (c *columns) read(fields [][]byte) error {
+	for i := range c.names {
+		position := c.positions[i]
+		if position >= len(fields) {
+			return fmt.Errorf("column %q is missing", c.names[i])
+		}
+		if i < c.textColumns {
+			continue
+		}
+		count, ok := parseCount(fields[position])
+		if !ok {
+			return fmt.Errorf("column %q: %.40q is no count", c.names[i], fields[position])
+		}
+		c.counts[i] = count
+	}
+	return nil
+}
+
+// maxCountDigits is the largest number of digits that fit a uint64 whatever they are.
+const maxCountDigits = 19
+
+// parseCount reads a count; an empty field is 0, as columns that don't apply are empty.
+func parseCount(text []byte) (count uint64, ok bool) {
+	if len(text) > maxCountDigits {
+		return 0, false
+	}
+	for _, digit := range text {
+		if digit < '0' || digit > '9' {
+			return 0, false
+		}
+		count = count*10 + uint64(digit-'0')
+	}
+	return count, true
+}
--- /dev/null
+++ b/internal/haproxyapi/serverstate.go
@@ -0,0 +1,87 @@
+package haproxyapi
+
+import "fmt"
+
+// ServerState is a line of "show servers state".
+type ServerState struct {
+	Backend     []byte
+	Server      []byte
+	Addr        []byte
+	Port        uint64
+	Operational uint64 // 0: stopped, 2: running
+	Admin       uint64 // AdminMaint, AdminDrain
+	Weight      uint64 // srv_uweight: the user-visible weight
+}
+
+// Positions in stateColumns.
+const (
+	stateBackend = iota
+	stateServer
+	stateAddr
+	stateOperational
+	stateAdmin
+	stateWeight
+	statePort
+
+	stateTextColumns = stateAddr + 1
+)
+
+var stateColumns = []string{
+	"be_name", "srv_name", "srv_addr", "srv_op_state", "srv_admin_state", "srv_uweight", "srv_port",
+}
+
+// stateFormat is the version of the format of "show servers state" that is known here.
+const stateFormat = "1"
+
+// ReadServersState reads "show servers state": a line with the format's version, a header and a line for each server.
+// The row is valid until handle returns.
+func ReadServersState(text []byte, handle func(*ServerState) error) error {
+	table := columns{names: stateColumns, textColumns: stateTextColumns}
+	var row ServerState
+	return rows(text, ' ', func(number int, line []byte, fields [][]byte) error {
+		switch number {
+		case 1:
+			if string(line) != stateFormat {
+				return fmt.Errorf("format %.40q of \"show servers state\" is not known, only %s is", line, stateFormat)
+			}
+			return nil
+		case 2:
+			return readStateHeader(&table, line, fields)
+		}
+		if err := table.read(fields); err != nil {
+			return err
+		}
+		row = ServerState{
+			Backend:     fields[table.positions[stateBackend]],
+			Server:      fields[table.positions[stateServer]],
+			Addr:        fields[table.positions[stateAddr]],
+			Operational: table.counts[stateOperational],
+			Admin:       table.counts[stateAdmin],
+			Weight:      table.counts[stateWeight],
+			Port:        table.counts[statePort],
+		}
+		return handle(&row)
+	})
+}
+
+// readStateHeader locates the columns. The first field of the header is a mark that rows don't have.
+func readStateHeader(table *columns, line []byte, fields [][]byte) error {
+	if string(fields[0]) != "#" {
+		return fmt.Errorf("no header of \"show servers state\" (%.40q)", line)
+	}
+	return table.locate(fields[1:])
+}
+
+// AppendServersStateHeader writes the first two lines of "show servers state".
+func AppendServersStateHeader(dst []byte) []byte {
+	return append(dst, stateFormat+"\n# be_id be_name srv_id srv_name srv_addr srv_op_state srv_admin_state srv_uweight "+
+		"srv_iweight srv_time_since_last_change srv_check_status srv_check_result srv_check_health "+
+		"srv_check_state srv_agent_state bk_f_forced_id srv_f_forced_id srv_fqdn srv_port srvrecord srv_use_ssl "+
+		"srv_check_port srv_check_addr srv_agent_addr srv_agent_port\n"...)
+}
+
+// AppendServerState writes one line of "show servers state".
+func AppendServerState(dst []byte, backendID, serverID int, s *ServerState) []byte {
+	return fmt.Appendf(dst, "%d %s %d %s %s %d %d %d %d 0 1 0 0 0 0 0 0 - %d - 0 0 - - 0\n", backendID, s.Backend,
+		serverID, s.Server, s.Addr, s.Operational, s.Admin, s.Weight, s.Weight, s.Port)
+}
--- /dev/null
+++ b/internal/haproxyapi/stat.go
@@ -0,0 +1,111 @@
+package haproxyapi
+
+import (
+	"bytes"
+	"fmt"
+	"strconv"
+)
+
+// Stat is a line of "show stat": the counters that a controller reads.
+type Stat struct {
+	Proxy           []byte // pxname
+	Server          []byte // svname; BACKEND for the sum of a backend
+	Status          []byte // status: UP, MAINT, DRAIN and others
+	Sessions        uint64 // stot
+	CurrentSessions uint64 // scur
+	Denied          uint64 // dreq
+	ConnFailed      uint64 // econ
+	RespFailed      uint64 // eresp
+	Retries         uint64 // wretr
+	Weight          uint64
+	Errors          uint64 // hrsp_5xx
+	Good            uint64 // hrsp_1xx to hrsp_4xx
+}
+
+// Positions in statColumns.
+const (
+	statProxy = iota
+	statServer
+	statStatus
+	statCurrentSessions
+	statSessions
+	statDenied
+	statConnFailed
+	statRespFailed
+	statRetries
+	statWeight
+	stat1xx
+	stat2xx
+	stat3xx
+	stat4xx
+	stat5xx
+
+	statTextColumns = statStatus + 1
+)
+
+var statColumns = []string{
+	"pxname", "svname", "status", "scur", "stot", "dreq", "econ", "eresp", "wretr", "weight",
+	"hrsp_1xx", "hrsp_2xx", "hrsp_3xx", "hrsp_4xx", "hrsp_5xx",
+}
+
+// ReadStat reads the CSV of "show stat" by its header, whatever further columns it has. The row is valid until handle
+// returns.
+func ReadStat(text []byte, handle func(*Stat) error) error {
+	table := columns{names: statColumns, textColumns: statTextColumns}
+	var row Stat
+	return rows(text, ',', func(number int, line []byte, fields [][]byte) error {
+		if number == 1 {
+			if len(line) < 2 || line[0] != '#' {
+				return fmt.Errorf("no header of \"show stat\" (%.40q)", line)
+			}
+			fields[0] = bytes.TrimLeft(fields[0], "# ")
+			return table.locate(fields)
+		}
+		if err := table.read(fields); err != nil {
+			return err
+		}
+		counts := &table.counts
+		row = Stat{
+			Proxy:           fields[table.positions[statProxy]],
+			Server:          fields[table.positions[statServer]],
+			Status:          fields[table.positions[statStatus]],
+			CurrentSessions: counts[statCurrentSessions],
+			Sessions:        counts[statSessions],
+			Denied:          counts[statDenied],
+			ConnFailed:      counts[statConnFailed],
+			RespFailed:      counts[statRespFailed],
+			Retries:         counts[statRetries],
+			Weight:          counts[statWeight],
+			Good:            counts[stat1xx] + counts[stat2xx] + counts[stat3xx] + counts[stat4xx],
+			Errors:          counts[stat5xx],
+		}
+		return handle(&row)
+	})
+}
+
+// AppendStatHeader writes the header of "show stat".
+func AppendStatHeader(dst []byte) []byte {
+	dst = append(dst, "# "...)
+	for _, name := range statColumns {
+		dst = append(dst, name...)
+		dst = append(dst, ',')
+	}
+	return append(dst, '\n')
+}
+
+// AppendStat writes one line of "show stat". Good answers all count as 2xx.
+func AppendStat(dst []byte, s *Stat) []byte {
+	for _, text := range [...][]byte{s.Proxy, s.Server, s.Status} {
+		dst = append(dst, text...)
+		dst = append(dst, ',')
+	}
+	counts := [...]uint64{
+		s.CurrentSessions, s.Sessions, s.Denied, s.ConnFailed, s.RespFailed, s.Retries, s.Weight,
+		0, s.Good, 0, 0, s.Errors,
+	}
+	for _, count := range counts {
+		dst = strconv.AppendUint(dst, count, 10)
+		dst = append(dst, ',')
+	}
+	return append(dst, '\n')
+}
--- a/internal/service/text/server.go
+++ b/internal/service/text/server.go
@@ -33,7 +33,7 @@
 type link struct {
 	server   *Server
 	conn     *nbio.Conn
-	requests haproxyapi.Requests
+	requests haproxyapi.RequestParser
 	watcher  atomic.Pointer[service.Watcher]
 	closed   atomic.Bool
 	sending  sync.Mutex // orders what is written
--- a/internal/testing/fakes/proxy.go
+++ b/internal/testing/fakes/proxy.go
@@ -403,7 +403,7 @@
 func (p *Proxy) find(target string) (*line, string) {
 	backend, server, ok := strings.Cut(target, "/")
 	if !ok {
-		return nil, haproxyapi.NeedServer
+		return nil, haproxyapi.ServerRequired
 	}
 	lines, known := p.backends[backend]
 	if _, set := p.totals[backend]; !known && !set {
@@ -565,14 +565,14 @@
 		}
 		to := net.JoinHostPort(words[2], port)
 		if to == l.addr {
-			return []byte(haproxyapi.AddrStays + " the addr, port\n")
+			return []byte(haproxyapi.AddrUnchanged + " the addr, port\n")
 		}
 		l.addr = to
 		return []byte(haproxyapi.AddrChanged + " by 'stats socket command'\n")
 	case is("add", "server") && len(words) >= 2:
 		l, err := p.find(words[0])
 		if l != nil {
-			return []byte(haproxyapi.Exists)
+			return []byte(haproxyapi.ServerExists)
 		}
 		if err != haproxyapi.NoServer {
 			return []byte(err)
@@ -593,9 +593,9 @@
 		case l == nil:
 			return []byte(err)
 		case l.admin&haproxyapi.AdminMaint == 0:
-			return []byte(haproxyapi.NotInMaint)
+			return []byte(haproxyapi.NotInMaintenance)
 		case l.open > 0:
-			return []byte(haproxyapi.HasConns)
+			return []byte(haproxyapi.HasConnections)
 		}
 		backend, _, _ := strings.Cut(words[0], "/")
 		p.backends[backend] = slices.DeleteFunc(p.backends[backend], func(o *line) bool { return o == l })
@@ -698,7 +698,7 @@
 		}
 		l.open++
 		l.row.Sessions++
-		l.row.Held++
+		l.row.CurrentSessions++
 		p.mu.Unlock()
 		within := ctx
 		if most := map[int]int{2: 1, 3: 2}[retry]; try < most {
@@ -737,7 +737,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l.open--
-	l.row.Held--
+	l.row.CurrentSessions--
 	switch {
 	case good:
 		l.row.Good++
--- a/internal/transport/haproxy/session.go
+++ b/internal/transport/haproxy/session.go
@@ -218,7 +218,7 @@
 		return nil, nil
 	case toInfo:
 		node := []byte(nil)
-		err := haproxyapi.ReadPairs(text, func(name, value []byte) error {
+		err := haproxyapi.ReadInfo(text, func(name, value []byte) error {
 			if string(name) == "node" || string(name) == "Node" {
 				node = append(node, value...)
 			}
@@ -299,17 +299,17 @@
 
 // fault tells whether a change was done, and else what kept it.
 func fault(text []byte) (reconcile.FailureKind, bool) {
-	if bytes.HasPrefix(text, []byte(haproxyapi.AddrChanged)) || bytes.HasPrefix(text, []byte(haproxyapi.AddrStays)) {
+	if bytes.HasPrefix(text, []byte(haproxyapi.AddrChanged)) || bytes.HasPrefix(text, []byte(haproxyapi.AddrUnchanged)) {
 		return 0, true
 	}
 	switch string(text) {
-	case haproxyapi.Done, haproxyapi.Registered, haproxyapi.Deleted:
+	case haproxyapi.Success, haproxyapi.Registered, haproxyapi.Deleted:
 		return 0, true
 	case haproxyapi.NoServer:
 		return reconcile.FailureEntryMissing, false
-	case haproxyapi.Exists:
+	case haproxyapi.ServerExists:
 		return reconcile.FailureEntryExists, false
-	case haproxyapi.NotInMaint, haproxyapi.HasConns:
+	case haproxyapi.NotInMaintenance, haproxyapi.HasConnections:
 		return reconcile.FailureEntryInUse, false
 	}
 	return reconcile.FailureOther, false
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport defines how the controller's messages reach proxies and how their answers come back. The controller's loop
-// owns all state; a transport posts events to it and takes no decision.
+// Package transport defines how the controller's messages reach proxies and how their answers come back. The
+// controller's loop owns all state; a transport posts events to it and takes no decision.
 package transport
 
 import (
