--- a/internal/transport/haproxy/encode.go
+++ b/internal/transport/haproxy/encode.go
@@ -10,50 +10,98 @@
 	"cressknot/internal/transport"
 )
 
-// encoder turns changes into commands. It allocates only when its buffers grow.
+// commandReserve is the room in bytes that a line must have left for one more command.
+const commandReserve = 1024
+
+// encoder writes changes as commands. It allocates only when its buffers grow.
 type encoder struct {
-	s     *session
-	seq   uint64
-	index int
-	out   []byte
-	line  int // where the present line began
-	n     int // commands
+	session     *session
+	sequence    uint64 // of the message
+	changeIndex int
+	out         []byte
+	lineStart   int // where the present line begins in out
+	commands    int
 }
 
-// next begins a command, on a new line where the present one has no room for it.
-func (e *encoder) next(key string) {
-	const roomForOne = 1024
-	switch {
-	case e.n == 0:
-		e.line = len(e.out)
-	case len(e.out)-e.line > haproxyapi.MaxLineLength-roomForOne:
-		e.out = append(e.out, '\n')
-		e.line = len(e.out)
+// change writes the commands of one change.
+func (e *encoder) change(change *reconcile.Change) {
+	switch change.Kind {
+	case reconcile.UpdateAdmission:
+		e.admission(change)
+	case reconcile.UpdateVersion:
+		e.mapEntry(e.className(change)+transport.VersionKey, change.VersionStamp)
+	case reconcile.AddEntry:
+		e.add(change)
+	case reconcile.DeleteEntry:
+		name, _ := e.session.options().Names.Of(change.Server)
+		e.command("del server ", change.Class, name)
 	default:
-		e.out = append(e.out, ';')
+		e.update(change)
 	}
-	e.n++
-	e.s.expect = append(e.s.expect, expectation{what: toChange, seq: e.seq, index: e.index, key: key})
 }
 
-func (e *encoder) target(class fleet.ClassID, name string) {
-	e.out = haproxyapi.AppendWord(e.out, e.s.link.front.opt.Classes[class].Backend)
-	e.out = append(e.out, '/')
-	e.out = haproxyapi.AppendWord(e.out, name)
+func (e *encoder) admission(change *reconcile.Change) {
+	limit := change.Admission.Limit
+	if limit < 0 {
+		limit = e.session.unlimitedAdmission()
+	}
+	class := e.className(change)
+	e.mapEntry(e.session.admissionKey(class), strconv.Itoa(int(limit)))
+	e.mapEntry(class+transport.RetryKey, strconv.Itoa(int(change.Admission.Retry)))
+}
+
+func (e *encoder) className(change *reconcile.Change) string {
+	return e.session.options().Classes[change.Class].Name
+}
+
+func (e *encoder) add(change *reconcile.Change) {
+	name, addr := e.session.options().Names.Of(change.Server)
+	e.command("add server ", change.Class, name)
+	e.out = append(e.out, ' ')
+	e.out = haproxyapi.AppendWord(e.out, addr)
+	e.out = append(e.out, " weight "...)
+	e.out = strconv.AppendInt(e.out, int64(change.Weight), 10)
+	e.state(change.Class, name, change.State) // a new server is in maintenance
+}
+
+// update writes a change of an entry that exists. A state that stops traffic goes before the weight, one that lets
+// traffic in after it.
+func (e *encoder) update(change *reconcile.Change) {
+	name, addr := e.session.options().Names.Of(change.Server)
+	if change.AddressChanged {
+		e.address(change.Class, name, addr)
+	}
+	if change.State != reconcile.StateUnchanged && change.State != reconcile.StateReady {
+		e.state(change.Class, name, change.State)
+	}
+	if change.Weight >= 0 {
+		e.weight(change.Class, name, change.Weight)
+	}
+	if change.State == reconcile.StateReady {
+		e.state(change.Class, name, change.State)
+	}
+}
+
+func (e *encoder) address(class fleet.ClassID, name, addr string) {
+	host, port, err := net.SplitHostPort(addr)
+	if err != nil {
+		return
+	}
+	e.command("set server ", class, name)
+	e.out = append(e.out, " addr "...)
+	e.out = haproxyapi.AppendWord(e.out, host)
+	e.out = append(e.out, " port "...)
+	e.out = haproxyapi.AppendWord(e.out, port)
 }
 
 func (e *encoder) weight(class fleet.ClassID, name string, weight int16) {
-	e.next("")
-	e.out = append(e.out, "set server "...)
-	e.target(class, name)
+	e.command("set server ", class, name)
 	e.out = append(e.out, " weight "...)
 	e.out = strconv.AppendInt(e.out, int64(weight), 10)
 }
 
 func (e *encoder) state(class fleet.ClassID, name string, state reconcile.State) {
-	e.next("")
-	e.out = append(e.out, "set server "...)
-	e.target(class, name)
+	e.command("set server ", class, name)
 	switch state {
 	case reconcile.StateReady:
 		e.out = append(e.out, " state ready"...)
@@ -64,69 +112,46 @@
 	}
 }
 
-func (e *encoder) pair(key, value string) {
-	e.next(key)
+func (e *encoder) mapEntry(key, value string) {
+	e.beginCommand(key)
 	verb := "add map "
-	if e.s.keys[key] {
+	if e.session.mapKeys[key] {
 		verb = "set map "
 	}
 	e.out = append(e.out, verb...)
-	e.out = haproxyapi.AppendWord(e.out, e.s.link.front.opt.Map)
+	e.out = haproxyapi.AppendWord(e.out, e.session.options().Map)
 	e.out = append(e.out, ' ')
 	e.out = haproxyapi.AppendWord(e.out, key)
 	e.out = append(e.out, ' ')
 	e.out = haproxyapi.AppendWord(e.out, value)
 }
 
-func (e *encoder) change(c *reconcile.Change) {
-	if c.Kind == reconcile.UpdateAdmission {
-		class := e.s.link.front.opt.Classes[c.Class].Name
-		amount := c.Admission.Limit
-		if amount < 0 {
-			amount = e.s.amountAll()
-		}
-		e.pair(e.s.amountKey(class), strconv.Itoa(int(amount)))
-		e.pair(class+transport.RetryKey, strconv.Itoa(int(c.Admission.Retry)))
-		return
-	}
-	if c.Kind == reconcile.UpdateVersion {
-		e.pair(e.s.link.front.opt.Classes[c.Class].Name+transport.VersionKey, c.VersionStamp)
-		return
-	}
-	name, addr := e.s.link.front.opt.Names.Of(c.Server)
-	switch c.Kind {
-	case reconcile.AddEntry:
-		e.next("")
-		e.out = append(e.out, "add server "...)
-		e.target(c.Class, name)
-		e.out = append(e.out, ' ')
-		e.out = haproxyapi.AppendWord(e.out, addr)
-		e.out = append(e.out, " weight "...)
-		e.out = strconv.AppendInt(e.out, int64(c.Weight), 10)
-		e.state(c.Class, name, c.State) // a new server is in maintenance
-	case reconcile.DeleteEntry:
-		e.next("")
-		e.out = append(e.out, "del server "...)
-		e.target(c.Class, name)
+// command begins a command on a server of a class.
+func (e *encoder) command(verb string, class fleet.ClassID, name string) {
+	e.beginCommand("")
+	e.out = append(e.out, verb...)
+	e.out = haproxyapi.AppendWord(e.out, e.session.options().Classes[class].Backend)
+	e.out = append(e.out, '/')
+	e.out = haproxyapi.AppendWord(e.out, name)
+}
+
+// beginCommand begins a command, on a new line where the present one has no room for it. The key is that of the map
+// entry that the command writes, if any.
+func (e *encoder) beginCommand(key string) {
+	switch {
+	case e.commands == 0:
+		e.lineStart = len(e.out)
+	case len(e.out)-e.lineStart > haproxyapi.MaxLineLength-commandReserve:
+		e.out = append(e.out, '\n')
+		e.lineStart = len(e.out)
 	default:
-		if host, port, err := net.SplitHostPort(addr); c.AddressChanged && err == nil {
-			e.next("")
-			e.out = append(e.out, "set server "...)
-			e.target(c.Class, name)
-			e.out = append(e.out, " addr "...)
-			e.out = haproxyapi.AppendWord(e.out, host)
-			e.out = append(e.out, " port "...)
-			e.out = haproxyapi.AppendWord(e.out, port)
-		}
-		// What shuts out goes before the weight, what lets in after it.
-		if c.State != reconcile.StateUnchanged && c.State != reconcile.StateReady {
-			e.state(c.Class, name, c.State)
-		}
-		if c.Weight >= 0 {
-			e.weight(c.Class, name, c.Weight)
-		}
-		if c.State == reconcile.StateReady {
-			e.state(c.Class, name, c.State)
-		}
+		e.out = append(e.out, ';')
 	}
+	e.commands++
+	e.session.expected = append(e.session.expected, expectedAnswer{
+		kind:        changeAnswer,
+		sequence:    e.sequence,
+		changeIndex: e.changeIndex,
+		key:         key,
+	})
 }
--- a/internal/transport/haproxy/lease.go
+++ b/internal/transport/haproxy/lease.go
@@ -5,7 +5,6 @@
 	"cmp"
 	"errors"
 	"fmt"
-	"net"
 	"slices"
 	"strings"
 	"time"
@@ -13,305 +12,311 @@
 	"cressknot/internal/fleet"
 	"cressknot/internal/haproxyapi"
 	"cressknot/internal/lease"
-	"cressknot/internal/reconcile"
 	"cressknot/internal/transport"
 )
 
-// How governors agree at a proxy who serves it: package assign decides, here it is carried out by the commands that a runtime API has. Entries
-// stand in the proxy's map, each governor's under a key of its own; "show sess" tells which sessions of the runtime socket there are,
-// "shutdown session" ends them.
+// Controllers agree at a proxy who serves it: package lease decides, this file carries the decisions out by the
+// commands of the runtime API. Entries are in the proxy's map, each controller's under keys of its own; "show sess"
+// lists the sessions of the runtime socket, "shutdown session" ends them.
 
 const (
-	leaseKey = "cressknot.lease." // and the governor's name: EPOCH.BEAT
-	wantKey  = "cressknot.want."  // and the governor's name: a beat of asking for the proxy
-	runtime  = "fe=GLOBAL"        // of a session of the runtime socket, in "show sess"
+	// leaseKey and the controller's name are the key of its lease entry.
+	leaseKey = "cressknot.lease."
+	// claimKey and the controller's name are the key of the heartbeat with which it asks for the proxy.
+	claimKey = "cressknot.want."
+	// runtimeSessionField marks a session of the runtime socket in "show sess".
+	runtimeSessionField = "fe=GLOBAL"
 )
 
 var (
-	errLost   = errors.New("another governor serves it")
-	errHanded = errors.New("handed on to another governor")
+	errLeaseLost  = errors.New("another governor serves it")
+	errHandedOver = errors.New("handed on to another governor")
 )
 
-// entries reads what governors have written.
-func entries(text []byte) (all []lease.Entry, keys map[string]bool, err error) {
+// readEntries reads the lease entries of all controllers and the keys of the map that belong to them.
+func readEntries(text []byte) (entries []lease.Entry, keys map[string]bool, err error) {
 	keys = map[string]bool{}
-	wants := map[string]string{}
+	claims := map[string]string{}
 	err = haproxyapi.ReadMap(text, func(key, value []byte) error {
-		k := string(key)
-		if g, is := strings.CutPrefix(k, leaseKey); is {
-			all = append(all, lease.ParseEntry(g, string(value)))
-			keys[k] = true
-		} else if g, is := strings.CutPrefix(k, wantKey); is {
-			wants[g] = string(value)
-			keys[k] = true
+		name := string(key)
+		if controller, ok := strings.CutPrefix(name, leaseKey); ok {
+			entries = append(entries, lease.ParseEntry(controller, string(value)))
+			keys[name] = true
+		} else if controller, ok := strings.CutPrefix(name, claimKey); ok {
+			claims[controller] = string(value)
+			keys[name] = true
 		}
 		return nil
 	})
-	for i := range all {
-		all[i].Want, all[i].WantHand = lease.ParseWant(wants[all[i].Controller])
-		delete(wants, all[i].Controller)
+	for i := range entries {
+		entry := &entries[i]
+		entry.Want, entry.WantHand = lease.ParseWant(claims[entry.Controller])
+		delete(claims, entry.Controller)
 	}
-	for g, w := range wants {
-		e := lease.Entry{Controller: g}
-		e.Want, e.WantHand = lease.ParseWant(w)
-		all = append(all, e)
+	for controller, claim := range claims {
+		entry := lease.Entry{Controller: controller}
+		entry.Want, entry.WantHand = lease.ParseWant(claim)
+		entries = append(entries, entry)
 	}
-	return all, keys, wrap("show map", err)
+	return entries, keys, answerError("show map", err)
 }
 
-// put writes an entry of the map, whether it is there or not.
-func (s *session) put(key, value string, to what) {
+// writeMapEntry adds or replaces an entry of the map.
+func (s *session) writeMapEntry(key, value string, kind answerKind) {
 	verb := "add"
-	if s.keys[key] {
+	if s.mapKeys[key] {
 		verb = "set"
 	}
-	s.keys[key] = true
-	s.out = append(haproxyapi.AppendCommand(s.out, verb, "map", s.link.front.opt.Map, key, value), '\n')
-	s.expect = append(s.expect, expectation{what: to, key: key})
+	s.mapKeys[key] = true
+	s.out = append(haproxyapi.AppendCommand(s.out, verb, "map", s.options().Map, key, value), '\n')
+	s.expected = append(s.expected, expectedAnswer{kind: kind, key: key})
 }
 
-func (s *session) showMap(to what) {
-	s.out = append(haproxyapi.AppendCommand(s.out, "show", "map", s.link.front.opt.Map), '\n')
-	s.expect = append(s.expect, expectation{what: to})
+func (s *session) requestMap(kind answerKind) {
+	s.out = append(haproxyapi.AppendCommand(s.out, "show", "map", s.options().Map), '\n')
+	s.expect(kind)
 }
 
-func (s *session) look() { s.showMap(toLook) }
+func (s *session) ownLeaseKey() string { return leaseKey + s.options().Me }
 
-// lookAgain looks a while later.
-func (s *session) lookAgain() {
+// observeAgain reads the lease entries once more.
+func (s *session) observeAgain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over || s.link.front.stopping.Load() {
+	if s.ended || s.link.transport.stopping.Load() {
 		return
 	}
-	s.arm()
+	s.startWatchdog()
 	s.out = s.out[:0]
-	s.look()
+	s.requestMap(observedEntriesAnswer)
 	s.flush()
 }
 
-// complete ends the sessions that there were when our entry had been written, and says whose session this is.
-func (s *session) complete() {
+// completeTakeover ends the sessions that existed when this controller's entry had been written, and writes the entry
+// again.
+func (s *session) completeTakeover() {
 	l := s.link
-	l.leasing.Lock()
-	next, ending := l.lease.Next(), l.ending
-	l.ending = nil
-	l.leasing.Unlock()
-	for _, id := range ending {
+	l.leaseMutex.Lock()
+	next := l.lease.Next()
+	staleSessions := l.staleSessions
+	l.staleSessions = nil
+	l.leaseMutex.Unlock()
+	for _, id := range staleSessions {
 		s.out = append(haproxyapi.AppendCommand(s.out, "shutdown", "session", id), '\n')
-		s.expect = append(s.expect, expectation{what: toShut})
+		s.expect(shutdownSessionAnswer)
 	}
-	s.keys[leaseKey+l.front.opt.Me] = true
-	s.put(leaseKey+l.front.opt.Me, next.String(), toBid)
+	s.mapKeys[s.ownLeaseKey()] = true
+	s.writeMapEntry(s.ownLeaseKey(), next.String(), leaseEntryAnswer)
 }
 
-// took tells whether the proxy is ours, of the entries read after the others' sessions were ended.
-func (s *session) took(text []byte) error {
+// confirmLease checks the entries that were read after the other sessions had been ended; it returns errLeaseLost if
+// another controller holds the lease.
+func (s *session) confirmLease(text []byte) error {
 	l := s.link
 	if l.lease == nil {
 		return nil
 	}
-	all, _, err := entries(text)
+	entries, _, err := readEntries(text)
 	if err != nil {
 		return err
 	}
-	l.leasing.Lock()
-	defer l.leasing.Unlock()
-	if !l.lease.Took(l.front.opt.Clock(), all) {
-		return errLost
+	l.leaseMutex.Lock()
+	defer l.leaseMutex.Unlock()
+	if !l.lease.Took(l.transport.options.Clock(), entries) {
+		return errLeaseLost
 	}
 	return nil
 }
 
-// takeLease makes of an answer what it is to.
-func (s *session) takeLease(e expectation, text []byte) (transport.Event, error) {
+// handleLeaseAnswer handles an answer to a command of the lease protocol.
+func (s *session) handleLeaseAnswer(expected expectedAnswer, text []byte) (transport.Event, error) {
 	l := s.link
-	l.leasing.Lock()
-	defer l.leasing.Unlock()
-	now := l.front.opt.Clock()
+	l.leaseMutex.Lock()
+	defer l.leaseMutex.Unlock()
+	now := l.transport.options.Clock()
 	s.out = s.out[:0]
-	switch e.what {
-	case toLook:
-		if string(text) == haproxyapi.NoMap {
-			return nil, fmt.Errorf("the proxy has no map %s", l.front.opt.Map)
-		}
-		all, keys, err := entries(text)
-		if err != nil {
-			return nil, err
-		}
-		s.keys = keys
-		act, again := l.lease.Look(now, all)
-		switch act {
-		case lease.Claim:
-			bid := l.lease.Begin(now, all)
-			s.put(leaseKey+l.front.opt.Me, bid.String(), toBid)
-			s.out = append(s.out, "show sess\n"...)
-			s.expect = append(s.expect, expectation{what: toRivals})
-		case lease.Want:
-			s.put(wantKey+l.front.opt.Me, l.lease.Ask(), toBeat)
-		}
-		if act != lease.Claim {
-			s.again = time.AfterFunc(time.Duration(max(1, again-now)), s.lookAgain)
-		}
-	case toRivals:
-		ids, err := sessions(text)
-		if err != nil {
-			return nil, err
-		}
-		l.ending = ids
-		go l.takeOver(s)
-	case toEntries:
-		all, _, err := entries(text)
-		if err != nil {
-			return nil, err
-		}
-		l.front.moving.Lock()
-		act := l.lease.Holding(now, all, &l.front.moves)
-		l.front.moving.Unlock()
-		switch act {
-		case lease.Lost:
-			return nil, errLost
-		case lease.Release:
-			s.release(l.lease.Leave(false))
-		}
-	case toBid, toBeat:
-		if string(text) == haproxyapi.NoKey { // somebody took it away
-			delete(s.keys, e.key)
-			if e.what == toBid || s.up {
-				return nil, errLost
-			}
-		}
-	case toHandOn:
-		return nil, errHanded
+	var err error
+	switch expected.kind {
+	case observedEntriesAnswer:
+		err = s.handleObservedEntries(now, text)
+	case sessionsAnswer:
+		err = s.beginTakeover(text)
+	case heldEntriesAnswer:
+		err = s.handleHeldEntries(now, text)
+	case leaseEntryAnswer, heartbeatAnswer:
+		err = s.handleEntryWritten(expected, text)
+	case handOverAnswer:
+		err = errHandedOver
+	}
+	if err != nil {
+		return nil, err
 	}
 	s.flush()
 	return nil, nil
 }
 
-// sessions reads the sessions of the runtime socket out of "show sess".
-func sessions(text []byte) (ids []string, err error) {
-	n := 0
-	for line := range bytes.Lines(text) {
-		n++
-		id, rest, ok := strings.Cut(string(bytes.TrimSpace(line)), ": ")
-		if !ok || !strings.HasPrefix(id, "0x") {
-			return nil, fmt.Errorf("answer to \"show sess\": line %d: %.60q", n, line)
-		}
-		for _, f := range strings.Fields(rest) {
-			if f == runtime {
-				ids = append(ids, id)
-			}
-		}
+// handleObservedEntries lets the lease decide whether to claim the proxy, to ask for it, or to observe on. Session and
+// lease are locked, here and in the other handlers.
+func (s *session) handleObservedEntries(now fleet.Time, text []byte) error {
+	if string(text) == haproxyapi.NoMap {
+		return s.noMapError()
 	}
-	return ids, nil
+	entries, keys, err := readEntries(text)
+	if err != nil {
+		return err
+	}
+	s.mapKeys = keys
+	held := s.link.lease
+	action, observeAt := held.Look(now, entries)
+	switch action {
+	case lease.Claim:
+		own := held.Begin(now, entries)
+		s.writeMapEntry(s.ownLeaseKey(), own.String(), leaseEntryAnswer)
+		s.out = append(s.out, "show sess\n"...)
+		s.expect(sessionsAnswer)
+		return nil
+	case lease.Want:
+		s.writeMapEntry(claimKey+s.options().Me, held.Ask(), heartbeatAnswer)
+	}
+	s.observeTimer = time.AfterFunc(time.Duration(max(1, observeAt-now)), s.observeAgain)
+	return nil
 }
 
-// takeOver opens the session that completes a takeover, while the one that began it still stands: so its number can't be the new one's.
-func (l *link) takeOver(before *session) {
-	before.mu.Lock()
-	over := before.over
-	before.mu.Unlock()
-	if over { // what it began ended with it; the next look begins anew
-		return
-	}
-	dialer := net.Dialer{Timeout: time.Duration(reconcile.DialTimeout)}
-	conn, err := dialer.DialContext(l.front.ctx, network(l.proxy.Addr), l.proxy.Addr)
-	if err == nil {
-		err = l.open(conn, before)
+func (s *session) beginTakeover(text []byte) error {
+	ids, err := readSessions(text)
+	if err != nil {
+		return err
 	}
+	s.link.staleSessions = ids
+	go s.link.takeOver(s)
+	return nil
+}
+
+func (s *session) handleHeldEntries(now fleet.Time, text []byte) error {
+	entries, _, err := readEntries(text)
 	if err != nil {
-		before.end(err)
+		return err
+	}
+	t := s.link.transport
+	t.movesMutex.Lock()
+	action := s.link.lease.Holding(now, entries, &t.moves)
+	t.movesMutex.Unlock()
+	switch action {
+	case lease.Lost:
+		return errLeaseLost
+	case lease.Release:
+		s.releaseLease(s.link.lease.Leave(false))
 	}
+	return nil
 }
 
-// over tells the lease that what stood is over.
-func (l *link) over() {
-	if l.lease == nil {
-		return
+// handleEntryWritten fails with errLeaseLost if another controller has removed this one's entry.
+func (s *session) handleEntryWritten(expected expectedAnswer, text []byte) error {
+	if string(text) != haproxyapi.NoKey {
+		return nil
+	}
+	delete(s.mapKeys, expected.key)
+	if expected.kind == leaseEntryAnswer || s.established {
+		return errLeaseLost
 	}
-	l.leasing.Lock()
-	defer l.leasing.Unlock()
-	l.lease.Drop()
+	return nil
 }
 
-// beat adds our next beat, and asks for the entries, to what goes with a poll.
-func (s *session) beat(out []byte) []byte {
+// readSessions reads the ids of the sessions of the runtime socket from "show sess".
+func readSessions(text []byte) (ids []string, err error) {
+	number := 0
+	for line := range bytes.Lines(text) {
+		number++
+		id, fields, ok := strings.Cut(string(bytes.TrimSpace(line)), ": ")
+		if !ok || !strings.HasPrefix(id, "0x") {
+			return nil, fmt.Errorf("answer to \"show sess\": line %d: %.60q", number, line)
+		}
+		for _, field := range strings.Fields(fields) {
+			if field == runtimeSessionField {
+				ids = append(ids, id)
+			}
+		}
+	}
+	return ids, nil
+}
+
+// writeHeartbeat writes the next heartbeat of a lease and asks for all entries; it accompanies each poll.
+func (s *session) writeHeartbeat() {
 	l := s.link
 	if l.lease == nil {
-		return out
+		return
 	}
-	l.leasing.Lock()
+	l.leaseMutex.Lock()
 	next := l.lease.Next()
-	l.leasing.Unlock()
-	s.out = out
-	s.put(leaseKey+l.front.opt.Me, next.String(), toBeat)
-	s.showMap(toEntries)
-	return s.out
+	l.leaseMutex.Unlock()
+	s.writeMapEntry(s.ownLeaseKey(), next.String(), heartbeatAnswer)
+	s.requestMap(heldEntriesAnswer)
 }
 
-// release sends nothing more and writes that we hold it no more, after all that was sent: the proxy reads in order.
-func (s *session) release(left lease.Entry) {
-	s.handing = true
-	s.put(leaseKey+s.link.front.opt.Me, left.String(), toHandOn)
+// releaseLease gives the lease entry up and sends nothing more. The proxy reads it after all that was sent before.
+func (s *session) releaseLease(entry lease.Entry) {
+	s.handingOver = true
+	s.writeMapEntry(s.ownLeaseKey(), entry.String(), handOverAnswer)
 }
 
-// handOn lets another governor have the proxy, as this one stops.
-func (s *session) handOn() {
+// handOver lets another controller serve the proxy, because this one stops.
+func (s *session) handOver() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.up || s.over || s.handing {
+	if !s.acceptsRequests() {
 		return
 	}
-	s.arm()
+	s.startWatchdog()
 	s.out = s.out[:0]
-	s.link.leasing.Lock()
-	left := s.link.lease.Leave(true)
-	s.link.leasing.Unlock()
-	s.release(left)
+	s.link.leaseMutex.Lock()
+	entry := s.link.lease.Leave(true)
+	s.link.leaseMutex.Unlock()
+	s.releaseLease(entry)
 	s.flush()
 }
 
-// Retire hands all proxies on, in bounded moves, or ends that.
-func (f *Front) Retire(on bool) {
-	for _, l := range f.links {
+// Retire hands over all proxies, a bounded number at a time, or ends that.
+func (t *Transport) Retire(on bool) {
+	for _, l := range t.links {
 		if l.lease != nil {
-			l.leasing.Lock()
+			l.leaseMutex.Lock()
 			l.lease.Retire(on)
-			l.leasing.Unlock()
+			l.leaseMutex.Unlock()
 		}
 	}
 }
 
-// Take lets this governor have a proxy by hand, or ends that; false: no such proxy is shared.
-func (f *Front) Take(id fleet.ProxyID, on bool) bool {
-	l := f.links[id]
+// Take assigns a proxy to this controller by hand, or ends that; it returns false if no such proxy is shared.
+func (t *Transport) Take(id fleet.ProxyID, on bool) bool {
+	l := t.links[id]
 	if l == nil || l.lease == nil {
 		return false
 	}
-	l.leasing.Lock()
-	defer l.leasing.Unlock()
+	l.leaseMutex.Lock()
+	defer l.leaseMutex.Unlock()
 	l.lease.Take(on)
 	return true
 }
 
-// Holders tells who serves each proxy, by id.
-func (f *Front) Holders() (all []transport.LeaseHolder) {
-	for id, l := range f.links {
+// Holders returns who serves each proxy, in order of the proxies' ids.
+func (t *Transport) Holders() []transport.LeaseHolder {
+	var holders []transport.LeaseHolder
+	for id, l := range t.links {
 		if l.lease == nil {
 			continue
 		}
-		l.leasing.Lock()
-		h, moved := l.lease.Seen()
-		l.leasing.Unlock()
-		s := f.session(id)
-		all = append(all, transport.LeaseHolder{Proxy: id, Controller: h.Controller, Epoch: h.Epoch, LastHeartbeat: moved, Own: s != nil && s.steers()})
+		l.leaseMutex.Lock()
+		entry, lastHeartbeat := l.lease.Seen()
+		l.leaseMutex.Unlock()
+		s := t.currentSession(id)
+		holders = append(holders, transport.LeaseHolder{
+			Proxy:         id,
+			Controller:    entry.Controller,
+			Epoch:         entry.Epoch,
+			LastHeartbeat: lastHeartbeat,
+			Own:           s != nil && s.serving(),
+		})
 	}
-	slices.SortFunc(all, func(a, b transport.LeaseHolder) int { return cmp.Compare(a.Proxy, b.Proxy) })
-	return all
-}
-
-func (s *session) steers() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.up && !s.over && !s.handing
+	slices.SortFunc(holders, func(a, b transport.LeaseHolder) int { return cmp.Compare(a.Proxy, b.Proxy) })
+	return holders
 }
--- /dev/null
+++ b/internal/transport/haproxy/link.go
@@ -0,0 +1,140 @@
+package haproxy
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/lesismal/nbio"
+
+	"cressknot/internal/lease"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/transport"
+)
+
+// link is the lasting relation to one proxy; its sessions come and go.
+type link struct {
+	transport    *Transport
+	proxy        transport.Proxy
+	backoff      reconcile.DialBackoff // of the dialing goroutine only
+	established  atomic.Bool           // the last session could be read back
+	sessionEnded chan struct{}
+
+	leaseMutex    sync.Mutex
+	lease         *lease.Lease // nil: no other controller serves the proxy
+	staleSessions []string     // sessions at the proxy that the next session ends when it takes over
+
+	mu      sync.Mutex
+	current *session
+}
+
+// run dials the proxy, waits for the session's end, and dials again.
+func (l *link) run() {
+	t := l.transport
+	defer t.dialers.Done()
+	for t.ctx.Err() == nil {
+		err := l.connect(nil)
+		switch {
+		case err == nil:
+			select {
+			case <-l.sessionEnded:
+			case <-t.ctx.Done():
+				return
+			}
+		case t.ctx.Err() == nil:
+			t.sink(transport.Unreachable{Proxy: l.proxy.ID, Err: err})
+		}
+		if l.established.Swap(false) {
+			l.backoff.Reset()
+		}
+		wait := time.NewTimer(time.Duration(l.backoff.Next()))
+		select {
+		case <-wait.C:
+		case <-t.ctx.Done():
+		}
+		wait.Stop()
+	}
+}
+
+// connect dials the proxy and opens a session; with a predecessor, one that completes its takeover.
+func (l *link) connect(predecessor *session) error {
+	dialer := net.Dialer{Timeout: time.Duration(reconcile.DialTimeout)}
+	conn, err := dialer.DialContext(l.transport.ctx, networkOf(l.proxy.Addr), l.proxy.Addr)
+	if err != nil {
+		return err
+	}
+	return l.openSession(conn, predecessor)
+}
+
+// networkOf distinguishes a Unix socket's path from host:port.
+func networkOf(addr string) string {
+	if strings.Contains(addr, "/") {
+		return "unix"
+	}
+	return "tcp"
+}
+
+// openSession begins a session on a new connection.
+func (l *link) openSession(conn net.Conn, predecessor *session) error {
+	c, err := nbio.NBConn(conn)
+	if err != nil {
+		_ = conn.Close()
+		return fmt.Errorf("proxy %s: %w", l.proxy.Name, err)
+	}
+	s := l.newSession(c, predecessor)
+	s.mu.Lock() // until it has begun: events of a proxy that writes or closes at once have to wait for that
+	l.transport.sessions.Store(c, s)
+	l.mu.Lock()
+	l.current = s
+	l.mu.Unlock()
+	if _, err := l.transport.engine.AddConn(c); err != nil {
+		s.mu.Unlock()
+		l.transport.sessions.Delete(c)
+		_ = c.Close()
+		return fmt.Errorf("proxy %s: %w", l.proxy.Name, err)
+	}
+	s.begin()
+	s.mu.Unlock()
+	return nil
+}
+
+// newSession makes a session that has not begun. Its watchdog exists from the start, because the connection may close
+// before the session has begun.
+func (l *link) newSession(c *nbio.Conn, predecessor *session) *session {
+	s := &session{
+		link:        l,
+		conn:        c,
+		stream:      l.transport.lastStream.Add(1),
+		mapKeys:     map[string]bool{},
+		predecessor: predecessor,
+	}
+	s.watchdog = time.AfterFunc(l.transport.answerTimeout, s.answerTimedOut)
+	return s
+}
+
+// takeOver opens the session that completes a takeover while the one that began it is still open: so the proxy can't
+// give both the same id.
+func (l *link) takeOver(predecessor *session) {
+	predecessor.mu.Lock()
+	ended := predecessor.ended
+	predecessor.mu.Unlock()
+	if ended { // the takeover ended with it; the next observation begins a new one
+		return
+	}
+	if err := l.connect(predecessor); err != nil {
+		predecessor.close(err)
+	}
+}
+
+// dropLease tells the lease that the session has ended.
+func (l *link) dropLease() {
+	if l.lease == nil {
+		return
+	}
+	l.leaseMutex.Lock()
+	defer l.leaseMutex.Unlock()
+	l.lease.Drop()
+}
--- a/internal/transport/haproxy/session.go
+++ b/internal/transport/haproxy/session.go
@@ -1,52 +1,24 @@
 package haproxy
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
 	"net"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
 	"github.com/lesismal/nbio"
 
-	"cressknot/internal/fleet"
 	"cressknot/internal/haproxyapi"
 	"cressknot/internal/ingest/counters"
 	"cressknot/internal/reconcile"
 	"cressknot/internal/transport"
 )
 
-// what an answer is to.
-type what uint8
+// managedKey in the map marks a proxy that has had messages of a controller since its start.
+const managedKey = "cressknot.steered"
 
-const (
-	toPrompt what = iota
-	toInfo
-	toState
-	toMap
-	toStat
-	toTable
-	toChange
-	toShut    // the end of another session
-	toLook    // entries of governors, before anything is taken over
-	toBid     // our entry, written
-	toRivals  // the sessions there are
-	toEntries // entries of governors, with a beat
-	toBeat
-	toHandOn // our entry, taken away
-)
-
-// expectation is one answer that is to come.
-type expectation struct {
-	what  what
-	seq   uint64
-	index int  // of the change in its message
-	last  bool // of its message
-	key   string
-}
+var errAnswerTimeout = errors.New("no answer in time")
 
 // session is one connection to a proxy's runtime socket.
 type session struct {
@@ -54,357 +26,231 @@
 	conn   *nbio.Conn
 	stream uint64
 
-	mu       sync.Mutex
+	mu          sync.Mutex
+	established bool // the proxy's state was read back
+	ended       bool
+	endReason   error // why this end closed it, nil if it did not
+	watchdog    *time.Timer
+
 	answers  haproxyapi.Answers
-	expect   []expectation // oldest first
-	keys     map[string]bool
-	held     reconcile.Snapshot
-	reading  *counters.Reading
+	expected []expectedAnswer // oldest first
+	out      []byte           // commands to write
+	mapKeys  map[string]bool  // keys that the proxy's map has
 	failures []reconcile.Failure
-	up, over bool
+	snapshot reconcile.Snapshot
+	reading  *counters.Reading
 	polling  bool
-	out      []byte
-	watchdog *time.Timer
-	why      error
 
-	before  *session // that began the takeover which this one completes
-	looking bool     // steers nothing yet
-	again   *time.Timer
-	handing bool // hands the proxy on: sends nothing more
+	predecessor  *session // began the takeover that this session completes
+	observing    bool     // only reads lease entries
+	observeTimer *time.Timer
+	handingOver  bool // sends nothing more
 }
 
-const (
-	steeredKey = "cressknot.steered" // in the map: this proxy has had messages of a governor since its start
-)
+func (s *session) options() *Options { return &s.link.transport.options }
 
-// begin asks for what the proxy holds. The session is locked.
+// begin asks for the proxy's state. The session is locked.
 func (s *session) begin() {
 	s.out = append(s.out[:0], "prompt\nshow info\n"...)
-	s.expect = append(s.expect, expectation{what: toPrompt}, expectation{what: toInfo})
-	switch {
-	case s.link.lease == nil:
-	case s.before == nil:
-		s.looking = true
-		s.look()
-		s.flush()
-		return
-	default:
-		s.complete()
+	s.expect(promptAnswer)
+	s.expect(infoAnswer)
+	if s.link.lease != nil {
+		if s.predecessor == nil {
+			s.observing = true
+			s.requestMap(observedEntriesAnswer)
+			s.flush()
+			return
+		}
+		s.completeTakeover()
 	}
 	s.out = append(s.out, "show servers state\n"...)
-	s.out = append(haproxyapi.AppendCommand(s.out, "show", "map", s.link.front.opt.Map), '\n')
-	s.expect = append(s.expect, expectation{what: toState}, expectation{what: toMap})
-	s.held = reconcile.Snapshot{Zone: s.link.proxy.Zone, RequestRate: s.link.proxy.RequestRate, Fresh: true,
-		Admissions: make([]reconcile.Admission, len(s.link.front.opt.Classes)), VersionStamps: make([]string, len(s.link.front.opt.Classes))}
+	s.expect(serversStateAnswer)
+	s.requestMap(mapAnswer)
+	classes := len(s.options().Classes)
+	s.snapshot = reconcile.Snapshot{
+		Zone:          s.link.proxy.Zone,
+		RequestRate:   s.link.proxy.RequestRate,
+		Fresh:         true,
+		Admissions:    make([]reconcile.Admission, classes),
+		VersionStamps: make([]string, classes),
+	}
 	s.flush()
 }
 
-// flush writes what was gathered; a failing write closes the connection, which is told by closed.
+func (s *session) expect(kind answerKind) {
+	s.expected = append(s.expected, expectedAnswer{kind: kind})
+}
+
+// flush writes the gathered commands; a failed write closes the connection, which connectionClosed reports.
 func (s *session) flush() {
 	if len(s.out) > 0 {
 		_, _ = s.conn.Write(s.out)
 	}
 }
 
-// late ends a session whose reading back or poll has no answer in time.
-func (s *session) late() { s.end(errors.New("no answer in time")) }
+// startWatchdog begins the wait for an answer unless one is expected already.
+func (s *session) startWatchdog() {
+	if len(s.expected) == 0 {
+		s.watchdog.Reset(s.link.transport.answerTimeout)
+	}
+}
+
+func (s *session) answerTimedOut() { s.close(errAnswerTimeout) }
 
-// end closes the connection; the reason is told by closed.
-func (s *session) end(why error) {
+// close closes the connection; connectionClosed reports the first reason.
+func (s *session) close(reason error) {
 	s.mu.Lock()
-	if s.why == nil {
-		s.why = why
+	if s.endReason == nil {
+		s.endReason = reason
 	}
 	s.mu.Unlock()
 	_ = s.conn.Close()
 }
 
-// closed tells the governor and lets the link dial again.
-func (s *session) closed(err error) {
+// connectionClosed reports the session's end and lets the link dial again.
+func (s *session) connectionClosed(err error) {
 	s.mu.Lock()
-	if s.over {
+	if s.ended {
 		s.mu.Unlock()
 		return
 	}
-	s.over = true
+	s.ended = true
 	s.watchdog.Stop()
-	if s.again != nil {
-		s.again.Stop()
+	if s.observeTimer != nil {
+		s.observeTimer.Stop()
 	}
-	if s.why != nil {
-		err = s.why
+	if s.endReason != nil {
+		err = s.endReason
 	}
-	up := s.up
+	established := s.established
 	s.mu.Unlock()
+
 	l := s.link
 	l.mu.Lock()
-	taken := l.current != s // by a session that completes what this one began
-	if !taken {
+	succeeded := l.current != s // by the session that completes the takeover
+	if !succeeded {
 		l.current = nil
 	}
 	l.mu.Unlock()
-	if s.looking && taken {
+	if s.observing && succeeded {
 		return
 	}
-	l.over()
+	l.dropLease()
 	if err == nil {
 		err = net.ErrClosed
 	}
 	switch {
-	case up:
-		l.front.sink(transport.Disconnected{Proxy: l.proxy.ID, Stream: s.stream, Err: err})
-	case !errors.Is(err, errLost):
-		l.front.sink(transport.Unreachable{Proxy: l.proxy.ID, Err: err})
+	case established:
+		l.transport.sink(transport.Disconnected{Proxy: l.proxy.ID, Stream: s.stream, Err: err})
+	case !errors.Is(err, errLeaseLost):
+		l.transport.sink(transport.Unreachable{Proxy: l.proxy.ID, Err: err})
 	}
 	select {
-	case l.kick <- struct{}{}:
+	case l.sessionEnded <- struct{}{}:
 	default:
 	}
 }
 
-func (s *session) outstanding() bool {
+// awaitsChanges reports whether changes, or a hand-over, are not answered yet.
+func (s *session) awaitsChanges() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, e := range s.expect {
-		if e.what == toChange || e.what == toHandOn {
+	for _, expected := range s.expected {
+		if expected.kind == changeAnswer || expected.kind == handOverAnswer {
 			return true
 		}
 	}
 	return false
 }
 
-// feed takes bytes from the proxy.
-func (s *session) feed(data []byte) {
+// serving reports whether messages go to the proxy over this session.
+func (s *session) serving() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.acceptsRequests()
+}
+
+// acceptsRequests reports the same as serving. The session is locked.
+func (s *session) acceptsRequests() bool { return s.established && !s.ended && !s.handingOver }
+
+// receive takes bytes from the proxy.
+func (s *session) receive(data []byte) {
 	s.mu.Lock()
 	var events []transport.Event
 	progress := false
 	err := s.answers.Feed(data, func(text []byte) error {
-		if len(s.expect) == 0 {
+		if len(s.expected) == 0 {
 			return fmt.Errorf("an answer to nothing: %.60q", text)
 		}
-		e := s.expect[0]
-		s.expect = s.expect[1:]
+		expected := s.expected[0]
+		s.expected = s.expected[1:]
 		progress = true
-		ev, err := s.take(e, text)
-		if ev != nil {
-			events = append(events, ev)
+		event, err := s.handleAnswer(expected, text)
+		if event != nil {
+			events = append(events, event)
 		}
 		return err
 	})
 	if err == nil && progress {
-		s.watchdog.Reset(s.link.front.answerWithin)
-		if len(s.expect) == 0 {
+		s.watchdog.Reset(s.link.transport.answerTimeout)
+		if len(s.expected) == 0 {
 			s.watchdog.Stop()
-			s.expect = nil
+			s.expected = nil
 		}
-		if s.up {
+		if s.established {
 			events = append(events, transport.Progress{Proxy: s.link.proxy.ID, Stream: s.stream})
 		}
 	}
 	s.mu.Unlock()
-	for _, ev := range events {
-		s.link.front.sink(ev)
-	}
-	if err != nil {
-		s.end(err)
-	}
-}
-
-// take makes of one answer what it is to.
-func (s *session) take(e expectation, text []byte) (transport.Event, error) {
-	opt, id := &s.link.front.opt, s.link.proxy.ID
-	switch e.what {
-	case toPrompt:
-		return nil, nil
-	case toInfo:
-		node := []byte(nil)
-		err := haproxyapi.ReadInfo(text, func(name, value []byte) error {
-			if string(name) == "node" || string(name) == "Node" {
-				node = append(node, value...)
-			}
-			return nil
-		})
-		if err == nil && len(node) > 0 && string(node) != s.link.proxy.Name {
-			err = fmt.Errorf("the proxy there calls itself %.40q", node)
-		}
-		return nil, wrap("show info", err)
-	case toState:
-		return nil, wrap("show servers state", haproxyapi.ReadServersState(text, func(r *haproxyapi.ServerState) error {
-			class, ours := s.link.front.backends[string(r.Backend)]
-			if !ours {
-				return nil
-			}
-			held := net.JoinHostPort(string(r.Addr), strconv.FormatUint(r.Port, 10))
-			server := opt.Names.Learn(string(r.Server), held)
-			_, addr := opt.Names.Of(server)
-			cell := reconcile.EntryState{Present: true, WrongAddress: addr != held, Weight: int16(min(r.Weight, haproxyapi.MaxWeight)), State: reconcile.StateReady}
-			if r.Admin&haproxyapi.AdminMaint != 0 {
-				cell.State = reconcile.StateMaintenance
-			} else if r.Admin&haproxyapi.AdminDrain != 0 {
-				cell.State = reconcile.StateDrain
-			}
-			s.held.Entries = append(s.held.Entries, reconcile.SnapshotEntry{Class: class, Server: server, State: cell})
-			return nil
-		}))
-	case toMap:
-		if string(text) == haproxyapi.NoMap {
-			return nil, fmt.Errorf("the proxy has no map %s", opt.Map)
-		}
-		err := haproxyapi.ReadMap(text, func(key, value []byte) error { s.readLevel(string(key), value); return nil })
-		if err != nil {
-			return nil, wrap("show map", err)
-		}
-		if err := s.took(text); err != nil {
-			return nil, err
-		}
-		s.up = true
-		s.link.stood.Store(true)
-		return transport.Connected{Proxy: id, Stream: s.stream, Snapshot: s.held}, nil
-	case toStat:
-		r, err := counters.ParseCounters(text, s.link.front.backends, len(opt.Classes), opt.Names.Server)
-		if s.reading = r; opt.Table == "" && err == nil {
-			return s.polled(), nil
-		}
-		return nil, wrap("show stat", err)
-	case toTable:
-		if err := s.reading.AddTracked(text, opt.Names.Server); err != nil {
-			return nil, wrap("show table", err)
-		}
-		return s.polled(), nil
-	case toShut, toLook, toBid, toRivals, toEntries, toBeat, toHandOn:
-		return s.takeLease(e, text)
+	for _, event := range events {
+		s.link.transport.sink(event)
 	}
-	if f, ok := fault(text); !ok {
-		s.failures = append(s.failures, reconcile.Failure{Index: e.index, Kind: f, Text: string(bytes.TrimSpace(text))})
-		if string(text) == haproxyapi.NoKey {
-			delete(s.keys, e.key)
-		}
-	} else if e.key != "" {
-		s.keys[e.key] = true
-	}
-	if !e.last {
-		return nil, nil
-	}
-	failures := s.failures
-	s.failures = nil
-	return transport.Answered{Proxy: id, Stream: s.stream, Sequence: e.seq, Failures: failures}, nil
-}
-
-func wrap(command string, err error) error {
 	if err != nil {
-		return fmt.Errorf("answer to %q: %w", command, err)
-	}
-	return nil
-}
-
-// fault tells whether a change was done, and else what kept it.
-func fault(text []byte) (reconcile.FailureKind, bool) {
-	if bytes.HasPrefix(text, []byte(haproxyapi.AddrChanged)) || bytes.HasPrefix(text, []byte(haproxyapi.AddrUnchanged)) {
-		return 0, true
-	}
-	switch string(text) {
-	case haproxyapi.Success, haproxyapi.Registered, haproxyapi.Deleted:
-		return 0, true
-	case haproxyapi.NoServer:
-		return reconcile.FailureEntryMissing, false
-	case haproxyapi.ServerExists:
-		return reconcile.FailureEntryExists, false
-	case haproxyapi.NotInMaintenance, haproxyapi.HasConnections:
-		return reconcile.FailureEntryInUse, false
-	}
-	return reconcile.FailureOther, false
-}
-
-// readLevel takes one entry of the map of levels: "class.share", "class.rate" and "class.retry".
-func (s *session) readLevel(key string, value []byte) {
-	s.keys[key] = true
-	if key == steeredKey {
-		s.held.Fresh = false
-		return
-	}
-	if name, is := strings.CutSuffix(key, transport.VersionKey); is {
-		for c, class := range s.link.front.opt.Classes {
-			if class.Name == name {
-				s.held.VersionStamps[c] = string(value)
-			}
-		}
-		return
-	}
-	n, err := strconv.ParseInt(string(value), 10, 32)
-	for c, class := range s.link.front.opt.Classes {
-		l := &s.held.Admissions[c]
-		switch {
-		case err != nil:
-		case key == s.amountKey(class.Name):
-			l.Limit = int32(n)
-			if n == int64(s.amountAll()) {
-				l.Limit = -1
-			}
-		case key == class.Name+transport.RetryKey:
-			l.Retry = fleet.RetryMode(n)
-		}
-		l.Known = s.keys[s.amountKey(class.Name)] && s.keys[class.Name+transport.RetryKey]
+		s.close(err)
 	}
 }
 
-func (s *session) amountKey(class string) string {
-	return transport.AdmissionKey(s.link.front.opt.Admission, class)
-}
-
-func (s *session) amountAll() int32 { return transport.UnlimitedAdmission(s.link.front.opt.Admission) }
-
-func (s *session) polled() transport.Event {
-	r := s.reading
-	s.reading, s.polling = nil, false
-	return transport.CountersPolled{Proxy: s.link.proxy.ID, Stream: s.stream, Reading: r}
-}
-
-// poll asks for the counters; an earlier poll without answer is not repeated.
+// poll asks for the counters unless an earlier poll has no answer yet.
 func (s *session) poll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.up || s.over || s.polling || s.handing {
+	if !s.acceptsRequests() || s.polling {
 		return
 	}
 	s.polling = true
-	s.arm()
-	s.out = s.beat(s.out[:0])
+	s.startWatchdog()
+	s.out = s.out[:0]
+	s.writeHeartbeat()
 	s.out = append(s.out, "show stat\n"...)
-	s.expect = append(s.expect, expectation{what: toStat})
-	if t := s.link.front.opt.Table; t != "" {
-		s.out = append(haproxyapi.AppendCommand(s.out, "show", "table", t), '\n')
-		s.expect = append(s.expect, expectation{what: toTable})
+	s.expect(statAnswer)
+	if table := s.options().Table; table != "" {
+		s.out = append(haproxyapi.AppendCommand(s.out, "show", "table", table), '\n')
+		s.expect(tableAnswer)
 	}
 	s.flush()
 }
 
-func (s *session) arm() {
-	if len(s.expect) == 0 {
-		s.watchdog.Reset(s.link.front.answerWithin)
-	}
-}
-
-// send writes a message as commands, several in a line as far as the protocol's line goes.
+// send writes a message as commands, as many in a line as the protocol allows.
 func (s *session) send(m reconcile.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.up || s.over || s.handing {
+	if !s.acceptsRequests() {
 		return
 	}
-	s.arm()
-	e := encoder{s: s, seq: m.Sequence, out: s.out[:0]}
+	s.startWatchdog()
+	e := encoder{session: s, sequence: m.Sequence, out: s.out[:0]}
 	for i := range m.Changes {
-		e.index = i
+		e.changeIndex = i
 		e.change(&m.Changes[i])
 	}
-	if !s.keys[steeredKey] { // the last of the first message: from here on its tables are not the standing ones
-		e.index = -1
-		e.pair(steeredKey, "1")
+	if !s.mapKeys[managedKey] { // at the end of the first message: the proxy's tables are no longer its initial ones
+		e.changeIndex = -1
+		e.mapEntry(managedKey, "1")
 	}
-	if len(s.expect) == 0 || e.n == 0 {
-		return // nothing to say; steer sends no such message
+	if len(s.expected) == 0 || e.commands == 0 {
+		return // an empty message; package reconcile sends none
 	}
-	s.expect[len(s.expect)-1].last = true
+	s.expected[len(s.expected)-1].last = true
 	s.out = append(e.out, '\n')
 	s.flush()
 }
--- a/internal/transport/haproxy/session_test.go
+++ b/internal/transport/haproxy/session_test.go
@@ -7,15 +7,16 @@
 	"cressknot/internal/transport"
 )
 
-// TestClosedBeforeItBegan: a connection that is closed before its session has begun is told, and the session is not left locked.
-func TestClosedBeforeItBegan(t *testing.T) {
-	f := New(Options{})
-	var told []transport.Event
-	f.sink = func(e transport.Event) { told = append(told, e) }
-	l := &link{front: f, kick: make(chan struct{}, 1)}
-	s := l.session(nil, nil)
-	s.closed(errors.New("gone"))
-	if !s.mu.TryLock() || len(told) != 1 {
-		t.Errorf("told %v", told)
+// TestConnectionClosedBeforeBegin checks that a connection that is closed before its session has begun is reported, and
+// that the session is not left locked.
+func TestConnectionClosedBeforeBegin(t *testing.T) {
+	tr := New(Options{})
+	var events []transport.Event
+	tr.sink = func(event transport.Event) { events = append(events, event) }
+	l := &link{transport: tr, sessionEnded: make(chan struct{}, 1)}
+	s := l.newSession(nil, nil)
+	s.connectionClosed(errors.New("gone"))
+	if !s.mu.TryLock() || len(events) != 1 {
+		t.Errorf("events %v", events)
 	}
 }
--- a/internal/transport/haproxy/transcript_test.go
+++ b/internal/transport/haproxy/transcript_test.go
@@ -9,13 +9,16 @@
 	"cressknot/internal/transport"
 )
 
-// TestChangesKeepTheirCommands holds the text of commands by kind of change.
-func TestChangesKeepTheirCommands(t *testing.T) {
-	f := New(Options{Classes: []transport.Class{{Name: "look", Backend: "be look"}, {Name: "book", Backend: "book"}}, Map: "cressknot",
-		Names: fixedNames{"node-0", "node 1"}})
-	s := &session{link: &link{front: f}, keys: map[string]bool{"book" + transport.RetryKey: true}}
-	e := encoder{s: s, seq: 1}
-	for i, c := range []reconcile.Change{
+// TestEncoderWritesTheseCommands checks the text of the commands for each kind of change.
+func TestEncoderWritesTheseCommands(t *testing.T) {
+	tr := New(Options{
+		Classes: []transport.Class{{Name: "look", Backend: "be look"}, {Name: "book", Backend: "book"}},
+		Map:     "cressknot",
+		Names:   fixedNames{"node-0", "node 1"},
+	})
+	s := &session{link: &link{transport: tr}, mapKeys: map[string]bool{"book" + transport.RetryKey: true}}
+	e := encoder{session: s, sequence: 1}
+	for i, change := range []reconcile.Change{
 		{Kind: reconcile.AddEntry, Class: 0, Server: 1, Weight: 7, State: reconcile.StateReady},
 		{Kind: reconcile.DeleteEntry, Class: 1, Server: 0},
 		{Class: 1, Server: 0, Weight: 128, State: reconcile.StateReady},
@@ -26,12 +29,14 @@
 		{Kind: reconcile.UpdateAdmission, Class: 0, Admission: reconcile.Admission{Limit: -1}},
 		{Kind: reconcile.UpdateVersion, Class: 1, VersionStamp: "3.4/00ff"},
 	} {
-		e.index = i
-		e.change(&c)
+		e.changeIndex = i
+		e.change(&change)
 	}
-	const want = `add server be\ look/node\ 1 127.0.0.1:8080 weight 7;set server be\ look/node\ 1 state ready;del server book/node-0;` +
+	const want = `add server be\ look/node\ 1 127.0.0.1:8080 weight 7;` +
+		`set server be\ look/node\ 1 state ready;del server book/node-0;` +
 		`set server book/node-0 weight 128;set server book/node-0 state ready;` +
-		`set server book/node-0 addr 127.0.0.1 port 8080;set server book/node-0 state maint;set server book/node-0 weight 9;` +
+		`set server book/node-0 addr 127.0.0.1 port 8080;set server book/node-0 state maint;` +
+		`set server book/node-0 weight 9;` +
 		`set server book/node-0 state drain;set server book/node-0 weight 256;`
 	if got := string(e.out); !strings.HasPrefix(got, want) {
 		t.Errorf("commands\n%s\nwant\n%s", got, want)
