--- a/internal/testing/fakes/files.go
+++ b/internal/testing/fakes/files.go
@@ -66,7 +66,7 @@
 				switch filepath.Base(e.Name) {
 				case files.TablesFile:
 					p.readTables()
-				case files.LevelsFile:
+				case files.AdmissionFile:
 					p.readLevels()
 				}
 			case <-tick.C:
@@ -147,25 +147,23 @@
 }
 
 func (p *Proxy) readLevels() {
-	text, err := os.ReadFile(filepath.Join(p.Folder, files.LevelsFile))
+	text, err := os.ReadFile(filepath.Join(p.Folder, files.AdmissionFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
-	var version string
-	var levels map[string]int
-	var stamps map[string]string
+	var admissions files.Admissions
 	if err == nil {
-		version, levels, stamps, err = files.DecodeLevels(text)
+		admissions, err = files.DecodeAdmissions(text)
 	}
 	p.mu.Lock()
 	if err != nil {
 		p.files.ack.Error = err.Error()
 	} else {
-		p.files.ack.Levels, p.files.ack.Error = version, ""
-		for k, v := range levels {
+		p.files.ack.Admissions, p.files.ack.Error = admissions.Version, ""
+		for k, v := range admissions.Values {
 			p.levels[k] = strconv.Itoa(v)
 		}
-		for class, stamp := range stamps {
+		for class, stamp := range admissions.Stamps {
 			p.levels[class+".version"] = stamp
 		}
 	}
@@ -193,10 +191,10 @@
 		return
 	}
 	if text, err := files.EncodeTables(held); err == nil {
-		_ = files.Swap(filepath.Join(p.Folder, files.HeldFile), text)
+		_ = files.ReplaceFile(filepath.Join(p.Folder, files.CurrentTablesFile), text)
 	}
-	_ = files.Swap(filepath.Join(p.Folder, files.AckFile), fmt.Appendf(nil, `{"proxy": %q, "started": %q, "tables": %q, "levels": %q, "error": %q}`+"\n",
-		ack.Proxy, ack.Started, ack.Tables, ack.Levels, ack.Error))
+	_ = files.ReplaceFile(filepath.Join(p.Folder, files.AckFile), fmt.Appendf(nil, `{"proxy": %q, "started": %q, "tables": %q, "levels": %q, "error": %q}`+"\n",
+		ack.Proxy, ack.Started, ack.Tables, ack.Admissions, ack.Error))
 }
 
 // writeCounters writes what it counted.
@@ -209,6 +207,6 @@
 	}
 	nodes = p.shown("table", nodes)
 	p.mu.Unlock()
-	_ = files.Swap(filepath.Join(p.Folder, files.NodesFile), nodes)
-	_ = files.Swap(filepath.Join(p.Folder, files.StatFile), stat)
+	_ = files.ReplaceFile(filepath.Join(p.Folder, files.ServersFile), nodes)
+	_ = files.ReplaceFile(filepath.Join(p.Folder, files.StatFile), stat)
 }
--- /dev/null
+++ b/internal/transport/files/admission.go
@@ -0,0 +1,76 @@
+package files
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+
+	"cressknot/internal/transport"
+)
+
+const (
+	runtimeType = "type.googleapis.com/envoy.service.runtime.v3.Runtime"
+	// runtimeLayerName is the name of the runtime layer with the admission limits.
+	runtimeLayerName = "cressknot"
+)
+
+// Admissions is the content of AdmissionFile.
+type Admissions struct {
+	Version string
+	Values  map[string]int    // admission limits and retry modes by key, as package transport has them
+	Stamps  map[string]string // by class: version and digest of its table
+}
+
+type runtimeLayer struct {
+	Type  string         `json:"@type"`
+	Name  string         `json:"name"`
+	Layer map[string]any `json:"layer"` // numbers and texts
+}
+
+// EncodeAdmissions writes AdmissionFile.
+func EncodeAdmissions(a Admissions) ([]byte, error) {
+	layer := map[string]any{}
+	for key, value := range a.Values {
+		layer[key] = value
+	}
+	for class, stamp := range a.Stamps {
+		layer[class+transport.VersionKey] = stamp
+	}
+	text, err := json.Marshal(runtimeLayer{runtimeType, runtimeLayerName, layer})
+	if err != nil {
+		return nil, err
+	}
+	return encode(response{a.Version, []json.RawMessage{text}})
+}
+
+// DecodeAdmissions reads AdmissionFile.
+func DecodeAdmissions(text []byte) (Admissions, error) {
+	var r response
+	if err := decode(AdmissionFile, text, &r); err != nil {
+		return Admissions{}, err
+	}
+	if len(r.Resources) != 1 {
+		return Admissions{}, fmt.Errorf("%s: has %d resources, not one", AdmissionFile, len(r.Resources))
+	}
+	var layer runtimeLayer
+	if err := json.Unmarshal(r.Resources[0], &layer); err != nil {
+		return Admissions{}, fmt.Errorf("%s: resources[0]: %w", AdmissionFile, err)
+	}
+	if layer.Type != runtimeType {
+		return Admissions{}, fmt.Errorf("%s: resources[0]: is no %s", AdmissionFile, runtimeType)
+	}
+	a := Admissions{Version: r.Version, Values: map[string]int{}, Stamps: map[string]string{}}
+	for key, value := range layer.Layer {
+		switch value := value.(type) {
+		case string:
+			if class, ok := strings.CutSuffix(key, transport.VersionKey); ok {
+				a.Stamps[class] = value
+			}
+		case float64:
+			a.Values[key] = int(value)
+		default:
+			return Admissions{}, fmt.Errorf("%s: resources[0].layer.%s: is neither number nor text", AdmissionFile, key)
+		}
+	}
+	return a, nil
+}
--- /dev/null
+++ b/internal/transport/files/transport.go
@@ -0,0 +1,216 @@
+// Package files is the transport that writes files and replaces them atomically: for each proxy a folder, in it the
+// tables as an xDS response of endpoints and the admission limits as a runtime layer, in the JSON form that proxies
+// of that family read from their file system. The proxy acknowledges by files of its own which versions it uses and
+// what it counted. docs/design/files.md compares the alternatives.
+package files
+
+import (
+	"context"
+	"fmt"
+	"hash/maphash"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/fsnotify/fsnotify"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/transport"
+)
+
+const (
+	silenceCheckInterval = time.Second
+	folderMode           = 0o755
+	versionBase          = 36 // of the epoch in versions
+)
+
+// Options configure the transport; Addr of a proxy is its folder.
+type Options struct {
+	Proxies   []transport.Proxy
+	Classes   []transport.Class
+	Admission fleet.AdmissionMode
+	Names     transport.ServerNames
+	// Fault, in tests, is called before each step of replacing a file (0 to 4: create, write, sync, rename, sync the
+	// folder) and fails it: as a full disk does, or, with ErrCut, as a crash does.
+	Fault func(path string, step int) error
+}
+
+// Transport carries messages by files.
+type Transport struct {
+	options        Options
+	files          replacer
+	classByBackend map[string]fleet.ClassID
+	folders        map[string]*folder // by path
+	byProxy        map[fleet.ProxyID]*folder
+	epoch          string // of this run: distinguishes its versions from those of an earlier run
+	watcher        *fsnotify.Watcher
+	sink           transport.Sink
+	ctx            context.Context
+	cancel         context.CancelFunc
+	running        sync.WaitGroup
+}
+
+var _ transport.Transport = (*Transport)(nil)
+
+// New makes a transport. It writes nothing before Start.
+func New(options Options) *Transport {
+	t := &Transport{
+		options:        options,
+		files:          replacer{options.Fault},
+		classByBackend: map[string]fleet.ClassID{},
+		folders:        map[string]*folder{},
+		byProxy:        map[fleet.ProxyID]*folder{},
+		epoch:          strconv.FormatInt(time.Now().UnixNano(), versionBase),
+	}
+	for i, class := range options.Classes {
+		t.classByBackend[class.Backend] = fleet.ClassID(i)
+	}
+	seed := maphash.MakeSeed()
+	for _, proxy := range options.Proxies {
+		f := &folder{
+			transport: t,
+			proxy:     proxy,
+			path:      filepath.Clean(proxy.Addr),
+			written:   map[string][]byte{},
+			backoff:   reconcile.NewDialBackoff(maphash.String(seed, proxy.Name)),
+		}
+		t.folders[f.path] = f
+		t.byProxy[proxy.ID] = f
+	}
+	return t
+}
+
+// Start makes the folders, removes what a crash left there, and watches them.
+func (t *Transport) Start(ctx context.Context, sink transport.Sink) error {
+	t.sink = sink
+	t.ctx, t.cancel = context.WithCancel(ctx)
+	watcher, err := fsnotify.NewWatcher()
+	if err != nil {
+		return fmt.Errorf("files: %w", err)
+	}
+	t.watcher = watcher
+	for path := range t.folders {
+		if err := os.MkdirAll(path, folderMode); err != nil {
+			return fmt.Errorf("files: %w", err)
+		}
+		if err := removeTemporaries(path); err != nil {
+			return fmt.Errorf("files: %w", err)
+		}
+		if err := t.watcher.Add(path); err != nil {
+			return fmt.Errorf("files: %s: %w", path, err)
+		}
+	}
+	t.running.Add(1)
+	go t.run()
+	for _, f := range t.folders {
+		f.fileChanged(AckFile)
+	}
+	return nil
+}
+
+// run handles changes of files until the transport stops.
+func (t *Transport) run() {
+	defer t.running.Done()
+	silenceCheck := time.NewTicker(silenceCheckInterval)
+	defer silenceCheck.Stop()
+	for {
+		select {
+		case <-t.ctx.Done():
+			_ = t.watcher.Close()
+			return
+		case event := <-t.watcher.Events:
+			f := t.folders[filepath.Dir(event.Name)]
+			if f != nil && !strings.Contains(event.Name, temporaryMark) && !event.Has(fsnotify.Chmod) {
+				f.fileChanged(filepath.Base(event.Name))
+			}
+		case err := <-t.watcher.Errors:
+			if err != nil { // events were lost
+				t.readAll()
+			}
+		case now := <-silenceCheck.C:
+			for _, f := range t.folders {
+				f.checkSilence(now)
+			}
+		}
+	}
+}
+
+func (t *Transport) readAll() {
+	for _, f := range t.folders {
+		for _, name := range []string{AckFile, StatFile, TablesFile, AdmissionFile} {
+			f.fileChanged(name)
+		}
+	}
+}
+
+// Send applies a message's changes to the files.
+func (t *Transport) Send(m reconcile.Message) {
+	if f := t.byProxy[m.Proxy]; f != nil {
+		f.send(m)
+	}
+}
+
+// Poll asks for the counters: those that the proxy writes next.
+func (t *Transport) Poll(id fleet.ProxyID) {
+	f := t.byProxy[id]
+	if f == nil {
+		return
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.polling = f.connected
+}
+
+// Drop ends a proxy's stream; a new one begins when the proxy's acknowledgement changes.
+func (t *Transport) Drop(id fleet.ProxyID) {
+	if f := t.byProxy[id]; f != nil {
+		f.drop()
+	}
+}
+
+// Stop waits for acknowledgements until the context ends. The files stay: proxies go on to use them.
+func (t *Transport) Stop(ctx context.Context) error {
+	transport.DrainUntilIdle(ctx, t.busy)
+	t.cancel()
+	for _, f := range t.folders {
+		f.drop()
+	}
+	t.running.Wait()
+	return ctx.Err()
+}
+
+func (t *Transport) busy() bool {
+	for _, f := range t.folders {
+		if f.awaitsAcknowledgement() {
+			return true
+		}
+	}
+	return false
+}
+
+func (t *Transport) admissionKey(class string) string {
+	return transport.AdmissionKey(t.options.Admission, class)
+}
+
+func (t *Transport) unlimitedAdmission() int {
+	return int(transport.UnlimitedAdmission(t.options.Admission))
+}
+
+// formatVersion returns the version of this run with a number.
+func (t *Transport) formatVersion(number uint64) string {
+	return t.epoch + "." + strconv.FormatUint(number, 10)
+}
+
+// parseVersion returns the number of a version of this run, 0 for any other.
+func (t *Transport) parseVersion(version string) uint64 {
+	epoch, text, ok := strings.Cut(version, ".")
+	number, err := strconv.ParseUint(text, 10, 64)
+	if !ok || err != nil || epoch != t.epoch {
+		return 0
+	}
+	return number
+}
