--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -30,7 +30,7 @@
 	of    func(proto.Message) any
 	read  func([]byte) (any, error)
 }{
-	{"update", service.Update{Controller: "g-1", ListRevision: 7, Live: true, Zone: "a", From: tableversion.Version{Epoch: 3, Count: 4}, To: tableversion.Version{Epoch: 3, Count: 6}, Shut: true, Open: []string{"s1", "s 2"},
+	{"update", service.Update{Controller: "g-1", ListRevision: 7, Live: true, Zone: "a", From: tableversion.Version{Epoch: 3, Count: 4}, To: tableversion.Version{Epoch: 3, Count: 6}, RestrictsToOpen: true, OpenServers: []string{"s1", "s 2"},
 		Classes: []service.ClassTable{{Class: "look", Published: true, AdmissionLimit: -1, Retry: fleet.RetryIfNotExecuted, Digest: 0xfeed, Endpoints: []service.Endpoint{{Server: "s1", Addr: "x:1", Weight: 256}, {Server: "s2"}}}, {Class: "book", AdmissionLimit: 500}}},
 		func(v any) proto.Message { u := v.(service.Update); return overrpc.UpdateTo(&u) }, func(v any) []byte { u := v.(service.Update); return text.PrintUpdate(&u) },
 		func() proto.Message { return &pb.Update{} }, func(m proto.Message) any { return overrpc.UpdateOf(m.(*pb.Update)) }, func(b []byte) (any, error) { return text.ReadUpdate(b) }},
--- a/client/held.go
+++ b/client/held.go
@@ -155,9 +155,9 @@
 	}
 	h.classes, h.governor, h.version, h.listRev, h.at = next, u.Controller, u.To, u.ListRevision, now
 	h.newest[u.Controller] = u.To
-	if h.open = nil; u.Shut {
+	if h.open = nil; u.RestrictsToOpen {
 		h.open = map[string]bool{}
-		for _, s := range u.Open {
+		for _, s := range u.OpenServers {
 			h.open[s] = true
 		}
 	}
--- a/client/pure_test.go
+++ b/client/pure_test.go
@@ -75,9 +75,9 @@
 				told[stateOf(v)] = true
 			case 2:
 				revs[g] += uint64(rapid.IntRange(0, 2).Draw(t, "rev"))
-				v.Facts(service.PublishedState{ListRevision: revs[g], Open: []string{"s0", "s1", "s2", "s3", "s4", "s5"}})
+				v.SetState(service.PublishedState{ListRevision: revs[g], Open: []string{"s0", "s1", "s2", "s3", "s4", "s5"}})
 			case 3:
-				deliver(v.Beat())
+				deliver(v.Heartbeat())
 			case 4:
 				late = append(late, v.Since(h.Asks([]string{"g1", "g2"}[g])))
 			case 5:
@@ -90,7 +90,7 @@
 			now += fleet.Time(rapid.IntRange(0, 3000).Draw(t, "ms")) * fleet.Millisecond
 		}
 		now += olderAfter
-		views[0].Facts(service.PublishedState{ListRevision: revs[0]})
+		views[0].SetState(service.PublishedState{ListRevision: revs[0]})
 		u := views[0].Since(tableversion.NoVersion)
 		if verdict, why := h.Update(now, &u); verdict != Taken {
 			t.Fatalf("the whole is not taken: %s", why)
@@ -161,7 +161,7 @@
 	take(v.Since(from), Taken)
 
 	next := service.NewView("g", "a", 6, []string{"look", "book"})
-	next.Facts(service.PublishedState{Open: []string{"s1"}})
+	next.SetState(service.PublishedState{Open: []string{"s1"}})
 	take(next.Since(tableversion.NoVersion), Taken)
 	if is := held(); is != "[{s1 x:1 4}] [{s1 x:1 9}] true" {
 		t.Errorf("holds %s, s1 alone is open", is)
--- a/internal/service/hub_test.go
+++ b/internal/service/hub_test.go
@@ -38,7 +38,7 @@
 	y.hub = NewHub(HubOptions{Controller: "g", Epoch: 7, Zones: []Zone{{Name: "a", Proxy: 3}}, Classes: []fleet.RequestClass{{Name: "look"}, {Name: "book"}}, Names: names{},
 		Now: func() fleet.Time { return y.now }})
 	y.hub.sink = func(e transport.Event) { y.events = append(y.events, e) }
-	y.hub.join(y.hub.zones[0])
+	y.hub.connect(y.hub.zones[0])
 	y.hub.Facts(PublishedState{ListRevision: 1, Open: []string{"s0"}})
 	return y
 }
@@ -105,7 +105,7 @@
 						if w.got = append(w.got, u.To); len(w.got) == 1 {
 							w.since = y.now
 						}
-						if len(w.got) > windowMost {
+						if len(w.got) > maxUnacknowledged {
 							t.Fatalf("%d updates without word", len(w.got))
 						}
 					}
@@ -126,7 +126,7 @@
 			if next <= y.seq { // somebody holds it up, rightly
 				reason := false
 				for _, w := range all {
-					reason = reason || !w.free && w.acked.Compare(version[next]) < 0
+					reason = reason || !w.lagging && w.acked.Compare(version[next]) < 0
 				}
 				if !reason {
 					t.Fatalf("message %d waits for nobody", next)
@@ -134,7 +134,7 @@
 			}
 			if len(seqs) > 0 {
 				for _, w := range all {
-					if w.ended == nil && !w.free && w.base < uint64(len(seqs)) && w.acked.Compare(version[uint64(len(seqs))]) < 0 {
+					if w.ended == nil && !w.lagging && w.joinedAfter < uint64(len(seqs)) && w.acked.Compare(version[uint64(len(seqs))]) < 0 {
 						t.Fatalf("message %d is answered, and %+v has not taken it in", len(seqs), w.acked)
 					}
 				}
@@ -175,7 +175,7 @@
 	}
 	made := 0
 	for range 3 {
-		ua.Form(WireText, func(*Update) any { made++; return nil })
+		ua.Encoded(TextEncoding, func(*Update) any { made++; return nil })
 	}
 	if made != 1 {
 		t.Errorf("made %d times", made)
@@ -220,7 +220,7 @@
 		seq  uint64
 		code Code
 	}{{met(1, good), 1, ""}, {met(1, good), 1, ""}, {met(2, good, ServerOutcome{Server: "s2", Attempts: 1, Failures: 2}), 0, BadRequest}, {met(2, good, ServerOutcome{Server: "nobody", Attempts: 1}), 2, ""},
-		{&Report{Zone: "z"}, 0, NoZone}, {&Report{Zone: "a", Sequence: 3, Demands: []ClassDemand{{Class: "none"}}}, 0, NoClass}, {met(3, make([]ServerOutcome, rowsMost+1)...), 0, TooLarge},
+		{&Report{Zone: "z"}, 0, NoZone}, {&Report{Zone: "a", Sequence: 3, Demands: []ClassDemand{{Class: "none"}}}, 0, NoClass}, {met(3, make([]ServerOutcome, maxReportRows+1)...), 0, TooLarge},
 		{&Report{Zone: "a", Sequence: 3, Demands: []ClassDemand{{"look", 1, 2}}}, 0, BadRequest}, {met(3, ServerOutcome{Server: "s1", Attempts: 1 << 40}), 0, BadRequest}} {
 		seq, f := y.hub.Report(c.r)
 		if seq != c.seq || (f == nil) != (c.code == "") || f != nil && f.Code != c.code {
@@ -232,7 +232,7 @@
 	if len(r.Rows) != 1 || r.Rows[0].Attempts != 6 || r.Rows[0].Load[0] != 0.5 || r.Classes[0].Requests != 4 || r.Classes[0].Unanswered != 2 {
 		t.Errorf("%+v", r)
 	}
-	y.now += sessionKeeps
+	y.now += reportSessionRetention
 	if y.hub.Tick(y.now); len(y.hub.sessions) != 0 {
 		t.Error("a caller that left is remembered")
 	}
@@ -245,102 +245,102 @@
 // TestLimits: a caller that asks too often is refused and told when to come again; what is worth least is refused first; the limit falls
 // while answers take long, and rises again; one quick caller cannot take the place of all.
 func TestLimits(t *testing.T) {
-	l, now := NewLimits(), 100*fleet.Second
+	l, now := NewQueryLimiter(), 100*fleet.Second
 	taken := 0
 	var f *Error
-	for f = l.Ask(now, "a", AskHistory); f == nil; f = l.Ask(now, "a", AskHistory) {
-		l.Done(now, fleet.Millisecond)
+	for f = l.Admit(now, "a", HistoryQuery); f == nil; f = l.Admit(now, "a", HistoryQuery) {
+		l.Release(now, fleet.Millisecond)
 		taken++
 	}
-	if taken != 5 || f.RetryAfter != fleet.Second/2 || l.Ask(now, "b", AskHistory) != nil || l.Ask(now, "a", AskServer) != nil {
+	if taken != 5 || f.RetryAfter != fleet.Second/2 || l.Admit(now, "b", HistoryQuery) != nil || l.Admit(now, "a", ServerQuery) != nil {
 		t.Errorf("%d taken, then %+v", taken, f)
 	}
-	l.Done(now, 0)
-	l.Done(now, 0)
-	if now += f.RetryAfter; l.Ask(now, "a", AskHistory) != nil {
+	l.Release(now, 0)
+	l.Release(now, 0)
+	if now += f.RetryAfter; l.Admit(now, "a", HistoryQuery) != nil {
 		t.Error("refused after the time it was told")
 	}
-	l.Done(now, 0)
+	l.Release(now, 0)
 	run := func(took fleet.Time) {
 		for range 400 {
 			n := 0
-			for i := 0; i < 2000 && l.Ask(now, fmt.Sprint(i%300, "c"), AskWatch) == nil; i++ {
+			for i := 0; i < 2000 && l.Admit(now, fmt.Sprint(i%300, "c"), WatchQuery) == nil; i++ {
 				n++
 			}
 			for range n {
-				l.Done(now+took, took)
+				l.Release(now+took, took)
 			}
 			now += 10 * fleet.Second
 		}
 	}
 	run(fleet.Millisecond)
-	quick, _ := l.Limit()
+	quick, _ := l.Concurrency()
 	run(100 * fleet.Millisecond)
 	for range 3 {
-		l.best = 0.001
+		l.bestDuration = 0.001
 		run(100 * fleet.Millisecond)
 	}
-	refused := map[Kind]int{}
-	l.best, l.limit = 0.001, 20
+	refused := map[QueryKind]int{}
+	l.bestDuration, l.concurrency = 0.001, 20
 	for i := 0; i < 40; i++ {
-		for k := range kindCount {
-			if l.Ask(now, fmt.Sprint(i, "d"), k) != nil {
+		for k := range queryKindCount {
+			if l.Admit(now, fmt.Sprint(i, "d"), k) != nil {
 				refused[k]++
 			}
 		}
 	}
-	if quick < 500 || refused[AskWatch] > refused[AskTable] || refused[AskTable] >= refused[AskHistory] || refused[AskWatch] == 0 {
+	if quick < 500 || refused[WatchQuery] > refused[TableQuery] || refused[TableQuery] >= refused[HistoryQuery] || refused[WatchQuery] == 0 {
 		t.Errorf("limit %.0f while quick, refused %v", quick, refused)
 	}
-	idle := NewLimits()
+	idle := NewQueryLimiter()
 	for range 200 {
-		if idle.Ask(now, "one", AskReport) == nil {
-			idle.Done(now, fleet.Millisecond)
+		if idle.Admit(now, "one", ReportQuery) == nil {
+			idle.Release(now, fleet.Millisecond)
 		}
 		now += fleet.Second
 	}
-	if limit, _ := idle.Limit(); limit > limitFirst {
+	if limit, _ := idle.Concurrency(); limit > initialConcurrency {
 		t.Errorf("limit %.0f of what was never tried", limit)
 	}
-	jitter := NewLimits()
+	jitter := NewQueryLimiter()
 	for i := range 3000 { // answers of microseconds, some ten times as long as others
-		if f := jitter.Ask(now, fmt.Sprint(i), AskWatch); f != nil {
+		if f := jitter.Admit(now, fmt.Sprint(i), WatchQuery); f != nil {
 			t.Fatalf("%v after %d quick answers", f, i)
 		}
-		jitter.Done(now, fleet.Time(1+10*(i%10/9))*1000)
+		jitter.Release(now, fleet.Time(1+10*(i%10/9))*1000)
 		now += 10 * fleet.Millisecond
 	}
-	if limit, _ := jitter.Limit(); limit < limitFirst {
+	if limit, _ := jitter.Concurrency(); limit < initialConcurrency {
 		t.Errorf("limit %.0f by the jitter of quick answers", limit)
 	}
-	slow := NewLimits()
-	slow.best = 0.001
+	slow := NewQueryLimiter()
+	slow.bestDuration = 0.001
 	for range 100 {
 		taken := 0
 		for i := range 20 {
-			if slow.Ask(now, fmt.Sprint(i), AskReport) == nil {
+			if slow.Admit(now, fmt.Sprint(i), ReportQuery) == nil {
 				taken++
 			}
 		}
 		for range taken {
-			slow.Done(now, 50*fleet.Millisecond)
+			slow.Release(now, 50*fleet.Millisecond)
 		}
 		now += fleet.Second
-		slow.best = 0.001 // somebody else is quick
+		slow.bestDuration = 0.001 // somebody else is quick
 	}
-	if limit, flying := slow.Limit(); limit > limitFirst/2 || limit < limitLeast || flying != 0 {
+	if limit, flying := slow.Concurrency(); limit > initialConcurrency/2 || limit < minConcurrency || flying != 0 {
 		t.Errorf("limit %.1f with answers that take long, %d flying", limit, flying)
 	}
-	for i := range callersMost + 5 {
-		if f := slow.Ask(now, fmt.Sprint("x", i), AskReport); f == nil {
-			slow.Done(now, 0)
+	for i := range maxCallers + 5 {
+		if f := slow.Admit(now, fmt.Sprint("x", i), ReportQuery); f == nil {
+			slow.Release(now, 0)
 		}
 	}
-	if len(slow.callers) > callersMost {
+	if len(slow.callers) > maxCallers {
 		t.Errorf("%d callers are remembered", len(slow.callers))
 	}
-	now += 2 * forgetCaller
-	if f := slow.Ask(now, "late", AskReport); f != nil || len(slow.callers) != 1 {
+	now += 2 * callerRetention
+	if f := slow.Admit(now, "late", ReportQuery); f != nil || len(slow.callers) != 1 {
 		t.Errorf("%v; %d callers are remembered", f, len(slow.callers))
 	}
 }
--- a/internal/service/limits.go
+++ b/internal/service/limits.go
@@ -6,170 +6,216 @@
 	"cressknot/internal/fleet"
 )
 
-// Kind is a kind of question.
-type Kind uint8
+// QueryKind is a kind of query.
+type QueryKind uint8
 
-// The kinds, from the one that is worth most down.
+// The kinds, in falling priority.
 const (
-	AskWatch Kind = iota
-	AskReport
-	AskTable
-	AskServer
-	AskSummary
-	AskHistory
-	kindCount
+	WatchQuery QueryKind = iota
+	ReportQuery
+	TableQuery
+	ServerQuery
+	SummaryQuery
+	HistoryQuery
+	queryKindCount
 )
 
-// kinds is what differs by kind: what a caller may ask a second and at once, and up to which part of what can be answered at a time it
-// is taken. What keeps visits on their way goes before what people look at.
-var kinds = [kindCount]struct{ perS, burst, share float64 }{
-	AskWatch:   {2, 10, 1},     // a reconnect, and some governors' restarts in a row
-	AskReport:  {10, 40, 0.95}, // a batch a second in some pieces
-	AskTable:   {5, 20, 0.9},
-	AskServer:  {20, 40, 0.7},
-	AskSummary: {5, 10, 0.6},
-	AskHistory: {2, 5, 0.5},
+// queryPolicy is how queries of a kind are limited.
+type queryPolicy struct {
+	ratePerSecond float64 // of one caller
+	burst         float64 // of one caller
+	share         float64 // of the concurrency up to which the kind is admitted
+}
+
+// queryPolicies put queries that requests depend on before those that people look at.
+var queryPolicies = [queryKindCount]queryPolicy{
+	WatchQuery:   {2, 10, 1},     // a reconnect, and some controllers' restarts in a row
+	ReportQuery:  {10, 40, 0.95}, // a report each second in some pieces
+	TableQuery:   {5, 20, 0.9},
+	ServerQuery:  {20, 40, 0.7},
+	SummaryQuery: {5, 10, 0.6},
+	HistoryQuery: {2, 5, 0.5},
 }
 
 const (
-	callersMost       = 20_000                  // callers whose asking is remembered
-	limitFirst        = 64.0                    // questions at a time, before anything is measured
-	limitLeast        = 8.0                     // some for each kind whatever is measured
-	limitMost         = 4096.0                  // memory, not time, bounds beyond
-	lookEvery         = 100 * fleet.Millisecond // between two looks at how long answers take
-	lookLeast         = 10                      // answers that make a look: fewer are chance
-	tolerance         = 2.0                     // times the best time that answers may take before fewer are taken at a time
-	bestKeeps         = 0.99                    // by which the best time of answers fades up at each look: it is forgotten in ten seconds
-	quickEnough       = 0.005                   // seconds: answers that take less never mean too much, however quick the best was
-	smoothing         = 0.2                     // part of a look that counts
-	retryLeast        = 100 * fleet.Millisecond // before an overloaded governor is asked again
-	retryMost         = 5 * fleet.Second
-	watchersMost      = 8192             // of a governor
-	slowWatcherDelay  = fleet.Second     // without word of what a watcher was sent: it gets the newest only
-	watcherTimeout    = 3 * fleet.Second // the same: its stream is ended, as a table that is not followed is none
-	heartbeatInterval = fleet.Second     // signs of life to a watcher that gets nothing else
-	forgetCaller      = 60 * fleet.Second
+	// maxCallers bounds the callers whose rates are remembered.
+	maxCallers = 20_000
+	// callerRetention is how long a caller is remembered after its last query.
+	callerRetention = 60 * fleet.Second
+	// minSweepInterval and sweepInterval bound how often callers are looked through: the first with too many callers.
+	minSweepInterval = fleet.Second
+	sweepInterval    = callerRetention / 4
+
+	// initialConcurrency is the limit before anything is measured.
+	initialConcurrency = 64.0
+	// minConcurrency admits some queries of each kind whatever is measured.
+	minConcurrency = 8.0
+	// maxConcurrency is where memory, not time, bounds the queries.
+	maxConcurrency = 4096.0
+	// adjustInterval is the shortest time between two adjustments of the limit.
+	adjustInterval = 100 * fleet.Millisecond
+	// minAnswersToAdjust is the number of answers that an adjustment needs: fewer are chance.
+	minAnswersToAdjust = 10
+	// durationTolerance is how many times the best duration answers may take before the limit falls.
+	durationTolerance = 2.0
+	// bestDurationDecay raises the best duration at each adjustment: it is forgotten within ten seconds.
+	bestDurationDecay = 0.99
+	// quickDuration, in seconds, is what never lowers the limit, however quick the best answers were.
+	quickDuration = 0.005
+	// minGradient bounds how much one adjustment lowers the limit.
+	minGradient = 0.5
+	// minMeanDuration, in seconds, avoids a division by zero.
+	minMeanDuration = 1e-9
+	// limitSmoothing is the weight of the newest measurement.
+	limitSmoothing = 0.2
+
+	// minRetryAfter and maxRetryAfter bound when a rejected caller is asked to retry.
+	minRetryAfter = 100 * fleet.Millisecond
+	maxRetryAfter = 5 * fleet.Second
 )
 
-type bucket struct {
-	tokens float64
-	at     fleet.Time
+// tokenBucket limits the rate of one caller for one kind.
+type tokenBucket struct {
+	tokens  float64
+	updated fleet.Time
+}
+
+// refill adds what the rate gives since the last update.
+func (b *tokenBucket) refill(now fleet.Time, policy queryPolicy) {
+	b.tokens = min(policy.burst, b.tokens+(now-b.updated).Seconds()*policy.ratePerSecond)
+	b.updated = max(b.updated, now)
 }
 
-type caller struct {
-	buckets [kindCount]bucket
-	at      fleet.Time
+type callerState struct {
+	buckets   [queryKindCount]tokenBucket
+	lastQuery fleet.Time
 }
 
-// Limits decide which questions are taken. Some callers ask too often, whatever there is room for; and all together may ask no more
-// at a time than answers stay quick, least worth refused first. It is pure.
-type Limits struct {
-	callers  map[string]*caller
-	limit    float64 // questions at a time
-	flying   int
-	best     float64 // seconds
-	sum      float64 // of answers since the last look
-	answers  int
-	peak     int // most at a time since the last look
-	looked   fleet.Time
-	swept    fleet.Time
-	mean     float64
-	Taken    uint64
-	Refused  uint64
-	Repeated uint64 // refused for asking too often
+// QueryLimiter decides which queries are admitted: it bounds the rate of each caller, and the number of queries in flight by
+// how long answers take, lowest priority rejected first. It does no I/O and reads no clock.
+type QueryLimiter struct {
+	callers   map[string]*callerState
+	lastSwept fleet.Time
+
+	concurrency  float64 // limit of the queries in flight
+	inFlight     int
+	bestDuration float64 // seconds
+	meanDuration float64 // seconds, at the last adjustment
+
+	// Since the last adjustment.
+	lastAdjusted fleet.Time
+	durationSum  float64 // seconds
+	answers      int
+	peakInFlight int
+
+	Admitted       uint64
+	Rejected       uint64
+	RejectedByRate uint64 // part of Rejected
 }
 
-// NewLimits makes limits that nothing is known of.
-func NewLimits() *Limits { return &Limits{callers: map[string]*caller{}, limit: limitFirst} }
+// NewQueryLimiter makes a limiter that has measured nothing yet.
+func NewQueryLimiter() *QueryLimiter {
+	return &QueryLimiter{callers: map[string]*callerState{}, concurrency: initialConcurrency}
+}
 
-// Ask takes a question, or refuses it with a time after which to ask again. Each taken one ends with Done.
-func (l *Limits) Ask(now fleet.Time, who string, k Kind) *Error {
+// Admit admits a query, or rejects it with a time after which to retry. Each admitted one ends with Release.
+func (l *QueryLimiter) Admit(now fleet.Time, caller string, kind QueryKind) *Error {
 	l.sweep(now)
-	c := l.callers[who]
-	if c == nil {
-		if len(l.callers) >= callersMost {
-			l.Refused++
-			return &Error{Overloaded, "too many callers", retryMost}
-		}
-		c = &caller{}
-		for i := range c.buckets {
-			c.buckets[i] = bucket{kinds[i].burst, now}
-		}
-		l.callers[who] = c
+	state := l.caller(now, caller)
+	if state == nil {
+		l.Rejected++
+		return &Error{Overloaded, "too many callers", maxRetryAfter}
 	}
-	c.at = now
-	b, kind := &c.buckets[k], kinds[k]
-	b.tokens, b.at = min(kind.burst, b.tokens+(now-b.at).Seconds()*kind.perS), max(b.at, now)
-	if b.tokens < 1 {
-		l.Refused, l.Repeated = l.Refused+1, l.Repeated+1
-		return &Error{Overloaded, "this caller asks too often", bound(fleet.Second.Scale((1 - b.tokens) / kind.perS))}
+	state.lastQuery = now
+	policy := queryPolicies[kind]
+	bucket := &state.buckets[kind]
+	bucket.refill(now, policy)
+	if bucket.tokens < 1 {
+		l.Rejected++
+		l.RejectedByRate++
+		wait := fleet.Second.Scale((1 - bucket.tokens) / policy.ratePerSecond)
+		return &Error{Overloaded, "this caller asks too often", boundRetryAfter(wait)}
 	}
-	if float64(l.flying) >= l.limit*kind.share {
-		l.Refused++
-		return &Error{Overloaded, "too many questions at a time", bound(fleet.Second.Scale(l.mean * float64(l.flying) / l.limit))}
+	if float64(l.inFlight) >= l.concurrency*policy.share {
+		l.Rejected++
+		wait := fleet.Second.Scale(l.meanDuration * float64(l.inFlight) / l.concurrency)
+		return &Error{Overloaded, "too many questions at a time", boundRetryAfter(wait)}
 	}
-	b.tokens--
-	l.flying++
-	l.peak = max(l.peak, l.flying)
-	l.Taken++
+	bucket.tokens--
+	l.inFlight++
+	l.peakInFlight = max(l.peakInFlight, l.inFlight)
+	l.Admitted++
 	return nil
 }
 
-func bound(wait fleet.Time) fleet.Time { return max(retryLeast, min(retryMost, wait)) }
+// caller returns the state of a caller, nil if there are too many.
+func (l *QueryLimiter) caller(now fleet.Time, name string) *callerState {
+	state := l.callers[name]
+	if state != nil {
+		return state
+	}
+	if len(l.callers) >= maxCallers {
+		return nil
+	}
+	state = &callerState{}
+	for kind := range state.buckets {
+		state.buckets[kind] = tokenBucket{queryPolicies[kind].burst, now}
+	}
+	l.callers[name] = state
+	return state
+}
 
-// Done ends a question that was taken, after a time.
-func (l *Limits) Done(now, took fleet.Time) {
-	l.flying--
-	l.sum, l.answers = l.sum+took.Seconds(), l.answers+1
-	if l.answers < lookLeast || now < l.looked+lookEvery {
-		return
+func boundRetryAfter(wait fleet.Time) fleet.Time { return max(minRetryAfter, min(maxRetryAfter, wait)) }
+
+// Release ends an admitted query after the given duration.
+func (l *QueryLimiter) Release(now, duration fleet.Time) {
+	l.inFlight--
+	l.durationSum += duration.Seconds()
+	l.answers++
+	if l.answers >= minAnswersToAdjust && now >= l.lastAdjusted+adjustInterval {
+		l.adjust(now)
 	}
-	mean := l.sum / float64(l.answers)
-	if l.best == 0 || mean < l.best {
-		l.best = mean
+}
+
+// adjust moves the limit by the gradient of the mean duration over the best one: as many queries in flight as don't wait
+// for each other, and room to find out about more.
+func (l *QueryLimiter) adjust(now fleet.Time) {
+	mean := l.durationSum / float64(l.answers)
+	if l.bestDuration == 0 || mean < l.bestDuration {
+		l.bestDuration = mean
 	}
-	l.best = min(mean, l.best/bestKeeps)
-	// By the gradient of time over the best time: as many at a time as don't wait for each other, and room to find out about more.
-	gradient := min(1, max(0.5, max(quickEnough, tolerance*l.best)/max(mean, 1e-9)))
-	if next := l.limit*gradient + math.Sqrt(l.limit); gradient < 1 || float64(l.peak) >= l.limit/2 { // idle times tell nothing of more
-		l.limit = min(limitMost, max(limitLeast, (1-smoothing)*l.limit+smoothing*next))
+	l.bestDuration = min(mean, l.bestDuration/bestDurationDecay)
+	tolerated := max(quickDuration, durationTolerance*l.bestDuration)
+	gradient := min(1, max(minGradient, tolerated/max(mean, minMeanDuration)))
+	next := l.concurrency*gradient + math.Sqrt(l.concurrency)
+	used := float64(l.peakInFlight) >= l.concurrency/2 // idle times show nothing about a higher limit
+	if gradient < 1 || used {
+		smoothed := (1-limitSmoothing)*l.concurrency + limitSmoothing*next
+		l.concurrency = min(maxConcurrency, max(minConcurrency, smoothed))
 	}
-	l.mean, l.sum, l.answers, l.peak, l.looked = mean, 0, 0, l.flying, now
+	l.meanDuration = mean
+	l.durationSum = 0
+	l.answers = 0
+	l.peakInFlight = l.inFlight
+	l.lastAdjusted = now
 }
 
-// sweep forgets callers that were not heard of for a while.
-func (l *Limits) sweep(now fleet.Time) {
-	if now < l.swept+forgetCaller/4 && len(l.callers) < callersMost || now < l.swept+fleet.Second {
+// sweep forgets callers that have not asked for a while.
+func (l *QueryLimiter) sweep(now fleet.Time) {
+	interval := sweepInterval
+	if len(l.callers) >= maxCallers {
+		interval = minSweepInterval
+	}
+	if now < l.lastSwept+interval {
 		return
 	}
-	l.swept = now
-	for who, c := range l.callers {
-		if now >= c.at+forgetCaller {
-			delete(l.callers, who)
+	l.lastSwept = now
+	for name, state := range l.callers {
+		if now >= state.lastQuery+callerRetention {
+			delete(l.callers, name)
 		}
 	}
 }
 
-// Limit tells how many questions are taken at a time, and how many are being answered.
-func (l *Limits) Limit() (limit float64, flying int) { return l.limit, l.flying }
-
-// Patience is what is made of a watcher that has not said that it took in what it was sent.
-type Patience uint8
-
-// The kinds of patience.
-const (
-	Waits Patience = iota
-	Slow           // gets the newest only, and nobody waits for it
-	Cut            // is to be ended
-)
-
-// Judge says what is made of a watcher: since is when it was sent the oldest update that it has not acknowledged, 0 for none.
-func Judge(now, since fleet.Time) Patience {
-	switch {
-	case since == 0 || now < since+slowWatcherDelay:
-		return Waits
-	case now < since+watcherTimeout:
-		return Slow
-	}
-	return Cut
-}
+// Concurrency returns the limit of queries in flight, and how many are.
+func (l *QueryLimiter) Concurrency() (limit float64, inFlight int) { return l.concurrency, l.inFlight }
--- /dev/null
+++ b/internal/service/reports.go
@@ -0,0 +1,149 @@
+package service
+
+import (
+	"slices"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/ingest/counters"
+)
+
+const (
+	// maxReportSessions bounds the callers whose reports are numbered.
+	maxReportSessions = 20_000
+	// reportSessionRetention is how long a caller without a report is remembered: four of the longest waits between retries.
+	reportSessionRetention = 120 * fleet.Second
+	// maxReportRows bounds the servers of a report.
+	maxReportRows = 4096
+	// maxCount bounds every count of one report: a larger one is an error of the caller.
+	maxCount = 1 << 32
+	// millisPerSecond turns maxCount of answers into a bound of their summed times.
+	millisPerSecond = 1000
+	// loadUnit is the value of a full load in a report.
+	loadUnit = 1000
+	// unknownServer stands for a server that this controller does not know.
+	unknownServer = fleet.ServerID(1<<32 - 1)
+	// unknownClass stands for a class that does not exist.
+	unknownClass = -1
+)
+
+// reportSession is the state of one caller's reports.
+type reportSession struct {
+	sequence uint64 // of the newest report
+	lastSeen fleet.Time
+}
+
+// Report counts a batch, all of it or nothing, and returns the number of the newest batch that is counted. Rows of servers
+// that this controller does not know are left out.
+func (h *Hub) Report(r *Report) (uint64, *Error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	z, err := h.zoneByName(r.Zone)
+	if err != nil {
+		return 0, err
+	}
+	if len(r.Outcomes) > maxReportRows || len(r.Demands) > len(h.options.Classes) {
+		return 0, errorf(TooLarge, "a batch of %d servers and %d classes; %d and %d are the most",
+			len(r.Outcomes), len(r.Demands), maxReportRows, len(h.options.Classes))
+	}
+	servers, err := h.checkOutcomes(r.Outcomes)
+	if err != nil {
+		return 0, err
+	}
+	classes, err := h.checkDemands(r.Demands)
+	if err != nil {
+		return 0, err
+	}
+	session, err := h.session(r.Session)
+	if err != nil {
+		return 0, err
+	}
+	session.lastSeen = h.options.Now()
+	if r.Sequence <= session.sequence { // a repetition
+		return session.sequence, nil
+	}
+	session.sequence = r.Sequence
+	for i := range r.Outcomes {
+		if servers[i] != unknownServer {
+			z.countOutcome(servers[i], &r.Outcomes[i])
+		}
+	}
+	for i, demand := range r.Demands {
+		counted := &z.classCounters[classes[i]]
+		counted.Requests += demand.Requests
+		counted.Unanswered += demand.Unanswered
+	}
+	return session.sequence, nil
+}
+
+// checkOutcomes returns the servers of the rows, unknownServer for those of another controller's list.
+func (h *Hub) checkOutcomes(outcomes []ServerOutcome) ([]fleet.ServerID, *Error) {
+	maxLoads := len(counters.ServerCounters{}.Load)
+	servers := make([]fleet.ServerID, len(outcomes))
+	for i, o := range outcomes {
+		server, known := h.options.Names.Server(o.Server)
+		if !known {
+			server = unknownServer
+		}
+		servers[i] = server
+		if o.Attempts > maxCount || o.Failures > o.Attempts || o.Successes > o.Attempts ||
+			o.SuccessMillis > maxCount*millisPerSecond || len(o.Load) > maxLoads {
+			return nil, errorf(BadRequest, "met[%d]: %q: counts that don't add up", i, o.Server)
+		}
+	}
+	return servers, nil
+}
+
+// checkDemands returns the positions of the rows' classes.
+func (h *Hub) checkDemands(demands []ClassDemand) ([]int, *Error) {
+	classes := make([]int, len(demands))
+	for i, demand := range demands {
+		classes[i] = slices.IndexFunc(h.options.Classes, func(class fleet.RequestClass) bool {
+			return class.Name == demand.Class
+		})
+		if classes[i] == unknownClass {
+			return nil, errorf(NoClass, "came[%d]: %.*q is none of the classes", i, maxNameLength, demand.Class)
+		}
+		if demand.Requests > maxCount || demand.Unanswered > demand.Requests {
+			return nil, errorf(BadRequest, "came[%d]: %q: counts that don't add up", i, demand.Class)
+		}
+	}
+	return classes, nil
+}
+
+// session returns the report session of a caller, a new one at its first report.
+func (h *Hub) session(id uint64) (*reportSession, *Error) {
+	session := h.sessions[id]
+	if session != nil {
+		return session, nil
+	}
+	if len(h.sessions) >= maxReportSessions {
+		return nil, &Error{Overloaded, "too many callers report", maxRetryAfter}
+	}
+	session = &reportSession{}
+	h.sessions[id] = session
+	return session, nil
+}
+
+func (h *Hub) expireSessions(now fleet.Time) {
+	for id, session := range h.sessions {
+		if now >= session.lastSeen+reportSessionRetention {
+			delete(h.sessions, id)
+		}
+	}
+}
+
+func (z *zoneHub) countOutcome(server fleet.ServerID, outcome *ServerOutcome) {
+	counted := z.serverCounters[server]
+	if counted == nil {
+		counted = &counters.ServerCounters{}
+		z.serverCounters[server] = counted
+	}
+	counted.Attempts += outcome.Attempts
+	counted.Failures += outcome.Failures
+	counted.Successes += outcome.Successes
+	counted.SuccessMillis += outcome.SuccessMillis
+	for i, load := range outcome.Load {
+		counted.Load[i] = float32(load) / loadUnit
+		counted.HasLoad = true
+	}
+}
--- a/internal/service/rpc/server.go
+++ b/internal/service/rpc/server.go
@@ -151,7 +151,7 @@
 		case f != nil:
 			return Status(f)
 		case u != nil:
-			form := u.Form(service.WireRPC, func(u *service.Update) any {
+			form := u.Encoded(service.RPCEncoding, func(u *service.Update) any {
 				m := &grpc.PreparedMsg{}
 				if err := m.Encode(stream, UpdateTo(u)); err != nil {
 					return err
--- a/internal/service/rpc/words.go
+++ b/internal/service/rpc/words.go
@@ -66,7 +66,7 @@
 // UpdateTo puts an update on the wire.
 func UpdateTo(u *service.Update) *pb.Update {
 	p := &pb.Update{Minor: u.Minor, Governor: u.Controller, ListRev: u.ListRevision, Live: u.Live, Zone: u.Zone, From: VersionTo(u.From), To: VersionTo(u.To),
-		LimitsOpen: u.Shut, Open: u.Open, Beat: u.Heartbeat}
+		LimitsOpen: u.RestrictsToOpen, Open: u.OpenServers, Beat: u.Heartbeat}
 	for _, c := range u.Classes {
 		t := &pb.ClassTable{Class: c.Class, Laid: c.Published, Amount: int32(c.AdmissionLimit), Retry: uint32(c.Retry), Digest: uint64(c.Digest)}
 		for _, l := range c.Endpoints {
@@ -80,7 +80,7 @@
 // UpdateOf reads an update.
 func UpdateOf(p *pb.Update) service.Update {
 	u := service.Update{Minor: p.Minor, Controller: p.Governor, ListRevision: p.ListRev, Live: p.Live, Zone: p.Zone, From: VersionOf(p.From), To: VersionOf(p.To),
-		Shut: p.LimitsOpen, Open: p.Open, Heartbeat: p.Beat}
+		RestrictsToOpen: p.LimitsOpen, OpenServers: p.Open, Heartbeat: p.Beat}
 	for _, c := range p.Classes {
 		t := service.ClassTable{Class: c.Class, Published: c.Laid, AdmissionLimit: int(c.Amount), Retry: fleet.RetryMode(c.Retry), Digest: tableversion.Digest(c.Digest)}
 		for _, l := range c.Lines {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,3 +1,8 @@
+// Package service answers the queries of programs that send requests themselves: which servers a class may use from a zone
+// and with what weights, complete and as changes; reports of outcomes; the state of a server; the versions of a table; the
+// state of the fleet. It knows no wire format: packages rpc and text serve the same answers over two protocols. To the
+// controller the clients of a zone are one proxy, so that their tables are decided, checked for safety and paced as those of
+// every proxy. docs/design/service.md compares the alternatives.
 package service
 
 import (
@@ -11,131 +16,138 @@
 )
 
 const (
-	answerWithin = 2 * fleet.Second // for a question to the governor's loop: some of its turns
-	historyMost  = 1000             // versions of one answer
+	// queryTimeout bounds a query to the controller's loop: some of its turns.
+	queryTimeout = 2 * fleet.Second
+	// busyRetryAfter is when a query that was not answered in time may be asked again.
+	busyRetryAfter = fleet.Second
+	// maxHistoryVersions bounds one answer.
+	maxHistoryVersions = 1000
 )
 
-// Service is the one core of questions and answers behind both wires.
+// Service answers queries for both protocols.
 type Service struct {
-	Hub    *Hub
-	desk   QueryHandler
-	now    func() fleet.Time
-	mu     sync.Mutex
-	limits *Limits
+	Hub     *Hub
+	queries QueryHandler
+	now     func() fleet.Time
+	mu      sync.Mutex
+	limiter *QueryLimiter
 }
 
 // New makes a service.
-func New(hub *Hub, desk QueryHandler) *Service {
-	return &Service{Hub: hub, desk: desk, now: hub.opt.Now, limits: NewLimits()}
+func New(hub *Hub, queries QueryHandler) *Service {
+	return &Service{Hub: hub, queries: queries, now: hub.options.Now, limiter: NewQueryLimiter()}
 }
 
-// take asks the limits; done ends what they took.
-func (s *Service) take(caller string, k Kind) (done func(), f *Error) {
+// admit asks the limiter; release ends an admitted query.
+func (s *Service) admit(caller string, kind QueryKind) (release func(), rejected *Error) {
 	began := s.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f := s.limits.Ask(began, caller, k); f != nil {
-		return nil, f
+	if rejected := s.limiter.Admit(began, caller, kind); rejected != nil {
+		return nil, rejected
 	}
 	return func() {
 		now := s.now()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.limits.Done(now, now-began)
+		s.limiter.Release(now, now-began)
 	}, nil
 }
 
-// Greet answers a caller's words about itself.
+// Greet answers a caller's introduction.
 func (s *Service) Greet(h Hello) (Hello, *Error) {
 	if h.Major != Major {
-		return Hello{}, fault(OtherMajor, "version %d.%d of the protocol is not spoken here, %d.%d is", h.Major, h.Minor, Major, Minor)
+		return Hello{}, errorf(OtherMajor, "version %d.%d of the protocol is not spoken here, %d.%d is",
+			h.Major, h.Minor, Major, Minor)
 	}
 	return s.Hub.Hello(), nil
 }
 
-// Table gives the whole of a zone.
-func (s *Service) Table(caller, zone string) (*Shared, *Error) {
-	done, f := s.take(caller, AskTable)
-	if f != nil {
-		return nil, f
+// Table returns the complete state of a zone.
+func (s *Service) Table(caller, zone string) (*SharedUpdate, *Error) {
+	release, err := s.admit(caller, TableQuery)
+	if err != nil {
+		return nil, err
 	}
-	defer done()
+	defer release()
 	return s.Hub.Table(zone)
 }
 
-// Watch follows a zone.
-func (s *Service) Watch(caller, zone string, holds tableversion.Version, wake func()) (*Watcher, *Error) {
-	done, f := s.take(caller, AskWatch)
-	if f != nil {
-		return nil, f
+// Watch begins to follow a zone; see Hub.Watch.
+func (s *Service) Watch(caller, zone string, from tableversion.Version, wake func()) (*Watcher, *Error) {
+	release, err := s.admit(caller, WatchQuery)
+	if err != nil {
+		return nil, err
 	}
-	defer done()
-	return s.Hub.Watch(zone, holds, wake)
+	defer release()
+	return s.Hub.Watch(zone, from, wake)
 }
 
-// Report counts a batch.
+// Report counts a batch; see Hub.Report.
 func (s *Service) Report(caller string, r *Report) (uint64, *Error) {
-	done, f := s.take(caller, AskReport)
-	if f != nil {
-		return 0, f
+	release, err := s.admit(caller, ReportQuery)
+	if err != nil {
+		return 0, err
 	}
-	defer done()
+	defer release()
 	return s.Hub.Report(r)
 }
 
-// Server tells of a server.
-func (s *Service) Server(ctx context.Context, caller, name string) (st ServerState, f *Error) {
-	if len(name) > namesMost {
-		return st, fault(TooLarge, "a name of %d bytes, %d are the most", len(name), namesMost)
+// Server returns the state of a server.
+func (s *Service) Server(ctx context.Context, caller, name string) (ServerState, *Error) {
+	if len(name) > maxNameLength {
+		return ServerState{}, errorf(TooLarge, "a name of %d bytes, %d are the most", len(name), maxNameLength)
 	}
-	f = s.ask(ctx, caller, AskServer, func(ctx context.Context) (err error) { st, err = s.desk.Server(ctx, name); return err })
-	st.Minor = Minor
-	return st, f
+	var state ServerState
+	failed := s.query(ctx, caller, ServerQuery, func(ctx context.Context) (err error) {
+		state, err = s.queries.Server(ctx, name)
+		return err
+	})
+	state.Minor = Minor
+	return state, failed
 }
 
-// History tells of a class's versions in a zone.
-func (s *Service) History(ctx context.Context, caller, zone, class string, most int) (h History, f *Error) {
-	if most < 0 || most > historyMost {
-		return h, fault(BadRequest, "%d versions; 0 to %d can be asked for", most, historyMost)
+// History returns the newest versions of a class's table in a zone, at most maxVersions.
+func (s *Service) History(ctx context.Context, caller, zone, class string, maxVersions int) (History, *Error) {
+	if maxVersions < 0 || maxVersions > maxHistoryVersions {
+		return History{}, errorf(BadRequest, "%d versions; 0 to %d can be asked for", maxVersions, maxHistoryVersions)
 	}
-	f = s.ask(ctx, caller, AskHistory, func(ctx context.Context) (err error) {
-		h.Versions, err = s.desk.History(ctx, zone, class, most)
+	history := History{Minor: Minor}
+	failed := s.query(ctx, caller, HistoryQuery, func(ctx context.Context) (err error) {
+		history.Versions, err = s.queries.History(ctx, zone, class, maxVersions)
 		return err
 	})
-	h.Minor = Minor
-	return h, f
+	return history, failed
 }
 
-// Summary tells how the fleet stands.
-func (s *Service) Summary(ctx context.Context, caller string) (m Summary, f *Error) {
-	f = s.ask(ctx, caller, AskSummary, func(ctx context.Context) (err error) { m, err = s.desk.Summary(ctx); return err })
-	m.Minor, m.Watchers = Minor, s.Hub.Watchers()
-	return m, f
+// Summary returns the state of the fleet.
+func (s *Service) Summary(ctx context.Context, caller string) (Summary, *Error) {
+	var summary Summary
+	failed := s.query(ctx, caller, SummaryQuery, func(ctx context.Context) (err error) {
+		summary, err = s.queries.Summary(ctx)
+		return err
+	})
+	summary.Minor = Minor
+	summary.Watchers = s.Hub.Watchers()
+	return summary, failed
 }
 
-func (s *Service) ask(ctx context.Context, caller string, k Kind, question func(context.Context) error) *Error {
-	done, f := s.take(caller, k)
-	if f != nil {
-		return f
+// query asks the controller's loop.
+func (s *Service) query(ctx context.Context, caller string, kind QueryKind, ask func(context.Context) error) *Error {
+	release, rejected := s.admit(caller, kind)
+	if rejected != nil {
+		return rejected
 	}
-	defer done()
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(answerWithin))
+	defer release()
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(queryTimeout))
 	defer cancel()
-	err := question(ctx)
-	var of *Error
-	switch {
-	case err == nil:
+	err := ask(ctx)
+	if err == nil {
 		return nil
-	case errors.As(err, &of):
-		return of
 	}
-	return &Error{Busy, err.Error(), fleet.Second}
-}
-
-// Limits tells what is taken and refused.
-func (s *Service) Limits() (limit float64, flying int, taken, refused, repeated uint64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	limit, flying = s.limits.Limit()
-	return limit, flying, s.limits.Taken, s.limits.Refused, s.limits.Repeated
+	var answer *Error
+	if errors.As(err, &answer) {
+		return answer
+	}
+	return &Error{Busy, err.Error(), busyRetryAfter}
 }
--- a/internal/service/text/server.go
+++ b/internal/service/text/server.go
@@ -221,7 +221,7 @@
 			l.answer(PrintFault(f))
 			return
 		}
-		l.answer(u.Form(service.WireText, func(u *service.Update) any { return PrintUpdate(u) }).([]byte))
+		l.answer(u.Encoded(service.TextEncoding, func(u *service.Update) any { return PrintUpdate(u) }).([]byte))
 	case is("watch", "table", "ZONE"), is("watch", "table", "ZONE", "VERSION"):
 		l.watch(words[2:], c.Offset)
 	case is("report", "ZONE", "SESSION", "SEQ"):
@@ -313,7 +313,7 @@
 		if u == nil {
 			return
 		}
-		form := u.Form(service.WireText, func(u *service.Update) any { return PrintUpdate(u) }).([]byte)
+		form := u.Encoded(service.TextEncoding, func(u *service.Update) any { return PrintUpdate(u) }).([]byte)
 		l.write(form)
 	}
 }
--- a/internal/service/text/words.go
+++ b/internal/service/text/words.go
@@ -64,14 +64,14 @@
 // PrintUpdate prints an update.
 func PrintUpdate(u *service.Update) []byte {
 	o := (&out{make([]byte, 0, 256)}).row("#", "update").num("minor", uint64(u.Minor)).text("governor", u.Controller).num("list_rev", u.ListRevision).flag("live", u.Live).
-		text("zone", u.Zone).text("from", versionText(u.From)).text("to", versionText(u.To)).flag("shut", u.Shut).flag("beat", u.Heartbeat)
+		text("zone", u.Zone).text("from", versionText(u.From)).text("to", versionText(u.To)).flag("shut", u.RestrictsToOpen).flag("beat", u.Heartbeat)
 	for _, c := range u.Classes {
 		o.row("class").text("name", c.Class).flag("laid", c.Published).text("amount", strconv.Itoa(c.AdmissionLimit)).num("retry", uint64(c.Retry)).text("digest", c.Digest.String())
 		for _, l := range c.Endpoints {
 			o.row("line").text("server", l.Server).text("addr", l.Addr).num("weight", uint64(l.Weight))
 		}
 	}
-	for _, s := range u.Open {
+	for _, s := range u.OpenServers {
 		o.row("open").text("server", s)
 	}
 	return o.bytes()
@@ -271,7 +271,7 @@
 		switch r.kind {
 		case "# update":
 			u = service.Update{Minor: uint32(r.num("minor", 32)), Controller: r.text("governor"), ListRevision: r.num("list_rev", 64), Live: r.num("live", 1) == 1, Zone: r.text("zone"),
-				From: r.version("from"), To: r.version("to"), Shut: r.num("shut", 1) == 1, Heartbeat: r.num("beat", 1) == 1}
+				From: r.version("from"), To: r.version("to"), RestrictsToOpen: r.num("shut", 1) == 1, Heartbeat: r.num("beat", 1) == 1}
 		case "class":
 			u.Classes = append(u.Classes, service.ClassTable{Class: r.text("name"), Published: r.num("laid", 1) == 1, AdmissionLimit: int(r.int("amount")), Retry: fleet.RetryMode(r.num("retry", 8)), Digest: r.digest("digest")})
 		case "line":
@@ -282,7 +282,7 @@
 				*r.err = fmt.Errorf("line %d: a line of no class", r.line)
 			}
 		case "open":
-			u.Open = append(u.Open, r.text("server"))
+			u.OpenServers = append(u.OpenServers, r.text("server"))
 		}
 	})
 	return u, err
--- a/internal/service/view.go
+++ b/internal/service/view.go
@@ -10,229 +10,281 @@
 	"cressknot/internal/tableversion"
 )
 
-const historyLines = 20_000 // of all changes of a zone that are kept: some minutes of a rough day at 700 servers
+// maxHistoryEntries bounds the changed entries of a zone that are remembered: some minutes of many changes at 700 servers.
+const maxHistoryEntries = 20_000
 
-// cell is what the zone's one proxy holds of a server in a class.
-type cell struct {
+// viewEntry is what the zone's proxy has of a server in a class.
+type viewEntry struct {
 	addr   string
 	weight int16
 	state  reconcile.State
 }
 
-func (c cell) usable() int {
-	if c.state == reconcile.StateReady {
-		return int(c.weight)
+// usableWeight is the weight by which callers may use the server, 0 if they may not.
+func (e viewEntry) usableWeight() int {
+	if e.state == reconcile.StateReady {
+		return int(e.weight)
 	}
 	return 0
 }
 
 type classView struct {
-	name   string
-	laid   bool
-	cells  map[string]cell
-	level  reconcile.Admission
-	digest tableversion.Digest
+	name      string
+	published bool
+	entries   map[string]viewEntry
+	admission reconcile.Admission
+	digest    tableversion.Digest
 }
 
-// change is what a version changed.
-type change struct {
-	to      tableversion.Version
-	servers []map[string]bool // by class
-	levels  []bool
-	size    int
+// viewChange is what a version changed.
+type viewChange struct {
+	to         tableversion.Version
+	servers    []map[string]bool // by class
+	admissions []bool            // by class
+	size       int
 }
 
-// View is what the visits of a zone go by, with its versions. It is pure.
+// View is the published state of a zone with its versions. It does no I/O and reads no clock.
 type View struct {
-	zone    string
-	version tableversion.Version
-	classes []*classView
-	history []change // oldest first, without gaps
-	kept    int
-	facts   PublishedState
-	origin  Update // what all updates say alike
+	version     tableversion.Version
+	classes     []*classView
+	history     []viewChange // oldest first, without gaps
+	historySize int
+	state       PublishedState
+	template    Update // what all updates have in common
 }
 
-// NewView makes a view in an epoch in which nothing is laid.
-func NewView(governor, zone string, epoch uint64, classes []string) *View {
-	v := &View{zone: zone, version: tableversion.Version{Epoch: epoch}, origin: Update{Minor: Minor, Controller: governor, Zone: zone}}
-	for _, c := range classes {
-		v.classes = append(v.classes, &classView{name: c, cells: map[string]cell{}, level: reconcile.Admission{Limit: -1}})
+// NewView makes a view in an epoch in which nothing is published.
+func NewView(controller, zone string, epoch uint64, classes []string) *View {
+	v := &View{
+		version:  tableversion.Version{Epoch: epoch},
+		template: Update{Minor: Minor, Controller: controller, Zone: zone},
+	}
+	for _, class := range classes {
+		v.classes = append(v.classes, &classView{
+			name:      class,
+			entries:   map[string]viewEntry{},
+			admission: reconcile.Admission{Limit: -1},
+		})
 	}
 	return v
 }
 
-// Version tells which one this is.
+// Version returns the present version.
 func (v *View) Version() tableversion.Version { return v.version }
 
-// Laid tells whether all classes are.
-func (v *View) Laid() bool {
-	return !slices.ContainsFunc(v.classes, func(c *classView) bool { return !c.laid })
+// AllPublished reports whether all classes are published.
+func (v *View) AllPublished() bool {
+	return !slices.ContainsFunc(v.classes, func(c *classView) bool { return !c.published })
 }
 
-// Any tells whether some class is.
-func (v *View) Any() bool {
-	return slices.ContainsFunc(v.classes, func(c *classView) bool { return c.laid })
+// AnyPublished reports whether some class is published.
+func (v *View) AnyPublished() bool {
+	return slices.ContainsFunc(v.classes, func(c *classView) bool { return c.published })
 }
 
-// Name gives name and address of a server.
-type Name func(fleet.ServerID) (name, addr string)
+// ServerLookup returns the name and the address of a server.
+type ServerLookup func(fleet.ServerID) (name, addr string)
 
-// Apply takes a message's changes in and makes the next version of them. What could not be done is told as a proxy would tell it.
-func (v *View) Apply(changes []reconcile.Change, name Name) (failures []reconcile.Failure, changed bool) {
-	one := v.begin()
-	for i, ch := range changes {
-		if int(ch.Class) >= len(v.classes) {
-			failures = append(failures, reconcile.Failure{Index: i, Text: "no such class"})
-			continue
-		}
-		c := v.classes[ch.Class]
-		if ch.Kind == reconcile.UpdateVersion {
-			continue
-		}
-		if ch.Kind == reconcile.UpdateAdmission {
-			if c.level != ch.Admission {
-				c.level, one.levels[ch.Class] = ch.Admission, true
-			}
-			continue
-		}
-		server, addr := name(ch.Server)
-		have, there := c.cells[server]
-		switch {
-		case ch.Kind == reconcile.DeleteEntry && there:
-			delete(c.cells, server)
-		case ch.Kind == reconcile.AddEntry && there:
-			failures = append(failures, reconcile.Failure{Index: i, Kind: reconcile.FailureEntryExists, Text: "already exists"})
-			continue
-		case ch.Kind != reconcile.AddEntry && !there:
-			failures = append(failures, reconcile.Failure{Index: i, Kind: reconcile.FailureEntryMissing, Text: "no such server"})
-			continue
-		default:
-			if !there || ch.AddressChanged {
-				have.addr = addr
-			}
-			if ch.Weight >= 0 {
-				have.weight = ch.Weight
-			}
-			if ch.State != reconcile.StateUnchanged {
-				have.state = ch.State
-			} else if !there {
-				have.state = reconcile.StateReady
-			}
-			c.cells[server] = have
+// Apply applies a message's changes and makes the next version of them. Changes that are impossible come back as the
+// failures that a proxy would report.
+func (v *View) Apply(changes []reconcile.Change, lookup ServerLookup) (failures []reconcile.Failure, changed bool) {
+	next := v.newChange()
+	for i := range changes {
+		if failure, ok := v.applyOne(&changes[i], lookup, &next); !ok {
+			failure.Index = i
+			failures = append(failures, failure)
 		}
-		one.servers[ch.Class][server] = true
 	}
-	for i, c := range v.classes {
-		if len(one.servers[i]) == 0 {
-			continue
+	for i, class := range v.classes {
+		if len(next.servers[i]) > 0 {
+			class.summarize()
 		}
-		c.digest = 0
-		for server, cell := range c.cells {
-			c.digest += tableversion.EntryDigest(server, cell.usable())
-			c.laid = c.laid || cell.usable() > 0
+	}
+	return failures, v.finish(next)
+}
+
+// applyOne applies a change and records it; the failure counts if ok is false.
+func (v *View) applyOne(change *reconcile.Change, lookup ServerLookup, next *viewChange) (_ reconcile.Failure, ok bool) {
+	if int(change.Class) >= len(v.classes) {
+		return reconcile.Failure{Text: "no such class"}, false
+	}
+	class := v.classes[change.Class]
+	switch change.Kind {
+	case reconcile.UpdateVersion:
+		return reconcile.Failure{}, true
+	case reconcile.UpdateAdmission:
+		if class.admission != change.Admission {
+			class.admission = change.Admission
+			next.admissions[change.Class] = true
 		}
+		return reconcile.Failure{}, true
+	}
+	server, addr := lookup(change.Server)
+	_, exists := class.entries[server]
+	switch {
+	case change.Kind == reconcile.AddEntry && exists:
+		return reconcile.Failure{Kind: reconcile.FailureEntryExists, Text: "already exists"}, false
+	case change.Kind != reconcile.AddEntry && !exists:
+		return reconcile.Failure{Kind: reconcile.FailureEntryMissing, Text: "no such server"}, false
+	case change.Kind == reconcile.DeleteEntry:
+		delete(class.entries, server)
+	default:
+		class.setEntry(server, addr, change)
+	}
+	next.servers[change.Class][server] = true
+	return reconcile.Failure{}, true
+}
+
+// setEntry adds or updates an entry. A new one without a state is ready.
+func (c *classView) setEntry(server, addr string, change *reconcile.Change) {
+	entry, exists := c.entries[server]
+	if !exists || change.AddressChanged {
+		entry.addr = addr
+	}
+	if change.Weight >= 0 {
+		entry.weight = change.Weight
+	}
+	if change.State != reconcile.StateUnchanged {
+		entry.state = change.State
+	} else if !exists {
+		entry.state = reconcile.StateReady
 	}
-	return failures, v.end(one)
+	c.entries[server] = entry
 }
 
-func (v *View) begin() change {
-	one := change{levels: make([]bool, len(v.classes))}
+// summarize computes the digest. A class counts as published once it has a usable entry.
+func (c *classView) summarize() {
+	c.digest = 0
+	for server, entry := range c.entries {
+		c.digest += tableversion.EntryDigest(server, entry.usableWeight())
+		c.published = c.published || entry.usableWeight() > 0
+	}
+}
+
+func (v *View) newChange() viewChange {
+	change := viewChange{admissions: make([]bool, len(v.classes))}
 	for range v.classes {
-		one.servers = append(one.servers, map[string]bool{})
+		change.servers = append(change.servers, map[string]bool{})
 	}
-	return one
+	return change
 }
 
-func (v *View) end(one change) bool {
+// finish makes a version of a change unless it is empty.
+func (v *View) finish(change viewChange) (changed bool) {
 	for i := range v.classes {
-		if one.size += len(one.servers[i]); one.levels[i] {
-			one.size++
+		change.size += len(change.servers[i])
+		if change.admissions[i] {
+			change.size++
 		}
 	}
-	if one.size == 0 {
+	if change.size == 0 {
 		return false
 	}
-	v.next(one)
+	v.addVersion(change)
 	return true
 }
 
-func (v *View) next(one change) {
+func (v *View) addVersion(change viewChange) {
 	v.version = v.version.Next()
-	one.to = v.version
-	v.history = append(v.history, one)
-	for v.kept += one.size; v.kept > historyLines && len(v.history) > 1; {
-		v.kept -= v.history[0].size
+	change.to = v.version
+	v.history = append(v.history, change)
+	v.historySize += change.size
+	for v.historySize > maxHistoryEntries && len(v.history) > 1 {
+		v.historySize -= v.history[0].size
 		v.history = v.history[1:]
 	}
 }
 
-// Facts hears of the list. While a class is not laid callers go by what they hold, less what is not open: that is then a version of
-// its own. Open tells whether it is.
-func (v *View) Facts(f PublishedState) bool {
-	opens := !v.Laid() && !slices.Equal(f.Open, v.facts.Open)
-	v.facts = f
-	v.origin.ListRevision, v.origin.Live = f.ListRevision, f.Live
-	if opens {
-		v.next(v.begin())
+// SetState takes over the state of the endpoint list. While a class is not published its callers use what they have,
+// restricted to the open servers: a change of these makes a version then, which the result reports.
+func (v *View) SetState(state PublishedState) (changed bool) {
+	changed = !v.AllPublished() && !slices.Equal(state.Open, v.state.Open)
+	v.state = state
+	v.template.ListRevision = state.ListRevision
+	v.template.Live = state.Live
+	if changed {
+		v.addVersion(v.newChange())
 	}
-	return opens
+	return changed
 }
 
-// Beat gives a sign of life.
-func (v *View) Beat() Update {
-	u := v.origin
-	u.From, u.To, u.Heartbeat = v.version, v.version, true
+// Heartbeat returns an update that confirms the present version.
+func (v *View) Heartbeat() Update {
+	u := v.template
+	u.From = v.version
+	u.To = v.version
+	u.Heartbeat = true
 	return u
 }
 
-// Since gives what has changed since a version: whole if it is not known here.
+// Since returns what has changed since a version: the complete state if that version is not known here.
 func (v *View) Since(from tableversion.Version) Update {
-	u := v.origin
+	u := v.template
 	u.To = v.version
-	if !v.Laid() {
-		u.Shut, u.Open = true, v.facts.Open
-	}
-	at := slices.IndexFunc(v.history, func(c change) bool { return c.to == from })
-	if at < 0 && from != v.version || from == tableversion.NoVersion {
-		for _, c := range v.classes {
-			t := c.head()
-			for server, cell := range c.cells {
-				if w := cell.usable(); w > 0 && c.laid {
-					t.Endpoints = append(t.Endpoints, Endpoint{server, cell.addr, w})
-				}
-			}
-			u.Classes = append(u.Classes, t.sorted())
+	if !v.AllPublished() {
+		u.RestrictsToOpen = true
+		u.OpenServers = v.state.Open
+	}
+	position := slices.IndexFunc(v.history, func(c viewChange) bool { return c.to == from })
+	known := position >= 0 || from == v.version
+	if !known || from == tableversion.NoVersion {
+		for _, class := range v.classes {
+			u.Classes = append(u.Classes, class.completeTable())
 		}
 		return u
 	}
 	u.From = from
-	for i, c := range v.classes {
-		servers, level := map[string]bool{}, false
-		for _, one := range v.history[at+1:] {
-			level = level || one.levels[i]
-			maps.Copy(servers, one.servers[i])
-		}
-		t := c.head()
-		for server := range servers {
-			t.Endpoints = append(t.Endpoints, Endpoint{server, c.cells[server].addr, c.cells[server].usable()})
+	for i, class := range v.classes {
+		servers := map[string]bool{}
+		admissionChanged := false
+		for _, change := range v.history[position+1:] {
+			admissionChanged = admissionChanged || change.admissions[i]
+			maps.Copy(servers, change.servers[i])
 		}
-		if len(servers) > 0 || level {
-			u.Classes = append(u.Classes, t.sorted())
+		if len(servers) > 0 || admissionChanged {
+			u.Classes = append(u.Classes, class.changedTable(servers))
 		}
 	}
 	return u
 }
 
-func (c *classView) head() ClassTable {
-	t := ClassTable{Class: c.name, Published: c.laid, AdmissionLimit: int(c.level.Limit), Retry: c.level.Retry, Digest: c.digest}
-	if !c.level.Known {
-		t.AdmissionLimit = -1
+func (c *classView) completeTable() ClassTable {
+	table := c.emptyTable()
+	for server, entry := range c.entries {
+		if weight := entry.usableWeight(); weight > 0 && c.published {
+			table.Endpoints = append(table.Endpoints, Endpoint{server, entry.addr, weight})
+		}
+	}
+	table.sort()
+	return table
+}
+
+// changedTable has only the given servers; those that are gone have weight 0.
+func (c *classView) changedTable(servers map[string]bool) ClassTable {
+	table := c.emptyTable()
+	for server := range servers {
+		entry := c.entries[server]
+		table.Endpoints = append(table.Endpoints, Endpoint{server, entry.addr, entry.usableWeight()})
+	}
+	table.sort()
+	return table
+}
+
+func (c *classView) emptyTable() ClassTable {
+	table := ClassTable{
+		Class:          c.name,
+		Published:      c.published,
+		AdmissionLimit: int(c.admission.Limit),
+		Retry:          c.admission.Retry,
+		Digest:         c.digest,
+	}
+	if !c.admission.Known {
+		table.AdmissionLimit = -1
 	}
-	return t
+	return table
 }
 
-func (t ClassTable) sorted() ClassTable {
+func (t *ClassTable) sort() {
 	slices.SortFunc(t.Endpoints, func(a, b Endpoint) int { return strings.Compare(a.Server, b.Server) })
-	return t
 }
