--- /dev/null
+++ b/client/cache_test.go
@@ -0,0 +1,230 @@
+package client
+
+import (
+	"fmt"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/reconcile"
+	"cressknot/internal/service"
+	"cressknot/internal/tableversion"
+)
+
+const sec = fleet.Second
+
+func nameOf(id fleet.ServerID) (string, string) { return fmt.Sprint("s", id), fmt.Sprint("x:", id) }
+
+// ready is a change that adds a server to a class.
+func ready(class, server int, weight int16) reconcile.Change {
+	return reconcile.Change{
+		Kind:   reconcile.AddEntry,
+		Class:  fleet.ClassID(class),
+		Server: fleet.ServerID(server),
+		Weight: weight,
+		State:  reconcile.StateReady,
+	}
+}
+
+// text shows what is cached of a class.
+func (t *tableCache) text(class string) string {
+	found, _ := t.endpoints(class)
+	return fmt.Sprint(found.endpoints)
+}
+
+// firstClass shows what a controller has of its first class.
+func firstClass(view *service.View) string {
+	update := view.Since(tableversion.NoVersion)
+	return fmt.Sprint(update.Classes[0].Endpoints)
+}
+
+// cacheCheck is a cache that checks each update that it is given.
+type cacheCheck struct {
+	t           *rapid.T
+	cache       *tableCache
+	now         fleet.Time
+	sent        map[string]bool // states of the first class that some controller had
+	newestList  uint64
+	lastApplied fleet.Time
+}
+
+func (c *cacheCheck) deliver(update service.Update) {
+	before := c.cache.text("look")
+	_, versionBefore := c.cache.current()
+	verdict, reason := c.cache.update(c.now, &update)
+	after, known := c.cache.endpoints("look")
+	text := fmt.Sprint(after.endpoints)
+	_, version := c.cache.current()
+	switch verdict {
+	case updateApplied:
+		if known && len(after.endpoints) > 0 && !c.sent[text] {
+			c.t.Fatalf("caches %v, which no controller sent", text)
+		}
+		if update.ListRevision < c.newestList && c.now < c.lastApplied+olderListDelay {
+			c.t.Fatalf("goes by list %d after %d", update.ListRevision, c.newestList)
+		}
+		c.newestList = update.ListRevision
+		c.lastApplied = c.now
+	case updateHeartbeat:
+		c.newestList = update.ListRevision
+		c.lastApplied = c.now
+	case updateInvalid:
+		c.t.Fatalf("%s: %+v", reason, update)
+	default:
+		if text != before || version != versionBefore {
+			c.t.Fatalf("not applied, and %s became %s", before, text)
+		}
+	}
+}
+
+// TestCacheHoldsStatesOfControllers delivers updates of two controllers late, twice or not at all. It checks that what is
+// cached is always a complete state that some controller had, that a controller with an older list does not count while a
+// newer update is recent, and that the last complete state makes both agree.
+func TestCacheHoldsStatesOfControllers(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		classes := []string{"look", "book"}
+		names := []string{"g1", "g2"}
+		views := []*service.View{service.NewView("g1", "a", 5, classes), service.NewView("g2", "a", 9, classes)}
+		revisions := []uint64{1, 1}
+		check := &cacheCheck{t: t, cache: newTableCache(), now: 100 * sec, sent: map[string]bool{}}
+		var late []service.Update
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			controller := rapid.IntRange(0, 1).Draw(t, "controller")
+			view := views[controller]
+			switch rapid.IntRange(0, 6).Draw(t, "step") {
+			case 0, 1:
+				id := fleet.ServerID(rapid.IntRange(0, 5).Draw(t, "server"))
+				weight := int16(rapid.IntRange(0, 256).Draw(t, "weight"))
+				for _, kind := range []reconcile.ChangeKind{reconcile.AddEntry, reconcile.UpdateEntry} {
+					state := reconcile.State(rapid.IntRange(1, 3).Draw(t, "state"))
+					view.Apply([]reconcile.Change{{Kind: kind, Server: id, Weight: weight, State: state}}, nameOf)
+				}
+				check.sent[firstClass(view)] = true
+			case 2:
+				revisions[controller] += uint64(rapid.IntRange(0, 2).Draw(t, "revision"))
+				view.SetState(service.PublishedState{
+					ListRevision: revisions[controller],
+					Open:         []string{"s0", "s1", "s2", "s3", "s4", "s5"},
+				})
+			case 3:
+				check.deliver(view.Heartbeat())
+			case 4:
+				late = append(late, view.Since(check.cache.watchFrom(names[controller])))
+			case 5:
+				if len(late) > 0 {
+					check.deliver(late[rapid.IntRange(0, len(late)-1).Draw(t, "late")])
+				}
+			default:
+				check.deliver(view.Since(check.cache.watchFrom(names[controller])))
+			}
+			check.now += fleet.Time(rapid.IntRange(0, 3000).Draw(t, "ms")) * fleet.Millisecond
+		}
+		check.now += olderListDelay
+		views[0].SetState(service.PublishedState{ListRevision: revisions[0]})
+		update := views[0].Since(tableversion.NoVersion)
+		if verdict, reason := check.cache.update(check.now, &update); verdict != updateApplied {
+			t.Fatalf("the complete state is not applied: %s", reason)
+		}
+		if cached := check.cache.text("look"); update.Classes[0].Published && cached != firstClass(views[0]) {
+			t.Fatalf("caches %v of %s", cached, firstClass(views[0]))
+		}
+	})
+}
+
+// TestCacheRejectsInvalidUpdates checks that an invalid update changes nothing.
+func TestCacheRejectsInvalidUpdates(t *testing.T) {
+	view := service.NewView("g", "a", 5, []string{"look"})
+	view.Apply([]reconcile.Change{ready(0, 1, 9)}, nameOf)
+	cache := newTableCache()
+	good := view.Since(tableversion.NoVersion)
+	if verdict, reason := cache.update(sec, &good); verdict != updateApplied {
+		t.Fatal(reason)
+	}
+	otherVersion := tableversion.Version{Epoch: 4, Count: 1}
+	for name, c := range map[string]struct {
+		change func(*service.Update)
+		want   updateVerdict
+	}{
+		"a digest that is not its endpoints'": {
+			func(u *service.Update) { u.Classes[0].Digest++ }, updateInvalid,
+		},
+		"a weight over the largest": {
+			func(u *service.Update) { u.Classes[0].Endpoints[0].Weight = 300 }, updateInvalid,
+		},
+		"no address": {
+			func(u *service.Update) { u.Classes[0].Endpoints[0].Addr = "" }, updateInvalid,
+		},
+		"no class": {
+			func(u *service.Update) { u.Classes[0].Class = "" }, updateInvalid,
+		},
+		"too many endpoints": {
+			func(u *service.Update) { u.Classes[0].Endpoints = make([]service.Endpoint, maxEndpoints+1) }, updateInvalid,
+		},
+		"a change from another version": {
+			func(u *service.Update) { u.From = otherVersion }, updateOutOfSync,
+		},
+		"an older version": {
+			func(u *service.Update) { u.To = otherVersion }, updateOutdated,
+		},
+	} {
+		update := view.Since(tableversion.NoVersion)
+		c.change(&update)
+		if verdict, _ := cache.update(2*sec, &update); verdict != c.want {
+			t.Errorf("%s: verdict %d", name, verdict)
+		}
+		if found, _ := cache.endpoints("look"); len(found.endpoints) != 1 || found.endpoints[0].Weight != 9 {
+			t.Errorf("%s: caches %v", name, found.endpoints)
+		}
+	}
+}
+
+// TestCacheAppliesChanges checks that a change that does not add up changes nothing; that a class that its controller
+// publishes late replaces what was cached of another one without a complete state; and that a complete state without a
+// class ends the class.
+func TestCacheAppliesChanges(t *testing.T) {
+	view := service.NewView("g", "a", 5, []string{"look", "book"})
+	view.Apply([]reconcile.Change{ready(0, 1, 9), ready(1, 1, 9)}, nameOf)
+	cache := newTableCache()
+	cached := func() string {
+		look, _ := cache.endpoints("look")
+		book, known := cache.endpoints("book")
+		return fmt.Sprint(look.endpoints, book.endpoints, known)
+	}
+	update := func(u service.Update, want updateVerdict) {
+		t.Helper()
+		if verdict, reason := cache.update(sec, &u); verdict != want {
+			t.Errorf("%d: %s", verdict, reason)
+		}
+	}
+	expect := func(want string) {
+		t.Helper()
+		if got := cached(); got != want {
+			t.Errorf("caches %s, want %s", got, want)
+		}
+	}
+	update(view.Since(tableversion.NoVersion), updateApplied)
+	before := cached()
+	from := view.Version()
+	view.Apply([]reconcile.Change{{Kind: reconcile.UpdateEntry, Server: 1, Weight: 4}, ready(0, 2, 4)}, nameOf)
+	wrong := view.Since(from)
+	wrong.Classes[0].Digest++
+	update(wrong, updateOutOfSync)
+	expect(before)
+	update(view.Since(from), updateApplied)
+
+	next := service.NewView("g", "a", 6, []string{"look", "book"})
+	next.SetState(service.PublishedState{Open: []string{"s1"}})
+	update(next.Since(tableversion.NoVersion), updateApplied)
+	expect("[{s1 x:1 4}] [{s1 x:1 9}] true")
+
+	from = next.Version()
+	next.Apply([]reconcile.Change{ready(0, 3, 7)}, nameOf)
+	update(next.Since(from), updateApplied)
+	expect("[{s3 x:3 7}] [{s1 x:1 9}] true")
+
+	one := next.Since(tableversion.NoVersion)
+	one.Classes = one.Classes[:1]
+	update(one, updateApplied)
+	expect("[{s3 x:3 7}] [] false")
+}
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -30,10 +30,10 @@
 		fmt.Println(err)
 		return
 	}
-	err = c.Do(ctx, book, func(ctx context.Context, t client.Try) client.Result {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.Node.Addr+"/book", nil)
+	err = c.Do(ctx, book, func(ctx context.Context, t client.Attempt) client.Result {
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.Server.Addr+"/book", nil)
 		if err != nil {
-			return client.Result{Outcome: client.NeverRan, Err: err}
+			return client.Result{Outcome: client.NotExecuted, Err: err}
 		}
 		res, err := http.DefaultClient.Do(req)
 		if err != nil {
--- /dev/null
+++ b/client/reports.go
@@ -0,0 +1,138 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"time"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/service"
+)
+
+const (
+	// reportInterval is the mean time between two reports.
+	reportInterval = fleet.Second
+	// minReportFraction and reportJitter spread the reports of many clients.
+	minReportFraction = 0.9
+	reportJitter      = 0.2
+	// maxReportRows bounds the servers of a report: some 14 kB in the text protocol, whose payloads end at 16.
+	maxReportRows = 200
+	// maxPendingReports bounds the reports that wait for a controller; later outcomes are summed in the counts.
+	maxPendingReports = 16
+)
+
+// sendReports reports outcomes until the client is closed.
+func (c *Client) sendReports() {
+	defer c.done.Done()
+	for sleep(c.ctx, reportInterval.Scale(minReportFraction+reportJitter*rand.Float64())) {
+		c.mu.Lock()
+		conn := c.conn
+		if conn != nil && len(c.pending) < maxPendingReports {
+			c.collectReports()
+		}
+		pending := c.pending
+		c.mu.Unlock()
+		if conn != nil {
+			c.sendPending(conn, pending)
+		}
+	}
+}
+
+// sendPending sends reports in their order up to the first failure, after which the same report is sent again with the same
+// number.
+func (c *Client) sendPending(conn Conn, pending []*service.Report) {
+	for _, report := range pending {
+		ctx, cancel := context.WithTimeout(c.ctx, time.Duration(queryTimeout))
+		_, err := conn.Report(ctx, report)
+		cancel()
+		if err != nil && !isPermanent(err) {
+			return
+		}
+		c.mu.Lock()
+		c.pending = c.pending[1:]
+		c.mu.Unlock()
+	}
+}
+
+// isPermanent reports whether a controller will never count a report, however often it is sent.
+func isPermanent(err error) bool {
+	var answer *service.Error
+	if !errors.As(err, &answer) {
+		return false
+	}
+	switch answer.Code {
+	case service.BadRequest, service.TooLarge, service.NoServer, service.NoClass, service.NoZone:
+		return true
+	}
+	return false
+}
+
+// collectReports makes reports of what was counted. The client is locked.
+func (c *Client) collectReports() {
+	report := &service.Report{}
+	for name, server := range c.servers {
+		outcome, ok := server.takeOutcome(name)
+		if !ok {
+			continue
+		}
+		report.Outcomes = append(report.Outcomes, outcome)
+		if len(report.Outcomes) >= maxReportRows {
+			c.enqueueReport(report)
+			report = &service.Report{}
+		}
+	}
+	report.Demands = c.takeDemands()
+	if len(report.Outcomes)+len(report.Demands) > 0 {
+		c.enqueueReport(report)
+	}
+}
+
+func (c *Client) enqueueReport(report *service.Report) {
+	c.sequence++
+	report.Zone = c.config.Zone
+	report.Session = c.session
+	report.Sequence = c.sequence
+	c.pending = append(c.pending, report)
+}
+
+// takeOutcome takes the counts of a server. Successes and failures are counted after their attempt, so that those taken here
+// belong to attempts that are counted: sums stay in bounds.
+func (s *Server) takeOutcome(name string) (_ service.ServerOutcome, ok bool) {
+	if s.counts.attempts.Load() == 0 {
+		return service.ServerOutcome{}, false
+	}
+	outcome := service.ServerOutcome{
+		Server:        name,
+		Successes:     s.counts.successes.Swap(0),
+		Failures:      s.counts.failures.Swap(0),
+		SuccessMillis: s.counts.successMillis.Swap(0),
+	}
+	outcome.Attempts = outcome.Successes + outcome.Failures
+	s.counts.attempts.Add(-outcome.Attempts)
+	for i := range s.counts.loadValues.Load() {
+		outcome.Load = append(outcome.Load, s.counts.load[i].Load())
+	}
+	return outcome, outcome.Attempts > 0
+}
+
+// takeDemands takes the counts of requests by class.
+func (c *Client) takeDemands() []service.ClassDemand {
+	classes := c.classes.Load()
+	if classes == nil {
+		return nil
+	}
+	var demands []service.ClassDemand
+	counts := *c.demand.Load()
+	for i, class := range *classes {
+		requests := counts[i].requests.Load()
+		if requests == 0 {
+			continue
+		}
+		unanswered := min(counts[i].unanswered.Load(), requests)
+		counts[i].requests.Add(-requests)
+		counts[i].unanswered.Add(-unanswered)
+		demands = append(demands, service.ClassDemand{Class: class.Name, Requests: requests, Unanswered: unanswered})
+	}
+	return demands
+}
--- a/client/suite_test.go
+++ b/client/suite_test.go
@@ -198,19 +198,19 @@
 	p.t.Helper()
 	for end := time.Now().Add(waitMost); ; time.Sleep(5 * time.Millisecond) {
 		a, b := p.of[0].State(), p.of[1].State()
-		if good(p.of[0]) && good(p.of[1]) && a.Governor == b.Governor && a.Version == b.Version && a.Up == b.Up && a.Newer == b.Newer &&
-			reflect.DeepEqual(p.of[0].Lines("look"), p.of[1].Lines("look")) {
+		if good(p.of[0]) && good(p.of[1]) && a.Controller == b.Controller && a.Version == b.Version && a.Connected == b.Connected && a.NewerProtocol == b.NewerProtocol &&
+			reflect.DeepEqual(p.of[0].Endpoints("look"), p.of[1].Endpoints("look")) {
 			return
 		}
 		if time.Now().After(end) {
-			p.t.Fatalf("%s: they don't agree:\n%+v %v\n%+v %v", what, a, p.of[0].Lines("look"), b, p.of[1].Lines("look"))
+			p.t.Fatalf("%s: they don't agree:\n%+v %v\n%+v %v", what, a, p.of[0].Endpoints("look"), b, p.of[1].Endpoints("look"))
 		}
 	}
 }
 
 func weights(c *client.Client) string {
 	out := ""
-	for _, l := range c.Lines("issue") {
+	for _, l := range c.Endpoints("issue") {
 		out += fmt.Sprintf("%s=%d ", l.Server, l.Weight)
 	}
 	return out
@@ -248,7 +248,7 @@
 			t.Errorf("%s: %+v and %+v", what, got[0], got[1])
 		}
 	}
-	up := func(c *client.Client) bool { return c.State().Up }
+	up := func(c *client.Client) bool { return c.State().Connected }
 	shows := func(want string) func(*client.Client) bool {
 		return func(c *client.Client) bool { return up(c) && weights(c) == want }
 	}
@@ -317,7 +317,7 @@
 		r.Cut()
 	}
 	g.open(6, 0, 2)
-	p.agree("what was held stands, less what is not open", func(c *client.Client) bool { return shows("s0=16 s2=32 ")(c) && c.State().Newer })
+	p.agree("what was held stands, less what is not open", func(c *client.Client) bool { return shows("s0=16 s2=32 ")(c) && c.State().NewerProtocol })
 	g.open(7, 5)
 	p.agree("nobody open: nobody is left without", shows("s0=16 s1=128 s2=32 "))
 	g.lay(reconcile.AddEntry, reconcile.StateReady, 100, 5, 6)
@@ -332,8 +332,8 @@
 			if n == 150 {
 				p.relays[i].Cut()
 			}
-			err := c.Do(ctx, 2, func(context.Context, client.Try) client.Result {
-				return client.Result{Outcome: []client.Outcome{client.Good, client.Good, client.Failed}[n%3], Load: []uint32{500}}
+			err := c.Do(ctx, 2, func(context.Context, client.Attempt) client.Result {
+				return client.Result{Outcome: []client.Outcome{client.Success, client.Success, client.Failed}[n%3], Load: []uint32{500}}
 			})
 			if (err == nil) != (n%3 < 2) {
 				t.Fatalf("visit %d: %v", n, err)
@@ -366,7 +366,7 @@
 	one.lay(reconcile.AddEntry, reconcile.StateReady, 100, 0)
 	p := newPair(t, one)
 	defer p.close()
-	p.agree("follows", func(c *client.Client) bool { return c.State().ListRev == 10 })
+	p.agree("follows", func(c *client.Client) bool { return c.State().ListRevision == 10 })
 	other.open(9, 0, 1)
 	other.lay(reconcile.AddEntry, reconcile.StateReady, 100, 0, 1)
 	for i, r := range p.relays {
@@ -375,11 +375,11 @@
 	}
 	p.agree("behind", func(c *client.Client) bool {
 		s := c.State()
-		return s.Governor == "g1" && s.Why != nil && len(c.Lines("look")) == 1
+		return s.Controller == "g1" && s.Err != nil && len(c.Endpoints("look")) == 1
 	})
 	other.open(10, 0, 1)
 	other.lay(reconcile.UpdateEntry, reconcile.StateUnchanged, 50, 1)
-	p.agree("caught up", func(c *client.Client) bool { return c.State().Governor == "g2" && len(c.Lines("look")) == 2 })
+	p.agree("caught up", func(c *client.Client) bool { return c.State().Controller == "g2" && len(c.Endpoints("look")) == 2 })
 }
 
 // TestMalformed: what makes no sense ends the connection that it came on and no other; a fault names the byte in the text protocol.
@@ -431,5 +431,5 @@
 		cancel()
 	}
 	g.lay(reconcile.UpdateEntry, reconcile.StateUnchanged, 50, 0)
-	p.agree("others go on", func(c *client.Client) bool { return c.State().Up && weights(c) == "s0=50 " })
+	p.agree("others go on", func(c *client.Client) bool { return c.State().Connected && weights(c) == "s0=50 " })
 }
--- /dev/null
+++ b/client/watch.go
@@ -0,0 +1,235 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"cressknot/internal/fleet"
+	"cressknot/internal/service"
+)
+
+// watchTimeout without an update ends a watch: three heartbeats are missing.
+const watchTimeout = 3 * fleet.Second
+
+// errOutdated ends the watch of a controller that knows less than another one has sent.
+var errOutdated = errors.New("behind")
+
+// asServiceError converts any error.
+func asServiceError(err error) *service.Error {
+	var answer *service.Error
+	if errors.As(err, &answer) {
+		return answer
+	}
+	return &service.Error{Code: service.Unreachable, Text: err.Error()}
+}
+
+// watch watches one controller after the other until the client is closed.
+func (c *Client) watch() {
+	defer c.done.Done()
+	for {
+		controller, wait := c.picker.pick(c.config.Clock())
+		if !sleep(c.ctx, wait) {
+			return
+		}
+		err := c.watchController(controller)
+		if c.ctx.Err() != nil {
+			return
+		}
+		now := c.config.Clock()
+		reason := asServiceError(err)
+		if errors.Is(err, errOutdated) {
+			c.picker.outdated(now, controller)
+		} else {
+			c.picker.failed(now, controller, reason)
+		}
+		c.mu.Lock()
+		c.disconnectReason = reason
+		c.mu.Unlock()
+	}
+}
+
+// watchController watches one controller until the watch ends, and returns why.
+func (c *Client) watchController(controller int) error {
+	dialCtx, cancel := context.WithTimeout(c.ctx, time.Duration(dialTimeout))
+	defer cancel()
+	conn, err := c.transport.Dial(dialCtx, c.config.Governors[controller], c.config.Name)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = conn.Close() }()
+	hello, err := c.greet(dialCtx, conn)
+	if err != nil {
+		return err
+	}
+	c.updateClasses(hello.Classes)
+	c.mu.Lock()
+	from := c.cache.watchFrom(hello.Name)
+	c.conn = conn
+	c.controller = hello.Name
+	c.mu.Unlock()
+	applied := false
+	defer func() {
+		c.mu.Lock()
+		c.conn = nil
+		c.mu.Unlock()
+		if applied {
+			c.config.OnWatch(false, hello.Name)
+		}
+	}()
+	ctx, stop := context.WithCancelCause(c.ctx)
+	defer stop(nil)
+	timeout := time.AfterFunc(time.Duration(watchTimeout), func() {
+		reason := fmt.Sprintf("governor %s is silent", hello.Name)
+		stop(&service.Error{Code: service.Unreachable, Text: reason})
+	})
+	defer timeout.Stop()
+	err = conn.Watch(ctx, c.config.Zone, from, func(u *service.Update) error {
+		timeout.Reset(time.Duration(watchTimeout))
+		if err := c.applyUpdate(u); err != nil {
+			return err
+		}
+		if !applied {
+			applied = true
+			c.picker.serving(controller)
+			c.config.OnWatch(true, hello.Name)
+		}
+		return nil
+	})
+	if cause := context.Cause(ctx); cause != nil && c.ctx.Err() == nil {
+		return cause
+	}
+	return err
+}
+
+// greet exchanges introductions and checks that the controller serves the zone.
+func (c *Client) greet(ctx context.Context, conn Conn) (service.Hello, error) {
+	own := service.Hello{Major: service.Major, Minor: service.Minor, Name: c.config.Name}
+	hello, err := conn.Greet(ctx, own)
+	if err != nil {
+		return service.Hello{}, err
+	}
+	if hello.Major != service.Major {
+		reason := fmt.Sprintf("governor %s speaks version %d.%d", hello.Name, hello.Major, hello.Minor)
+		return service.Hello{}, &service.Error{Code: service.OtherMajor, Text: reason}
+	}
+	if !slices.Contains(hello.Zones, c.config.Zone) {
+		reason := fmt.Sprintf("governor %s does not serve zone %q", hello.Name, c.config.Zone)
+		return service.Hello{}, &service.Error{Code: service.NoZone, Text: reason}
+	}
+	return hello, nil
+}
+
+// updateClasses takes over the controller's classes. Known ones keep their positions, which callers pick by.
+func (c *Client) updateClasses(received []fleet.RequestClass) {
+	var classes []fleet.RequestClass
+	if known := c.classes.Load(); known != nil {
+		classes = slices.Clone(*known)
+	}
+	for _, class := range received {
+		position := slices.IndexFunc(classes, func(known fleet.RequestClass) bool { return known.Name == class.Name })
+		if position >= 0 {
+			classes[position] = class
+		} else {
+			classes = append(classes, class)
+		}
+	}
+	c.extendDemand(len(classes))
+	c.classes.Store(&classes)
+}
+
+// extendDemand makes room for the counts of more classes.
+func (c *Client) extendDemand(classes int) {
+	known := c.demand.Load()
+	if known != nil && len(*known) == classes {
+		return
+	}
+	demand := make([]demandCounts, classes)
+	if known != nil {
+		for i := range *known {
+			demand[i].requests.Add((*known)[i].requests.Load())
+			demand[i].unanswered.Add((*known)[i].unanswered.Load())
+		}
+	}
+	c.demand.Store(&demand)
+}
+
+// applyUpdate applies an update, and builds a new routing table if it changed anything.
+func (c *Client) applyUpdate(u *service.Update) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.config.Clock()
+	verdict, reason := c.cache.update(now, u)
+	switch verdict {
+	case updateApplied, updateHeartbeat:
+		c.lastUpdate.Store(int64(now))
+	case updateOutOfSync:
+		c.cache.requestComplete()
+		return &service.Error{Code: service.Malformed, Text: reason}
+	case updateOutdated:
+		return fmt.Errorf("%w: %s", errOutdated, reason)
+	default:
+		return &service.Error{Code: service.Malformed, Text: reason}
+	}
+	if verdict == updateHeartbeat {
+		return nil
+	}
+	endpoints := 0
+	for _, class := range u.Classes {
+		endpoints += len(class.Endpoints)
+	}
+	c.buildTable()
+	c.config.OnTable(u.To, endpoints)
+	return nil
+}
+
+// buildTable builds the routing table from the cache. The first table without endpoints is not used.
+func (c *Client) buildTable() {
+	table := &routingTable{}
+	used := map[*Server]bool{}
+	hasEndpoints := false
+	resolve := func(name, addr string) *Server {
+		server := c.resolveServer(name, addr)
+		used[server] = true
+		return server
+	}
+	for _, class := range *c.classes.Load() {
+		found, known := c.cache.endpoints(class.Name)
+		if !known {
+			table.classes = append(table.classes, classTable{})
+			continue
+		}
+		hasEndpoints = hasEndpoints || len(found.endpoints) > 0
+		table.classes = append(table.classes, newClassTable(found, resolve))
+	}
+	for name, server := range c.servers {
+		if !used[server] && server.counts.attempts.Load() == 0 {
+			delete(c.servers, name)
+		}
+	}
+	if !hasEndpoints && c.table.Load() == nil {
+		return
+	}
+	c.table.Store(table)
+	select {
+	case <-c.ready:
+	default:
+		close(c.ready)
+	}
+}
+
+// resolveServer returns the server of a name, a new one if its address has changed; its counts continue under the name.
+func (c *Client) resolveServer(name, addr string) *Server {
+	known := c.servers[name]
+	if known != nil && known.Addr == addr {
+		return known
+	}
+	server := &Server{Name: name, Addr: addr}
+	if known != nil {
+		moveCounts(&known.counts, &server.counts)
+	}
+	c.servers[name] = server
+	return server
+}
--- a/internal/service/hub_test.go
+++ b/internal/service/hub_test.go
@@ -25,6 +25,7 @@
 	return fmt.Sprint("s", id), fmt.Sprint("x:", id)
 }
 
+// testHub is a hub with one zone whose time the test sets.
 type testHub struct {
 	hub      *Hub
 	now      fleet.Time
--- a/internal/testing/scenario/library.go
+++ b/internal/testing/scenario/library.go
@@ -52,7 +52,7 @@
 		p.watch.Owner(l.name, g.name)
 		cfg := client.Config{Name: l.name, Zone: l.zone, Governors: []string{[]string{g.rpc, g.text}[i%2]}, Seed: p.Day.Seed + uint64(i), Hedge: true,
 			OnTable: func(_ tableversion.Version, lines int) { p.watch.Message(l.name, lines) },
-			OnStream: func(up bool, _ string) {
+			OnWatch: func(up bool, _ string) {
 				at := int64(time.Since(p.started))
 				if up {
 					p.watch.Joined(l.name)
@@ -82,7 +82,7 @@
 	defer p.background.Done()
 	for sleep(ctx, 2*lookEvery) {
 		for _, c := range p.Day.Classes {
-			p.watch.Lines(l.name, c.Name, len(l.client.Lines(c.Name)) > 0)
+			p.watch.Lines(l.name, c.Name, len(l.client.Endpoints(c.Name)) > 0)
 		}
 	}
 }
@@ -118,15 +118,15 @@
 		return
 	}
 	began := time.Now()
-	err = l.client.Do(context.WithoutCancel(ctx), at, func(ctx context.Context, t client.Try) client.Result {
-		p.watch.Sent(l.name, t.Node.Name, c.Name, id, t.N, t.MayHaveRun)
-		good, neverRan, load, err := fakes.SendVisit(ctx, &l.http, t.Node.Addr, l.name, c.Name, id)
+	err = l.client.Do(context.WithoutCancel(ctx), at, func(ctx context.Context, t client.Attempt) client.Result {
+		p.watch.Sent(l.name, t.Server.Name, c.Name, id, t.Number, t.MayHaveRun)
+		good, neverRan, load, err := fakes.SendVisit(ctx, &l.http, t.Server.Addr, l.name, c.Name, id)
 		r := client.Result{Outcome: client.Failed, Err: err}
 		switch {
 		case good:
-			r.Outcome = client.Good
+			r.Outcome = client.Success
 		case neverRan:
-			r.Outcome = client.NeverRan
+			r.Outcome = client.NotExecuted
 		}
 		for _, f := range strings.Split(load, ",") {
 			if v, err := strconv.ParseUint(f, 10, 32); err == nil {
@@ -137,7 +137,7 @@
 	})
 	status := http.StatusOK
 	switch {
-	case errors.Is(err, client.ErrRefused):
+	case errors.Is(err, client.ErrRejected):
 		status = http.StatusTooManyRequests
 	case err != nil:
 		status = http.StatusBadGateway
@@ -148,8 +148,8 @@
 // leave ends the programs.
 func (p *play) leave() {
 	for _, l := range p.libraries {
-		visits, tries, denied := l.client.Counts()
-		p.report.Libraries = append(p.report.Libraries, LibraryRow{l.name, l.over, visits, tries, denied, l.follows.Load(), time.Duration(l.without.Load()).Seconds()})
+		counts := l.client.Counts()
+		p.report.Libraries = append(p.report.Libraries, LibraryRow{l.name, l.over, counts.Requests, counts.Attempts, counts.DeniedRetries, l.follows.Load(), time.Duration(l.without.Load()).Seconds()})
 		_ = l.client.Close()
 		l.http.CloseIdleConnections()
 	}
