--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -20,26 +20,26 @@
 	"cressknot/internal/tableversion"
 )
 
-// bench starts a governor of 700 servers in three classes.
-func bench(b *testing.B) *governor {
-	g := start(&testing.T{}, "g1", 100, 0)
+// startBenchController starts a governor of 700 servers in three classes.
+func startBenchController(b *testing.B) *testController {
+	g := startController(&testing.T{}, "g1", 100, 0)
 	b.Cleanup(g.stop)
 	all := make([]int, 700)
 	for i := range all {
 		all[i] = i
 	}
-	g.open(1, all...)
-	g.lay(reconcile.AddEntry, reconcile.StateReady, 128, all...)
+	g.setOpen(1, all...)
+	g.publish(reconcile.AddEntry, reconcile.StateReady, 128, all...)
 	return g
 }
 
-// BenchmarkFanOut changes 20 servers in three classes while 5,000 watchers follow, who run on the same cores; an op lasts until the last
-// of them has taken the change in.
+// BenchmarkFanOut changes 20 servers in three classes while 5,000 watchers follow, who run on the same cores; an op
+// lasts until the last of them has taken the change in.
 func BenchmarkFanOut(b *testing.B) {
 	const watchers = 5000
 	for i, via := range transports {
 		b.Run(via.name, func(b *testing.B) {
-			g := bench(b)
+			g := startBenchController(b)
 			ctx, cancel := context.WithCancel(context.Background())
 			var done sync.WaitGroup
 			var got atomic.Int64
@@ -70,7 +70,7 @@
 							}
 							return nil
 						}); ctx.Err() == nil {
-							if is, _ := code(err); is != service.Overloaded {
+							if is, _ := errorCode(err); is != service.Overloaded {
 								b.Error(err)
 								return
 							}
@@ -91,7 +91,7 @@
 				for k := range servers {
 					servers[k] = (n*20 + k) % 700
 				}
-				g.lay(reconcile.UpdateEntry, reconcile.StateUnchanged, int16(n%250+1), servers...)
+				g.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, int16(n%250+1), servers...)
 				select {
 				case <-reached:
 				case <-time.After(20 * time.Second):
@@ -114,14 +114,25 @@
 	var all []reconcile.Change
 	for c := range 3 {
 		for s := range 700 {
-			all = append(all, reconcile.Change{Kind: reconcile.AddEntry, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 128, State: reconcile.StateReady})
+			all = append(all, reconcile.Change{
+				Kind:   reconcile.AddEntry,
+				Class:  fleet.ClassID(c),
+				Server: fleet.ServerID(s),
+				Weight: 128,
+				State:  reconcile.StateReady,
+			})
 		}
 	}
 	v.Apply(all, names{1000}.Of)
 	from := v.Version()
 	for c := range 3 {
 		for s := range 20 {
-			v.Apply([]reconcile.Change{{Kind: reconcile.UpdateEntry, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 64}}, names{1000}.Of)
+			v.Apply(
+				[]reconcile.Change{
+					{Kind: reconcile.UpdateEntry, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 64},
+				},
+				names{1000}.Of,
+			)
 		}
 	}
 	for name, u := range map[string]service.Update{"change": v.Since(from), "whole": v.Since(tableversion.NoVersion)} {
@@ -138,7 +149,7 @@
 func BenchmarkRequests(b *testing.B) {
 	for i, via := range transports {
 		b.Run(via.name, func(b *testing.B) {
-			g := bench(b)
+			g := startBenchController(b)
 			var conns []client.Conn
 			for k := range 16 {
 				conn, err := via.via.Dial(context.Background(), g.addrs[i], fmt.Sprint("c", k))
--- a/client/cache.go
+++ b/client/cache.go
@@ -26,7 +26,7 @@
 const (
 	updateApplied   updateVerdict = iota
 	updateHeartbeat               // nothing has changed
-	updateOutOfSync               // it does not continue the cached version, or does not add up: ask for the complete state
+	updateOutOfSync               // it does not continue the cached version: ask for the complete state
 	updateOutdated                // the controller knows less than another one has sent: ask another one
 	updateInvalid
 )
@@ -54,8 +54,8 @@
 	return sum
 }
 
-// tableCache is the cached state of a zone: it applies updates completely or not at all, and never goes back to an older
-// endpoint list. It does no I/O and reads no clock.
+// tableCache is the cached state of a zone: it applies updates completely or not at all, and never goes back to an
+// older endpoint list. It does no I/O and reads no clock.
 type tableCache struct {
 	classes          map[string]*cachedClass
 	openServers      map[string]bool // nil: all servers are open
@@ -137,7 +137,12 @@
 		return fmt.Sprintf("governor %s told version %s before %s", u.Controller, last, u.To)
 	}
 	if u.ListRevision < t.revision {
-		return fmt.Sprintf("governor %s goes by list %d, list %d was told before", u.Controller, u.ListRevision, t.revision)
+		return fmt.Sprintf(
+			"governor %s goes by list %d, list %d was told before",
+			u.Controller,
+			u.ListRevision,
+			t.revision,
+		)
 	}
 	return ""
 }
@@ -152,14 +157,19 @@
 }
 
 // applyClass returns a class as an update leaves it. The cached one is not changed.
-func (t *tableCache) applyClass(i int, table *service.ClassTable, complete bool) (*cachedClass, updateVerdict, string) {
+func (t *tableCache) applyClass(
+	i int,
+	table *service.ClassTable,
+	complete bool,
+) (*cachedClass, updateVerdict, string) {
 	if table.Class == "" || len(table.Endpoints) > maxEndpoints || table.Retry > fleet.RetryTwice {
 		reason := fmt.Sprintf("classes[%d]: %d lines, retry mode %d", i, len(table.Endpoints), table.Retry)
 		return nil, updateInvalid, reason
 	}
 	class := t.classes[table.Class]
 	switch {
-	case class == nil, table.Published && (complete || !class.published): // what is cached came from another controller
+	case class == nil,
+		table.Published && (complete || !class.published): // what is cached came from another controller
 		class = &cachedClass{endpoints: map[string]service.Endpoint{}}
 	default:
 		class = class.clone()
@@ -226,8 +236,8 @@
 	retry          fleet.RetryMode
 }
 
-// endpoints returns what a class's requests may use, and whether the class is known. Of a class that the controller has not
-// published that is the cached table without servers that are not open, unless none would be left.
+// endpoints returns what a class's requests may use, and whether the class is known. Of a class that the controller
+// has not published that is the cached table without servers that are not open, unless none would be left.
 func (t *tableCache) endpoints(name string) (_ classEndpoints, known bool) {
 	class := t.classes[name]
 	if class == nil {
--- a/client/cache_test.go
+++ b/client/cache_test.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestCacheHoldsStatesOfControllers delivers updates of two controllers late, twice or not at all. It checks that what is
-// cached is always a complete state that some controller had, that a controller with an older list does not count while a
-// newer update is recent, and that the last complete state makes both agree.
+// TestCacheHoldsStatesOfControllers delivers updates of two controllers late, twice or not at all. It checks that
+// what is cached is always a complete state that some controller had, that a controller with an older list does not
+// count while a newer update is recent, and that the last complete state makes both agree.
 func TestCacheHoldsStatesOfControllers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := []string{"look", "book"}
--- a/client/client.go
+++ b/client/client.go
@@ -1,8 +1,8 @@
-// Package client lets a program send its requests by the tables of cressknot's controllers, as a plain proxy does: it watches a
-// zone's tables, picks a server by weight for each request, ejects servers that fail, retries only where no effect can happen
-// twice and a budget allows it, and reports outcomes. It watches one controller at a time out of several, never goes back to
-// an older endpoint list, and continues with the last valid table while no controller answers. Packages rpc and runtime
-// connect it over the two published protocols; the answers are the same.
+// Package client lets a program send its requests by the tables of cressknot's controllers, as a plain proxy does: it
+// watches a zone's tables, picks a server by weight for each request, ejects servers that fail, retries only where no
+// effect can happen twice and a budget allows it, and reports outcomes. It watches one controller at a time out of
+// several, never goes back to an older endpoint list, and continues with the last valid table while no controller
+// answers. Packages rpc and runtime connect it over the two published protocols; the answers are the same.
 package client
 
 import (
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -10,10 +10,15 @@
 	"cressknot/client/rpc"
 )
 
-// A program that books slots: it follows its zone's tables over gRPC (package runtime does the same over the text protocol) and lets the
-// library choose servers, try again where that is safe, and report.
+// A program that books slots: it follows its zone's tables over gRPC (package runtime does the same over the text
+// protocol) and lets the library choose servers, try again where that is safe, and report.
 func Example() {
-	c, err := rpc.New(client.Config{Name: "desk-7", Zone: "howrah", Governors: []string{"127.0.0.1:9001", "127.0.0.1:9002"}, Staleness: 10 * time.Minute})
+	c, err := rpc.New(client.Config{
+		Name:      "desk-7",
+		Zone:      "howrah",
+		Governors: []string{"127.0.0.1:9001", "127.0.0.1:9002"},
+		Staleness: 10 * time.Minute,
+	})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -20,8 +20,8 @@
 
 var update = flag.Bool("update", false, "write the golden files of this version, and those of one to come")
 
-// forms are what both wires carry, with how each is written and read. Read gives what the other wire must give, too.
-var forms = []struct {
+// messages are what both protocols carry, with how each is written and read.
+var messages = []struct {
 	name  string
 	value any
 	proto func(any) proto.Message
@@ -30,51 +30,161 @@
 	of    func(proto.Message) any
 	read  func([]byte) (any, error)
 }{
-	{"update", service.Update{Controller: "g-1", ListRevision: 7, Live: true, Zone: "a", From: tableversion.Version{Epoch: 3, Count: 4}, To: tableversion.Version{Epoch: 3, Count: 6}, RestrictsToOpen: true, OpenServers: []string{"s1", "s 2"},
-		Classes: []service.ClassTable{{Class: "look", Published: true, AdmissionLimit: -1, Retry: fleet.RetryIfNotExecuted, Digest: 0xfeed, Endpoints: []service.Endpoint{{Server: "s1", Addr: "x:1", Weight: 256}, {Server: "s2"}}}, {Class: "book", AdmissionLimit: 500}}},
-		func(v any) proto.Message { u := v.(service.Update); return overrpc.UpdateToProto(&u) }, func(v any) []byte { u := v.(service.Update); return text.FormatUpdate(&u) },
-		func() proto.Message { return &pb.Update{} }, func(m proto.Message) any { return overrpc.UpdateFromProto(m.(*pb.Update)) }, func(b []byte) (any, error) { return text.ParseUpdate(b) }},
-	{"hello", service.Hello{Major: 1, Name: "g-1", Epoch: 9, Zones: []string{"a", "b"}, Classes: []fleet.RequestClass{{Name: "look", Idempotency: fleet.IdempotentWithKey, DeduplicationScope: fleet.DeduplicationZone, DeduplicationWindow: 5, LatencyObjective: 6, Deadline: 7}}},
-		func(v any) proto.Message { return overrpc.HelloToProto(v.(service.Hello)) }, func(v any) []byte { return text.FormatHello(v.(service.Hello)) },
-		func() proto.Message { return &pb.Hello{} }, func(m proto.Message) any { return overrpc.HelloFromProto(m.(*pb.Hello)) }, func(b []byte) (any, error) { return text.ParseHello(b) }},
-	{"server", service.ServerState{Name: "s1", Addr: "x:1", Zone: "a", State: "ready", SlowStartRemaining: 5, Withdrawn: true, Verdict: "mute", Weights: []service.ClassWeight{{Zone: "a", Class: "look", Weight: 9}}, Reasons: []string{"because; a = b"}},
-		func(v any) proto.Message { return overrpc.ServerStateToProto(v.(service.ServerState)) }, func(v any) []byte { return text.FormatServerState(v.(service.ServerState)) },
-		func() proto.Message { return &pb.ServerState{} }, func(m proto.Message) any { return overrpc.ServerStateFromProto(m.(*pb.ServerState)) }, func(b []byte) (any, error) { return text.ParseServerState(b) }},
-	{"history", service.History{Versions: []service.VersionRow{{Version: tableversion.Version{Epoch: 3, Count: 4}, Digest: 5, CreatedAt: -6, Entries: 7, Reason: "set by hand"}}},
-		func(v any) proto.Message { return overrpc.HistoryToProto(v.(service.History)) }, func(v any) []byte { return text.FormatHistory(v.(service.History)) },
-		func() proto.Message { return &pb.HistoryReply{} }, func(m proto.Message) any { return overrpc.HistoryFromProto(m.(*pb.HistoryReply)) }, func(b []byte) (any, error) { return text.ParseHistory(b) }},
-	{"summary", service.Summary{Controller: "g", Program: "1 2", Epoch: 3, ListRevision: 4, ListAge: 5, Live: true, Servers: 6, Ready: 5, WarmingUp: 4, Withdrawn: 3, ProxiesUp: 2, ProxiesAll: 1, Watchers: 9},
-		func(v any) proto.Message { return overrpc.SummaryToProto(v.(service.Summary)) }, func(v any) []byte { return text.FormatSummary(v.(service.Summary)) },
-		func() proto.Message { return &pb.SummaryReply{} }, func(m proto.Message) any { return overrpc.SummaryFromProto(m.(*pb.SummaryReply)) }, func(b []byte) (any, error) { return text.ParseSummary(b) }},
+	{
+		"update",
+		service.Update{
+			Controller:      "g-1",
+			ListRevision:    7,
+			Live:            true,
+			Zone:            "a",
+			From:            tableversion.Version{Epoch: 3, Count: 4},
+			To:              tableversion.Version{Epoch: 3, Count: 6},
+			RestrictsToOpen: true,
+			OpenServers:     []string{"s1", "s 2"},
+			Classes: []service.ClassTable{
+				{
+					Class:          "look",
+					Published:      true,
+					AdmissionLimit: -1,
+					Retry:          fleet.RetryIfNotExecuted,
+					Digest:         0xfeed,
+					Endpoints:      []service.Endpoint{{Server: "s1", Addr: "x:1", Weight: 256}, {Server: "s2"}},
+				},
+				{Class: "book", AdmissionLimit: 500},
+			},
+		},
+		func(v any) proto.Message { u := v.(service.Update); return overrpc.UpdateToProto(&u) },
+		func(v any) []byte { u := v.(service.Update); return text.FormatUpdate(&u) },
+		func() proto.Message { return &pb.Update{} },
+		func(m proto.Message) any { return overrpc.UpdateFromProto(m.(*pb.Update)) },
+		func(b []byte) (any, error) { return text.ParseUpdate(b) },
+	},
+	{
+		"hello",
+		service.Hello{
+			Major: 1,
+			Name:  "g-1",
+			Epoch: 9,
+			Zones: []string{"a", "b"},
+			Classes: []fleet.RequestClass{
+				{
+					Name:                "look",
+					Idempotency:         fleet.IdempotentWithKey,
+					DeduplicationScope:  fleet.DeduplicationZone,
+					DeduplicationWindow: 5,
+					LatencyObjective:    6,
+					Deadline:            7,
+				},
+			},
+		},
+		func(v any) proto.Message { return overrpc.HelloToProto(v.(service.Hello)) },
+		func(v any) []byte { return text.FormatHello(v.(service.Hello)) },
+		func() proto.Message { return &pb.Hello{} },
+		func(m proto.Message) any { return overrpc.HelloFromProto(m.(*pb.Hello)) },
+		func(b []byte) (any, error) { return text.ParseHello(b) },
+	},
+	{
+		"server",
+		service.ServerState{
+			Name:               "s1",
+			Addr:               "x:1",
+			Zone:               "a",
+			State:              "ready",
+			SlowStartRemaining: 5,
+			Withdrawn:          true,
+			Verdict:            "mute",
+			Weights:            []service.ClassWeight{{Zone: "a", Class: "look", Weight: 9}},
+			Reasons:            []string{"because; a = b"},
+		},
+		func(v any) proto.Message { return overrpc.ServerStateToProto(v.(service.ServerState)) },
+		func(v any) []byte { return text.FormatServerState(v.(service.ServerState)) },
+		func() proto.Message { return &pb.ServerState{} },
+		func(m proto.Message) any { return overrpc.ServerStateFromProto(m.(*pb.ServerState)) },
+		func(b []byte) (any, error) { return text.ParseServerState(b) },
+	},
+	{
+		"history",
+		service.History{
+			Versions: []service.VersionRow{
+				{
+					Version:   tableversion.Version{Epoch: 3, Count: 4},
+					Digest:    5,
+					CreatedAt: -6,
+					Entries:   7,
+					Reason:    "set by hand",
+				},
+			},
+		},
+		func(v any) proto.Message { return overrpc.HistoryToProto(v.(service.History)) },
+		func(v any) []byte { return text.FormatHistory(v.(service.History)) },
+		func() proto.Message { return &pb.HistoryReply{} },
+		func(m proto.Message) any { return overrpc.HistoryFromProto(m.(*pb.HistoryReply)) },
+		func(b []byte) (any, error) { return text.ParseHistory(b) },
+	},
+	{
+		"summary",
+		service.Summary{
+			Controller:   "g",
+			Program:      "1 2",
+			Epoch:        3,
+			ListRevision: 4,
+			ListAge:      5,
+			Live:         true,
+			Servers:      6,
+			Ready:        5,
+			WarmingUp:    4,
+			Withdrawn:    3,
+			ProxiesUp:    2,
+			ProxiesAll:   1,
+			Watchers:     9,
+		},
+		func(v any) proto.Message { return overrpc.SummaryToProto(v.(service.Summary)) },
+		func(v any) []byte { return text.FormatSummary(v.(service.Summary)) },
+		func() proto.Message { return &pb.SummaryReply{} },
+		func(m proto.Message) any { return overrpc.SummaryFromProto(m.(*pb.SummaryReply)) },
+		func(b []byte) (any, error) { return text.ParseSummary(b) },
+	},
 }
 
-// newer writes an answer as a minor version to come might: with a field, a key and a row that nobody here knows.
-func newer(p, plain []byte) ([]byte, []byte) {
+// withUnknownParts writes an answer as a minor version to come might: with a field, a key and a row that nobody here
+// knows.
+func withUnknownParts(p, plain []byte) ([]byte, []byte) {
 	p = protowire.AppendTag(p, 1000, protowire.BytesType)
 	p = protowire.AppendString(p, "to come")
 	return p, append(append([]byte(nil), plain...), "shade server=s1 of=0.5\n"...)
 }
 
-// TestEveryVersionIsRead reads the bytes of each version that was ever written, and of one to come: both wires give the same, the parts that
-// are known.
-func TestEveryVersionIsRead(t *testing.T) {
-	for _, f := range forms {
+// writeGoldenFiles writes a message as this version does, and as one to come might.
+func writeGoldenFiles(t *testing.T, name string, message proto.Message, plain []byte) {
+	t.Helper()
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	writeGoldenFile(t, "1.0", name+".pb", encoded)
+	writeGoldenFile(t, "1.0", name+".txt", plain)
+	newerEncoded, newerPlain := withUnknownParts(encoded, plain)
+	writeGoldenFile(t, "1.9", name+".pb", newerEncoded)
+	writeGoldenFile(t, "1.9", name+".txt", newerPlain)
+}
+
+func writeGoldenFile(t *testing.T, version, name string, content []byte) {
+	t.Helper()
+	folder := filepath.Join("testdata", "golden", version)
+	if err := os.MkdirAll(folder, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(folder, name), content, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestGoldenFilesOfEveryVersionParse reads messages of each version that was ever written, and of one to come: both
+// protocols give the same, the parts that are known.
+func TestGoldenFilesOfEveryVersionParse(t *testing.T) {
+	for _, f := range messages {
 		if *update {
-			p, err := proto.MarshalOptions{Deterministic: true}.Marshal(f.proto(f.value))
-			if err != nil {
-				t.Fatal(err)
-			}
-			plain := f.plain(f.value)
-			p9, plain9 := newer(p, plain)
-			for name, b := range map[string][]byte{"1.0/" + f.name + ".pb": p, "1.0/" + f.name + ".txt": plain, "1.9/" + f.name + ".pb": p9, "1.9/" + f.name + ".txt": plain9} {
-				path := filepath.Join("testdata", "golden", name)
-				if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-					t.Fatal(err)
-				}
-				if err := os.WriteFile(path, b, 0o644); err != nil {
-					t.Fatal(err)
-				}
-			}
+			writeGoldenFiles(t, f.name, f.proto(f.value), f.plain(f.value))
 		}
 		files, _ := filepath.Glob("testdata/golden/*/" + f.name + ".pb")
 		if len(files) < 2 {
@@ -102,9 +212,10 @@
 	}
 }
 
-// FuzzAnswers: whatever bytes come, a reader gives an answer or an error, and what it gives can be written and read again.
+// FuzzAnswers: whatever bytes come, a reader gives an answer or an error, and what it gives can be written and read
+// again.
 func FuzzAnswers(f *testing.F) {
-	for _, one := range forms {
+	for _, one := range messages {
 		f.Add(one.plain(one.value))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/client/reports.go
+++ b/client/reports.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// sendPending sends reports in their order up to the first failure, after which the same report is sent again with the same
-// number.
+// sendPending sends reports in their order up to the first failure, after which the same report is sent again with
+// the same number.
 func (c *Client) sendPending(conn Conn, pending []*service.Report) {
 	for _, report := range pending {
 		ctx, cancel := context.WithTimeout(c.ctx, time.Duration(queryTimeout))
@@ -96,8 +96,8 @@
 	c.pending = append(c.pending, report)
 }
 
-// takeOutcome takes the counts of a server. Successes and failures are counted after their attempt, so that those taken here
-// belong to attempts that are counted: sums stay in bounds.
+// takeOutcome takes the counts of a server. Successes and failures are counted after their attempt, so that those
+// taken here belong to attempts that are counted: sums stay in bounds.
 func (s *Server) takeOutcome(name string) (_ service.ServerOutcome, ok bool) {
 	if s.counts.attempts.Load() == 0 {
 		return service.ServerOutcome{}, false
--- a/client/request.go
+++ b/client/request.go
@@ -33,10 +33,10 @@
 // SendFunc sends one attempt. It must stop when its context ends.
 type SendFunc = func(context.Context, Attempt) Result
 
-// Do sends one request of a class: it picks a server, lets send attempt it, and retries where that is safe, the controller
-// allows it and the retry budget suffices. It returns when an attempt succeeds, when none may follow, or at once when the
-// context ends. No effect happens twice through it: what may have been executed is not sent again unless the class allows
-// repetitions.
+// Do sends one request of a class: it picks a server, lets send attempt it, and retries where that is safe, the
+// controller allows it and the retry budget suffices. It returns when an attempt succeeds, when none may follow, or
+// at once when the context ends. No effect happens twice through it: what may have been executed is not sent again
+// unless the class allows repetitions.
 func (c *Client) Do(ctx context.Context, class int, send SendFunc) error {
 	table, err := c.lookup(class)
 	if err != nil {
@@ -154,8 +154,8 @@
 	}()
 }
 
-// attemptFinished handles the end of an attempt and starts a retry where one may follow. Ended reports that the request is
-// answered, by err.
+// attemptFinished handles the end of an attempt and starts a retry where one may follow. Ended reports that the
+// request is answered, by err.
 func (r *requestRun) attemptFinished(ctx context.Context, attempt finishedAttempt) (ended bool, err error) {
 	r.inFlight--
 	outcome := attempt.result.Outcome
--- a/client/request_test.go
+++ b/client/request_test.go
@@ -12,8 +12,8 @@
 	"cressknot/internal/service"
 )
 
-// newTestClient makes a client with a fixed table and without controllers. Its servers s0, s1, … have the given weights in
-// an idempotent and in another class.
+// newTestClient makes a client with a fixed table and without controllers. Its servers s0, s1, … have the given
+// weights in an idempotent and in another class.
 func newTestClient(t testing.TB, mode fleet.RetryMode, unbounded bool, weights ...int) *Client {
 	t.Helper()
 	var now atomic.Int64
@@ -44,8 +44,8 @@
 	return c
 }
 
-// TestRequestEndsWithItsContext checks that a request whose context ends returns at once though an attempt is in flight, and
-// that it is not sent again whatever the attempt's outcome.
+// TestRequestEndsWithItsContext checks that a request whose context ends returns at once though an attempt is in
+// flight, and that it is not sent again whatever the attempt's outcome.
 func TestRequestEndsWithItsContext(t *testing.T) {
 	c := newTestClient(t, fleet.RetryTwice, false, 1, 1)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/client/retry.go
+++ b/client/retry.go
@@ -74,8 +74,8 @@
 }
 
 // retry reports whether the request may be retried now, and where. No effect happens twice: a request that is not
-// idempotent is retried only while no attempt may have been executed; one with an idempotency key within its window, counted
-// from the first attempt that may have been executed, where servers recognize the repetition.
+// idempotent is retried only while no attempt may have been executed; one with an idempotency key within its window,
+// counted from the first attempt that may have been executed, where servers recognize the repetition.
 func (r *requestState) retry(now fleet.Time, last Outcome) (target retryTarget, allowed bool) {
 	if last == Success || !r.modeAllowsRetry(last) {
 		return otherServer, false
--- a/client/retry_test.go
+++ b/client/retry_test.go
@@ -7,9 +7,9 @@
 	"cressknot/internal/fleet"
 )
 
-// TestNoEffectHappensTwice goes through classes, retry modes and outcomes of up to three attempts: after one that may have
-// been executed a request that is not idempotent is never retried, one with an idempotency key only within its window and
-// where servers recognize it; nothing goes past the controller's mode.
+// TestNoEffectHappensTwice goes through classes, retry modes and outcomes of up to three attempts: after one that may
+// have been executed a request that is not idempotent is never retried, one with an idempotency key only within its
+// window and where servers recognize it; nothing goes past the controller's mode.
 func TestNoEffectHappensTwice(t *testing.T) {
 	const outcomesOfThreeAttempts = 27
 	classes := []fleet.RequestClass{
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestRetryBudgetBoundsRetries lets half of the servers fail everything. With the budget clients send at most a fifth more
-// attempts than there are requests; without it over a half more.
+// TestRetryBudgetBoundsRetries lets half of the servers fail everything. With the budget clients send at most a fifth
+// more attempts than there are requests; without it over a half more.
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	bounded := attemptsPerRequest(t, false)
 	unbounded := attemptsPerRequest(t, true)
--- a/client/rpc/rpc.go
+++ b/client/rpc/rpc.go
@@ -1,4 +1,4 @@
-// Package rpc connects the client library to governors over gRPC.
+// Package rpc connects the client library to controllers over gRPC.
 package rpc
 
 import (
@@ -17,100 +17,137 @@
 	"cressknot/internal/tableversion"
 )
 
-// New makes a client whose governors are asked over gRPC at host:port.
+// New makes a client whose controllers are asked over gRPC at host:port.
 func New(cfg client.Config) (*client.Client, error) { return client.New(cfg, Transport{}) }
 
 // Transport connects over gRPC.
 type Transport struct {
-	Options []grpc.DialOption // beside ours: credentials, say
+	Options []grpc.DialOption // beside the built-in ones, for example credentials
 }
 
 var _ client.Transport = Transport{}
 
+// conn is a connection to one controller.
 type conn struct {
-	grpc   *grpc.ClientConn
-	to     pb.GovernorClient
-	caller string
+	grpc     *grpc.ClientConn
+	governor pb.GovernorClient
+	caller   string
 }
 
-// Dial makes ready to ask; the connection itself is made by the first question.
+// Dial prepares a connection; it is made by the first query.
 func (t Transport) Dial(_ context.Context, addr, caller string) (client.Conn, error) {
-	options := append([]grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials()),
+	options := []grpc.DialOption{
+		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(service.MaxAnswerSize)),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: service.PingInterval, Timeout: service.PingTimeout}), grpc.WithNoProxy()}, t.Options...)
-	c, err := grpc.NewClient("passthrough:///"+addr, options...)
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{
+			Time:    service.PingInterval,
+			Timeout: service.PingTimeout,
+		}),
+		grpc.WithNoProxy(),
+	}
+	options = append(options, t.Options...)
+	grpcConn, err := grpc.NewClient("passthrough:///"+addr, options...)
 	if err != nil {
 		return nil, &service.Error{Code: service.Unreachable, Text: err.Error()}
 	}
-	return &conn{c, pb.NewGovernorClient(c), caller}, nil
+	return &conn{grpc: grpcConn, governor: pb.NewGovernorClient(grpcConn), caller: caller}, nil
 }
 
+// Close closes the connection.
 func (c *conn) Close() error { return c.grpc.Close() }
 
-// got gives an answer or its fault.
-func got[P, T any](p P, err error, of func(P) T) (v T, fault error) {
-	if f := rpc.ErrorFromStatus(err); f != nil {
-		return v, f
+// convert returns a converted answer or its error.
+func convert[P, T any](answer P, err error, fromProto func(P) T) (T, error) {
+	if failed := rpc.ErrorFromStatus(err); failed != nil {
+		var none T
+		return none, failed
 	}
-	return of(p), nil
+	return fromProto(answer), nil
 }
 
+// Greet exchanges introductions.
 func (c *conn) Greet(ctx context.Context, h service.Hello) (service.Hello, error) {
-	p, err := c.to.Greet(ctx, rpc.HelloToProto(h))
-	return got(p, err, rpc.HelloFromProto)
+	hello, err := c.governor.Greet(ctx, rpc.HelloToProto(h))
+	return convert(hello, err, rpc.HelloFromProto)
 }
 
+// Table returns the complete state of a zone.
 func (c *conn) Table(ctx context.Context, zone string) (service.Update, error) {
-	p, err := c.to.Table(ctx, &pb.TableRequest{Zone: zone, Caller: c.caller})
-	return got(p, err, rpc.UpdateFromProto)
+	update, err := c.governor.Table(ctx, &pb.TableRequest{Zone: zone, Caller: c.caller})
+	return convert(update, err, rpc.UpdateFromProto)
 }
 
+// Report sends a batch of outcomes.
 func (c *conn) Report(ctx context.Context, r *service.Report) (uint64, error) {
-	q := rpc.ReportToProto(r)
-	q.Caller = c.caller
-	p, err := c.to.Report(ctx, q)
-	return got(p, err, (*pb.ReportReply).GetSeq)
+	request := rpc.ReportToProto(r)
+	request.Caller = c.caller
+	counted, err := c.governor.Report(ctx, request)
+	return convert(counted, err, (*pb.ReportReply).GetSeq)
 }
 
+// Server returns the state of a server.
 func (c *conn) Server(ctx context.Context, name string) (service.ServerState, error) {
-	p, err := c.to.Server(ctx, &pb.ServerRequest{Caller: c.caller, Name: name})
-	return got(p, err, rpc.ServerStateFromProto)
+	state, err := c.governor.Server(ctx, &pb.ServerRequest{Caller: c.caller, Name: name})
+	return convert(state, err, rpc.ServerStateFromProto)
 }
 
-func (c *conn) History(ctx context.Context, zone, class string, most int) (service.History, error) {
-	p, err := c.to.History(ctx, &pb.HistoryRequest{Caller: c.caller, Zone: zone, Class: class, Most: uint32(max(0, most))})
-	return got(p, err, rpc.HistoryFromProto)
+// History returns the newest versions of a class's table.
+func (c *conn) History(ctx context.Context, zone, class string, maxVersions int) (service.History, error) {
+	history, err := c.governor.History(ctx, &pb.HistoryRequest{
+		Caller: c.caller,
+		Zone:   zone,
+		Class:  class,
+		Most:   uint32(max(0, maxVersions)),
+	})
+	return convert(history, err, rpc.HistoryFromProto)
 }
 
+// Summary returns the state of the fleet.
 func (c *conn) Summary(ctx context.Context) (service.Summary, error) {
-	p, err := c.to.Summary(ctx, &pb.SummaryRequest{Caller: c.caller})
-	return got(p, err, rpc.SummaryFromProto)
+	summary, err := c.governor.Summary(ctx, &pb.SummaryRequest{Caller: c.caller})
+	return convert(summary, err, rpc.SummaryFromProto)
 }
 
-func (c *conn) Watch(ctx context.Context, zone string, holds tableversion.Version, take func(*service.Update) error) error {
+// Watch passes each update to apply and acknowledges it.
+func (c *conn) Watch(
+	ctx context.Context,
+	zone string,
+	from tableversion.Version,
+	apply func(*service.Update) error,
+) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stream, err := c.to.Watch(ctx)
+	stream, err := c.governor.Watch(ctx)
 	if err != nil {
 		return rpc.ErrorFromStatus(err)
 	}
-	if err := stream.Send(&pb.WatchRequest{Zone: zone, Caller: c.caller, Holds: rpc.VersionToProto(holds)}); err != nil && !errors.Is(err, io.EOF) {
-		return rpc.ErrorFromStatus(err)
+	request := &pb.WatchRequest{Zone: zone, Caller: c.caller, Holds: rpc.VersionToProto(from)}
+	if err := send(stream, request); err != nil {
+		return err
 	}
 	for {
-		p, err := stream.Recv()
+		received, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
 			return &service.Error{Code: service.Closing, Text: "the governor ended the watch"}
 		}
 		if err != nil {
 			return rpc.ErrorFromStatus(err)
 		}
-		u := rpc.UpdateFromProto(p)
-		if err := take(&u); err != nil {
+		update := rpc.UpdateFromProto(received)
+		if err := apply(&update); err != nil {
 			return err
 		}
-		if err := stream.Send(&pb.WatchRequest{Holds: rpc.VersionToProto(u.To)}); err != nil && !errors.Is(err, io.EOF) { // what broke it comes by Recv
-			return rpc.ErrorFromStatus(err)
+		if err := send(stream, &pb.WatchRequest{Holds: rpc.VersionToProto(update.To)}); err != nil {
+			return err
 		}
 	}
 }
+
+// send sends a request of a watch. A stream that has ended is no error here: the reason comes by Recv.
+func send(stream grpc.BidiStreamingClient[pb.WatchRequest, pb.Update], request *pb.WatchRequest) error {
+	err := stream.Send(request)
+	if err == nil || errors.Is(err, io.EOF) {
+		return nil
+	}
+	return rpc.ErrorFromStatus(err)
+}
