--- a/cmd/faultdrill/main.go
+++ b/cmd/faultdrill/main.go
@@ -1,5 +1,5 @@
-// Drill plays a scripted bad day: stand-in nodes, proxies, callers and list service on loopback, real governors as
-// processes of their own, and the five rules judged from what passed on the sockets.
+// Command faultdrill plays fault scenarios: simulated nodes, proxies, callers and list service on loopback, real
+// controllers as processes of their own, and the invariants judged from what passed on the sockets.
 package main
 
 import (
@@ -7,6 +7,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"os/exec"
 	"os/signal"
@@ -18,95 +19,143 @@
 	"cressknot/internal/testing/scenario"
 )
 
-var errBroken = errors.New("a rule broke")
+// defaultScenario is played if none is named.
+const defaultScenario = "default"
+
+var errInvariantBroken = errors.New("a rule broke")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	if err := command().ExecuteContext(ctx); err != nil {
+	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "drill:", err)
 		os.Exit(1)
 	}
 }
 
-func command() *cobra.Command {
-	var asJSON, quiet, records, noGuard bool
-	var keep, front string
-	var nodes, proxies, governors int
-	var visits float64
+// flags are the flags of the root command.
+type flags struct {
+	json        bool
+	quiet       bool
+	records     bool
+	noGuard     bool
+	keep        string
+	transport   string
+	nodes       int
+	proxies     int
+	controllers int
+	requestRate float64
+}
+
+func rootCommand() *cobra.Command {
+	var f flags
 	c := &cobra.Command{
 		Use:   "drill [DAY]",
 		Short: "Play a scripted bad day through real governors and judge the rules",
 		Long: `Play a day: one that the program holds (` + strings.Join(scenario.Days(), ", ") + `) or a day file.
 Stand-ins and governors run on loopback only and end with the day. Exit code 1 when a rule broke.`,
-		Args: cobra.MaximumNArgs(1), SilenceErrors: true, SilenceUsage: true,
+		Args:          cobra.MaximumNArgs(1),
+		SilenceErrors: true,
+		SilenceUsage:  true,
 		RunE: func(c *cobra.Command, args []string) error {
-			name := "default"
+			name := defaultScenario
 			if len(args) > 0 {
 				name = args[0]
 			}
-			day, err := scenario.Load(name)
-			if err != nil {
-				return err
-			}
-			for _, set := range []struct {
-				to   *int
-				from int
-			}{{&day.Nodes, nodes}, {&day.Proxies, proxies}, {&day.Governors, governors}} {
-				if set.from > 0 {
-					*set.to = set.from
-				}
-			}
-			if visits > 0 {
-				day.Visits = visits
-			}
-			if front != "" {
-				day.Front = front
-			}
-			day.Guard = day.Guard && !noGuard
-			self, err := os.Executable()
-			if err != nil {
-				return err
-			}
-			o := scenario.Options{Day: day, Keep: keep, Records: records,
-				Launch: func(config string) *exec.Cmd { return exec.Command(self, "governor", config) }}
-			if !quiet {
-				o.Progress = os.Stderr
-			}
-			r, err := scenario.Play(c.Context(), o)
-			if !quiet {
-				fmt.Fprintln(os.Stderr)
-			}
-			if err != nil {
-				return err
-			}
-			if asJSON {
-				enc := json.NewEncoder(c.OutOrStdout())
-				enc.SetIndent("", " ")
-				if err := enc.Encode(r); err != nil {
-					return err
-				}
-			} else {
-				r.Print(c.OutOrStdout())
-			}
-			if !r.Kept() {
-				return errBroken
-			}
-			return nil
+			return f.play(c.Context(), c.OutOrStdout(), name)
 		},
 	}
-	f := c.Flags()
-	f.BoolVar(&asJSON, "json", false, "print the report as JSON")
-	f.BoolVarP(&quiet, "quiet", "q", false, "no progress line")
-	f.BoolVar(&records, "records", false, "let governors record events and orders, for replay")
-	f.BoolVar(&noGuard, "no-guard", false, "governors go without their guard, to see what it keeps away")
-	f.StringVar(&keep, "keep", "", "folder that keeps settings, logs and records")
-	f.StringVar(&front, "front", "", "runtime or files, in place of the day's")
-	f.IntVar(&nodes, "nodes", 0, "nodes, in place of the day's")
-	f.IntVar(&proxies, "proxies", 0, "proxies, in place of the day's")
-	f.IntVar(&governors, "governors", 0, "governors, in place of the day's")
-	f.Float64Var(&visits, "visits", 0, "visits a second, in place of the day's")
-	c.AddCommand(&cobra.Command{Use: "governor CONFIG", Hidden: true, Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, a []string) error { return server.RunController(a[0]) }})
+	f.register(c)
+	c.AddCommand(controllerCommand())
 	return c
 }
+
+// controllerCommand runs a controller; the program starts itself with it.
+func controllerCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:    "governor CONFIG",
+		Hidden: true,
+		Args:   cobra.ExactArgs(1),
+		RunE:   func(_ *cobra.Command, args []string) error { return server.RunController(args[0]) },
+	}
+}
+
+func (f *flags) register(c *cobra.Command) {
+	set := c.Flags()
+	set.BoolVar(&f.json, "json", false, "print the report as JSON")
+	set.BoolVarP(&f.quiet, "quiet", "q", false, "no progress line")
+	set.BoolVar(&f.records, "records", false, "let governors record events and orders, for replay")
+	set.BoolVar(&f.noGuard, "no-guard", false, "governors go without their guard, to see what it keeps away")
+	set.StringVar(&f.keep, "keep", "", "folder that keeps settings, logs and records")
+	set.StringVar(&f.transport, "front", "", "runtime or files, in place of the day's")
+	set.IntVar(&f.nodes, "nodes", 0, "nodes, in place of the day's")
+	set.IntVar(&f.proxies, "proxies", 0, "proxies, in place of the day's")
+	set.IntVar(&f.controllers, "governors", 0, "governors, in place of the day's")
+	set.Float64Var(&f.requestRate, "visits", 0, "visits a second, in place of the day's")
+}
+
+// play plays a scenario and prints its report.
+func (f *flags) play(ctx context.Context, out io.Writer, name string) error {
+	day, err := scenario.Load(name)
+	if err != nil {
+		return err
+	}
+	f.override(day)
+	self, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	options := scenario.Options{
+		Day:     day,
+		Keep:    f.keep,
+		Records: f.records,
+		Launch:  func(config string) *exec.Cmd { return exec.Command(self, "governor", config) },
+	}
+	if !f.quiet {
+		options.Progress = os.Stderr
+	}
+	report, err := scenario.Play(ctx, options)
+	if !f.quiet {
+		fmt.Fprintln(os.Stderr)
+	}
+	if err != nil {
+		return err
+	}
+	if err := f.print(out, report); err != nil {
+		return err
+	}
+	if !report.Kept() {
+		return errInvariantBroken
+	}
+	return nil
+}
+
+// override replaces settings of the scenario by those of the flags.
+func (f *flags) override(day *scenario.Day) {
+	if f.nodes > 0 {
+		day.Nodes = f.nodes
+	}
+	if f.proxies > 0 {
+		day.Proxies = f.proxies
+	}
+	if f.controllers > 0 {
+		day.Governors = f.controllers
+	}
+	if f.requestRate > 0 {
+		day.Visits = f.requestRate
+	}
+	if f.transport != "" {
+		day.Front = f.transport
+	}
+	day.Guard = day.Guard && !f.noGuard
+}
+
+func (f *flags) print(out io.Writer, report *scenario.Report) error {
+	if !f.json {
+		report.Print(out)
+		return nil
+	}
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", " ")
+	return encoder.Encode(report)
+}
