--- a/client/suite_test.go
+++ b/client/suite_test.go
@@ -401,7 +401,7 @@
 	g.stop()
 	g = startController(t, "g1", 200, 7)
 	for i, r := range p.relays {
-		r.To(g.addrs[i])
+		r.SetTarget(g.addrs[i])
 		r.Cut()
 	}
 	g.setOpen(6, 0, 2)
@@ -466,7 +466,7 @@
 	other.setOpen(9, 0, 1)
 	other.publish(reconcile.AddEntry, reconcile.StateReady, 100, 0, 1)
 	for i, r := range p.relays {
-		r.To(other.addrs[i])
+		r.SetTarget(other.addrs[i])
 		r.Cut()
 	}
 	p.eventuallyAgree("outdated", func(c *client.Client) bool {
--- a/internal/testing/fakes/files.go
+++ b/internal/testing/fakes/files.go
@@ -15,83 +15,106 @@
 	"github.com/fsnotify/fsnotify"
 
 	"cressknot/internal/haproxyapi"
+	"cressknot/internal/transport"
 	"cressknot/internal/transport/files"
 )
 
-// filesState is what a proxy on the files front keeps besides its tables.
+const (
+	folderMode = 0o755
+	// countersInterval is the time between two writes of the counters.
+	countersInterval = time.Second
+	// trackedTableName is the table's name in the file of what is counted of servers.
+	trackedTableName = "nodes"
+)
+
+// Health states of endpoints in the tables' file, by admin state and back.
+var (
+	healthByAdmin = map[uint64]string{
+		0:                     "HEALTHY",
+		haproxyapi.AdminDrain: "DRAINING",
+		haproxyapi.AdminMaint: "UNHEALTHY",
+	}
+	adminByHealth = map[string]uint64{"DRAINING": haproxyapi.AdminDrain, "UNHEALTHY": haproxyapi.AdminMaint}
+)
+
+// filesState is the state of a proxy that reads files, beside its tables.
 type filesState struct {
-	stop chan struct{}
-	done sync.WaitGroup
-	ack  files.Ack
-	mute bool // never acknowledges
+	stop   chan struct{}
+	done   sync.WaitGroup
+	ack    files.Ack
+	silent bool // never acknowledges
 }
 
 // Mute lets it acknowledge nothing, or again.
 func (p *Proxy) Mute(mute bool) {
 	p.mu.Lock()
-	p.files.mute = mute
-	p.mu.Unlock()
+	defer p.mu.Unlock()
+	p.files.silent = mute
 }
 
-// follow goes by the files of its folder until Down.
-func (p *Proxy) follow() error {
-	if err := os.MkdirAll(p.Folder, 0o755); err != nil {
+// followFolder uses the files of its folder until Down. Files of before its start are not read.
+func (p *Proxy) followFolder() error {
+	if err := os.MkdirAll(p.Folder, folderMode); err != nil {
 		return fmt.Errorf("proxy %s: %w", p.Name, err)
 	}
-	w, err := fsnotify.NewWatcher()
+	watcher, err := fsnotify.NewWatcher()
 	if err == nil {
-		err = w.Add(p.Folder)
+		err = watcher.Add(p.Folder)
 	}
 	if err != nil {
 		return fmt.Errorf("proxy %s: %w", p.Name, err)
 	}
-	p.mu.Lock()
 	stop := make(chan struct{})
+	p.mu.Lock()
 	p.files.stop = stop
 	p.files.ack = files.Ack{Proxy: p.Name, Started: strconv.FormatInt(p.started.UnixNano(), 10)}
 	p.mu.Unlock()
-	p.acknowledge() // its standing tables: files of before its start are not read
+	p.acknowledge()
 	p.watch.Joined(p.Name)
 	p.files.done.Add(1)
 	go func() {
 		defer p.files.done.Done()
-		defer func() { _ = w.Close() }()
-		tick := time.NewTicker(time.Second)
-		defer tick.Stop()
-		for {
-			select {
-			case <-stop:
-				return
-			case e := <-w.Events:
-				switch filepath.Base(e.Name) {
-				case files.TablesFile:
-					p.readTables()
-				case files.AdmissionFile:
-					p.readLevels()
-				}
-			case <-tick.C:
-				p.writeCounters()
-			}
-		}
+		defer func() { _ = watcher.Close() }()
+		p.handleFiles(watcher, stop)
 	}()
 	return nil
 }
 
-func (p *Proxy) unfollow() {
+func (p *Proxy) handleFiles(watcher *fsnotify.Watcher, stop <-chan struct{}) {
+	tick := time.NewTicker(countersInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-stop:
+			return
+		case event := <-watcher.Events:
+			switch filepath.Base(event.Name) {
+			case files.TablesFile:
+				p.readTables()
+			case files.AdmissionFile:
+				p.readAdmissions()
+			}
+		case <-tick.C:
+			p.writeCounters()
+		}
+	}
+}
+
+func (p *Proxy) unfollowFolder() {
 	close(p.files.stop)
 	p.files.done.Wait()
 	p.watch.Parted(p.Name)
 }
 
-// readTables takes a new tables' file whole, or keeps what it holds and tells why.
+// readTables applies a new tables' file completely, or keeps its tables and acknowledges the error.
 func (p *Proxy) readTables() {
 	text, err := os.ReadFile(filepath.Join(p.Folder, files.TablesFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
-	var t files.Tables
+	var tables files.Tables
 	if err == nil {
-		t, err = files.DecodeTables(text)
+		tables, err = files.DecodeTables(text)
 	}
 	p.mu.Lock()
 	if err != nil {
@@ -100,53 +123,58 @@
 		p.acknowledge()
 		return
 	}
-	if t.Version == p.files.ack.Tables && p.files.ack.Error == "" {
+	if tables.Version == p.files.ack.Tables && p.files.ack.Error == "" {
 		p.mu.Unlock()
 		return
 	}
-	touched := map[string]bool{}
-	for backend, ends := range t.Backends {
-		if _, known := p.totals[backend]; !known {
-			continue
-		}
-		named := map[string]files.Endpoint{}
-		for _, e := range ends {
-			named[e.Name] = e
-		}
-		p.backends[backend] = slices.DeleteFunc(p.backends[backend], func(l *line) bool {
-			_, stays := named[l.name]
-			touched[l.name] = touched[l.name] || !stays
-			return !stays
-		})
-		for _, e := range ends {
-			admin := map[string]uint64{"DRAINING": haproxyapi.AdminDrain, "UNHEALTHY": haproxyapi.AdminMaint}[e.Health]
-			l, _ := p.find(backend + "/" + e.Name)
-			if l == nil {
-				p.add(backend, e.Name, e.Addr, e.Weight, admin)
-				touched[e.Name] = true
-			} else if l.weight != e.Weight || l.admin != admin || l.addr != e.Addr {
-				l.weight, l.admin, l.addr = e.Weight, admin, e.Addr
-				touched[e.Name] = true
-			}
-		}
-	}
-	p.files.ack.Tables, p.files.ack.Error = t.Version, ""
-	lines := 0
-	for _, is := range touched {
-		if is {
-			lines++
+	changed := map[string]bool{}
+	for backend, endpoints := range tables.Backends {
+		if _, known := p.totals[backend]; known {
+			p.replaceBackend(backend, endpoints, changed)
 		}
 	}
-	p.stall = time.Now().Add(time.Duration(lines) * p.LineDelay)
-	slow := p.slowRead
-	p.look()
+	p.files.ack.Tables = tables.Version
+	p.files.ack.Error = ""
+	p.stalledUntil = time.Now().Add(time.Duration(len(changed)) * p.EntryDelay)
+	delay := p.readDelay
+	p.observeUsable()
 	p.mu.Unlock()
-	p.watch.Message(p.Name, lines)
-	time.Sleep(slow)
+	p.watch.Message(p.Name, len(changed))
+	time.Sleep(delay)
 	p.acknowledge()
 }
 
-func (p *Proxy) readLevels() {
+// replaceBackend gives a backend the endpoints of a file, and adds the servers that change.
+func (p *Proxy) replaceBackend(backend string, endpoints []files.Endpoint, changed map[string]bool) {
+	named := map[string]bool{}
+	for _, endpoint := range endpoints {
+		named[endpoint.Name] = true
+	}
+	p.backends[backend] = slices.DeleteFunc(p.backends[backend], func(entry *proxyEntry) bool {
+		if !named[entry.name] {
+			changed[entry.name] = true
+		}
+		return !named[entry.name]
+	})
+	for _, endpoint := range endpoints {
+		admin := adminByHealth[endpoint.Health]
+		entry, _ := p.find(backend + "/" + endpoint.Name)
+		switch {
+		case entry == nil:
+			p.add(backend, endpoint.Name, endpoint.Addr, endpoint.Weight, admin)
+		case entry.weight != endpoint.Weight || entry.admin != admin || entry.addr != endpoint.Addr:
+			entry.weight = endpoint.Weight
+			entry.admin = admin
+			entry.addr = endpoint.Addr
+		default:
+			continue
+		}
+		changed[endpoint.Name] = true
+	}
+}
+
+// readAdmissions applies a new file of admission limits.
+func (p *Proxy) readAdmissions() {
 	text, err := os.ReadFile(filepath.Join(p.Folder, files.AdmissionFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return
@@ -159,54 +187,64 @@
 	if err != nil {
 		p.files.ack.Error = err.Error()
 	} else {
-		p.files.ack.Admissions, p.files.ack.Error = admissions.Version, ""
-		for k, v := range admissions.Values {
-			p.levels[k] = strconv.Itoa(v)
+		p.files.ack.Admissions = admissions.Version
+		p.files.ack.Error = ""
+		for key, value := range admissions.Values {
+			p.mapEntries[key] = strconv.Itoa(value)
 		}
 		for class, stamp := range admissions.Stamps {
-			p.levels[class+".version"] = stamp
+			p.mapEntries[class+transport.VersionKey] = stamp
 		}
 	}
 	p.mu.Unlock()
 	p.acknowledge()
 }
 
-// acknowledge tells what it holds.
+// acknowledge writes its present tables and which versions it uses.
 func (p *Proxy) acknowledge() {
 	p.mu.Lock()
-	ack, mute := p.files.ack, p.files.mute
-	held := files.Tables{Version: ack.Tables, Backends: map[string][]files.Endpoint{}}
-	for _, c := range p.Classes {
-		ends := []files.Endpoint{}
-		for _, l := range p.backends[c.Backend] {
-			if _, _, err := net.SplitHostPort(l.addr); err == nil && l.weight > 0 {
-				health := map[uint64]string{0: "HEALTHY", haproxyapi.AdminDrain: "DRAINING", haproxyapi.AdminMaint: "UNHEALTHY"}[l.admin]
-				ends = append(ends, files.Endpoint{Name: l.name, Addr: l.addr, Health: health, Weight: l.weight})
-			}
-		}
-		held.Backends[c.Backend] = ends
-	}
+	ack := p.files.ack
+	silent := p.files.silent
+	tables := p.currentTables()
 	p.mu.Unlock()
-	if mute {
+	if silent {
 		return
 	}
-	if text, err := files.EncodeTables(held); err == nil {
+	if text, err := files.EncodeTables(tables); err == nil {
 		_ = files.ReplaceFile(filepath.Join(p.Folder, files.CurrentTablesFile), text)
 	}
-	_ = files.ReplaceFile(filepath.Join(p.Folder, files.AckFile), fmt.Appendf(nil, `{"proxy": %q, "started": %q, "tables": %q, "levels": %q, "error": %q}`+"\n",
-		ack.Proxy, ack.Started, ack.Tables, ack.Admissions, ack.Error))
+	const form = `{"proxy": %q, "started": %q, "tables": %q, "levels": %q, "error": %q}` + "\n"
+	text := fmt.Appendf(nil, form, ack.Proxy, ack.Started, ack.Tables, ack.Admissions, ack.Error)
+	_ = files.ReplaceFile(filepath.Join(p.Folder, files.AckFile), text)
+}
+
+// currentTables returns the entries that the tables' file can hold.
+func (p *Proxy) currentTables() files.Tables {
+	tables := files.Tables{Version: p.files.ack.Tables, Backends: map[string][]files.Endpoint{}}
+	for _, class := range p.Classes {
+		endpoints := []files.Endpoint{}
+		for _, entry := range p.backends[class.Backend] {
+			if _, _, err := net.SplitHostPort(entry.addr); err != nil || entry.weight <= 0 {
+				continue
+			}
+			endpoints = append(endpoints, files.Endpoint{
+				Name:   entry.name,
+				Addr:   entry.addr,
+				Health: healthByAdmin[entry.admin],
+				Weight: entry.weight,
+			})
+		}
+		tables.Backends[class.Backend] = endpoints
+	}
+	return tables
 }
 
 // writeCounters writes what it counted.
 func (p *Proxy) writeCounters() {
 	p.mu.Lock()
-	stat := p.shown("stat", p.stat())
-	nodes := fmt.Appendf(nil, "# table: nodes, type: string, size:10240, used:%d\n", len(p.tracks))
-	for i, name := range p.tracks {
-		nodes = haproxyapi.AppendTracked(nodes, i+1, p.tracked[name])
-	}
-	nodes = p.shown("table", nodes)
+	stat := p.delayedOutput("stat", p.stat())
+	tracked := p.delayedOutput("table", p.trackedTable(trackedTableName))
 	p.mu.Unlock()
-	_ = files.ReplaceFile(filepath.Join(p.Folder, files.ServersFile), nodes)
+	_ = files.ReplaceFile(filepath.Join(p.Folder, files.ServersFile), tracked)
 	_ = files.ReplaceFile(filepath.Join(p.Folder, files.StatFile), stat)
 }
--- a/internal/testing/fakes/lister.go
+++ b/internal/testing/fakes/lister.go
@@ -1,6 +1,7 @@
 package fakes
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"net"
@@ -14,7 +15,13 @@
 	"cressknot/internal/testing/invariants"
 )
 
-// Entry is a server as the list service has it, in the form that package list reads.
+// States of listed servers.
+const (
+	stateReady = "ready"
+	stateGone  = "gone"
+)
+
+// Entry is a server as the list service has it, in the form that package discovery reads.
 type Entry struct {
 	Name    string    `json:"name"`
 	Addr    string    `json:"addr"`
@@ -24,184 +31,214 @@
 	Started time.Time `json:"started,omitzero"`
 }
 
+// listAnswer is an answer of the list service.
+type listAnswer struct {
+	Revision uint64  `json:"rev"`
+	Changes  bool    `json:"changes"`
+	Servers  []Entry `json:"servers"`
+}
+
 // Lister is the list service: GET /list?governor=G&rev=N&wait=S.
 type Lister struct {
-	URL     string
-	watch   *invariants.Watch
-	mu      sync.Mutex
-	rev     uint64
-	entries map[string]Entry
-	changed map[string]uint64 // revision of an entry's last change; gone ones too
-	since   chan struct{}     // closed at the next change
+	URL    string
+	watch  *invariants.Watch
+	server *http.Server
+
+	mu         sync.Mutex
+	revision   uint64
+	entries    map[string]Entry
+	changed    map[string]uint64 // revision of an entry's last change; of entries that are gone, too
+	nextChange chan struct{}     // closed at the next change
+
 	down    bool
-	dark    map[string]bool // governors that it fails
-	late    time.Duration   // changes are told so much later
-	server  *http.Server
-	asked   int
-	deaf    bool
+	outages map[string]bool // by controller
+	delay   time.Duration   // of changes
+	frozen  bool
 }
 
 // NewLister starts the service.
 func NewLister(watch *invariants.Watch) (*Lister, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
 		return nil, fmt.Errorf("list service: %w", err)
 	}
-	s := &Lister{URL: "http://" + l.Addr().String() + "/list", watch: watch, entries: map[string]Entry{},
-		changed: map[string]uint64{}, since: make(chan struct{})}
+	s := &Lister{
+		URL:        "http://" + listener.Addr().String() + "/list",
+		watch:      watch,
+		entries:    map[string]Entry{},
+		changed:    map[string]uint64{},
+		outages:    map[string]bool{},
+		nextChange: make(chan struct{}),
+	}
 	s.server = &http.Server{Handler: http.HandlerFunc(s.serve)}
-	go func() { _ = s.server.Serve(l) }()
+	go func() { _ = s.server.Serve(listener) }()
 	return s, nil
 }
 
-// Put lists servers anew, after the service's own delay.
+// Close ends the service.
+func (s *Lister) Close() { _ = s.server.Close() }
+
+// Put changes servers in the list, after the service's delay.
 func (s *Lister) Put(entries ...Entry) {
 	s.mu.Lock()
-	late := s.late
+	delay := s.delay
 	s.mu.Unlock()
-	put := func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.rev++
-		for _, e := range entries {
-			s.changed[e.Name] = s.rev
-			if e.State == "gone" {
-				delete(s.entries, e.Name)
-			} else {
-				s.entries[e.Name] = e
-			}
-		}
-		close(s.since)
-		s.since = make(chan struct{})
+	if delay == 0 {
+		s.apply(entries)
+		return
 	}
-	if late == 0 {
-		put()
-	} else {
-		time.AfterFunc(late, put)
+	time.AfterFunc(delay, func() { s.apply(entries) })
+}
+
+func (s *Lister) apply(entries []Entry) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.revision++
+	for _, entry := range entries {
+		s.changed[entry.Name] = s.revision
+		if entry.State == stateGone {
+			delete(s.entries, entry.Name)
+		} else {
+			s.entries[entry.Name] = entry
+		}
 	}
+	s.wakePolls()
+}
+
+// wakePolls lets waiting polls look again. The service is locked.
+func (s *Lister) wakePolls() {
+	close(s.nextChange)
+	s.nextChange = make(chan struct{})
 }
 
-// State tells how a server is listed.
+// State returns the state of a server in the list.
 func (s *Lister) State(name string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, listed := s.entries[name]
+	entry, listed := s.entries[name]
 	if !listed {
-		return "gone"
+		return stateGone
 	}
-	return e.State
+	return entry.State
 }
 
-// Fail takes the service down or up; Late delays what it hears.
+// Fail takes the service down or up.
 func (s *Lister) Fail(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	close(s.since)
-	s.since = make(chan struct{})
+	s.wakePolls()
 }
 
-// Dark lets the service fail one governor, or no more.
-func (s *Lister) Dark(governor string, dark bool) {
+// FailFor lets the service fail one controller, or no more.
+func (s *Lister) FailFor(controller string, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dark == nil {
-		s.dark = map[string]bool{}
-	}
-	s.dark[governor] = dark
-	close(s.since)
-	s.since = make(chan struct{})
+	s.outages[controller] = down
+	s.wakePolls()
 }
 
-// Deaf lets the service tell each governor its first list only, though the watch takes all changes as told.
-func (s *Lister) Deaf(deaf bool) {
+// Freeze lets the service send each controller its first list only, though the watch records all changes as sent.
+func (s *Lister) Freeze(frozen bool) {
 	s.mu.Lock()
-	s.deaf = deaf
-	s.mu.Unlock()
+	defer s.mu.Unlock()
+	s.frozen = frozen
 }
 
-// Late delays changes by so much from now on.
-func (s *Lister) Late(by time.Duration) {
+// Delay delays changes from now on.
+func (s *Lister) Delay(delay time.Duration) {
 	s.mu.Lock()
-	s.late = by
-	s.mu.Unlock()
+	defer s.mu.Unlock()
+	s.delay = delay
 }
 
+// serve answers a poll: at once if the caller's revision is old, else at the next change or when its wait ends.
 func (s *Lister) serve(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	rev, _ := strconv.ParseUint(q.Get("rev"), 10, 64)
-	wait, _ := strconv.ParseFloat(q.Get("wait"), 64)
-	governor := q.Get("governor")
-	timer := time.NewTimer(time.Duration(wait * float64(time.Second)))
-	defer timer.Stop()
-	for waited := wait == 0; ; {
+	query := r.URL.Query()
+	controller := query.Get("governor")
+	revision, _ := strconv.ParseUint(query.Get("rev"), 10, 64)
+	seconds, _ := strconv.ParseFloat(query.Get("wait"), 64)
+	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(seconds*float64(time.Second)))
+	defer cancel()
+	for {
+		waited := ctx.Err() != nil
 		s.mu.Lock()
-		s.asked++
-		since := s.since
-		if s.down || s.dark[governor] {
+		nextChange := s.nextChange
+		if s.down || s.outages[controller] {
 			s.mu.Unlock()
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		}
-		if rev == s.rev && rev > 0 {
+		if revision == 0 || revision != s.revision {
+			answer := s.answer(controller, revision)
 			s.mu.Unlock()
-			if waited {
-				w.WriteHeader(http.StatusNotModified)
-				return
-			}
-			select {
-			case <-since:
-			case <-timer.C:
-				waited = true
-			case <-r.Context().Done():
+			writeAnswer(w, answer)
+			return
+		}
+		s.mu.Unlock()
+		if waited {
+			w.WriteHeader(http.StatusNotModified)
+			return
+		}
+		select {
+		case <-nextChange:
+		case <-ctx.Done():
+			if r.Context().Err() != nil {
 				return
 			}
-			continue
 		}
-		doc := struct {
-			Rev     uint64  `json:"rev"`
-			Changes bool    `json:"changes"`
-			Servers []Entry `json:"servers"`
-		}{Rev: s.rev, Changes: rev > 0 && rev < s.rev, Servers: []Entry{}}
-		for name, at := range s.changed {
-			e, listed := s.entries[name]
-			if doc.Changes && at <= rev {
-				continue
-			}
-			if !listed {
-				if !doc.Changes {
-					continue
-				}
-				e = Entry{Name: name, State: "gone"}
-			}
-			doc.Servers = append(doc.Servers, e)
+	}
+}
+
+// answer returns the changes since a revision, or the complete list if that is not known. The service is locked.
+func (s *Lister) answer(controller string, revision uint64) listAnswer {
+	answer := listAnswer{
+		Revision: s.revision,
+		Changes:  revision > 0 && revision < s.revision,
+		Servers:  []Entry{},
+	}
+	for name, changedAt := range s.changed {
+		if answer.Changes && changedAt <= revision {
+			continue
 		}
-		slices.SortFunc(doc.Servers, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
-		for name := range s.changed {
-			if e, listed := s.entries[name]; listed {
-				state := e.State
-				if state == "" {
-					state = "ready"
-				}
-				s.watch.Told(governor, name, state, e.Started)
-			} else {
-				s.watch.Told(governor, name, "gone", time.Time{})
-			}
+		entry, listed := s.entries[name]
+		switch {
+		case listed:
+			answer.Servers = append(answer.Servers, entry)
+		case answer.Changes:
+			answer.Servers = append(answer.Servers, Entry{Name: name, State: stateGone})
 		}
-		if s.deaf && doc.Changes {
-			doc.Servers = doc.Servers[:0]
+	}
+	slices.SortFunc(answer.Servers, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
+	s.record(controller)
+	if s.frozen && answer.Changes {
+		answer.Servers = answer.Servers[:0]
+	}
+	return answer
+}
+
+// record tells the watch what a controller knows of all servers.
+func (s *Lister) record(controller string) {
+	for name := range s.changed {
+		entry, listed := s.entries[name]
+		if !listed {
+			s.watch.Told(controller, name, stateGone, time.Time{})
+			continue
 		}
-		s.mu.Unlock()
-		text, err := json.Marshal(doc)
-		if err != nil {
-			http.Error(w, err.Error(), http.StatusInternalServerError)
-			return
+		state := entry.State
+		if state == "" {
+			state = stateReady
 		}
-		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(text)
-		return
+		s.watch.Told(controller, name, state, entry.Started)
 	}
 }
 
-// Close ends the service.
-func (s *Lister) Close() { _ = s.server.Close() }
+func writeAnswer(w http.ResponseWriter, answer listAnswer) {
+	text, err := json.Marshal(answer)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = w.Write(text)
+}
--- a/internal/testing/fakes/reporter.go
+++ b/internal/testing/fakes/reporter.go
@@ -11,31 +11,48 @@
 	"time"
 )
 
-// sums are what a node counts of itself since its start.
-type sums struct{ tries, failed, good, goodMs int64 }
+const (
+	// reportInterval is the time between two load reports of a node.
+	reportInterval = time.Second
+	// reportTimeout bounds sending one.
+	reportTimeout = 3 * time.Second
+)
 
-func (n *Node) count(good bool, ms int64) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.sums.tries++; good {
-		n.sums.good, n.sums.goodMs = n.sums.good+1, n.sums.goodMs+ms
+// nodeCounters are what a node counts since its start.
+type nodeCounters struct{ attempts, failures, successes, successMillis int64 }
+
+func (c *nodeCounters) add(success bool, millis int64) {
+	c.attempts++
+	if success {
+		c.successes++
+		c.successMillis += millis
 	} else {
-		n.sums.failed++
+		c.failures++
 	}
 }
 
-// Mute stops a node's reports, or lets them go on; it serves all the while.
-func (n *Node) Mute(mute bool) {
+func (n *Node) countOutcome(success bool, millis int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.mute = mute
+	n.counters.add(success, millis)
 }
 
-var reportClient = &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
+// StopReports stops a node's reports, or lets them continue; it serves all the while.
+func (n *Node) StopReports(stop bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.reportsStopped = stop
+}
+
+var reportClient = &http.Client{
+	Timeout:   reportTimeout,
+	Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections},
+}
 
-// Report lets a node push what it counts to governors once a second, as long as it is up and not mute.
+// Report sends a node's load reports to controllers until the context ends, while it is up and its reports are not
+// stopped.
 func (n *Node) Report(ctx context.Context, urls []string) {
-	tick := time.NewTicker(time.Second)
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -43,23 +60,32 @@
 			return
 		case <-tick.C:
 		}
-		n.mu.Lock()
-		n.smooth()
-		s, up := n.sums, n.server != nil && !n.mute && !n.pausedNow()
-		line := fmt.Sprintf("server,name=%s started=%di,tries=%di,failed=%di,good=%di,good_ms=%di,busy=%.3f,held=%di,service=%.1f %d\n", n.Name,
-			n.begun.UnixNano(), s.tries, s.failed, s.good, s.goodMs, n.busy, n.held, n.service, time.Now().UnixNano())
-		n.mu.Unlock()
+		report, due := n.report()
+		if !due {
+			continue
+		}
 		for _, url := range urls {
-			if up {
-				_, _ = post(ctx, url, []byte(line))
-			}
+			_, _ = postReport(ctx, url, report)
 		}
 	}
 }
 
-func (n *Node) pausedNow() bool { return n.resume != nil || n.fallen }
+// report formats a load report and returns whether the node sends one now.
+func (n *Node) report() (line []byte, due bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.updateBusy()
+	c := n.counters
+	line = fmt.Appendf(nil,
+		"server,name=%s started=%di,tries=%di,failed=%di,good=%di,good_ms=%di,busy=%.3f,held=%di,service=%.1f %d\n",
+		n.Name, n.processStarted.UnixNano(), c.attempts, c.failures, c.successes, c.successMillis,
+		n.busyFraction, n.inFlight, n.serviceMillis, time.Now().UnixNano())
+	return line, n.server != nil && !n.reportsStopped && !n.paused()
+}
+
+func (n *Node) paused() bool { return n.resume != nil || n.overloaded }
 
-func post(ctx context.Context, url string, body []byte) (status int, err error) {
+func postReport(ctx context.Context, url string, body []byte) (status int, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, err
@@ -72,56 +98,84 @@
 	return res.StatusCode, res.Body.Close()
 }
 
-// Flood is a crowd of reporters that nobody asked for: one name sends half of all, some lie, some are broken, some name
-// servers that are not there, some connect anew for each batch.
-type Flood struct{ Sent, Refused, Failed atomic.Int64 }
-
-// Run sends so many lines a second to a governor until the context ends. Names are of real servers.
-func (f *Flood) Run(ctx context.Context, url string, names []string, perS int, seed uint64) {
-	const batch, senders = 200, 8
-	for w := range senders {
-		go func() {
-			rng := rand.New(rand.NewPCG(seed, uint64(w)))
-			every := time.Second * batch * senders / time.Duration(perS)
-			tick := time.NewTicker(every)
-			defer tick.Stop()
-			var body bytes.Buffer
-			for {
-				select {
-				case <-ctx.Done():
-					return
-				case <-tick.C:
-				}
-				body.Reset()
-				for range batch {
-					name, tries := names[0], int64(rng.Uint32())
-					switch rng.IntN(6) {
-					case 0:
-						name = fmt.Sprintf("nobody-%d", rng.IntN(5000))
-					case 1:
-						name = names[rng.IntN(len(names))]
-						tries = rng.Int64() // makes no sense: not to be believed
-					case 2:
-						name = names[rng.IntN(len(names))]
-					}
-					fmt.Fprintf(&body, "server,name=%s tries=%di,failed=%di,busy=%.2f %d\n", name, tries, rng.Int64N(1+tries), rng.Float64()*3,
-						time.Now().Add(-time.Duration(rng.IntN(60))*time.Second).UnixNano())
-				}
-				if rng.IntN(20) == 0 {
-					body.WriteString("server,name= broken")
-				}
-				if rng.IntN(4) == 0 {
-					reportClient.CloseIdleConnections()
-				}
-				switch status, err := post(ctx, url, body.Bytes()); {
-				case err != nil:
-					f.Failed.Add(1)
-				case status >= 300:
-					f.Refused.Add(batch)
-				default:
-					f.Sent.Add(batch)
-				}
-			}
-		}()
+// Flood sends load reports that no controller expects: one name sends half of all, some are false, some malformed,
+// some name unknown servers, some come on new connections.
+type Flood struct{ Accepted, Rejected, Failed atomic.Int64 }
+
+const (
+	floodBatch         = 200 // lines of a request
+	floodSenders       = 8
+	floodUnknownNames  = 5000
+	floodMaxAgeSeconds = 60
+	// One of so many requests ends with a malformed line, or comes on a new connection.
+	floodMalformedOneOf     = 20
+	floodNewConnectionOneOf = 4
+)
+
+// Run sends a number of lines per second to a controller until the context ends. Names are of real servers.
+func (f *Flood) Run(ctx context.Context, url string, names []string, linesPerSecond int, seed uint64) {
+	interval := time.Second * floodBatch * floodSenders / time.Duration(linesPerSecond)
+	for sender := range floodSenders {
+		rng := rand.New(rand.NewPCG(seed, uint64(sender)))
+		go f.send(ctx, url, names, interval, rng)
+	}
+}
+
+func (f *Flood) send(ctx context.Context, url string, names []string, interval time.Duration, rng *rand.Rand) {
+	tick := time.NewTicker(interval)
+	defer tick.Stop()
+	var body bytes.Buffer
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		body.Reset()
+		for range floodBatch {
+			writeFalseReport(&body, names, rng)
+		}
+		if rng.IntN(floodMalformedOneOf) == 0 {
+			body.WriteString("server,name= broken")
+		}
+		if rng.IntN(floodNewConnectionOneOf) == 0 {
+			reportClient.CloseIdleConnections()
+		}
+		status, err := postReport(ctx, url, body.Bytes())
+		switch {
+		case err != nil:
+			f.Failed.Add(1)
+		case status >= http.StatusMultipleChoices:
+			f.Rejected.Add(floodBatch)
+		default:
+			f.Accepted.Add(floodBatch)
+		}
+	}
+}
+
+// writeFalseReport writes a line of random counts for the first name, an unknown name or any name.
+func writeFalseReport(body *bytes.Buffer, names []string, rng *rand.Rand) {
+	name := names[0]
+	attempts := int64(rng.Uint32())
+	switch rng.IntN(6) {
+	case 0:
+		name = fmt.Sprintf("nobody-%d", rng.IntN(floodUnknownNames))
+	case 1:
+		name = names[rng.IntN(len(names))]
+		attempts = rng.Int64() // out of all bounds
+	case 2:
+		name = names[rng.IntN(len(names))]
 	}
+	failures := rng.Int64N(1 + attempts)
+	busy := rng.Float64() * 3
+	at := time.Now().Add(-time.Duration(rng.IntN(floodMaxAgeSeconds)) * time.Second)
+	fmt.Fprintf(
+		body,
+		"server,name=%s tries=%di,failed=%di,busy=%.2f %d\n",
+		name,
+		attempts,
+		failures,
+		busy,
+		at.UnixNano(),
+	)
 }
--- /dev/null
+++ b/internal/testing/fakes/requests.go
@@ -0,0 +1,326 @@
+package fakes
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"cressknot/internal/haproxyapi"
+)
+
+// Headers of requests and answers between callers, proxies and nodes.
+const (
+	headerClass       = "X-Class"
+	headerRequest     = "X-Visit"
+	headerProxy       = "X-Proxy"
+	headerNode        = "X-Node"
+	headerServer      = "X-Server"
+	headerLoad        = "X-Load"
+	headerNotExecuted = "X-Never-Ran"
+)
+
+// Retry modes in the proxy's map.
+const (
+	retryNever         = 0
+	retryIfNotExecuted = 1
+	retryOnce          = 2
+	retryTwice         = 3
+)
+
+// admissionUnit is the value of an admission limit that admits every request.
+const admissionUnit = 1000
+
+// maxRetries returns how many retries a mode allows after attempts that may have been executed.
+func maxRetries(mode int) int {
+	switch mode {
+	case retryOnce:
+		return 1
+	case retryTwice:
+		return 2
+	}
+	return 0
+}
+
+func (e *proxyEntry) usable() bool { return e.weight > 0 && e.admin == 0 }
+
+// observeUsable tells the watch for which classes there is a usable entry.
+func (p *Proxy) observeUsable() {
+	for _, class := range p.Classes {
+		usable := slices.ContainsFunc(p.backends[class.Backend], (*proxyEntry).usable)
+		p.watch.Lines(p.Name, class.Name, usable)
+	}
+}
+
+// pick draws an entry by weight other than the excluded one, nil for none; ejected ones only where there is no other.
+func (p *Proxy) pick(backend string, excluded *proxyEntry) *proxyEntry {
+	now := time.Now()
+	for _, allowEjected := range []bool{false, true} {
+		eligible := func(entry *proxyEntry) bool {
+			return entry.usable() && entry != excluded && (allowEjected || now.After(entry.ejectedUntil))
+		}
+		if entry := p.draw(p.backends[backend], eligible); entry != nil {
+			return entry
+		}
+	}
+	return nil
+}
+
+// draw draws an eligible entry by weight, nil if there is none.
+func (p *Proxy) draw(entries []*proxyEntry, eligible func(*proxyEntry) bool) *proxyEntry {
+	sum := 0
+	for _, entry := range entries {
+		if eligible(entry) {
+			sum += entry.weight
+		}
+	}
+	if sum == 0 {
+		return nil
+	}
+	number := p.rng.IntN(sum)
+	for _, entry := range entries {
+		if !eligible(entry) {
+			continue
+		}
+		number -= entry.weight
+		if number < 0 {
+			return entry
+		}
+	}
+	return nil
+}
+
+// mapNumber returns a number of the proxy's map, or the default.
+func (p *Proxy) mapNumber(key string, defaultValue int) int {
+	number, err := strconv.Atoi(p.mapEntries[key])
+	if err != nil {
+		return defaultValue
+	}
+	return number
+}
+
+// serveRequest handles one request of a caller.
+func (p *Proxy) serveRequest(w http.ResponseWriter, r *http.Request) {
+	name := r.Header.Get(headerClass)
+	position := slices.IndexFunc(p.Classes, func(c ProxyClass) bool { return c.Name == name })
+	if position < 0 {
+		http.Error(w, "no such class", http.StatusBadRequest)
+		return
+	}
+	request := proxyRequest{proxy: p, class: p.Classes[position]}
+	request.id, _ = strconv.ParseUint(r.Header.Get(headerRequest), 10, 64)
+	ctx, cancel := context.WithTimeout(r.Context(), request.class.HardStop)
+	defer cancel()
+	p.mu.Lock()
+	wait := time.Until(p.stalledUntil)
+	p.mu.Unlock()
+	time.Sleep(wait)
+	if !request.admit() {
+		w.WriteHeader(http.StatusTooManyRequests)
+		return
+	}
+	request.run(ctx, w)
+}
+
+// proxyRequest is one request at a proxy.
+type proxyRequest struct {
+	proxy      *Proxy
+	class      ProxyClass
+	id         uint64
+	retryMode  int
+	mayHaveRun bool // an attempt may have been executed
+}
+
+// admit applies the class's admission limit.
+func (r *proxyRequest) admit() bool {
+	p := r.proxy
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	total := p.totals[r.class.Backend]
+	total.Sessions++
+	r.retryMode = p.mapNumber(r.class.Name+".retry", retryNever)
+	if p.rng.IntN(admissionUnit) >= p.mapNumber(r.class.Name+".share", admissionUnit) {
+		total.Denied++
+		return false
+	}
+	return true
+}
+
+// run makes attempts until one succeeds or none may follow.
+func (r *proxyRequest) run(ctx context.Context, w http.ResponseWriter) {
+	var last *proxyEntry
+	for number := 0; ; number++ {
+		entry := r.begin(last)
+		if entry == nil {
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		outcome := r.attempt(ctx, entry, number)
+		r.mayHaveRun = r.mayHaveRun || !outcome.Success && !outcome.NotExecuted
+		last = entry
+		if !outcome.Success && ctx.Err() == nil && r.mayRetry(number, outcome) {
+			continue
+		}
+		r.finish(outcome.Success)
+		if outcome.Success {
+			w.Header().Set(headerNode, entry.name)
+			return
+		}
+		w.WriteHeader(http.StatusBadGateway)
+		return
+	}
+}
+
+// begin picks the entry of an attempt, nil if there is none.
+func (r *proxyRequest) begin(excluded *proxyEntry) *proxyEntry {
+	p := r.proxy
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	entry := p.pick(r.class.Backend, excluded)
+	if entry == nil {
+		return nil
+	}
+	entry.inFlight++
+	entry.stat.Sessions++
+	entry.stat.CurrentSessions++
+	return entry
+}
+
+// mayRetry reports whether the mode allows a retry after an attempt, counted from 0.
+func (r *proxyRequest) mayRetry(number int, outcome RequestOutcome) bool {
+	if r.retryMode == retryIfNotExecuted {
+		return number == 0 && outcome.NotExecuted
+	}
+	return r.retryMode >= retryOnce && number < r.retryMode-1
+}
+
+// attempt sends the request to a node; an attempt that may be retried whatever its outcome has a timeout of its own.
+func (r *proxyRequest) attempt(ctx context.Context, entry *proxyEntry, number int) RequestOutcome {
+	if number < maxRetries(r.retryMode) {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, r.class.PerTry)
+		defer cancel()
+	}
+	return r.proxy.sendAttempt(ctx, entry, r, number)
+}
+
+func (r *proxyRequest) finish(success bool) {
+	p := r.proxy
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	total := p.totals[r.class.Backend]
+	if success {
+		total.Good++
+	} else {
+		total.Errors++
+	}
+}
+
+// sendAttempt sends an attempt and counts its outcome.
+func (p *Proxy) sendAttempt(ctx context.Context, entry *proxyEntry, r *proxyRequest, number int) RequestOutcome {
+	p.watch.Sent(p.Name, entry.name, r.class.Name, r.id, number, r.mayHaveRun)
+	began := time.Now()
+	outcome := SendRequest(ctx, &p.http, entry.addr, Request{Proxy: p.Name, Class: r.class.Name, ID: r.id})
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	entry.inFlight--
+	entry.stat.CurrentSessions--
+	if outcome.Success {
+		entry.stat.Good++
+		entry.consecutiveFailures = 0
+		p.track(entry.name, time.Since(began), outcome.Load)
+		return outcome
+	}
+	switch {
+	case outcome.Err == nil:
+		entry.stat.Errors++
+	case outcome.NotExecuted:
+		entry.stat.ConnFailed++
+	default:
+		entry.stat.RespFailed++
+	}
+	entry.consecutiveFailures++
+	if p.EjectionThreshold > 0 && entry.consecutiveFailures >= p.EjectionThreshold {
+		entry.consecutiveFailures = 0
+		entry.ejectedUntil = time.Now().Add(p.EjectionDuration)
+	}
+	return outcome
+}
+
+// track counts a successful answer of a server and its load values.
+func (p *Proxy) track(server string, duration time.Duration, load []uint32) {
+	tracked := p.tracked[server]
+	if tracked == nil {
+		tracked = &haproxyapi.Tracked{Key: []byte(server)}
+		p.tracked[server] = tracked
+		p.trackedNames = append(p.trackedNames, server)
+	}
+	tracked.GoodMs += uint64(duration.Milliseconds())
+	tracked.Good++
+	for i, value := range load {
+		if i < len(tracked.Load) {
+			tracked.Load[i] = uint64(value)
+			tracked.HasLoad = true
+		}
+	}
+}
+
+// Request is a request to a node in the name of a proxy.
+type Request struct {
+	Proxy string
+	Class string
+	ID    uint64
+}
+
+// RequestOutcome is the outcome of a request to a node.
+type RequestOutcome struct {
+	Success     bool
+	NotExecuted bool     // proof exists that it had no effect
+	Load        []uint32 // load values of the node in thousandths
+	Err         error    // why there was no answer
+}
+
+// SendRequest sends a request to a node.
+func SendRequest(ctx context.Context, client *http.Client, addr string, request Request) RequestOutcome {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/visit", nil)
+	if err != nil {
+		return RequestOutcome{NotExecuted: true, Err: err}
+	}
+	req.Header.Set(headerClass, request.Class)
+	req.Header.Set(headerProxy, request.Proxy)
+	req.Header.Set(headerRequest, strconv.FormatUint(request.ID, 10))
+	res, err := client.Do(req)
+	if err != nil {
+		return RequestOutcome{NotExecuted: isDialError(err), Err: err}
+	}
+	defer func() { _ = res.Body.Close() }()
+	_, _ = io.Copy(io.Discard, res.Body)
+	return RequestOutcome{
+		Success:     res.StatusCode == http.StatusOK,
+		NotExecuted: res.Header.Get(headerNotExecuted) != "",
+		Load:        parseLoad(res.Header.Get(headerLoad)),
+	}
+}
+
+// parseLoad reads load values that are separated by commas; invalid ones are left out.
+func parseLoad(text string) []uint32 {
+	var load []uint32
+	for _, field := range strings.Split(text, ",") {
+		value, err := strconv.ParseUint(field, 10, 32)
+		if err == nil {
+			load = append(load, uint32(value))
+		}
+	}
+	return load
+}
+
+// isDialError reports whether an error is that of a dial: the request was never sent.
+func isDialError(err error) bool {
+	var operation *net.OpError
+	return errors.As(err, &operation) && operation.Op == "dial"
+}
--- /dev/null
+++ b/internal/testing/fakes/runtimesession.go
@@ -0,0 +1,162 @@
+package fakes
+
+import (
+	"bytes"
+	"fmt"
+	"net"
+	"strconv"
+	"strings"
+	"time"
+
+	"cressknot/internal/haproxyapi"
+)
+
+const (
+	// readBufferSize is the size in bytes of a session's read buffer.
+	readBufferSize = 1 << 16
+	// epochBase is the base in which epochs are written.
+	epochBase = 36
+)
+
+// runtimeSession is one session of the runtime socket.
+type runtimeSession struct {
+	id         string
+	conn       net.Conn
+	since      time.Time
+	commands   int
+	ended      bool            // by "shutdown session"
+	stateRead  bool            // "show servers state" was answered
+	touched    map[string]bool // servers that the present requests changed
+	controller string          // whose lease entry was written last
+	epoch      uint64          // of that entry
+}
+
+// accept serves sessions until the listener is closed.
+func (p *Proxy) accept(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		p.mu.Lock()
+		if p.conns == nil {
+			p.mu.Unlock()
+			_ = conn.Close()
+			return
+		}
+		p.lastSession++
+		s := &runtimeSession{
+			id:      fmt.Sprintf("0x%08x", p.lastSession),
+			conn:    conn,
+			since:   time.Now(),
+			touched: map[string]bool{},
+		}
+		p.conns[conn] = s
+		p.mu.Unlock()
+		go p.serveSession(s)
+	}
+}
+
+// serveSession answers one session until it ends.
+func (p *Proxy) serveSession(s *runtimeSession) {
+	joined := false
+	defer func() {
+		_ = s.conn.Close()
+		p.mu.Lock()
+		delete(p.conns, s.conn)
+		p.mu.Unlock()
+		if joined {
+			p.watch.Parted(p.Name)
+		}
+	}()
+	protocol := haproxyapi.Session{Answer: func(command haproxyapi.Command) []byte { return p.answer(command, s) }}
+	buffer := make([]byte, readBufferSize)
+	read := 0
+	for {
+		n, err := s.conn.Read(buffer)
+		if err != nil {
+			return
+		}
+		cutAfter := p.waitWhileStalled()
+		if cutAfter >= 0 && read+n > cutAfter {
+			n = max(0, cutAfter-read)
+		}
+		read += n
+		reply, done := protocol.Feed(buffer[:n])
+		if len(s.touched) > 0 {
+			p.watch.Message(p.Name, len(s.touched))
+			clear(s.touched)
+		}
+		if cutAfter >= 0 && read >= cutAfter {
+			p.cutDone()
+			return
+		}
+		if _, err := s.conn.Write(reply); err != nil || done {
+			return
+		}
+		if !joined && s.stateRead && bytes.Contains(buffer[:n], []byte("show map")) {
+			joined = true
+			if s.controller != "" {
+				p.watch.Owner(p.Name, s.controller)
+			}
+			p.watch.Joined(p.Name)
+		}
+	}
+}
+
+// answer answers one command after the configured delay.
+func (p *Proxy) answer(command haproxyapi.Command, s *runtimeSession) []byte {
+	if p.Unresponsive {
+		select {}
+	}
+	p.mu.Lock()
+	delay := p.readDelay
+	p.mu.Unlock()
+	time.Sleep(delay)
+	return p.execute(command, s)
+}
+
+// waitWhileStalled waits and returns after how many bytes sessions are to be cut, negative for never.
+func (p *Proxy) waitWhileStalled() (cutAfter int) {
+	p.mu.Lock()
+	cutAfter = p.cutAfter
+	wait := time.Until(p.stalledUntil)
+	p.mu.Unlock()
+	time.Sleep(wait)
+	return cutAfter
+}
+
+// cutDone ends the cuts if only one was asked for.
+func (p *Proxy) cutDone() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cutOnce {
+		p.cutAfter = -1
+	}
+}
+
+// isOlderVersion reports whether a version, EPOCH.COUNT/DIGEST with the epoch in base 36, is older than another one.
+func isOlderVersion(version, than string) bool {
+	epoch, count := parseVersion(version)
+	otherEpoch, otherCount := parseVersion(than)
+	return epoch < otherEpoch || epoch == otherEpoch && count < otherCount
+}
+
+func parseVersion(version string) (epoch, count uint64) {
+	epochText, rest, _ := strings.Cut(version, ".")
+	countText, _, _ := strings.Cut(rest, "/")
+	epoch, _ = strconv.ParseUint(epochText, epochBase, 64)
+	count, _ = strconv.ParseUint(countText, 10, 64)
+	return epoch, count
+}
+
+// noteLease notes which controller's session it is, by the lease entry that it writes.
+func (s *runtimeSession) noteLease(key, value string) {
+	controller, ok := strings.CutPrefix(key, "cressknot.lease.")
+	if !ok {
+		return
+	}
+	epoch, _, _ := strings.Cut(value, ".")
+	s.controller = controller
+	s.epoch, _ = strconv.ParseUint(epoch, epochBase, 64)
+}
--- a/internal/testing/scenario/drill.go
+++ b/internal/testing/scenario/drill.go
@@ -141,9 +141,9 @@
 	var entries []fakes.Entry
 	for i := range d.Nodes {
 		name, zone := nodeName(i), d.Zones[i%len(d.Zones)]
-		n := fakes.NewNode(name, fakes.Load{Cores: 2, Speed: speeds[i%len(speeds)] * (0.9 + 0.2*p.rng.Float64()), Queue: 24,
-			ColdFrom: d.Servers.ColdFrom, ColdFor: time.Duration(d.Servers.ColdFor), FallFactor: d.Servers.FallFactor,
-			FallFor: time.Duration(d.Servers.FallFor), Work: work}, p.watch, d.Seed*1000+uint64(i))
+		n := fakes.NewNode(name, fakes.NodeCapacity{Cores: 2, Speed: speeds[i%len(speeds)] * (0.9 + 0.2*p.rng.Float64()), Queue: 24,
+			SlowStartFraction: d.Servers.ColdFrom, SlowStartDuration: time.Duration(d.Servers.ColdFor), OverloadFactor: d.Servers.FallFactor,
+			OverloadWindow: time.Duration(d.Servers.FallFor), Work: work}, p.watch, d.Seed*1000+uint64(i))
 		if err := n.Up(); err != nil {
 			return err
 		}
@@ -151,7 +151,7 @@
 		entries = append(entries, p.entry(n, "ready"))
 	}
 	p.lister.Put(entries...)
-	p.lister.Deaf(p.Deaf)
+	p.lister.Freeze(p.Deaf)
 	for i := range d.Proxies {
 		zone := d.Zones[i%len(d.Zones)]
 		var standing []fakes.Entry
@@ -161,7 +161,7 @@
 			}
 		}
 		x := fakes.NewProxy(fakes.ProxySetup{Name: fmt.Sprintf("proxy-%02d", i+1), Zone: zone, Classes: classes,
-			Map: "cressknot", Table: "nodes", ShunAfter: 3, ShunFor: 4 * time.Second, LineDelay: time.Duration(d.LineDelay),
+			Map: "cressknot", Table: "nodes", EjectionThreshold: 3, EjectionDuration: 4 * time.Second, EntryDelay: time.Duration(d.LineDelay),
 			Runtime: filepath.Join(p.dir, fmt.Sprintf("p%d.sock", i+1)), Folder: p.folder(i)}, standing, p.watch, d.Seed*2000+uint64(i))
 		if err := x.Up(); err != nil {
 			return err
@@ -491,7 +491,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Duration(c.HardStop))
 	defer cancel()
 	began := time.Now()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.proxies[proxy].Visit+"/", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.proxies[proxy].RequestAddr+"/", nil)
 	if err != nil {
 		return
 	}
--- a/internal/testing/scenario/library.go
+++ b/internal/testing/scenario/library.go
@@ -8,8 +8,6 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"strconv"
-	"strings"
 	"sync/atomic"
 	"time"
 
@@ -120,19 +118,14 @@
 	began := time.Now()
 	err = l.client.Do(context.WithoutCancel(ctx), at, func(ctx context.Context, t client.Attempt) client.Result {
 		p.watch.Sent(l.name, t.Server.Name, c.Name, id, t.Number, t.MayHaveRun)
-		good, neverRan, load, err := fakes.SendVisit(ctx, &l.http, t.Server.Addr, l.name, c.Name, id)
-		r := client.Result{Outcome: client.Failed, Err: err}
+		outcome := fakes.SendRequest(ctx, &l.http, t.Server.Addr, fakes.Request{Proxy: l.name, Class: c.Name, ID: id})
+		r := client.Result{Outcome: client.Failed, Load: outcome.Load, Err: outcome.Err}
 		switch {
-		case good:
+		case outcome.Success:
 			r.Outcome = client.Success
-		case neverRan:
+		case outcome.NotExecuted:
 			r.Outcome = client.NotExecuted
 		}
-		for _, f := range strings.Split(load, ",") {
-			if v, err := strconv.ParseUint(f, 10, 32); err == nil {
-				r.Load = append(r.Load, uint32(v))
-			}
-		}
 		return r
 	})
 	status := http.StatusOK
--- a/internal/testing/scenario/troubles.go
+++ b/internal/testing/scenario/troubles.go
@@ -23,28 +23,28 @@
 	"drain":        func(p *play, ctx context.Context, t Trouble) { p.drain(ctx, t, time.Duration(t.For)/2) },
 	"preempt":      func(p *play, ctx context.Context, t Trouble) { p.drain(ctx, t, 3*time.Second) },
 	"ageing":       (*play).ageing,
-	"slow":         func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, fakes.Trouble{Slow: or(t.Size, 5)}) },
-	"hang":         func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, fakes.Trouble{Hang: true}) },
-	"errors":       func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, fakes.Trouble{Errors: or(t.Size, 0.6)}) },
-	"answers-lost": func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, fakes.Trouble{Lost: or(t.Size, 0.3)}) },
+	"slow":         func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, fakes.Fault{Slow: or(t.Size, 5)}) },
+	"hang":         func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, fakes.Fault{Hang: true}) },
+	"errors":       func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, fakes.Fault{Errors: or(t.Size, 0.6)}) },
+	"answers-lost": func(p *play, ctx context.Context, t Trouble) { p.ail(ctx, t, fakes.Fault{LostAnswers: or(t.Size, 0.3)}) },
 	"class-fails": func(p *play, ctx context.Context, t Trouble) {
-		p.ail(ctx, t, fakes.Trouble{Errors: or(t.Size, 0.6), Class: p.class(t)})
+		p.ail(ctx, t, fakes.Fault{Errors: or(t.Size, 0.6), Class: p.class(t)})
 	},
 	"heavy-tail": func(p *play, ctx context.Context, t Trouble) {
 		t.Part = 1
-		p.ail(ctx, t, fakes.Trouble{Heavy: 0.02, HeavyBy: or(t.Size, 15), Class: p.class(t)})
+		p.ail(ctx, t, fakes.Fault{HeavyFraction: 0.02, HeavyFactor: or(t.Size, 15), Class: p.class(t)})
 	},
 	"shared-slow": func(p *play, ctx context.Context, t Trouble) {
 		t.Part = 1
-		p.ail(ctx, t, fakes.Trouble{Slow: or(t.Size, 2)})
+		p.ail(ctx, t, fakes.Fault{Slow: or(t.Size, 2)})
 	},
 	"one-sided": (*play).oneSided,
 	"slow-link": (*play).slowLink,
 	"pauses": func(p *play, ctx context.Context, t Trouble) {
-		p.onOff(ctx, t, fakes.Trouble{Pause: true}, time.Duration(or(t.Size, 300))*time.Millisecond)
+		p.onOff(ctx, t, fakes.Fault{Pause: true}, time.Duration(or(t.Size, 300))*time.Millisecond)
 	},
 	"neighbour": func(p *play, ctx context.Context, t Trouble) {
-		p.onOff(ctx, t, fakes.Trouble{Slow: or(t.Size, 2)}, time.Duration(t.Every))
+		p.onOff(ctx, t, fakes.Fault{Slow: or(t.Size, 2)}, time.Duration(t.Every))
 	},
 	"reports-late":   (*play).reportsLate,
 	"burst":          (*play).burstVisits,
@@ -59,9 +59,9 @@
 		p.lister.Fail(false)
 	},
 	"list-late": func(p *play, ctx context.Context, t Trouble) {
-		p.lister.Late(time.Duration(or(t.Size, 4) * float64(time.Second)))
+		p.lister.Delay(time.Duration(or(t.Size, 4) * float64(time.Second)))
 		wait(ctx, t.For)
-		p.lister.Late(0)
+		p.lister.Delay(0)
 	},
 	"cut":         (*play).cut,
 	"slow-reader": (*play).slowReader,
@@ -73,8 +73,8 @@
 	"rolling":     (*play).rolling,
 	"list-dark": func(p *play, ctx context.Context, t Trouble) {
 		for _, g := range p.someGovernors(t.Part) {
-			p.lister.Dark(g.name, true)
-			defer p.lister.Dark(g.name, false)
+			p.lister.FailFor(g.name, true)
+			defer p.lister.FailFor(g.name, false)
 		}
 		wait(ctx, t.For)
 	},
@@ -147,22 +147,22 @@
 	return p.Day.Classes[0].Name
 }
 
-func (p *play) ail(ctx context.Context, t Trouble, what fakes.Trouble) {
+func (p *play) ail(ctx context.Context, t Trouble, what fakes.Fault) {
 	nodes, release := p.some(t.Part)
 	defer release()
 	for _, n := range nodes {
-		defer n.Ail(what)()
+		defer n.Inject(what)()
 	}
 	wait(ctx, t.For)
 }
 
-func (p *play) onOff(ctx context.Context, t Trouble, what fakes.Trouble, on time.Duration) {
+func (p *play) onOff(ctx context.Context, t Trouble, what fakes.Fault, on time.Duration) {
 	nodes, release := p.some(t.Part)
 	defer release()
 	for end := time.Now().Add(time.Duration(t.For)); time.Now().Before(end) && ctx.Err() == nil; {
 		var ends []func()
 		for _, n := range nodes {
-			ends = append(ends, n.Ail(what))
+			ends = append(ends, n.Inject(what))
 		}
 		sleep(ctx, on)
 		for _, e := range ends {
@@ -273,7 +273,7 @@
 	for i := range steps {
 		by := 1 + (or(t.Size, 8)-1)*float64(i+1)/steps
 		for _, n := range nodes {
-			defer n.Ail(fakes.Trouble{Slow: by * float64(steps) / steps})()
+			defer n.Inject(fakes.Fault{Slow: by * float64(steps) / steps})()
 		}
 		if !sleep(ctx, time.Duration(t.For)/steps) {
 			return
@@ -291,7 +291,7 @@
 			hit[x.Name] = true
 		}
 	}
-	p.ail(ctx, t, fakes.Trouble{Errors: or(t.Size, 0.6), Proxies: hit})
+	p.ail(ctx, t, fakes.Fault{Errors: or(t.Size, 0.6), Proxies: hit})
 }
 
 func (p *play) slowLink(ctx context.Context, t Trouble) {
@@ -304,7 +304,7 @@
 	link := time.Duration(or(t.Size, 400)) * time.Millisecond
 	for _, n := range p.nodes {
 		if p.zoneOf[n.Name] == p.Day.Zones[0] {
-			defer n.Ail(fakes.Trouble{Link: link, Proxies: hit})()
+			defer n.Inject(fakes.Fault{LinkDelay: link, Proxies: hit})()
 		}
 	}
 	wait(ctx, t.For)
@@ -312,8 +312,8 @@
 
 func (p *play) reportsLate(ctx context.Context, t Trouble) {
 	for _, x := range p.proxies {
-		x.ReportLate(time.Duration(or(t.Size, 2) * float64(time.Second)))
-		defer x.ReportLate(0)
+		x.DelayCounters(time.Duration(or(t.Size, 2) * float64(time.Second)))
+		defer x.DelayCounters(0)
 	}
 	wait(ctx, t.For)
 }
@@ -349,7 +349,7 @@
 	still := time.Duration(or(t.Size, 1000)) * time.Millisecond
 	for end := time.Now().Add(time.Duration(t.For)); time.Now().Before(end) && ctx.Err() == nil; {
 		for _, i := range at {
-			p.proxies[i].Stall(time.Now().Add(still))
+			p.proxies[i].StallUntil(time.Now().Add(still))
 		}
 		sleep(ctx, still+time.Duration(t.Every))
 	}
@@ -585,7 +585,7 @@
 	<-ctx.Done()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.report.Flood = [3]int64{f.Sent.Load(), f.Refused.Load(), f.Failed.Load()}
+	p.report.Flood = [3]int64{f.Accepted.Load(), f.Rejected.Load(), f.Failed.Load()}
 }
 
 // mute stops the reports of nodes that go on serving, and measures when each governor has noticed which those are.
@@ -594,8 +594,8 @@
 	defer release()
 	began := time.Now()
 	for _, n := range nodes {
-		n.Mute(true)
-		defer n.Mute(false)
+		n.StopReports(true)
+		defer n.StopReports(false)
 	}
 	for _, g := range p.governors {
 		p.background.Add(1)
