--- a/cmd/faultdrill/main.go
+++ b/cmd/faultdrill/main.go
@@ -52,7 +52,7 @@
 	c := &cobra.Command{
 		Use:   "drill [DAY]",
 		Short: "Play a scripted bad day through real governors and judge the rules",
-		Long: `Play a day: one that the program holds (` + strings.Join(scenario.Days(), ", ") + `) or a day file.
+		Long: `Play a day: one that the program holds (` + strings.Join(scenario.Names(), ", ") + `) or a day file.
 Stand-ins and governors run on loopback only and end with the day. Exit code 1 when a rule broke.`,
 		Args:          cobra.MaximumNArgs(1),
 		SilenceErrors: true,
@@ -106,7 +106,7 @@
 		return err
 	}
 	options := scenario.Options{
-		Day:     day,
+		Spec:     day,
 		Keep:    f.keep,
 		Records: f.records,
 		Launch:  func(config string) *exec.Cmd { return exec.Command(self, "governor", config) },
@@ -124,14 +124,14 @@
 	if err := f.print(out, report); err != nil {
 		return err
 	}
-	if !report.Kept() {
+	if !report.Passed() {
 		return errInvariantBroken
 	}
 	return nil
 }
 
 // override replaces settings of the scenario by those of the flags.
-func (f *flags) override(day *scenario.Day) {
+func (f *flags) override(day *scenario.Spec) {
 	if f.nodes > 0 {
 		day.Nodes = f.nodes
 	}
@@ -139,13 +139,13 @@
 		day.Proxies = f.proxies
 	}
 	if f.controllers > 0 {
-		day.Governors = f.controllers
+		day.Controllers = f.controllers
 	}
 	if f.requestRate > 0 {
-		day.Visits = f.requestRate
+		day.RequestRate = f.requestRate
 	}
 	if f.transport != "" {
-		day.Front = f.transport
+		day.Transport = f.transport
 	}
 	day.Guard = day.Guard && !f.noGuard
 }
--- a/internal/testing/fakes/commands.go
+++ b/internal/testing/fakes/commands.go
@@ -95,7 +95,7 @@
 	_, server, _ := strings.Cut(target, "/")
 	s.touched[server] = true
 	if s.controller != "" {
-		p.watch.Ordered(p.Name, s.controller, s.epoch)
+		p.watch.CommandFollowed(p.Name, s.controller, s.epoch)
 	}
 	if now := time.Now(); p.stalledUntil.Before(now) {
 		p.stalledUntil = now
--- a/internal/testing/fakes/files.go
+++ b/internal/testing/fakes/files.go
@@ -70,7 +70,7 @@
 	p.files.ack = files.Ack{Proxy: p.Name, Started: strconv.FormatInt(p.started.UnixNano(), 10)}
 	p.mu.Unlock()
 	p.acknowledge()
-	p.watch.Joined(p.Name)
+	p.watch.Connected(p.Name)
 	p.files.done.Add(1)
 	go func() {
 		defer p.files.done.Done()
@@ -103,7 +103,7 @@
 func (p *Proxy) unfollowFolder() {
 	close(p.files.stop)
 	p.files.done.Wait()
-	p.watch.Parted(p.Name)
+	p.watch.Disconnected(p.Name)
 }
 
 // readTables applies a new tables' file completely, or keeps its tables and acknowledges the error.
--- a/internal/testing/fakes/noderequest.go
+++ b/internal/testing/fakes/noderequest.go
@@ -47,11 +47,11 @@
 	request.waitForResume()
 	switch {
 	case request.fault.Hang:
-		n.watch.Ran(n.Name, request.class, request.id) // it may have been executed
+		n.watch.Executed(n.Name, request.class, request.id) // it may have been executed
 		request.hang(r)
 	case request.failed:
 		n.countOutcome(false, 0)
-		n.watch.Ran(n.Name, request.class, request.id)
+		n.watch.Executed(n.Name, request.class, request.id)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	case request.full:
@@ -60,7 +60,7 @@
 		return
 	}
 	request.waitForSlot(r)
-	n.watch.Ran(n.Name, request.class, request.id)
+	n.watch.Executed(n.Name, request.class, request.id)
 	began := time.Now()
 	request.execute()
 	n.finish(w, request, time.Since(began))
--- a/internal/testing/fakes/requests.go
+++ b/internal/testing/fakes/requests.go
@@ -53,7 +53,7 @@
 func (p *Proxy) observeUsable() {
 	for _, class := range p.Classes {
 		usable := slices.ContainsFunc(p.backends[class.Backend], (*proxyEntry).usable)
-		p.watch.Lines(p.Name, class.Name, usable)
+		p.watch.ClassUsable(p.Name, class.Name, usable)
 	}
 }
 
@@ -223,7 +223,7 @@
 
 // sendAttempt sends an attempt and counts its outcome.
 func (p *Proxy) sendAttempt(ctx context.Context, entry *proxyEntry, r *proxyRequest, number int) RequestOutcome {
-	p.watch.Sent(p.Name, entry.name, r.class.Name, r.id, number, r.mayHaveRun)
+	p.watch.AttemptSent(p.Name, entry.name, r.class.Name, r.id, number, r.mayHaveRun)
 	began := time.Now()
 	outcome := SendRequest(ctx, &p.http, entry.addr, Request{Proxy: p.Name, Class: r.class.Name, ID: r.id})
 	p.mu.Lock()
--- a/internal/testing/fakes/runtimesession.go
+++ b/internal/testing/fakes/runtimesession.go
@@ -66,7 +66,7 @@
 		delete(p.conns, s.conn)
 		p.mu.Unlock()
 		if joined {
-			p.watch.Parted(p.Name)
+			p.watch.Disconnected(p.Name)
 		}
 	}()
 	protocol := haproxyapi.Session{Answer: func(command haproxyapi.Command) []byte { return p.answer(command, s) }}
@@ -99,7 +99,7 @@
 			if s.controller != "" {
 				p.watch.Owner(p.Name, s.controller)
 			}
-			p.watch.Joined(p.Name)
+			p.watch.Connected(p.Name)
 		}
 	}
 }
--- /dev/null
+++ b/internal/testing/invariants/duplicates.go
@@ -0,0 +1,63 @@
+package invariants
+
+import (
+	"fmt"
+	"time"
+)
+
+// judgeDuplicates finds requests whose effect happened twice, and attempts that could have led to that.
+func (w *Watch) judgeDuplicates(f Figures) Verdict {
+	v := Verdict{Rule: RuleNoDuplicates}
+	classes := map[string]Class{}
+	for _, class := range f.Classes {
+		classes[class.Name] = class
+	}
+	effects, repeatedEffects := w.judgeExecutions(&v, classes)
+	repeatedAttempts := w.judgeAttempts(&v, classes)
+	v.Seen = fmt.Sprintf("%d effects, %d repeated tries, %d effects again inside their window",
+		effects, repeatedAttempts, repeatedEffects)
+	return v
+}
+
+// judgeExecutions returns the number of requests that were executed, and of their repetitions.
+func (w *Watch) judgeExecutions(v *Verdict, classes map[string]Class) (effects, repeated int) {
+	first := map[uint64]execution{}
+	for _, e := range w.executions {
+		class := classes[e.class]
+		if class.Idempotency == Idempotent {
+			continue
+		}
+		v.Tested++
+		earlier, known := first[e.request]
+		if !known {
+			first[e.request] = e
+			continue
+		}
+		repeated++
+		if class.Idempotency == NotIdempotent || e.at > earlier.at+class.DeduplicationWindow {
+			v.violate(e.at, "visit %d of class %s ran at %s and again at %s %.2f s later",
+				e.request, e.class, earlier.node, e.node, (e.at - earlier.at).Seconds())
+		}
+	}
+	return len(first), repeated
+}
+
+// judgeAttempts returns the number of repeated attempts.
+func (w *Watch) judgeAttempts(v *Verdict, classes map[string]Class) (repeated int) {
+	firstSent := map[uint64]time.Duration{}
+	for _, a := range w.attempts {
+		class := classes[a.class]
+		if a.number == 0 {
+			if class.Idempotency == IdempotentWithKey {
+				firstSent[a.request] = a.at
+			}
+			continue
+		}
+		repeated++
+		afterWindow := a.at > firstSent[a.request]+class.DeduplicationWindow
+		if a.mayHaveRun && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentWithKey && afterWindow) {
+			v.violate(a.at, "proxy %s sent visit %d of class %s again after a try that may have run", a.proxy, a.request, a.class)
+		}
+	}
+	return repeated
+}
--- a/internal/testing/scenario/dark.go
+++ b/internal/testing/scenario/dark.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	dayOld   = 24 * time.Hour
-	servedBy = 10 * time.Second // what a start without discovery may take
+	cacheAge   = 24 * time.Hour
+	serveTimeout = 10 * time.Second // what a start without discovery may take
 )
 
-// dark kills all governors while the list's source is away, makes the lists that they kept a day old, with as many names of servers that
+// discoveryOutage kills all governors while the list's source is away, makes the lists that they kept a day old, with as many names of servers that
 // are gone (some at the addresses of others) and a damaged last entry, restarts all proxies with their standing tables, and starts the
 // governors. It measures how they fare, and what happens when the source returns.
-func (p *play) dark(ctx context.Context, t Trouble) {
-	r := &Dark{}
+func (p *runner) discoveryOutage(ctx context.Context, t FaultSpec) {
+	r := &DiscoveryOutage{}
 	defer func() {
 		slices.Sort(r.Served)
-		slices.Sort(r.Live)
+		slices.Sort(r.LiveAfter)
 		p.mu.Lock()
-		p.report.Dark = r
+		p.report.DiscoveryOutage = r
 		p.mu.Unlock()
 	}()
 	p.lister.Fail(true)
-	for _, g := range p.governors {
+	for _, g := range p.controllers {
 		g.usage()
-		if err := g.end(syscall.SIGKILL); err != nil {
-			p.trouble("%v", err)
+		if err := g.stop(syscall.SIGKILL); err != nil {
+			p.reportProblem("%v", err)
 		}
-		if err := p.age(filepath.Join(p.dir, g.name+".list")); err != nil {
-			p.trouble("%v", err)
+		if err := p.ageCache(filepath.Join(p.dir, g.name+".list")); err != nil {
+			p.reportProblem("%v", err)
 		}
 	}
 	for _, x := range p.proxies {
@@ -48,20 +48,20 @@
 	sleep(ctx, time.Second)
 	for _, x := range p.proxies {
 		if err := x.Up(); err != nil {
-			p.trouble("%v", err)
+			p.reportProblem("%v", err)
 		}
 	}
 	began := time.Now()
-	for _, g := range p.governors {
+	for _, g := range p.controllers {
 		if err := g.start(p.Launch); err != nil {
-			p.trouble("%v", err)
+			p.reportProblem("%v", err)
 		}
 	}
-	key := p.Day.Classes[0].Name + ".version"
+	key := p.Spec.Classes[0].Name + ".version"
 	waits := slices.Clone(p.proxies)
 	var good, all int
 	measured := false
-	for time.Since(began) < time.Duration(t.For) && sleep(ctx, 5*lookEvery) {
+	for time.Since(began) < time.Duration(t.Duration) && sleep(ctx, 5*checkInterval) {
 		for i := 0; i < len(waits); {
 			if waits[i].Level(key) == "" {
 				i++
@@ -70,43 +70,43 @@
 			r.Served = append(r.Served, time.Since(began).Seconds())
 			waits = slices.Delete(waits, i, i+1)
 		}
-		if !measured && time.Since(began) >= servedBy {
+		if !measured && time.Since(began) >= serveTimeout {
 			measured = true
 			good, all = p.tally.sums()
 			for _, x := range p.proxies {
-				for name, share := range x.Weights(p.Day.Classes[0].Name) {
-					if share > 0 && strings.HasPrefix(x.Addr(p.Day.Classes[0].Name, name), "127.0.1.") {
-						r.Ghosts++
+				for name, share := range x.Weights(p.Spec.Classes[0].Name) {
+					if share > 0 && strings.HasPrefix(x.Addr(p.Spec.Classes[0].Name, name), "127.0.1.") {
+						r.StaleEntries++
 					}
 				}
 			}
 		}
 	}
-	r.Unheld = len(waits)
+	r.NeverServed = len(waits)
 	if g, a := p.tally.sums(); a > all {
-		r.InTime = float64(g-good) / float64(a-all)
+		r.InTimeFraction = float64(g-good) / float64(a-all)
 	}
 	back := time.Now()
 	p.lister.Fail(false)
-	for _, g := range p.governors {
-		for sleep(ctx, lookEvery) {
+	for _, g := range p.controllers {
+		for sleep(ctx, checkInterval) {
 			text, err := ask(g.socket, "show log\n")
 			if err == nil && strings.Contains(text, "source is back") {
-				r.Live = append(r.Live, time.Since(back).Seconds())
+				r.LiveAfter = append(r.LiveAfter, time.Since(back).Seconds())
 				break
 			}
 		}
 	}
-	p.moved(ctx, r)
+	p.measureShift(ctx, r)
 }
 
-// moved looks for ten seconds at how shares move.
-func (p *play) moved(ctx context.Context, r *Dark) {
+// measureShift looks for ten seconds at how shares move.
+func (p *runner) measureShift(ctx context.Context, r *DiscoveryOutage) {
 	var looks []map[string]float64
 	for range 100 {
 		all := map[string]float64{}
 		for _, x := range p.proxies {
-			for name, share := range x.Weights(p.Day.Classes[0].Name) {
+			for name, share := range x.Weights(p.Spec.Classes[0].Name) {
 				all[name] += share / float64(len(p.proxies))
 			}
 		}
@@ -115,18 +115,18 @@
 			for name, share := range all {
 				gain := share - looks[len(looks)-11][name]
 				sum += max(0, gain)
-				r.MovedIn = max(r.MovedIn, gain*float64(len(p.nodes)))
+				r.MaxGain = max(r.MaxGain, gain*float64(len(p.nodes)))
 			}
-			r.Moved = max(r.Moved, sum)
+			r.MaxShift = max(r.MaxShift, sum)
 		}
-		if !sleep(ctx, 10*lookEvery) {
+		if !sleep(ctx, 10*checkInterval) {
 			return
 		}
 	}
 }
 
-// age makes a kept list a day old.
-func (p *play) age(path string) error {
+// ageCache makes a kept list a day old.
+func (p *runner) ageCache(path string) error {
 	kept, wrong := discovery.ReadCache(path)
 	if len(kept) == 0 {
 		return fmt.Errorf("no list was kept at %s: %v", path, wrong)
@@ -147,7 +147,7 @@
 	}
 	doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{Name: "zz-damaged", Addr: "127.0.1.251:1", Zone: doc.Endpoints[0].Zone})
 	slices.SortFunc(doc.Endpoints, func(a, b discovery.Endpoint) int { return strings.Compare(a.Name, b.Name) })
-	if err := discovery.WriteCache(path, doc, fleet.Time(time.Now().Add(-dayOld).UnixNano())); err != nil {
+	if err := discovery.WriteCache(path, doc, fleet.Time(time.Now().Add(-cacheAge).UnixNano())); err != nil {
 		return err
 	}
 	if err := os.Remove(path + ".before"); err != nil && !errors.Is(err, os.ErrNotExist) { // the true one
@@ -164,7 +164,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, c := range t.byClass {
-		good, all = good+c.inTime, all+c.visits
+		good, all = good+c.inTime, all+c.requests
 	}
 	return good, all
 }
--- a/internal/testing/scenario/day.go
+++ b/internal/testing/scenario/day.go
@@ -22,72 +22,72 @@
 var schema string
 
 //go:embed days/*.cue
-var days embed.FS
+var specFiles embed.FS
 
-// Span is a time with its unit, as "2s".
-type Span = config.Duration
+// Duration is a time with its unit, as "2s".
+type Duration = config.Duration
 
-// Trouble is one thing that goes wrong.
-type Trouble struct {
-	At    Span    `json:"at"`
-	For   Span    `json:"for"`
-	What  string  `json:"what"`
-	Part  float64 `json:"part"`
+// FaultSpec is one thing that goes wrong.
+type FaultSpec struct {
+	At    Duration    `json:"at"`
+	Duration   Duration    `json:"for"`
+	Kind  string  `json:"what"`
+	Fraction  float64 `json:"part"`
 	Size  float64 `json:"size"`
-	Every Span    `json:"every"`
+	Interval Duration    `json:"every"`
 	Class string  `json:"class"`
 	Push  string  `json:"push"`
 }
 
-// Day is what a day file says; day.cue has the form.
-type Day struct {
+// Spec is what a day file says; day.cue has the form.
+type Spec struct {
 	Name      string   `json:"name"`
 	Seed      uint64   `json:"seed"`
-	Length    Span     `json:"length"`
+	Length    Duration     `json:"length"`
 	Zones     []string `json:"zones"`
 	Nodes     int      `json:"nodes"`
 	Proxies   int      `json:"proxies"`
-	Governors int      `json:"governors"`
-	Libraries int      `json:"libraries"`
+	Controllers int      `json:"governors"`
+	ClientPrograms int      `json:"libraries"`
 	Sharing   bool     `json:"sharing"`
 	Peers     bool     `json:"peers"`
-	Visits    float64  `json:"visits"`
-	Front     string   `json:"front"`
+	RequestRate    float64  `json:"visits"`
+	Transport     string   `json:"front"`
 	Admission string   `json:"admission"`
 	Guard     bool     `json:"guard"`
 	Faults    []string `json:"faults"`
-	Standing  int      `json:"standing"`
-	LineDelay Span     `json:"lineDelay"`
-	Pushed    bool     `json:"pushed"`
+	InitialEntries  int      `json:"standing"`
+	EntryDelay Duration     `json:"lineDelay"`
+	PushedReports    bool     `json:"pushed"`
 	Store     bool     `json:"store"`
 	Classes   []struct {
 		Name     string  `json:"name"`
 		Share    float64 `json:"share"`
-		Work     Span    `json:"work"`
+		Work     Duration    `json:"work"`
 		Effect   string  `json:"effect"`
-		Window   Span    `json:"window"`
-		Expected Span    `json:"expected"`
-		HardStop Span    `json:"hardStop"`
+		Window   Duration    `json:"window"`
+		Expected Duration    `json:"expected"`
+		HardStop Duration    `json:"hardStop"`
 		Value    float64 `json:"value"`
 	} `json:"classes"`
 	Servers struct {
 		ColdFrom   float64 `json:"coldFrom"`
-		ColdFor    Span    `json:"coldFor"`
+		ColdFor    Duration    `json:"coldFor"`
 		FallFactor float64 `json:"fallFactor"`
-		FallFor    Span    `json:"fallFor"`
-		Grace      Span    `json:"grace"`
+		FallFor    Duration    `json:"fallFor"`
+		Grace      Duration    `json:"grace"`
 	} `json:"servers"`
 	Channel struct {
 		LinesPerS float64 `json:"linesPerS"`
 		Backlog   float64 `json:"backlog"`
-		Bare      Span    `json:"bare"`
+		Bare      Duration    `json:"bare"`
 	} `json:"channel"`
-	Troubles []Trouble `json:"troubles"`
+	FaultSpecs []FaultSpec `json:"troubles"`
 }
 
-// Days names the days that the program holds.
-func Days() (names []string) {
-	all, _ := fs.Glob(days, "days/*.cue")
+// Names names the days that the program holds.
+func Names() (names []string) {
+	all, _ := fs.Glob(specFiles, "days/*.cue")
 	for _, p := range all {
 		names = append(names, strings.TrimSuffix(path.Base(p), ".cue"))
 	}
@@ -95,13 +95,13 @@
 }
 
 // Load reads a day: one that the program holds, or a file.
-func Load(name string) (*Day, error) {
-	text, err := days.ReadFile("days/" + name + ".cue")
+func Load(name string) (*Spec, error) {
+	text, err := specFiles.ReadFile("days/" + name + ".cue")
 	if errors.Is(err, fs.ErrNotExist) {
 		text, err = os.ReadFile(name)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("day %s: %w; the program holds %s", name, err, strings.Join(Days(), ", "))
+		return nil, fmt.Errorf("day %s: %w; the program holds %s", name, err, strings.Join(Names(), ", "))
 	}
 	ctx := cuecontext.New()
 	v := ctx.CompileString(schema, cue.Filename("day.cue")).LookupPath(cue.ParsePath("#Day"))
@@ -110,7 +110,7 @@
 	if err := errors.Join(own.Err(), whole.Validate(cue.Concrete(true), cue.Final())); err != nil {
 		return nil, fmt.Errorf("day %s:\n%s", name, cueerrors.Details(err, nil))
 	}
-	d := &Day{}
+	d := &Spec{}
 	if err := whole.Decode(d); err != nil {
 		return nil, fmt.Errorf("day %s: %w", name, err)
 	}
--- a/internal/testing/scenario/drill.go
+++ b/internal/testing/scenario/drill.go
@@ -25,59 +25,59 @@
 )
 
 const (
-	notice     = 800 * time.Millisecond // the list service hears of a death so much later
-	listed     = 200 * time.Millisecond // and of a start
-	lookEvery  = 10 * time.Millisecond  // between two looks at whether a withdrawal has arrived
-	callMost   = 60 * time.Second       // longest that any call to a stand-in lasts
-	perTryPart = 1.0
+	deathNoticeDelay     = 800 * time.Millisecond // the list service hears of a death so much later
+	startNoticeDelay     = 200 * time.Millisecond // and of a start
+	checkInterval  = 10 * time.Millisecond  // between two looks at whether a withdrawal has arrived
+	callTimeout   = 60 * time.Second       // longest that any call to a stand-in lasts
+	attemptTimeoutFactor = 1.0
 )
 
 // Options say how a day is played.
 type Options struct {
-	Day      *Day
+	Spec      *Spec
 	Launch   func(config string) *exec.Cmd // a governor's process
 	Progress io.Writer                     // a line while it runs; nil: none
 	Keep     string                        // folder that keeps settings, logs and records; "": a temporary one
-	Alter    func(settings map[string]any) // breaks a governor on purpose, for tests of the rules
-	Strict   func(*invariants.Figures)     // judges by other figures
+	AlterSettings    func(settings map[string]any) // breaks a governor on purpose, for tests of the rules
+	AlterFigures   func(*invariants.Figures)     // judges by other figures
 	Records  bool
 
 	// Faults at the front, for tests of the rules: what a broken governor would have done.
-	Deaf  bool     // governors hear of no change of the list, though the service tells it
-	Force []string // commands that every proxy is made to follow, again and again, as if its governor sent them
-	Crowd bool     // every proxy is made to send all visits to the node that started last
+	FrozenList  bool     // governors hear of no change of the list, though the service tells it
+	ForcedCommands []string // commands that every proxy is made to follow, again and again, as if its governor sent them
+	CrowdNewestNode bool     // every proxy is made to send all visits to the node that started last
 }
 
-type governor struct {
+type controllerProcess struct {
 	name, config, socket, log string
 	reports                   string // host:port that nodes push to, "" for none
 	peers                     string // where other governors reach it, "" for nowhere
 	rpc, text                 string // where programs ask, "" for nowhere
 	mu                        sync.Mutex
 	cmd                       *exec.Cmd
-	cpu                       time.Duration // of processes that ended
-	rssMost                   int64
+	pastCPU                       time.Duration // of processes that ended
+	peakMemory                   int64
 }
 
-type play struct {
+type runner struct {
 	Options
 	dir        string
 	watch      *invariants.Watch
 	lister     *fakes.Lister
 	nodes      []*fakes.Node
-	zoneOf     map[string]string
+	zoneByNode     map[string]string
 	proxies    []*fakes.Proxy
-	zones      []string // by proxy
-	governors  []*governor
-	libraries  []*library
-	ownerOf    []int // governor of a proxy
+	zoneByProxy      []string // by proxy
+	controllers  []*controllerProcess
+	clientPrograms  []*clientProgram
+	ownerByProxy    []int // governor of a proxy
 	rng        *rand.Rand
 	mu         sync.Mutex
-	ailing     map[string]bool
-	burst      atomic.Uint64 // float bits: factor of all visits
-	hot        atomic.Int64  // proxy that gets more, -1: none
-	hotBy      atomic.Uint64
-	ids        atomic.Uint64 // of visits
+	faultyNodes     map[string]bool
+	rateFactor      atomic.Uint64 // float bits: factor of all visits
+	hotProxy        atomic.Int64  // proxy that gets more, -1: none
+	hotFactor      atomic.Uint64
+	requestIDs        atomic.Uint64 // of visits
 	started    time.Time
 	tally      tally
 	report     *Report
@@ -86,11 +86,11 @@
 
 // Play plays a day and judges it.
 func Play(ctx context.Context, o Options) (*Report, error) {
-	p := &play{Options: o, watch: invariants.NewWatch(), zoneOf: map[string]string{}, ailing: map[string]bool{},
-		rng: rand.New(rand.NewPCG(o.Day.Seed, 7)), report: &Report{Day: o.Day.Name}}
-	p.burst.Store(math.Float64bits(1))
-	p.hot.Store(-1)
-	p.tally.byClass = make([]classTally, len(o.Day.Classes))
+	p := &runner{Options: o, watch: invariants.NewWatch(), zoneByNode: map[string]string{}, faultyNodes: map[string]bool{},
+		rng: rand.New(rand.NewPCG(o.Spec.Seed, 7)), report: &Report{Scenario: o.Spec.Name}}
+	p.rateFactor.Store(math.Float64bits(1))
+	p.hotProxy.Store(-1)
+	p.tally.byClass = make([]classTally, len(o.Spec.Classes))
 	var err error
 	if p.dir = o.Keep; p.dir == "" {
 		if p.dir, err = os.MkdirTemp("", "drill"); err != nil {
@@ -101,20 +101,20 @@
 		return nil, err
 	}
 	defer p.close()
-	if err := p.raise(); err != nil {
+	if err := p.startFleet(); err != nil {
 		return nil, err
 	}
-	day, cancel := context.WithTimeout(ctx, time.Duration(o.Day.Length))
+	day, cancel := context.WithTimeout(ctx, time.Duration(o.Spec.Length))
 	defer cancel()
 	p.started = time.Now()
-	p.reporters(day)
-	p.callers(day)
-	if err := p.programs(day); err != nil {
+	p.startReports(day)
+	p.startCallers(day)
+	if err := p.startClientPrograms(day); err != nil {
 		return nil, err
 	}
-	p.troubles(day)
-	p.force(day)
-	p.sample(day)
+	p.startFaults(day)
+	p.forceCommands(day)
+	p.startSampling(day)
 	<-day.Done()
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
@@ -123,9 +123,9 @@
 	return p.report, nil
 }
 
-// raise starts all stand-ins and governors.
-func (p *play) raise() error {
-	d := p.Day
+// startFleet starts all stand-ins and governors.
+func (p *runner) startFleet() error {
+	d := p.Spec
 	var err error
 	if p.lister, err = fakes.NewLister(p.watch); err != nil {
 		return err
@@ -135,7 +135,7 @@
 	for _, c := range d.Classes {
 		work[c.Name] = time.Duration(c.Work)
 		classes = append(classes, fakes.ProxyClass{Name: c.Name, Backend: c.Name, HardStop: time.Duration(c.HardStop),
-			PerTry: time.Duration(perTryPart * float64(c.Expected))})
+			PerTry: time.Duration(attemptTimeoutFactor * float64(c.Expected))})
 	}
 	speeds := []float64{1.5, 1, 0.6}
 	var entries []fakes.Entry
@@ -147,47 +147,47 @@
 		if err := n.Up(); err != nil {
 			return err
 		}
-		p.nodes, p.zoneOf[name] = append(p.nodes, n), zone
-		entries = append(entries, p.entry(n, "ready"))
+		p.nodes, p.zoneByNode[name] = append(p.nodes, n), zone
+		entries = append(entries, p.listEntry(n, "ready"))
 	}
 	p.lister.Put(entries...)
-	p.lister.Freeze(p.Deaf)
+	p.lister.Freeze(p.FrozenList)
 	for i := range d.Proxies {
 		zone := d.Zones[i%len(d.Zones)]
 		var standing []fakes.Entry
 		for _, at := range p.rng.Perm(len(entries)) {
-			if e := entries[at]; len(standing) < d.Standing && (e.Zone == zone || d.Nodes < 3*len(d.Zones)) {
+			if e := entries[at]; len(standing) < d.InitialEntries && (e.Zone == zone || d.Nodes < 3*len(d.Zones)) {
 				standing = append(standing, e)
 			}
 		}
 		x := fakes.NewProxy(fakes.ProxySetup{Name: fmt.Sprintf("proxy-%02d", i+1), Zone: zone, Classes: classes,
-			Map: "cressknot", Table: "nodes", EjectionThreshold: 3, EjectionDuration: 4 * time.Second, EntryDelay: time.Duration(d.LineDelay),
+			Map: "cressknot", Table: "nodes", EjectionThreshold: 3, EjectionDuration: 4 * time.Second, EntryDelay: time.Duration(d.EntryDelay),
 			Runtime: filepath.Join(p.dir, fmt.Sprintf("p%d.sock", i+1)), Folder: p.folder(i)}, standing, p.watch, d.Seed*2000+uint64(i))
 		if err := x.Up(); err != nil {
 			return err
 		}
-		p.proxies, p.zones = append(p.proxies, x), append(p.zones, zone)
+		p.proxies, p.zoneByProxy = append(p.proxies, x), append(p.zoneByProxy, zone)
 	}
-	for g := range d.Governors {
-		p.governors = append(p.governors, &governor{name: fmt.Sprintf("governor-%d", g+1)})
+	for g := range d.Controllers {
+		p.controllers = append(p.controllers, &controllerProcess{name: fmt.Sprintf("governor-%d", g+1)})
 	}
 	for i := range p.proxies {
-		g := (i % len(d.Zones)) % d.Governors // by zone
-		p.ownerOf = append(p.ownerOf, g)
-		p.watch.Owner(p.proxies[i].Name, p.governors[g].name)
+		g := (i % len(d.Zones)) % d.Controllers // by zone
+		p.ownerByProxy = append(p.ownerByProxy, g)
+		p.watch.Owner(p.proxies[i].Name, p.controllers[g].name)
 	}
-	for _, g := range p.governors {
+	for _, g := range p.controllers {
 		if d.Peers {
 			if g.peers, err = freePort(); err != nil {
 				return err
 			}
 		}
 	}
-	for g := range p.governors {
-		if err := p.settings(g); err != nil {
+	for g := range p.controllers {
+		if err := p.writeSettings(g); err != nil {
 			return err
 		}
-		if err := p.governors[g].start(p.Launch); err != nil {
+		if err := p.controllers[g].start(p.Launch); err != nil {
 			return err
 		}
 	}
@@ -195,8 +195,8 @@
 }
 
 // folder gives a proxy's folder on the files front.
-func (p *play) folder(i int) string {
-	if p.Day.Front != "files" {
+func (p *runner) folder(i int) string {
+	if p.Spec.Transport != "files" {
 		return ""
 	}
 	return filepath.Join(p.dir, fmt.Sprintf("p%d", i+1))
@@ -204,31 +204,31 @@
 
 func nodeName(i int) string { return fmt.Sprintf("node-%02d", i+1) }
 
-// force makes proxies follow a broken governor's commands.
-func (p *play) force(ctx context.Context) {
-	if len(p.Force) == 0 && !p.Crowd {
+// forceCommands makes proxies follow a broken governor's commands.
+func (p *runner) forceCommands(ctx context.Context) {
+	if len(p.ForcedCommands) == 0 && !p.CrowdNewestNode {
 		return
 	}
 	p.background.Add(1)
 	go func() {
 		defer p.background.Done()
-		for sleep(ctx, lookEvery) {
+		for sleep(ctx, checkInterval) {
 			for _, x := range p.proxies {
-				for _, c := range p.Force {
+				for _, c := range p.ForcedCommands {
 					x.ByHand(splitFields([]byte(c))...)
 				}
 			}
-			if !p.Crowd {
+			if !p.CrowdNewestNode {
 				continue
 			}
 			newest := slices.MaxFunc(p.nodes, func(a, b *fakes.Node) int { return a.Started().Compare(b.Started()) })
 			// Only once the governors have been told of the start: what comes before is nobody's order.
-			if newest.Started().IsZero() || time.Since(newest.Started()) < 2*listed || time.Since(newest.Started()) > time.Duration(p.Day.Servers.ColdFor) {
+			if newest.Started().IsZero() || time.Since(newest.Started()) < 2*startNoticeDelay || time.Since(newest.Started()) > time.Duration(p.Spec.Servers.ColdFor) {
 				continue
 			}
 			for _, x := range p.proxies {
 				p.watch.Message(x.Name, len(p.nodes)) // as far as the rules go, its governor sent this
-				for _, c := range p.Day.Classes {
+				for _, c := range p.Spec.Classes {
 					for _, n := range p.nodes {
 						weight := "0"
 						if n == newest {
@@ -243,39 +243,39 @@
 	}()
 }
 
-func (p *play) entry(n *fakes.Node, state string) fakes.Entry {
-	return fakes.Entry{Name: n.Name, Addr: n.Addr, Zone: p.zoneOf[n.Name], State: state, Started: n.Started()}
+func (p *runner) listEntry(n *fakes.Node, state string) fakes.Entry {
+	return fakes.Entry{Name: n.Name, Addr: n.Addr, Zone: p.zoneByNode[n.Name], State: state, Started: n.Started()}
 }
 
-// settings writes a governor's settings.
-func (p *play) settings(g int) error {
-	d, own := p.Day, p.governors[g]
+// writeSettings writes a governor's settings.
+func (p *runner) writeSettings(g int) error {
+	d, own := p.Spec, p.controllers[g]
 	own.config = filepath.Join(p.dir, own.name+".json")
 	own.socket = filepath.Join(p.dir, fmt.Sprintf("g%d.sock", g+1))
 	own.log = filepath.Join(p.dir, own.name+".log")
 	var classes, proxies []map[string]any
 	for _, c := range d.Classes {
-		classes = append(classes, map[string]any{"name": c.Name, "effect": c.Effect, "window": span(c.Window),
-			"expected": span(c.Expected), "hardStop": span(c.HardStop), "value": c.Value})
+		classes = append(classes, map[string]any{"name": c.Name, "effect": c.Effect, "window": formatDuration(c.Window),
+			"expected": formatDuration(c.Expected), "hardStop": formatDuration(c.HardStop), "value": c.Value})
 	}
 	for i, x := range p.proxies {
-		if p.ownerOf[i] == g || d.Sharing {
+		if p.ownerByProxy[i] == g || d.Sharing {
 			addr := x.Runtime
 			if x.Folder != "" {
 				addr = x.Folder
 			}
 			proxies = append(proxies, map[string]any{"name": x.Name, "zone": x.Zone, "addr": addr,
-				"visits": d.Visits / float64(d.Proxies)})
+				"visits": d.RequestRate / float64(d.Proxies)})
 		}
 	}
 	s := map[string]any{
-		"name": own.name, "seed": d.Seed + uint64(g), "me": g, "governors": d.Governors, "zones": d.Zones, "classes": classes,
+		"name": own.name, "seed": d.Seed + uint64(g), "me": g, "governors": d.Controllers, "zones": d.Zones, "classes": classes,
 		"proxies": proxies,
 		"list":    map[string]any{"source": "http", "url": p.lister.URL + "?governor=" + own.name, "cache": filepath.Join(p.dir, own.name+".list")},
-		"front":   map[string]any{"kind": d.Front, "admission": d.Admission, "proxies": d.Proxies, "standing": d.Standing, "outlierAfter": 3},
-		"channel": map[string]any{"linesPerS": d.Channel.LinesPerS, "backlog": d.Channel.Backlog, "bare": span(d.Channel.Bare)},
-		"servers": map[string]any{"coldFrom": d.Servers.ColdFrom, "coldFor": span(d.Servers.ColdFor), "fallFactor": d.Servers.FallFactor,
-			"fallFor": span(d.Servers.FallFor), "drainGrace": span(d.Servers.Grace)},
+		"front":   map[string]any{"kind": d.Transport, "admission": d.Admission, "proxies": d.Proxies, "standing": d.InitialEntries, "outlierAfter": 3},
+		"channel": map[string]any{"linesPerS": d.Channel.LinesPerS, "backlog": d.Channel.Backlog, "bare": formatDuration(d.Channel.Bare)},
+		"servers": map[string]any{"coldFrom": d.Servers.ColdFrom, "coldFor": formatDuration(d.Servers.ColdFor), "fallFactor": d.Servers.FallFactor,
+			"fallFor": formatDuration(d.Servers.FallFor), "drainGrace": formatDuration(d.Servers.Grace)},
 		"guard": d.Guard, "faults": d.Faults,
 		"operators": map[string]any{"socket": own.socket},
 		"log":       map[string]any{"file": own.log},
@@ -284,24 +284,24 @@
 		s["store"] = map[string]any{"folder": filepath.Join(p.dir, own.name+".store")}
 	}
 	if d.Peers {
-		s["peers"] = map[string]any{"listen": own.peers, "join": []string{p.governors[0].peers, p.governors[len(p.governors)-1].peers}}
+		s["peers"] = map[string]any{"listen": own.peers, "join": []string{p.controllers[0].peers, p.controllers[len(p.controllers)-1].peers}}
 	}
 	if d.Sharing {
 		var all []string
-		for _, o := range p.governors {
+		for _, o := range p.controllers {
 			all = append(all, o.name)
 		}
 		s["sharing"] = map[string]any{"governors": all}
 	}
-	if d.Libraries > 0 {
+	if d.ClientPrograms > 0 {
 		var err error
 		if own.rpc, err = freePort(); err != nil {
 			return err
 		}
 		own.text = filepath.Join(p.dir, fmt.Sprintf("s%d.sock", g+1))
-		s["service"] = map[string]any{"rpc": own.rpc, "text": own.text, "visits": d.Visits / float64(d.Proxies+d.Libraries) * float64(d.Libraries) / float64(len(d.Zones))}
+		s["service"] = map[string]any{"rpc": own.rpc, "text": own.text, "visits": d.RequestRate / float64(d.Proxies+d.ClientPrograms) * float64(d.ClientPrograms) / float64(len(d.Zones))}
 	}
-	if d.Pushed {
+	if d.PushedReports {
 		var err error
 		if own.reports, err = freePort(); err != nil {
 			return err
@@ -312,8 +312,8 @@
 	if p.Records {
 		s["records"] = filepath.Join(p.dir, own.name+".records")
 	}
-	if p.Alter != nil {
-		p.Alter(s)
+	if p.AlterSettings != nil {
+		p.AlterSettings(s)
 	}
 	text, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
@@ -331,9 +331,9 @@
 	return l.Addr().String(), l.Close()
 }
 
-func span(s Span) string { return time.Duration(s).String() }
+func formatDuration(s Duration) string { return time.Duration(s).String() }
 
-func (g *governor) start(launch func(string) *exec.Cmd) error {
+func (g *controllerProcess) start(launch func(string) *exec.Cmd) error {
 	cmd := launch(g.config)
 	out, err := os.OpenFile(g.log+".err", os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o644)
 	if err != nil {
@@ -352,24 +352,24 @@
 }
 
 // usage reads the processor time and memory of the process that runs.
-func (g *governor) usage() (cpu time.Duration, rss int64) {
+func (g *controllerProcess) usage() (cpu time.Duration, rss int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.cmd == nil {
-		return 0, g.rssMost
+		return 0, g.peakMemory
 	}
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", g.cmd.Process.Pid))
 	if err == nil {
 		for _, l := range splitLines(text) {
 			var kb int64
 			if n, _ := fmt.Sscanf(l, "VmHWM: %d kB", &kb); n == 1 {
-				g.rssMost = max(g.rssMost, kb<<10)
+				g.peakMemory = max(g.peakMemory, kb<<10)
 			}
 		}
 	}
 	text, err = os.ReadFile(fmt.Sprintf("/proc/%d/stat", g.cmd.Process.Pid))
 	if err != nil {
-		return 0, g.rssMost
+		return 0, g.peakMemory
 	}
 	fields := splitFields(text[slices.Index(text, ')')+1:])
 	ticks := int64(0)
@@ -377,11 +377,11 @@
 		n, _ := strconv.ParseInt(f, 10, 64)
 		ticks += n
 	}
-	return time.Duration(ticks) * 10 * time.Millisecond, g.rssMost
+	return time.Duration(ticks) * 10 * time.Millisecond, g.peakMemory
 }
 
-// end kills the process or lets it stop in order.
-func (g *governor) end(sig syscall.Signal) error {
+// stop kills the process or lets it stop in order.
+func (g *controllerProcess) stop(sig syscall.Signal) error {
 	g.mu.Lock()
 	cmd := g.cmd
 	g.cmd = nil
@@ -396,7 +396,7 @@
 	defer timer.Stop()
 	err := cmd.Wait()
 	if cmd.ProcessState != nil {
-		g.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+		g.pastCPU += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 	}
 	if sig != syscall.SIGKILL && err != nil {
 		return fmt.Errorf("%s: %w", g.name, err)
@@ -404,12 +404,12 @@
 	return nil
 }
 
-func (p *play) close() {
-	for _, g := range p.governors {
-		_ = g.end(syscall.SIGKILL)
+func (p *runner) close() {
+	for _, g := range p.controllers {
+		_ = g.stop(syscall.SIGKILL)
 	}
 	p.background.Wait()
-	p.leave()
+	p.closeClientPrograms()
 	for _, x := range p.proxies {
 		x.Down()
 	}
@@ -421,10 +421,10 @@
 	}
 }
 
-// reporters lets nodes push what they count.
-func (p *play) reporters(ctx context.Context) {
+// startReports lets nodes push what they count.
+func (p *runner) startReports(ctx context.Context) {
 	var urls []string
-	for _, g := range p.governors {
+	for _, g := range p.controllers {
 		if g.reports != "" {
 			urls = append(urls, "http://"+g.reports+"/api/v2/write")
 		}
@@ -440,25 +440,25 @@
 	}
 }
 
-// callers lets visits come to each proxy at chance moments, whatever becomes of those before.
-func (p *play) callers(ctx context.Context) {
-	client := &http.Client{Timeout: callMost, Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: 10 * time.Second}}
-	each := p.Day.Visits / float64(p.Day.Proxies+p.Day.Libraries)
+// startCallers lets visits come to each proxy at chance moments, whatever becomes of those before.
+func (p *runner) startCallers(ctx context.Context) {
+	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: 10 * time.Second}}
+	each := p.Spec.RequestRate / float64(p.Spec.Proxies+p.Spec.ClientPrograms)
 	shares := 0.0
-	for _, c := range p.Day.Classes {
+	for _, c := range p.Spec.Classes {
 		shares += c.Share
 	}
 	for i := range p.proxies {
-		rng := rand.New(rand.NewPCG(p.Day.Seed, 100+uint64(i)))
+		rng := rand.New(rand.NewPCG(p.Spec.Seed, 100+uint64(i)))
 		heft := 0.4 + 1.2*rng.Float64()
 		p.background.Add(1)
 		go func() {
 			defer p.background.Done()
 			next := time.Now()
 			for ctx.Err() == nil {
-				rate := each * heft * math.Float64frombits(p.burst.Load())
-				if p.hot.Load() == int64(i) {
-					rate += p.Day.Visits * math.Float64frombits(p.hotBy.Load())
+				rate := each * heft * math.Float64frombits(p.rateFactor.Load())
+				if p.hotProxy.Load() == int64(i) {
+					rate += p.Spec.RequestRate * math.Float64frombits(p.hotFactor.Load())
 				}
 				next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 				if wait := time.Until(next); wait > 0 {
@@ -469,25 +469,25 @@
 					}
 				}
 				p.background.Add(1)
-				go p.call(ctx, client, i, p.drawClass(rng, shares), p.ids.Add(1))
+				go p.call(ctx, client, i, p.drawClass(rng, shares), p.requestIDs.Add(1))
 			}
 		}()
 	}
 }
 
 // drawClass draws a class by the share of its visits.
-func (p *play) drawClass(rng *rand.Rand, shares float64) (class int) {
+func (p *runner) drawClass(rng *rand.Rand, shares float64) (class int) {
 	draw := rng.Float64() * shares
-	for draw -= p.Day.Classes[0].Share; draw > 0 && class < len(p.Day.Classes)-1; {
+	for draw -= p.Spec.Classes[0].Share; draw > 0 && class < len(p.Spec.Classes)-1; {
 		class++
-		draw -= p.Day.Classes[class].Share
+		draw -= p.Spec.Classes[class].Share
 	}
 	return class
 }
 
-func (p *play) call(ctx context.Context, client *http.Client, proxy, class int, id uint64) {
+func (p *runner) call(ctx context.Context, client *http.Client, proxy, class int, id uint64) {
 	defer p.background.Done()
-	c := p.Day.Classes[class]
+	c := p.Spec.Classes[class]
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Duration(c.HardStop))
 	defer cancel()
 	began := time.Now()
@@ -507,9 +507,9 @@
 	p.tally.count(class, status, time.Since(began), time.Duration(c.Expected), time.Since(p.started))
 }
 
-// sample looks at weights ten times a day, and prints progress.
-func (p *play) sample(ctx context.Context) {
-	length := time.Duration(p.Day.Length)
+// startSampling looks at weights ten times a day, and prints progress.
+func (p *runner) startSampling(ctx context.Context) {
+	length := time.Duration(p.Spec.Length)
 	p.background.Add(1)
 	go func() {
 		defer p.background.Done()
@@ -524,13 +524,13 @@
 			}
 			at := time.Since(p.started)
 			if p.Progress != nil {
-				_, _ = fmt.Fprintf(p.Progress, "\r%4.0f s of %.0f s  %s", at.Seconds(), length.Seconds(), p.tally.short())
+				_, _ = fmt.Fprintf(p.Progress, "\r%4.0f s of %.0f s  %s", at.Seconds(), length.Seconds(), p.tally.summary())
 			}
 			if at >= next {
 				next += length / 10
 				row := Weights{At: at.Seconds(), Share: map[string]float64{}}
 				for _, x := range p.proxies {
-					for name, share := range x.Weights(p.Day.Classes[0].Name) {
+					for name, share := range x.Weights(p.Spec.Classes[0].Name) {
 						row.Share[name] += share * float64(len(p.nodes)) / float64(len(p.proxies))
 					}
 				}
@@ -543,11 +543,11 @@
 }
 
 // finish lets visits end, asks the governors for their counters, stops them and judges.
-func (p *play) finish() {
+func (p *runner) finish() {
 	r := p.report
-	for _, g := range p.governors {
+	for _, g := range p.controllers {
 		cpu, rss := g.usage()
-		row := Governor{Name: g.name, CPU: (g.cpu + cpu).Seconds(), RSS: float64(rss) / (1 << 20), Info: map[string]string{}}
+		row := ControllerUsage{Name: g.name, CPU: (g.pastCPU + cpu).Seconds(), RSS: float64(rss) / (1 << 20), Info: map[string]string{}}
 		if text, err := ask(g.socket, "show info;show intake\n"); err == nil {
 			for _, l := range splitLines([]byte(text)) {
 				if k, v, ok := cutPair(l); ok {
@@ -555,43 +555,43 @@
 				}
 			}
 		} else {
-			r.Troubles = append(r.Troubles, fmt.Sprintf("%s did not answer: %v", g.name, err))
+			r.Problems = append(r.Problems, fmt.Sprintf("%s did not answer: %v", g.name, err))
 		}
-		r.Governors = append(r.Governors, row)
+		r.Controllers = append(r.Controllers, row)
 	}
 	p.background.Wait()
-	p.leave()
-	for _, g := range p.governors {
-		if err := g.end(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
-			r.Troubles = append(r.Troubles, "stopping "+err.Error())
+	p.closeClientPrograms()
+	for _, g := range p.controllers {
+		if err := g.stop(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
+			r.Problems = append(r.Problems, "stopping "+err.Error())
 		}
 	}
-	d := p.Day
+	d := p.Spec
 	f := invariants.Figures{Bare: time.Duration(d.Channel.Bare), Grace: time.Duration(d.Servers.Grace),
-		ColdFor: time.Duration(d.Servers.ColdFor), ColdFrom: d.Servers.ColdFrom, FallFactor: d.Servers.FallFactor,
-		FallFor: time.Duration(d.Servers.FallFor), LinesPerS: d.Channel.LinesPerS, Backlog: d.Channel.Backlog, Head: 6,
+		SlowStartDuration: time.Duration(d.Servers.ColdFor), SlowStartFraction: d.Servers.ColdFrom, OverloadFactor: d.Servers.FallFactor,
+		OverloadWindow: time.Duration(d.Servers.FallFor), LinesPerS: d.Channel.LinesPerS, Backlog: d.Channel.Backlog, Head: 6,
 		MessagesOver: 10 * time.Second, Slack: 250 * time.Millisecond}
 	for _, c := range d.Classes {
-		f.Classes = append(f.Classes, invariants.Class{Name: c.Name, Effect: effects[c.Effect], Window: time.Duration(c.Window)})
+		f.Classes = append(f.Classes, invariants.Class{Name: c.Name, Idempotency: effects[c.Effect], DeduplicationWindow: time.Duration(c.Window)})
 	}
-	if p.Strict != nil {
-		p.Strict(&f)
+	if p.AlterFigures != nil {
+		p.AlterFigures(&f)
 	}
 	r.Rules = p.watch.Judge(f)
 	r.Length = time.Duration(d.Length).Seconds()
 	r.Classes = p.tally.classes(d)
-	slices.Sort(r.Backs)
+	slices.Sort(r.Rollbacks)
 	if d.Sharing {
-		for _, gap := range p.watch.Unattended() {
-			r.Unattended = append(r.Unattended, gap.Seconds())
+		for _, gap := range p.watch.UnservedGaps() {
+			r.UnservedGaps = append(r.UnservedGaps, gap.Seconds())
 		}
 	}
 	r.Versions = map[string]int{}
 	for _, x := range p.proxies {
 		r.Versions[x.Level(d.Classes[0].Name+".version")]++
 	}
-	slices.Sort(r.Falls.FromFall)
-	slices.Sort(r.Falls.FromTold)
+	slices.Sort(r.Withdrawals.FromCrash)
+	slices.Sort(r.Withdrawals.FromNotification)
 }
 
-var effects = map[string]invariants.Effect{"safe": invariants.Safe, "keyed": invariants.Keyed, "unsafe": invariants.Unsafe}
+var effects = map[string]invariants.Idempotency{"safe": invariants.Idempotent, "keyed": invariants.IdempotentWithKey, "unsafe": invariants.NotIdempotent}
--- a/internal/testing/scenario/drill_test.go
+++ b/internal/testing/scenario/drill_test.go
@@ -29,19 +29,19 @@
 	os.Exit(m.Run())
 }
 
-func launch(config string) *exec.Cmd {
+func launchController(config string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "DRILL_GOVERNOR="+config)
 	return cmd
 }
 
-func playDay(t *testing.T, name string, change func(*Options)) *Report {
+func playScenario(t *testing.T, name string, change func(*Options)) *Report {
 	t.Helper()
 	day, err := Load(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := Options{Day: day, Launch: launch, Keep: t.TempDir(), Records: true}
+	o := Options{Spec: day, Launch: launchController, Keep: t.TempDir(), Records: true}
 	if change != nil {
 		change(&o)
 	}
@@ -52,17 +52,17 @@
 	return r
 }
 
-// TestSmallDayKeepsTheRules plays the short bad day, a governor killed outright in it, and replays the records.
-func TestSmallDayKeepsTheRules(t *testing.T) {
+// TestSmallScenarioKeepsInvariants plays the short bad day, a governor killed outright in it, and replays the records.
+func TestSmallScenarioKeepsInvariants(t *testing.T) {
 	var dir string
-	r := playDay(t, "small", func(o *Options) { dir = o.Keep })
+	r := playScenario(t, "small", func(o *Options) { dir = o.Keep })
 	for _, v := range r.Rules {
-		if len(v.Breaks) > 0 || v.Tried == 0 {
-			t.Errorf("%s: tried %d times, %v", v.Rule, v.Tried, v.Breaks)
+		if len(v.Breaks) > 0 || v.Tested == 0 {
+			t.Errorf("%s: tried %d times, %v", v.Rule, v.Tested, v.Breaks)
 		}
 	}
-	if len(r.Troubles) > 0 {
-		t.Errorf("%v", r.Troubles)
+	if len(r.Problems) > 0 {
+		t.Errorf("%v", r.Problems)
 	}
 	f, err := os.Open(dir + "/governor-1.records")
 	if err != nil {
@@ -80,17 +80,17 @@
 	}
 }
 
-// TestGuardKeepsHarmAway plays a day of harmful tables with the guard and without it.
-func TestGuardKeepsHarmAway(t *testing.T) {
+// TestGuardPreventsHarmfulTables plays a day of harmful tables with the guard and without it.
+func TestGuardPreventsHarmfulTables(t *testing.T) {
 	for _, guarded := range []bool{true, false} {
 		t.Run(map[bool]string{true: "guarded", false: "unguarded"}[guarded], func(t *testing.T) {
 			t.Parallel()
-			r := playDay(t, "harm", func(o *Options) { o.Day.Guard = guarded })
+			r := playScenario(t, "harm", func(o *Options) { o.Spec.Guard = guarded })
 			breaks := 0
 			for _, v := range r.Rules {
 				breaks += len(v.Breaks)
 			}
-			if guarded && (breaks > 0 || r.PushesRefused == 0) || !guarded && breaks == 0 || len(r.Troubles) > 0 {
+			if guarded && (breaks > 0 || r.PushesRejected == 0) || !guarded && breaks == 0 || len(r.Problems) > 0 {
 				var b strings.Builder
 				r.Print(&b)
 				t.Error(b.String())
@@ -99,46 +99,46 @@
 	}
 }
 
-// TestBrokenGovernorsAreCaught: for each rule, a governor, or a fault at its front, that breaks it.
-func TestBrokenGovernorsAreCaught(t *testing.T) {
+// TestBrokenControllersAreDetected: for each rule, a governor, or a fault at its front, that breaks it.
+func TestBrokenControllersAreDetected(t *testing.T) {
 	broken := map[string]func(*Options){
 		// A governor that is told nothing of drains: its list stays as it was, while the service has told it.
 		invariants.RuleDrain: func(o *Options) {
-			o.Day.Troubles = []Trouble{{At: Span(2 * time.Second), For: Span(8 * time.Second), What: "drain"}}
-			o.Deaf = true
+			o.Spec.FaultSpecs = []FaultSpec{{At: Duration(2 * time.Second), Duration: Duration(8 * time.Second), Kind: "drain"}}
+			o.FrozenList = true
 		},
 		// One that lets proxies try again after any failure, whatever the class.
-		invariants.RuleTwice: func(o *Options) {
-			o.Day.Troubles = []Trouble{{At: Span(time.Second), For: Span(6 * time.Second), What: "answers-lost", Part: 1, Size: 0.6}}
-			o.Force = []string{"add map cressknot bag-issue.retry 2", "set map cressknot bag-issue.retry 2"}
+		invariants.RuleNoDuplicates: func(o *Options) {
+			o.Spec.FaultSpecs = []FaultSpec{{At: Duration(time.Second), Duration: Duration(6 * time.Second), Kind: "answers-lost", Fraction: 1, Size: 0.6}}
+			o.ForcedCommands = []string{"add map cressknot bag-issue.retry 2", "set map cressknot bag-issue.retry 2"}
 		},
 		// One that shuts out every server of a class.
-		invariants.RuleBare: func(o *Options) {
-			o.Day.Troubles = nil
-			for i := range o.Day.Nodes {
-				o.Force = append(o.Force, "set server slot-look/"+nodeName(i)+" state maint")
+		invariants.RuleAvailability: func(o *Options) {
+			o.Spec.FaultSpecs = nil
+			for i := range o.Spec.Nodes {
+				o.ForcedCommands = append(o.ForcedCommands, "set server slot-look/"+nodeName(i)+" state maint")
 			}
-			o.Alter = func(settings map[string]any) { // and that looks at its proxies too seldom to put that right
+			o.AlterSettings = func(settings map[string]any) { // and that looks at its proxies too seldom to put that right
 				settings["reports"] = map[string]any{"every": "60s"}
 			}
 		},
 		// One that gives a cold server all visits.
-		invariants.RuleCold: func(o *Options) {
-			o.Day.Troubles = []Trouble{{At: Span(time.Second), For: Span(2 * time.Second), What: "crash"}}
-			o.Day.Visits = 160
-			o.Crowd = true
+		invariants.RuleSlowStart: func(o *Options) {
+			o.Spec.FaultSpecs = []FaultSpec{{At: Duration(time.Second), Duration: Duration(2 * time.Second), Kind: "crash"}}
+			o.Spec.RequestRate = 160
+			o.CrowdNewestNode = true
 		},
 		// One that sends its whole table anew to all, again and again, past what may wait.
 		invariants.RuleQueue: func(o *Options) {
-			o.Day.Troubles = nil
-			o.Strict = func(f *invariants.Figures) { f.Backlog = 20 }
+			o.Spec.FaultSpecs = nil
+			o.AlterFigures = func(f *invariants.Figures) { f.Backlog = 20 }
 		},
 	}
 	for rule, change := range broken {
 		t.Run(rule, func(t *testing.T) {
 			t.Parallel()
-			r := playDay(t, "small", func(o *Options) {
-				o.Day.Length = Span(12 * time.Second)
+			r := playScenario(t, "small", func(o *Options) {
+				o.Spec.Length = Duration(12 * time.Second)
 				change(o)
 			})
 			for _, v := range r.Rules {
@@ -150,23 +150,23 @@
 	}
 }
 
-// TestFloodedGovernorsSeeWhoIsSilent floods two governors with reports that nobody asked for while reporters of nodes that serve
+// TestFloodedControllersDetectSilentReporters floods two governors with reports that nobody asked for while reporters of nodes that serve
 // on fall silent: the rules are kept, and both governors tell those nodes from dead ones.
-func TestFloodedGovernorsSeeWhoIsSilent(t *testing.T) {
-	r := playDay(t, "flood", func(o *Options) {
-		o.Day.Length = Span(14 * time.Second)
-		o.Day.Troubles = []Trouble{{At: Span(2 * time.Second), For: Span(10 * time.Second), What: "flood", Size: 10_000},
-			{At: Span(4 * time.Second), For: Span(9 * time.Second), What: "mute", Part: 0.17}}
+func TestFloodedControllersDetectSilentReporters(t *testing.T) {
+	r := playScenario(t, "flood", func(o *Options) {
+		o.Spec.Length = Duration(14 * time.Second)
+		o.Spec.FaultSpecs = []FaultSpec{{At: Duration(2 * time.Second), Duration: Duration(10 * time.Second), Kind: "flood", Size: 10_000},
+			{At: Duration(4 * time.Second), Duration: Duration(9 * time.Second), Kind: "mute", Fraction: 0.17}}
 	})
 	for _, v := range r.Rules {
 		if len(v.Breaks) > 0 {
 			t.Errorf("%s: %v", v.Rule, v.Breaks)
 		}
 	}
-	if len(r.Mutes) != 4 || r.Unnoticed != 0 || r.Flood[0]+r.Flood[1] == 0 {
-		t.Errorf("noticed %v, %d not; flood %v", r.Mutes, r.Unnoticed, r.Flood)
+	if len(r.SilenceDetections) != 4 || r.UndetectedSilences != 0 || r.Flood[0]+r.Flood[1] == 0 {
+		t.Errorf("noticed %v, %d not; flood %v", r.SilenceDetections, r.UndetectedSilences, r.Flood)
 	}
-	for _, g := range r.Governors {
+	for _, g := range r.Controllers {
 		if g.Info["Pushed_thinned"] == "" || g.Info["Pushed_thinned"] == "0" || g.Info["Tries_told"] == "0" {
 			t.Errorf("%s: %v", g.Name, g.Info)
 		}
@@ -176,82 +176,82 @@
 // TestStartWithoutDiscovery starts two governors and all proxies anew without the list's source, from lists of a day before of which half
 // is gone and the end damaged: tables stand within ten seconds, without the servers that are gone, and the source's return moves little.
 func TestStartWithoutDiscovery(t *testing.T) {
-	r := playDay(t, "dark", func(o *Options) {
-		o.Day.Length = Span(34 * time.Second)
-		o.Day.Troubles = []Trouble{{At: Span(3 * time.Second), For: Span(14 * time.Second), What: "dark"}}
+	r := playScenario(t, "dark", func(o *Options) {
+		o.Spec.Length = Duration(34 * time.Second)
+		o.Spec.FaultSpecs = []FaultSpec{{At: Duration(3 * time.Second), Duration: Duration(14 * time.Second), Kind: "dark"}}
 	})
 	for _, v := range r.Rules {
 		if len(v.Breaks) > 0 {
 			t.Errorf("%s: %v", v.Rule, v.Breaks)
 		}
 	}
-	d := r.Dark
-	if len(r.Troubles) > 0 || d == nil || len(d.Served) != 6 || d.Served[5] > servedBy.Seconds() || d.Ghosts > 0 || d.InTime < 0.8 || len(d.Live) != 2 || d.Moved > 0.25 {
-		t.Errorf("%+v %v", d, r.Troubles)
+	d := r.DiscoveryOutage
+	if len(r.Problems) > 0 || d == nil || len(d.Served) != 6 || d.Served[5] > serveTimeout.Seconds() || d.StaleEntries > 0 || d.InTimeFraction < 0.8 || len(d.LiveAfter) != 2 || d.MaxShift > 0.25 {
+		t.Errorf("%+v %v", d, r.Problems)
 	}
 }
 
-// TestProgramsWithLibrariesKeepTheRules plays a short day of programs that send their visits by both client libraries, through a governor's
+// TestClientProgramsKeepInvariants plays a short day of programs that send their visits by both client libraries, through a governor's
 // death, a death, a drain and lost answers.
-func TestProgramsWithLibrariesKeepTheRules(t *testing.T) {
-	r := playDay(t, "library", func(o *Options) {
-		o.Day.Length = Span(18 * time.Second)
-		o.Day.Troubles = []Trouble{{At: Span(5 * time.Second), For: Span(4 * time.Second), What: "crash"}, {At: Span(6 * time.Second), For: Span(6 * time.Second), What: "drain", Part: 0.15},
-			{At: Span(8 * time.Second), For: Span(time.Second), What: "governor-kill"}, {At: Span(10 * time.Second), For: Span(6 * time.Second), What: "answers-lost", Part: 0.2, Size: 0.5}}
+func TestClientProgramsKeepInvariants(t *testing.T) {
+	r := playScenario(t, "library", func(o *Options) {
+		o.Spec.Length = Duration(18 * time.Second)
+		o.Spec.FaultSpecs = []FaultSpec{{At: Duration(5 * time.Second), Duration: Duration(4 * time.Second), Kind: "crash"}, {At: Duration(6 * time.Second), Duration: Duration(6 * time.Second), Kind: "drain", Fraction: 0.15},
+			{At: Duration(8 * time.Second), Duration: Duration(time.Second), Kind: "governor-kill"}, {At: Duration(10 * time.Second), Duration: Duration(6 * time.Second), Kind: "answers-lost", Fraction: 0.2, Size: 0.5}}
 	})
 	for _, v := range r.Rules {
 		if len(v.Breaks) > 0 {
 			t.Errorf("%s: %v", v.Rule, v.Breaks)
 		}
 	}
-	if len(r.Troubles) > 0 || len(r.Libraries) != 8 {
-		t.Error(r.Troubles)
+	if len(r.Problems) > 0 || len(r.ClientPrograms) != 8 {
+		t.Error(r.Problems)
 	}
-	for _, l := range r.Libraries {
-		if l.Visits < 50 || l.Follows == 0 || float64(l.Tries) > 1.3*float64(l.Visits) {
+	for _, l := range r.ClientPrograms {
+		if l.Requests < 50 || l.Watches == 0 || float64(l.Attempts) > 1.3*float64(l.Requests) {
 			t.Errorf("%+v", l)
 		}
 	}
 }
 
-// TestGovernorsShareProxies plays a day of three governors that may all serve all proxies, one killed and one standing still past its lease:
+// TestControllersShareProxies plays a day of three governors that may all serve all proxies, one killed and one standing still past its lease:
 // the rules are kept, and no proxy follows a governor after a later one.
-func TestGovernorsShareProxies(t *testing.T) {
-	r := playDay(t, "sharing", func(o *Options) {
-		o.Day.Length = Span(30 * time.Second)
-		o.Day.Nodes, o.Day.Proxies, o.Day.Visits = 8, 8, 80
-		o.Day.Troubles = []Trouble{{At: Span(8 * time.Second), For: Span(8 * time.Second), What: "governor-kill"}, {At: Span(10 * time.Second), For: Span(4 * time.Second), What: "crash"},
-			{At: Span(18 * time.Second), For: Span(8 * time.Second), What: "governor-stall", Size: 8000, Every: Span(20 * time.Second)}}
+func TestControllersShareProxies(t *testing.T) {
+	r := playScenario(t, "sharing", func(o *Options) {
+		o.Spec.Length = Duration(30 * time.Second)
+		o.Spec.Nodes, o.Spec.Proxies, o.Spec.RequestRate = 8, 8, 80
+		o.Spec.FaultSpecs = []FaultSpec{{At: Duration(8 * time.Second), Duration: Duration(8 * time.Second), Kind: "governor-kill"}, {At: Duration(10 * time.Second), Duration: Duration(4 * time.Second), Kind: "crash"},
+			{At: Duration(18 * time.Second), Duration: Duration(8 * time.Second), Kind: "governor-stall", Size: 8000, Interval: Duration(20 * time.Second)}}
 	})
 	one := false
 	for _, v := range r.Rules {
 		if len(v.Breaks) > 0 {
 			t.Errorf("%s: %v", v.Rule, v.Breaks)
 		}
-		one = one || v.Rule == invariants.RuleOne && v.Tried > 0
+		one = one || v.Rule == invariants.RuleSingleController && v.Tested > 0
 	}
-	if !one || len(r.Troubles) > 0 {
-		t.Errorf("judged %v, %v", one, r.Troubles)
+	if !one || len(r.Problems) > 0 {
+		t.Errorf("judged %v, %v", one, r.Problems)
 	}
 }
 
 // kills of a governor that TestKills plays: -kills 100 for the whole.
 var kills = flag.Int("kills", 10, "kills of a governor to play")
 
-// TestTenKills kills a governor outright ten times: the rules are kept, and it ends with the versions that its store led it to.
-func TestTenKills(t *testing.T) {
+// TestRepeatedCrashesKeepInvariants kills a governor outright ten times: the rules are kept, and it ends with the versions that its store led it to.
+func TestRepeatedCrashesKeepInvariants(t *testing.T) {
 	var dir string
-	r := playDay(t, "kills", func(o *Options) {
+	r := playScenario(t, "kills", func(o *Options) {
 		if dir = o.Keep; *kills != 10 {
 			rng := rand.New(rand.NewPCG(7, 7))
 			at := 2 * time.Second
-			o.Day.Troubles = slices.DeleteFunc(o.Day.Troubles, func(t Trouble) bool { return t.What == "governor-kill" })
+			o.Spec.FaultSpecs = slices.DeleteFunc(o.Spec.FaultSpecs, func(t FaultSpec) bool { return t.Kind == "governor-kill" })
 			for range *kills {
 				down := time.Duration(100+rng.IntN(600)) * time.Millisecond
-				o.Day.Troubles = append(o.Day.Troubles, Trouble{At: Span(at), For: Span(down), What: "governor-kill"})
+				o.Spec.FaultSpecs = append(o.Spec.FaultSpecs, FaultSpec{At: Duration(at), Duration: Duration(down), Kind: "governor-kill"})
 				at += down + time.Duration(300+rng.IntN(2500))*time.Millisecond
 			}
-			o.Day.Length = Span(at + 2*time.Second)
+			o.Spec.Length = Duration(at + 2*time.Second)
 		}
 	})
 	for _, v := range r.Rules {
@@ -259,8 +259,8 @@
 			t.Errorf("%s: %v", v.Rule, v.Breaks)
 		}
 	}
-	if len(r.Troubles) > 0 {
-		t.Error(r.Troubles)
+	if len(r.Problems) > 0 {
+		t.Error(r.Problems)
 	}
 	log, err := os.ReadFile(filepath.Join(dir, "governor-1.log"))
 	if err != nil {
