--- a/internal/testing/invariants/duplicates.go
+++ b/internal/testing/invariants/duplicates.go
@@ -56,7 +56,13 @@
 		repeated++
 		afterWindow := a.at > firstSent[a.request]+class.DeduplicationWindow
 		if a.mayHaveRun && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentWithKey && afterWindow) {
-			v.violate(a.at, "proxy %s sent visit %d of class %s again after a try that may have run", a.proxy, a.request, a.class)
+			v.violate(
+				a.at,
+				"proxy %s sent visit %d of class %s again after a try that may have run",
+				a.proxy,
+				a.request,
+				a.class,
+			)
 		}
 	}
 	return repeated
--- a/internal/testing/invariants/queue.go
+++ b/internal/testing/invariants/queue.go
@@ -37,9 +37,9 @@
 	minBurstPace = 0.5
 )
 
-// judgeBursts finds a queue that was too long by how many entries a controller sent without a pause at about the full rate
-// of its channel: they must have waited somewhere had all been ordered when the burst began. It returns the longest burst in
-// entries.
+// judgeBursts finds a queue that was too long by how many entries a controller sent without a pause at about the full
+// rate of its channel: they must have waited somewhere had all been ordered when the burst began. It returns the
+// longest burst in entries.
 func judgeBursts(v *Verdict, controller string, messages []message, f Figures) float64 {
 	longest := 0.0
 	began := time.Duration(-1)
--- a/internal/testing/invariants/watch.go
+++ b/internal/testing/invariants/watch.go
@@ -1,6 +1,6 @@
-// Package invariants judges the rules that a controller must keep, from what simulated proxies and nodes saw on their sockets
-// and from what the list service answered. It never reads a controller's own records. The simulated parts write into a
-// Watch while they run; Judge evaluates it afterwards.
+// Package invariants judges the rules that a controller must keep, from what simulated proxies and nodes saw on their
+// sockets and from what the list service answered. It never reads a controller's own records. The simulated parts
+// write into a Watch while they run; Judge evaluates it afterwards.
 package invariants
 
 import (
@@ -138,13 +138,20 @@
 	return controller
 }
 
-// CommandFollowed records that a proxy followed a command of a controller that serves it since an epoch, where several could.
+// CommandFollowed records that a proxy followed a command of a controller that serves it since an epoch, where
+// several could.
 func (w *Watch) CommandFollowed(proxy, controller string, epoch uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.commands++
 	if last := w.epochs[proxy]; epoch < last {
-		text := fmt.Sprintf("proxy %s followed governor %s of epoch %d after one of epoch %d", proxy, controller, epoch, last)
+		text := fmt.Sprintf(
+			"proxy %s followed governor %s of epoch %d after one of epoch %d",
+			proxy,
+			controller,
+			epoch,
+			last,
+		)
 		w.outdatedCommands = append(w.outdatedCommands, Break{RuleSingleController, w.now(), text})
 	}
 	w.epochs[proxy] = max(w.epochs[proxy], epoch)
--- /dev/null
+++ b/internal/testing/scenario/controllerfaults.go
@@ -0,0 +1,111 @@
+package scenario
+
+import (
+	"context"
+	"slices"
+	"syscall"
+	"time"
+
+	"cressknot/internal/rollingrestart"
+)
+
+const (
+	// rollingStepTimeout bounds each step of a rolling restart.
+	rollingStepTimeout = 30 * time.Second
+	// rollingDownTime is how long a controller is down in a rolling restart.
+	rollingDownTime = time.Second / 2
+)
+
+// rolling restarts all controllers one after the other, as the command of that name does.
+func (r *runner) rolling(ctx context.Context, _ FaultSpec) {
+	var sockets []string
+	for _, c := range r.controllers {
+		sockets = append(sockets, c.socket)
+	}
+	began := time.Now()
+	restart := func(ctx context.Context, socket string) error {
+		c := r.controllers[slices.Index(sockets, socket)]
+		if err := c.stop(syscall.SIGTERM); err != nil {
+			return err
+		}
+		sleep(ctx, rollingDownTime)
+		return c.start(r.Launch)
+	}
+	if err := rollingrestart.Restart(ctx, sockets, rollingStepTimeout, restart); err != nil {
+		r.reportProblem("rolling restart: %v", err)
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.report.RollingRestart = time.Since(began).Seconds()
+}
+
+// controllerCrash kills controllers and restarts them. Proxies that read files can't see that their controller is
+// down: they count as disconnected meanwhile.
+func (r *runner) controllerCrash(ctx context.Context, spec FaultSpec) {
+	controllers := r.pickControllers(spec.Fraction)
+	forFileProxies := func(do func(proxy string)) {
+		for i, proxy := range r.proxies {
+			if proxy.Folder != "" && slices.Contains(controllers, r.controllers[r.ownerByProxy[i]]) {
+				do(proxy.Name)
+			}
+		}
+	}
+	defer forFileProxies(r.watch.Connected)
+	forFileProxies(r.watch.Disconnected)
+	for _, c := range controllers {
+		r.kill(c)
+	}
+	wait(ctx, spec.Duration)
+	r.restartControllers(controllers)
+}
+
+func (r *runner) kill(c *controllerProcess) {
+	c.usage() // the largest memory is not known after the end
+	if err := c.stop(syscall.SIGKILL); err != nil {
+		r.reportProblem("%v", err)
+	}
+}
+
+func (r *runner) restartControllers(controllers []*controllerProcess) {
+	for _, c := range controllers {
+		if err := c.start(r.Launch); err != nil {
+			r.reportProblem("%v", err)
+		}
+	}
+}
+
+func (r *runner) controllerStall(ctx context.Context, spec FaultSpec) {
+	stall := millis(orDefault(spec.Size, defaultStallMillis))
+	controllers := r.pickControllers(spec.Fraction)
+	repeat(ctx, spec.Duration, func() {
+		for _, c := range controllers {
+			c.signal(syscall.SIGSTOP)
+		}
+		sleep(ctx, stall)
+		for _, c := range controllers {
+			c.signal(syscall.SIGCONT)
+		}
+		wait(ctx, spec.Interval)
+	})
+}
+
+func (r *runner) listDown(ctx context.Context, spec FaultSpec) {
+	r.lister.Fail(true)
+	wait(ctx, spec.Duration)
+	r.lister.Fail(false)
+}
+
+func (r *runner) listLate(ctx context.Context, spec FaultSpec) {
+	r.lister.Delay(seconds(orDefault(spec.Size, defaultListDelay)))
+	wait(ctx, spec.Duration)
+	r.lister.Delay(0)
+}
+
+// listDownForSome lets the list service fail some controllers.
+func (r *runner) listDownForSome(ctx context.Context, spec FaultSpec) {
+	for _, c := range r.pickControllers(spec.Fraction) {
+		r.lister.FailFor(c.name, true)
+		defer r.lister.FailFor(c.name, false)
+	}
+	wait(ctx, spec.Duration)
+}
--- a/internal/testing/scenario/drill_test.go
+++ b/internal/testing/scenario/scenario_test.go
@@ -104,12 +104,16 @@
 	broken := map[string]func(*Options){
 		// A governor that is told nothing of drains: its list stays as it was, while the service has told it.
 		invariants.RuleDrain: func(o *Options) {
-			o.Spec.FaultSpecs = []FaultSpec{{At: Duration(2 * time.Second), Duration: Duration(8 * time.Second), Kind: "drain"}}
+			o.Spec.FaultSpecs = []FaultSpec{
+				{At: Duration(2 * time.Second), Duration: Duration(8 * time.Second), Kind: "drain"},
+			}
 			o.FrozenList = true
 		},
 		// One that lets proxies try again after any failure, whatever the class.
 		invariants.RuleNoDuplicates: func(o *Options) {
-			o.Spec.FaultSpecs = []FaultSpec{{At: Duration(time.Second), Duration: Duration(6 * time.Second), Kind: "answers-lost", Fraction: 1, Size: 0.6}}
+			o.Spec.FaultSpecs = []FaultSpec{
+				{At: Duration(time.Second), Duration: Duration(6 * time.Second), Kind: "answers-lost", Fraction: 1, Size: 0.6},
+			}
 			o.ForcedCommands = []string{"add map cressknot bag-issue.retry 2", "set map cressknot bag-issue.retry 2"}
 		},
 		// One that shuts out every server of a class.
@@ -150,13 +154,15 @@
 	}
 }
 
-// TestFloodedControllersDetectSilentReporters floods two governors with reports that nobody asked for while reporters of nodes that serve
-// on fall silent: the rules are kept, and both governors tell those nodes from dead ones.
+// TestFloodedControllersDetectSilentReporters floods two governors with reports that nobody asked for while reporters
+// of nodes that serve on fall silent: the rules are kept, and both governors tell those nodes from dead ones.
 func TestFloodedControllersDetectSilentReporters(t *testing.T) {
 	r := playScenario(t, "flood", func(o *Options) {
 		o.Spec.Length = Duration(14 * time.Second)
-		o.Spec.FaultSpecs = []FaultSpec{{At: Duration(2 * time.Second), Duration: Duration(10 * time.Second), Kind: "flood", Size: 10_000},
-			{At: Duration(4 * time.Second), Duration: Duration(9 * time.Second), Kind: "mute", Fraction: 0.17}}
+		o.Spec.FaultSpecs = []FaultSpec{
+			{At: Duration(2 * time.Second), Duration: Duration(10 * time.Second), Kind: "flood", Size: 10_000},
+			{At: Duration(4 * time.Second), Duration: Duration(9 * time.Second), Kind: "mute", Fraction: 0.17},
+		}
 	})
 	for _, v := range r.Rules {
 		if len(v.Breaks) > 0 {
@@ -173,12 +179,15 @@
 	}
 }
 
-// TestStartWithoutDiscovery starts two governors and all proxies anew without the list's source, from lists of a day before of which half
-// is gone and the end damaged: tables stand within ten seconds, without the servers that are gone, and the source's return moves little.
+// TestStartWithoutDiscovery starts two governors and all proxies anew without the list's source, from lists of a day
+// before of which half is gone and the end damaged: tables stand within ten seconds, without the servers that are
+// gone, and the source's return moves little.
 func TestStartWithoutDiscovery(t *testing.T) {
 	r := playScenario(t, "dark", func(o *Options) {
 		o.Spec.Length = Duration(34 * time.Second)
-		o.Spec.FaultSpecs = []FaultSpec{{At: Duration(3 * time.Second), Duration: Duration(14 * time.Second), Kind: "dark"}}
+		o.Spec.FaultSpecs = []FaultSpec{
+			{At: Duration(3 * time.Second), Duration: Duration(14 * time.Second), Kind: "dark"},
+		}
 	})
 	for _, v := range r.Rules {
 		if len(v.Breaks) > 0 {
@@ -186,18 +195,36 @@
 		}
 	}
 	d := r.DiscoveryOutage
-	if len(r.Problems) > 0 || d == nil || len(d.Served) != 6 || d.Served[5] > serveTimeout.Seconds() || d.StaleEntries > 0 || d.InTimeFraction < 0.8 || len(d.LiveAfter) != 2 || d.MaxShift > 0.25 {
+	if len(r.Problems) > 0 || d == nil || len(d.Served) != 6 || d.Served[5] > serveTimeout.Seconds() ||
+		d.StaleEntries > 0 ||
+		d.InTimeFraction < 0.8 ||
+		len(d.LiveAfter) != 2 ||
+		d.MaxShift > 0.25 {
 		t.Errorf("%+v %v", d, r.Problems)
 	}
 }
 
-// TestClientProgramsKeepInvariants plays a short day of programs that send their visits by both client libraries, through a governor's
-// death, a death, a drain and lost answers.
+// TestClientProgramsKeepInvariants plays a short day of programs that send their visits by both client libraries,
+// through a governor's death, a death, a drain and lost answers.
 func TestClientProgramsKeepInvariants(t *testing.T) {
 	r := playScenario(t, "library", func(o *Options) {
 		o.Spec.Length = Duration(18 * time.Second)
-		o.Spec.FaultSpecs = []FaultSpec{{At: Duration(5 * time.Second), Duration: Duration(4 * time.Second), Kind: "crash"}, {At: Duration(6 * time.Second), Duration: Duration(6 * time.Second), Kind: "drain", Fraction: 0.15},
-			{At: Duration(8 * time.Second), Duration: Duration(time.Second), Kind: "governor-kill"}, {At: Duration(10 * time.Second), Duration: Duration(6 * time.Second), Kind: "answers-lost", Fraction: 0.2, Size: 0.5}}
+		o.Spec.FaultSpecs = []FaultSpec{
+			{At: Duration(5 * time.Second), Duration: Duration(4 * time.Second), Kind: "crash"},
+			{At: Duration(6 * time.Second), Duration: Duration(6 * time.Second), Kind: "drain", Fraction: 0.15},
+			{
+				At:       Duration(8 * time.Second),
+				Duration: Duration(time.Second),
+				Kind:     "governor-kill",
+			},
+			{
+				At:       Duration(10 * time.Second),
+				Duration: Duration(6 * time.Second),
+				Kind:     "answers-lost",
+				Fraction: 0.2,
+				Size:     0.5,
+			},
+		}
 	})
 	for _, v := range r.Rules {
 		if len(v.Breaks) > 0 {
@@ -214,14 +241,23 @@
 	}
 }
 
-// TestControllersShareProxies plays a day of three governors that may all serve all proxies, one killed and one standing still past its lease:
-// the rules are kept, and no proxy follows a governor after a later one.
+// TestControllersShareProxies plays a day of three governors that may all serve all proxies, one killed and one
+// standing still past its lease: the rules are kept, and no proxy follows a governor after a later one.
 func TestControllersShareProxies(t *testing.T) {
 	r := playScenario(t, "sharing", func(o *Options) {
 		o.Spec.Length = Duration(30 * time.Second)
 		o.Spec.Nodes, o.Spec.Proxies, o.Spec.RequestRate = 8, 8, 80
-		o.Spec.FaultSpecs = []FaultSpec{{At: Duration(8 * time.Second), Duration: Duration(8 * time.Second), Kind: "governor-kill"}, {At: Duration(10 * time.Second), Duration: Duration(4 * time.Second), Kind: "crash"},
-			{At: Duration(18 * time.Second), Duration: Duration(8 * time.Second), Kind: "governor-stall", Size: 8000, Interval: Duration(20 * time.Second)}}
+		o.Spec.FaultSpecs = []FaultSpec{
+			{At: Duration(8 * time.Second), Duration: Duration(8 * time.Second), Kind: "governor-kill"},
+			{At: Duration(10 * time.Second), Duration: Duration(4 * time.Second), Kind: "crash"},
+			{
+				At:       Duration(18 * time.Second),
+				Duration: Duration(8 * time.Second),
+				Kind:     "governor-stall",
+				Size:     8000,
+				Interval: Duration(20 * time.Second),
+			},
+		}
 	})
 	one := false
 	for _, v := range r.Rules {
@@ -238,17 +274,24 @@
 // kills of a governor that TestKills plays: -kills 100 for the whole.
 var kills = flag.Int("kills", 10, "kills of a governor to play")
 
-// TestRepeatedCrashesKeepInvariants kills a governor outright ten times: the rules are kept, and it ends with the versions that its store led it to.
+// TestRepeatedCrashesKeepInvariants kills a governor outright ten times: the rules are kept, and it ends with the
+// versions that its store led it to.
 func TestRepeatedCrashesKeepInvariants(t *testing.T) {
 	var dir string
 	r := playScenario(t, "kills", func(o *Options) {
 		if dir = o.Keep; *kills != 10 {
 			rng := rand.New(rand.NewPCG(7, 7))
 			at := 2 * time.Second
-			o.Spec.FaultSpecs = slices.DeleteFunc(o.Spec.FaultSpecs, func(t FaultSpec) bool { return t.Kind == "governor-kill" })
+			o.Spec.FaultSpecs = slices.DeleteFunc(
+				o.Spec.FaultSpecs,
+				func(t FaultSpec) bool { return t.Kind == "governor-kill" },
+			)
 			for range *kills {
 				down := time.Duration(100+rng.IntN(600)) * time.Millisecond
-				o.Spec.FaultSpecs = append(o.Spec.FaultSpecs, FaultSpec{At: Duration(at), Duration: Duration(down), Kind: "governor-kill"})
+				o.Spec.FaultSpecs = append(
+					o.Spec.FaultSpecs,
+					FaultSpec{At: Duration(at), Duration: Duration(down), Kind: "governor-kill"},
+				)
 				at += down + time.Duration(300+rng.IntN(2500))*time.Millisecond
 			}
 			o.Spec.Length = Duration(at + 2*time.Second)
@@ -266,7 +309,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := strings.Count(string(log), `"message":"woke"`); n != *kills+1 || strings.Contains(string(log), "damaged in the store") || !strings.Contains(string(log), `"list":true`) {
+	if n := strings.Count(
+		string(log),
+		`"message":"woke"`,
+	); n != *kills+1 || strings.Contains(string(log), "damaged in the store") ||
+		!strings.Contains(string(log), `"list":true`) {
 		t.Errorf("woke %d times, in\n%s", n, log)
 	}
 }
