--- a/client/example_test.go
+++ b/client/example_test.go
@@ -11,7 +11,7 @@
 )
 
 // A program that books slots: it follows its zone's tables over gRPC (package runtime does the same over the text
-// protocol) and lets the library choose servers, try again where that is safe, and report.
+// protocol) and lets the library choose servers, retry where that is safe, and report.
 func Example() {
 	c, err := rpc.New(client.Config{
 		Name:      "desk-7",
--- a/client/suite_test.go
+++ b/client/suite_test.go
@@ -2,453 +2,209 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net"
 	"reflect"
-	"sync"
 	"testing"
 	"time"
 
 	"go.uber.org/goleak"
 
 	"cressknot/client"
-	"cressknot/client/rpc"
-	"cressknot/client/runtime"
-	"cressknot/internal/fleet"
 	"cressknot/internal/reconcile"
 	"cressknot/internal/service"
-	overrpc "cressknot/internal/service/rpc"
 	"cressknot/internal/service/text"
-	"cressknot/internal/tableversion"
-	"cressknot/internal/testing/fakes"
 	"cressknot/internal/transport"
 )
 
-const eventuallyTimeout = 30 * time.Second // for anything that must happen on a loaded machine
-
-var transports = []struct {
-	name string
-	via  client.Transport
-}{{"rpc", rpc.Transport{}}, {"runtime", runtime.Transport{}}}
-
-// names are servers s0, s1, … at addresses of their own.
-type names struct{ n int }
-
-func (n names) Server(name string) (fleet.ServerID, bool) {
-	var id int
-	_, err := fmt.Sscanf(name, "s%d", &id)
-	return fleet.ServerID(id), err == nil && id < n.n
-}
-func (n names) Learn(name, _ string) fleet.ServerID { id, _ := n.Server(name); return id }
-func (n names) Of(id fleet.ServerID) (string, string) {
-	return fmt.Sprint("s", id), fmt.Sprint("127.0.0.1:", 7000+id)
-}
-
-var classes = []fleet.RequestClass{
-	{Name: "look", LatencyObjective: 200 * fleet.Millisecond, Deadline: 2 * fleet.Second},
-	{
-		Name:                "book",
-		Idempotency:         fleet.IdempotentWithKey,
-		DeduplicationWindow: 5 * fleet.Second,
-		LatencyObjective:    fleet.Second,
-		Deadline:            2 * fleet.Second,
-	},
-	{Name: "issue", Idempotency: fleet.NotIdempotent, LatencyObjective: fleet.Second, Deadline: 2 * fleet.Second},
-}
-
-// fixedQueries answers every query with fixed values.
-type fixedQueries struct{}
-
-func (fixedQueries) Server(_ context.Context, name string) (service.ServerState, error) {
-	if name != "s1" {
-		return service.ServerState{}, &service.Error{
-			Code: service.NoServer,
-			Text: fmt.Sprintf("%q was never heard of", name),
-		}
-	}
-	return service.ServerState{
-		Name:               "s1",
-		Addr:               "127.0.0.1:7001",
-		Zone:               "a",
-		State:              "draining",
-		SlowStartRemaining: 3 * fleet.Second,
-		Withdrawn:          true,
-		Verdict:            "well",
-		Weights: []service.ClassWeight{
-			{Zone: "a", Class: "look", Weight: 12},
-		},
-		Reasons: []string{"it drains; so says the list", "= \\ 100%"},
-	}, nil
-}
-
-func (fixedQueries) History(
-	_ context.Context,
-	zone, class string,
-	most int,
-) (rows []service.VersionRow, err error) {
-	if class != "look" {
-		return nil, &service.Error{Code: service.NoClass, Text: "no class"}
-	}
-	for i := range most {
-		rows = append(rows, service.VersionRow{
-			Version:   tableversion.Version{Epoch: 9, Count: uint64(i + 1)},
-			Digest:    tableversion.Digest(i),
-			CreatedAt: fleet.Time(i),
-			Entries:   i,
-			Reason:    "by hand",
-		})
-	}
-	return rows, nil
-}
-
-func (fixedQueries) Summary(context.Context) (service.Summary, error) {
-	return service.Summary{
-		Controller:   "g",
-		Program:      "p",
-		Epoch:        9,
-		ListRevision: 4,
-		ListAge:      5,
-		Live:         true,
-		Servers:      6,
-		Ready:        5,
-		WarmingUp:    1,
-		Withdrawn:    2,
-		ProxiesUp:    3,
-		ProxiesAll:   4,
-	}, nil
-}
-
-// testController is a hub served over both protocols, without a controller's loop: tests send the messages.
-type testController struct {
-	t        *testing.T
-	hub      *service.Hub
-	servers  [2]interface{ Close(context.Context) error }
-	addrs    [2]string
-	mu       sync.Mutex
-	events   []transport.Event
-	sequence uint64
-	stopped  bool
-}
-
-func startController(t *testing.T, name string, epoch uint64, minor uint32) *testController {
-	t.Helper()
-	g := &testController{t: t}
-	began := time.Now()
-	g.hub = service.NewHub(service.HubOptions{
-		Controller: name,
-		Epoch:      epoch,
-		Zones:      []service.Zone{{Name: "a"}},
-		Classes:    classes,
-		Names:      names{1000},
-		Minor:      minor,
-		Now:        func() fleet.Time { return fleet.Time(began.UnixNano()) + fleet.Time(time.Since(began)) },
-	})
-	if err := g.hub.Start(context.Background(), func(e transport.Event) {
-		g.mu.Lock()
-		g.events = append(g.events, e)
-		g.mu.Unlock()
-	}); err != nil {
-		t.Fatal(err)
-	}
-	core := service.New(g.hub, fixedQueries{})
-	r, err := overrpc.Listen("127.0.0.1:0", core)
-	if err != nil {
-		t.Fatal(err)
-	}
-	x, err := text.Listen("127.0.0.1:0", core)
-	if err != nil {
-		t.Fatal(err)
-	}
-	g.servers, g.addrs = [2]interface{ Close(context.Context) error }{r, x}, [2]string{r.Addr(), x.Addr()}
-	return g
-}
-
-func (g *testController) stop() {
-	if g.stopped {
-		return
-	}
-	g.stopped = true
-	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+// TestClientsOfBothProtocolsAgree runs the clients of both protocols through the same faults and checks that they are
+// alike at each step.
+func TestClientsOfBothProtocolsAgree(t *testing.T) {
+	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
+	ctx, cancel := context.WithTimeout(context.Background(), 2*eventuallyTimeout)
 	defer cancel()
-	_ = g.hub.Stop(ctx)
-	for _, f := range g.servers {
-		_ = f.Close(ctx)
-	}
+	a := &agreement{t: t, ctx: ctx, controller: startController(t, "g1", 100, 0)}
+	defer func() { a.controller.stop() }()
+	a.pair = newClientPair(t, a.controller)
+	defer a.pair.close()
+	a.publishAndQuery()
+	a.breakConnections()
+	a.holdConnections()
+	a.restartController()
+	a.reportOutcomes()
 }
 
-// publish changes servers in all classes by one message.
-func (g *testController) publish(kind reconcile.ChangeKind, state reconcile.State, weight int16, servers ...int) {
-	g.sequence++
-	m := reconcile.Message{Sequence: g.sequence}
-	for c := range classes {
-		for _, s := range servers {
-			m.Changes = append(
-				m.Changes,
-				reconcile.Change{Kind: kind, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: weight, State: state},
-			)
-		}
-	}
-	g.hub.Send(m)
+// agreement is the state of TestClientsOfBothProtocolsAgree; its methods are the steps in their order.
+type agreement struct {
+	t          *testing.T
+	ctx        context.Context
+	controller *testController
+	pair       *clientPair
 }
 
-func (g *testController) setOpen(rev uint64, servers ...int) {
-	f := service.PublishedState{ListRevision: rev, Live: true, Open: []string{}}
-	for _, s := range servers {
-		f.Open = append(f.Open, fmt.Sprint("s", s))
-	}
-	g.hub.Facts(f)
-}
+func connected(c *client.Client) bool { return c.State().Connected }
 
-// answered counts the messages that were answered.
-func (g *testController) answered() (n int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, e := range g.events {
-		if _, is := e.(transport.Answered); is {
-			n++
-		}
-	}
-	return n
+// shows matches a connected client with the given weights.
+func shows(want string) func(*client.Client) bool {
+	return func(c *client.Client) bool { return connected(c) && weights(c) == want }
 }
 
-// clientPair is a client on each protocol, each behind a relay of its own.
-type clientPair struct {
-	t       *testing.T
-	relays  [2]*fakes.Relay
-	clients [2]*client.Client
-}
-
-func newClientPair(t *testing.T, controllers ...*testController) *clientPair {
-	t.Helper()
-	p := &clientPair{t: t}
-	for i, via := range transports {
-		r, err := fakes.NewRelay(controllers[0].addrs[i])
-		if err != nil {
-			t.Fatal(err)
+// same asks both clients and expects equal answers, or errors with the given code.
+func (a *agreement) same(step string, want service.Code, ask func(*client.Client) (any, error)) {
+	a.t.Helper()
+	wantRetryLater := want == service.Unready || want == service.Overloaded
+	var answers [2]any
+	for i, c := range a.pair.clients {
+		answer, err := ask(c)
+		got, retryLater := errorCode(err)
+		wrongCode := err != nil && got != want || err == nil && want != ""
+		if wrongCode || retryLater != wantRetryLater {
+			a.t.Errorf("%s over %s: %v, want code %q", step, transports[i].name, err, want)
 		}
-		addrs := []string{r.Addr}
-		for _, g := range controllers[1:] {
-			addrs = append(addrs, g.addrs[i])
-		}
-		c, err := client.New(client.Config{Name: "suite-" + via.name, Zone: "a", Governors: addrs, Seed: 2}, via.via)
-		if err != nil {
-			t.Fatal(err)
-		}
-		p.relays[i], p.clients[i] = r, c
+		answers[i] = answer
 	}
-	return p
-}
-
-func (p *clientPair) close() {
-	for i := range p.clients {
-		_ = p.clients[i].Close()
-		p.relays[i].Close()
+	if !reflect.DeepEqual(answers[0], answers[1]) {
+		a.t.Errorf("%s: %+v and %+v", step, answers[0], answers[1])
 	}
 }
 
-// eventuallyAgree waits until both clients are as wanted, and alike.
-func (p *clientPair) eventuallyAgree(what string, good func(*client.Client) bool) {
-	p.t.Helper()
-	for end := time.Now().Add(eventuallyTimeout); ; time.Sleep(5 * time.Millisecond) {
-		a, b := p.clients[0].State(), p.clients[1].State()
-		if good(p.clients[0]) && good(p.clients[1]) && a.Controller == b.Controller && a.Version == b.Version &&
-			a.Connected == b.Connected &&
-			a.NewerProtocol == b.NewerProtocol &&
-			reflect.DeepEqual(p.clients[0].Endpoints("look"), p.clients[1].Endpoints("look")) {
-			return
-		}
-		if time.Now().After(end) {
-			p.t.Fatalf(
-				"%s: the clients don't agree:\n%+v %v\n%+v %v",
-				what,
-				a,
-				p.clients[0].Endpoints("look"),
-				b,
-				p.clients[1].Endpoints("look"),
-			)
-		}
-	}
-}
-
-func weights(c *client.Client) string {
-	out := ""
-	for _, l := range c.Endpoints("issue") {
-		out += fmt.Sprintf("%s=%d ", l.Server, l.Weight)
-	}
-	return out
-}
-
-// errorCode returns the code of an error, and whether it asks to retry later.
-func errorCode(err error) (service.Code, bool) {
-	var f *service.Error
-	if errors.As(err, &f) {
-		return f.Code, f.RetryAfter > 0
-	}
-	return service.Code(fmt.Sprint(err)), false
-}
-
-// TestClientsOfBothProtocolsAgree runs the clients of both protocols through the same faults and checks that they are
-// alike at each step.
-func TestClientsOfBothProtocolsAgree(t *testing.T) {
-	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	ctx, cancel := context.WithTimeout(context.Background(), 2*eventuallyTimeout)
-	defer cancel()
-	g := startController(t, "g1", 100, 0)
-	defer func() { g.stop() }()
-	p := newClientPair(t, g)
-	defer p.close()
-	same := func(what string, want service.Code, ask func(*client.Client) (any, error)) {
-		t.Helper()
-		var got [2]any
-		for i, c := range p.clients {
-			v, err := ask(c)
-			if is, retryLater := errorCode(
-				err,
-			); err != nil && is != want || err == nil && want != "" ||
-				retryLater != (want == service.Unready || want == service.Overloaded) {
-				t.Errorf("%s over %s: %v, want code %q", what, transports[i].name, err, want)
-			}
-			got[i] = v
-		}
-		if !reflect.DeepEqual(got[0], got[1]) {
-			t.Errorf("%s: %+v and %+v", what, got[0], got[1])
-		}
-	}
-	up := func(c *client.Client) bool { return c.State().Connected }
-	shows := func(want string) func(*client.Client) bool {
-		return func(c *client.Client) bool { return up(c) && weights(c) == want }
-	}
+// publishAndQuery publishes tables and asks each query.
+func (a *agreement) publishAndQuery() {
+	ctx := a.ctx
 	table := func(c *client.Client) (any, error) { return c.Table(ctx) }
-
-	p.eventuallyAgree("greeted", up)
-	same("nothing is published", service.Unready, table)
-	g.setOpen(5, 0, 1, 2, 3)
-	g.publish(reconcile.AddEntry, reconcile.StateReady, 128, 0, 1, 2)
-	p.eventuallyAgree("published", shows("s0=128 s1=128 s2=128 "))
-	g.publish(reconcile.UpdateEntry, reconcile.StateDrain, -1, 1)
-	g.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, 64, 2)
-	p.eventuallyAgree("one drains, one has less weight", shows("s0=128 s2=64 "))
-	same("the complete state", "", table)
-	same("a server", "", func(c *client.Client) (any, error) { return c.Server(ctx, "s1") })
-	same(
-		"an unknown server",
-		service.NoServer,
-		func(c *client.Client) (any, error) { return c.Server(ctx, "nobody; quit") },
-	)
-	same(
-		"a long name",
-		service.TooLarge,
-		func(c *client.Client) (any, error) { return c.Server(ctx, fmt.Sprintf("%0300d", 1)) },
-	)
-	same("history", "", func(c *client.Client) (any, error) { return c.History(ctx, "look", 3) })
-	same(
-		"history of no class",
-		service.NoClass,
-		func(c *client.Client) (any, error) { return c.History(ctx, "none", 3) },
-	)
-	same(
-		"too much history",
-		service.BadRequest,
-		func(c *client.Client) (any, error) { return c.History(ctx, "look", 5000) },
-	)
-	same("summary", "", func(c *client.Client) (any, error) { return c.Summary(ctx) })
-	same("asked too often", service.Overloaded, func(c *client.Client) (any, error) {
+	a.pair.eventuallyAgree("greeted", connected)
+	a.same("nothing is published", service.Unready, table)
+	a.controller.setOpen(5, 0, 1, 2, 3)
+	a.controller.publish(reconcile.AddEntry, reconcile.StateReady, 128, 0, 1, 2)
+	a.pair.eventuallyAgree("published", shows("s0=128 s1=128 s2=128 "))
+	a.controller.publish(reconcile.UpdateEntry, reconcile.StateDrain, -1, 1)
+	a.controller.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, 64, 2)
+	a.pair.eventuallyAgree("one drains, one has less weight", shows("s0=128 s2=64 "))
+	a.same("the complete state", "", table)
+	a.same("a server", "", func(c *client.Client) (any, error) { return c.Server(ctx, "s1") })
+	a.same("an unknown server", service.NoServer, func(c *client.Client) (any, error) {
+		return c.Server(ctx, "nobody; quit")
+	})
+	a.same("a long name", service.TooLarge, func(c *client.Client) (any, error) {
+		return c.Server(ctx, fmt.Sprintf("%0300d", 1))
+	})
+	a.same("history", "", func(c *client.Client) (any, error) { return c.History(ctx, "look", 3) })
+	a.same("history of no class", service.NoClass, func(c *client.Client) (any, error) {
+		return c.History(ctx, "none", 3)
+	})
+	a.same("too much history", service.BadRequest, func(c *client.Client) (any, error) {
+		return c.History(ctx, "look", 5000)
+	})
+	a.same("summary", "", func(c *client.Client) (any, error) { return c.Summary(ctx) })
+	a.same("asked too often", service.Overloaded, func(c *client.Client) (any, error) {
 		var err error
 		for i := 0; err == nil && i < 100; i++ {
 			_, err = c.Summary(ctx)
 		}
 		return nil, err
 	})
+}
 
-	// The connections break: both continue with what they have cached, miss three changes, and continue from there.
-	for _, r := range p.relays {
-		r.Refuse(true)
-		r.Cut()
+// breakConnections checks that both continue with what they have cached, miss three changes, and continue from there.
+func (a *agreement) breakConnections() {
+	for _, relay := range a.pair.relays {
+		relay.Refuse(true)
+		relay.Cut()
 	}
-	p.eventuallyAgree("disconnected", func(c *client.Client) bool { return !up(c) && weights(c) == "s0=128 s2=64 " })
-	for _, c := range p.clients {
-		if n, err := c.Pick(0); err != nil || n.Name != "s0" && n.Name != "s2" {
-			t.Errorf("disconnected, it picks %v (%v)", n, err)
+	a.pair.eventuallyAgree("disconnected", func(c *client.Client) bool {
+		return !connected(c) && weights(c) == "s0=128 s2=64 "
+	})
+	for _, c := range a.pair.clients {
+		if server, err := c.Pick(0); err != nil || server.Name != "s0" && server.Name != "s2" {
+			a.t.Errorf("disconnected, it picks %v (%v)", server, err)
 		}
 	}
-	same(
-		"no controller answers",
-		service.Unreachable,
-		func(c *client.Client) (any, error) { _, err := c.Summary(ctx); return nil, err },
-	)
-	g.publish(reconcile.UpdateEntry, reconcile.StateReady, -1, 1)
-	g.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, 32, 2)
-	g.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, 16, 0)
-	for _, r := range p.relays {
-		r.Refuse(false)
+	a.same("no controller answers", service.Unreachable, func(c *client.Client) (any, error) {
+		_, err := c.Summary(a.ctx)
+		return nil, err
+	})
+	a.controller.publish(reconcile.UpdateEntry, reconcile.StateReady, -1, 1)
+	a.controller.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, 32, 2)
+	a.controller.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, 16, 0)
+	for _, relay := range a.pair.relays {
+		relay.Refuse(false)
 	}
-	p.eventuallyAgree("reconnected", shows("s0=16 s1=128 s2=32 "))
+	a.pair.eventuallyAgree("reconnected", shows("s0=16 s1=128 s2=32 "))
+}
 
-	// Half-open connections: nothing arrives any more, and no error says so.
-	for _, r := range p.relays {
-		r.Hold(true)
+// holdConnections makes the connections half open: nothing arrives any more, and no error says so.
+func (a *agreement) holdConnections() {
+	for _, relay := range a.pair.relays {
+		relay.Hold(true)
 	}
-	p.eventuallyAgree("noticed that it is silent", func(c *client.Client) bool { return !up(c) })
-	for _, r := range p.relays {
-		r.Hold(false)
-		r.Cut()
+	a.pair.eventuallyAgree("noticed that it is silent", func(c *client.Client) bool { return !connected(c) })
+	for _, relay := range a.pair.relays {
+		relay.Hold(false)
+		relay.Cut()
 	}
-	p.eventuallyAgree("reconnected after silence", up)
+	a.pair.eventuallyAgree("reconnected after silence", connected)
+}
 
-	// The controller restarts: it has published nothing yet, says which servers are open, and speaks a newer minor
-	// version.
-	g.stop()
-	g = startController(t, "g1", 200, 7)
-	for i, r := range p.relays {
-		r.SetTarget(g.addrs[i])
-		r.Cut()
+// restartController starts a controller that has published nothing yet, says which servers are open, and speaks a newer
+// minor version.
+func (a *agreement) restartController() {
+	a.controller.stop()
+	a.controller = startController(a.t, "g1", 200, 7)
+	for i, relay := range a.pair.relays {
+		relay.SetTarget(a.controller.addrs[i])
+		relay.Cut()
 	}
-	g.setOpen(6, 0, 2)
-	p.eventuallyAgree(
-		"the cached table without servers that are not open",
-		func(c *client.Client) bool { return shows("s0=16 s2=32 ")(c) && c.State().NewerProtocol },
-	)
-	g.setOpen(7, 5)
-	p.eventuallyAgree("no server open: the complete cached table", shows("s0=16 s1=128 s2=32 "))
-	g.publish(reconcile.AddEntry, reconcile.StateReady, 100, 5, 6)
-	p.eventuallyAgree("published again", shows("s5=100 s6=100 "))
-	if n := g.answered(); n != 1 {
-		t.Errorf("%d messages are answered", n)
+	a.controller.setOpen(6, 0, 2)
+	a.pair.eventuallyAgree("the cached table without servers that are not open", func(c *client.Client) bool {
+		return shows("s0=16 s2=32 ")(c) && c.State().NewerProtocol
+	})
+	a.controller.setOpen(7, 5)
+	a.pair.eventuallyAgree("no server open: the complete cached table", shows("s0=16 s1=128 s2=32 "))
+	a.controller.publish(reconcile.AddEntry, reconcile.StateReady, 100, 5, 6)
+	a.pair.eventuallyAgree("published again", shows("s5=100 s6=100 "))
+	if answered := a.controller.answered(); answered != 1 {
+		a.t.Errorf("%d messages are answered", answered)
 	}
+}
 
-	// Outcomes are counted once though the connections break in between.
-	for i, c := range p.clients {
-		for n := range 300 {
-			if n == 150 {
-				p.relays[i].Cut()
+// reportOutcomes checks that outcomes are counted once though the connections break in between.
+func (a *agreement) reportOutcomes() {
+	const requests = 300
+	outcomes := []client.Outcome{client.Success, client.Success, client.Failed}
+	for i, c := range a.pair.clients {
+		for n := range requests {
+			if n == requests/2 {
+				a.pair.relays[i].Cut()
 			}
-			err := c.Do(ctx, 2, func(context.Context, client.Attempt) client.Result {
-				return client.Result{
-					Outcome: []client.Outcome{client.Success, client.Success, client.Failed}[n%3],
-					Load:    []uint32{500},
-				}
+			err := c.Do(a.ctx, 2, func(context.Context, client.Attempt) client.Result {
+				return client.Result{Outcome: outcomes[n%3], Load: []uint32{500}}
 			})
 			if (err == nil) != (n%3 < 2) {
-				t.Fatalf("request %d: %v", n, err)
+				a.t.Fatalf("request %d: %v", n, err)
 			}
 		}
 	}
-	p.eventuallyAgree("counted", func(*client.Client) bool {
-		g.hub.Poll(0)
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		r := g.events[len(g.events)-1].(transport.CountersPolled).Reading
-		attempts, failures := uint64(0), uint64(0)
-		for _, row := range r.Rows {
-			attempts += row.Attempts
-			failures += row.Failures
-		}
-		if attempts > 600 || failures > 200 || r.Classes[2].Requests > 600 {
-			t.Fatalf("counted twice: %d attempts, %d failures, %d requests", attempts, failures, r.Classes[2].Requests)
-		}
-		return attempts == 600 && failures == 200 && r.Classes[2].Requests == 600 && r.Classes[2].Unanswered == 200
-	})
+	a.pair.eventuallyAgree("counted", func(*client.Client) bool { return a.countedOnce(2*requests, 2*requests/3) })
+}
+
+// countedOnce reports whether the controller has counted all requests and failures; it fails if it has counted more.
+func (a *agreement) countedOnce(requests, failed uint64) bool {
+	a.controller.hub.Poll(0)
+	a.controller.mu.Lock()
+	defer a.controller.mu.Unlock()
+	events := a.controller.events
+	reading := events[len(events)-1].(transport.CountersPolled).Reading
+	attempts := uint64(0)
+	failures := uint64(0)
+	for _, row := range reading.Rows {
+		attempts += row.Attempts
+		failures += row.Failures
+	}
+	class := reading.Classes[2]
+	if attempts > requests || failures > failed || class.Requests > requests {
+		a.t.Fatalf("counted twice: %d attempts, %d failures, %d requests", attempts, failures, class.Requests)
+	}
+	return attempts == requests && failures == failed && class.Requests == requests && class.Unanswered == failed
 }
 
 // TestClientNeverGoesBackToOlderList checks that a controller with an older endpoint list than one seen before is not
--- a/cmd/cressknot/leases.go
+++ b/cmd/cressknot/leases.go
@@ -18,7 +18,7 @@
 	"cressknot/internal/rollingrestart"
 )
 
-// socketVariable tells the command of a rolling restart which controller to restart.
+// socketVariable is the environment variable with the socket of the controller to restart.
 const socketVariable = "CRESSKNOT_SOCKET"
 
 func retireCommand() *cobra.Command {
--- a/cmd/cressknot/output.go
+++ b/cmd/cressknot/output.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// printf writes formatted text to a command's output. An output that can't be written to has nobody to tell.
+// printf writes formatted text to a command's output. A failure to write is not reported: there is no other output.
 func printf(out io.Writer, format string, values ...any) {
 	_, _ = fmt.Fprintf(out, format, values...)
 }
--- a/internal/service/reports.go
+++ b/internal/service/reports.go
@@ -21,9 +21,9 @@
 	millisPerSecond = 1000
 	// loadUnit is the value of a full load in a report.
 	loadUnit = 1000
-	// unknownServer stands for a server that this controller does not know.
+	// unknownServer marks a server that this controller does not know.
 	unknownServer = fleet.ServerID(1<<32 - 1)
-	// unknownClass stands for a class that does not exist.
+	// unknownClass marks a class that does not exist.
 	unknownClass = -1
 )
 
--- a/internal/service/text/commands.go
+++ b/internal/service/text/commands.go
@@ -15,7 +15,7 @@
 
 // handler answers commands of one form.
 type handler struct {
-	form   []string // a word in capitals stands for any
+	form   []string // a word in capitals matches any
 	handle func(ctx context.Context, c *connection, command haproxyapi.Command)
 }
 
@@ -33,7 +33,7 @@
 	{[]string{"quit"}, quit},
 }
 
-// commandList is what a caller is told after an unknown command.
+// commandList is the answer to an unknown command.
 const commandList = "hello VERSION NAME, get table Z, watch table Z [VERSION], report Z SESSION SEQ, get server S, " +
 	"get history Z CLASS N, get summary, quit"
 
--- a/internal/testing/fakes/files.go
+++ b/internal/testing/fakes/files.go
@@ -218,7 +218,7 @@
 	_ = files.ReplaceFile(filepath.Join(p.Folder, files.AckFile), text)
 }
 
-// currentTables returns the entries that the tables' file can hold.
+// currentTables returns the entries that have a form in the tables' file.
 func (p *Proxy) currentTables() files.Tables {
 	tables := files.Tables{Version: p.files.ack.Tables, Backends: map[string][]files.Endpoint{}}
 	for _, class := range p.Classes {
--- a/internal/testing/fakes/lister.go
+++ b/internal/testing/fakes/lister.go
@@ -217,7 +217,7 @@
 	return answer
 }
 
-// record tells the watch what a controller knows of all servers.
+// record reports to the watch what a controller knows of all servers.
 func (s *Lister) record(controller string) {
 	for name := range s.changed {
 		entry, listed := s.entries[name]
--- a/internal/testing/fakes/reporter.go
+++ b/internal/testing/fakes/reporter.go
@@ -107,7 +107,7 @@
 	floodSenders       = 8
 	floodUnknownNames  = 5000
 	floodMaxAgeSeconds = 60
-	// One of so many requests ends with a malformed line, or comes on a new connection.
+	// One of this many requests ends with a malformed line, or comes on a new connection.
 	floodMalformedOneOf     = 20
 	floodNewConnectionOneOf = 4
 )
--- a/internal/testing/fakes/requests.go
+++ b/internal/testing/fakes/requests.go
@@ -49,7 +49,7 @@
 
 func (e *proxyEntry) usable() bool { return e.weight > 0 && e.admin == 0 }
 
-// observeUsable tells the watch for which classes there is a usable entry.
+// observeUsable reports to the watch for which classes there is a usable entry.
 func (p *Proxy) observeUsable() {
 	for _, class := range p.Classes {
 		usable := slices.ContainsFunc(p.backends[class.Backend], (*proxyEntry).usable)
--- a/internal/testing/scenario/clientprogram.go
+++ b/internal/testing/scenario/clientprogram.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// watchEndpoints tells the watch whether a program has an endpoint for each class.
+// watchEndpoints reports to the watch whether a program has an endpoint for each class.
 func (r *runner) watchEndpoints(ctx context.Context, program *clientProgram) {
 	for sleep(ctx, 2*checkInterval) {
 		for _, class := range r.Spec.Classes {
--- a/internal/transport/files/replace.go
+++ b/internal/transport/files/replace.go
@@ -18,7 +18,7 @@
 	stepSyncFolder
 )
 
-// ErrCut stands for a crash in the middle of replacing a file: nothing is cleaned up after it.
+// ErrCut simulates a crash in the middle of replacing a file: nothing is cleaned up after it.
 var ErrCut = errors.New("cut")
 
 // replacer replaces files atomically. The fault function, nil for none, is called before each step; an error ends the
--- a/internal/transport/haproxy/link.go
+++ b/internal/transport/haproxy/link.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// dropLease tells the lease that the session has ended.
+// dropLease records in the lease that the session has ended.
 func (l *link) dropLease() {
 	if l.lease == nil {
 		return
--- a/internal/transport/haproxy/transport.go
+++ b/internal/transport/haproxy/transport.go
@@ -35,7 +35,7 @@
 type Options struct {
 	Proxies   []transport.Proxy
 	Classes   []transport.Class
-	Map       string // file or #id of the map that holds admission limits and lease entries
+	Map       string // file or #id of the map with admission limits and lease entries
 	Table     string // stick table that counts successful answers and their load, "" for none
 	Admission fleet.AdmissionMode
 	Names     transport.ServerNames
