--- a/client/client.go
+++ b/client/client.go
@@ -58,7 +58,7 @@
 type Config struct {
 	Name             string        // of the caller, as controllers see it
 	Zone             string        // whose tables are used
-	Governors        []string      // addresses of the controllers, in the transport's form
+	Controllers      []string      // addresses of the controllers, in the transport's form
 	Staleness        time.Duration // a table that was confirmed longer ago is not used; 0: any is better than none
 	Hedge            bool          // send hedged requests for slow idempotent requests, within the retry budget
 	UnboundedRetries bool          // no retry budget: only to measure its effect
@@ -122,14 +122,14 @@
 
 // New makes a client and begins to watch.
 func New(config Config, transport Transport) (*Client, error) {
-	if config.Zone == "" || len(config.Governors) == 0 {
+	if config.Zone == "" || len(config.Controllers) == 0 {
 		return nil, errors.New("client: a zone and at least one controller are required")
 	}
 	config.setDefaults()
 	c := &Client{
 		config:           config,
 		transport:        transport,
-		picker:           newControllerPicker(len(config.Governors), config.Seed),
+		picker:           newControllerPicker(len(config.Controllers), config.Seed),
 		budget:           newRetryBudget(),
 		session:          rand.Uint64(),
 		cache:            newTableCache(),
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -14,10 +14,10 @@
 // protocol) and lets the library choose servers, retry where that is safe, and report.
 func Example() {
 	c, err := rpc.New(client.Config{
-		Name:      "desk-7",
-		Zone:      "howrah",
-		Governors: []string{"127.0.0.1:9001", "127.0.0.1:9002"},
-		Staleness: 10 * time.Minute,
+		Name:        "desk-7",
+		Zone:        "howrah",
+		Controllers: []string{"127.0.0.1:9001", "127.0.0.1:9002"},
+		Staleness:   10 * time.Minute,
 	})
 	if err != nil {
 		fmt.Println(err)
--- a/client/testcontroller_test.go
+++ b/client/testcontroller_test.go
@@ -228,7 +228,7 @@
 		for _, g := range controllers[1:] {
 			addrs = append(addrs, g.addrs[i])
 		}
-		c, err := client.New(client.Config{Name: "suite-" + via.name, Zone: "a", Governors: addrs, Seed: 2}, via.via)
+		c, err := client.New(client.Config{Name: "suite-" + via.name, Zone: "a", Controllers: addrs, Seed: 2}, via.via)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/client/watch.go
+++ b/client/watch.go
@@ -55,7 +55,7 @@
 func (c *Client) watchController(controller int) error {
 	dialCtx, cancel := context.WithTimeout(c.ctx, time.Duration(dialTimeout))
 	defer cancel()
-	conn, err := c.transport.Dial(dialCtx, c.config.Governors[controller], c.config.Name)
+	conn, err := c.transport.Dial(dialCtx, c.config.Controllers[controller], c.config.Name)
 	if err != nil {
 		return err
 	}
--- a/internal/testing/scenario/clientprogram.go
+++ b/internal/testing/scenario/clientprogram.go
@@ -84,11 +84,11 @@
 	var err error
 	if index%2 == 0 {
 		program.protocol = "gRPC"
-		config.Governors = []string{controller.rpc}
+		config.Controllers = []string{controller.rpc}
 		program.client, err = rpc.New(config)
 	} else {
 		program.protocol = "text"
-		config.Governors = []string{controller.text}
+		config.Controllers = []string{controller.text}
 		program.client, err = runtime.New(config)
 	}
 	return program, err
