--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -20,26 +20,26 @@
 	"cressknot/internal/tableversion"
 )
 
-// bench starts a governor of 700 servers in three classes.
-func bench(b *testing.B) *governor {
-	g := start(&testing.T{}, "g1", 100, 0)
+// startBenchController starts a controller with 700 servers in three classes.
+func startBenchController(b *testing.B) *testController {
+	g := startController(&testing.T{}, "g1", 100, 0)
 	b.Cleanup(g.stop)
 	all := make([]int, 700)
 	for i := range all {
 		all[i] = i
 	}
-	g.open(1, all...)
-	g.lay(reconcile.AddEntry, reconcile.StateReady, 128, all...)
+	g.setOpen(1, all...)
+	g.publish(reconcile.AddEntry, reconcile.StateReady, 128, all...)
 	return g
 }
 
-// BenchmarkFanOut changes 20 servers in three classes while 5,000 watchers follow, who run on the same cores; an op lasts until the last
-// of them has taken the change in.
+// BenchmarkFanOut changes 20 servers in three classes while 5,000 watchers follow, who run on the same cores; an op
+// lasts until the last of them has taken the change in.
 func BenchmarkFanOut(b *testing.B) {
 	const watchers = 5000
 	for i, via := range transports {
 		b.Run(via.name, func(b *testing.B) {
-			g := bench(b)
+			g := startBenchController(b)
 			ctx, cancel := context.WithCancel(context.Background())
 			var done sync.WaitGroup
 			var got atomic.Int64
@@ -58,19 +58,19 @@
 						b.Error(err)
 						return
 					}
-					defer conn.Close()
+					defer func() { _ = conn.Close() }()
 					if via.name == "runtime" { // a watch has a connection of its own; sockets of one process are bounded
-						conn.Close()
+						_ = conn.Close()
 					}
-					holds := tableversion.NoVersion
+					version := tableversion.NoVersion
 					for ctx.Err() == nil {
-						if err := conn.Watch(ctx, "a", holds, func(u *service.Update) error {
-							if holds = u.To; !u.Heartbeat && got.Add(1) == goal.Load() {
+						if err := conn.Watch(ctx, "a", version, func(u *service.Update) error {
+							if version = u.To; !u.Heartbeat && got.Add(1) == goal.Load() {
 								reached <- struct{}{}
 							}
 							return nil
 						}); ctx.Err() == nil {
-							if is, _ := code(err); is != service.Overloaded {
+							if is, _ := errorCode(err); is != service.Overloaded {
 								b.Error(err)
 								return
 							}
@@ -82,7 +82,7 @@
 			for g.hub.Watchers() < watchers && !b.Failed() {
 				time.Sleep(10 * time.Millisecond)
 			}
-			time.Sleep(2 * time.Second) // first updates are taken in
+			time.Sleep(2 * time.Second) // first updates are applied
 			var took []time.Duration
 			for n := range b.N {
 				goal.Store(got.Load() + watchers)
@@ -91,7 +91,7 @@
 				for k := range servers {
 					servers[k] = (n*20 + k) % 700
 				}
-				g.lay(reconcile.UpdateEntry, reconcile.StateUnchanged, int16(n%250+1), servers...)
+				g.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, int16(n%250+1), servers...)
 				select {
 				case <-reached:
 				case <-time.After(20 * time.Second):
@@ -108,44 +108,56 @@
 	}
 }
 
-// BenchmarkSizes prints what one change of 20 servers in three classes, and a whole of 700, take on each wire.
+// BenchmarkSizes prints what one change of 20 servers in three classes, and a complete state of 700, take over each
+// protocol.
 func BenchmarkSizes(b *testing.B) {
 	v := service.NewView("g1", "a", 1, []string{"look", "book", "issue"})
 	var all []reconcile.Change
 	for c := range 3 {
 		for s := range 700 {
-			all = append(all, reconcile.Change{Kind: reconcile.AddEntry, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 128, State: reconcile.StateReady})
+			all = append(all, reconcile.Change{
+				Kind:   reconcile.AddEntry,
+				Class:  fleet.ClassID(c),
+				Server: fleet.ServerID(s),
+				Weight: 128,
+				State:  reconcile.StateReady,
+			})
 		}
 	}
 	v.Apply(all, names{1000}.Of)
 	from := v.Version()
 	for c := range 3 {
 		for s := range 20 {
-			v.Apply([]reconcile.Change{{Kind: reconcile.UpdateEntry, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 64}}, names{1000}.Of)
+			v.Apply(
+				[]reconcile.Change{
+					{Kind: reconcile.UpdateEntry, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 64},
+				},
+				names{1000}.Of,
+			)
 		}
 	}
 	for name, u := range map[string]service.Update{"change": v.Since(from), "whole": v.Since(tableversion.NoVersion)} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				b.ReportMetric(float64(proto.Size(overrpc.UpdateTo(&u))), "rpc_bytes")
-				b.ReportMetric(float64(len(text.PrintUpdate(&u))), "text_bytes")
+				b.ReportMetric(float64(proto.Size(overrpc.UpdateToProto(&u))), "rpc_bytes")
+				b.ReportMetric(float64(len(text.FormatUpdate(&u))), "text_bytes")
 			}
 		})
 	}
 }
 
-// BenchmarkRequests asks a governor for its greeting from 16 connections at once.
+// BenchmarkRequests asks a controller for its introduction from 16 connections at once.
 func BenchmarkRequests(b *testing.B) {
 	for i, via := range transports {
 		b.Run(via.name, func(b *testing.B) {
-			g := bench(b)
+			g := startBenchController(b)
 			var conns []client.Conn
 			for k := range 16 {
 				conn, err := via.via.Dial(context.Background(), g.addrs[i], fmt.Sprint("c", k))
 				if err != nil {
 					b.Fatal(err)
 				}
-				defer conn.Close()
+				defer func() { _ = conn.Close() }()
 				conns = append(conns, conn)
 			}
 			var mu sync.Mutex
--- /dev/null
+++ b/internal/testing/scenario/scenario_test.go
@@ -0,0 +1,313 @@
+package scenario
+
+import (
+	"context"
+	"flag"
+	"math/rand/v2"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"cressknot/internal/eventlog"
+	"cressknot/internal/server"
+	"cressknot/internal/testing/invariants"
+)
+
+// TestMain lets the test binary be a controller's process.
+func TestMain(m *testing.M) {
+	if path := os.Getenv("DRILL_GOVERNOR"); path != "" {
+		if err := server.RunController(path); err != nil {
+			_, _ = os.Stderr.WriteString(err.Error() + "\n")
+			os.Exit(1)
+		}
+		return
+	}
+	os.Exit(m.Run())
+}
+
+func launchController(config string) *exec.Cmd {
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), "DRILL_GOVERNOR="+config)
+	return cmd
+}
+
+// playScenario plays a scenario that change may alter.
+func playScenario(t *testing.T, name string, change func(*Options)) *Report {
+	t.Helper()
+	spec, err := Load(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	o := Options{Spec: spec, Launch: launchController, Keep: t.TempDir(), Records: true}
+	if change != nil {
+		change(&o)
+	}
+	r, err := Play(context.Background(), o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+// expectRulesHeld fails the test for each violation of a rule.
+func expectRulesHeld(t *testing.T, r *Report) {
+	t.Helper()
+	for _, v := range r.Rules {
+		if len(v.Breaks) > 0 {
+			t.Errorf("%s: %v", v.Rule, v.Breaks)
+		}
+	}
+}
+
+// TestSmallScenarioKeepsInvariants plays a short scenario in which a controller crashes, and replays the records.
+func TestSmallScenarioKeepsInvariants(t *testing.T) {
+	var dir string
+	r := playScenario(t, "small", func(o *Options) { dir = o.Keep })
+	for _, v := range r.Rules {
+		if len(v.Breaks) > 0 || v.Tested == 0 {
+			t.Errorf("%s: tried %d times, %v", v.Rule, v.Tested, v.Breaks)
+		}
+	}
+	if len(r.Problems) > 0 {
+		t.Errorf("%v", r.Problems)
+	}
+	f, err := os.Open(dir + "/governor-1.records")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = f.Close() }()
+	steps, orders, err := eventlog.Replay("records", f)
+	if err != nil || steps < 20 || orders < 20 {
+		t.Errorf("replayed %d steps, %d orders: %v", steps, orders, err)
+	}
+	if t.Failed() {
+		var b strings.Builder
+		r.Print(&b)
+		t.Log(b.String())
+	}
+}
+
+// TestGuardPreventsHarmfulTables plays a scenario of harmful tables with the guard and without it.
+func TestGuardPreventsHarmfulTables(t *testing.T) {
+	for _, guarded := range []bool{true, false} {
+		t.Run(map[bool]string{true: "guarded", false: "unguarded"}[guarded], func(t *testing.T) {
+			t.Parallel()
+			r := playScenario(t, "harm", func(o *Options) { o.Spec.Guard = guarded })
+			breaks := 0
+			for _, v := range r.Rules {
+				breaks += len(v.Breaks)
+			}
+			if guarded && (breaks > 0 || r.PushesRejected == 0) || !guarded && breaks == 0 || len(r.Problems) > 0 {
+				var b strings.Builder
+				r.Print(&b)
+				t.Error(b.String())
+			}
+		})
+	}
+}
+
+// TestBrokenControllersAreDetected checks for each rule that a controller that breaks it is detected.
+func TestBrokenControllersAreDetected(t *testing.T) {
+	broken := map[string]func(*Options){
+		// A controller that ignores drains: it gets no change of its list, though the watch records them as sent.
+		invariants.RuleDrain: func(o *Options) {
+			o.Spec.FaultSpecs = []FaultSpec{
+				{At: Duration(2 * time.Second), Duration: Duration(8 * time.Second), Kind: "drain"},
+			}
+			o.FrozenList = true
+		},
+		// One that lets proxies retry after any failure, whatever the class.
+		invariants.RuleNoDuplicates: func(o *Options) {
+			o.Spec.FaultSpecs = []FaultSpec{
+				{At: Duration(time.Second), Duration: Duration(6 * time.Second), Kind: "answers-lost", Fraction: 1, Size: 0.6},
+			}
+			o.ForcedCommands = []string{"add map cressknot bag-issue.retry 2", "set map cressknot bag-issue.retry 2"}
+		},
+		// One that withdraws every server of a class.
+		invariants.RuleAvailability: func(o *Options) {
+			o.Spec.FaultSpecs = nil
+			for i := range o.Spec.Nodes {
+				o.ForcedCommands = append(o.ForcedCommands, "set server slot-look/"+nodeName(i)+" state maint")
+			}
+			o.AlterSettings = func(settings map[string]any) { // and that reads its proxies too seldom to correct that
+				settings["reports"] = map[string]any{"every": "60s"}
+			}
+		},
+		// One that sends all requests to a server in slow start.
+		invariants.RuleSlowStart: func(o *Options) {
+			o.Spec.FaultSpecs = []FaultSpec{{At: Duration(time.Second), Duration: Duration(2 * time.Second), Kind: "crash"}}
+			o.Spec.RequestRate = 160
+			o.CrowdNewestNode = true
+		},
+		// One whose updates exceed the backlog.
+		invariants.RuleQueue: func(o *Options) {
+			o.Spec.FaultSpecs = nil
+			o.AlterFigures = func(f *invariants.Figures) { f.Backlog = 20 }
+		},
+	}
+	for rule, change := range broken {
+		t.Run(rule, func(t *testing.T) {
+			t.Parallel()
+			r := playScenario(t, "small", func(o *Options) {
+				o.Spec.Length = Duration(12 * time.Second)
+				change(o)
+			})
+			for _, v := range r.Rules {
+				if v.Rule == rule && len(v.Breaks) == 0 {
+					t.Errorf("not detected: %s", v.Seen)
+				}
+			}
+		})
+	}
+}
+
+// TestFloodedControllersDetectSilentReporters floods two controllers with unexpected reports while the reports of some
+// nodes that serve stop: the rules hold, and both controllers distinguish those nodes from dead ones.
+func TestFloodedControllersDetectSilentReporters(t *testing.T) {
+	r := playScenario(t, "flood", func(o *Options) {
+		o.Spec.Length = Duration(14 * time.Second)
+		o.Spec.FaultSpecs = []FaultSpec{
+			{At: Duration(2 * time.Second), Duration: Duration(10 * time.Second), Kind: "flood", Size: 10_000},
+			{At: Duration(4 * time.Second), Duration: Duration(9 * time.Second), Kind: "mute", Fraction: 0.17},
+		}
+	})
+	expectRulesHeld(t, r)
+	if len(r.SilenceDetections) != 4 || r.UndetectedSilences != 0 || r.Flood[0]+r.Flood[1] == 0 {
+		t.Errorf("noticed %v, %d not; flood %v", r.SilenceDetections, r.UndetectedSilences, r.Flood)
+	}
+	for _, g := range r.Controllers {
+		if g.Info["Pushed_thinned"] == "" || g.Info["Pushed_thinned"] == "0" || g.Info["Tries_told"] == "0" {
+			t.Errorf("%s: %v", g.Name, g.Info)
+		}
+	}
+}
+
+// TestStartWithoutDiscovery restarts two controllers and all proxies without the endpoint source, from cached lists
+// of a day before of which half is stale and the end damaged: proxies have tables within ten seconds, without the
+// stale servers, and the source's return moves few requests.
+func TestStartWithoutDiscovery(t *testing.T) {
+	r := playScenario(t, "dark", func(o *Options) {
+		o.Spec.Length = Duration(34 * time.Second)
+		o.Spec.FaultSpecs = []FaultSpec{
+			{At: Duration(3 * time.Second), Duration: Duration(14 * time.Second), Kind: "dark"},
+		}
+	})
+	expectRulesHeld(t, r)
+	d := r.DiscoveryOutage
+	if len(r.Problems) > 0 || d == nil || len(d.Served) != 6 || d.Served[5] > serveTimeout.Seconds() ||
+		d.StaleEntries > 0 ||
+		d.InTimeFraction < 0.8 ||
+		len(d.LiveAfter) != 2 ||
+		d.MaxShift > 0.25 {
+		t.Errorf("%+v %v", d, r.Problems)
+	}
+}
+
+// TestClientProgramsKeepInvariants plays a short scenario of programs that use the client library over both protocols,
+// with crashes of a controller and of nodes, a drain and lost answers.
+func TestClientProgramsKeepInvariants(t *testing.T) {
+	r := playScenario(t, "library", func(o *Options) {
+		o.Spec.Length = Duration(18 * time.Second)
+		o.Spec.FaultSpecs = []FaultSpec{
+			{At: Duration(5 * time.Second), Duration: Duration(4 * time.Second), Kind: "crash"},
+			{At: Duration(6 * time.Second), Duration: Duration(6 * time.Second), Kind: "drain", Fraction: 0.15},
+			{
+				At:       Duration(8 * time.Second),
+				Duration: Duration(time.Second),
+				Kind:     "governor-kill",
+			},
+			{
+				At:       Duration(10 * time.Second),
+				Duration: Duration(6 * time.Second),
+				Kind:     "answers-lost",
+				Fraction: 0.2,
+				Size:     0.5,
+			},
+		}
+	})
+	expectRulesHeld(t, r)
+	if len(r.Problems) > 0 || len(r.ClientPrograms) != 8 {
+		t.Error(r.Problems)
+	}
+	for _, l := range r.ClientPrograms {
+		if l.Requests < 50 || l.Watches == 0 || float64(l.Attempts) > 1.3*float64(l.Requests) {
+			t.Errorf("%+v", l)
+		}
+	}
+}
+
+// TestControllersShareProxies plays a scenario of three controllers that may all serve all proxies, of which one
+// crashes and one stalls past its lease: the rules hold, and no proxy follows a controller after a later one.
+func TestControllersShareProxies(t *testing.T) {
+	r := playScenario(t, "sharing", func(o *Options) {
+		o.Spec.Length = Duration(30 * time.Second)
+		o.Spec.Nodes, o.Spec.Proxies, o.Spec.RequestRate = 8, 8, 80
+		o.Spec.FaultSpecs = []FaultSpec{
+			{At: Duration(8 * time.Second), Duration: Duration(8 * time.Second), Kind: "governor-kill"},
+			{At: Duration(10 * time.Second), Duration: Duration(4 * time.Second), Kind: "crash"},
+			{
+				At:       Duration(18 * time.Second),
+				Duration: Duration(8 * time.Second),
+				Kind:     "governor-stall",
+				Size:     8000,
+				Interval: Duration(20 * time.Second),
+			},
+		}
+	})
+	judged := false
+	for _, v := range r.Rules {
+		if len(v.Breaks) > 0 {
+			t.Errorf("%s: %v", v.Rule, v.Breaks)
+		}
+		judged = judged || v.Rule == invariants.RuleSingleController && v.Tested > 0
+	}
+	if !judged || len(r.Problems) > 0 {
+		t.Errorf("judged %v, %v", judged, r.Problems)
+	}
+}
+
+// kills is the number of crashes that TestRepeatedCrashesKeepInvariants plays; -kills 100 for the long run.
+var kills = flag.Int("kills", 10, "kills of a governor to play")
+
+// TestRepeatedCrashesKeepInvariants crashes a controller ten times: the rules hold, and it continues from the
+// versions in its store each time.
+func TestRepeatedCrashesKeepInvariants(t *testing.T) {
+	var dir string
+	r := playScenario(t, "kills", func(o *Options) {
+		if dir = o.Keep; *kills != 10 {
+			rng := rand.New(rand.NewPCG(7, 7))
+			at := 2 * time.Second
+			o.Spec.FaultSpecs = slices.DeleteFunc(
+				o.Spec.FaultSpecs,
+				func(t FaultSpec) bool { return t.Kind == "governor-kill" },
+			)
+			for range *kills {
+				down := time.Duration(100+rng.IntN(600)) * time.Millisecond
+				o.Spec.FaultSpecs = append(
+					o.Spec.FaultSpecs,
+					FaultSpec{At: Duration(at), Duration: Duration(down), Kind: "governor-kill"},
+				)
+				at += down + time.Duration(300+rng.IntN(2500))*time.Millisecond
+			}
+			o.Spec.Length = Duration(at + 2*time.Second)
+		}
+	})
+	expectRulesHeld(t, r)
+	if len(r.Problems) > 0 {
+		t.Error(r.Problems)
+	}
+	log, err := os.ReadFile(filepath.Join(dir, "governor-1.log"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	starts := strings.Count(string(log), `"message":"woke"`)
+	damaged := strings.Contains(string(log), "damaged in the store")
+	hasList := strings.Contains(string(log), `"list":true`)
+	if starts != *kills+1 || damaged || !hasList {
+		t.Errorf("started %d times from the store, in\n%s", starts, log)
+	}
+}
