--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -50,27 +50,6 @@
 	return e
 }
 
-// Server states as endpoint sources spell them.
-const (
-	stateReady    = "ready"
-	stateDraining = "draining"
-	stateGone     = "gone"
-)
-
-var (
-	stateByName = map[string]fleet.ServerState{
-		"":            fleet.ServerReady,
-		stateReady:    fleet.ServerReady,
-		stateDraining: fleet.ServerDraining,
-		stateGone:     fleet.ServerGone,
-	}
-	stateNames = map[fleet.ServerState]string{
-		fleet.ServerReady:    stateReady,
-		fleet.ServerDraining: stateDraining,
-		fleet.ServerGone:     stateGone,
-	}
-)
-
 // toFleet gives an endpoint as the balancer knows it, with the state and start given.
 func (e *endpointState) toFleet(
 	id fleet.ServerID, s discovery.Endpoint, state fleet.ServerState, started fleet.Time,
@@ -86,6 +65,12 @@
 	}
 }
 
+// stateOf gives the state of a listed server. One that is not known counts as ready.
+func stateOf(s discovery.Endpoint) fleet.ServerState {
+	state, _ := fleet.ParseServerState(s.State)
+	return state
+}
+
 // startOf gives the time at which a server says that it started; 0 where it says none.
 func startOf(s discovery.Endpoint) fleet.Time {
 	if s.Started.IsZero() {
@@ -167,7 +152,7 @@
 	remaining := 0
 	digest := xxhash.New()
 	for _, s := range update.List.Endpoints {
-		if _, known := e.byName[s.Name]; known && s.State != stateGone {
+		if _, known := e.byName[s.Name]; known && s.State != fleet.ServerGoneName {
 			remaining++
 		}
 		_, _ = fmt.Fprintln(digest, s.Name, s.State) // a hash never fails
@@ -205,7 +190,7 @@
 	}
 	list := fleet.EndpointList{Scope: update.Scope, Revision: fleet.ListRevision(update.List.Revision)}
 	for _, s := range update.List.Endpoints {
-		if _, ok := e.zones[s.Zone]; !ok && s.State != stateGone { // one that is gone needs no zone
+		if _, ok := e.zones[s.Zone]; !ok && s.State != fleet.ServerGoneName { // one that is gone needs no zone
 			text := fmt.Sprintf("server %s: zone %q is none of this site's; left out", s.Name, s.Zone)
 			c.log(out, LogEntry{now, LevelError, "list", text})
 			continue
@@ -234,7 +219,7 @@
 	if moved {
 		c.reconciler.AddressChanged(id)
 	}
-	endpoint := c.endpoints.toFleet(id, s, stateByName[s.State], startOf(s))
+	endpoint := c.endpoints.toFleet(id, s, stateOf(s), startOf(s))
 	c.endpoints.put(endpoint)
 	if endpoint.State == fleet.ServerGone {
 		delete(c.endpoints.byName, s.Name)
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -34,7 +34,7 @@
 	e := &c.endpoints
 	own := make(map[string]gossip.LocalServer, len(e.byName))
 	for name, s := range e.byName {
-		own[name] = gossip.LocalServer{State: stateByName[s.State], Started: startOf(s)}
+		own[name] = gossip.LocalServer{State: stateOf(s), Started: startOf(s)}
 	}
 	c.gossip.peers.SetLocalList(now, e.revision, e.live, own)
 }
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -11,6 +11,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/rs/zerolog"
 
+	"cressknot/internal/clock"
 	"cressknot/internal/discovery"
 	"cressknot/internal/eventlog"
 	"cressknot/internal/fleet"
@@ -38,7 +39,7 @@
 	core     *Core
 	names    *Names
 	mailbox  *mailbox
-	clock    Clock
+	clock    clock.Clock
 	log      zerolog.Logger
 	name     string // of the controller
 	prober   prober
@@ -97,7 +98,7 @@
 		core:    o.Core,
 		names:   o.Names,
 		mailbox: newMailbox(),
-		clock:   NewClock(),
+		clock:   clock.New(),
 		log:     o.Log,
 		name:    o.Name,
 		prober:  prober{names: o.Names, path: o.ProbePath, verificationMode: o.VerificationMode},
--- a/internal/controller/operators_explain.go
+++ b/internal/controller/operators_explain.go
@@ -87,7 +87,7 @@
 	if !listed {
 		return fmt.Sprintf("%s (%s) is not listed: visits are kept from it.\n", name, addr)
 	}
-	text := fmt.Sprintf("%s (%s) is listed as %s in %s.\n", name, addr, stateNames[e.State], c.site.Zones[e.Zone])
+	text := fmt.Sprintf("%s (%s) is listed as %s in %s.\n", name, addr, e.State.Name(), c.site.Zones[e.Zone])
 	if c.warmingUp(q.now, id) {
 		remaining := e.Started + c.site.SlowStart.Duration - q.now
 		text += fmt.Sprintf("It is cold for %.1f s more and bounded to what a cold server surely can do.\n",
--- a/internal/controller/operators_show.go
+++ b/internal/controller/operators_show.go
@@ -137,7 +137,7 @@
 		if e.Started > 0 {
 			age = strconv.FormatInt(int64((q.now-e.Started)/fleet.Second), 10)
 		}
-		fmt.Fprintf(&b, "%s %s %s %s %s %v %s\n", name, addr, c.site.Zones[e.Zone], stateNames[e.State], age,
+		fmt.Fprintf(&b, "%s %s %s %s %s %v %s\n", name, addr, c.site.Zones[e.Zone], e.State.Name(), age,
 			c.reconciler.Withdrawn(id), cmp.Or(strings.Join(weights[id], ","), "-"))
 	}
 	return b.String(), nil
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -37,9 +37,9 @@
 	}
 	e, listed := c.endpoints.listed[id]
 	state.Name, state.Addr = c.names.Of(id)
-	state.State = stateGone
+	state.State = fleet.ServerGoneName
 	if listed {
-		state.State = stateNames[e.State]
+		state.State = e.State.Name()
 		state.Zone = c.site.Zones[e.Zone]
 		state.Verdict = c.pipeline.Verdict(id).String()
 		if c.warmingUp(now, id) {
--- a/internal/gossip/override.go
+++ b/internal/gossip/override.go
@@ -130,15 +130,10 @@
 }
 
 func describeOverride(server, ours LocalServer) string {
-	switch {
-	case server.State == fleet.ServerGone:
-		return "gone"
-	case server.State == fleet.ServerDraining:
-		return "draining"
-	case server.Started != ours.Started:
+	if server.State == fleet.ServerReady && server.Started != ours.Started {
 		return "started anew"
 	}
-	return "ready"
+	return server.State.Name()
 }
 
 // Given returns how many servers count otherwise than in our list.
--- a/internal/platform/loop.go
+++ b/internal/platform/loop.go
@@ -6,6 +6,7 @@
 
 	"github.com/rs/zerolog"
 
+	"cressknot/internal/clock"
 	"cressknot/internal/fleet"
 	"cressknot/internal/transport/relay"
 )
@@ -35,7 +36,7 @@
 	Mailbox    *Mailbox
 	Relay      RelayClient
 	Endpoints  EndpointWatcher
-	Clock      Clock
+	Clock      clock.Clock
 	Tick       fleet.Time // shortest time between two steps
 	Log        zerolog.Logger
 }
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -13,14 +13,6 @@
 // calls of some hundred rollouts.
 const maxUnconfirmedNames = 4096
 
-// stateByName holds the states of an endpoint list as package discovery spells them.
-var stateByName = map[string]fleet.ServerState{
-	"":         fleet.ServerReady,
-	"ready":    fleet.ServerReady,
-	"draining": fleet.ServerDraining,
-	"gone":     fleet.ServerGone,
-}
-
 // serverRegistry maps the platform's server names to IDs and back. IDs are never reused, so that a name which
 // returns after its server was forgotten stands for a new server.
 type serverRegistry struct {
@@ -97,7 +89,7 @@
 	for _, endpoint := range update.List.Endpoints {
 		id, known := c.servers.ids[endpoint.Name]
 		if !known {
-			if stateByName[endpoint.State] == fleet.ServerGone {
+			if endpoint.State == fleet.ServerGoneName {
 				continue // it was never in use here
 			}
 			id = c.servers.assign(endpoint.Name)
@@ -115,9 +107,10 @@
 
 // endpoint translates a listed endpoint. A zone or kind that the site does not name counts as the first one.
 func (c *Controller) endpoint(id fleet.ServerID, listed discovery.Endpoint) fleet.Endpoint {
+	state, _ := fleet.ParseServerState(listed.State) // discovery has checked it
 	endpoint := fleet.Endpoint{
 		Server: id,
-		State:  stateByName[listed.State],
+		State:  state,
 		Cell:   fleet.CellID(listed.Cell),
 		Weight: listed.Weight,
 		Zone:   fleet.ZoneID(max(0, slices.Index(c.site.Zones, listed.Zone))),
--- a/internal/reconcile/pins.go
+++ b/internal/reconcile/pins.go
@@ -76,9 +76,9 @@
 	i := r.serverIndex(id)
 	switch {
 	case r.endpoints.servers[i].state == fleet.ServerDraining:
-		return "draining"
+		return fleet.ServerDrainingName
 	case !r.isReady(i):
-		return "gone"
+		return fleet.ServerGoneName
 	}
 	return ""
 }
--- a/internal/safety/file.go
+++ b/internal/safety/file.go
@@ -132,7 +132,7 @@
 	names := &serverNames{ids: map[string]fleet.ServerID{}}
 	var list fleet.EndpointList
 	for i, server := range f.Servers {
-		state, known := parseServerState(server.State)
+		state, known := fleet.ParseServerState(server.State)
 		if !known {
 			return nil, nil, fmt.Errorf("%s: servers[%d].state: %q is none of ready, draining, gone",
 				fileName, i, server.State)
@@ -155,18 +155,6 @@
 	return guard, names, nil
 }
 
-func parseServerState(text string) (state fleet.ServerState, known bool) {
-	switch text {
-	case "", "ready":
-		return fleet.ServerReady, true
-	case "draining":
-		return fleet.ServerDraining, true
-	case "gone":
-		return fleet.ServerGone, true
-	}
-	return 0, false
-}
-
 // lines returns the entries of the file. Servers that are not listed get ids of their own.
 func (f *TableFile) lines(names *serverNames, fileName string) ([]TableLine, error) {
 	var lines []TableLine
--- a/internal/server/controller_sockets.go
+++ b/internal/server/controller_sockets.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"cressknot/internal/clock"
 	"cressknot/internal/controller"
 	"cressknot/internal/fleet"
 	"cressknot/internal/gossip"
@@ -81,12 +82,12 @@
 	if len(p.callers) == 0 {
 		return
 	}
-	clock := controller.NewClock()
+	wallClock := clock.New()
 	options := service.HubOptions{
 		Controller: p.settings.Name,
 		Names:      p.names,
 		Classes:    p.site.Classes,
-		Now:        clock.Now,
+		Now:        wallClock.Now,
 	}
 	for _, caller := range p.callers {
 		options.Zones = append(options.Zones, service.Zone{
@@ -97,7 +98,7 @@
 		})
 	}
 	p.core.ServeZones(options.Zones)
-	p.core.BeginEpoch(uint64(clock.Now()))
+	p.core.BeginEpoch(uint64(wallClock.Now()))
 	options.Epoch = p.core.Epoch()
 	p.hub = service.NewHub(options)
 	mux := &transport.Mux{Default: p.options.Transport, ByProxy: map[fleet.ProxyID]transport.Transport{}}
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -16,6 +16,7 @@
 
 	"github.com/rs/zerolog"
 
+	"cressknot/internal/clock"
 	"cressknot/internal/config"
 	"cressknot/internal/discovery"
 	"cressknot/internal/ingest/collector"
@@ -142,7 +143,7 @@
 		Mailbox:    s.mailbox,
 		Relay:      s.relay,
 		Endpoints:  s.endpoints,
-		Clock:      platform.NewClock(),
+		Clock:      clock.New(),
 		Tick:       s.settings.Site.Tick,
 		Log:        s.log,
 	}
