--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -124,7 +124,7 @@
 			})
 		}
 	}
-	v.Apply(all, names{1000}.Of)
+	v.Apply(all, names{1000}.Lookup)
 	from := v.Version()
 	for c := range 3 {
 		for s := range 20 {
@@ -132,7 +132,7 @@
 				[]reconcile.Change{
 					{Kind: reconcile.UpdateEntry, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 64},
 				},
-				names{1000}.Of,
+				names{1000}.Lookup,
 			)
 		}
 	}
--- a/client/cache_test.go
+++ b/client/cache_test.go
@@ -105,7 +105,7 @@
 				revisions[controller] += uint64(rapid.IntRange(0, 2).Draw(t, "revision"))
 				view.SetState(service.PublishedState{
 					ListRevision: revisions[controller],
-					Open:         []string{"s0", "s1", "s2", "s3", "s4", "s5"},
+					OpenServers:  []string{"s0", "s1", "s2", "s3", "s4", "s5"},
 				})
 			case 3:
 				check.deliver(view.Heartbeat())
@@ -214,7 +214,7 @@
 	update(view.Since(from), updateApplied)
 
 	next := service.NewView("g", "a", 6, []string{"look", "book"})
-	next.SetState(service.PublishedState{Open: []string{"s1"}})
+	next.SetState(service.PublishedState{OpenServers: []string{"s1"}})
 	update(next.Since(tableversion.NoVersion), updateApplied)
 	expect("[{s1 x:1 4}] [{s1 x:1 9}] true")
 
--- a/client/runtime/stream.go
+++ b/client/runtime/stream.go
@@ -18,7 +18,7 @@
 // stream is one connection of the text protocol.
 type stream struct {
 	net.Conn
-	answers haproxyapi.Answers
+	answers haproxyapi.AnswerParser
 	buffer  []byte
 	ready   [][]byte // answers that were received and not returned yet
 }
--- a/client/testcontroller_test.go
+++ b/client/testcontroller_test.go
@@ -38,7 +38,7 @@
 	return fleet.ServerID(id), err == nil && id < n.n
 }
 func (n names) Learn(name, _ string) fleet.ServerID { id, _ := n.Server(name); return id }
-func (n names) Of(id fleet.ServerID) (string, string) {
+func (n names) Lookup(id fleet.ServerID) (string, string) {
 	return fmt.Sprint("s", id), fmt.Sprint("127.0.0.1:", 7000+id)
 }
 
@@ -190,11 +190,11 @@
 }
 
 func (g *testController) setOpen(rev uint64, servers ...int) {
-	f := service.PublishedState{ListRevision: rev, Live: true, Open: []string{}}
+	f := service.PublishedState{ListRevision: rev, Live: true, OpenServers: []string{}}
 	for _, s := range servers {
-		f.Open = append(f.Open, fmt.Sprint("s", s))
+		f.OpenServers = append(f.OpenServers, fmt.Sprint("s", s))
 	}
-	g.hub.Facts(f)
+	g.hub.PublishState(f)
 }
 
 // answered counts the messages that were answered.
--- a/cmd/cressknot/leases.go
+++ b/cmd/cressknot/leases.go
@@ -44,7 +44,7 @@
 		if err != nil {
 			return err
 		}
-		return rollingrestart.Until(c.Context(), addr, *wait, rollingrestart.Members.HandedOn)
+		return rollingrestart.WaitFor(c.Context(), addr, *wait, rollingrestart.Members.HandedOver)
 	}
 	return c
 }
@@ -78,7 +78,7 @@
 		if err != nil {
 			return err
 		}
-		configured := settings.Sharing.Governors
+		configured := settings.Sharing.Controllers
 		if len(configured) == 0 {
 			return fmt.Errorf("%s: sharing.governors names nobody", args[0])
 		}
@@ -86,7 +86,7 @@
 		if err != nil {
 			return err
 		}
-		printPlan(c.OutOrStdout(), settings.Shares(), configured, planned)
+		printPlan(c.OutOrStdout(), settings.ProxyLoads(), configured, planned)
 		return nil
 	}
 	return c
--- a/cmd/cressknot/serve.go
+++ b/cmd/cressknot/serve.go
@@ -65,7 +65,7 @@
 // checkSettings prints what is wrong in a settings file and returns the number of faults.
 func checkSettings(out io.Writer, path string) int {
 	settings, err := config.Load(path)
-	var faults config.Faults
+	var faults config.FieldErrors
 	switch {
 	case errors.As(err, &faults):
 		printLine(out, faults)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,8 +18,8 @@
 //go:embed schema.cue
 var schema string
 
-// sizeMost bounds a settings file, in bytes: 10,000 proxies take some 1.5 MB.
-const sizeMost = 8 << 20
+// maxFileBytes bounds a settings file, in bytes: 10,000 proxies take some 1.5 MB.
+const maxFileBytes = 8 << 20
 
 // Load reads a file. What is wrong in it comes as Faults.
 func Load(path string) (*Settings, error) {
@@ -28,7 +28,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	defer func() { _ = file.Close() }() // nothing was written
-	text, err := io.ReadAll(io.LimitReader(file, sizeMost+1))
+	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("settings: %s: %w", path, err)
 	}
@@ -37,8 +37,8 @@
 
 // Parse reads the text of a file; the extension of its path tells YAML from CUE and JSON.
 func Parse(path string, text []byte) (*Settings, error) {
-	if len(text) > sizeMost {
-		return nil, Faults{{File: path, Message: fmt.Sprintf("is over %d bytes", sizeMost)}}
+	if len(text) > maxFileBytes {
+		return nil, FieldErrors{{File: path, Message: fmt.Sprintf("is over %d bytes", maxFileBytes)}}
 	}
 	ctx := cuecontext.New()
 	rules := ctx.CompileString(schema, cue.Filename("schema.cue")).LookupPath(cue.ParsePath("#Settings"))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -54,7 +54,7 @@
 reports: evry: "2s"
 `
 	_, err := Parse("g.cue", []byte(text))
-	var faults Faults
+	var faults FieldErrors
 	if !errors.As(err, &faults) {
 		t.Fatalf("%v", err)
 	}
@@ -93,7 +93,7 @@
 			want: `front.retryDefault: 2 would run a visit of class issue twice`,
 		},
 		{add: "name: {", want: `g.cue:6`},
-		{add: strings.Repeat("// much\n", sizeMost/8+1), want: `g.cue: is over`},
+		{add: strings.Repeat("// much\n", maxFileBytes/8+1), want: `g.cue: is over`},
 	} {
 		text := strings.Replace(smallSettings, c.old, c.fresh, 1) + c.add
 		if _, err := Parse("g.cue", []byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
--- a/internal/config/faults.go
+++ b/internal/config/faults.go
@@ -30,10 +30,10 @@
 	return at + ": " + f.Message
 }
 
-// Faults are all that is wrong in a file.
-type Faults []FieldError
+// FieldErrors are all that is wrong in a file.
+type FieldErrors []FieldError
 
-func (f Faults) Error() string {
+func (f FieldErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
 		lines[i] = fault.Error()
@@ -42,8 +42,8 @@
 }
 
 // newFaults turns the library's errors into Faults by line, one a field.
-func newFaults(path string, rules, own cue.Value, err error) Faults {
-	var faults Faults
+func newFaults(path string, rules, own cue.Value, err error) FieldErrors {
+	var faults FieldErrors
 	for _, e := range cueerrors.Errors(err) {
 		fault := newFieldError(path, rules, own, e)
 		isSame := func(other FieldError) bool { return other.Field == fault.Field && fault.Field != "" }
@@ -52,7 +52,7 @@
 		}
 	}
 	if len(faults) == 0 {
-		faults = Faults{{File: path, Message: err.Error()}}
+		faults = FieldErrors{{File: path, Message: err.Error()}}
 	}
 	slices.SortStableFunc(faults, func(a, b FieldError) int { return a.Line - b.Line })
 	return faults
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -71,12 +71,12 @@
 		return nil, fmt.Errorf("RELAY_CONFIG: %w", err)
 	}
 	defer func() { _ = file.Close() }() // it was only read
-	text, err := io.ReadAll(io.LimitReader(file, sizeMost+1))
+	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("RELAY_CONFIG: %w", err)
 	}
-	if len(text) > sizeMost {
-		return nil, fmt.Errorf("%s: over %d bytes", path, sizeMost)
+	if len(text) > maxFileBytes {
+		return nil, fmt.Errorf("%s: over %d bytes", path, maxFileBytes)
 	}
 	settings, err := ParsePlatform(text, getenv)
 	if err != nil {
@@ -108,7 +108,7 @@
 func ParsePlatform(text []byte, getenv func(string) string) (*Platform, error) {
 	var file platformFile
 	if err := json.Unmarshal(text, &file); err != nil {
-		return nil, simwire.JSONFault(err)
+		return nil, simwire.LocateJSONError(err)
 	}
 	applyEnvironment(&file, getenv)
 	if err := validateFile(&file); err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -146,7 +146,7 @@
 
 // SharingSettings name the controllers that share the proxies.
 type SharingSettings struct {
-	Governors []string `json:"governors"`
+	Controllers []string `json:"governors"`
 }
 
 // ServiceSettings are those of the service for programs. RequestRate is per second and zone.
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -160,8 +160,8 @@
 	return proxies
 }
 
-// Shares gives the proxies as controllers plan who serves them.
-func (s *Settings) Shares() (loads []lease.ProxyLoad) {
+// ProxyLoads gives the proxies as controllers plan who serves them.
+func (s *Settings) ProxyLoads() (loads []lease.ProxyLoad) {
 	for _, p := range s.Proxies {
 		loads = append(loads, lease.ProxyLoad{Proxy: p.Name, RequestRate: p.RequestRate})
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -29,10 +29,10 @@
 	*Settings
 	path   string
 	own    cue.Value // of the file, for lines
-	faults Faults
+	faults FieldErrors
 }
 
-func validate(settings *Settings, path string, own cue.Value) Faults {
+func validate(settings *Settings, path string, own cue.Value) FieldErrors {
 	v := &validator{Settings: settings, path: path, own: own}
 	v.checkZone("zone", settings.Zone)
 	v.checkClasses()
@@ -125,7 +125,7 @@
 }
 
 func (v *validator) checkSharing() {
-	controllers := v.Sharing.Governors
+	controllers := v.Sharing.Controllers
 	if len(controllers) == 0 {
 		return
 	}
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -49,7 +49,7 @@
 	balancer   *balancer.Balancer
 	reconciler *reconcile.Reconciler
 	pipeline   *ingest.Pipeline
-	guard      *safety.Guard // observes events even where safety checks are off
+	guard      *safety.Checker // observes events even where safety checks are off
 	endpoints  endpointState
 	proxies    proxyState
 	gossip     gossipState
@@ -309,7 +309,7 @@
 func (c *Core) stepBalancer(now fleet.Time, out *Output) (reconcileDue fleet.Time) {
 	for _, event := range c.events.current {
 		if _, isList := event.(fleet.EndpointList); !isList { // applyEndpoints has shown the guard those already
-			c.guard.Hear(now, event)
+			c.guard.Observe(now, event)
 		}
 	}
 	orders := c.balancer.Step(now, c.events.current)
@@ -348,19 +348,19 @@
 		return
 	}
 	c.published.changed = false
-	state := service.PublishedState{ListRevision: c.endpoints.revision, Live: c.endpoints.live, Open: []string{}}
+	state := service.PublishedState{ListRevision: c.endpoints.revision, Live: c.endpoints.live, OpenServers: []string{}}
 	for id, e := range c.endpoints.listed {
 		if e.State == fleet.ServerReady && !c.reconciler.Withdrawn(id) {
-			state.Open = append(state.Open, c.serverName(id))
+			state.OpenServers = append(state.OpenServers, c.serverName(id))
 		}
 	}
-	slices.Sort(state.Open)
+	slices.Sort(state.OpenServers)
 	out.PublishedState = &state
 }
 
 // serverName gives the name of a server.
 func (c *Core) serverName(id fleet.ServerID) string {
-	name, _ := c.names.Of(id)
+	name, _ := c.names.Lookup(id)
 	return name
 }
 
--- a/internal/controller/crash_recovery_test.go
+++ b/internal/controller/crash_recovery_test.go
@@ -56,7 +56,7 @@
 	}
 	doc := discovery.EndpointList{Revision: 1}
 	for _, e := range testEndpoints(6) {
-		watch.Told("g", e.Name, "ready", time.Time{})
+		watch.Notified("g", e.Name, "ready", time.Time{})
 		doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{Name: e.Name, Addr: e.Addr, Zone: "a"})
 	}
 	site := testSite()
@@ -120,8 +120,8 @@
 	loop, kill := run(1)
 	wait("table applied", func() bool { return served(loop) })
 	for _, p := range proxies {
-		if p.Held(backend, "n5") == "No such server." || p.Level("cressknot.steered") != "1" {
-			t.Errorf("%s was not served: n5 %s", p.Name, p.Held(backend, "n5"))
+		if p.EntryState(backend, "n5") == "No such server." || p.MapEntry("cressknot.steered") != "1" {
+			t.Errorf("%s was not served: n5 %s", p.Name, p.EntryState(backend, "n5"))
 		}
 	}
 	kill()
@@ -142,11 +142,11 @@
 		}
 	}
 	for _, v := range watch.Judge(invariants.Figures{
-		Bare:      time.Millisecond,
-		Grace:     time.Second,
-		LinesPerS: 1e6,
-		Backlog:   1e6,
-		Head:      4,
+		MaxUnusable:      time.Millisecond,
+		DrainTimeout:     time.Second,
+		EntriesPerSecond: 1e6,
+		Backlog:          1e6,
+		MessageOverhead:  4,
 	}) {
 		if len(v.Breaks) > 0 {
 			t.Errorf("%s: %v", v.Rule, v.Breaks)
--- a/internal/controller/discovery_outage_test.go
+++ b/internal/controller/discovery_outage_test.go
@@ -83,7 +83,7 @@
 		next = nil
 		for _, m := range out.Messages {
 			for _, c := range m.Changes {
-				name, _ := d.core.names.Of(c.Server)
+				name, _ := d.core.names.Lookup(c.Server)
 				if c.Kind == reconcile.UpdateEntry || c.Kind == reconcile.AddEntry {
 					if c.Weight >= 0 {
 						d.weights[m.Proxy][name] = c.Weight
@@ -96,7 +96,7 @@
 			next = append(next, answered(m))
 		}
 		for _, id := range out.Verifications {
-			name, _ := d.core.names.Of(id)
+			name, _ := d.core.names.Lookup(id)
 			p := VerificationResult{Server: id}
 			if d.reachable[name] {
 				p.Evidence = verification.Someone
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -233,7 +233,7 @@
 func (c *Core) applyEndpoints(now fleet.Time, list fleet.EndpointList) {
 	c.published.changed = true
 	c.updateReportSources(list)
-	c.guard.Hear(now, list) // first, as the reconciler asks it what the list makes of the entries at proxies
+	c.guard.Observe(now, list) // first, as the reconciler asks it what the list makes of the entries at proxies
 	c.reconciler.SetEndpoints(now, list)
 	c.events.current = append(c.events.current, list)
 }
--- a/internal/controller/faulty_proxies_test.go
+++ b/internal/controller/faulty_proxies_test.go
@@ -89,7 +89,7 @@
 		}
 		return sim.joins[5] == 1
 	})
-	if got := working.Held(backend, "n1"); got != "100 ready" {
+	if got := working.EntryState(backend, "n1"); got != "100 ready" {
 		t.Errorf("the working proxy holds %q", got)
 	}
 }
--- a/internal/controller/files_transport_test.go
+++ b/internal/controller/files_transport_test.go
@@ -134,7 +134,7 @@
 	full.Store(true)
 	sim.reconciler.Apply(sim.now(), []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.31}})
 	sim.waitUntil("reported", func() bool { return strings.Contains(sim.lastErrors[0], "no space left") })
-	if held := p.Held(backend, "n2"); held == "" || sim.holdsTable(p, servers) {
+	if held := p.EntryState(backend, "n2"); held == "" || sim.holdsTable(p, servers) {
 		t.Errorf("holds %q though nothing could be written", held)
 	}
 	full.Store(false)
@@ -176,11 +176,11 @@
 	const servers = 4
 	sim := newFileFleet(t, 2, servers)
 	sim.restartController(servers, nil)
-	sim.proxies[0].Mute(true)
+	sim.proxies[0].StopAcknowledging(true)
 	sim.applyTable(servers)
 	sim.waitUntil("the other one is served", func() bool { return sim.holdsTable(sim.proxies[1], servers) })
 	sim.waitUntil("dropped", func() bool { return len(sim.reconciler.Proxies()) == 1 })
-	sim.proxies[0].Mute(false)
+	sim.proxies[0].StopAcknowledging(false)
 	sim.proxies[0].Down()
 	if err := sim.proxies[0].Up(); err != nil {
 		t.Fatal(err)
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -55,7 +55,7 @@
 	changes, notices := c.gossip.peers.Next(now)
 	list := fleet.EndpointList{Scope: fleet.ListDelta, Revision: fleet.ListRevision(c.endpoints.revision)}
 	for _, change := range changes {
-		if endpoint, listed := c.takePeerEndpoint(change.Name, change.As); listed {
+		if endpoint, listed := c.takePeerEndpoint(change.Name, change.Server); listed {
 			list.Endpoints = append(list.Endpoints, endpoint)
 		}
 	}
--- a/internal/controller/history.go
+++ b/internal/controller/history.go
@@ -81,7 +81,7 @@
 		switch {
 		case notice.Refused != nil:
 			entry.Source = "guard"
-			entry.Text = "held back: " + safety.Say(*notice.Refused, c.serverName(notice.Refused.Server))
+			entry.Text = "held back: " + safety.FormatRefusal(*notice.Refused, c.serverName(notice.Refused.Server))
 		case notice.Table:
 			entry.Source = "table"
 			entry.Text = notice.Text
--- a/internal/controller/operators_explain.go
+++ b/internal/controller/operators_explain.go
@@ -82,7 +82,7 @@
 // explainListing says how a server is listed.
 func (q *query) explainListing(id fleet.ServerID) string {
 	c := q.core
-	name, addr := c.names.Of(id)
+	name, addr := c.names.Lookup(id)
 	e, listed := c.endpoints.listed[id]
 	if !listed {
 		return fmt.Sprintf("%s (%s) is not listed: visits are kept from it.\n", name, addr)
@@ -117,7 +117,7 @@
 	var b strings.Builder
 	b.WriteString("# since proxies what\n")
 	for _, r := range q.core.reconciler.Refusals() {
-		fmt.Fprintf(&b, "%s %d %s\n", formatTime(r.Since), r.Proxies, safety.Say(r, q.core.serverName(r.Server)))
+		fmt.Fprintf(&b, "%s %d %s\n", formatTime(r.Since), r.Proxies, safety.FormatRefusal(r, q.core.serverName(r.Server)))
 	}
 	for _, m := range q.core.reconciler.ManualWeights() {
 		fmt.Fprintf(&b, "%s - set by hand until then: table %d, server %s, weight %d\n",
--- a/internal/controller/operators_peers.go
+++ b/internal/controller/operators_peers.go
@@ -134,6 +134,6 @@
 			p.Controller, p.Age.Seconds(), p.ListRevision, p.Live, p.Servers, p.Ahead)
 	}
 	fmt.Fprintf(&b, "# %d servers count as peers say; %d news refused, %d old\n",
-		peers.Given(), peers.Refused, peers.Old)
+		peers.OverrideCount(), peers.Invalid, peers.Outdated)
 	return b.String(), nil
 }
--- a/internal/controller/operators_show.go
+++ b/internal/controller/operators_show.go
@@ -132,7 +132,7 @@
 	b.WriteString("# name addr zone state age_s withdrawn weights\n")
 	for _, id := range ids {
 		e := c.endpoints.listed[id]
-		name, addr := c.names.Of(id)
+		name, addr := c.names.Lookup(id)
 		age := "-"
 		if e.Started > 0 {
 			age = strconv.FormatInt(int64((q.now-e.Started)/fleet.Second), 10)
--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -288,7 +288,7 @@
 		in = nil
 		if out.BalancerStepped {
 			w.Step(now, out.Events, out.Orders, loop.names.Count(),
-				func(id fleet.ServerID) string { n, _ := loop.names.Of(id); return n })
+				func(id fleet.ServerID) string { n, _ := loop.names.Lookup(id); return n })
 		}
 		for _, m := range out.Messages {
 			in = append(in, answered(m))
--- a/internal/controller/operators_weights.go
+++ b/internal/controller/operators_weights.go
@@ -64,12 +64,12 @@
 			delete(o.byToken, token)
 		}
 	}
-	if len(o.byToken) >= safety.ForceMost {
+	if len(o.byToken) >= safety.MaxForces {
 		return "", false
 	}
 	o.issued++
 	token = fmt.Sprintf("f%d", o.issued)
-	o.byToken[token] = overrideConfirmation{command, now + safety.ForceFor}
+	o.byToken[token] = overrideConfirmation{command, now + safety.ForceTimeout}
 	return token, true
 }
 
@@ -128,7 +128,7 @@
 	}
 	forcible := true
 	for _, harm := range harms {
-		forcible = forcible && harm.Force
+		forcible = forcible && harm.Forcible
 	}
 	if len(harms) > 0 && (!forcible || !a.forced) {
 		return "", q.refuseWeight(a.command, harms, forcible)
@@ -144,14 +144,14 @@
 }
 
 // refuseWeight says why a weight is refused, and gives the token by which it may be forced, if it may.
-func (q *query) refuseWeight(command string, harms []safety.Harm, forcible bool) error {
+func (q *query) refuseWeight(command string, harms []safety.Violation, forcible bool) error {
 	var b strings.Builder
 	for _, harm := range harms {
 		subject := ""
-		if !harm.None {
+		if !harm.NoServer {
 			subject = q.core.serverName(harm.Server) + ": "
 		}
-		fmt.Fprintf(&b, "Refused: %s%s: %s.\n", subject, harm.Why, harm.Text)
+		fmt.Fprintf(&b, "Refused: %s%s: %s.\n", subject, harm.Reason, harm.Text)
 	}
 	if !forcible {
 		b.WriteString("This can't be forced.\n")
@@ -163,7 +163,7 @@
 		return commandError(b.String())
 	}
 	fmt.Fprintf(&b, "To force it all the same, within %.0f s: set weight %s force %s\n",
-		safety.ForceFor.Seconds(), command, token)
+		safety.ForceTimeout.Seconds(), command, token)
 	return commandError(b.String())
 }
 
@@ -183,7 +183,7 @@
 }
 
 // harmsOfWeight gives the harm that a manual weight would do to its table.
-func (c *Core) harmsOfWeight(now fleet.Time, table fleet.TableID, server fleet.ServerID, weight int) []safety.Harm {
+func (c *Core) harmsOfWeight(now fleet.Time, table fleet.TableID, server fleet.ServerID, weight int) []safety.Violation {
 	if !c.safetyChecks {
 		return nil
 	}
@@ -200,10 +200,10 @@
 		lines = append(lines, safety.TableLine{Server: server, Weight: float64(weight), Withdrawn: withdrawn})
 	}
 	demand := 0.0
-	c.reconciler.Users(table, func(proxy fleet.ProxyID, class fleet.ClassID) {
+	c.reconciler.EachAssignment(table, func(proxy fleet.ProxyID, class fleet.ClassID) {
 		demand += c.guard.Demand(proxy, class)
 	})
-	return c.guard.Table(now, lines, demand)
+	return c.guard.CheckTable(now, lines, demand)
 }
 
 // tableLines gives a table with its manual weights.
--- a/internal/controller/persist_test.go
+++ b/internal/controller/persist_test.go
@@ -95,7 +95,7 @@
 	}
 	var manualWeights []string
 	for _, o := range l.core.reconciler.ManualWeights() {
-		name, _ := l.core.names.Of(o.Server)
+		name, _ := l.core.names.Lookup(o.Server)
 		manualWeights = append(manualWeights, fmt.Sprintf("hand %d %s %d %d\n", o.Table, name, o.Weight, o.Until))
 	}
 	slices.Sort(manualWeights)
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -52,7 +52,7 @@
 
 // probe asks a server for its health and load.
 func (p *prober) probe(ctx context.Context, id fleet.ServerID) ProbeResult {
-	_, addr := p.names.Of(id)
+	_, addr := p.names.Lookup(id)
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(reconcile.DialTimeout))
 	defer cancel()
@@ -78,7 +78,7 @@
 // verify asks a server of a cached list whether it is there: by a connection, or by a probe whose answer may name the
 // server that gives it.
 func (p *prober) verify(ctx context.Context, id fleet.ServerID) VerificationResult {
-	name, addr := p.names.Of(id)
+	name, addr := p.names.Lookup(id)
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(reconcile.DialTimeout))
 	defer cancel()
 	result := VerificationResult{Server: id}
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -33,10 +33,10 @@
 	var state service.ServerState
 	id, known := c.names.Server(name)
 	if !known {
-		return state, &service.Fault{Code: service.NoServer, Text: fmt.Sprintf("%q was never heard of", name)}
+		return state, &service.Error{Code: service.NoServer, Text: fmt.Sprintf("%q was never heard of", name)}
 	}
 	e, listed := c.endpoints.listed[id]
-	state.Name, state.Addr = c.names.Of(id)
+	state.Name, state.Addr = c.names.Lookup(id)
 	state.State = fleet.ServerGoneName
 	if listed {
 		state.State = e.State.Name()
@@ -92,14 +92,14 @@
 	switch {
 	case zone < 0:
 		text := fmt.Sprintf("zone %.256q is none of this governor's", zoneName)
-		return nil, &service.Fault{Code: service.NoZone, Text: text}
+		return nil, &service.Error{Code: service.NoZone, Text: text}
 	case class < 0:
 		text := fmt.Sprintf("%.256q is none of the classes", className)
-		return nil, &service.Fault{Code: service.NoClass, Text: text}
+		return nil, &service.Error{Code: service.NoClass, Text: text}
 	}
 	id, assigned := c.reconciler.TableOf(zones[zone].Proxy, fleet.ClassID(class))
 	if !assigned || c.reconciler.TableVersions(id) == nil {
-		return nil, &service.Fault{Code: service.Unready, Text: "no table is laid yet", RetryAfter: fleet.Second}
+		return nil, &service.Error{Code: service.Unready, Text: "no table is laid yet", RetryAfter: fleet.Second}
 	}
 	history := c.reconciler.TableVersions(id).History()
 	for _, v := range history[max(0, len(history)-limit):] {
--- a/internal/controller/recording.go
+++ b/internal/controller/recording.go
@@ -44,7 +44,7 @@
 		return nil
 	}
 	r.writer.Step(now, out.Events, out.Orders, names.Count(), func(id fleet.ServerID) string {
-		name, _ := names.Of(id)
+		name, _ := names.Lookup(id)
 		return name
 	})
 	err := r.writer.Flush()
--- a/internal/controller/server_names.go
+++ b/internal/controller/server_names.go
@@ -67,8 +67,8 @@
 	return id, moved
 }
 
-// Of gives name and address of an id, both "" for an unknown one.
-func (n *Names) Of(id fleet.ServerID) (name, addr string) {
+// Lookup gives name and address of an id, both "" for an unknown one.
+func (n *Names) Lookup(id fleet.ServerID) (name, addr string) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	if int(id) >= len(n.servers) {
--- a/internal/controller/simulated_fleet_test.go
+++ b/internal/controller/simulated_fleet_test.go
@@ -68,7 +68,7 @@
 func newProxy(t *testing.T, dir, name string, watch *invariants.Watch, servers int) *fakes.Proxy {
 	t.Helper()
 	return fakes.NewProxy(fakes.ProxySetup{Name: name, Map: "cressknot", Table: "nodes",
-		Classes: []fakes.ProxyClass{{Name: backend, Backend: backend, HardStop: time.Second}},
+		Classes: []fakes.ProxyClass{{Name: backend, Backend: backend, Deadline: time.Second}},
 		Runtime: filepath.Join(dir, name+".sock")}, testEndpoints(servers), watch, 1)
 }
 
@@ -90,7 +90,7 @@
 func newSocketFleet(t *testing.T, proxies, servers int, prepare func(i int, p *fakes.Proxy)) *simulatedFleet {
 	t.Helper()
 	sim := newSimulatedFleet(t)
-	sim.reconciler.SetEpoch(7, func(id fleet.ServerID) string { name, _ := sim.names.Of(id); return name })
+	sim.reconciler.SetEpoch(7, func(id fleet.ServerID) string { name, _ := sim.names.Lookup(id); return name })
 	dir := t.TempDir()
 	l := fleet.EndpointList{Scope: fleet.ListFull}
 	for _, e := range testEndpoints(servers) {
@@ -214,12 +214,12 @@
 		if l.Withdrawn {
 			state = "maint"
 		}
-		name, _ := sim.names.Of(l.Server)
-		if p.Held(backend, name) != fmt.Sprintf("%d %s", l.Published, state) {
+		name, _ := sim.names.Lookup(l.Server)
+		if p.EntryState(backend, name) != fmt.Sprintf("%d %s", l.Published, state) {
 			return false
 		}
 	}
-	return p.Level(backend+".share") == "750"
+	return p.MapEntry(backend+".share") == "750"
 }
 
 func (sim *simulatedFleet) allConnected() bool { return len(sim.streams) == len(sim.proxies) }
@@ -230,10 +230,10 @@
 	digest := tableversion.Digest(0)
 	for i := range servers {
 		name := fmt.Sprint("n", i)
-		weight, _ := strconv.Atoi(strings.Fields(p.Held(backend, name) + " x")[0])
+		weight, _ := strconv.Atoi(strings.Fields(p.EntryState(backend, name) + " x")[0])
 		digest += tableversion.EntryDigest(name, weight)
 	}
-	return digest == table.Digest() && p.Level(backend+".version") == table.Version().String()+"/"+table.Digest().String()
+	return digest == table.Digest() && p.MapEntry(backend+".version") == table.Version().String()+"/"+table.Digest().String()
 }
 
 // newMemoryDir gives a folder in memory where the machine has one: syncing a file may take seconds on a disk that
@@ -259,7 +259,7 @@
 			Classes: []fakes.ProxyClass{{
 				Name:     backend,
 				Backend:  backend,
-				HardStop: time.Second,
+				Deadline: time.Second,
 			}}}, testEndpoints(min(3, servers)), sim.watch, 1)
 		if err := p.Up(); err != nil {
 			t.Fatal(err)
@@ -280,7 +280,7 @@
 	sim.lastErrors = map[fleet.ProxyID]string{}
 	sim.joins = map[fleet.ProxyID]int{}
 	sim.reconciler.SetEpoch(uint64(time.Now().UnixNano()),
-		func(id fleet.ServerID) string { name, _ := sim.names.Of(id); return name })
+		func(id fleet.ServerID) string { name, _ := sim.names.Lookup(id); return name })
 	l := fleet.EndpointList{Scope: fleet.ListFull}
 	for _, e := range testEndpoints(servers) {
 		id, _ := sim.names.Listed(e.Name, e.Addr)
--- a/internal/controller/update_delivery_test.go
+++ b/internal/controller/update_delivery_test.go
@@ -86,7 +86,7 @@
 	sim.proxies[0].ReadSlowly(20 * time.Millisecond)
 	sim.applyTable(30)
 	sim.waitUntil("half of the update applied",
-		func() bool { return sim.proxies[0].Held(backend, "n8") != "No such server." })
+		func() bool { return sim.proxies[0].EntryState(backend, "n8") != "No such server." })
 	sim.proxies[0].Down()
 	sim.proxies[0].ReadSlowly(0)
 	if err := sim.proxies[0].Up(); err != nil {
@@ -119,12 +119,12 @@
 	sim := newSocketFleet(t, 1, 6, nil)
 	sim.waitUntil("connected", sim.allConnected)
 	p := sim.proxies[0]
-	p.ByHand("add", "server", backend+"/n5", "127.0.0.1:9005", "weight", "3")
-	p.ByHand("set", "server", backend+"/n0", "state", "maint")
-	p.ByHand("del", "server", backend+"/n0")
+	p.Execute("add", "server", backend+"/n5", "127.0.0.1:9005", "weight", "3")
+	p.Execute("set", "server", backend+"/n0", "state", "maint")
+	p.Execute("del", "server", backend+"/n0")
 	sim.applyTable(6)
 	sim.waitUntil("in the desired state", func() bool { return sim.holdsTable(p, 6) && sim.reconciler.Idle() })
-	if got := p.ByHand("del", "server", backend+"/n2"); !strings.Contains(got, "maintenance") {
+	if got := p.Execute("del", "server", backend+"/n2"); !strings.Contains(got, "maintenance") {
 		t.Errorf("a ready server was deleted: %q", got)
 	}
 }
--- a/internal/controller/verification.go
+++ b/internal/controller/verification.go
@@ -29,7 +29,7 @@
 	age, known := verification.Age(now, update.ConfirmedAt)
 	var named []verification.NamedEndpoint
 	for id, e := range c.endpoints.listed {
-		name, addr := c.names.Of(id)
+		name, addr := c.names.Lookup(id)
 		named = append(named, verification.NamedEndpoint{Endpoint: e, Addr: addr, Unverified: update.Unverified[name]})
 	}
 	c.endpoints.verifier.Begin(now, age, named)
@@ -57,16 +57,16 @@
 		c.applyEndpoints(now, list)
 	}
 	if len(plan.Parts) > 0 {
-		var parts []reconcile.Part
+		var parts []reconcile.WeightFraction
 		for _, part := range plan.Parts {
-			parts = append(parts, reconcile.Part(part))
+			parts = append(parts, reconcile.WeightFraction(part))
 		}
-		c.reconciler.Parts(now, parts, "a kept list's names")
+		c.reconciler.ScaleWeights(now, parts, "a kept list's names")
 	}
 	for _, notice := range plan.Notices {
 		entry := LogEntry{now, LevelInfo, "list", notice.Text}
 		if notice.OfServer {
-			name, addr := c.names.Of(notice.Server)
+			name, addr := c.names.Lookup(notice.Server)
 			entry.Level = LevelWarn
 			entry.Text = fmt.Sprintf("server %s (%s) %s", name, addr, notice.Text)
 		}
--- a/internal/controller/version_convergence_test.go
+++ b/internal/controller/version_convergence_test.go
@@ -59,9 +59,9 @@
 					}
 				case 2:
 					if on == "sockets" { // noticed by the next poll
-						p.ByHand("set", "server", backend+"/n2", "weight", "3")
-						p.ByHand("del", "server", backend+"/n1")
-						p.ByHand("set", "server", backend+"/n4", "state", "maint")
+						p.Execute("set", "server", backend+"/n2", "weight", "3")
+						p.Execute("del", "server", backend+"/n1")
+						p.Execute("set", "server", backend+"/n4", "state", "maint")
 					}
 				case 3:
 					p.ReadSlowly(5 * time.Millisecond)
@@ -93,9 +93,9 @@
 			sim.reconciler.Notices()
 			p := sim.proxies[1]
 			p.Commands()
-			p.ByHand("set", "server", backend+"/n2", "weight", "3")
-			p.ByHand("set", "server", backend+"/n3", "state", "maint")
-			p.ByHand("del", "server", backend+"/n3")
+			p.Execute("set", "server", backend+"/n2", "weight", "3")
+			p.Execute("set", "server", backend+"/n3", "state", "maint")
+			p.Execute("del", "server", backend+"/n3")
 			sim.waitUntil("corrected", func() bool { return polled() && sim.reconciler.Idle() })
 			if _, log := p.Commands(); len(log) > 12 {
 				t.Errorf("more than the difference was sent: %q", log)
@@ -122,7 +122,7 @@
 	sim.reconciler.Notices()
 	sim.transport.Drop(0)
 	sim.transport.Drop(1)
-	sim.proxies[1].ByHand("set", "server", backend+"/n2", "weight", "7")
+	sim.proxies[1].Execute("set", "server", backend+"/n2", "weight", "7")
 	sim.waitUntil("connected again", func() bool { return sim.joins[0] == 2 && sim.joins[1] == 2 })
 	notices := sim.reconciler.Notices()
 	if len(notices) != 1 || notices[0].Proxy != 1 || !strings.Contains(notices[0].Text, "it says that it holds version") {
--- a/internal/discovery/platformdecode.go
+++ b/internal/discovery/platformdecode.go
@@ -54,7 +54,7 @@
 func (p *PlatformSource) Decode(text []byte) (*EndpointList, error) {
 	var source platformList
 	if err := json.Unmarshal(text, &source); err != nil {
-		return nil, simwire.JSONFault(err)
+		return nil, simwire.LocateJSONError(err)
 	}
 	switch {
 	case source.Revision == nil:
--- a/internal/discovery/verification/plan.go
+++ b/internal/discovery/verification/plan.go
@@ -27,15 +27,15 @@
 	Ask     []fleet.ServerID // servers to probe; Asked is to be called with each result
 	Out     []fleet.Endpoint // ejected servers, with the state of a gone one
 	In      []fleet.Endpoint // servers to use again
-	Parts   []Part           // weight factors that changed
+	Parts   []WeightFraction // weight factors that changed
 	Notices []Notice
 	Wake    fleet.Time // when to call Next again; 0: when something is learned
 }
 
-// Part is the weight factor of a server.
-type Part struct {
-	Server fleet.ServerID
-	Of     float64 // from 0 to 1
+// WeightFraction is the weight factor of a server.
+type WeightFraction struct {
+	Server   fleet.ServerID
+	Fraction float64 // from 0 to 1
 }
 
 // Notice is a message for operators.
@@ -215,7 +215,7 @@
 func (c *candidate) setFactor(now fleet.Time, factor float64, plan *Plan) {
 	c.factor = factor
 	c.raisedAt = now
-	plan.Parts = append(plan.Parts, Part{Server: c.Endpoint.Server, Of: factor})
+	plan.Parts = append(plan.Parts, WeightFraction{Server: c.Endpoint.Server, Fraction: factor})
 }
 
 // summarize tells operators once, when something is known of each server, how many have which verdict.
--- a/internal/discovery/verification/simulation_test.go
+++ b/internal/discovery/verification/simulation_test.go
@@ -109,11 +109,11 @@
 	const tolerance = 1e-9
 	for _, part := range plan.Parts {
 		before := s.factors[part.Server]
-		tooSteep := before > 0 && part.Of > rampFactor*before+tolerance && !s.ejected[part.Server]
-		if part.Of <= 0 || part.Of > 1 || tooSteep {
-			t.Fatalf("factor of %d from %v to %v", part.Server, before, part.Of)
+		tooSteep := before > 0 && part.Fraction > rampFactor*before+tolerance && !s.ejected[part.Server]
+		if part.Fraction <= 0 || part.Fraction > 1 || tooSteep {
+			t.Fatalf("factor of %d from %v to %v", part.Server, before, part.Fraction)
 		}
-		s.factors[part.Server] = part.Of
+		s.factors[part.Server] = part.Fraction
 	}
 }
 
--- a/internal/discovery/verification/verifier.go
+++ b/internal/discovery/verification/verifier.go
@@ -85,9 +85,9 @@
 	lastSuccess          fleet.Time // of a request to any server
 	failuresSinceSuccess float64
 
-	changed    bool       // something was learned since the last plan
-	nextWake   fleet.Time // that of the last plan
-	restored   []Part     // weights of servers that are no longer candidates
+	changed    bool             // something was learned since the last plan
+	nextWake   fleet.Time       // that of the last plan
+	restored   []WeightFraction // weights of servers that are no longer candidates
 	notices    []Notice
 	summarized bool
 }
@@ -212,7 +212,7 @@
 		v.probesInFlight--
 	}
 	if c.factor != 1 {
-		v.restored = append(v.restored, Part{Server: c.Endpoint.Server, Of: 1})
+		v.restored = append(v.restored, WeightFraction{Server: c.Endpoint.Server, Fraction: 1})
 	}
 	delete(v.byServer, c.Endpoint.Server)
 }
--- a/internal/discovery/verification/verifier_test.go
+++ b/internal/discovery/verification/verifier_test.go
@@ -144,7 +144,7 @@
 		{Endpoint: fleet.Endpoint{Server: 3}, Addr: "y"},
 	})
 	plan := v.Next(0)
-	if len(plan.Out) != 0 || len(plan.Parts) != 2 || plan.Parts[0].Of != 0.5 || plan.Parts[1].Of != 0.5 {
+	if len(plan.Out) != 0 || len(plan.Parts) != 2 || plan.Parts[0].Fraction != 0.5 || plan.Parts[1].Fraction != 0.5 {
 		t.Errorf("%+v", plan)
 	}
 }
--- a/internal/gossip/override.go
+++ b/internal/gossip/override.go
@@ -21,9 +21,9 @@
 
 // Change is what a server counts as from now on: as in a peer's newer list, or as in our own again.
 type Change struct {
-	Name string
-	As   LocalServer
-	Peer bool // as in a peer's list
+	Name     string
+	Server   LocalServer
+	FromPeer bool // as in a peer's list
 }
 
 // Notice is an event that operators should be notified of.
@@ -58,7 +58,7 @@
 			continue
 		}
 		p.overrides[name] = server
-		changes = append(changes, Change{Name: name, As: server, Peer: true})
+		changes = append(changes, Change{Name: name, Server: server, FromPeer: true})
 		text := fmt.Sprintf("counts as %s: governor %s goes by a newer list than ours",
 			describeOverride(server, p.servers[name]), wanted.sources[name])
 		notices = append(notices, Notice{name, text})
@@ -122,7 +122,7 @@
 			continue
 		}
 		if ours, listed := p.servers[name]; listed {
-			changes = append(changes, Change{Name: name, As: ours})
+			changes = append(changes, Change{Name: name, Server: ours})
 		}
 		delete(p.overrides, name)
 	}
@@ -136,8 +136,8 @@
 	return server.State.Name()
 }
 
-// Given returns how many servers count otherwise than in our list.
-func (p *PeerState) Given() int { return len(p.overrides) }
+// OverrideCount returns how many servers count otherwise than in our list.
+func (p *PeerState) OverrideCount() int { return len(p.overrides) }
 
 // healthNotices reports for servers that are unhealthy for our proxies whether peers agree: if not, the fault is on
 // the network path and not of the server.
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -63,8 +63,8 @@
 	peers    map[string]*peer
 	sequence uint64
 	sentAt   fleet.Time
-	Refused  uint64 // invalid messages
-	Old      uint64 // messages that were not newer
+	Invalid  uint64 // invalid messages
+	Outdated uint64 // messages that were not newer
 
 	// Results.
 	overrides  map[string]LocalServer // in place of the own list
@@ -134,7 +134,7 @@
 // Merge takes a peer's message. An invalid one is an error and changes nothing; an older one is dropped.
 func (p *PeerState) Merge(now fleet.Time, message Message) error {
 	if err := message.Check(); err != nil {
-		p.Refused++
+		p.Invalid++
 		return err
 	}
 	if message.Controller == p.me {
@@ -143,7 +143,7 @@
 	sender := p.peers[message.Controller]
 	if sender == nil {
 		if len(p.peers) >= MaxControllers {
-			p.Refused++
+			p.Invalid++
 			return fmt.Errorf("news of governor %q: %d others are heard, which is the most",
 				message.Controller, len(p.peers))
 		}
@@ -151,7 +151,7 @@
 		return nil
 	}
 	if !message.isNewer(&sender.message) {
-		p.Old++
+		p.Outdated++
 		return nil
 	}
 	sender.message = message
--- a/internal/gossip/state_test.go
+++ b/internal/gossip/state_test.go
@@ -85,7 +85,7 @@
 func (n *newerListTest) changes() (text string) {
 	changes, _ := n.second.Next(n.now)
 	for _, change := range changes {
-		text += fmt.Sprintf("%s=%d,%d,%v ", change.Name, change.As.State, change.As.Started/fleet.Second, change.Peer)
+		text += fmt.Sprintf("%s=%d,%d,%v ", change.Name, change.Server.State, change.Server.Started/fleet.Second, change.FromPeer)
 	}
 	return text
 }
@@ -110,8 +110,8 @@
 	n.expect("at once", "")
 	repeated := Message{Controller: "a", Epoch: 5, Sequence: 1, ListRevision: 99}
 	err := n.second.Merge(n.now, repeated)
-	if err != nil || n.second.Old != 1 || n.second.peers["a"].message.ListRevision != 9 {
-		t.Errorf("a repeated message: %v, %d old", err, n.second.Old)
+	if err != nil || n.second.Outdated != 1 || n.second.peers["a"].message.ListRevision != 9 {
+		t.Errorf("a repeated message: %v, %d old", err, n.second.Outdated)
 	}
 	for range 3 {
 		n.now += fleet.Second
@@ -139,8 +139,8 @@
 	n.expect("from a newer list", overridesOfNewerList)
 	n.second.SetLocalList(n.now, 9, true, n.newer)
 	n.expect("caught up", "")
-	if n.second.Given() != 0 {
-		t.Errorf("%d servers count otherwise than in our list", n.second.Given())
+	if n.second.OverrideCount() != 0 {
+		t.Errorf("%d servers count otherwise than in our list", n.second.OverrideCount())
 	}
 	n.second.SetLocalList(n.now, 12, true, n.list)
 	gone := map[string]LocalServer{"s5": {State: fleet.ServerGone}}
@@ -216,8 +216,8 @@
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
-	if len(state.peers) != 0 || state.Refused != 4 {
-		t.Errorf("%d peers, %d refused", len(state.peers), state.Refused)
+	if len(state.peers) != 0 || state.Invalid != 4 {
+		t.Errorf("%d peers, %d refused", len(state.peers), state.Invalid)
 	}
 }
 
@@ -311,7 +311,7 @@
 func (m *messageSimulation) applyChanges() {
 	changes, _ := m.state.Next(m.now)
 	for _, change := range changes {
-		m.counts[change.Name] = change.As
+		m.counts[change.Name] = change.Server
 	}
 }
 
--- a/internal/haproxyapi/answer.go
+++ b/internal/haproxyapi/answer.go
@@ -8,9 +8,9 @@
 // Prompt is what an interactive session shows before each request.
 const Prompt = "> "
 
-// Answers parses a stream of answers: each is some lines followed by an empty one; in interactive sessions a prompt
+// AnswerParser parses a stream of answers: each is some lines followed by an empty one; in interactive sessions a prompt
 // goes before it. The zero value is ready for use.
-type Answers struct {
+type AnswerParser struct {
 	buffer  []byte
 	scanned int   // length of the buffer's beginning that has no end of an answer
 	offset  int64 // of the buffer's first byte in the stream
@@ -19,7 +19,7 @@
 
 // Feed takes the next bytes and calls handle for each complete answer, without its empty line. The text is valid until
 // handle returns. After an error the stream can't be followed any more.
-func (a *Answers) Feed(data []byte, handle func([]byte) error) error {
+func (a *AnswerParser) Feed(data []byte, handle func([]byte) error) error {
 	if a.failed != nil {
 		return a.failed
 	}
--- a/internal/haproxyapi/haproxyapi_test.go
+++ b/internal/haproxyapi/haproxyapi_test.go
@@ -61,7 +61,7 @@
 	want := []string{"", "New server registered.\n", "", "# a,b\n1,2\n", ""}
 	for cut := range len(stream) + 1 {
 		for second := cut; second <= len(stream); second += 3 {
-			var a Answers
+			var a AnswerParser
 			var got []string
 			for _, piece := range []string{stream[:cut], stream[cut:second], stream[second:]} {
 				if err := a.Feed([]byte(piece), func(b []byte) error { got = append(got, string(b)); return nil }); err != nil {
@@ -110,12 +110,12 @@
 		Sessions:        12,
 		CurrentSessions: 2,
 		Denied:          1,
-		ConnFailed:      3,
-		RespFailed:      4,
+		ConnectErrors:   3,
+		ResponseErrors:  4,
 		Retries:         5,
 		Weight:          256,
-		Good:            6,
-		Errors:          7,
+		Successes:       6,
+		ServerErrors:    7,
 	}
 	text := AppendStat(AppendStatHeader(nil), &stat)
 	if err := ReadStat(text, func(s *Stat) error {
@@ -137,9 +137,9 @@
 	}); err != nil {
 		t.Error(err)
 	}
-	tracked := Tracked{Key: []byte("n1"), GoodMs: 1234, Good: 9, Load: [4]uint64{1, 2, 3, 4}, HasLoad: true}
+	tracked := StickEntry{Key: []byte("n1"), SuccessMillis: 1234, Successes: 9, Load: [4]uint64{1, 2, 3, 4}, HasLoad: true}
 	if err := ReadTable(AppendTracked([]byte("# table: nodes, type: string, size:1024, used:1\n"), 7, &tracked),
-		func(row *Tracked) error {
+		func(row *StickEntry) error {
 			if !reflect.DeepEqual(*row, tracked) {
 				t.Errorf("table %+v", *row)
 			}
@@ -201,7 +201,7 @@
 	text := AppendStatHeader(nil)
 	for i := range 2100 {
 		text = AppendStat(text, &Stat{Proxy: []byte("slot-look"), Server: fmt.Appendf(nil, "node-%03d", i),
-			Sessions: uint64(i) * 977, Good: uint64(i) * 960, Weight: 100})
+			Sessions: uint64(i) * 977, Successes: uint64(i) * 960, Weight: 100})
 	}
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
--- a/internal/haproxyapi/stat.go
+++ b/internal/haproxyapi/stat.go
@@ -14,12 +14,12 @@
 	Sessions        uint64 // stot
 	CurrentSessions uint64 // scur
 	Denied          uint64 // dreq
-	ConnFailed      uint64 // econ
-	RespFailed      uint64 // eresp
+	ConnectErrors   uint64 // econ
+	ResponseErrors  uint64 // eresp
 	Retries         uint64 // wretr
 	Weight          uint64
-	Errors          uint64 // hrsp_5xx
-	Good            uint64 // hrsp_1xx to hrsp_4xx
+	ServerErrors    uint64 // hrsp_5xx
+	Successes       uint64 // hrsp_1xx to hrsp_4xx
 }
 
 // Positions in statColumns.
@@ -72,12 +72,12 @@
 			CurrentSessions: counts[statCurrentSessions],
 			Sessions:        counts[statSessions],
 			Denied:          counts[statDenied],
-			ConnFailed:      counts[statConnFailed],
-			RespFailed:      counts[statRespFailed],
+			ConnectErrors:   counts[statConnFailed],
+			ResponseErrors:  counts[statRespFailed],
 			Retries:         counts[statRetries],
 			Weight:          counts[statWeight],
-			Good:            counts[stat1xx] + counts[stat2xx] + counts[stat3xx] + counts[stat4xx],
-			Errors:          counts[stat5xx],
+			Successes:       counts[stat1xx] + counts[stat2xx] + counts[stat3xx] + counts[stat4xx],
+			ServerErrors:    counts[stat5xx],
 		}
 		return handle(&row)
 	})
@@ -100,8 +100,8 @@
 		dst = append(dst, ',')
 	}
 	counts := [...]uint64{
-		s.CurrentSessions, s.Sessions, s.Denied, s.ConnFailed, s.RespFailed, s.Retries, s.Weight,
-		0, s.Good, 0, 0, s.Errors,
+		s.CurrentSessions, s.Sessions, s.Denied, s.ConnectErrors, s.ResponseErrors, s.Retries, s.Weight,
+		0, s.Successes, 0, 0, s.ServerErrors,
 	}
 	for _, count := range counts {
 		dst = strconv.AppendUint(dst, count, 10)
--- a/internal/haproxyapi/tables.go
+++ b/internal/haproxyapi/tables.go
@@ -30,19 +30,19 @@
 	})
 }
 
-// Tracked is an entry of "show table": what a proxy counts of a server's answers. The operators' manual describes how a
+// StickEntry is an entry of "show table": what a proxy counts of a server's answers. The operators' manual describes how a
 // real proxy is configured to count it.
-type Tracked struct {
-	Key     []byte
-	GoodMs  uint64    // gpc0: sum of the times of successful answers, milliseconds
-	Good    uint64    // gpc1: number of successful answers
-	Load    [4]uint64 // gpt0 to gpt3: the load values of the newest answer, in thousandths
-	HasLoad bool      // the entry has load values
+type StickEntry struct {
+	Key           []byte
+	SuccessMillis uint64    // gpc0: sum of the times of successful answers, milliseconds
+	Successes     uint64    // gpc1: number of successful answers
+	Load          [4]uint64 // gpt0 to gpt3: the load values of the newest answer, in thousandths
+	HasLoad       bool      // the entry has load values
 }
 
 // ReadTable reads "show table <name>". The row is valid until handle returns.
-func ReadTable(text []byte, handle func(*Tracked) error) error {
-	var row Tracked
+func ReadTable(text []byte, handle func(*StickEntry) error) error {
+	var row StickEntry
 	return rows(text, ' ', func(_ int, line []byte, fields [][]byte) error {
 		if len(line) == 0 || line[0] == '#' {
 			return nil
@@ -50,7 +50,7 @@
 		if !bytes.HasPrefix(fields[0], []byte(entryPrefix)) {
 			return fmt.Errorf("%.40q is no entry of a table", line)
 		}
-		row = Tracked{}
+		row = StickEntry{}
 		for _, field := range fields[1:] {
 			if err := row.readField(field); err != nil {
 				return err
@@ -64,7 +64,7 @@
 }
 
 // readField takes one "name=value" of an entry; fields of other names are skipped.
-func (t *Tracked) readField(field []byte) error {
+func (t *StickEntry) readField(field []byte) error {
 	name, value, ok := bytes.Cut(field, []byte("="))
 	if !ok {
 		return nil
@@ -75,9 +75,9 @@
 		t.Key = value
 		return nil
 	case "gpc0":
-		count = &t.GoodMs
+		count = &t.SuccessMillis
 	case "gpc1":
-		count = &t.Good
+		count = &t.Successes
 	case "gpt0", "gpt1", "gpt2", "gpt3":
 		count = &t.Load[name[3]-'0']
 		t.HasLoad = true
@@ -92,12 +92,12 @@
 }
 
 // AppendTracked writes one entry of "show table".
-func AppendTracked(dst []byte, reference int, t *Tracked) []byte {
+func AppendTracked(dst []byte, reference int, t *StickEntry) []byte {
 	dst = fmt.Appendf(dst, "%s%06x: key=%s use=0 exp=0 shard=0", entryPrefix, reference, t.Key)
 	if t.HasLoad {
 		for i, load := range t.Load {
 			dst = fmt.Appendf(dst, " gpt%d=%d", i, load)
 		}
 	}
-	return fmt.Appendf(dst, " gpc0=%d gpc1=%d\n", t.GoodMs, t.Good)
+	return fmt.Appendf(dst, " gpc0=%d gpc1=%d\n", t.SuccessMillis, t.Successes)
 }
--- a/internal/ingest/collector/report.go
+++ b/internal/ingest/collector/report.go
@@ -139,7 +139,7 @@
 func loadFieldOf(name string) (loadField fleet.LoadField, known bool) {
 	loadField, known = platformLoadFields[name]
 	if !known {
-		loadField, known = simwire.LoadFields[name]
+		loadField, known = simwire.LoadFieldByName[name]
 	}
 	return loadField, known
 }
--- a/internal/ingest/counters/parse.go
+++ b/internal/ingest/counters/parse.go
@@ -34,7 +34,7 @@
 		if !known || string(row.Server) == frontendRow {
 			return nil
 		}
-		failures := row.Errors + row.ConnFailed + row.RespFailed
+		failures := row.ServerErrors + row.ConnectErrors + row.ResponseErrors
 		if string(row.Server) == backendRow {
 			r.Classes[class] = ClassCounters{Requests: row.Sessions, Unanswered: failures}
 			return nil
@@ -50,7 +50,7 @@
 			State:  stateOf(row.Status),
 		})
 		counters := r.Row(server)
-		counters.Attempts += row.Good + failures
+		counters.Attempts += row.Successes + failures
 		counters.Failures += failures
 		return nil
 	})
@@ -71,14 +71,14 @@
 // AddTracked adds the answer to "show table" to the rows that there are: the latencies of successful answers, and
 // the load that the newest answers reported.
 func (r *Reading) AddTracked(text []byte, lookup func(string) (fleet.ServerID, bool)) error {
-	return haproxyapi.ReadTable(text, func(tracked *haproxyapi.Tracked) error {
+	return haproxyapi.ReadTable(text, func(tracked *haproxyapi.StickEntry) error {
 		server, known := lookup(string(tracked.Key))
 		if !known || !r.hasRow(server) {
 			return nil
 		}
 		counters := r.Row(server)
-		counters.Successes = tracked.Good
-		counters.SuccessMillis = tracked.GoodMs
+		counters.Successes = tracked.Successes
+		counters.SuccessMillis = tracked.SuccessMillis
 		counters.HasLoad = tracked.HasLoad
 		for i, load := range tracked.Load {
 			counters.Load[i] = float32(load) / loadUnit
--- a/internal/lease/entry.go
+++ b/internal/lease/entry.go
@@ -22,8 +22,8 @@
 	Beat       uint64 // counts its heartbeats
 	Want       uint64 // counts its requests for the lease; 0: none
 	Retired    bool   // it holds the lease only because no other controller does
-	Hand       bool   // operators gave it the lease: no other controller requests it
-	WantHand   bool   // operators want it to have the lease
+	Manual     bool   // operators gave it the lease: no other controller requests it
+	WantManual bool   // operators want it to have the lease
 }
 
 // String returns the stored value of an entry: EPOCH.BEAT, the epoch in base 36, with suffixes for a retired
@@ -33,7 +33,7 @@
 	if e.Retired {
 		text += retiredSuffix
 	}
-	if e.Hand {
+	if e.Manual {
 		text += manualSuffix
 	}
 	return text
@@ -49,7 +49,7 @@
 	if !found || epochErr != nil || beatErr != nil {
 		return Entry{Controller: controller}
 	}
-	return Entry{Controller: controller, Epoch: epoch, Beat: beat, Retired: retired, Hand: manual}
+	return Entry{Controller: controller, Epoch: epoch, Beat: beat, Retired: retired, Manual: manual}
 }
 
 // ParseWant parses the stored value that requests a lease. An invalid value requests nothing.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -20,17 +20,17 @@
 	minHoldDuration = 10 * fleet.Second
 )
 
-// Act is what a controller has to do about a proxy.
-type Act uint8
+// Action is what a controller has to do about a proxy.
+type Action uint8
 
 // The acts.
 const (
-	Wait    Act = iota // another controller holds the lease: check again
-	Want               // the same, and request the lease
-	Claim              // take the lease over
-	Keep               // continue to hold the lease
-	Release            // hand the lease over: end what is in flight and remove the entry
-	Lost               // another controller holds the lease: send nothing more
+	ActionWait    Action = iota // another controller holds the lease: check again
+	ActionRequest               // the same, and request the lease
+	ActionClaim                 // take the lease over
+	ActionKeep                  // continue to hold the lease
+	ActionRelease               // hand the lease over: end what is in flight and remove the entry
+	ActionYield                 // another controller holds the lease: send nothing more
 )
 
 // heartbeat is a count of a holder's heartbeats, and when it was read first on this controller's clock.
@@ -78,11 +78,13 @@
 	l.handingOver = on && l.heldSince > 0
 }
 
-// Take lets a controller have the lease whatever its rank, as operators want, or ends that.
-func (l *Lease) Take(on bool) { l.manual = on }
+// SetManual lets a controller have the lease whatever its rank, as operators want, or ends that.
+func (l *Lease) SetManual(on bool) { l.manual = on }
 
-// Seen returns the holder when the entries were read last, and when its entry was seen to change.
-func (l *Lease) Seen() (holder Entry, changedAt fleet.Time) { return l.lastHolder, l.lastHolderAt }
+// LastHolder returns the holder when the entries were read last, and when its entry was seen to change.
+func (l *Lease) LastHolder() (holder Entry, changedAt fleet.Time) {
+	return l.lastHolder, l.lastHolderAt
+}
 
 // Epoch returns the epoch of the takeover that is in progress or succeeded, 0 for none.
 func (l *Lease) Epoch() uint64 { return l.epoch }
@@ -105,8 +107,8 @@
 	return len(l.ranked)
 }
 
-// Look decides from the entries what to do about a proxy that is not held, and when to check again.
-func (l *Lease) Look(now fleet.Time, entries []Entry) (act Act, checkAt fleet.Time) {
+// Check decides from the entries what to do about a proxy that is not held, and when to check again.
+func (l *Lease) Check(now fleet.Time, entries []Entry) (act Action, checkAt fleet.Time) {
 	l.observe(now, entries)
 	holder := Holder(entries)
 	if holder.Epoch == 0 || holder.Controller == l.me { // free, or held by this controller before a restart
@@ -114,30 +116,30 @@
 	}
 	l.freeSince = 0
 	if now >= l.expiry(now, holder) {
-		return Claim, now
+		return ActionClaim, now
 	}
 	preferred := l.rank(l.me) < l.rank(holder.Controller) || holder.Retired && !l.retired
-	if l.manual || !holder.Hand && preferred {
-		return Want, now + CheckInterval
+	if l.manual || !holder.Manual && preferred {
+		return ActionRequest, now + CheckInterval
 	}
-	return Wait, now + CheckInterval
+	return ActionWait, now + CheckInterval
 }
 
 // lookAtFree decides about a proxy without a living holder. Controllers with a better rank come first.
-func (l *Lease) lookAtFree(now fleet.Time, holder Entry, entries []Entry) (act Act, checkAt fleet.Time) {
+func (l *Lease) lookAtFree(now fleet.Time, holder Entry, entries []Entry) (act Action, checkAt fleet.Time) {
 	l.freeSince = cmp.Or(l.freeSince, now)
 	delay := rankDelay * fleet.Time(l.controllersBefore(entries))
 	if l.manual {
 		delay = 0
 	} else if slices.ContainsFunc(entries, func(entry Entry) bool {
-		return entry.WantHand && entry.Controller != l.me
+		return entry.WantManual && entry.Controller != l.me
 	}) {
 		delay += rankDelay // it is handed over to that one
 	}
 	if holder.Controller == l.me && !l.retired || now >= l.freeSince+delay {
-		return Claim, now
+		return ActionClaim, now
 	}
-	return Wait, min(now+CheckInterval, l.freeSince+delay)
+	return ActionWait, min(now+CheckInterval, l.freeSince+delay)
 }
 
 // expiry returns when the lease of another controller may be taken over.
@@ -178,8 +180,8 @@
 	return count
 }
 
-// Ask returns the value to store as a request for the lease.
-func (l *Lease) Ask() string {
+// Request returns the value to store as a request for the lease.
+func (l *Lease) Request() string {
 	l.wantBeat++
 	l.requested = true
 	value := strconv.FormatUint(l.wantBeat, 10)
@@ -189,15 +191,15 @@
 	return value
 }
 
-// Begin begins a takeover and returns the entry to store.
-func (l *Lease) Begin(now fleet.Time, entries []Entry) Entry {
+// BeginTakeover begins a takeover and returns the entry to store.
+func (l *Lease) BeginTakeover(now fleet.Time, entries []Entry) Entry {
 	l.epoch = NextEpoch(now, entries)
 	l.beat = 1
 	return l.entry()
 }
 
-// Took decides, from the entries read after all other sessions were ended, whether the lease is held from now on.
-func (l *Lease) Took(now fleet.Time, entries []Entry) bool {
+// ConfirmTakeover decides, from the entries read after all other sessions were ended, whether the lease is held from now on.
+func (l *Lease) ConfirmTakeover(now fleet.Time, entries []Entry) bool {
 	if !Wins(l.me, l.epoch, entries) {
 		l.Drop()
 		return false
@@ -215,35 +217,35 @@
 }
 
 func (l *Lease) entry() Entry {
-	return Entry{Controller: l.me, Epoch: l.epoch, Beat: l.beat, Retired: l.retired, Hand: l.manual}
+	return Entry{Controller: l.me, Epoch: l.epoch, Beat: l.beat, Retired: l.retired, Manual: l.manual}
 }
 
-// Holding decides, from the entries read with a heartbeat, whether the lease continues. It is handed over only
+// Renew decides, from the entries read with a heartbeat, whether the lease continues. It is handed over only
 // where moves allows it.
-func (l *Lease) Holding(now fleet.Time, entries []Entry, moves *Moves) Act {
+func (l *Lease) Renew(now fleet.Time, entries []Entry, moves *Moves) Action {
 	l.observe(now, entries)
 	if !Wins(l.me, l.epoch, entries) {
-		return Lost
+		return ActionYield
 	}
 	if l.handingOver && moves.Take(now) {
-		return Release
+		return ActionRelease
 	}
 	for _, entry := range entries {
 		if !l.isLiveRequest(entry) {
 			continue
 		}
-		if (entry.WantHand || now >= l.heldSince+minHoldDuration) && moves.Take(now) {
-			return Release
+		if (entry.WantManual || now >= l.heldSince+minHoldDuration) && moves.Take(now) {
+			return ActionRelease
 		}
 	}
-	return Keep
+	return ActionKeep
 }
 
 // isLiveRequest reports whether a controller that should have the lease requests it. A request that does not change
 // may be left from long ago.
 func (l *Lease) isLiveRequest(entry Entry) bool {
 	preferred := !l.manual && l.rank(entry.Controller) < l.rank(l.me)
-	if entry.Want == 0 || !entry.WantHand && !preferred {
+	if entry.Want == 0 || !entry.WantManual && !preferred {
 		return false
 	}
 	last, known := l.requests[entry.Controller]
@@ -251,9 +253,9 @@
 	return known && last != entry.Want
 }
 
-// Leave returns the entry that a controller leaves when it hands a proxy over. One that retires or stops says so,
+// ReleaseEntry returns the entry that a controller leaves when it hands a proxy over. One that retires or stops says so,
 // so that no controller waits for it.
-func (l *Lease) Leave(stopping bool) Entry {
+func (l *Lease) ReleaseEntry(stopping bool) Entry {
 	return Entry{Controller: l.me, Retired: l.retired || stopping}
 }
 
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -79,7 +79,7 @@
 // store replaces the entry of a controller. Its request is stored apart and stays.
 func (p *simulatedProxy) store(controller string, entry Entry) {
 	entry.Want = p.entries[controller].Want
-	entry.WantHand = p.entries[controller].WantHand
+	entry.WantManual = p.entries[controller].WantManual
 	p.entries[controller] = entry
 }
 
@@ -87,13 +87,13 @@
 func (p *simulatedProxy) beat(controller string) {
 	lease := p.leases[controller]
 	p.store(controller, lease.Next())
-	switch lease.Holding(p.clock(controller), p.read(), &p.moves) {
-	case Lost:
+	switch lease.Renew(p.clock(controller), p.read(), &p.moves) {
+	case ActionYield:
 		p.holds[controller] = false
 		lease.Drop()
-	case Release:
+	case ActionRelease:
 		p.holds[controller] = false
-		p.store(controller, lease.Leave(false))
+		p.store(controller, lease.ReleaseEntry(false))
 		lease.Drop()
 	}
 }
@@ -102,17 +102,17 @@
 func (p *simulatedProxy) check(controller string) {
 	lease := p.leases[controller]
 	now := p.clock(controller)
-	switch act, _ := lease.Look(now, p.read()); act {
-	case Claim:
-		entry := lease.Begin(now, p.read())
+	switch act, _ := lease.Check(now, p.read()); act {
+	case ActionClaim:
+		entry := lease.BeginTakeover(now, p.read())
 		entry.Want = p.entries[controller].Want
 		p.entries[controller] = entry
 		p.endOtherSessions(controller)
-		p.holds[controller] = lease.Took(now, p.read())
-	case Want:
+		p.holds[controller] = lease.ConfirmTakeover(now, p.read())
+	case ActionRequest:
 		entry := p.entries[controller]
 		entry.Controller = controller
-		entry.Want, entry.WantHand = ParseWant(lease.Ask())
+		entry.Want, entry.WantManual = ParseWant(lease.Request())
 		p.entries[controller] = entry
 	}
 }
@@ -236,10 +236,10 @@
 // TestProcessOfSameNameIsAnotherHolder checks that a later takeover under the same name ends the lease.
 func TestProcessOfSameNameIsAnotherHolder(t *testing.T) {
 	lease := NewLease("a", []string{"a"})
-	if epoch := lease.Begin(0, nil).Epoch; epoch != 1 {
+	if epoch := lease.BeginTakeover(0, nil).Epoch; epoch != 1 {
 		t.Errorf("the first epoch is %d", epoch)
 	}
-	if act := lease.Holding(0, []Entry{{Controller: "a", Epoch: 2}}, &Moves{}); act != Lost {
+	if act := lease.Renew(0, []Entry{{Controller: "a", Epoch: 2}}, &Moves{}); act != ActionYield {
 		t.Errorf("act %d, not Lost", act)
 	}
 }
@@ -297,7 +297,7 @@
 	p.leases[ranked[0]].Retire(true)
 	p.run(t, 2, ranked[1]) // none waits for one that announced to retire
 	p.run(t, 8, ranked[1])
-	holder, changedAt := p.leases[ranked[2]].Seen()
+	holder, changedAt := p.leases[ranked[2]].LastHolder()
 	if holder.Controller != ranked[1] || changedAt < p.now-2*fleet.Second-2*3600*fleet.Second {
 		t.Errorf("%+v is seen to hold the lease", holder)
 	}
@@ -323,7 +323,7 @@
 	ranked := testRanked()
 	p := newSimulatedProxy()
 	p.run(t, 5, ranked[0])
-	p.leases[ranked[2]].Take(true)
+	p.leases[ranked[2]].SetManual(true)
 	p.run(t, 5, ranked[2])
 	p.run(t, 40, ranked[2])
 	p.dead[ranked[2]] = true
@@ -331,7 +331,7 @@
 	p.dead[ranked[2]] = false
 	p.holds[ranked[2]] = false
 	p.run(t, 6, ranked[2])
-	p.leases[ranked[2]].Take(false)
+	p.leases[ranked[2]].SetManual(false)
 	p.run(t, 16, ranked[0])
 }
 
@@ -355,7 +355,7 @@
 	for _, entry := range []Entry{
 		{Controller: "g", Epoch: 1 << 60, Beat: 9},
 		{Controller: "g", Epoch: 7, Retired: true},
-		{Controller: "g", Epoch: 7, Hand: true},
+		{Controller: "g", Epoch: 7, Manual: true},
 	} {
 		if got := ParseEntry("g", entry.String()); got != entry {
 			t.Errorf("%+v", got)
--- a/internal/reconcile/versions.go
+++ b/internal/reconcile/versions.go
@@ -40,20 +40,20 @@
 	return epoch
 }
 
-// Part is the fraction of its weights that a server gets, 0 to 1.
-type Part struct {
-	Server fleet.ServerID
-	Of     float64
+// WeightFraction is the fraction of its weights that a server gets, 0 to 1.
+type WeightFraction struct {
+	Server   fleet.ServerID
+	Fraction float64
 }
 
-// Parts reduces the weights of servers in all tables to fractions of what the balancer orders. A fraction of 1 ends
+// ScaleWeights reduces the weights of servers in all tables to fractions of what the balancer orders. A fraction of 1 ends
 // that.
-func (r *Reconciler) Parts(now fleet.Time, parts []Part, reason string) {
+func (r *Reconciler) ScaleWeights(now fleet.Time, parts []WeightFraction, reason string) {
 	changed := map[int32]bool{}
 	for _, part := range parts {
 		i := r.serverIndex(part.Server)
-		changed[i] = r.endpoints.servers[i].reduction != 1-part.Of
-		r.endpoints.servers[i].reduction = 1 - part.Of
+		changed[i] = r.endpoints.servers[i].reduction != 1-part.Fraction
+		r.endpoints.servers[i].reduction = 1 - part.Fraction
 	}
 	for _, id := range r.tableIDs() {
 		table := r.tables[id]
--- a/internal/reconcile/views.go
+++ b/internal/reconcile/views.go
@@ -92,8 +92,8 @@
 	return proxy.tables[class], proxy.assigned[class]
 }
 
-// Users calls each proxy and class that a table is assigned to.
-func (r *Reconciler) Users(table fleet.TableID, each func(fleet.ProxyID, fleet.ClassID)) {
+// EachAssignment calls each proxy and class that a table is assigned to.
+func (r *Reconciler) EachAssignment(table fleet.TableID, each func(fleet.ProxyID, fleet.ClassID)) {
 	for _, proxy := range r.proxyOrder {
 		for class, assigned := range proxy.tables {
 			if proxy.assigned[class] && assigned == table {
--- a/internal/rollingrestart/ask.go
+++ b/internal/rollingrestart/ask.go
@@ -57,7 +57,7 @@
 
 // readAnswer reads the answer to one command.
 func readAnswer(connection net.Conn) (answer string, err error) {
-	var answers haproxyapi.Answers
+	var answers haproxyapi.AnswerParser
 	buffer := make([]byte, readBufferSize)
 	for {
 		n, readErr := connection.Read(buffer)
--- a/internal/rollingrestart/members.go
+++ b/internal/rollingrestart/members.go
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// HandedOn returns an error unless the controller serves no proxy, or there is no other one that could.
-func (m Members) HandedOn() error {
+// HandedOver returns an error unless the controller serves no proxy, or there is no other one that could.
+func (m Members) HandedOver() error {
 	if m.Own > 0 && len(m.Others) > 0 {
 		return fmt.Errorf("it holds %d proxies still", m.Own)
 	}
--- a/internal/rollingrestart/restart.go
+++ b/internal/rollingrestart/restart.go
@@ -14,8 +14,8 @@
 // pollInterval is the time between two commands while a condition is awaited: half a heartbeat.
 const pollInterval = time.Duration(lease.CheckInterval) / 2
 
-// Until polls a controller until what it sees of its members meets a condition, for a limited time.
-func Until(ctx context.Context, address string, timeout time.Duration, condition func(Members) error) error {
+// WaitFor polls a controller until what it sees of its members meets a condition, for a limited time.
+func WaitFor(ctx context.Context, address string, timeout time.Duration, condition func(Members) error) error {
 	for deadline := time.Now().Add(timeout); ; {
 		members, err := askMembers(address)
 		if err == nil {
@@ -52,20 +52,20 @@
 func restartOne(
 	ctx context.Context, address string, timeout time.Duration, restart func(ctx context.Context, socket string) error,
 ) error {
-	if err := Until(ctx, address, timeout, Members.Attended); err != nil {
+	if err := WaitFor(ctx, address, timeout, Members.Attended); err != nil {
 		return fmt.Errorf("before its turn: %w", err)
 	}
 	if _, err := Ask(address, "retire", "on"); err != nil {
 		return fmt.Errorf("%s: %w", address, err)
 	}
-	if err := Until(ctx, address, timeout, Members.HandedOn); err != nil {
+	if err := WaitFor(ctx, address, timeout, Members.HandedOver); err != nil {
 		_, undoErr := Ask(address, "retire", "off")
 		return errors.Join(fmt.Errorf("handing on: %w", err), undoErr)
 	}
 	if err := restart(ctx, address); err != nil {
 		return fmt.Errorf("%s: %w", address, err)
 	}
-	if err := Until(ctx, address, timeout, Members.Attended); err != nil {
+	if err := WaitFor(ctx, address, timeout, Members.Attended); err != nil {
 		return fmt.Errorf("after its restart: %w", err)
 	}
 	return nil
--- a/internal/rollingrestart/restart_test.go
+++ b/internal/rollingrestart/restart_test.go
@@ -103,10 +103,10 @@
 	if members.Attended() == nil {
 		t.Error("proxies without a controller count as attended")
 	}
-	if members.HandedOn() == nil {
+	if members.HandedOver() == nil {
 		t.Error("a controller that serves proxies counts as handed over")
 	}
-	if (Members{Own: 1}).HandedOn() != nil {
+	if (Members{Own: 1}).HandedOver() != nil {
 		t.Error("a controller without others does not count as handed over")
 	}
 }
@@ -184,7 +184,7 @@
 	unattended := (&fakeController{unserved: 2}).start(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := Until(ctx, unattended.address, time.Minute, Members.Attended); !errors.Is(err, context.Canceled) {
+	if err := WaitFor(ctx, unattended.address, time.Minute, Members.Attended); !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/safety/capacity.go
+++ b/internal/safety/capacity.go
@@ -29,7 +29,7 @@
 
 // measure works out a server's capacity from its latest reports: the rate that it handled, divided by its
 // utilization. It is at least the rate that was handled.
-func (g *Guard) measure(now fleet.Time, server *server) {
+func (g *Checker) measure(now fleet.Time, server *server) {
 	if g.isWarmingUp(now, server) {
 		return // its capacity is not yet the full one
 	}
@@ -60,7 +60,7 @@
 	}
 }
 
-func (g *Guard) isWarmingUp(now fleet.Time, server *server) bool {
+func (g *Checker) isWarmingUp(now fleet.Time, server *server) bool {
 	return server.Started > 0 && now < server.Started+g.site.SlowStart.Duration
 }
 
@@ -80,7 +80,7 @@
 // fullCapacity returns the capacity that a warming server has for certain once it is warm: the low quartile of the
 // warm servers of its kind, or of all kinds if its own is not known, or an even part of the usual rate if nothing
 // is known.
-func (g *Guard) fullCapacity(now fleet.Time, server *server) float64 {
+func (g *Checker) fullCapacity(now fleet.Time, server *server) float64 {
 	if g.kindCapacitiesAt != now {
 		g.updateKindCapacities(now)
 	}
@@ -97,7 +97,7 @@
 	return usualRate / float64(max(1, g.readyServers))
 }
 
-func (g *Guard) updateKindCapacities(now fleet.Time) {
+func (g *Checker) updateKindCapacities(now fleet.Time) {
 	g.kindCapacitiesAt = now
 	g.kindCapacities = map[fleet.KindID]float64{}
 	var all []float64
@@ -125,11 +125,11 @@
 // bearableRate returns the rate that a server bears: infinite for a warm one. For a warming one, the number of
 // requests in any interval that matters, with random deviations, stays below the stated multiple of its present
 // capacity.
-func (g *Guard) bearableRate(now fleet.Time, id fleet.ServerID) float64 {
+func (g *Checker) bearableRate(now fleet.Time, id fleet.ServerID) float64 {
 	return g.bearableRateOf(now, g.servers[id])
 }
 
-func (g *Guard) bearableRateOf(now fleet.Time, server *server) float64 {
+func (g *Checker) bearableRateOf(now fleet.Time, server *server) float64 {
 	if server == nil || !g.isWarmingUp(now, server) {
 		return math.Inf(1)
 	}
--- a/internal/safety/capacity_test.go
+++ b/internal/safety/capacity_test.go
@@ -11,8 +11,8 @@
 // evenly in between, and that a clock that goes back does not raise it.
 func TestTrustedCapacityFallsWithAge(t *testing.T) {
 	guard := New(testSite())
-	guard.Hear(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}}})
-	guard.Hear(now, outcomeReport(1, 100, 0.25))
+	guard.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}}})
+	guard.Observe(now, outcomeReport(1, 100, 0.25))
 	for age, want := range map[fleet.Time]float64{
 		-fleet.Second:                   40,
 		0:                               40,
@@ -31,13 +31,13 @@
 // whatever was measured in between.
 func TestRestartWhileWarmingBeginsAnew(t *testing.T) {
 	guard := New(testSite())
-	guard.Hear(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{
+	guard.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{
 		{Server: 1},
 		{Server: 2, Started: now - 9*fleet.Second},
 	}})
-	guard.Hear(now, outcomeReport(1, 200, 0.5))
+	guard.Observe(now, outcomeReport(1, 200, 0.5))
 	before := guard.bearableRate(now, 2)
-	guard.Hear(now, startedList(2, now))
+	guard.Observe(now, startedList(2, now))
 	if after := guard.bearableRate(now, 2); after > before/2 {
 		t.Errorf("it bears %v after its second start, %v before", after, before)
 	}
@@ -50,8 +50,8 @@
 // capacity.
 func TestReportsWhileWarmingAreNoCapacity(t *testing.T) {
 	guard := New(testSite())
-	guard.Hear(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1, Started: now}}})
-	guard.Hear(now, outcomeReport(1, 100, 0.5))
+	guard.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1, Started: now}}})
+	guard.Observe(now, outcomeReport(1, 100, 0.5))
 	if _, known := guard.servers[1].trustedCapacity(now); known {
 		t.Error("a warming server's reports were taken as its capacity")
 	}
--- a/internal/safety/file.go
+++ b/internal/safety/file.go
@@ -81,9 +81,9 @@
 		return nil, err
 	}
 	var texts []string
-	for _, harm := range guard.Table(now, lines, stateFile.Demand) {
-		text := harm.Why + ": " + harm.Text
-		if !harm.None {
+	for _, harm := range guard.CheckTable(now, lines, stateFile.Demand) {
+		text := harm.Reason + ": " + harm.Text
+		if !harm.NoServer {
 			text = "server " + names.name(harm.Server) + ": " + text
 		}
 		texts = append(texts, text)
@@ -116,7 +116,7 @@
 func (n *serverNames) name(id fleet.ServerID) string { return n.names[id] }
 
 // newGuard returns a guard that knows the servers of the file.
-func (f *StateFile) newGuard(now fleet.Time, fileName string) (*Guard, *serverNames, error) {
+func (f *StateFile) newGuard(now fleet.Time, fileName string) (*Checker, *serverNames, error) {
 	guard := New(fleet.Site{
 		Zones:   []string{""},
 		Classes: make([]fleet.RequestClass, 1),
@@ -143,7 +143,7 @@
 		}
 		list.Endpoints = append(list.Endpoints, endpoint)
 	}
-	guard.Hear(now, list)
+	guard.Observe(now, list)
 	for i, server := range f.Servers {
 		if server.Capacity > 0 {
 			known := guard.servers[fleet.ServerID(i)]
--- a/internal/safety/guard.go
+++ b/internal/safety/guard.go
@@ -77,9 +77,9 @@
 	leftAt      fleet.Time  // 0: connected
 }
 
-// Guard checks the messages of one controller. It implements reconcile.SafetyCheck and is not safe for concurrent
+// Checker checks the messages of one controller. It implements reconcile.SafetyCheck and is not safe for concurrent
 // use.
-type Guard struct {
+type Checker struct {
 	site             fleet.Site
 	servers          map[fleet.ServerID]*server
 	proxies          map[fleet.ProxyID]*proxy
@@ -95,11 +95,11 @@
 	passed, stopped uint64
 }
 
-var _ reconcile.SafetyCheck = (*Guard)(nil)
+var _ reconcile.SafetyCheck = (*Checker)(nil)
 
 // New returns a guard that knows no servers and proxies.
-func New(site fleet.Site) *Guard {
-	return &Guard{
+func New(site fleet.Site) *Checker {
+	return &Checker{
 		site:             site,
 		servers:          map[fleet.ServerID]*server{},
 		proxies:          map[fleet.ProxyID]*proxy{},
@@ -108,8 +108,8 @@
 	}
 }
 
-// Hear takes an event that the balancer gets as well.
-func (g *Guard) Hear(now fleet.Time, event fleet.Event) {
+// Observe takes an event that the balancer gets as well.
+func (g *Checker) Observe(now fleet.Time, event fleet.Event) {
 	switch event := event.(type) {
 	case fleet.EndpointList:
 		g.setEndpoints(now, event)
@@ -129,7 +129,7 @@
 	}
 }
 
-func (g *Guard) addDemand(report fleet.DemandReport) {
+func (g *Checker) addDemand(report fleet.DemandReport) {
 	proxy := g.proxies[report.Proxy]
 	if proxy == nil || int(report.Class) >= len(proxy.demandRates) || report.Interval <= 0 {
 		return
@@ -139,7 +139,7 @@
 	proxy.demandRates[report.Class] = append(rates, float64(report.Requests)/report.Interval.Seconds())
 }
 
-func (g *Guard) addOutcome(now fleet.Time, report fleet.OutcomeReport) {
+func (g *Checker) addOutcome(now fleet.Time, report fleet.OutcomeReport) {
 	server := g.servers[report.Server]
 	if server == nil || report.Attempts < report.Failures {
 		return
@@ -159,7 +159,7 @@
 	g.measure(now, server)
 }
 
-func (g *Guard) setEndpoints(now fleet.Time, list fleet.EndpointList) {
+func (g *Checker) setEndpoints(now fleet.Time, list fleet.EndpointList) {
 	if list.Scope == fleet.ListFailed {
 		return
 	}
@@ -190,7 +190,7 @@
 
 // restart takes a new start of a server, perhaps while it was still warming up. The rates that proxies may send it
 // stay, as proxies have the same entries, but for those of proxies that left before a warm-up ago.
-func (g *Guard) restart(now fleet.Time, server *server) {
+func (g *Checker) restart(now fleet.Time, server *server) {
 	server.outcomes = nil
 	server.bearableFrom = 0
 	for i := range server.proxyRates {
@@ -204,7 +204,7 @@
 
 // Demand returns the rate of a class's requests that may come to a proxy: the largest of its latest reports, or an
 // even part of what is usual.
-func (g *Guard) Demand(id fleet.ProxyID, class fleet.ClassID) float64 {
+func (g *Checker) Demand(id fleet.ProxyID, class fleet.ClassID) float64 {
 	proxy := g.proxies[id]
 	if proxy == nil {
 		return 0
@@ -216,11 +216,11 @@
 }
 
 // Counts returns how many proposals passed and how many were refused or lowered.
-func (g *Guard) Counts() (passed, stopped uint64) { return g.passed, g.stopped }
+func (g *Checker) Counts() (passed, stopped uint64) { return g.passed, g.stopped }
 
 // CheckPlan checks one message. Draining binds even where it takes the last server; then no class may be left
 // without endpoints; then no warming server may be overloaded.
-func (g *Guard) CheckPlan(now fleet.Time, plan *reconcile.UpdatePlan) {
+func (g *Checker) CheckPlan(now fleet.Time, plan *reconcile.UpdatePlan) {
 	for i := range plan.Proposals {
 		proposal := &plan.Proposals[i]
 		if proposal.Kind == reconcile.UpdateAdmission {
@@ -240,8 +240,8 @@
 	}
 }
 
-// Say describes a refusal to operators.
-func Say(refusal reconcile.Refusal, server string) string {
+// FormatRefusal describes a refusal to operators.
+func FormatRefusal(refusal reconcile.Refusal, server string) string {
 	if refusal.Admission {
 		return fmt.Sprintf("class %d: further tries: %s", refusal.Class, refusal.Reason)
 	}
--- a/internal/safety/helpers_test.go
+++ b/internal/safety/helpers_test.go
@@ -63,7 +63,7 @@
 
 // newCheckedReconciler returns a guard and a reconciler that asks it, with proxies that have one table with three
 // servers. Each server has a capacity of 20 requests per second; 24 come in all.
-func newCheckedReconciler(t *testing.T, proxies int) (*Guard, *reconcile.Reconciler) {
+func newCheckedReconciler(t *testing.T, proxies int) (*Checker, *reconcile.Reconciler) {
 	t.Helper()
 	site := testSite()
 	site.Classes = site.Classes[:1]
@@ -73,18 +73,18 @@
 	reconciler := reconcile.New(site)
 	reconciler.UseSafetyCheck(guard)
 	list := fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2}, {Server: 3}}}
-	guard.Hear(now, list)
+	guard.Observe(now, list)
 	reconciler.SetEndpoints(now, list)
 	var orders []fleet.Order
 	for id := range fleet.ServerID(3) {
-		guard.Hear(now, outcomeReport(id+1, 100, 0.5))
+		guard.Observe(now, outcomeReport(id+1, 100, 0.5))
 		orders = append(orders, fleet.SetWeight{Server: id + 1, Weight: 1})
 	}
 	for i := range proxies {
 		id := fleet.ProxyID(i)
 		reconciler.Join(now, id, reconcile.Snapshot{})
-		guard.Hear(now, fleet.ProxyJoined{Proxy: id})
-		guard.Hear(now, fleet.DemandReport{Proxy: id, Requests: uint32(2400 / proxies), Interval: 100 * fleet.Second})
+		guard.Observe(now, fleet.ProxyJoined{Proxy: id})
+		guard.Observe(now, fleet.DemandReport{Proxy: id, Requests: uint32(2400 / proxies), Interval: 100 * fleet.Second})
 		orders = append(orders, fleet.AssignTable{Proxy: id})
 	}
 	reconciler.Apply(now, orders)
--- a/internal/safety/oracle_test.go
+++ b/internal/safety/oracle_test.go
@@ -22,7 +22,7 @@
 
 // oracle is a small fleet of which everything is known.
 type oracle struct {
-	guard      *Guard
+	guard      *Checker
 	states     [oracleServers]fleet.ServerState
 	startedAt  [oracleServers]fleet.Time
 	capacities [oracleServers]float64
@@ -57,11 +57,11 @@
 			Started: o.startedAt[server],
 		})
 	}
-	o.guard.Hear(now, list)
+	o.guard.Observe(now, list)
 	for server := range oracleServers {
 		o.capacities[server] = float64(rapid.IntRange(2, 40).Draw(t, "capacity"))
 		if !o.isWarmingUp(server) { // it handles half of its capacity at a utilization of a half
-			o.guard.Hear(now, fleet.OutcomeReport{
+			o.guard.Observe(now, fleet.OutcomeReport{
 				Server:   fleet.ServerID(server),
 				Attempts: uint32(10 * o.capacities[server]),
 				Interval: 20 * fleet.Second,
@@ -70,11 +70,11 @@
 		}
 	}
 	for proxy := range oracleProxies {
-		o.guard.Hear(now, fleet.ProxyJoined{Proxy: fleet.ProxyID(proxy)})
+		o.guard.Observe(now, fleet.ProxyJoined{Proxy: fleet.ProxyID(proxy)})
 		for class := range oracleClasses {
 			requests := rapid.IntRange(0, 30).Draw(t, "requests")
 			o.demand[proxy][class] = float64(requests) / 2
-			o.guard.Hear(now, fleet.DemandReport{
+			o.guard.Observe(now, fleet.DemandReport{
 				Proxy:    fleet.ProxyID(proxy),
 				Class:    fleet.ClassID(class),
 				Requests: uint32(requests),
--- a/internal/safety/rates.go
+++ b/internal/safety/rates.go
@@ -70,7 +70,7 @@
 
 // ratesAt returns the rates that a proxy sends by the entries of warming servers, with the sums of weights by
 // class.
-func (g *Guard) ratesAt(plan *reconcile.UpdatePlan, entries []warmingEntry, weightSums []int) serverRates {
+func (g *Checker) ratesAt(plan *reconcile.UpdatePlan, entries []warmingEntry, weightSums []int) serverRates {
 	rates := serverRates{}
 	for _, entry := range entries {
 		if entry.weight > 0 {
@@ -83,7 +83,7 @@
 
 // peakRates returns the largest rates that a proxy sends to each warming server at any moment while it applies a
 // message, and the largest ones from the last decrease of the server's own weight on.
-func (g *Guard) peakRates(plan *reconcile.UpdatePlan) (peaks, afterDecrease serverRates) {
+func (g *Checker) peakRates(plan *reconcile.UpdatePlan) (peaks, afterDecrease serverRates) {
 	arranged := *plan
 	arranged.Proposals = slices.Clone(plan.Proposals)
 	reconcile.Arrange(&arranged)
--- a/internal/safety/rules.go
+++ b/internal/safety/rules.go
@@ -9,7 +9,7 @@
 const maxProxyStall = 2 * fleet.Second
 
 // keepFromUnready refuses to make the entry of a draining or gone server usable.
-func (g *Guard) keepFromUnready(proposal *reconcile.Proposal) {
+func (g *Checker) keepFromUnready(proposal *reconcile.Proposal) {
 	becomesUsable := proposal.Want.Usable() && !proposal.Have.Usable()
 	if !proposal.Ready && becomesUsable && g.mustNotGetRequests(proposal.Server) {
 		proposal.HoldReason = ReasonServerNotReady
@@ -17,7 +17,7 @@
 }
 
 // mustNotGetRequests reports whether the list forbids to send requests to a server.
-func (g *Guard) mustNotGetRequests(id fleet.ServerID) bool {
+func (g *Checker) mustNotGetRequests(id fleet.ServerID) bool {
 	server := g.servers[id]
 	if server == nil {
 		return false
@@ -60,7 +60,7 @@
 }
 
 // limitRetries lowers the retry mode of a class to what cannot execute a request twice.
-func (g *Guard) limitRetries(proposal *reconcile.Proposal) {
+func (g *Checker) limitRetries(proposal *reconcile.Proposal) {
 	if limit := g.maxRetry(proposal.Class); proposal.Admission.Retry > limit {
 		proposal.Admission.Retry = limit
 		proposal.LowerReason = ReasonDuplicateExecution
@@ -68,7 +68,7 @@
 }
 
 // maxRetry returns the largest retry mode by which no request of a class is executed twice.
-func (g *Guard) maxRetry(class fleet.ClassID) fleet.RetryMode {
+func (g *Checker) maxRetry(class fleet.ClassID) fleet.RetryMode {
 	settings := &g.site.Classes[class]
 	switch settings.Idempotency {
 	case fleet.Idempotent:
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -8,10 +8,10 @@
 
 // Operators may force what was refused, within bounds.
 const (
-	// ForceFor is how long a refusal may be forced: it was decided by what was known then.
-	ForceFor = 30 * fleet.Second
-	// ForceMost bounds the refusals that may be forced at a time.
-	ForceMost = 64
+	// ForceTimeout is how long a refusal may be forced: it was decided by what was known then.
+	ForceTimeout = 30 * fleet.Second
+	// MaxForces bounds the refusals that may be forced at a time.
+	MaxForces = 64
 )
 
 // maxTableUtilization is the fraction of their capacity that the servers of a table may be asked for.
@@ -26,13 +26,13 @@
 
 func (l TableLine) usable() bool { return l.Weight > 0 && !l.Withdrawn }
 
-// Harm is a rule that a table would violate.
-type Harm struct {
-	Why    string
-	Server fleet.ServerID
-	None   bool // it is about no single server
-	Text   string
-	Force  bool // operators may force it, in two steps
+// Violation is a rule that a table would violate.
+type Violation struct {
+	Reason   string
+	Server   fleet.ServerID
+	NoServer bool // it is about no single server
+	Text     string
+	Forcible bool // operators may force it, in two steps
 }
 
 // readyCapacity sums up the servers that are listed as ready.
@@ -42,7 +42,7 @@
 	warm  int  // servers that are not warming up
 }
 
-func (g *Guard) readyCapacity(now fleet.Time) readyCapacity {
+func (g *Checker) readyCapacity(now fleet.Time) readyCapacity {
 	sum := readyCapacity{known: true}
 	for _, server := range g.servers {
 		if server.State != fleet.ServerReady {
@@ -60,9 +60,9 @@
 	return sum
 }
 
-// Table checks a complete table for classes whose requests come at a rate of demand per second in all. It informs
+// CheckTable checks a complete table for classes whose requests come at a rate of demand per second in all. It informs
 // operators in advance; messages are checked one by one all the same.
-func (g *Guard) Table(now fleet.Time, lines []TableLine, demand float64) (harms []Harm) {
+func (g *Checker) CheckTable(now fleet.Time, lines []TableLine, demand float64) (harms []Violation) {
 	var ready []TableLine
 	weightSum, capacity := 0.0, 0.0
 	for _, line := range lines {
@@ -71,8 +71,8 @@
 		}
 		server := g.servers[line.Server]
 		if server == nil || g.mustNotGetRequests(line.Server) {
-			harms = append(harms, Harm{
-				Why:    ReasonServerNotReady,
+			harms = append(harms, Violation{
+				Reason: ReasonServerNotReady,
 				Server: line.Server,
 				Text:   "visits would go to a server that is draining, gone or not listed",
 			})
@@ -86,7 +86,7 @@
 	all := g.readyCapacity(now)
 	if len(ready) == 0 {
 		text := fmt.Sprintf("no ready server would have a line; %d ready and warm ones are listed", all.warm)
-		return append(harms, Harm{Why: ReasonNoEndpoints, None: true, Text: text})
+		return append(harms, Violation{Reason: ReasonNoEndpoints, NoServer: true, Text: text})
 	}
 	for _, line := range ready {
 		if harm, overloaded := g.checkWarming(now, line, demand, weightSum); overloaded {
@@ -94,7 +94,7 @@
 		}
 	}
 	if all.known && demand > maxTableUtilization*capacity && all.total > capacity {
-		harms = append(harms, Harm{Why: ReasonInsufficientCapacity, None: true, Force: true, Text: fmt.Sprintf(
+		harms = append(harms, Violation{Reason: ReasonInsufficientCapacity, NoServer: true, Forcible: true, Text: fmt.Sprintf(
 			"%.1f visits a second would come to servers that can do %.1f; all that are ready can do %.1f",
 			demand, capacity, all.total)})
 	}
@@ -102,14 +102,14 @@
 }
 
 // checkWarming checks whether an entry would overload a server that is warming up.
-func (g *Guard) checkWarming(now fleet.Time, line TableLine, demand, weightSum float64) (Harm, bool) {
+func (g *Checker) checkWarming(now fleet.Time, line TableLine, demand, weightSum float64) (Violation, bool) {
 	rate := demand * line.Weight / weightSum
 	bearable := g.bearableRate(now, line.Server)
 	if rate <= bearable {
-		return Harm{}, false
+		return Violation{}, false
 	}
 	bearableWeight := max(0, bearable/max(epsilon, demand-bearable)*(weightSum-line.Weight))
-	return Harm{Why: ReasonWarmingOverload, Server: line.Server, Text: fmt.Sprintf(
+	return Violation{Reason: ReasonWarmingOverload, Server: line.Server, Text: fmt.Sprintf(
 		"it is cold and would get %.1f visits a second; it bears %.1f now, which is a weight of %.4g here",
 		rate, bearable, bearableWeight)}, true
 }
--- a/internal/safety/warming.go
+++ b/internal/safety/warming.go
@@ -12,12 +12,12 @@
 const maxLowerAttempts = 3
 
 // ProxyJoined notes what a proxy has at its join.
-func (g *Guard) ProxyJoined(now fleet.Time, plan *reconcile.UpdatePlan) {
+func (g *Checker) ProxyJoined(now fleet.Time, plan *reconcile.UpdatePlan) {
 	g.ProxyAcknowledged(now, plan)
 }
 
 // ProxyAcknowledged notes that a proxy has what it was sent, and nothing else if no message is in flight.
-func (g *Guard) ProxyAcknowledged(now fleet.Time, plan *reconcile.UpdatePlan) {
+func (g *Checker) ProxyAcknowledged(now fleet.Time, plan *reconcile.UpdatePlan) {
 	rates := g.ratesAt(plan, entriesBefore(plan), plan.WeightSums)
 	if plan.NothingInFlight {
 		for id, server := range g.servers {
@@ -31,11 +31,11 @@
 
 // ProxyLeft changes nothing: a proxy without a session may go on sending, so its rates count until the servers are
 // warm.
-func (g *Guard) ProxyLeft(fleet.ProxyID) {}
+func (g *Checker) ProxyLeft(fleet.ProxyID) {}
 
 // commitRates notes the rates that a proxy may send to warming servers. While other messages are in flight, the
 // larger one of the old and the new rate counts.
-func (g *Guard) commitRates(plan *reconcile.UpdatePlan, rates serverRates) {
+func (g *Checker) commitRates(plan *reconcile.UpdatePlan, rates serverRates) {
 	for id, rate := range rates {
 		server := g.servers[id]
 		if server != nil && (plan.NothingInFlight || rate > server.rateOf(plan.Proxy)) {
@@ -45,7 +45,7 @@
 }
 
 // otherProxiesRate returns the rate that other proxies may send to a server.
-func (g *Guard) otherProxiesRate(id fleet.ServerID, except fleet.ProxyID) float64 {
+func (g *Checker) otherProxiesRate(id fleet.ServerID, except fleet.ProxyID) float64 {
 	server := g.servers[id]
 	if server == nil {
 		return 0
@@ -56,7 +56,7 @@
 // limitWarming lowers entries of warming servers until each bears what all proxies may send it: this one at each
 // moment while it applies the message, the others as much as they have or as is in flight to them, whichever is
 // more. What lowering does not mend is refused.
-func (g *Guard) limitWarming(now fleet.Time, plan *reconcile.UpdatePlan) {
+func (g *Checker) limitWarming(now fleet.Time, plan *reconcile.UpdatePlan) {
 	if g.isHarmless(now, plan) {
 		return
 	}
@@ -91,7 +91,7 @@
 
 // worstOverload returns the server with the largest excess. It goes by the order of the entries, so that the same
 // plan is always decided in the same way.
-func (g *Guard) worstOverload(
+func (g *Checker) worstOverload(
 	now fleet.Time, proxy fleet.ProxyID, entries []warmingEntry, load warmingLoad, attempts map[fleet.ServerID]int,
 ) (worst overload, found bool) {
 	for _, entry := range entries {
@@ -115,7 +115,7 @@
 }
 
 // lowerServer lowers the entries of an overloaded server, or refuses what changes their classes.
-func (g *Guard) lowerServer(plan *reconcile.UpdatePlan, entries []warmingEntry, worst overload, refuse bool) {
+func (g *Checker) lowerServer(plan *reconcile.UpdatePlan, entries []warmingEntry, worst overload, refuse bool) {
 	part := worst.available / (worst.available + worst.excess)
 	weightSums := weightSumsAfter(plan, entries)
 	for i := range entries {
@@ -195,7 +195,7 @@
 // isHarmless passes most messages at low cost: nothing raises an entry of a warming server, and after the message
 // none brings its server more than it bears. As reconcile.Arrange keeps every fraction within what it was before
 // and will be after, no moment in between is worse.
-func (g *Guard) isHarmless(now fleet.Time, plan *reconcile.UpdatePlan) bool {
+func (g *Checker) isHarmless(now fleet.Time, plan *reconcile.UpdatePlan) bool {
 	for i := range plan.Proposals {
 		if changesWarmingEntry(&plan.Proposals[i]) {
 			return false
@@ -227,7 +227,7 @@
 }
 
 // updateUnitRates works out the rate by class that a weight of one brings after a message.
-func (g *Guard) updateUnitRates(plan *reconcile.UpdatePlan) {
+func (g *Checker) updateUnitRates(plan *reconcile.UpdatePlan) {
 	g.weightSums = append(g.weightSums[:0], plan.WeightSums...)
 	for i := range plan.Proposals {
 		if proposal := &plan.Proposals[i]; proposal.Kind != reconcile.UpdateAdmission {
--- a/internal/safety/warming_test.go
+++ b/internal/safety/warming_test.go
@@ -14,7 +14,7 @@
 func TestEntriesOfRestartedServerAreLowered(t *testing.T) {
 	guard, reconciler := newCheckedReconciler(t, 3)
 	list := startedList(2, now)
-	guard.Hear(now, list)
+	guard.Observe(now, list)
 	reconciler.SetEndpoints(now, list)
 	if got := guard.otherProxiesRate(2, 99); math.Abs(got-8) > 0.2 {
 		t.Errorf("its present entries count as %v requests per second, not 8", got)
@@ -41,7 +41,7 @@
 func TestWarmingServerDoesNotBlockRemoval(t *testing.T) {
 	guard, reconciler := newCheckedReconciler(t, 1)
 	list := startedList(2, now)
-	guard.Hear(now, list)
+	guard.Observe(now, list)
 	reconciler.SetEndpoints(now, list)
 	reconciler.Apply(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.05}})
 	acknowledgeAll(reconciler, now)
@@ -60,8 +60,8 @@
 // part of what the server bears to the others, and that one that left counts until the server would have warmed up.
 func TestAcknowledgedDecreaseFreesCapacity(t *testing.T) {
 	guard := New(testSite())
-	guard.Hear(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2, Started: now}}})
-	guard.Hear(now, fleet.ProxyJoined{Proxy: 1, RequestRate: 20})
+	guard.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2, Started: now}}})
+	guard.Observe(now, fleet.ProxyJoined{Proxy: 1, RequestRate: 20})
 	plan := &reconcile.UpdatePlan{
 		Proxy:           1,
 		NothingInFlight: true,
@@ -73,8 +73,8 @@
 	if got := guard.otherProxiesRate(2, 9); math.Abs(got-5) > 1e-9 {
 		t.Errorf("%v counted, not 5", got)
 	}
-	guard.Hear(now, fleet.ProxyLeft{Proxy: 1})
-	restart := func(at fleet.Time) { guard.Hear(at, startedList(2, at)) }
+	guard.Observe(now, fleet.ProxyLeft{Proxy: 1})
+	restart := func(at fleet.Time) { guard.Observe(at, startedList(2, at)) }
 	if restart(now + 5*fleet.Second); guard.otherProxiesRate(2, 9) == 0 {
 		t.Error("a proxy that just left goes on with what it has, but is not counted")
 	}
@@ -119,7 +119,7 @@
 }
 
 // newBenchmarkGuard returns a guard of 700 servers and 930 proxies, and the plan of a message to them.
-func newBenchmarkGuard(warming int) (*Guard, *reconcile.UpdatePlan) {
+func newBenchmarkGuard(warming int) (*Checker, *reconcile.UpdatePlan) {
 	site := testSite()
 	site.Classes = append(site.Classes, fleet.RequestClass{})
 	guard := New(site)
@@ -131,7 +131,7 @@
 		}
 		list.Endpoints = append(list.Endpoints, endpoint)
 	}
-	guard.Hear(now, list)
+	guard.Observe(now, list)
 	plan := &reconcile.UpdatePlan{EntryCounts: []int{700, 700, 700}, WeightSums: []int{70000, 70000, 70000}}
 	for i := range warming {
 		for class := range 3 {
@@ -143,10 +143,10 @@
 		}
 	}
 	for proxy := range 930 {
-		guard.Hear(now, fleet.ProxyJoined{Proxy: fleet.ProxyID(proxy), RequestRate: 3})
+		guard.Observe(now, fleet.ProxyJoined{Proxy: fleet.ProxyID(proxy), RequestRate: 3})
 	}
 	for i := 699; i > 600; i-- {
-		guard.Hear(now, outcomeReport(fleet.ServerID(i), 1000, 0.5))
+		guard.Observe(now, outcomeReport(fleet.ServerID(i), 1000, 0.5))
 	}
 	return guard, plan
 }
--- a/internal/server/controller.go
+++ b/internal/server/controller.go
@@ -129,7 +129,7 @@
 		VerificationMode: s.List.VerificationMode,
 		Name:             s.Name,
 	}
-	if leases, ok := p.options.Transport.(transport.LeaseTransport); ok && len(s.Sharing.Governors) > 0 {
+	if leases, ok := p.options.Transport.(transport.LeaseTransport); ok && len(s.Sharing.Controllers) > 0 {
 		p.options.Leases = leases
 	}
 	if err := p.restore(); err != nil {
@@ -187,7 +187,7 @@
 // openSeries opens the time series of reports. Without them the controller goes on: no decision needs them.
 func (p *controllerProcess) openSeries() {
 	nameOf := func(id fleet.ServerID) string {
-		name, _ := p.names.Of(id)
+		name, _ := p.names.Lookup(id)
 		return name
 	}
 	series, err := timeseries.Open(p.settings.Reports.SeriesPath, nameOf)
--- a/internal/server/controller_build.go
+++ b/internal/server/controller_build.go
@@ -66,17 +66,17 @@
 		})
 	}
 	o := haproxy.Options{
-		Proxies:   proxies,
-		Classes:   s.TransportClasses(),
-		Map:       s.Transport.Map,
-		Table:     s.Transport.Table,
-		Admission: site.Admission,
-		Names:     names,
-		Me:        s.Name,
-		Clock:     func() fleet.Time { return fleet.Time(time.Now().UnixNano()) },
+		Proxies:    proxies,
+		Classes:    s.TransportClasses(),
+		Map:        s.Transport.Map,
+		Table:      s.Transport.Table,
+		Admission:  site.Admission,
+		Names:      names,
+		Controller: s.Name,
+		Clock:      func() fleet.Time { return fleet.Time(time.Now().UnixNano()) },
 	}
-	if len(s.Sharing.Governors) > 0 {
-		plan := lease.Plan(s.Shares(), s.Sharing.Governors)
+	if len(s.Sharing.Controllers) > 0 {
+		plan := lease.Plan(s.ProxyLoads(), s.Sharing.Controllers)
 		o.Lease = func(p transport.Proxy) *lease.Lease { return lease.NewLease(s.Name, plan[p.Name]) }
 	}
 	return haproxy.New(o)
--- a/internal/server/controller_sockets.go
+++ b/internal/server/controller_sockets.go
@@ -106,7 +106,7 @@
 		mux.ByProxy[caller.ID] = p.hub
 	}
 	p.options.Transport = mux
-	p.options.OnPublishedState = p.hub.Facts
+	p.options.OnPublishedState = p.hub.PublishState
 }
 
 // listenForClients opens the service's sockets.
--- a/internal/service/errors.go
+++ b/internal/service/errors.go
@@ -33,9 +33,6 @@
 	RetryAfter fleet.Time
 }
 
-// Fault is the former name of Error, for package controller.
-type Fault = Error //nolint:errname // goes when package controller uses Error
-
 func (e *Error) Error() string { return string(e.Code) + ": " + e.Text }
 
 func errorf(code Code, format string, args ...any) *Error {
--- a/internal/service/hub.go
+++ b/internal/service/hub.go
@@ -166,7 +166,7 @@
 	if z == nil {
 		return
 	}
-	failures, changed := z.view.Apply(m.Changes, h.options.Names.Of)
+	failures, changed := z.view.Apply(m.Changes, h.options.Names.Lookup)
 	z.messages++
 	message := &pendingMessage{
 		number:   z.messages,
@@ -214,8 +214,8 @@
 	}
 }
 
-// Facts takes over the state of the endpoint list.
-func (h *Hub) Facts(state PublishedState) {
+// PublishState takes over the state of the endpoint list.
+func (h *Hub) PublishState(state PublishedState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, z := range h.zones {
--- a/internal/service/hub_test.go
+++ b/internal/service/hub_test.go
@@ -21,7 +21,7 @@
 	return fleet.ServerID(id), err == nil && id < 1000
 }
 func (n numberedNames) Learn(name, _ string) fleet.ServerID { id, _ := n.Server(name); return id }
-func (numberedNames) Of(id fleet.ServerID) (name, addr string) {
+func (numberedNames) Lookup(id fleet.ServerID) (name, addr string) {
 	return fmt.Sprint("s", id), fmt.Sprint("x:", id)
 }
 
@@ -45,7 +45,7 @@
 	})
 	h.hub.sink = func(e transport.Event) { h.events = append(h.events, e) }
 	h.hub.connect(h.hub.zones[0])
-	h.hub.Facts(PublishedState{ListRevision: 1, Open: []string{"s0"}})
+	h.hub.PublishState(PublishedState{ListRevision: 1, OpenServers: []string{"s0"}})
 	return h
 }
 
--- a/internal/service/messages.go
+++ b/internal/service/messages.go
@@ -133,5 +133,5 @@
 type PublishedState struct {
 	ListRevision uint64
 	Live         bool     // the list came from its source since the controller started
-	Open         []string // servers listed as ready that are not withdrawn, by name
+	OpenServers  []string // servers listed as ready that are not withdrawn, by name
 }
--- a/internal/service/text/transcript_test.go
+++ b/internal/service/text/transcript_test.go
@@ -34,7 +34,7 @@
 	return id
 }
 
-func (n names) Of(id fleet.ServerID) (string, string) { return n[id], "127.0.0.1:80" }
+func (n names) Lookup(id fleet.ServerID) (string, string) { return n[id], "127.0.0.1:80" }
 
 // fixedQueries answers every query with fixed values.
 type fixedQueries struct{}
--- a/internal/service/view.go
+++ b/internal/service/view.go
@@ -204,7 +204,7 @@
 // SetState takes over the state of the endpoint list. While a class is not published its callers use what they have,
 // restricted to the open servers: a change of these makes a version then, which the result reports.
 func (v *View) SetState(state PublishedState) (changed bool) {
-	changed = !v.AllPublished() && !slices.Equal(state.Open, v.state.Open)
+	changed = !v.AllPublished() && !slices.Equal(state.OpenServers, v.state.OpenServers)
 	v.state = state
 	v.template.ListRevision = state.ListRevision
 	v.template.Live = state.Live
@@ -229,7 +229,7 @@
 	u.To = v.version
 	if !v.AllPublished() {
 		u.RestrictsToOpen = true
-		u.OpenServers = v.state.Open
+		u.OpenServers = v.state.OpenServers
 	}
 	position := slices.IndexFunc(v.history, func(c viewChange) bool { return c.to == from })
 	known := position >= 0 || from == v.version
--- a/internal/service/watcher.go
+++ b/internal/service/watcher.go
@@ -105,7 +105,7 @@
 }
 
 // hasState reports whether there is anything to send: a list was received.
-func (z *zoneHub) hasState() bool { return z.view.AnyPublished() || z.view.state.Open != nil }
+func (z *zoneHub) hasState() bool { return z.view.AnyPublished() || z.view.state.OpenServers != nil }
 
 // Next returns what is to be sent now, nil for nothing, or why the watch has ended.
 func (w *Watcher) Next() (*SharedUpdate, *Error) {
--- a/internal/simwire/enums.go
+++ b/internal/simwire/enums.go
@@ -2,8 +2,8 @@
 
 import "cressknot/internal/fleet"
 
-// LoadFields maps the wire's names of the figures of a load report. It must not be changed.
-var LoadFields = map[string]fleet.LoadField{
+// LoadFieldByName maps the wire's names of the figures of a load report. It must not be changed.
+var LoadFieldByName = map[string]fleet.LoadField{
 	"rif":       fleet.LoadFieldInFlight,
 	"q":         fleet.LoadFieldQueueLength,
 	"busy":      fleet.LoadFieldUtilization,
--- a/internal/simwire/jsonerror.go
+++ b/internal/simwire/jsonerror.go
@@ -6,9 +6,9 @@
 	"fmt"
 )
 
-// JSONFault adds to an error of package json where the text is wrong: the byte or the key. Other errors are
+// LocateJSONError adds to an error of package json where the text is wrong: the byte or the key. Other errors are
 // returned as they are.
-func JSONFault(err error) error {
+func LocateJSONError(err error) error {
 	var syntaxError *json.SyntaxError
 	if errors.As(err, &syntaxError) {
 		return fmt.Errorf("byte %d: %w", syntaxError.Offset, err)
--- a/internal/simwire/site.go
+++ b/internal/simwire/site.go
@@ -85,7 +85,7 @@
 func ParseSite(text []byte) (fleet.Site, error) {
 	var o options
 	if err := json.Unmarshal(text, &o); err != nil {
-		return fleet.Site{}, fmt.Errorf("settings: %w", JSONFault(err))
+		return fleet.Site{}, fmt.Errorf("settings: %w", LocateJSONError(err))
 	}
 	var c checker
 	site := convertSite(&c, &o)
@@ -163,7 +163,7 @@
 func convertLoadFields(names []string) []fleet.LoadField {
 	var fields []fleet.LoadField
 	for _, name := range names {
-		fields = append(fields, LoadFields[name])
+		fields = append(fields, LoadFieldByName[name])
 	}
 	return fields
 }
--- a/internal/store/disk_full_test.go
+++ b/internal/store/disk_full_test.go
@@ -89,8 +89,8 @@
 	if got := <-health; !strings.HasPrefix(got, "true ") || !strings.Contains(got, "no space left") {
 		t.Errorf("health %q", got)
 	}
-	if statistics := s.Statistics(); statistics.Behind != 49 {
-		t.Errorf("%d records pending", statistics.Behind)
+	if statistics := s.Statistics(); statistics.Pending != 49 {
+		t.Errorf("%d records pending", statistics.Pending)
 	}
 	full.Store(false)
 	if got := <-health; got != "false <nil>" {
--- a/internal/store/maintenance.go
+++ b/internal/store/maintenance.go
@@ -12,7 +12,7 @@
 	Commits, Records, Bytes uint64
 	Written                 uint64 // bytes written by the library, logs and compactions included
 	OnDisk                  uint64 // bytes
-	Behind                  int    // pending records that are not on disk
+	Pending                 int    // pending records that are not on disk
 }
 
 // Statistics returns the statistics of the store.
@@ -23,7 +23,7 @@
 		Commits: s.commits,
 		Records: s.records,
 		Bytes:   s.bytes,
-		Behind:  len(s.pendingKeys),
+		Pending: len(s.pendingKeys),
 	}
 	if s.db != nil {
 		metrics := s.db.Metrics()
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -8,9 +8,9 @@
 )
 
 // Corruption is a record that must not be used.
-type Corruption struct{ Key, Why string }
+type Corruption struct{ Key, Reason string }
 
-func (c Corruption) String() string { return c.Key + ": " + c.Why }
+func (c Corruption) String() string { return c.Key + ": " + c.Reason }
 
 // Read calls each record whose key begins with a prefix, in the order of keys, as they are on disk. Corrupt records
 // are returned instead.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -16,23 +16,23 @@
 
 // NewerError reports that a directory was written by a newer program.
 type NewerError struct {
-	Folder string
-	Format int
+	Directory string
+	Format    int
 }
 
 func (e *NewerError) Error() string {
 	return fmt.Sprintf("store %s has format %d, this program knows up to %d: it is left untouched",
-		e.Folder, e.Format, Format)
+		e.Directory, e.Format, Format)
 }
 
 // BusyError reports that another process has locked the directory.
 type BusyError struct {
-	Folder string
-	Err    error
+	Directory string
+	Err       error
 }
 
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("store %s: another process has it, or it can't be locked: %v", e.Folder, e.Err)
+	return fmt.Sprintf("store %s: another process has it, or it can't be locked: %v", e.Directory, e.Err)
 }
 
 func (e *BusyError) Unwrap() error { return e.Err }
--- a/internal/tableversion/history.go
+++ b/internal/tableversion/history.go
@@ -23,10 +23,10 @@
 	MaxAge     fleet.Time // of the oldest delta
 }
 
-// GoneError reports that a version is no longer in the history, or never was.
-type GoneError struct{ Version, Oldest, Newest Version }
+// VersionNotFoundError reports that a version is no longer in the history, or never was.
+type VersionNotFoundError struct{ Version, Oldest, Newest Version }
 
-func (e *GoneError) Error() string {
+func (e *VersionNotFoundError) Error() string {
 	return fmt.Sprintf("version %s is not kept; from %s to %s are", e.Version, e.Oldest, e.Newest)
 }
 
@@ -66,7 +66,7 @@
 	if oldest == version {
 		return t.history, nil
 	}
-	return nil, &GoneError{version, oldest, t.version}
+	return nil, &VersionNotFoundError{version, oldest, t.version}
 }
 
 // Fold returns one delta from an earlier version to the present one, with each entry that differs.
--- a/internal/testing/fakes/files.go
+++ b/internal/testing/fakes/files.go
@@ -45,8 +45,8 @@
 	silent bool // never acknowledges
 }
 
-// Mute lets it acknowledge nothing, or again.
-func (p *Proxy) Mute(mute bool) {
+// StopAcknowledging lets it acknowledge nothing, or again.
+func (p *Proxy) StopAcknowledging(mute bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.files.silent = mute
--- a/internal/testing/fakes/lister.go
+++ b/internal/testing/fakes/lister.go
@@ -222,14 +222,14 @@
 	for name := range s.changed {
 		entry, listed := s.entries[name]
 		if !listed {
-			s.watch.Told(controller, name, stateGone, time.Time{})
+			s.watch.Notified(controller, name, stateGone, time.Time{})
 			continue
 		}
 		state := entry.State
 		if state == "" {
 			state = stateReady
 		}
-		s.watch.Told(controller, name, state, entry.Started)
+		s.watch.Notified(controller, name, state, entry.Started)
 	}
 }
 
--- a/internal/testing/fakes/proxy.go
+++ b/internal/testing/fakes/proxy.go
@@ -31,10 +31,10 @@
 
 // ProxyClass is the configuration of a class at a proxy.
 type ProxyClass struct {
-	Name     string
-	Backend  string
-	HardStop time.Duration // deadline of a request
-	PerTry   time.Duration // timeout of an attempt that may be retried
+	Name           string
+	Backend        string
+	Deadline       time.Duration // deadline of a request
+	AttemptTimeout time.Duration // timeout of an attempt that may be retried
 }
 
 // ProxySetup is a proxy's configuration.
@@ -91,7 +91,7 @@
 	totals       map[string]*haproxyapi.Stat // by backend
 	mapEntries   map[string]string
 	mapKeys      []string // in the order of their addition
-	tracked      map[string]*haproxyapi.Tracked
+	tracked      map[string]*haproxyapi.StickEntry
 	trackedNames []string
 
 	runtimeListener net.Listener
@@ -170,7 +170,7 @@
 	p.totals = map[string]*haproxyapi.Stat{}
 	p.mapEntries = map[string]string{}
 	p.mapKeys = nil
-	p.tracked = map[string]*haproxyapi.Tracked{}
+	p.tracked = map[string]*haproxyapi.StickEntry{}
 	p.trackedNames = nil
 	p.conns = map[net.Conn]*runtimeSession{}
 	for _, class := range p.Classes {
@@ -253,8 +253,8 @@
 	return len(log), log
 }
 
-// Held returns the state of a server in a backend, as "weight state".
-func (p *Proxy) Held(backend, server string) string {
+// EntryState returns the state of a server in a backend, as "weight state".
+func (p *Proxy) EntryState(backend, server string) string {
 	stateByAdmin := map[uint64]string{0: "ready", haproxyapi.AdminDrain: "drain", haproxyapi.AdminMaint: "maint"}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -276,15 +276,15 @@
 	return entry.addr
 }
 
-// Level returns an entry of the map.
-func (p *Proxy) Level(key string) string {
+// MapEntry returns an entry of the map.
+func (p *Proxy) MapEntry(key string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mapEntries[key]
 }
 
-// ByHand executes a command as an operator would at the proxy itself.
-func (p *Proxy) ByHand(words ...string) string {
+// Execute executes a command as an operator would at the proxy itself.
+func (p *Proxy) Execute(words ...string) string {
 	s := &runtimeSession{touched: map[string]bool{}}
 	return string(p.execute(haproxyapi.Command{Words: words}, s))
 }
--- a/internal/testing/fakes/requests.go
+++ b/internal/testing/fakes/requests.go
@@ -114,7 +114,7 @@
 	}
 	request := proxyRequest{proxy: p, class: p.Classes[position]}
 	request.id, _ = strconv.ParseUint(r.Header.Get(headerRequest), 10, 64)
-	ctx, cancel := context.WithTimeout(r.Context(), request.class.HardStop)
+	ctx, cancel := context.WithTimeout(r.Context(), request.class.Deadline)
 	defer cancel()
 	p.mu.Lock()
 	wait := time.Until(p.stalledUntil)
@@ -203,7 +203,7 @@
 func (r *proxyRequest) attempt(ctx context.Context, entry *proxyEntry, number int) RequestOutcome {
 	if number < maxRetries(r.retryMode) {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, r.class.PerTry)
+		ctx, cancel = context.WithTimeout(ctx, r.class.AttemptTimeout)
 		defer cancel()
 	}
 	return r.proxy.sendAttempt(ctx, entry, r, number)
@@ -215,9 +215,9 @@
 	defer p.mu.Unlock()
 	total := p.totals[r.class.Backend]
 	if success {
-		total.Good++
+		total.Successes++
 	} else {
-		total.Errors++
+		total.ServerErrors++
 	}
 }
 
@@ -231,18 +231,18 @@
 	entry.inFlight--
 	entry.stat.CurrentSessions--
 	if outcome.Success {
-		entry.stat.Good++
+		entry.stat.Successes++
 		entry.consecutiveFailures = 0
 		p.track(entry.name, time.Since(began), outcome.Load)
 		return outcome
 	}
 	switch {
 	case outcome.Err == nil:
-		entry.stat.Errors++
+		entry.stat.ServerErrors++
 	case outcome.NotExecuted:
-		entry.stat.ConnFailed++
+		entry.stat.ConnectErrors++
 	default:
-		entry.stat.RespFailed++
+		entry.stat.ResponseErrors++
 	}
 	entry.consecutiveFailures++
 	if p.EjectionThreshold > 0 && entry.consecutiveFailures >= p.EjectionThreshold {
@@ -256,12 +256,12 @@
 func (p *Proxy) track(server string, duration time.Duration, load []uint32) {
 	tracked := p.tracked[server]
 	if tracked == nil {
-		tracked = &haproxyapi.Tracked{Key: []byte(server)}
+		tracked = &haproxyapi.StickEntry{Key: []byte(server)}
 		p.tracked[server] = tracked
 		p.trackedNames = append(p.trackedNames, server)
 	}
-	tracked.GoodMs += uint64(duration.Milliseconds())
-	tracked.Good++
+	tracked.SuccessMillis += uint64(duration.Milliseconds())
+	tracked.Successes++
 	for i, value := range load {
 		if i < len(tracked.Load) {
 			tracked.Load[i] = uint64(value)
--- a/internal/testing/fakes/weights_test.go
+++ b/internal/testing/fakes/weights_test.go
@@ -76,7 +76,7 @@
 		Table:             "t",
 		Runtime:           t.TempDir() + "/p.sock",
 		EjectionThreshold: 3,
-		Classes:           []ProxyClass{{Name: "look", Backend: "look", HardStop: 10 * time.Second}},
+		Classes:           []ProxyClass{{Name: "look", Backend: "look", Deadline: 10 * time.Second}},
 	}
 	proxy := NewProxy(setup, entries, watch, 3)
 	if err := proxy.Up(); err != nil {
@@ -84,7 +84,7 @@
 	}
 	t.Cleanup(proxy.Down)
 	for i, weight := range weights {
-		proxy.ByHand("set", "server", fmt.Sprintf("look/n%d", i), "weight", strconv.Itoa(weight))
+		proxy.Execute("set", "server", fmt.Sprintf("look/n%d", i), "weight", strconv.Itoa(weight))
 	}
 	return proxy
 }
--- a/internal/testing/invariants/availability.go
+++ b/internal/testing/invariants/availability.go
@@ -32,14 +32,14 @@
 				longest = lacked
 				place = fmt.Sprintf(" (%s, %s, at %.2f s)", span.proxy, span.class, from.Seconds())
 			}
-			if lacked > f.Bare+f.Slack {
+			if lacked > f.MaxUnusable+f.Slack {
 				v.violate(from, "proxy %s had no line for %s for %.2f s while a warm server was listed",
 					span.proxy, span.class, lacked.Seconds())
 			}
 		}
 	}
 	v.Seen = fmt.Sprintf("longest without a line %.3f s of %.2f s%s; %d spans",
-		longest.Seconds(), f.Bare.Seconds(), place, len(w.unusable))
+		longest.Seconds(), f.MaxUnusable.Seconds(), place, len(w.unusable))
 	return v
 }
 
--- a/internal/testing/invariants/drain.go
+++ b/internal/testing/invariants/drain.go
@@ -38,14 +38,14 @@
 				}
 				late := a.at - max(drained.from, connected.from)
 				latest = max(latest, late)
-				if late > f.Grace+f.Slack {
+				if late > f.DrainTimeout+f.Slack {
 					v.violate(a.at, "proxy %s sent to %s %.2f s after its governor knew", a.proxy, a.node, late.Seconds())
 				}
 			}
 		}
 	}
 	v.Seen = fmt.Sprintf("%d drains and losses told; last visit %.2f s after, of %.2f s",
-		v.Tested, latest.Seconds(), f.Grace.Seconds())
+		v.Tested, latest.Seconds(), f.DrainTimeout.Seconds())
 	return v
 }
 
--- a/internal/testing/invariants/judge.go
+++ b/internal/testing/invariants/judge.go
@@ -25,15 +25,15 @@
 // Figures are the limits of the rules.
 type Figures struct {
 	Classes           []Class
-	Bare              time.Duration // how long a connected proxy may lack a usable entry for a class
-	Grace             time.Duration // for drains, and until a controller counts as knowing of a start
+	MaxUnusable       time.Duration // how long a connected proxy may lack a usable entry for a class
+	DrainTimeout      time.Duration // for drains, and until a controller counts as knowing of a start
 	SlowStartDuration time.Duration
 	SlowStartFraction float64
 	OverloadFactor    float64
 	OverloadWindow    time.Duration
-	LinesPerS         float64 // entries per second of each controller's update channel
+	EntriesPerSecond  float64 // entries per second of each controller's update channel
 	Backlog           float64 // entries that may wait
-	Head              float64 // entries that a message counts for, beside its own
+	MessageOverhead   float64 // entries that a message counts for, beside its own
 	Messages          int     // to one proxy within MessagesOver; 0: no limit
 	MessagesOver      time.Duration
 	Slack             time.Duration // of a loaded machine: simulated parts look at their clocks this much late
--- a/internal/testing/invariants/queue.go
+++ b/internal/testing/invariants/queue.go
@@ -45,10 +45,10 @@
 	began := time.Duration(-1)
 	entries := 0.0
 	for i, m := range messages {
-		cost := f.Head + float64(m.entries)
+		cost := f.MessageOverhead + float64(m.entries)
 		if i > 0 {
 			pause := (m.at - messages[i-1].at).Seconds()
-			if pause*f.LinesPerS > maxPauseFactor*cost+f.LinesPerS*burstPause {
+			if pause*f.EntriesPerSecond > maxPauseFactor*cost+f.EntriesPerSecond*burstPause {
 				began = -1
 				entries = 0
 			}
@@ -59,7 +59,7 @@
 		entries += cost
 		longest = max(longest, entries)
 		duration := (m.at - began).Seconds()
-		if entries > f.Backlog && entries > duration*f.LinesPerS*minBurstPace {
+		if entries > f.Backlog && entries > duration*f.EntriesPerSecond*minBurstPace {
 			v.violate(m.at, "%.0f lines left governor %s in one go of %.2f s, %.0f may wait",
 				entries, controller, duration, f.Backlog)
 			began = -1
--- a/internal/testing/invariants/slowstart.go
+++ b/internal/testing/invariants/slowstart.go
@@ -46,7 +46,7 @@
 		if !n.slowStart || n.started < o.started-startTolerance {
 			continue
 		}
-		if n.at+f.Grace <= o.at || lastMessage > n.at {
+		if n.at+f.DrainTimeout <= o.at || lastMessage > n.at {
 			return true
 		}
 	}
--- a/internal/testing/invariants/watch.go
+++ b/internal/testing/invariants/watch.go
@@ -241,8 +241,8 @@
 	w.executions = append(w.executions, execution{w.now(), node, request, class})
 }
 
-// Told records what the list service sent a controller about a node. Started is zero for long ago.
-func (w *Watch) Told(controller, node, state string, started time.Time) {
+// Notified records what the list service sent a controller about a node. Started is zero for long ago.
+func (w *Watch) Notified(controller, node, state string, started time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	sent := notification{at: w.now(), controller: controller, node: node, state: state}
--- a/internal/testing/scenario/fleet.go
+++ b/internal/testing/scenario/fleet.go
@@ -98,10 +98,10 @@
 	var classes []fakes.ProxyClass
 	for _, class := range spec.Classes {
 		classes = append(classes, fakes.ProxyClass{
-			Name:     class.Name,
-			Backend:  class.Name,
-			HardStop: time.Duration(class.HardStop),
-			PerTry:   time.Duration(class.Expected),
+			Name:           class.Name,
+			Backend:        class.Name,
+			Deadline:       time.Duration(class.HardStop),
+			AttemptTimeout: time.Duration(class.Expected),
 		})
 	}
 	for i := range spec.Proxies {
@@ -209,7 +209,7 @@
 		for sleep(ctx, checkInterval) {
 			for _, proxy := range r.proxies {
 				for _, command := range r.ForcedCommands {
-					proxy.ByHand(strings.Fields(command)...)
+					proxy.Execute(strings.Fields(command)...)
 				}
 			}
 			if r.CrowdNewestNode {
@@ -235,9 +235,9 @@
 				weight := 0
 				if node == newest {
 					weight = maxWeight
-					proxy.ByHand("set", "server", target, "state", "ready")
+					proxy.Execute("set", "server", target, "state", "ready")
 				}
-				proxy.ByHand("set", "server", target, "weight", fmt.Sprint(weight))
+				proxy.Execute("set", "server", target, "weight", fmt.Sprint(weight))
 			}
 		}
 	}
--- a/internal/testing/scenario/operatorfaults.go
+++ b/internal/testing/scenario/operatorfaults.go
@@ -134,7 +134,7 @@
 	}
 	for len(waiting) > 0 && time.Since(began) < rollbackTimeout && ctx.Err() == nil {
 		for i := range waiting {
-			if strings.HasPrefix(r.proxies[i].Level(r.versionKey()), version+"/") {
+			if strings.HasPrefix(r.proxies[i].MapEntry(r.versionKey()), version+"/") {
 				delete(waiting, i)
 				r.recordRollback(time.Since(began))
 			}
--- a/internal/testing/scenario/outage.go
+++ b/internal/testing/scenario/outage.go
@@ -88,7 +88,7 @@
 	measured := false
 	for time.Since(began) < duration && sleep(ctx, outageCheckInterval) {
 		waiting = slices.DeleteFunc(waiting, func(proxy *fakes.Proxy) bool {
-			served := proxy.Level(r.versionKey()) != ""
+			served := proxy.MapEntry(r.versionKey()) != ""
 			if served {
 				result.Served = append(result.Served, time.Since(began).Seconds())
 			}
--- a/internal/testing/scenario/runner.go
+++ b/internal/testing/scenario/runner.go
@@ -187,7 +187,7 @@
 	}
 	report.Versions = map[string]int{}
 	for _, proxy := range r.proxies {
-		report.Versions[proxy.Level(r.versionKey())]++
+		report.Versions[proxy.MapEntry(r.versionKey())]++
 	}
 	slices.Sort(report.Withdrawals.FromCrash)
 	slices.Sort(report.Withdrawals.FromNotification)
@@ -224,15 +224,15 @@
 	}
 	spec := r.Spec
 	figures := invariants.Figures{
-		Bare:              time.Duration(spec.Channel.Bare),
-		Grace:             time.Duration(spec.Servers.Grace),
+		MaxUnusable:       time.Duration(spec.Channel.Bare),
+		DrainTimeout:      time.Duration(spec.Servers.Grace),
 		SlowStartDuration: time.Duration(spec.Servers.ColdFor),
 		SlowStartFraction: spec.Servers.ColdFrom,
 		OverloadFactor:    spec.Servers.FallFactor,
 		OverloadWindow:    time.Duration(spec.Servers.FallFor),
-		LinesPerS:         spec.Channel.LinesPerS,
+		EntriesPerSecond:  spec.Channel.LinesPerS,
 		Backlog:           spec.Channel.Backlog,
-		Head:              judgedMessageHead,
+		MessageOverhead:   judgedMessageHead,
 		MessagesOver:      judgedMessageWindow,
 		Slack:             judgedSlack,
 	}
--- a/internal/transport/files/folder.go
+++ b/internal/transport/files/folder.go
@@ -93,7 +93,7 @@
 func (f *folder) applyEntry(backend string, change *reconcile.Change) {
 	f.published[backend] = true
 	table := f.tables[backend]
-	name, addr := f.transport.options.Names.Of(change.Server)
+	name, addr := f.transport.options.Names.Lookup(change.Server)
 	if change.Kind == reconcile.DeleteEntry {
 		delete(table, name)
 		return
--- a/internal/transport/haproxy/answers.go
+++ b/internal/transport/haproxy/answers.go
@@ -88,7 +88,7 @@
 	}
 	presentAddr := net.JoinHostPort(string(row.Addr), strconv.FormatUint(row.Port, 10))
 	server := s.options().Names.Learn(string(row.Server), presentAddr)
-	_, wantedAddr := s.options().Names.Of(server)
+	_, wantedAddr := s.options().Names.Lookup(server)
 	entry := reconcile.EntryState{
 		Present:      true,
 		WrongAddress: wantedAddr != presentAddr,
--- a/internal/transport/haproxy/encode.go
+++ b/internal/transport/haproxy/encode.go
@@ -33,7 +33,7 @@
 	case reconcile.AddEntry:
 		e.add(change)
 	case reconcile.DeleteEntry:
-		name, _ := e.session.options().Names.Of(change.Server)
+		name, _ := e.session.options().Names.Lookup(change.Server)
 		e.command("del server ", change.Class, name)
 	default:
 		e.update(change)
@@ -55,7 +55,7 @@
 }
 
 func (e *encoder) add(change *reconcile.Change) {
-	name, addr := e.session.options().Names.Of(change.Server)
+	name, addr := e.session.options().Names.Lookup(change.Server)
 	e.command("add server ", change.Class, name)
 	e.out = append(e.out, ' ')
 	e.out = haproxyapi.AppendWord(e.out, addr)
@@ -67,7 +67,7 @@
 // update writes a change of an entry that exists. A state that stops traffic goes before the weight, one that lets
 // traffic in after it.
 func (e *encoder) update(change *reconcile.Change) {
-	name, addr := e.session.options().Names.Of(change.Server)
+	name, addr := e.session.options().Names.Lookup(change.Server)
 	if change.AddressChanged {
 		e.address(change.Class, name, addr)
 	}
--- a/internal/transport/haproxy/lease.go
+++ b/internal/transport/haproxy/lease.go
@@ -50,12 +50,12 @@
 	})
 	for i := range entries {
 		entry := &entries[i]
-		entry.Want, entry.WantHand = lease.ParseWant(claims[entry.Controller])
+		entry.Want, entry.WantManual = lease.ParseWant(claims[entry.Controller])
 		delete(claims, entry.Controller)
 	}
 	for controller, claim := range claims {
 		entry := lease.Entry{Controller: controller}
-		entry.Want, entry.WantHand = lease.ParseWant(claim)
+		entry.Want, entry.WantManual = lease.ParseWant(claim)
 		entries = append(entries, entry)
 	}
 	return entries, keys, answerError("show map", err)
@@ -77,7 +77,7 @@
 	s.expect(kind)
 }
 
-func (s *session) ownLeaseKey() string { return leaseKey + s.options().Me }
+func (s *session) ownLeaseKey() string { return leaseKey + s.options().Controller }
 
 // observeAgain reads the lease entries once more.
 func (s *session) observeAgain() {
@@ -122,7 +122,7 @@
 	}
 	l.leaseMutex.Lock()
 	defer l.leaseMutex.Unlock()
-	if !l.lease.Took(l.transport.options.Clock(), entries) {
+	if !l.lease.ConfirmTakeover(l.transport.options.Clock(), entries) {
 		return errLeaseLost
 	}
 	return nil
@@ -167,16 +167,16 @@
 	}
 	s.mapKeys = keys
 	held := s.link.lease
-	action, observeAt := held.Look(now, entries)
+	action, observeAt := held.Check(now, entries)
 	switch action {
-	case lease.Claim:
-		own := held.Begin(now, entries)
+	case lease.ActionClaim:
+		own := held.BeginTakeover(now, entries)
 		s.writeMapEntry(s.ownLeaseKey(), own.String(), leaseEntryAnswer)
 		s.out = append(s.out, "show sess\n"...)
 		s.expect(sessionsAnswer)
 		return nil
-	case lease.Want:
-		s.writeMapEntry(claimKey+s.options().Me, held.Ask(), heartbeatAnswer)
+	case lease.ActionRequest:
+		s.writeMapEntry(claimKey+s.options().Controller, held.Request(), heartbeatAnswer)
 	}
 	s.observeTimer = time.AfterFunc(time.Duration(max(1, observeAt-now)), s.observeAgain)
 	return nil
@@ -199,13 +199,13 @@
 	}
 	t := s.link.transport
 	t.movesMutex.Lock()
-	action := s.link.lease.Holding(now, entries, &t.moves)
+	action := s.link.lease.Renew(now, entries, &t.moves)
 	t.movesMutex.Unlock()
 	switch action {
-	case lease.Lost:
+	case lease.ActionYield:
 		return errLeaseLost
-	case lease.Release:
-		s.releaseLease(s.link.lease.Leave(false))
+	case lease.ActionRelease:
+		s.releaseLease(s.link.lease.ReleaseEntry(false))
 	}
 	return nil
 }
@@ -269,7 +269,7 @@
 	s.startWatchdog()
 	s.out = s.out[:0]
 	s.link.leaseMutex.Lock()
-	entry := s.link.lease.Leave(true)
+	entry := s.link.lease.ReleaseEntry(true)
 	s.link.leaseMutex.Unlock()
 	s.releaseLease(entry)
 	s.flush()
@@ -294,7 +294,7 @@
 	}
 	l.leaseMutex.Lock()
 	defer l.leaseMutex.Unlock()
-	l.lease.Take(on)
+	l.lease.SetManual(on)
 	return true
 }
 
@@ -306,7 +306,7 @@
 			continue
 		}
 		l.leaseMutex.Lock()
-		entry, lastHeartbeat := l.lease.Seen()
+		entry, lastHeartbeat := l.lease.LastHolder()
 		l.leaseMutex.Unlock()
 		s := t.currentSession(id)
 		holders = append(holders, transport.LeaseHolder{
--- a/internal/transport/haproxy/session.go
+++ b/internal/transport/haproxy/session.go
@@ -32,7 +32,7 @@
 	endReason   error // why this end closed it, nil if it did not
 	watchdog    *time.Timer
 
-	answers  haproxyapi.Answers
+	answers  haproxyapi.AnswerParser
 	expected []expectedAnswer // oldest first
 	out      []byte           // commands to write
 	mapKeys  map[string]bool  // keys that the proxy's map has
--- a/internal/transport/haproxy/transport.go
+++ b/internal/transport/haproxy/transport.go
@@ -42,7 +42,7 @@
 	Pollers   int // event loops of sockets; 0: the library's default
 
 	// Me is the name of this controller, where several may serve a proxy.
-	Me string
+	Controller string
 	// Lease returns this controller's part of the lease protocol at a proxy, nil if no other controller serves it.
 	Lease func(transport.Proxy) *lease.Lease
 	// Clock returns the time by which leases are decided.
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -103,7 +103,7 @@
 	// Learn returns the id of a server name that was read from a proxy, and assigns one if the name is new.
 	Learn(name, addr string) fleet.ServerID
 	// Of returns the name and the address, host:port, of a server.
-	Of(id fleet.ServerID) (name, addr string)
+	Lookup(id fleet.ServerID) (name, addr string)
 }
 
 // Proxy is one proxy that a controller serves.
