--- a/internal/controller/operators_weights.go
+++ b/internal/controller/operators_weights.go
@@ -183,7 +183,9 @@
 }
 
 // harmsOfWeight gives the harm that a manual weight would do to its table.
-func (c *Core) harmsOfWeight(now fleet.Time, table fleet.TableID, server fleet.ServerID, weight int) []safety.Violation {
+func (c *Core) harmsOfWeight(
+	now fleet.Time, table fleet.TableID, server fleet.ServerID, weight int,
+) []safety.Violation {
 	if !c.safetyChecks {
 		return nil
 	}
--- a/internal/controller/simulated_fleet_test.go
+++ b/internal/controller/simulated_fleet_test.go
@@ -233,7 +233,8 @@
 		weight, _ := strconv.Atoi(strings.Fields(p.EntryState(backend, name) + " x")[0])
 		digest += tableversion.EntryDigest(name, weight)
 	}
-	return digest == table.Digest() && p.MapEntry(backend+".version") == table.Version().String()+"/"+table.Digest().String()
+	stamp := table.Version().String() + "/" + table.Digest().String()
+	return digest == table.Digest() && p.MapEntry(backend+".version") == stamp
 }
 
 // newMemoryDir gives a folder in memory where the machine has one: syncing a file may take seconds on a disk that
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -4,7 +4,7 @@
 //
 // Messages may be lost, late or repeated; older ones are dropped. Peers can only keep requests away from servers or
 // make this controller careful, never send requests to any: a peer that is wrong costs capacity, within a bound.
-// The package is pure. docs/design/peers.md describes the alternatives considered.
+// The package is pure. docs/design/gossip.md describes the alternatives considered.
 package gossip
 
 import (
--- a/internal/gossip/state_test.go
+++ b/internal/gossip/state_test.go
@@ -85,7 +85,8 @@
 func (n *newerListTest) changes() (text string) {
 	changes, _ := n.second.Next(n.now)
 	for _, change := range changes {
-		text += fmt.Sprintf("%s=%d,%d,%v ", change.Name, change.Server.State, change.Server.Started/fleet.Second, change.FromPeer)
+		started := change.Server.Started / fleet.Second
+		text += fmt.Sprintf("%s=%d,%d,%v ", change.Name, change.Server.State, started, change.FromPeer)
 	}
 	return text
 }
--- a/internal/haproxyapi/answer.go
+++ b/internal/haproxyapi/answer.go
@@ -8,8 +8,8 @@
 // Prompt is what an interactive session shows before each request.
 const Prompt = "> "
 
-// AnswerParser parses a stream of answers: each is some lines followed by an empty one; in interactive sessions a prompt
-// goes before it. The zero value is ready for use.
+// AnswerParser parses a stream of answers: each is some lines followed by an empty one; in interactive sessions a
+// prompt goes before it. The zero value is ready for use.
 type AnswerParser struct {
 	buffer  []byte
 	scanned int   // length of the buffer's beginning that has no end of an answer
--- a/internal/haproxyapi/tables.go
+++ b/internal/haproxyapi/tables.go
@@ -30,8 +30,8 @@
 	})
 }
 
-// StickEntry is an entry of "show table": what a proxy counts of a server's answers. The operators' manual describes how a
-// real proxy is configured to count it.
+// StickEntry is an entry of "show table": what a proxy counts of a server's answers. The operators' manual describes
+// how a real proxy is configured to count it.
 type StickEntry struct {
 	Key           []byte
 	SuccessMillis uint64    // gpc0: sum of the times of successful answers, milliseconds
--- a/internal/ingest/health.go
+++ b/internal/ingest/health.go
@@ -36,7 +36,7 @@
 	zoneBits = 64
 )
 
-// HealthVerdict is what the silence of a server means, given what proxies measure there. docs/design/intake.md has the
+// HealthVerdict is what the silence of a server means, given what proxies measure there. docs/design/ingest.md has the
 // table.
 type HealthVerdict uint8
 
--- a/internal/ingest/pipeline.go
+++ b/internal/ingest/pipeline.go
@@ -2,7 +2,7 @@
 // counters, servers push reports as they like, and the balancer receives reports at a limited rate. The package
 // decides which reports count when more come than may be passed on, how they add up and age, whether a source is
 // trusted, what its silence means, and what is shed when turns of the control loop take too long. It is pure: it
-// has no I/O and no clock. Only Queue may be used by several goroutines. docs/design/intake.md describes the
+// has no I/O and no clock. Only Queue may be used by several goroutines. docs/design/ingest.md describes the
 // alternatives.
 package ingest
 
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -198,7 +198,8 @@
 	return l.entry()
 }
 
-// ConfirmTakeover decides, from the entries read after all other sessions were ended, whether the lease is held from now on.
+// ConfirmTakeover decides, from the entries read after all other sessions were ended, whether the lease is held from
+// now on.
 func (l *Lease) ConfirmTakeover(now fleet.Time, entries []Entry) bool {
 	if !Wins(l.me, l.epoch, entries) {
 		l.Drop()
@@ -253,8 +254,8 @@
 	return known && last != entry.Want
 }
 
-// ReleaseEntry returns the entry that a controller leaves when it hands a proxy over. One that retires or stops says so,
-// so that no controller waits for it.
+// ReleaseEntry returns the entry that a controller leaves when it hands a proxy over. One that retires or stops says
+// so, so that no controller waits for it.
 func (l *Lease) ReleaseEntry(stopping bool) Entry {
 	return Entry{Controller: l.me, Retired: l.retired || stopping}
 }
--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -6,7 +6,7 @@
 // entries again. What an earlier holder had in flight ends with its session, and a session that began later sees
 // the entry. So two controllers never steer one proxy, whatever they know of each other.
 //
-// The package is pure. docs/design/assign.md describes the alternatives and the exhaustive search of the protocol.
+// The package is pure. docs/design/leases.md describes the alternatives and the exhaustive search of the protocol.
 package lease
 
 import (
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -3,7 +3,7 @@
 // transports by Join, Leave, Acknowledge and Progress; Next returns the messages that may leave.
 //
 // The package is pure: it has no sockets, clocks or goroutines, and the same calls yield the same messages. See
-// docs/design/governor.md for the alternatives considered.
+// docs/design/controller.md for the alternatives considered.
 package reconcile
 
 import (
--- a/internal/reconcile/versions.go
+++ b/internal/reconcile/versions.go
@@ -46,8 +46,8 @@
 	Fraction float64
 }
 
-// ScaleWeights reduces the weights of servers in all tables to fractions of what the balancer orders. A fraction of 1 ends
-// that.
+// ScaleWeights reduces the weights of servers in all tables to fractions of what the balancer orders. A fraction of 1
+// ends that.
 func (r *Reconciler) ScaleWeights(now fleet.Time, parts []WeightFraction, reason string) {
 	changed := map[int32]bool{}
 	for _, part := range parts {
--- a/internal/safety/guard.go
+++ b/internal/safety/guard.go
@@ -3,7 +3,7 @@
 // a request be executed twice. It also checks complete tables that operators push or ask about.
 //
 // The package is pure: a Guard gets the events that the balancer gets, and is asked by package reconcile.
-// docs/design/guard.md defines each violation and the precedence of the rules.
+// docs/design/safety.md defines each violation and the precedence of the rules.
 package safety
 
 import (
--- a/internal/tableversion/table.go
+++ b/internal/tableversion/table.go
@@ -1,6 +1,6 @@
 // Package tableversion gives weight tables versions: what changed from one to the next, a digest of the content by
 // which anyone can verify a copy, a bounded history, and rollback. It is pure: it has no I/O and no clock.
-// docs/design/versions.md states the canonical form of a digest.
+// docs/design/table-versions.md states the canonical form of a digest.
 package tableversion
 
 import (
--- a/internal/testing/scenario/faults.go
+++ b/internal/testing/scenario/faults.go
@@ -34,7 +34,7 @@
 	minProxyDownMillis    = 500
 )
 
-// faultKinds are the kinds of faults by their names in scenario files; docs/operate/drill.md describes them.
+// faultKinds are the kinds of faults by their names in scenario files; docs/operate/fault-drills.md describes them.
 var faultKinds = map[string]faultHandler{
 	// Of nodes.
 	"crash":    (*runner).crash,
--- a/internal/transport/relay/client.go
+++ b/internal/transport/relay/client.go
@@ -1,6 +1,6 @@
 // Package relay is the client of the users' relay, which holds the update streams of the proxies. Operations go to
 // it as HTTP calls, one in flight at a time; its events about proxies come on an event stream. The package
-// maintains order, limits and deadlines and takes no decision. docs/design/node.md describes what a broken call
+// maintains order, limits and deadlines and takes no decision. docs/design/platform.md describes what a broken call
 // means.
 package relay
 
