--- a/internal/server/controller_restore.go
+++ b/internal/server/controller_restore.go
@@ -40,10 +40,10 @@
 		p.log.Error().Err(err).Msg("state was not restored completely")
 	}
 	for _, record := range restored.Unreadable {
-		p.log.Warn().Str("lost", record).Msg("damaged in the store")
+		p.log.Warn().Str("lost", record).Msg("stored record is damaged")
 	}
 	p.log.Info().Int("tables", restored.Tables).Int("pins", restored.Pins).Int("weights", restored.ManualWeights).
-		Bool("list", len(restored.Lists) > 0).Msg("woke")
+		Bool("list", len(restored.Lists) > 0).Msg("state restored")
 	// No version of this epoch may leave before the epoch is on disk.
 	done := make(chan error, 1)
 	change := store.Change{Key: controller.EpochKey, Value: restored.Epoch}
--- a/internal/testing/scenario/scenario_test.go
+++ b/internal/testing/scenario/scenario_test.go
@@ -304,8 +304,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	starts := strings.Count(string(log), `"message":"woke"`)
-	damaged := strings.Contains(string(log), "damaged in the store")
+	starts := strings.Count(string(log), `"message":"state restored"`)
+	damaged := strings.Contains(string(log), "stored record is damaged")
 	hasList := strings.Contains(string(log), `"list":true`)
 	if starts != *kills+1 || damaged || !hasList {
 		t.Errorf("started %d times from the store, in\n%s", starts, log)
