--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -272,7 +272,7 @@
 
 // collectReports takes the load reports that are due as events, and has those who judge servers observe them.
 func (c *Core) collectReports(now fleet.Time) (due fleet.Time) {
-	reports, due := c.pipeline.Tell(now)
+	reports, due := c.pipeline.Reports(now)
 	c.events.current = append(c.events.current, reports...)
 	for _, event := range reports {
 		report, ok := event.(fleet.OutcomeReport)
@@ -281,7 +281,7 @@
 		}
 		c.observeOutcomeForGossip(now, report)
 		successes := float64(report.Attempts) - float64(report.Failures)
-		c.endpoints.verifier.Met(now, report.Server, successes, float64(report.Failures))
+		c.endpoints.verifier.RequestsFinished(now, report.Server, successes, float64(report.Failures))
 	}
 	return due
 }
@@ -331,7 +331,7 @@
 // persistStep gives what the step has changed of the state that must survive a restart.
 func (c *Core) persistStep(out *Output) {
 	e := &c.endpoints
-	if out.Endpoints == nil && e.live && e.confirmedAt >= e.cachedAt+verification.ConfirmGap {
+	if out.Endpoints == nil && e.live && e.confirmedAt >= e.cachedAt+verification.ConfirmInterval {
 		out.Endpoints = e.list()
 	}
 	if out.Endpoints != nil {
--- a/internal/controller/discovery_outage_test.go
+++ b/internal/controller/discovery_outage_test.go
@@ -99,7 +99,7 @@
 			name, _ := d.core.names.Lookup(id)
 			p := VerificationResult{Server: id}
 			if d.reachable[name] {
-				p.Evidence = verification.Someone
+				p.Evidence = verification.EvidenceConnection
 			}
 			next = append(next, p)
 		}
@@ -179,13 +179,13 @@
 	if after != before || errorsLogged > 20 {
 		t.Errorf("from %s to %s\n%v", before, after, sim.logs)
 	}
-	if sim.cachedList == nil || sim.cachedAt < sim.now-verification.ConfirmGap-4*fleet.Second {
+	if sim.cachedList == nil || sim.cachedAt < sim.now-verification.ConfirmInterval-4*fleet.Second {
 		t.Errorf("cached list was confirmed %.0f s before", (sim.now - sim.cachedAt).Seconds())
 	}
 	cachedBefore := sim.cachedAt
-	sim.runUntil(sim.now+2*verification.ConfirmGap,
+	sim.runUntil(sim.now+2*verification.ConfirmInterval,
 		func() { sim.core.handleEndpoints(sim.now, discovery.Update{Unchanged: true}, &Output{}) })
-	if sim.cachedAt < cachedBefore+verification.ConfirmGap {
+	if sim.cachedAt < cachedBefore+verification.ConfirmInterval {
 		t.Error("an unchanged answer of the source does not confirm the list")
 	}
 }
@@ -216,9 +216,9 @@
 		byConnection verification.Evidence
 		byProbe      verification.Evidence
 	}{
-		{says: name, byConnection: verification.Someone, byProbe: verification.Itself},
-		{says: "b", byConnection: verification.Someone, byProbe: verification.Another},
-		{says: "", byConnection: verification.Someone, byProbe: verification.Someone},
+		{says: name, byConnection: verification.EvidenceConnection, byProbe: verification.EvidenceConfirmed},
+		{says: "b", byConnection: verification.EvidenceConnection, byProbe: verification.EvidenceOtherServer},
+		{says: "", byConnection: verification.EvidenceConnection, byProbe: verification.EvidenceConnection},
 		{says: "nobody", down: true},
 	} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -116,7 +116,7 @@
 		}
 	default:
 		if update.Scope == fleet.ListDelta && c.holdsList() { // it continues the list that is held
-			c.endpoints.shrinkGate.Drop()
+			c.endpoints.shrinkGate.Reset()
 			c.takeHeldList(now, out)
 		}
 		c.takeList(now, update, out)
@@ -157,8 +157,8 @@
 		}
 		_, _ = fmt.Fprintln(digest, s.Name, s.State) // a hash never fails
 	}
-	known := len(e.byName) - e.verifier.Refuted() // those are known to be gone already
-	if e.shrinkGate.Whole(now, known, remaining, digest.Sum64()) == verification.Take {
+	known := len(e.byName) - e.verifier.EjectedCount() // those are known to be gone already
+	if e.shrinkGate.Check(now, known, remaining, digest.Sum64()) == verification.AcceptList {
 		e.heldList = discovery.Update{}
 		return false
 	}
@@ -206,7 +206,7 @@
 	if update.Scope != fleet.ListCached {
 		e.live = true
 		e.confirmedAt = now
-		e.verifier.Live(now, list)
+		e.verifier.ListReceived(now, list)
 		out.Endpoints = e.list()
 	}
 	c.applyEndpoints(now, list)
--- a/internal/controller/history.go
+++ b/internal/controller/history.go
@@ -94,7 +94,7 @@
 
 // logIngestNotices logs what the pipeline has to say of servers, sources, proxies and itself.
 func (c *Core) logIngestNotices(now fleet.Time, out *Output) {
-	for _, notice := range c.pipeline.Look(now) {
+	for _, notice := range c.pipeline.Examine(now) {
 		entry := LogEntry{now, LevelWarn, "intake", notice.Text}
 		if notice.Good {
 			entry.Level = LevelInfo
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -54,7 +54,7 @@
 	case EndpointUpdate:
 		c.handleEndpoints(now, discovery.Update(in), out)
 	case VerificationResult:
-		c.endpoints.verifier.Asked(now, in.Server, in.Evidence)
+		c.endpoints.verifier.ProbeFinished(now, in.Server, in.Evidence)
 	case GossipMessage:
 		c.handleGossip(now, gossip.Message(in), out)
 	case ProbeResult:
@@ -127,7 +127,7 @@
 	if !c.currentStream(event.Proxy, event.Stream) {
 		return
 	}
-	c.pipeline.Polled(now, event.Proxy, event.Reading)
+	c.pipeline.AddReading(now, event.Proxy, event.Reading)
 	c.reconciler.ObserveEntries(now, event.Proxy, event.Reading.Entries)
 	event.Reading.Release()
 }
@@ -135,9 +135,9 @@
 func (c *Core) handlePushedRecords(now fleet.Time, records PushedRecords, out *Output) {
 	for i := range records {
 		server := records[i].Server
-		before := c.pipeline.Distrusted(server)
-		c.pipeline.Pushed(now, records[i])
-		if c.pipeline.Distrusted(server) != before {
+		before := c.pipeline.UntrustedUntil(server)
+		c.pipeline.AddRecord(now, records[i])
+		if c.pipeline.UntrustedUntil(server) != before {
 			out.TrustChanges = append(out.TrustChanges, server)
 		}
 	}
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -116,7 +116,7 @@
 		cachePath:        o.CachePath,
 	}
 	if l.series != nil {
-		l.core.pipeline.Keep(l.series.Add)
+		l.core.pipeline.Observe(l.series.Add)
 	}
 	if o.VerificationMode == VerifyByOutcomes {
 		l.core.verifyByOutcomesOnly()
@@ -206,11 +206,11 @@
 
 // step takes one step of the core and carries out what it gives. It returns when the next one is due.
 func (l *Loop) step() fleet.Time {
-	inputs, more := l.mailbox.collect(l.core.pipeline.Room())
+	inputs, more := l.mailbox.collect(l.core.pipeline.TurnLimits())
 	now := l.Now()
 	out := l.core.Step(now, inputs)
 	took := l.Now() - now
-	l.core.pipeline.Took(now, took)
+	l.core.pipeline.TurnEnded(now, took)
 	l.timings.add(took)
 	l.carryOut(&out)
 	if out.BalancerStepped {
@@ -228,7 +228,7 @@
 // carryOut does what a step wants done outside the core.
 func (l *Loop) carryOut(out *Output) {
 	for _, id := range out.TrustChanges {
-		l.mailbox.pushed.Distrust(id, l.core.pipeline.Distrusted(id))
+		l.mailbox.pushed.Distrust(id, l.core.pipeline.UntrustedUntil(id))
 	}
 	l.sendToProxies(out)
 	l.askServers(out)
--- a/internal/controller/operators_explain.go
+++ b/internal/controller/operators_explain.go
@@ -67,7 +67,7 @@
 	if !inTable {
 		b.WriteString("It stands in no table.\n")
 	}
-	attempts, failed := c.pipeline.Heard(id)
+	attempts, failed := c.pipeline.PendingOutcomes(id)
 	fmt.Fprintf(&b, "Reports that wait to be heard: %d tries, %d without a good answer.\n", attempts, failed)
 	entries := c.history.logOf(q.args[0])
 	for _, e := range entries {
--- a/internal/controller/operators_reports.go
+++ b/internal/controller/operators_reports.go
@@ -54,7 +54,7 @@
 	var b strings.Builder
 	b.WriteString("# server sight since_s report_age_s met_age_s tries failed served erred clock_off_s believed\n")
 	for _, v := range q.core.pipeline.Views(q.now) {
-		if !staleOnly || v.Verdict != ingest.Well || v.Distrust != 0 {
+		if !staleOnly || v.Verdict != ingest.Healthy || v.Distrust != 0 {
 			b.WriteString(q.formatSource(v))
 		}
 	}
@@ -82,7 +82,7 @@
 		age = fmt.Sprintf("%.1f", v.Age.Seconds())
 	}
 	since := "-"
-	if v.Verdict != ingest.Well {
+	if v.Verdict != ingest.Healthy {
 		since = formatSeconds(q.now - v.Since)
 	}
 	believed := "yes"
@@ -90,8 +90,8 @@
 		believed = fmt.Sprintf("in %.0f s", (v.Distrust - q.now).Seconds())
 	}
 	return fmt.Sprintf("%s %s %s %s %s %d %d %d %d %.1f %s\n",
-		q.core.serverName(v.Server), v.Verdict, since, age, formatSeconds(v.Met),
-		v.Tries, v.Failed, v.Served, v.Erred, -v.Skew.Seconds(), believed)
+		q.core.serverName(v.Server), v.Verdict, since, age, formatSeconds(v.PolledAge),
+		v.Attempts, v.Failed, v.Served, v.OwnFailures, -v.ClockOffset.Seconds(), believed)
 }
 
 func (q *query) showIngest() (string, error) {
@@ -99,15 +99,15 @@
 	totals := p.Totals()
 	waiting, oldest := p.Waiting(q.now)
 	sources, records, thinned := q.loop.mailbox.pushed.Waiting()
-	violations, repeated, odd, unbelieved := p.Trusts()
-	level, misses, shedText := p.Shed()
+	violations, repeated, odd, unbelieved := p.Violations()
+	level, misses, shedText := p.Shedding()
 	var b strings.Builder
 	b.WriteString(formatFacts([]fact{
 		{"Tries_counted", totals.Counted},
-		{"Tries_told", totals.Told},
-		{"Tries_waiting", totals.Waiting},
+		{"Tries_told", totals.Reported},
+		{"Tries_waiting", totals.Pending},
 		{"Tries_aged", totals.Aged},
-		{"Tries_unheard", totals.Unheard},
+		{"Tries_unheard", totals.Gone},
 		{"Lines_waiting", waiting},
 		{"Oldest_line_ms", int64(oldest / fleet.Millisecond)},
 		{"Pushed_records", records},
@@ -162,7 +162,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "# server %s sight tries failed\n", q.args[0])
 	for _, v := range views[:min(limit, len(views))] {
-		fmt.Fprintf(&b, "%s %.3f %s %d %d\n", q.core.serverName(v.Server), rank(&v), v.Verdict, v.Tries, v.Failed)
+		fmt.Fprintf(&b, "%s %.3f %s %d %d\n", q.core.serverName(v.Server), rank(&v), v.Verdict, v.Attempts, v.Failed)
 	}
 	return b.String(), nil
 }
--- a/internal/controller/operators_show.go
+++ b/internal/controller/operators_show.go
@@ -195,8 +195,8 @@
 	var b strings.Builder
 	b.WriteString("# server sight part out why\n")
 	for _, v := range q.core.endpoints.verifier.Views() {
-		reason := cmp.Or(v.Why, "-")
-		fmt.Fprintf(&b, "%s %s %.2f %v %s\n", q.core.serverName(v.Server), v.Sight, v.Part, v.Out, reason)
+		reason := cmp.Or(v.Reason, "-")
+		fmt.Fprintf(&b, "%s %s %.2f %v %s\n", q.core.serverName(v.Server), v.Verdict, v.WeightFraction, v.Ejected, reason)
 	}
 	return b.String(), nil
 }
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -86,7 +86,7 @@
 		var dialer net.Dialer
 		if conn, err := dialer.DialContext(ctx, "tcp", addr); err == nil {
 			_ = conn.Close()
-			result.Evidence = verification.Someone
+			result.Evidence = verification.EvidenceConnection
 		}
 		return result
 	}
@@ -96,11 +96,11 @@
 	}
 	switch response.Header.Get(serverHeader) {
 	case name:
-		result.Evidence = verification.Itself
+		result.Evidence = verification.EvidenceConfirmed
 	case "":
-		result.Evidence = verification.Someone
+		result.Evidence = verification.EvidenceConnection
 	default:
-		result.Evidence = verification.Another
+		result.Evidence = verification.EvidenceOtherServer
 	}
 	return result
 }
--- a/internal/controller/report_flood_test.go
+++ b/internal/controller/report_flood_test.go
@@ -140,7 +140,7 @@
 			}
 			queue.Put(now, []ingest.Record{r})
 		}
-		pushed, _ := core.pipeline.Room()
+		pushed, _ := core.pipeline.TurnLimits()
 		taken = queue.Take(pushed, taken[:0])
 		for _, r := range taken {
 			if r.Server < servers && r.Stated == r.Arrived {
@@ -205,7 +205,7 @@
 			waited.Seconds())
 		if worst > 0.05 || waited > fleet.Second/10 ||
 			math.Abs(float64(totals.Counted)-float64(baselineTotals.Counted)) > 0.01*float64(baselineTotals.Counted) ||
-			totals.Counted != totals.Told+totals.Waiting+totals.Aged+totals.Unheard {
+			totals.Counted != totals.Reported+totals.Pending+totals.Aged+totals.Gone {
 			t.Errorf("%d reports a second: weights differ by up to %.4f, a record waited up to %.3f s, sums %+v and %+v",
 				flood, worst, waited.Seconds(), totals, baselineTotals)
 		}
--- a/internal/controller/verification.go
+++ b/internal/controller/verification.go
@@ -43,9 +43,9 @@
 
 // verifyEndpoints carries out what the verifier decides of servers of a cached list.
 func (c *Core) verifyEndpoints(now fleet.Time, out *Output) (due fleet.Time) {
-	plan := c.endpoints.verifier.Next(now)
-	out.Verifications = plan.Ask
-	if changed := append(plan.Out, plan.In...); len(changed) > 0 {
+	plan := c.endpoints.verifier.NextPlan(now)
+	out.Verifications = plan.Probes
+	if changed := append(plan.Ejected, plan.Readmitted...); len(changed) > 0 {
 		list := fleet.EndpointList{
 			Scope:     fleet.ListDelta,
 			Revision:  fleet.ListRevision(c.endpoints.revision),
@@ -56,9 +56,9 @@
 		}
 		c.applyEndpoints(now, list)
 	}
-	if len(plan.Parts) > 0 {
+	if len(plan.WeightFractions) > 0 {
 		var parts []reconcile.WeightFraction
-		for _, part := range plan.Parts {
+		for _, part := range plan.WeightFractions {
 			parts = append(parts, reconcile.WeightFraction(part))
 		}
 		c.reconciler.ScaleWeights(now, parts, "a kept list's names")
--- a/internal/discovery/verification/age.go
+++ b/internal/discovery/verification/age.go
@@ -22,8 +22,8 @@
 	// unknownAge is reported for a list from the future.
 	unknownAge = 24 * 3600 * fleet.Second
 
-	// ConfirmGap is the time between two records on disk that the list is confirmed; half of what counts as fresh.
-	ConfirmGap = 30 * fleet.Second
+	// ConfirmInterval is the time between two records on disk that the list is confirmed; half of what counts as fresh.
+	ConfirmInterval = 30 * fleet.Second
 )
 
 // Age returns how long ago a list was confirmed, by a clock that may have been set since. The age of a list from
--- a/internal/discovery/verification/evidence.go
+++ b/internal/discovery/verification/evidence.go
@@ -32,14 +32,14 @@
 
 // The results of a probe.
 const (
-	Nobody  Evidence = iota // no connection, or no answer
-	Someone                 // something accepts connections at the address
-	Itself                  // the server answered with its name
-	Another                 // another server answered
+	EvidenceNone        Evidence = iota // no connection, or no answer
+	EvidenceConnection                  // something accepts connections at the address
+	EvidenceConfirmed                   // the server answered with its name
+	EvidenceOtherServer                 // another server answered
 )
 
-// Asked takes in the result of a probe that a plan requested.
-func (v *Verifier) Asked(now fleet.Time, server fleet.ServerID, evidence Evidence) {
+// ProbeFinished takes in the result of a probe that a plan requested.
+func (v *Verifier) ProbeFinished(now fleet.Time, server fleet.ServerID, evidence Evidence) {
 	c := v.byServer[server]
 	if c == nil || !c.probing {
 		return
@@ -50,19 +50,19 @@
 	if c.verdict == VerdictConfirmed {
 		return
 	}
-	if evidence != Nobody {
+	if evidence != EvidenceNone {
 		v.reachedAny = true
 	}
 	switch evidence {
-	case Itself:
+	case EvidenceConfirmed:
 		c.failedProbes = 0
 		c.raise(VerdictProven)
-	case Someone:
+	case EvidenceConnection:
 		c.failedProbes = 0
 		v.connected(now, c)
-	case Another:
+	case EvidenceOtherServer:
 		v.refute(now, c, reasonOtherServer)
-	case Nobody:
+	case EvidenceNone:
 		v.probeFailed(now, c)
 	}
 }
@@ -92,8 +92,8 @@
 	}
 }
 
-// Met takes in the outcomes of requests to a server.
-func (v *Verifier) Met(now fleet.Time, server fleet.ServerID, successes, failures float64) {
+// RequestsFinished takes in the outcomes of requests to a server.
+func (v *Verifier) RequestsFinished(now fleet.Time, server fleet.ServerID, successes, failures float64) {
 	if successes > 0 {
 		v.lastSuccess = now
 		v.failuresSinceSuccess = 0
--- a/internal/discovery/verification/plan.go
+++ b/internal/discovery/verification/plan.go
@@ -24,12 +24,12 @@
 
 // Plan is what is to be done now.
 type Plan struct {
-	Ask     []fleet.ServerID // servers to probe; Asked is to be called with each result
-	Out     []fleet.Endpoint // ejected servers, with the state of a gone one
-	In      []fleet.Endpoint // servers to use again
-	Parts   []WeightFraction // weight factors that changed
-	Notices []Notice
-	Wake    fleet.Time // when to call Next again; 0: when something is learned
+	Probes          []fleet.ServerID // servers to probe; Asked is to be called with each result
+	Ejected         []fleet.Endpoint // ejected servers, with the state of a gone one
+	Readmitted      []fleet.Endpoint // servers to use again
+	WeightFractions []WeightFraction // weight factors that changed
+	Notices         []Notice
+	Wake            fleet.Time // when to call Next again; 0: when something is learned
 }
 
 // WeightFraction is the weight factor of a server.
@@ -45,13 +45,13 @@
 	Text     string
 }
 
-// Next plans what is to be done. It returns the differences from the plans before.
-func (v *Verifier) Next(now fleet.Time) Plan {
+// NextPlan plans what is to be done. It returns the differences from the plans before.
+func (v *Verifier) NextPlan(now fleet.Time) Plan {
 	if !v.changed && (v.nextWake == 0 || now < v.nextWake) {
 		return Plan{Wake: v.nextWake}
 	}
 	v.changed = false
-	plan := Plan{Parts: v.restored}
+	plan := Plan{WeightFractions: v.restored}
 	v.restored = nil
 	v.forgetAfterTotalFailure(now)
 	v.spareLastServers()
@@ -140,7 +140,7 @@
 			c.probing = true
 			c.probeAt = 0
 			v.probesInFlight++
-			plan.Ask = append(plan.Ask, c.Endpoint.Server)
+			plan.Probes = append(plan.Probes, c.Endpoint.Server)
 		}
 	}
 }
@@ -180,12 +180,12 @@
 	}
 	c.ejected = !c.usable()
 	if !c.ejected {
-		plan.In = append(plan.In, c.Endpoint)
+		plan.Readmitted = append(plan.Readmitted, c.Endpoint)
 		return
 	}
 	gone := c.Endpoint
 	gone.State = fleet.ServerGone
-	plan.Out = append(plan.Out, gone)
+	plan.Ejected = append(plan.Ejected, gone)
 	if !c.reported {
 		c.reported = true
 		v.notices = append(v.notices, Notice{Server: c.Endpoint.Server, OfServer: true, Text: "ejected: " + c.reason})
@@ -215,7 +215,7 @@
 func (c *candidate) setFactor(now fleet.Time, factor float64, plan *Plan) {
 	c.factor = factor
 	c.raisedAt = now
-	plan.Parts = append(plan.Parts, WeightFraction{Server: c.Endpoint.Server, Fraction: factor})
+	plan.WeightFractions = append(plan.WeightFractions, WeightFraction{Server: c.Endpoint.Server, Fraction: factor})
 }
 
 // summarize tells operators once, when something is known of each server, how many have which verdict.
@@ -235,11 +235,11 @@
 
 // View is what operators see of a server under verification.
 type View struct {
-	Server fleet.ServerID
-	Sight  HealthVerdict
-	Part   float64 // weight factor
-	Out    bool    // ejected
-	Why    string  // reason of VerdictRefuted
+	Server         fleet.ServerID
+	Verdict        HealthVerdict
+	WeightFraction float64 // weight factor
+	Ejected        bool    // ejected
+	Reason         string  // reason of VerdictRefuted
 }
 
 // Views returns the servers under verification in the order of their numbers.
@@ -247,11 +247,11 @@
 	var views []View
 	for _, c := range v.candidates {
 		views = append(views, View{
-			Server: c.Endpoint.Server,
-			Sight:  c.verdict,
-			Part:   c.factor,
-			Out:    c.ejected,
-			Why:    c.reason,
+			Server:         c.Endpoint.Server,
+			Verdict:        c.verdict,
+			WeightFraction: c.factor,
+			Ejected:        c.ejected,
+			Reason:         c.reason,
 		})
 	}
 	return views
--- a/internal/discovery/verification/shrinkgate.go
+++ b/internal/discovery/verification/shrinkgate.go
@@ -22,8 +22,8 @@
 
 // The decisions of a ShrinkGate.
 const (
-	Take GateDecision = iota // accept the list
-	Hold                     // hold it back, and ask the source again
+	AcceptList GateDecision = iota // accept the list
+	HoldList                       // hold it back, and ask the source again
 )
 
 // ShrinkGate checks complete lists before they are accepted. A source that recovers from a fault may give a part of
@@ -45,20 +45,20 @@
 	return &ShrinkGate{drainTimeout: drainTimeout}
 }
 
-// Whole checks a complete list. Of the known servers, so many remain; the digest tells lists apart.
-func (g *ShrinkGate) Whole(now fleet.Time, known, remaining int, digest uint64) GateDecision {
+// Check checks a complete list. Of the known servers, so many remain; the digest tells lists apart.
+func (g *ShrinkGate) Check(now fleet.Time, known, remaining int, digest uint64) GateDecision {
 	if known < minGatedServers || float64(remaining) >= minRemainingFraction*float64(known) {
 		if g.holding {
 			g.Better++
 		}
 		g.holding = false
-		return Take
+		return AcceptList
 	}
 	held := now - g.since
 	repeated := digest == g.digest && held >= g.repeatDelay()
 	if g.holding && (repeated || held >= g.acceptDelay()) {
 		g.holding = false
-		return Take
+		return AcceptList
 	}
 	if !g.holding { // another short list does not extend the delay
 		g.holding = true
@@ -67,7 +67,7 @@
 		g.Held++
 	}
 	g.digest = digest
-	return Hold
+	return HoldList
 }
 
 func (g *ShrinkGate) acceptDelay() fleet.Time { return g.drainTimeout.Scale(acceptDelayFraction) }
@@ -94,5 +94,5 @@
 	return false, false, requestAt
 }
 
-// Drop forgets the list that is held back, as it was accepted.
-func (g *ShrinkGate) Drop() { g.holding = false }
+// Reset forgets the list that is held back, as it was accepted.
+func (g *ShrinkGate) Reset() { g.holding = false }
--- a/internal/discovery/verification/shrinkgate_test.go
+++ b/internal/discovery/verification/shrinkgate_test.go
@@ -22,18 +22,18 @@
 		digest    uint64
 		want      GateDecision
 	}{
-		{at: 1 * second, known: 3, remaining: 0, digest: 1, want: Take},
-		{at: 2 * second, known: 20, remaining: 10, digest: 2, want: Take},
-		{at: 3 * second, known: 20, remaining: 9, digest: 3, want: Hold},
-		{at: 3*second + half, known: 20, remaining: 20, digest: 4, want: Take}, // the one before was a part
-		{at: 5 * second, known: 20, remaining: 5, digest: 5, want: Hold},
-		{at: 5*second + half, known: 20, remaining: 5, digest: 5, want: Hold}, // repeated too soon
-		{at: 6 * second, known: 20, remaining: 5, digest: 5, want: Take},
-		{at: 8 * second, known: 20, remaining: 5, digest: 6, want: Hold},
-		{at: 8*second + half, known: 20, remaining: 6, digest: 7, want: Hold}, // another one each time
-		{at: 9*second + half, known: 20, remaining: 6, digest: 8, want: Take},
+		{at: 1 * second, known: 3, remaining: 0, digest: 1, want: AcceptList},
+		{at: 2 * second, known: 20, remaining: 10, digest: 2, want: AcceptList},
+		{at: 3 * second, known: 20, remaining: 9, digest: 3, want: HoldList},
+		{at: 3*second + half, known: 20, remaining: 20, digest: 4, want: AcceptList}, // the one before was a part
+		{at: 5 * second, known: 20, remaining: 5, digest: 5, want: HoldList},
+		{at: 5*second + half, known: 20, remaining: 5, digest: 5, want: HoldList}, // repeated too soon
+		{at: 6 * second, known: 20, remaining: 5, digest: 5, want: AcceptList},
+		{at: 8 * second, known: 20, remaining: 5, digest: 6, want: HoldList},
+		{at: 8*second + half, known: 20, remaining: 6, digest: 7, want: HoldList}, // another one each time
+		{at: 9*second + half, known: 20, remaining: 6, digest: 8, want: AcceptList},
 	} {
-		if got := gate.Whole(list.at, list.known, list.remaining, list.digest); got != list.want {
+		if got := gate.Check(list.at, list.known, list.remaining, list.digest); got != list.want {
 			t.Errorf("at %.1f s: %d of %d: decision %d", list.at.Seconds(), list.remaining, list.known, got)
 		}
 	}
@@ -76,10 +76,10 @@
 func (r *gateRun) offerList(t *rapid.T) {
 	remaining := rapid.IntRange(0, 20).Draw(t, "remaining")
 	digest := rapid.Uint64Range(0, 3).Draw(t, "digest")
-	switch r.gate.Whole(r.now, 20, remaining, digest) {
-	case Take:
+	switch r.gate.Check(r.now, 20, remaining, digest) {
+	case AcceptList:
 		r.since = 0
-	case Hold:
+	case HoldList:
 		if r.since == 0 {
 			r.since = r.now
 		}
--- a/internal/discovery/verification/simulation_test.go
+++ b/internal/discovery/verification/simulation_test.go
@@ -68,9 +68,10 @@
 func (s *simulation) step(t fataler, proberReaches bool) Plan {
 	t.Helper()
 	s.now += stepDuration
-	plan := s.verifier.Next(s.now)
+	plan := s.verifier.NextPlan(s.now)
 	s.verifier.changed = true
-	if again := s.verifier.Next(s.now); len(again.Ask)+len(again.Out)+len(again.In)+len(again.Parts) > 0 {
+	again := s.verifier.NextPlan(s.now)
+	if len(again.Probes)+len(again.Ejected)+len(again.Readmitted)+len(again.WeightFractions) > 0 {
 		t.Fatalf("another plan at the same time: %+v", again)
 	}
 	s.eject(t, plan)
@@ -78,25 +79,25 @@
 	for _, notice := range plan.Notices {
 		s.notices += notice.Text + "\n"
 	}
-	for _, server := range plan.Ask {
-		evidence := Nobody
+	for _, server := range plan.Probes {
+		evidence := EvidenceNone
 		if proberReaches && s.up[server] {
-			evidence = Someone
+			evidence = EvidenceConnection
 		}
-		s.verifier.Asked(s.now, server, evidence)
+		s.verifier.ProbeFinished(s.now, server, evidence)
 	}
 	return plan
 }
 
 func (s *simulation) eject(t fataler, plan Plan) {
 	t.Helper()
-	for _, endpoint := range plan.Out {
+	for _, endpoint := range plan.Ejected {
 		if s.ejected[endpoint.Server] || endpoint.State != fleet.ServerGone {
 			t.Fatalf("%+v is ejected, ejected before: %v", endpoint, s.ejected[endpoint.Server])
 		}
 		s.ejected[endpoint.Server] = true
 	}
-	for _, endpoint := range plan.In {
+	for _, endpoint := range plan.Readmitted {
 		if !s.ejected[endpoint.Server] || endpoint.State != fleet.ServerReady {
 			t.Fatalf("%+v is readmitted, ejected before: %v", endpoint, s.ejected[endpoint.Server])
 		}
@@ -107,7 +108,7 @@
 func (s *simulation) weigh(t fataler, plan Plan) {
 	t.Helper()
 	const tolerance = 1e-9
-	for _, part := range plan.Parts {
+	for _, part := range plan.WeightFractions {
 		before := s.factors[part.Server]
 		tooSteep := before > 0 && part.Fraction > rampFactor*before+tolerance && !s.ejected[part.Server]
 		if part.Fraction <= 0 || part.Fraction > 1 || tooSteep {
@@ -132,9 +133,9 @@
 		switch {
 		case s.ejected[server]:
 		case up:
-			s.verifier.Met(s.now, server, requestsPerStep, 0)
+			s.verifier.RequestsFinished(s.now, server, requestsPerStep, 0)
 		default:
-			s.verifier.Met(s.now, server, 0, requestsPerStep)
+			s.verifier.RequestsFinished(s.now, server, 0, requestsPerStep)
 		}
 	}
 }
@@ -149,7 +150,7 @@
 		list.Endpoints = append(list.Endpoints, fleet.Endpoint{Server: server})
 		s.ejected[server] = false
 	}
-	s.verifier.Live(s.now, list)
+	s.verifier.ListReceived(s.now, list)
 }
 
 // run steps for the given time, calling each after each plan.
--- a/internal/discovery/verification/verifier.go
+++ b/internal/discovery/verification/verifier.go
@@ -155,8 +155,8 @@
 // Active reports whether servers are under verification.
 func (v *Verifier) Active() bool { return len(v.candidates) > 0 }
 
-// Refuted returns the number of ejected servers.
-func (v *Verifier) Refuted() (count int) {
+// EjectedCount returns the number of ejected servers.
+func (v *Verifier) EjectedCount() (count int) {
 	for _, c := range v.candidates {
 		if c.ejected {
 			count++
@@ -165,8 +165,9 @@
 	return count
 }
 
-// Live takes in a list of the source itself. The servers that a complete list names are confirmed; the others are gone.
-func (v *Verifier) Live(now fleet.Time, list fleet.EndpointList) {
+// ListReceived takes in a list of the source itself. The servers that a complete list names are confirmed; the others
+// are gone.
+func (v *Verifier) ListReceived(now fleet.Time, list fleet.EndpointList) {
 	states := make(map[fleet.ServerID]fleet.ServerState, len(list.Endpoints))
 	for _, endpoint := range list.Endpoints {
 		states[endpoint.Server] = endpoint.State
--- a/internal/discovery/verification/verifier_test.go
+++ b/internal/discovery/verification/verifier_test.go
@@ -116,19 +116,24 @@
 		{Endpoint: fleet.Endpoint{Server: 4}, Addr: "z"},
 		{Endpoint: fleet.Endpoint{Server: 5}, Addr: "w"},
 	})
-	answers := map[fleet.ServerID]Evidence{2: Itself, 3: Another, 4: Someone, 5: Itself}
+	answers := map[fleet.ServerID]Evidence{
+		2: EvidenceConfirmed,
+		3: EvidenceOtherServer,
+		4: EvidenceConnection,
+		5: EvidenceConfirmed,
+	}
 	ejected := map[fleet.ServerID]bool{}
 	for now := fleet.Time(0); now < 5*second; now += stepDuration {
-		plan := v.Next(now)
-		for _, endpoint := range plan.Out {
+		plan := v.NextPlan(now)
+		for _, endpoint := range plan.Ejected {
 			ejected[endpoint.Server] = true
 		}
-		for _, server := range plan.Ask {
-			v.Asked(now, server, answers[server])
+		for _, server := range plan.Probes {
+			v.ProbeFinished(now, server, answers[server])
 		}
 		if now > 2*second {
-			v.Met(now, 4, 0, 3)
-			v.Met(now, 5, 1, 0)
+			v.RequestsFinished(now, 4, 0, 3)
+			v.RequestsFinished(now, 5, 1, 0)
 		}
 	}
 	if len(ejected) != 3 || !ejected[1] || !ejected[3] || !ejected[4] {
@@ -143,8 +148,9 @@
 		{Endpoint: fleet.Endpoint{Server: 2}, Addr: "x"},
 		{Endpoint: fleet.Endpoint{Server: 3}, Addr: "y"},
 	})
-	plan := v.Next(0)
-	if len(plan.Out) != 0 || len(plan.Parts) != 2 || plan.Parts[0].Fraction != 0.5 || plan.Parts[1].Fraction != 0.5 {
+	plan := v.NextPlan(0)
+	fractions := plan.WeightFractions
+	if len(plan.Ejected) != 0 || len(fractions) != 2 || fractions[0].Fraction != 0.5 || fractions[1].Fraction != 0.5 {
 		t.Errorf("%+v", plan)
 	}
 }
@@ -178,15 +184,15 @@
 				endpoints[i].Unverified = true
 			}
 			v.Begin(0, test.age, endpoints)
-			v.Next(sourceGracePeriod) // all are probed
+			v.NextPlan(sourceGracePeriod) // all are probed
 			for i := range test.proven {
-				v.Asked(sourceGracePeriod, fleet.ServerID(i), Itself)
+				v.ProbeFinished(sourceGracePeriod, fleet.ServerID(i), EvidenceConfirmed)
 			}
 			for i := range test.reachable {
-				v.Asked(sourceGracePeriod, fleet.ServerID(test.proven+i), Someone)
+				v.ProbeFinished(sourceGracePeriod, fleet.ServerID(test.proven+i), EvidenceConnection)
 			}
 			for at := sourceGracePeriod; at < 20*second; at += second {
-				v.Next(at)
+				v.NextPlan(at)
 			}
 			views := v.Views()
 			expectFactor(t, views[0], test.want.proven)
@@ -199,8 +205,8 @@
 func expectFactor(t *testing.T, view View, want float64) {
 	t.Helper()
 	const tolerance = 0.12
-	if want > 0 && math.Abs(view.Part-want) > tolerance*want {
-		t.Errorf("server %d has the factor %.3f, want %.3f", view.Server, view.Part, want)
+	if want > 0 && math.Abs(view.WeightFraction-want) > tolerance*want {
+		t.Errorf("server %d has the factor %.3f, want %.3f", view.Server, view.WeightFraction, want)
 	}
 }
 
@@ -208,7 +214,7 @@
 	s := newSimulation(fleet.Site{}, day, true, make([]bool, 300)...)
 	s.up[0] = true
 	s.now += sourceGracePeriod
-	if n := len(s.verifier.Next(s.now).Ask); n != maxProbesInFlight {
+	if n := len(s.verifier.NextPlan(s.now).Probes); n != maxProbesInFlight {
 		t.Errorf("%d probes at once", n)
 	}
 }
@@ -219,7 +225,7 @@
 	probes := 0
 	for range 1200 {
 		plan := s.step(t, true)
-		for _, server := range plan.Ask {
+		for _, server := range plan.Probes {
 			if server == 1 {
 				probes++
 			}
@@ -244,20 +250,20 @@
 func TestProvenServerIsProbedWhenItsRequestsFail(t *testing.T) {
 	v := NewVerifier(fleet.Site{}, true)
 	v.Begin(0, day, namedEndpoints(2))
-	v.Next(sourceGracePeriod)
-	v.Asked(sourceGracePeriod, 1, Itself)
-	v.Met(sourceGracePeriod, 0, 5, 0) // while it is probed
+	v.NextPlan(sourceGracePeriod)
+	v.ProbeFinished(sourceGracePeriod, 1, EvidenceConfirmed)
+	v.RequestsFinished(sourceGracePeriod, 0, 5, 0) // while it is probed
 	for at := sourceGracePeriod; at < 4*second; at += stepDuration {
-		v.Asked(at, 0, Nobody)
-		if plan := v.Next(at); len(plan.Out)+len(plan.Ask) > 0 {
+		v.ProbeFinished(at, 0, EvidenceNone)
+		if plan := v.NextPlan(at); len(plan.Ejected)+len(plan.Probes) > 0 {
 			t.Fatalf("it handles requests: %+v", plan)
 		}
 	}
 	probes := 0
 	for at := 4 * second; at < 8*second; at += stepDuration {
-		plan := failingStep(v, at, Someone)
-		probes += len(plan.Ask)
-		if len(plan.Out) > 0 || v.Views()[0].Sight != VerdictProven {
+		plan := failingStep(v, at, EvidenceConnection)
+		probes += len(plan.Probes)
+		if len(plan.Ejected) > 0 || v.Views()[0].Verdict != VerdictProven {
 			t.Fatalf("it is there, with a fault: %+v %+v", plan, v.Views())
 		}
 	}
@@ -265,20 +271,20 @@
 		t.Errorf("%d probes while its requests fail", probes)
 	}
 	for at := 8 * second; at < 12*second; at += stepDuration {
-		failingStep(v, at, Nobody)
+		failingStep(v, at, EvidenceNone)
 	}
-	if view := v.Views()[0]; view.Sight != VerdictRefuted || !view.Out {
+	if view := v.Views()[0]; view.Verdict != VerdictRefuted || !view.Ejected {
 		t.Errorf("it handled requests and is gone: %+v", view)
 	}
 }
 
 // failingStep lets requests to server 0 fail and to server 1 succeed, and answers a probe.
 func failingStep(v *Verifier, at fleet.Time, answer Evidence) Plan {
-	v.Met(at, 0, 0, requestsPerStep)
-	v.Met(at, 1, requestsPerStep, 0)
-	plan := v.Next(at)
-	if len(plan.Ask) > 0 {
-		v.Asked(at, 0, answer)
+	v.RequestsFinished(at, 0, 0, requestsPerStep)
+	v.RequestsFinished(at, 1, requestsPerStep, 0)
+	plan := v.NextPlan(at)
+	if len(plan.Probes) > 0 {
+		v.ProbeFinished(at, 0, answer)
 	}
 	return plan
 }
--- a/internal/ingest/clock_test.go
+++ b/internal/ingest/clock_test.go
@@ -27,7 +27,7 @@
 
 // push pushes a load that was taken at another time.
 func (r *clockRun) push(now, taken fleet.Time) {
-	r.pipeline.Pushed(now, Record{
+	r.pipeline.AddRecord(now, Record{
 		Server: 1, Stated: taken + clockOffset, Arrived: now, HasLoad: true, Load: [4]float32{0.5}})
 }
 
@@ -35,8 +35,8 @@
 func (r *clockRun) reportedLoads(t *testing.T, now fleet.Time) (count int) {
 	t.Helper()
 	r.proxy.attempt(1, 5, 0)
-	r.pipeline.Polled(now, 1, r.proxy.reading(now))
-	events, _ := r.pipeline.Tell(now)
+	r.pipeline.AddReading(now, 1, r.proxy.reading(now))
+	events, _ := r.pipeline.Reports(now)
 	for _, event := range events {
 		switch event := event.(type) {
 		case fleet.ProbeResult:
@@ -82,13 +82,13 @@
 			t.Errorf("a load %d s old has the age %.1f s, reported %v", seconds, age.Seconds(), reported)
 		}
 	}
-	notices := fmt.Sprint(r.pipeline.Look(now + 61*second))
+	notices := fmt.Sprint(r.pipeline.Examine(now + 61*second))
 	if !strings.Contains(notices, "its clock is off by 90.0 s") {
 		t.Errorf("notices: %s", notices)
 	}
 	for i := range 9 { // set right: behind where it was
 		at := now + 62*second + fleet.Time(i)*second
-		r.pipeline.Pushed(at, Record{
+		r.pipeline.AddRecord(at, Record{
 			Server: 1, Stated: at + clockOffset - 85*second, Arrived: at, Attempts: uint64(i + 1), HasLoad: true})
 	}
 	if age := r.age(1, now+70*second); age > second {
@@ -102,7 +102,7 @@
 	const start = 100 * second
 	for i, late := range []fleet.Time{10 * second, 0, 0, 10 * second} {
 		at := start + fleet.Time(i)*20*second
-		p.Pushed(at, Record{Server: 2, Stated: at - late, Arrived: at})
+		p.AddRecord(at, Record{Server: 2, Stated: at - late, Arrived: at})
 		if age := p.source(2).age(at); i > 0 && age != late {
 			t.Errorf("a record with a delay of %.0f s has the age %.1f s", late.Seconds(), age.Seconds())
 		}
--- a/internal/ingest/collector/server_test.go
+++ b/internal/ingest/collector/server_test.go
@@ -35,8 +35,8 @@
 	return s, reports
 }
 
-// awaitPoller waits until the server's event loop has answered a connection that is gone again. The library loses a stop
-// that comes before its event loop has begun, so that Close would wait without end.
+// awaitPoller waits until the server's event loop has answered a connection that is gone again. The library loses a
+// stop that comes before its event loop has begun, so that Close would wait without end.
 func awaitPoller(t *testing.T, s *Server) {
 	t.Helper()
 	client := dial(t, s, "ping\r\n")
--- a/internal/ingest/conservation_test.go
+++ b/internal/ingest/conservation_test.go
@@ -70,7 +70,7 @@
 	default:
 		r.tell(t)
 	}
-	r.pipeline.Look(r.now)
+	r.pipeline.Examine(r.now)
 }
 
 func (r *conservationRun) poll(i int) {
@@ -81,7 +81,7 @@
 	proxy.hasBase = true
 	proxy.base = proxy.attempts
 	reading := proxy.reading(r.now)
-	r.pipeline.Polled(r.now, fleet.ProxyID(i), reading)
+	r.pipeline.AddReading(r.now, fleet.ProxyID(i), reading)
 	reading.Release()
 }
 
@@ -97,7 +97,7 @@
 
 // tell checks the reports that are due, and the totals.
 func (r *conservationRun) tell(t *rapid.T) {
-	events, _ := r.pipeline.Tell(r.now)
+	events, _ := r.pipeline.Reports(r.now)
 	for _, event := range events {
 		r.reports++
 		switch event := event.(type) {
@@ -115,8 +115,8 @@
 		t.Fatalf("%d reports, want at most %d", r.reports, limit)
 	}
 	totals := r.pipeline.Totals()
-	if totals.Counted != r.counted || totals.Told != r.passedOn ||
-		totals.Counted != totals.Told+totals.Waiting+totals.Aged+totals.Unheard {
+	if totals.Counted != r.counted || totals.Reported != r.passedOn ||
+		totals.Counted != totals.Reported+totals.Pending+totals.Aged+totals.Gone {
 		t.Fatalf("%+v, but proxies counted %d and %d were reported", totals, r.counted, r.passedOn)
 	}
 }
@@ -145,7 +145,7 @@
 			run.now += second
 			run.tell(t)
 		}
-		if pending, _ := run.pipeline.Waiting(run.now); pending != 0 || run.pipeline.totals.Waiting != 0 {
+		if pending, _ := run.pipeline.Waiting(run.now); pending != 0 || run.pipeline.totals.Pending != 0 {
 			t.Fatalf("%d reports remain pending: %+v", pending, run.pipeline.totals)
 		}
 	})
--- a/internal/ingest/fakes_test.go
+++ b/internal/ingest/fakes_test.go
@@ -71,7 +71,7 @@
 
 // outcomeReports returns the outcome reports that are due.
 func outcomeReports(p *Pipeline, now fleet.Time) (reports []fleet.OutcomeReport) {
-	events, _ := p.Tell(now)
+	events, _ := p.Reports(now)
 	for _, event := range events {
 		if report, ok := event.(fleet.OutcomeReport); ok {
 			reports = append(reports, report)
@@ -95,5 +95,5 @@
 func push(t *testing.T, p *Pipeline, record Record) {
 	t.Helper()
 	record.Arrived = max(record.Arrived, p.now)
-	p.Pushed(record.Arrived, record)
+	p.AddRecord(record.Arrived, record)
 }
--- a/internal/ingest/health.go
+++ b/internal/ingest/health.go
@@ -42,7 +42,7 @@
 
 // The verdicts.
 const (
-	Well              HealthVerdict = iota
+	Healthy           HealthVerdict = iota
 	ReportsMissing                  // its reports stopped, proxies get answers: its reporter failed
 	Down                            // its reports stopped, and no proxy gets an answer
 	Unknown                         // its reports stopped, and no proxy sends requests
@@ -124,8 +124,8 @@
 	Text     string
 }
 
-// Look examines the sources, twice a second, and returns what has changed.
-func (p *Pipeline) Look(now fleet.Time) []Notice {
+// Examine examines the sources, twice a second, and returns what has changed.
+func (p *Pipeline) Examine(now fleet.Time) []Notice {
 	p.advance(now)
 	if now >= p.examinedAt+examinationInterval {
 		p.examinedAt = now
@@ -198,12 +198,12 @@
 	h.since = now
 	before := h.notified
 	ownFault := p.reportsCutOff && (verdict == ReportsMissing || verdict == Unknown)
-	h.notified = verdict != Well && !ownFault
+	h.notified = verdict != Healthy && !ownFault
 	if h.notified || before {
 		p.notices = append(p.notices, Notice{
 			Server:  server,
 			Verdict: verdict,
-			Good:    verdict == Well,
+			Good:    verdict == Healthy,
 			Text:    verdict.describe(&outcomes, now-s.lastArrival),
 		})
 	}
@@ -230,7 +230,7 @@
 		return outcomes.verdictOnSilence()
 	}
 	if !s.hasReported() {
-		return Well
+		return Healthy
 	}
 	if outcomes.onlyFailures() {
 		return Unreachable
@@ -239,7 +239,7 @@
 	if !polled && p.site.Controllers < 2 && s.servesUnpolledTraffic() {
 		return UnpolledTraffic
 	}
-	return Well
+	return Healthy
 }
 
 // zoneWithoutAnswers reports whether the proxies of some zone, but not of all, get no answers.
--- a/internal/ingest/health_test.go
+++ b/internal/ingest/health_test.go
@@ -51,7 +51,7 @@
 	}
 	for i, proxy := range r.proxies {
 		if now%second == fleet.Time(i)*second/4 {
-			r.pipeline.Polled(now, fleet.ProxyID(i), proxy.reading(now))
+			r.pipeline.AddReading(now, fleet.ProxyID(i), proxy.reading(now))
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	if !does.good && !does.elsewhere {
 		served = 500
 	}
-	r.pipeline.Pushed(now, Record{Server: server, Stated: now, Arrived: now, Attempts: served})
+	r.pipeline.AddRecord(now, Record{Server: server, Stated: now, Arrived: now, Attempts: served})
 }
 
 func TestHealthVerdicts(t *testing.T) {
@@ -89,15 +89,15 @@
 		fault behaviour
 		want  HealthVerdict
 	}{
-		"all is well":                      {behaviour{reports: true, good: true}, Well},
+		"all is well":                      {behaviour{reports: true, good: true}, Healthy},
 		"its reporter failed":              {behaviour{good: true}, ReportsMissing},
 		"it is down":                       {behaviour{failed: true}, Down},
 		"silent and unused":                {behaviour{}, Unknown},
 		"proxies can't reach it":           {behaviour{reports: true, failed: true}, Unreachable},
 		"one zone gets no answers":         {behaviour{reports: true, good: true, zoneFails: true}, PartlyUnreachable},
 		"requests of nobody who is polled": {behaviour{reports: true, elsewhere: true}, UnpolledTraffic},
-		"idle":                             {behaviour{reports: true}, Well},
-		"one report is late":               {behaviour{reports: true, good: true, lateReport: true}, Well},
+		"idle":                             {behaviour{reports: true}, Healthy},
+		"one report is late":               {behaviour{reports: true, good: true, lateReport: true}, Healthy},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const end = 30 * second
@@ -106,7 +106,7 @@
 			notices := 0
 			for now := second; now < end; now += second / 4 {
 				run.step(now)
-				for _, notice := range run.pipeline.Look(now) {
+				for _, notice := range run.pipeline.Examine(now) {
 					if notice.OfProxy || notice.OfAll || notice.Server != faultyServer || notice.Good {
 						t.Errorf("at %.1f: %+v", now.Seconds(), notice)
 						continue
@@ -120,7 +120,7 @@
 			if got := run.pipeline.Views(end)[faultyServer].Verdict; got != test.want {
 				t.Errorf("verdict %s, want %s", got, test.want)
 			}
-			if test.want != Well && (noticedAt == 0 || noticedAt > faultAt+5*second) {
+			if test.want != Healthy && (noticedAt == 0 || noticedAt > faultAt+5*second) {
 				t.Errorf("noticed after %.1f s", (noticedAt - faultAt).Seconds())
 			}
 			if notices > 2 {
@@ -143,16 +143,16 @@
 		for server := range fleet.ServerID(testServers) {
 			proxy.attempt(server, 5, 0)
 			if now < 10*second || now > 20*second {
-				p.Pushed(now, Record{Server: server, Stated: now, Arrived: now, Attempts: uint64(now)})
+				p.AddRecord(now, Record{Server: server, Stated: now, Arrived: now, Attempts: uint64(now)})
 			}
 		}
 		polls, _ := p.Polls(now)
 		for _, id := range polls {
 			if id == 0 || now < 25*second {
-				p.Polled(now, id, proxy.reading(now))
+				p.AddReading(now, id, proxy.reading(now))
 			}
 		}
-		for _, notice := range p.Look(now) {
+		for _, notice := range p.Examine(now) {
 			texts = append(texts, notice.Text)
 		}
 	}
--- a/internal/ingest/pipeline.go
+++ b/internal/ingest/pipeline.go
@@ -27,11 +27,11 @@
 
 // Totals count where the attempts of the proxies' counters went. Counted is the sum of the others.
 type Totals struct {
-	Counted uint64 // differences between counters
-	Told    uint64 // reported to the balancer
-	Waiting uint64 // in pending reports
-	Aged    uint64 // too old when they came
-	Unheard uint64 // of servers that were gone by then
+	Counted  uint64 // differences between counters
+	Reported uint64 // reported to the balancer
+	Pending  uint64 // in pending reports
+	Aged     uint64 // too old when they came
+	Gone     uint64 // of servers that were gone by then
 }
 
 // Pipeline holds the state of all reports of one controller. It is not safe for concurrent use. Times must not
@@ -84,8 +84,8 @@
 // PushedLoads makes the load that servers push take precedence over the load that their answers report.
 func (p *Pipeline) PushedLoads() { p.usePushedLoad = true }
 
-// Keep sets a function that receives what each reading of counters adds, for time series.
-func (p *Pipeline) Keep(observer func(CounterDelta)) { p.observer = observer }
+// Observe sets a function that receives what each reading of counters adds, for time series.
+func (p *Pipeline) Observe(observer func(CounterDelta)) { p.observer = observer }
 
 // advance notes the current time.
 func (p *Pipeline) advance(now fleet.Time) { p.now = max(p.now, now) }
@@ -96,11 +96,11 @@
 // Totals returns where the counted attempts went.
 func (p *Pipeline) Totals() Totals { return p.totals }
 
-// Distrusted returns until when the reports of a server don't count; 0: they count.
-func (p *Pipeline) Distrusted(id fleet.ServerID) fleet.Time { return p.source(id).distrustedUntil }
+// UntrustedUntil returns until when the reports of a server don't count; 0: they count.
+func (p *Pipeline) UntrustedUntil(id fleet.ServerID) fleet.Time { return p.source(id).distrustedUntil }
 
-// Trusts returns the latest violations, oldest first, and how many records were repeated, violated a rule, or came
+// Violations returns the latest violations, oldest first, and how many records were repeated, violated a rule, or came
 // from a source that was not trusted.
-func (p *Pipeline) Trusts() (violations []Violation, repeated, odd, unbelieved uint64) {
+func (p *Pipeline) Violations() (violations []Violation, repeated, odd, unbelieved uint64) {
 	return p.validator.violations, p.validator.repeated, p.validator.invalid, p.validator.untrusted
 }
--- a/internal/ingest/polls_test.go
+++ b/internal/ingest/polls_test.go
@@ -45,7 +45,7 @@
 	for server := range rows {
 		reading.Row(fleet.ServerID(server)).Attempts = uint64(now / second)
 	}
-	p.Polled(now, id, reading)
+	p.AddReading(now, id, reading)
 	reading.Release()
 }
 
@@ -88,7 +88,7 @@
 	var polledAt []fleet.Time
 	for now := fleet.Time(0); now < 30*second; now += 10 * millisecond {
 		if n := len(polledAt); n > 0 && now == polledAt[n-1]+1300*millisecond {
-			p.Polled(now, 1, newFakeProxy().reading(now))
+			p.AddReading(now, 1, newFakeProxy().reading(now))
 		}
 		if polls, _ := p.Polls(now); len(polls) > 0 {
 			polledAt = append(polledAt, now)
--- a/internal/ingest/push/decode.go
+++ b/internal/ingest/push/decode.go
@@ -36,8 +36,8 @@
 
 var errStarted = errors.New("field started is a time in nanoseconds since 1970, as 1733071000000000000i")
 
-// Words holds the names that lines may use.
-type Words struct {
+// Vocabulary holds the names that lines may use.
+type Vocabulary struct {
 	Loads  []string                                 // the fields of the load figures, in order
 	Lookup func(name []byte) (fleet.ServerID, bool) // returns the number of a known server
 }
@@ -66,7 +66,7 @@
 // Sums are whole numbers since the start of the process; started is that start in nanoseconds; load figures have
 // the names of the settings; unknown fields are skipped. A line without a time counts as of now.
 func Decode(
-	records []ingest.Record, body []byte, words *Words, unit lineprotocol.Precision, now fleet.Time,
+	records []ingest.Record, body []byte, words *Vocabulary, unit lineprotocol.Precision, now fleet.Time,
 ) ([]ingest.Record, Ignored, error) {
 	var ignored Ignored
 	before := records
@@ -113,7 +113,7 @@
 // lineDecoder reads one line after another into its record.
 type lineDecoder struct {
 	*lineprotocol.Decoder
-	words  *Words
+	words  *Vocabulary
 	unit   lineprotocol.Precision
 	record ingest.Record
 }
--- a/internal/ingest/push/decode_test.go
+++ b/internal/ingest/push/decode_test.go
@@ -16,7 +16,7 @@
 // testServers is the number of known servers, which are named "node-" and their number.
 const testServers = 1000
 
-var testWords = Words{
+var testWords = Vocabulary{
 	Loads: []string{"busy", "held"},
 	Lookup: func(name []byte) (fleet.ServerID, bool) {
 		var id fleet.ServerID
--- a/internal/ingest/push/server.go
+++ b/internal/ingest/push/server.go
@@ -54,17 +54,17 @@
 
 // Counts are the figures since the start, for operators.
 type Counts struct {
-	Batches uint64
-	Refused uint64 // batches
-	Unknown uint64 // lines of unknown servers
-	Ignored uint64 // lines of other measurements
-	Busy    uint64 // batches for which there was no capacity
+	Batches  uint64
+	Rejected uint64 // batches
+	Unknown  uint64 // lines of unknown servers
+	Ignored  uint64 // lines of other measurements
+	Busy     uint64 // batches for which there was no capacity
 }
 
 // Server receives reports over HTTP: POST /api/v2/write or /write, ?precision=ns|us|ms|s.
 type Server struct {
 	sink          Sink
-	words         Words
+	words         Vocabulary
 	http          *http.Server
 	bytesInFlight *semaphore.Weighted
 	addr          net.Addr
@@ -78,7 +78,7 @@
 }
 
 // Listen begins to receive reports at host:port.
-func Listen(addr string, sink Sink, words Words) (*Server, error) {
+func Listen(addr string, sink Sink, words Vocabulary) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("reports: %w", err)
@@ -120,11 +120,11 @@
 // Counts returns the figures since the start.
 func (s *Server) Counts() Counts {
 	return Counts{
-		Batches: s.batches.Load(),
-		Refused: s.rejected.Load(),
-		Unknown: s.unknown.Load(),
-		Ignored: s.ignored.Load(),
-		Busy:    s.busy.Load(),
+		Batches:  s.batches.Load(),
+		Rejected: s.rejected.Load(),
+		Unknown:  s.unknown.Load(),
+		Ignored:  s.ignored.Load(),
+		Busy:     s.busy.Load(),
 	}
 }
 
@@ -204,19 +204,19 @@
 
 func (s *Server) answer(w http.ResponseWriter, reply ingest.Reply) {
 	switch {
-	case reply.Distrust > 0:
+	case reply.UntrustedUntil > 0:
 		s.reject(w, rejection{
 			status:     http.StatusForbidden,
 			code:       "forbidden",
 			message:    reply.Text,
-			retryAfter: reply.Distrust - s.sink.Now(),
+			retryAfter: reply.UntrustedUntil - s.sink.Now(),
 		})
 	case reply.Text != "":
 		s.reject(w, rejection{
 			status:     http.StatusTooManyRequests,
 			code:       "too many requests",
 			message:    reply.Text,
-			retryAfter: reply.Wait,
+			retryAfter: reply.RetryAfter,
 		})
 	default:
 		w.WriteHeader(http.StatusNoContent)
--- a/internal/ingest/push/server_test.go
+++ b/internal/ingest/push/server_test.go
@@ -82,8 +82,8 @@
 	s := listen(t, sink)
 	compressed := gzipped(t, []byte(validLine))
 	bomb := gzipped(t, make([]byte, 8*maxBodySize))
-	overloaded := ingest.Reply{Text: "too many", Wait: fleet.Second / 4}
-	distrusted := ingest.Reply{Text: "not believed", Distrust: arrival + 30*fleet.Second}
+	overloaded := ingest.Reply{Text: "too many", RetryAfter: fleet.Second / 4}
+	distrusted := ingest.Reply{Text: "not believed", UntrustedUntil: arrival + 30*fleet.Second}
 	for _, test := range []struct {
 		path       string
 		body       string
@@ -116,7 +116,7 @@
 			t.Errorf("%s %.30q: retry after %q, want %q", test.path, test.body, got, test.retryAfter)
 		}
 	}
-	if counts := s.Counts(); counts.Batches != 10 || counts.Refused != 8 {
+	if counts := s.Counts(); counts.Batches != 10 || counts.Rejected != 8 {
 		t.Errorf("%+v", counts)
 	}
 }
--- a/internal/ingest/queue.go
+++ b/internal/ingest/queue.go
@@ -45,11 +45,11 @@
 
 // Reply is what the source of a batch is answered.
 type Reply struct {
-	Taken    int
-	Thinned  int        // dropped records
-	Wait     fleet.Time // before it sends again; 0: none
-	Distrust fleet.Time // until then its records don't count
-	Text     string
+	Accepted       int
+	Thinned        int        // dropped records
+	RetryAfter     fleet.Time // before it sends again; 0: none
+	UntrustedUntil fleet.Time // until then its records don't count
+	Text           string
 }
 
 // Put adds a batch of records.
@@ -64,9 +64,9 @@
 	}
 	q.thinned += uint64(reply.Thinned)
 	switch {
-	case reply.Distrust > 0:
+	case reply.UntrustedUntil > 0:
 		reply.Text = "not believed for now: its counters or clock made no sense"
-	case reply.Taken == 0 && reply.Thinned > 0:
+	case reply.Accepted == 0 && reply.Thinned > 0:
 		reply.Text = fmt.Sprintf("more than %d records a second of one source", sourceRate)
 	}
 	return reply
@@ -75,22 +75,22 @@
 func (q *Queue) put(now fleet.Time, record *Record, reply *Reply) {
 	source := q.source(record.Server)
 	if source.distrustedUntil > now {
-		reply.Distrust = max(reply.Distrust, source.distrustedUntil)
+		reply.UntrustedUntil = max(reply.UntrustedUntil, source.distrustedUntil)
 	}
 	source.bucket.refill(now, sourceRate, sourceBurst)
 	switch {
 	case source.bucket.tokens < 1:
 		reply.Thinned++
-		reply.Wait = max(reply.Wait, source.bucket.timeToToken(sourceRate))
+		reply.RetryAfter = max(reply.RetryAfter, source.bucket.timeToToken(sourceRate))
 		return
 	case q.bucket.tokens < 1:
 		reply.Thinned++
-		reply.Wait = max(reply.Wait, q.bucket.timeToToken(totalRate))
+		reply.RetryAfter = max(reply.RetryAfter, q.bucket.timeToToken(totalRate))
 		return
 	}
 	source.bucket.tokens--
 	q.bucket.tokens--
-	reply.Taken++
+	reply.Accepted++
 	if source.queued && record.olderThan(&source.record) {
 		return
 	}
--- a/internal/ingest/queue_test.go
+++ b/internal/ingest/queue_test.go
@@ -68,10 +68,10 @@
 	for now := second; now < 11*second; now += floodTick {
 		flood(q, rng, now, perTick)
 		pushHonest(q, now)
-		limit, _ := p.Room()
+		limit, _ := p.TurnLimits()
 		records = q.Take(limit, records[:0])
 		for _, record := range records {
-			p.Pushed(now, record)
+			p.AddRecord(now, record)
 			if record.Server >= honestServers {
 				continue
 			}
@@ -83,12 +83,12 @@
 		}
 		if now%second == 0 {
 			proxy.attempt(1, 20, 2)
-			p.Polled(now, 1, proxy.reading(now))
+			p.AddReading(now, 1, proxy.reading(now))
 		}
 		queued, _, _ := q.Waiting()
 		result.queued = max(result.queued, queued)
-		p.Tell(now)
-		p.Look(now)
+		p.Reports(now)
+		p.Examine(now)
 	}
 	result.totals = p.Totals()
 	return result
@@ -128,7 +128,7 @@
 	q := &Queue{}
 	for range 20 {
 		reply := q.Put(second, []Record{{Server: 1}})
-		if reply.Taken == 0 && (reply.Wait <= 0 || reply.Wait > second || reply.Text == "") {
+		if reply.Accepted == 0 && (reply.RetryAfter <= 0 || reply.RetryAfter > second || reply.Text == "") {
 			t.Errorf("%+v", reply)
 		}
 	}
@@ -153,9 +153,9 @@
 		q.Put(now, batch)
 		taken = q.Take(1000, taken[:0])
 		for _, record := range taken {
-			p.Pushed(now, record)
+			p.AddRecord(now, record)
 		}
-		p.Tell(now)
+		p.Reports(now)
 	}
 	for range 10 {
 		round()
--- a/internal/ingest/readings.go
+++ b/internal/ingest/readings.go
@@ -19,7 +19,7 @@
 // CounterDelta is the difference between two readings of a proxy's counters of one server.
 type CounterDelta struct {
 	At            fleet.Time // of the later reading
-	Span          fleet.Time
+	Interval      fleet.Time
 	Server        fleet.ServerID
 	Zone          fleet.ZoneID
 	Proxy         fleet.ProxyID
@@ -31,8 +31,8 @@
 	HasLoad       bool
 }
 
-// Polled takes in a reading of a proxy's counters. It does not retain it.
-func (p *Pipeline) Polled(now fleet.Time, id fleet.ProxyID, reading *counters.Reading) {
+// AddReading takes in a reading of a proxy's counters. It does not retain it.
+func (p *Pipeline) AddReading(now fleet.Time, id fleet.ProxyID, reading *counters.Reading) {
 	p.advance(now)
 	proxy := p.proxies[id]
 	if proxy == nil {
@@ -104,7 +104,7 @@
 		}
 		delta := CounterDelta{
 			At:            reading.At,
-			Span:          interval,
+			Interval:      interval,
 			Server:        row.Server,
 			Zone:          proxy.zone,
 			Proxy:         proxy.id,
@@ -130,7 +130,7 @@
 		}
 		p.schedule(report, reading.At-counted, reading.At)
 		report.addOutcome(&delta)
-		p.totals.Waiting += delta.Attempts
+		p.totals.Pending += delta.Attempts
 	}
 }
 
--- a/internal/ingest/readings_test.go
+++ b/internal/ingest/readings_test.go
@@ -16,7 +16,7 @@
 	for i, count := range []uint64{100, 40, 60, 1 << 62, 80, 90} {
 		proxy.servers[2] = counters.ServerCounters{Attempts: count, Failures: count}
 		at := fleet.Time(i+2) * second
-		p.Polled(at, 1, proxy.reading(at))
+		p.AddReading(at, 1, proxy.reading(at))
 	}
 	if p.Resets() != 3 || p.totals.Counted != 30 {
 		t.Errorf("%d resets, %d counted", p.Resets(), p.totals.Counted)
@@ -33,14 +33,14 @@
 	for range 10 {
 		now += second
 		proxy.attempt(1, 10, 0)
-		p.Polled(now, 1, proxy.reading(now))
-		p.Tell(now)
+		p.AddReading(now, 1, proxy.reading(now))
+		p.Reports(now)
 	}
 	p.Leave(1)
 	proxy.attempt(1, 600, 300)
 	now += 60 * second
 	p.Join(now, 1, 0, false)
-	p.Polled(now, 1, proxy.reading(now))
+	p.AddReading(now, 1, proxy.reading(now))
 	reports := outcomeReports(p, now)
 	if len(reports) == 0 {
 		t.Fatal("nothing was reported")
@@ -72,7 +72,7 @@
 			}
 		}
 		for _, id := range polls {
-			p.Polled(now, id, proxies[id].reading(now))
+			p.AddReading(now, id, proxies[id].reading(now))
 		}
 		for _, report := range outcomeReports(p, now) {
 			count++
@@ -96,7 +96,7 @@
 	covered := fleet.Time(0)
 	for now := second; now < 11*second; now += second / 10 {
 		proxy.attempt(1, 1, 0)
-		p.Polled(now, 1, proxy.reading(now))
+		p.AddReading(now, 1, proxy.reading(now))
 		for _, report := range outcomeReports(p, now) {
 			count++
 			covered += report.Interval
@@ -131,10 +131,10 @@
 					reading.Rows[i].Attempts = uint64(rounds)
 					reading.Rows[i].Successes = uint64(rounds)
 				}
-				p.Polled(now, fleet.ProxyID(rounds%proxies), reading)
+				p.AddReading(now, fleet.ProxyID(rounds%proxies), reading)
 				rounds++
 				if rounds%10 == 0 {
-					p.Tell(now)
+					p.Reports(now)
 				}
 			}
 			for range 2000 {
--- a/internal/ingest/reports.go
+++ b/internal/ingest/reports.go
@@ -150,10 +150,10 @@
 	report.until = max(report.until, until)
 }
 
-// Tell returns the reports for the balancer: those that are pending longest, as many as the site's report rate allows.
-// What stays adds up. Wake is when to call again, 0 if nothing is pending. So no report is pending for longer than all
-// pending ones take at that rate, whoever sends how much.
-func (p *Pipeline) Tell(now fleet.Time) (events []fleet.Event, wake fleet.Time) {
+// Reports returns the reports for the balancer: those that are pending longest, as many as the site's report rate
+// allows. What stays adds up. Wake is when to call again, 0 if nothing is pending. So no report is pending for longer
+// than all pending ones take at that rate, whoever sends how much.
+func (p *Pipeline) Reports(now fleet.Time) (events []fleet.Event, wake fleet.Time) {
 	p.advance(now)
 	rate := max(1, p.site.ReportsPerSecond)
 	p.reportTokens.refill(now, rate, reportBurst*rate)
@@ -199,13 +199,13 @@
 	coverage := p.coverageOf(report.zone)
 	covered := coverage.read - report.coverage
 	report.coverage = coverage.read
-	p.totals.Waiting -= report.attempts
+	p.totals.Pending -= report.attempts
 	source := p.source(report.server)
 	if source.gone {
-		p.totals.Unheard += report.attempts
+		p.totals.Gone += report.attempts
 		return nil
 	}
-	p.totals.Told += report.attempts
+	p.totals.Reported += report.attempts
 	outcome := fleet.OutcomeReport{
 		Server:   report.server,
 		Zone:     report.zone,
@@ -244,8 +244,8 @@
 	return len(p.due), oldest
 }
 
-// Heard returns the attempts and failures in the pending reports of a server.
-func (p *Pipeline) Heard(server fleet.ServerID) (attempts, failures uint64) {
+// PendingOutcomes returns the attempts and failures in the pending reports of a server.
+func (p *Pipeline) PendingOutcomes(server fleet.ServerID) (attempts, failures uint64) {
 	for _, byServer := range p.outcomes {
 		if report := byServer[uint32(server)]; report != nil {
 			attempts += report.attempts
--- a/internal/ingest/shedding.go
+++ b/internal/ingest/shedding.go
@@ -44,17 +44,17 @@
 	notices   []Notice
 }
 
-// Took takes in the duration of a turn.
-func (p *Pipeline) Took(now, duration fleet.Time) { p.shedder.turnEnded(now, duration) }
+// TurnEnded takes in the duration of a turn.
+func (p *Pipeline) TurnEnded(now, duration fleet.Time) { p.shedder.turnEnded(now, duration) }
 
-// Room returns how many pushed records and rows of counters the next turn may take.
-func (p *Pipeline) Room() (records, rows int) {
+// TurnLimits returns how many pushed records and rows of counters the next turn may take.
+func (p *Pipeline) TurnLimits() (records, rows int) {
 	share := sheddingLevels[p.shedder.level].pushed
 	return max(1, int(maxRecordsPerTurn*share)), maxRowsPerTurn
 }
 
-// Shed returns the level of shedding, the number of missed deadlines, and what the level means.
-func (p *Pipeline) Shed() (level int, misses uint64, text string) {
+// Shedding returns the level of shedding, the number of missed deadlines, and what the level means.
+func (p *Pipeline) Shedding() (level int, misses uint64, text string) {
 	return p.shedder.level, p.shedder.misses, sheddingLevels[p.shedder.level].text
 }
 
--- a/internal/ingest/shedding_test.go
+++ b/internal/ingest/shedding_test.go
@@ -17,8 +17,8 @@
 	var periods, raisedAt []fleet.Time
 	now := second
 	for ; now < 4*second; now += turnInterval {
-		p.Took(now, 80*millisecond)
-		records, rows := p.Room()
+		p.TurnEnded(now, 80*millisecond)
+		records, rows := p.TurnLimits()
 		if n := len(limits); n == 0 || limits[n-1] != records {
 			limits = append(limits, records)
 			periods = append(periods, p.pollPeriod())
@@ -38,10 +38,10 @@
 		t.Errorf("raised at %v", raisedAt)
 	}
 	for ; now < 30*second; now += turnInterval {
-		p.Took(now, millisecond)
+		p.TurnEnded(now, millisecond)
 	}
-	level, misses, _ := p.Shed()
-	notices := p.Look(now)
+	level, misses, _ := p.Shedding()
+	notices := p.Examine(now)
 	if level != 0 || misses != 30 || len(notices) != 6 ||
 		!strings.Contains(notices[0].Text, "turns took up to 80 ms") {
 		t.Errorf("level %d, %d misses, %+v", level, misses, notices)
--- a/internal/ingest/source.go
+++ b/internal/ingest/source.go
@@ -53,8 +53,8 @@
 	s.gone = gone
 }
 
-// Pushed takes in a record of a server. Its sums are not passed on, as proxies count the same attempts.
-func (p *Pipeline) Pushed(now fleet.Time, record Record) {
+// AddRecord takes in a record of a server. Its sums are not passed on, as proxies count the same attempts.
+func (p *Pipeline) AddRecord(now fleet.Time, record Record) {
 	p.advance(now)
 	s := p.source(record.Server)
 	if p.validator.check(now, s, &record) != recordAccepted {
--- a/internal/ingest/timeseries/store.go
+++ b/internal/ingest/timeseries/store.go
@@ -146,8 +146,8 @@
 	return batch.Commit(pebble.NoSync)
 }
 
-// Lost returns the number of rows that could not be written.
-func (s *Store) Lost() uint64 { return s.unwritten.Load() }
+// UnwrittenRows returns the number of rows that could not be written.
+func (s *Store) UnwrittenRows() uint64 { return s.unwritten.Load() }
 
 // Size returns the bytes on disk or in memory.
 func (s *Store) Size() uint64 {
--- a/internal/ingest/timeseries/store_test.go
+++ b/internal/ingest/timeseries/store_test.go
@@ -82,8 +82,8 @@
 		t.Fatal(err)
 	}
 	check(t, s, 1)
-	if s.Lost() != 0 {
-		t.Errorf("%d rows lost", s.Lost())
+	if s.UnwrittenRows() != 0 {
+		t.Errorf("%d rows lost", s.UnwrittenRows())
 	}
 }
 
--- a/internal/ingest/validator_test.go
+++ b/internal/ingest/validator_test.go
@@ -31,7 +31,7 @@
 	if s.served != 435 || p.validator.invalid != 1 {
 		t.Errorf("%d served, %d invalid", s.served, p.validator.invalid)
 	}
-	if text := noticeTexts(p.Look(100 * second)); !strings.Contains(text, "1 its counter tries fell from 30 to 10") {
+	if text := noticeTexts(p.Examine(100 * second)); !strings.Contains(text, "1 its counter tries fell from 30 to 10") {
 		t.Errorf("notices:\n%s", text)
 	}
 }
@@ -63,7 +63,7 @@
 			t.Errorf("%+v was accepted", record)
 		}
 	}
-	text := noticeTexts(p.Look(100 * second))
+	text := noticeTexts(p.Examine(100 * second))
 	for _, want := range []string{"2 it tells a load of NaN", "4 it counts more failed (2)"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("notices lack %q:\n%s", want, text)
@@ -83,7 +83,7 @@
 		push(t, p, Record{Server: 20, Arrived: fleet.Time(20+i) * second, Failures: 9})
 	}
 	push(t, p, Record{Server: 20, Arrived: 24 * second, Attempts: 5})
-	until := p.Distrusted(20)
+	until := p.UntrustedUntil(20)
 	s := p.source(20)
 	if until != 22*second+minDistrustPeriod || s.lastArrival != 19*second {
 		t.Errorf("untrusted until %d, last arrival %d", until, s.lastArrival)
@@ -93,7 +93,7 @@
 	if s.served != 7 {
 		t.Errorf("%d served", s.served)
 	}
-	if text := noticeTexts(p.Look(100 * second)); !strings.Contains(text, "not believed for 30 s") {
+	if text := noticeTexts(p.Examine(100 * second)); !strings.Contains(text, "not believed for 30 s") {
 		t.Errorf("notices:\n%s", text)
 	}
 }
@@ -105,16 +105,16 @@
 	for server := range fleet.ServerID(4) {
 		push(t, p, Record{Server: server, Arrived: 23 * second, Failures: 9})
 	}
-	if before := len(p.Look(100 * second)); before != 4 {
+	if before := len(p.Examine(100 * second)); before != 4 {
 		t.Errorf("%d notices", before)
 	}
 	for i := range fleet.ServerID(20) {
 		push(t, p, Record{Server: 30 + i, Arrived: 101 * second, Failures: 9})
 	}
-	if count := len(p.Look(102 * second)); count >= maxViolationNotices {
+	if count := len(p.Examine(102 * second)); count >= maxViolationNotices {
 		t.Errorf("%d notices", count)
 	}
-	if later := fmt.Sprint(p.Look(200 * second)); !strings.Contains(later, "more oddities of sources") {
+	if later := fmt.Sprint(p.Examine(200 * second)); !strings.Contains(later, "more oddities of sources") {
 		t.Errorf("later: %s", later)
 	}
 }
--- a/internal/ingest/view.go
+++ b/internal/ingest/view.go
@@ -4,20 +4,20 @@
 
 // View is what operators see of a server as a source.
 type View struct {
-	Server   fleet.ServerID
-	Verdict  HealthVerdict
-	Since    fleet.Time
-	Reports  bool       // it has reported
-	Age      fleet.Time // of its newest report
-	Met      fleet.Time // since polls last showed attempts; 0: never
-	Tries    uint64     // attempts that proxies counted in the last seconds
-	Failed   uint64     // failures, the same
-	Served   uint64     // attempts by its own count
-	Erred    uint64     // failures by its own count
-	Load     [4]float32
-	HasLoad  bool
-	Distrust fleet.Time // until when its reports don't count; 0: they count
-	Skew     fleet.Time // by which its clock is behind
+	Server      fleet.ServerID
+	Verdict     HealthVerdict
+	Since       fleet.Time
+	Reports     bool       // it has reported
+	Age         fleet.Time // of its newest report
+	PolledAge   fleet.Time // since polls last showed attempts; 0: never
+	Attempts    uint64     // attempts that proxies counted in the last seconds
+	Failed      uint64     // failures, the same
+	Served      uint64     // attempts by its own count
+	OwnFailures uint64     // failures by its own count
+	Load        [4]float32
+	HasLoad     bool
+	Distrust    fleet.Time // until when its reports don't count; 0: they count
+	ClockOffset fleet.Time // by which its clock is behind
 }
 
 // Verdict returns the health verdict on a server.
@@ -38,23 +38,23 @@
 	s := p.source(server)
 	outcomes := s.recentOutcomes()
 	view := View{
-		Server:  server,
-		Verdict: s.health.verdict,
-		Since:   s.health.since,
-		Reports: s.hasReported(),
-		Tries:   outcomes.attempts,
-		Failed:  outcomes.failures,
-		Served:  s.served,
-		Erred:   s.erred,
-		Load:    s.last.Load,
-		HasLoad: s.last.HasLoad,
-		Skew:    s.clock.offset,
+		Server:      server,
+		Verdict:     s.health.verdict,
+		Since:       s.health.since,
+		Reports:     s.hasReported(),
+		Attempts:    outcomes.attempts,
+		Failed:      outcomes.failures,
+		Served:      s.served,
+		OwnFailures: s.erred,
+		Load:        s.last.Load,
+		HasLoad:     s.last.HasLoad,
+		ClockOffset: s.clock.offset,
 	}
 	if s.hasReported() {
 		view.Age = s.age(now)
 	}
 	if s.polledAt > 0 {
-		view.Met = max(1, now-s.polledAt)
+		view.PolledAge = max(1, now-s.polledAt)
 	}
 	if s.distrustedUntil > now {
 		view.Distrust = s.distrustedUntil
--- a/internal/server/controller_sockets.go
+++ b/internal/server/controller_sockets.go
@@ -149,7 +149,7 @@
 	if addr == "" {
 		return nil
 	}
-	vocabulary := push.Words{Loads: p.settings.Reports.LoadFields, Lookup: p.names.ServerBytes}
+	vocabulary := push.Vocabulary{Loads: p.settings.Reports.LoadFields, Lookup: p.names.ServerBytes}
 	server, err := push.Listen(addr, p.currentLoop(), vocabulary)
 	if err != nil {
 		return err
