--- a/internal/controller/version_convergence_test.go
+++ b/internal/controller/version_convergence_test.go
@@ -101,7 +101,7 @@
 				t.Errorf("more than the difference was sent: %q", log)
 			}
 			if notices := sim.reconciler.Notices(); len(notices) == 0 ||
-				!strings.Contains(notices[0].Text, "lines are not what it was sent") {
+				!strings.Contains(notices[0].Text, "entries differ from what was sent") {
 				t.Errorf("not noticed: %+v", notices)
 			}
 		})
@@ -125,7 +125,7 @@
 	sim.proxies[1].Execute("set", "server", backend+"/n2", "weight", "7")
 	sim.waitUntil("connected again", func() bool { return sim.joins[0] == 2 && sim.joins[1] == 2 })
 	notices := sim.reconciler.Notices()
-	if len(notices) != 1 || notices[0].Proxy != 1 || !strings.Contains(notices[0].Text, "it says that it holds version") {
+	if len(notices) != 1 || notices[0].Proxy != 1 || !strings.Contains(notices[0].Text, "reports version ") {
 		t.Errorf("notices %+v", notices)
 	}
 	sim.reconciler.Apply(sim.now(), []fleet.Order{fleet.AssignTable{Proxy: 0}, fleet.AssignTable{Proxy: 1}})
--- a/internal/reconcile/acknowledge.go
+++ b/internal/reconcile/acknowledge.go
@@ -106,7 +106,7 @@
 
 func (r *Reconciler) scheduleRetry(now fleet.Time, proxy *proxyState, item itemKey, failure Failure) {
 	if proxy.backoff == 0 {
-		r.notify(Notice{Proxy: proxy.id, Text: "a change was refused and will be sent again: " + failure.Text})
+		r.notify(Notice{Proxy: proxy.id, Text: "a change was not applied and will be retried with backoff: " + failure.Text})
 	}
 	if !slices.Contains(proxy.failed, item) {
 		proxy.failed = append(proxy.failed, item)
--- a/internal/reconcile/acknowledge_test.go
+++ b/internal/reconcile/acknowledge_test.go
@@ -49,26 +49,26 @@
 			for class := range 2 {
 				got := proxy.entries[entryKey{fleet.ServerID(server), fleet.ClassID(class)}]
 				if want := r.desiredEntry(r.proxies[0], int32(server), class); got != want {
-					t.Errorf("%s: server %d, class %d: has %+v, wanted %+v", when, server, class, got, want)
+					t.Errorf("%s: server %d, class %d: got %+v, want %+v", when, server, class, got, want)
 				}
 			}
 		}
 		if proxy.admissions[0].Limit != 500 || proxy.admissions[1].Limit != 500 {
-			t.Errorf("%s: admissions %+v", when, proxy.admissions)
+			t.Errorf("%s: admission limits %+v, want 500 for both classes", when, proxy.admissions)
 		}
 	}
 	run()
-	check("added where it existed")
+	check("entry to be added exists")
 	delete(proxy.entries, entryKey{2, 1})
 	r.Apply(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.9}})
 	run()
-	check("set where it was missing")
+	check("entry to be updated is missing")
 	r.Apply(now, []fleet.Order{
 		fleet.SetWeight{Server: 2, Weight: 0.9},
 		fleet.SetAdmission{Table: fleet.AllTables, Limit: 0.5},
 	})
 	if sent := run(); sent != 0 {
-		t.Errorf("%d messages for what the proxy has already", sent)
+		t.Errorf("%d messages sent although the proxy already has the desired state", sent)
 	}
 }
 
@@ -96,11 +96,11 @@
 		now += 50 * fleet.Millisecond
 	}
 	if len(sentAt) != 6 || notices == 0 || notices > 2 {
-		t.Errorf("sent %d times, %d notices", len(sentAt), notices)
+		t.Errorf("sent %d times with %d notices, want 6 times and 1 or 2 notices", len(sentAt), notices)
 	}
 	for i := 2; i < len(sentAt); i++ {
 		if sentAt[i]-sentAt[i-1] < sentAt[i-1]-sentAt[i-2] {
-			t.Errorf("delays do not grow: %v", sentAt)
+			t.Errorf("retry delays shrink; sent at %v", sentAt)
 		}
 	}
 }
@@ -130,6 +130,6 @@
 		now += 500 * fleet.Millisecond
 	}
 	if attempts != 4 {
-		t.Errorf("deleted %d times, not twice in vain and twice successfully", attempts)
+		t.Errorf("%d deletions attempted, want 4: 2 refused and 2 successful", attempts)
 	}
 }
--- a/internal/reconcile/helpers_test.go
+++ b/internal/reconcile/helpers_test.go
@@ -61,7 +61,7 @@
 	r.Apply(now, orders)
 	runUntilIdle(r, &now)
 	if !r.Idle() {
-		tb.Fatal("not idle")
+		tb.Fatal("reconciler is not idle after the initial tables")
 	}
 	return r, now
 }
@@ -150,7 +150,7 @@
 	for class := range 2 {
 		complete := len(failures) == 0 && limit >= len(message.Changes)
 		if before[class] > 0 && emptyAfter[class] >= 0 && f.usableCount(fleet.ClassID(class)) > 0 && complete {
-			f.violation = fmt.Sprintf("class %d without endpoints after change %d of %+v",
+			f.violation = fmt.Sprintf("class %d has no usable entry before change %d of %+v",
 				class, emptyAfter[class], message.Changes)
 		}
 	}
--- a/internal/reconcile/observe.go
+++ b/internal/reconcile/observe.go
@@ -28,7 +28,9 @@
 	proxy.observations++
 	differing := r.compareObserved(proxy, entries) + r.removeUnobserved(proxy)
 	if differing > 0 {
-		text := fmt.Sprintf("%d lines are not what it was sent; they are put right", differing)
+		text := fmt.Sprintf(
+			"%d entries differ from what was sent (changed outside of the controller, or lost); sending corrections",
+			differing)
 		r.notify(Notice{Proxy: id, Text: text})
 		clear(proxy.versionStamps)
 	}
--- a/internal/reconcile/pins.go
+++ b/internal/reconcile/pins.go
@@ -34,7 +34,7 @@
 func (r *Reconciler) Pin(now fleet.Time, id fleet.TableID, until fleet.Time) error {
 	table := r.tables[id]
 	if table == nil {
-		return fmt.Errorf("table %d is not there", id)
+		return fmt.Errorf("table %d does not exist", id)
 	}
 	weights := make([]int16, len(r.endpoints.servers))
 	for i := range weights {
@@ -51,7 +51,7 @@
 ) ([]tableversion.Difference, error) {
 	table := r.tables[id]
 	if table == nil || table.versions == nil {
-		return nil, fmt.Errorf("table %d has no versions", id)
+		return nil, fmt.Errorf("table %d has no version history", id)
 	}
 	_, differences, err := table.versions.Rollback(now, to, r.rollbackObstacle)
 	if err != nil {
@@ -135,7 +135,7 @@
 		case now >= pin.until:
 			r.Unpin(now, id, "its pin ended")
 		case !r.hasUsableServer(pin):
-			text := fmt.Sprintf("the pin of table %d ended early: no server in it may take visits", id)
+			text := fmt.Sprintf("the pin of table %d ended early: none of its servers can receive requests", id)
 			r.notify(Notice{Table: true, Text: text})
 			r.Unpin(now, id, "its pin left nobody")
 		}
--- a/internal/reconcile/pins_test.go
+++ b/internal/reconcile/pins_test.go
@@ -40,35 +40,36 @@
 	}
 	p.r.Apply(p.now, []fleet.Order{fleet.SetWeight{Server: 0, Weight: 0.9}})
 	if p.run(1); p.sentWeight(0) != pinnedWeight || p.r.TableVersions(0).Version() != first {
-		t.Errorf("a pinned entry went from %d to %d", pinnedWeight, p.sentWeight(0))
+		t.Errorf("weight of a pinned entry changed from %d to %d", pinnedWeight, p.sentWeight(0))
 	}
 	if p.run(4); p.sentWeight(0) == pinnedWeight || p.r.TableVersions(0).Version() == first {
-		t.Errorf("after the pin's end the balancer's order does not count")
+		t.Errorf("the balancer's weight is not in effect after the pin expired")
 	}
 
 	second := p.r.TableVersions(0).Version()
 	p.r.SetEndpoints(p.now, changeList(fleet.ServerDraining, 5))
 	differences, err := p.r.Rollback(p.now, 0, first, p.now+60*fleet.Second)
 	if err != nil || len(differences) != 1 || differences[0].Server != 5 || differences[0].Reason != "draining" {
-		t.Errorf("differences %v, %v", differences, err)
+		t.Errorf("rollback: differences %v, error %v; want server 5 as draining", differences, err)
 	}
 	p.run(1)
 	newer := p.r.TableVersions(0).Version().Compare(second) > 0
 	if p.sentWeight(0) != pinnedWeight || p.sentWeight(5) != 0 || !newer {
-		t.Errorf("rolled back to %d and %d, not %d and 0", p.sentWeight(0), p.sentWeight(5), pinnedWeight)
+		t.Errorf("weights after rollback are %d and %d, want %d and 0 in a newer version",
+			p.sentWeight(0), p.sentWeight(5), pinnedWeight)
 	}
 
 	p.r.Notices()
 	p.r.SetEndpoints(p.now, changeList(fleet.ServerGone, 0, 1, 2, 3, 4)) // all that the pinned table has
 	p.run(3)
 	if until, _ := p.r.Pinned(0); until != 0 {
-		t.Error("a pin without a usable server goes on")
+		t.Error("a pin without a usable server is still in force")
 	}
 	if notices := p.r.Notices(); len(notices) != 1 || !strings.Contains(notices[0].Text, "ended early") {
-		t.Errorf("notices %+v", notices)
+		t.Errorf("notices %+v, want one that the pin ended early", notices)
 	}
 	_, err = p.r.Rollback(p.now, 0, first, p.now+60*fleet.Second)
 	if err == nil || !strings.Contains(err.Error(), "nothing of version") {
-		t.Errorf("rollback to servers that are all gone: %v", err)
+		t.Errorf("rollback to servers that are all gone: error %v, want a refusal", err)
 	}
 }
--- a/internal/reconcile/proxies.go
+++ b/internal/reconcile/proxies.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"fmt"
 	"slices"
 
 	"cressknot/internal/fleet"
@@ -99,7 +100,9 @@
 	for _, proxy := range slices.Clone(r.proxyOrder) {
 		if len(proxy.inFlight) > 0 && now >= proxy.progressAt+r.stuckTimeout() {
 			r.disconnects = append(r.disconnects, proxy.id)
-			r.notify(Notice{Proxy: proxy.id, Text: "nothing came back to its messages; its stream is broken off"})
+			text := fmt.Sprintf("no acknowledgement for %.1f s with %d messages in flight; closing its session",
+				(now - proxy.progressAt).Seconds(), len(proxy.inFlight))
+			r.notify(Notice{Proxy: proxy.id, Text: text})
 			r.Leave(proxy.id)
 		}
 	}
--- a/internal/reconcile/queue_test.go
+++ b/internal/reconcile/queue_test.go
@@ -43,14 +43,15 @@
 		now += 10 * fleet.Millisecond
 	}
 	if toSlowProxy > maxInFlightMessages {
-		t.Errorf("%d messages to a proxy that acknowledges none, the window is %d", toSlowProxy, maxInFlightMessages)
+		t.Errorf("%d messages sent to a proxy that acknowledges none; the in-flight window is %d", toSlowProxy, maxInFlightMessages)
 	}
 	if barriersReached < 30 {
-		t.Errorf("only %d of some 40 barriers of two others reached while one proxy was slow", barriersReached)
+		t.Errorf("the two other proxies reached %d of about 40 barriers while one proxy was slow, want at least 30", barriersReached)
 	}
 	due := startedAt + r.stuckTimeout()
 	if disconnectedAt == 0 || disconnectedAt < due || disconnectedAt > due+fleet.Second {
-		t.Errorf("disconnected after %v s", (disconnectedAt - startedAt).Seconds())
+		t.Errorf("disconnected after %v s, want %v s to %v s", (disconnectedAt - startedAt).Seconds(),
+			r.stuckTimeout().Seconds(), (r.stuckTimeout() + fleet.Second).Seconds())
 	}
 }
 
@@ -79,7 +80,7 @@
 		now += fleet.Millisecond
 	}
 	if change := first.Changes[0]; change.Server != 30 || change.State != StateMaintenance {
-		t.Errorf("the first change is %+v, not the withdrawal", change)
+		t.Errorf("first change is %+v, want the withdrawal of server 30", change)
 	}
 	r.Acknowledge(now, 0, first.Sequence, nil)
 	sent := map[fleet.ServerID]int{}
@@ -97,7 +98,7 @@
 		now += 10 * fleet.Millisecond
 	}
 	if classes := len(r.site.Classes); sent[39] != classes {
-		t.Errorf("server 39 was sent %d times for %d classes, though the first weight still waited", sent[39], classes)
+		t.Errorf("%d changes of server 39 were sent, want %d (one per class): the first weight was still queued", sent[39], classes)
 	}
 }
 
@@ -121,7 +122,7 @@
 		}
 		messages, _, _, _ := r.Next(now)
 		if r.Backlog() > site.MaxBacklog {
-			t.Fatalf("%.0f entries wait, %.0f may", r.Backlog(), site.MaxBacklog)
+			t.Fatalf("backlog is %.0f entries, limit %.0f", r.Backlog(), site.MaxBacklog)
 		}
 		for _, message := range messages {
 			written[message.Proxy] = append(written[message.Proxy], now)
@@ -132,19 +133,20 @@
 				}
 			}
 			if recent > site.MaxMessages {
-				t.Fatalf("%d messages to proxy %d", recent, message.Proxy)
+				t.Fatalf("%d messages to proxy %d within %v s, limit %d",
+					recent, message.Proxy, site.MessageWindow.Seconds(), site.MaxMessages)
 			}
 			r.Acknowledge(now, message.Proxy, message.Sequence, nil)
 		}
 		now += 20 * fleet.Millisecond
 	}
 	if !r.Idle() {
-		t.Error("not idle")
+		t.Error("reconciler is not idle after all orders")
 	}
 	for j := range 40 {
 		proxy := r.proxies[3]
 		if proxy.sent[2*j] != r.desiredEntry(proxy, int32(j), 0) {
-			t.Errorf("server %d: %+v", j, proxy.sent[2*j])
+			t.Errorf("server %d: sent %+v, want %+v", j, proxy.sent[2*j], r.desiredEntry(proxy, int32(j), 0))
 		}
 	}
 }
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -77,7 +77,7 @@
 		s.proxies[message.Proxy].inbox = append(s.proxies[message.Proxy].inbox, message)
 		s.entries += float64(message.Entries)
 		if len(message.Changes) == 0 {
-			s.t.Fatalf("an empty message to %d", message.Proxy)
+			s.t.Fatalf("message to proxy %d has no changes", message.Proxy)
 		}
 	}
 	for _, id := range disconnects {
@@ -91,7 +91,7 @@
 	rate := s.r.site.EntriesPerSecond
 	limit := (s.now-s.startedAt).Seconds()*rate + 2*maxBurstDuration.Seconds()*rate + 100
 	if s.entries > limit {
-		s.t.Fatalf("%.0f entries have left, the pace allows %.0f", s.entries, limit)
+		s.t.Fatalf("%.0f entries were sent, the rate allows %.0f", s.entries, limit)
 	}
 }
 
@@ -208,19 +208,19 @@
 			got := proxy.entries[entryKey{server, class}]
 			withdrawn, ordered := s.withdrawn[server]
 			if ordered && got.Present && withdrawn != (got.State != StateReady) {
-				s.t.Errorf("proxy %d, server %d: withdrawn %v, but has %+v", i, server, withdrawn, got)
+				s.t.Errorf("proxy %d, server %d: withdrawn is %v, entry is %+v", i, server, withdrawn, got)
 			}
 			if s.tables[i] == 0 {
 				continue
 			}
 			want := Round(s.weights[s.tables[i]][server], s.r.tables[s.tables[i]].scale)
 			if got.Weight != want {
-				s.t.Errorf("proxy %d, server %d: has weight %d, wanted %d", i, server, got.Weight, want)
+				s.t.Errorf("proxy %d, server %d: weight %d, want %d", i, server, got.Weight, want)
 			}
 		}
 	}
 	if s.admission.Known && proxy.admissions[0] != s.admission {
-		s.t.Errorf("proxy %d: admission %+v, wanted %+v", i, proxy.admissions[0], s.admission)
+		s.t.Errorf("proxy %d: admission %+v, want %+v", i, proxy.admissions[0], s.admission)
 	}
 }
 
@@ -235,14 +235,14 @@
 		}
 		s.heal()
 		if !s.r.Idle() || s.r.Backlog() != 0 {
-			t.Fatalf("not idle: %.0f entries wait", s.r.Backlog())
+			t.Fatalf("reconciler is not idle: backlog of %.0f entries", s.r.Backlog())
 		}
 		for i, proxy := range s.proxies {
 			s.checkProxy(i, proxy)
 		}
 		for barrier, count := range s.barriers {
 			if count > simulatedProxies {
-				t.Errorf("barrier %d reached %d times", barrier, count)
+				t.Errorf("barrier %d reached %d times by %d proxies", barrier, count, simulatedProxies)
 			}
 		}
 	})
@@ -262,14 +262,14 @@
 				rounded := float64(Round(weight, scale))
 				off := math.Abs(rounded - weight*scale)
 				if rounded < 1 || off > max(0.5, 1-weight*scale)+1e-9 || rounded > maxWeight {
-					t.Fatalf("%v at %v becomes %v", weight, scale, rounded)
+					t.Fatalf("weight %v at scale %v is rounded to %v", weight, scale, rounded)
 				}
 			}
 		}
 	})
 	for weight, want := range map[float64]int16{0: 0, -1: 0, 1e-9: 1, 1e9: 256, 0.5: 64} {
 		if got := Round(weight, 128); got != want {
-			t.Errorf("Round(%v) = %d, not %d", weight, got, want)
+			t.Errorf("Round(%v, 128) = %d, want %d", weight, got, want)
 		}
 	}
 }
--- a/internal/reconcile/refusals.go
+++ b/internal/reconcile/refusals.go
@@ -52,7 +52,7 @@
 			Since:     now,
 		}
 		r.refusals[key] = refusal
-		r.notify(Notice{Proxy: proxy.id, Refused: refusal, Text: "an order was held back: " + reason})
+		r.notify(Notice{Proxy: proxy.id, Refused: refusal, Text: "the safety check refused or lowered a change: " + reason})
 	}
 	refusal.Proxies++
 }
--- a/internal/reconcile/versions.go
+++ b/internal/reconcile/versions.go
@@ -181,8 +181,8 @@
 		}
 		proxy.versionStamps[class] = ""
 		r.notify(Notice{Proxy: proxy.id, Text: fmt.Sprintf(
-			"it says that it holds version %s, but its lines of class %d have digest %s; they are put right",
-			stamp, class, digest)})
+			"reports version %s, but its entries of class %s have digest %s; sending corrections",
+			stamp, r.site.Classes[class].Name, digest)})
 	}
 }
 
