--- a/internal/reconcile/acknowledge.go
+++ b/internal/reconcile/acknowledge.go
@@ -25,14 +25,14 @@
 	if proxy == nil {
 		return
 	}
-	at := slices.IndexFunc(proxy.inFlight, func(message *queuedMessage) bool { return message.sequence == sequence })
-	if at < 0 {
+	position := slices.IndexFunc(proxy.inFlight, func(message *queuedMessage) bool { return message.sequence == sequence })
+	if position < 0 {
 		return // of an earlier session
 	}
-	message := proxy.inFlight[at]
-	proxy.inFlight = slices.Delete(proxy.inFlight, at, at+1)
+	message := proxy.inFlight[position]
+	proxy.inFlight = slices.Delete(proxy.inFlight, position, position+1)
 	proxy.progressAt = now
-	proxy.answerDelay = now - message.sentAt
+	proxy.acknowledgeDelay = now - message.sentAt
 	for _, failure := range failures {
 		if failure.Index >= 0 && failure.Index < len(message.changes) {
 			r.handleFailure(now, proxy, message.changes[failure.Index], message.items[failure.Index], failure)
@@ -78,11 +78,11 @@
 		proxy.versionStamps[change.Class] = ""
 		return resendLater
 	}
-	at := r.entryIndex(item.server, int(change.Class))
+	index := r.entryIndex(item.server, int(change.Class))
 	switch kind {
 	case FailureEntryMissing:
-		r.setSent(proxy, at, EntryState{})
-		proxy.initial[at] = EntryState{}
+		r.setSent(proxy, index, EntryState{})
+		proxy.initial[index] = EntryState{}
 		switch change.Kind {
 		case DeleteEntry:
 			return resendNever
@@ -91,16 +91,16 @@
 		}
 		return resendLater
 	case FailureEntryExists:
-		r.setSent(proxy, at, EntryState{Present: true, Unknown: true})
+		r.setSent(proxy, index, EntryState{Present: true, Unknown: true})
 		return resendNow
 	case FailureEntryInUse:
-		r.setSent(proxy, at, EntryState{Present: true, Weight: change.Weight, State: StateMaintenance})
+		r.setSent(proxy, index, EntryState{Present: true, Weight: change.Weight, State: StateMaintenance})
 		return resendNever // deleteGoneEntries retries
 	}
-	entry := proxy.sent[at]
+	entry := proxy.sent[index]
 	entry.Unknown = change.Kind != AddEntry
 	entry.Present = change.Kind != AddEntry
-	r.setSent(proxy, at, entry)
+	r.setSent(proxy, index, entry)
 	return resendLater
 }
 
--- a/internal/reconcile/arrange.go
+++ b/internal/reconcile/arrange.go
@@ -7,12 +7,12 @@
 
 // The ranks, in the order in which a proxy should apply them.
 const (
-	rankUrgent      proposalRank = iota // keeps requests away from gone and warming servers
-	rankGain                            // a warm server's entry becomes usable
-	rankRise                            // a warm server's weight rises
-	rankWarmingRise                     // a warming server's weight rises
-	rankFall                            // a warm server's weight falls
-	rankRemove                          // a ready server's entry becomes unusable
+	rankUrgent                proposalRank = iota // keeps requests away from gone and warming servers
+	rankEntryUsable                               // a warm server's entry becomes usable
+	rankWeightIncrease                            // a warm server's weight rises
+	rankWarmingWeightIncrease                     // a warming server's weight rises
+	rankWeightDecrease                            // a warm server's weight falls
+	rankEntryUnusable                             // a ready server's entry becomes unusable
 	rankCount
 )
 
@@ -23,15 +23,15 @@
 	case p.Warming && p.Ready && weight < 0, p.Urgent && entries >= 0 && weight <= 0:
 		return rankUrgent
 	case entries < 0:
-		return rankRemove
+		return rankEntryUnusable
 	case p.Warming && weight > 0:
-		return rankWarmingRise
+		return rankWarmingWeightIncrease
 	case entries > 0:
-		return rankGain
+		return rankEntryUsable
 	case weight < 0:
-		return rankFall
+		return rankWeightDecrease
 	}
-	return rankRise
+	return rankWeightIncrease
 }
 
 // Arrange sorts proposals into the order that does least harm while the proxy applies them one by one.
@@ -43,7 +43,7 @@
 // while the proxy reads the message, which takes 50 ms and more at 150 servers.
 func Arrange(plan *UpdatePlan) {
 	sortByRank(plan)
-	keepLastEntries(plan)
+	keepLastUsableEntries(plan)
 }
 
 // sortByRank is a stable counting sort: a table of 700 entries is one message.
@@ -69,8 +69,8 @@
 	plan.Proposals, plan.sorted = plan.sorted, plan.Proposals
 }
 
-// keepLastEntries moves a proposal that adds an entry to a class before an urgent one that takes the last entry.
-func keepLastEntries(plan *UpdatePlan) {
+// keepLastUsableEntries moves a proposal that adds an entry to a class before an urgent one that takes the last entry.
+func keepLastUsableEntries(plan *UpdatePlan) {
 	remaining := slices.Clone(plan.EntryCounts)
 	for i := range plan.Proposals {
 		proposal := &plan.Proposals[i]
@@ -78,17 +78,17 @@
 			continue
 		}
 		class := proposal.Class
-		takesLast := proposal.EntryDelta() < 0 && remaining[class] == 1 ||
+		removesLast := proposal.EntryDelta() < 0 && remaining[class] == 1 ||
 			!proposal.Ready && proposal.Have.Usable() && remaining[class] == 0
-		if takesLast && proposal.rank() == rankUrgent {
-			moveGainForward(plan.Proposals, i)
+		if removesLast && proposal.rank() == rankUrgent {
+			moveAddedEntryForward(plan.Proposals, i)
 		}
 		remaining[class] += plan.Proposals[i].EntryDelta()
 	}
 }
 
-// moveGainForward moves the first later proposal that adds an entry to the class of proposal i in front of it.
-func moveGainForward(proposals []Proposal, i int) {
+// moveAddedEntryForward moves the first later proposal that adds an entry to the class of proposal i in front of it.
+func moveAddedEntryForward(proposals []Proposal, i int) {
 	for j := i + 1; j < len(proposals); j++ {
 		if gain := proposals[j]; gain.Class == proposals[i].Class && gain.EntryDelta() > 0 {
 			copy(proposals[i+1:j+1], proposals[i:j])
--- a/internal/reconcile/desired.go
+++ b/internal/reconcile/desired.go
@@ -26,9 +26,9 @@
 // desiredEntry returns what a proxy should have of a server in a class.
 func (r *Reconciler) desiredEntry(proxy *proxyState, i int32, class int) EntryState {
 	server := &r.endpoints.servers[i]
-	at := r.entryIndex(i, class)
+	index := r.entryIndex(i, class)
 	if !proxy.assigned[class] {
-		desired := proxy.initial[at]
+		desired := proxy.initial[index]
 		desired.WrongAddress = false
 		if server.withdrawalSet && desired.Present {
 			desired.State = desiredState(server)
@@ -37,14 +37,14 @@
 	}
 	id := proxy.tables[class]
 	desired := EntryState{State: desiredState(server), Weight: r.publishedWeight(id, r.tables[id], i)}
-	desired.Present = desired.Weight > 0 || proxy.sent[at].Present
+	desired.Present = desired.Weight > 0 || proxy.sent[index].Present
 	if !desired.Present {
 		return EntryState{}
 	}
 	return desired
 }
 
-func desiredState(server *serverState) State {
+func desiredState(server *trackedServer) State {
 	switch {
 	case !server.withdrawn:
 		return StateReady
@@ -83,18 +83,18 @@
 func (r *Reconciler) desiredAdmission(proxy *proxyState, class int) Admission {
 	order := r.defaultAdmission[class]
 	if proxy.assigned[class] {
-		if ofTable := r.tables[proxy.tables[class]].admissions[class]; ofTable.set {
+		if tableOrder := r.tables[proxy.tables[class]].admissions[class]; tableOrder.set {
 			if order.set {
-				ofTable.limit = min(ofTable.limit, order.limit)
+				tableOrder.limit = min(tableOrder.limit, order.limit)
 			}
-			order = ofTable
+			order = tableOrder
 		}
 	}
 	if !order.set {
 		return Admission{}
 	}
 	desired := Admission{Known: true, Limit: -1, Retry: order.retry}
-	if r.limits(order) {
+	if r.limitsRequests(order) {
 		desired.Limit = int32(perMille * order.limit)
 		if order.limit > 0 {
 			desired.Limit = max(1, desired.Limit)
@@ -103,8 +103,8 @@
 	return desired
 }
 
-// limits reports whether an admission order keeps any requests away.
-func (r *Reconciler) limits(order admissionOrder) bool {
+// limitsRequests reports whether an admission order keeps any requests away.
+func (r *Reconciler) limitsRequests(order admissionOrder) bool {
 	switch r.site.Admission {
 	case fleet.AdmissionFraction:
 		return order.limit < 1
--- a/internal/reconcile/endpoints.go
+++ b/internal/reconcile/endpoints.go
@@ -11,12 +11,12 @@
 // never change.
 type endpointSet struct {
 	index        map[fleet.ServerID]int32
-	servers      []serverState
+	servers      []trackedServer
 	warming      []int32 // servers that may be warming up
 	listReceived bool
 }
 
-type serverState struct {
+type trackedServer struct {
 	id            fleet.ServerID
 	listed        bool
 	state         fleet.ServerState
@@ -34,7 +34,7 @@
 	}
 	i := int32(len(r.endpoints.servers))
 	r.endpoints.index[id] = i
-	r.endpoints.servers = append(r.endpoints.servers, serverState{id: id})
+	r.endpoints.servers = append(r.endpoints.servers, trackedServer{id: id})
 	for _, table := range r.tables {
 		table.weights = append(table.weights, 0)
 	}
@@ -53,7 +53,7 @@
 	}
 	if !r.endpoints.listReceived { // from here on servers that are not listed do not count
 		for i := range r.endpoints.servers {
-			r.recount(int32(i), -1)
+			r.adjustTotals(int32(i), -1)
 		}
 		r.endpoints.listReceived = true
 	}
@@ -85,9 +85,9 @@
 	server.startedAt = endpoint.Started
 	server.listed = true
 	if ready := r.isReady(i); ready && !wasReady {
-		r.recount(i, 1)
+		r.adjustTotals(i, 1)
 	} else if wasReady && !ready {
-		r.recount(i, -1)
+		r.adjustTotals(i, -1)
 	}
 	if r.isWarmingUp(server, now) && !slices.Contains(r.endpoints.warming, i) {
 		r.endpoints.warming = append(r.endpoints.warming, i)
@@ -111,7 +111,7 @@
 			continue
 		}
 		if r.isReady(int32(i)) {
-			r.recount(int32(i), -1)
+			r.adjustTotals(int32(i), -1)
 		}
 		server.state = fleet.ServerGone
 		server.goneSince = now
@@ -138,7 +138,7 @@
 	return server.state == fleet.ServerReady && (server.listed || !r.endpoints.listReceived)
 }
 
-func (r *Reconciler) isWarmingUp(server *serverState, now fleet.Time) bool {
+func (r *Reconciler) isWarmingUp(server *trackedServer, now fleet.Time) bool {
 	return server.startedAt > 0 && now < server.startedAt+r.site.SlowStart.Duration
 }
 
@@ -150,8 +150,8 @@
 	return r.endpoints.warming
 }
 
-// recount adds a server's usable entries to the sums of all proxies, or takes them away (sign -1).
-func (r *Reconciler) recount(i int32, sign int) {
+// adjustTotals adds a server's usable entries to the sums of all proxies, or takes them away (sign -1).
+func (r *Reconciler) adjustTotals(i int32, sign int) {
 	for _, proxy := range r.proxyOrder {
 		for class := range r.classes() {
 			if entry := proxy.sent[r.entryIndex(i, class)]; entry.Usable() {
@@ -179,8 +179,8 @@
 func (r *Reconciler) deleteEntries(now fleet.Time, proxy *proxyState, i int32) {
 	message := &queuedMessage{proxy: proxy, queuedAt: now, sentAt: now, acknowledged: true}
 	for class := range r.classes() {
-		at := r.entryIndex(i, class)
-		entry := proxy.sent[at]
+		index := r.entryIndex(i, class)
+		entry := proxy.sent[index]
 		if !entry.Present || entry.State != StateMaintenance || entry.Unknown {
 			continue
 		}
@@ -191,8 +191,8 @@
 			Weight: entry.Weight,
 		})
 		message.items = append(message.items, itemKey{server: i})
-		r.setSent(proxy, at, EntryState{})
-		proxy.initial[at] = EntryState{}
+		r.setSent(proxy, index, EntryState{})
+		proxy.initial[index] = EntryState{}
 	}
 	if len(message.changes) > 0 {
 		proxy.released = append(proxy.released, message)
--- a/internal/reconcile/observe.go
+++ b/internal/reconcile/observe.go
@@ -22,10 +22,10 @@
 	if proxy == nil || len(proxy.inFlight) > 0 || len(entries) == 0 {
 		return
 	}
-	if len(proxy.observedIn) < len(proxy.sent) {
-		proxy.observedIn = make([]uint32, len(proxy.sent))
+	if len(proxy.lastObserved) < len(proxy.sent) {
+		proxy.lastObserved = make([]uint32, len(proxy.sent))
 	}
-	proxy.observations++
+	proxy.observationRound++
 	differing := r.compareObserved(proxy, entries) + r.removeUnobserved(proxy)
 	if differing > 0 {
 		text := fmt.Sprintf(
@@ -34,9 +34,9 @@
 		r.notify(Notice{Proxy: id, Text: text})
 		clear(proxy.versionStamps)
 	}
-	if proxy.observations == math.MaxUint32 {
-		proxy.observations = 0
-		proxy.observedIn = nil
+	if proxy.observationRound == math.MaxUint32 {
+		proxy.observationRound = 0
+		proxy.lastObserved = nil
 	}
 }
 
@@ -47,12 +47,12 @@
 		if !known || int(observed.Class) >= r.classes() {
 			continue
 		}
-		at := r.entryIndex(i, int(observed.Class))
-		if at >= len(proxy.observedIn) {
+		index := r.entryIndex(i, int(observed.Class))
+		if index >= len(proxy.lastObserved) {
 			continue
 		}
-		proxy.observedIn[at] = proxy.observations
-		sent := proxy.sent[at]
+		proxy.lastObserved[index] = proxy.observationRound
+		sent := proxy.sent[index]
 		if sent.Unknown || observed.matches(sent) {
 			continue
 		}
@@ -65,7 +65,7 @@
 		if observed.State != StateReady {
 			entry.Weight = sent.Weight
 		}
-		r.correctEntry(proxy, at, entry)
+		r.correctEntry(proxy, index, entry)
 		differing++
 	}
 	return differing
@@ -78,9 +78,9 @@
 
 // removeUnobserved takes as missing what the latest poll did not show, and returns how many entries that were.
 func (r *Reconciler) removeUnobserved(proxy *proxyState) (missing int) {
-	for at, sent := range proxy.sent {
-		if sent.Present && !sent.Unknown && proxy.observedIn[at] != proxy.observations {
-			r.correctEntry(proxy, at, EntryState{})
+	for index, sent := range proxy.sent {
+		if sent.Present && !sent.Unknown && proxy.lastObserved[index] != proxy.observationRound {
+			r.correctEntry(proxy, index, EntryState{})
 			missing++
 		}
 	}
@@ -88,7 +88,7 @@
 }
 
 // correctEntry notes what a proxy really has of an entry and sends what is desired.
-func (r *Reconciler) correctEntry(proxy *proxyState, at int, entry EntryState) {
-	r.setSent(proxy, at, entry)
-	r.markDirtyNow(proxy, itemKey{server: int32(at / r.classes())})
+func (r *Reconciler) correctEntry(proxy *proxyState, index int, entry EntryState) {
+	r.setSent(proxy, index, entry)
+	r.markDirtyNow(proxy, itemKey{server: int32(index / r.classes())})
 }
--- a/internal/reconcile/plan.go
+++ b/internal/reconcile/plan.go
@@ -17,7 +17,7 @@
 	HoldReason  string     // why a safety check refuses it; "": not refused
 	LowerReason string     // why a safety check lowered its weight; "": not lowered
 	item        itemKey
-	at          int // index of the entry in proxyState.sent
+	index       int // of the entry in proxyState.sent
 }
 
 // isEntryOfReadyServer reports whether the proposal will change an entry of a ready server.
@@ -69,7 +69,7 @@
 	Class  fleet.ClassID
 	Server fleet.ServerID
 	State  EntryState
-	at     int   // index of the entry in proxyState.sent
+	index  int   // of the entry in proxyState.sent
 	server int32 // index of the server
 }
 
@@ -87,10 +87,10 @@
 }
 
 // AddWeightCut adds a change that lowers the weight of a warming server's entry.
-func (d *UpdatePlan) AddWeightCut(entry WarmingEntry, weight int16, reason string) {
+func (p *UpdatePlan) AddWeightCut(entry WarmingEntry, weight int16, reason string) {
 	want := entry.State
 	want.Weight = weight
-	d.Proposals = append(d.Proposals, Proposal{
+	p.Proposals = append(p.Proposals, Proposal{
 		Change:      Change{Kind: UpdateEntry, Class: entry.Class, Server: entry.Server, Weight: weight},
 		Have:        entry.State,
 		Want:        want,
@@ -99,7 +99,7 @@
 		Urgent:      true,
 		LowerReason: reason,
 		item:        itemKey{server: entry.server},
-		at:          entry.at,
+		index:       entry.index,
 	})
 }
 
@@ -118,13 +118,13 @@
 	}
 	for _, i := range r.warmingServers(now) {
 		for class := range r.classes() {
-			at := r.entryIndex(i, class)
-			if entry := proxy.sent[at]; entry.Usable() && r.isReady(i) {
+			index := r.entryIndex(i, class)
+			if entry := proxy.sent[index]; entry.Usable() && r.isReady(i) {
 				plan.Warming = append(plan.Warming, WarmingEntry{
 					Class:  fleet.ClassID(class),
 					Server: r.endpoints.servers[i].id,
 					State:  entry,
-					at:     at,
+					index:  index,
 					server: i,
 				})
 			}
@@ -141,8 +141,8 @@
 	}
 	server := &r.endpoints.servers[item.server]
 	for class := range r.classes() {
-		at := r.entryIndex(item.server, class)
-		have := proxy.sent[at]
+		index := r.entryIndex(item.server, class)
+		have := proxy.sent[index]
 		want := r.desiredEntry(proxy, item.server, class)
 		if have == want || !want.Present && !have.Present {
 			continue
@@ -155,7 +155,7 @@
 			Warming: r.isWarmingUp(server, now),
 			Urgent:  urgent,
 			item:    item,
-			at:      at,
+			index:   index,
 		})
 	}
 	if _, refused := proxy.refused[item]; refused && !r.needsUpdate(proxy, item.server) {
@@ -217,7 +217,7 @@
 		case proposal.Want == proposal.Have:
 			continue // lowered to what the proxy has
 		default:
-			r.setSent(proxy, proposal.at, proposal.Want)
+			r.setSent(proxy, proposal.index, proposal.Want)
 		}
 		message.changes = append(message.changes, proposal.Change)
 		message.items = append(message.items, proposal.item)
--- a/internal/reconcile/proxies.go
+++ b/internal/reconcile/proxies.go
@@ -13,10 +13,10 @@
 	r.Leave(id)
 	proxy := r.newProxy(now, id, snapshot)
 	r.proxies[id] = proxy
-	at, _ := slices.BinarySearchFunc(r.proxyOrder, id, func(proxy *proxyState, id fleet.ProxyID) int {
+	position, _ := slices.BinarySearchFunc(r.proxyOrder, id, func(proxy *proxyState, id fleet.ProxyID) int {
 		return cmp.Compare(proxy.id, id)
 	})
-	r.proxyOrder = slices.Insert(r.proxyOrder, at, proxy)
+	r.proxyOrder = slices.Insert(r.proxyOrder, position, proxy)
 	// It may have missed withdrawals while it was away. The desired state has them.
 	for i := range r.endpoints.servers {
 		server := &r.endpoints.servers[i]
@@ -110,11 +110,11 @@
 
 // markDirty marks an item of a proxy as to be sent. An item that waits already is not sent twice.
 func (r *Reconciler) markDirty(proxy *proxyState, item itemKey, urgent bool) {
-	wasUrgent, waits := proxy.dirty[item]
-	if waits {
+	wasUrgent, isDirty := proxy.dirty[item]
+	if isDirty {
 		r.counters.coalesced++
 	}
-	if waits && (wasUrgent || !urgent) {
+	if isDirty && (wasUrgent || !urgent) {
 		return
 	}
 	proxy.dirty[item] = urgent
@@ -132,10 +132,10 @@
 }
 
 // setSent changes what a proxy has of an entry, and the sums of its class.
-func (r *Reconciler) setSent(proxy *proxyState, at int, entry EntryState) {
-	class := at % r.classes()
-	server := int32(at / r.classes())
-	if old := proxy.sent[at]; r.isReady(server) {
+func (r *Reconciler) setSent(proxy *proxyState, index int, entry EntryState) {
+	class := index % r.classes()
+	server := int32(index / r.classes())
+	if old := proxy.sent[index]; r.isReady(server) {
 		proxy.weightSums[class] += entry.usableWeight() - old.usableWeight()
 		if old.Usable() {
 			proxy.entryCounts[class]--
@@ -144,15 +144,15 @@
 			proxy.entryCounts[class]++
 		}
 	}
-	proxy.sent[at] = entry
+	proxy.sent[index] = entry
 }
 
 // eachProxyOn calls each proxy that has a class assigned to the table.
-func (r *Reconciler) eachProxyOn(table fleet.TableID, each func(*proxyState)) {
+func (r *Reconciler) eachProxyOn(table fleet.TableID, fn func(*proxyState)) {
 	for _, proxy := range r.proxyOrder {
 		for class, assigned := range proxy.tables {
 			if proxy.assigned[class] && assigned == table {
-				each(proxy)
+				fn(proxy)
 				break
 			}
 		}
--- a/internal/reconcile/queue.go
+++ b/internal/reconcile/queue.go
@@ -215,7 +215,7 @@
 	}
 	for _, proxy := range r.proxyOrder {
 		wake = earlier(wake, proxy.retryAt)
-		wake = earlier(wake, proxy.refusedRetry)
+		wake = earlier(wake, proxy.refusedRetryAt)
 		if len(proxy.inFlight) == 0 {
 			continue
 		}
--- a/internal/reconcile/queue_test.go
+++ b/internal/reconcile/queue_test.go
@@ -13,7 +13,7 @@
 func TestSlowProxyDelaysNoOther(t *testing.T) {
 	r, now := newSettledReconciler(t, testSite(), 3, 10)
 	barriersReached := 0
-	toSlowProxy := 0
+	messagesToSlowProxy := 0
 	var disconnectedAt fleet.Time
 	startedAt := now
 	for i := range 800 {
@@ -26,7 +26,7 @@
 		messages, events, disconnects, _ := r.Next(now)
 		for _, message := range messages {
 			if message.Proxy == 1 {
-				toSlowProxy++
+				messagesToSlowProxy++
 				continue
 			}
 			r.Acknowledge(now, message.Proxy, message.Sequence, nil)
@@ -42,8 +42,9 @@
 		}
 		now += 10 * fleet.Millisecond
 	}
-	if toSlowProxy > maxInFlightMessages {
-		t.Errorf("%d messages sent to a proxy that acknowledges none; the in-flight window is %d", toSlowProxy, maxInFlightMessages)
+	if messagesToSlowProxy > maxInFlightMessages {
+		t.Errorf("%d messages sent to a proxy that acknowledges none; the in-flight window is %d",
+			messagesToSlowProxy, maxInFlightMessages)
 	}
 	if barriersReached < 30 {
 		t.Errorf("the two other proxies reached %d of about 40 barriers while one proxy was slow, want at least 30", barriersReached)
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -30,7 +30,7 @@
 	proxies          map[fleet.ProxyID]*proxyState
 	proxyOrder       []*proxyState // by id, so that the output is reproducible
 	channel          updateChannel
-	versions         versionSettings
+	versions         versionState
 	manualWeights    map[manualKey]manualWeight
 	refusals         map[refusalKey]*Refusal
 	safety           SafetyCheck // nil: every change passes
@@ -44,8 +44,8 @@
 	notices     []Notice
 }
 
-// versionSettings are what versions of tables are made with.
-type versionSettings struct {
+// versionState are what versions of tables are made with.
+type versionState struct {
 	epoch         uint64
 	serverName    tableversion.NameFunc  // nil: tables have no versions
 	changedTables map[fleet.TableID]bool // by the orders of this step
@@ -84,14 +84,14 @@
 	assigned []bool          // by class: whether a table was assigned
 
 	// What the proxy has.
-	sent          []EntryState // by entry, once all that is in flight is applied
-	initial       []EntryState // by entry, as at the join, for classes without an assigned table
-	admissions    []Admission  // by class
-	versionStamps []string     // by class: the version that it was sent
-	entryCounts   []int        // by class: usable entries of ready servers in sent
-	weightSums    []int        // by class: the weights of those
-	observedIn    []uint32     // by entry: the observation that showed it last
-	observations  uint32
+	sent             []EntryState // by entry, once all that is in flight is applied
+	initial          []EntryState // by entry, as at the join, for classes without an assigned table
+	admissions       []Admission  // by class
+	versionStamps    []string     // by class: the version that it was sent
+	entryCounts      []int        // by class: usable entries of ready servers in sent
+	weightSums       []int        // by class: the weights of those
+	lastObserved     []uint32     // by entry: the observation that showed it last
+	observationRound uint32
 
 	// What has to be sent.
 	dirty         map[itemKey]bool // true: urgent
@@ -101,21 +101,21 @@
 	deferred      bool // its items wait outside of the full update channel
 
 	// Messages.
-	released    []*queuedMessage // left the update channel, wait for the in-flight window
-	inFlight    []*queuedMessage // not acknowledged, oldest first
-	newest      *queuedMessage   // the latest that was put into the update channel
-	queuedCount int              // messages in the update channel
-	writtenAt   []fleet.Time     // messages within Site.MessageWindow
-	written     int
-	progressAt  fleet.Time // last sign of progress, or when the oldest message in flight left
-	answerDelay fleet.Time // of the last acknowledged message
+	released         []*queuedMessage // left the update channel, wait for the in-flight window
+	inFlight         []*queuedMessage // not acknowledged, oldest first
+	newest           *queuedMessage   // the latest that was put into the update channel
+	queuedCount      int              // messages in the update channel
+	writtenAt        []fleet.Time     // messages within Site.MessageWindow
+	written          int
+	progressAt       fleet.Time // last sign of progress, or when the oldest message in flight left
+	acknowledgeDelay fleet.Time // of the last acknowledged message
 
 	// What failed or was refused.
-	failed       []itemKey
-	retryAt      fleet.Time // of failed items; 0: none
-	backoff      fleet.Time
-	refused      map[itemKey]string // refused by the safety check, with the reason
-	refusedRetry fleet.Time         // when refused items are proposed again; 0: none
+	failed         []itemKey
+	retryAt        fleet.Time // of failed items; 0: none
+	backoff        fleet.Time
+	refused        map[itemKey]string // refused by the safety check, with the reason
+	refusedRetryAt fleet.Time         // when refused items are proposed again; 0: none
 }
 
 // Notice is an event that operators should be notified of.
@@ -135,7 +135,7 @@
 		defaultAdmission: make([]admissionOrder, len(site.Classes)),
 		proxies:          map[fleet.ProxyID]*proxyState{},
 		channel:          updateChannel{pacedAt: -1},
-		versions:         versionSettings{changedTables: map[fleet.TableID]bool{}},
+		versions:         versionState{changedTables: map[fleet.TableID]bool{}},
 		manualWeights:    map[manualKey]manualWeight{},
 		refusals:         map[refusalKey]*Refusal{},
 	}
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -16,19 +16,19 @@
 
 // simulation drives a reconciler and fake proxies with drawn orders and faults, and knows what is desired.
 type simulation struct {
-	t          *rapid.T
-	r          *Reconciler
-	now        fleet.Time
-	startedAt  fleet.Time
-	proxies    [simulatedProxies]*fakeProxy
-	connected  [simulatedProxies]bool
-	weights    map[fleet.TableID]map[fleet.ServerID]float64
-	tables     [simulatedProxies]fleet.TableID // of both classes; 0: none assigned
-	withdrawn  map[fleet.ServerID]bool
-	admission  Admission
-	entries    float64 // that have left
-	newBarrier fleet.BarrierID
-	barriers   map[fleet.BarrierID]int // how often each was reached
+	t           *rapid.T
+	r           *Reconciler
+	now         fleet.Time
+	startedAt   fleet.Time
+	proxies     [simulatedProxies]*fakeProxy
+	connected   [simulatedProxies]bool
+	weights     map[fleet.TableID]map[fleet.ServerID]float64
+	tables      [simulatedProxies]fleet.TableID // of both classes; 0: none assigned
+	withdrawn   map[fleet.ServerID]bool
+	admission   Admission
+	entries     float64 // that have left
+	lastBarrier fleet.BarrierID
+	barriers    map[fleet.BarrierID]int // how often each was reached
 }
 
 func newSimulation(t *rapid.T) *simulation {
@@ -163,10 +163,10 @@
 		s.weights[table] = map[fleet.ServerID]float64{}
 	}
 	s.weights[table][server] = float64(weight)
-	s.newBarrier++
+	s.lastBarrier++
 	s.r.Apply(s.now, []fleet.Order{
 		fleet.SetWeight{Table: table, Server: server, Weight: weight},
-		fleet.Barrier{ID: s.newBarrier},
+		fleet.Barrier{ID: s.lastBarrier},
 	})
 }
 
@@ -260,8 +260,8 @@
 		for scale := minLargestWeight / largest; scale <= maxWeight/largest; scale *= 1.3 {
 			for _, weight := range weights {
 				rounded := float64(Round(weight, scale))
-				off := math.Abs(rounded - weight*scale)
-				if rounded < 1 || off > max(0.5, 1-weight*scale)+1e-9 || rounded > maxWeight {
+				roundingError := math.Abs(rounded - weight*scale)
+				if rounded < 1 || roundingError > max(0.5, 1-weight*scale)+1e-9 || rounded > maxWeight {
 					t.Fatalf("weight %v at scale %v is rounded to %v", weight, scale, rounded)
 				}
 			}
--- a/internal/reconcile/refusals.go
+++ b/internal/reconcile/refusals.go
@@ -38,8 +38,8 @@
 		r.clearRefusal(proxy, proposal.item)
 	}
 	proxy.refused[proposal.item] = reason
-	if proxy.refusedRetry == 0 {
-		proxy.refusedRetry = now + refusedRetryInterval
+	if proxy.refusedRetryAt == 0 {
+		proxy.refusedRetryAt = now + refusedRetryInterval
 	}
 	key := refusalKey{proposal.item, reason}
 	refusal := r.refusals[key]
@@ -77,14 +77,14 @@
 
 // retryRefused proposes refused items again.
 func (r *Reconciler) retryRefused(now fleet.Time, proxy *proxyState) {
-	if proxy.refusedRetry == 0 || now < proxy.refusedRetry {
+	if proxy.refusedRetryAt == 0 || now < proxy.refusedRetryAt {
 		return
 	}
 	if len(proxy.refused) == 0 {
-		proxy.refusedRetry = 0
+		proxy.refusedRetryAt = 0
 		return
 	}
-	proxy.refusedRetry = now + refusedRetryInterval
+	proxy.refusedRetryAt = now + refusedRetryInterval
 	items := make([]itemKey, 0, len(proxy.refused))
 	for item := range proxy.refused {
 		items = append(items, item)
--- a/internal/reconcile/versions.go
+++ b/internal/reconcile/versions.go
@@ -48,20 +48,20 @@
 
 // ScaleWeights reduces the weights of servers in all tables to fractions of what the balancer orders. A fraction of 1
 // ends that.
-func (r *Reconciler) ScaleWeights(now fleet.Time, parts []WeightFraction, reason string) {
+func (r *Reconciler) ScaleWeights(now fleet.Time, fractions []WeightFraction, reason string) {
 	changed := map[int32]bool{}
-	for _, part := range parts {
-		i := r.serverIndex(part.Server)
-		changed[i] = r.endpoints.servers[i].reduction != 1-part.Fraction
-		r.endpoints.servers[i].reduction = 1 - part.Fraction
+	for _, fraction := range fractions {
+		i := r.serverIndex(fraction.Server)
+		changed[i] = r.endpoints.servers[i].reduction != 1-fraction.Fraction
+		r.endpoints.servers[i].reduction = 1 - fraction.Fraction
 	}
 	for _, id := range r.tableIDs() {
 		table := r.tables[id]
 		r.recordVersion(now, id, table, reason)
 		r.eachProxyOn(id, func(proxy *proxyState) {
 			dirty := 0
-			for _, part := range parts {
-				i := r.endpoints.index[part.Server]
+			for _, fraction := range fractions {
+				i := r.endpoints.index[fraction.Server]
 				if changed[i] && table.weights[i] > 0 && r.needsUpdate(proxy, i) {
 					r.markDirty(proxy, itemKey{server: i}, false)
 					dirty++
@@ -104,10 +104,10 @@
 
 // RestoreVersions makes the versions of a table from what was stored, for Restore.
 func (r *Reconciler) RestoreVersions(
-	at tableversion.Version, digest tableversion.Digest, entries []tableversion.Entry, deltas []tableversion.Delta,
+	version tableversion.Version, digest tableversion.Digest, entries []tableversion.Entry, deltas []tableversion.Delta,
 ) (*tableversion.Table, error) {
 	return tableversion.Restore(
-		r.versions.epoch, r.versions.serverName, historyLimits, at, digest, entries, deltas)
+		r.versions.epoch, r.versions.serverName, historyLimits, version, digest, entries, deltas)
 }
 
 // Restore gives a table its stored versions, and its pin if it had one. It is for a reconciler without orders.
@@ -188,11 +188,11 @@
 
 // VersionStamps calls each proxy and class with the version that it was sent; newest reports that it is the present
 // one and acknowledged.
-func (r *Reconciler) VersionStamps(each func(id fleet.ProxyID, class fleet.ClassID, stamp string, newest bool)) {
+func (r *Reconciler) VersionStamps(fn func(id fleet.ProxyID, class fleet.ClassID, stamp string, newest bool)) {
 	for _, proxy := range r.proxyOrder {
 		for class, stamp := range proxy.versionStamps {
 			newest := stamp != "" && stamp == r.versionStamp(proxy, class) && len(proxy.inFlight) == 0
-			each(proxy.id, fleet.ClassID(class), stamp, newest)
+			fn(proxy.id, fleet.ClassID(class), stamp, newest)
 		}
 	}
 }
--- a/internal/reconcile/views.go
+++ b/internal/reconcile/views.go
@@ -34,7 +34,7 @@
 			Waiting:     len(proxy.dirty),
 			InFlight:    len(proxy.inFlight),
 			Written:     proxy.written,
-			AnswerDelay: proxy.answerDelay,
+			AnswerDelay: proxy.acknowledgeDelay,
 		}
 		for _, entry := range proxy.sent {
 			if entry.Present && entry.Weight > 0 && entry.State == StateReady {
@@ -93,11 +93,11 @@
 }
 
 // EachAssignment calls each proxy and class that a table is assigned to.
-func (r *Reconciler) EachAssignment(table fleet.TableID, each func(fleet.ProxyID, fleet.ClassID)) {
+func (r *Reconciler) EachAssignment(table fleet.TableID, fn func(fleet.ProxyID, fleet.ClassID)) {
 	for _, proxy := range r.proxyOrder {
 		for class, assigned := range proxy.tables {
 			if proxy.assigned[class] && assigned == table {
-				each(proxy.id, fleet.ClassID(class))
+				fn(proxy.id, fleet.ClassID(class))
 			}
 		}
 	}
--- a/internal/reconcile/write.go
+++ b/internal/reconcile/write.go
@@ -15,7 +15,7 @@
 		proxy.released = slices.Delete(proxy.released, 0, 1)
 	}
 	plan := r.newPlan(now, proxy)
-	r.takeDirty(now, proxy, plan)
+	r.proposeDirty(now, proxy, plan)
 	if r.safety != nil && len(plan.Proposals) > 0 {
 		r.safety.CheckPlan(now, plan)
 	}
@@ -37,8 +37,8 @@
 	}, true
 }
 
-// takeDirty moves the dirty items whose turn has come to a plan.
-func (r *Reconciler) takeDirty(now fleet.Time, proxy *proxyState, plan *UpdatePlan) {
+// proposeDirty moves the dirty items whose turn has come to a plan.
+func (r *Reconciler) proposeDirty(now fleet.Time, proxy *proxyState, plan *UpdatePlan) {
 	proxy.urgentItems = r.proposeItems(now, proxy, plan, proxy.urgentItems, true, len(proxy.urgentItems))
 	proxy.ordinaryItems = r.proposeItems(now, proxy, plan, proxy.ordinaryItems, false, proxy.entryBudget)
 	proxy.entryBudget = max(0, proxy.entryBudget)
