--- a/internal/reconcile/acknowledge.go
+++ b/internal/reconcile/acknowledge.go
@@ -6,20 +6,22 @@
 	"cressknot/internal/fleet"
 )
 
-// Retries of changes that failed for a reason that says nothing of the proxy's state, with exponential backoff.
+// Bounds of the exponential backoff after a failure that does not tell the state of the proxy's entry.
 const (
 	initialRetryBackoff = fleet.Second
 	maxRetryBackoff     = 32 * fleet.Second
 )
 
-// Progress reports that some answer came from a proxy: it may be slow, but it is not stuck.
+// Progress records that a proxy has answered something, which restarts its stuck timeout. Unknown proxies are
+// ignored.
 func (r *Reconciler) Progress(now fleet.Time, id fleet.ProxyID) {
 	if proxy := r.proxies[id]; proxy != nil {
 		proxy.progressAt = now
 	}
 }
 
-// Acknowledge reports that all answers to a message have come, and which of its changes were not applied.
+// Acknowledge records that a proxy has answered a message completely. failures lists the changes that were not
+// applied; they are retried. A sequence that is not in flight is ignored.
 func (r *Reconciler) Acknowledge(now fleet.Time, id fleet.ProxyID, sequence uint64, failures []Failure) {
 	proxy := r.proxies[id]
 	if proxy == nil {
@@ -27,7 +29,7 @@
 	}
 	position := slices.IndexFunc(proxy.inFlight, func(message *queuedMessage) bool { return message.sequence == sequence })
 	if position < 0 {
-		return // of an earlier session
+		return // the message belongs to an earlier session
 	}
 	message := proxy.inFlight[position]
 	proxy.inFlight = slices.Delete(proxy.inFlight, position, position+1)
@@ -41,13 +43,13 @@
 	if len(failures) == 0 && len(proxy.failed) == 0 {
 		proxy.backoff = 0
 	}
-	r.markAcknowledged(now, message) // Next settles its barrier
+	r.markAcknowledged(now, message) // its barrier is reported by Next
 	if len(proxy.inFlight) == 0 && r.safety != nil {
 		r.safety.ProxyAcknowledged(now, r.newPlan(now, proxy))
 	}
 }
 
-// resendPolicy says when a change that failed is sent again.
+// resendPolicy says when a failed change is resent.
 type resendPolicy uint8
 
 const (
@@ -56,8 +58,8 @@
 	resendLater // with backoff
 )
 
-// handleFailure takes back what a failed change was assumed to do, and sends its item again: at once where the
-// failure says what the proxy has, else with backoff.
+// handleFailure reverts the assumed effect of a failed change and schedules its item: immediately where the failure
+// tells the state of the proxy's entry, otherwise with backoff.
 func (r *Reconciler) handleFailure(now fleet.Time, proxy *proxyState, change Change, item itemKey, failure Failure) {
 	switch r.revertChange(proxy, change, item, failure.Kind) {
 	case resendNow:
@@ -67,6 +69,8 @@
 	}
 }
 
+// revertChange sets the assumed state of a proxy to what the failure implies. Where the failure implies nothing, the
+// state becomes unknown.
 func (r *Reconciler) revertChange(
 	proxy *proxyState, change Change, item itemKey, kind FailureKind,
 ) resendPolicy {
@@ -95,7 +99,7 @@
 		return resendNow
 	case FailureEntryInUse:
 		r.setSent(proxy, index, EntryState{Present: true, Weight: change.Weight, State: StateMaintenance})
-		return resendNever // deleteGoneEntries retries
+		return resendNever // deleteGoneEntries retries it
 	}
 	entry := proxy.sent[index]
 	entry.Unknown = change.Kind != AddEntry
@@ -104,6 +108,7 @@
 	return resendLater
 }
 
+// scheduleRetry adds an item to the failed ones, with one notice per series of failures.
 func (r *Reconciler) scheduleRetry(now fleet.Time, proxy *proxyState, item itemKey, failure Failure) {
 	if proxy.backoff == 0 {
 		r.notify(Notice{Proxy: proxy.id, Text: "a change was not applied and will be retried with backoff: " + failure.Text})
@@ -117,7 +122,7 @@
 	}
 }
 
-// retryFailed sends failed items again when their backoff is over.
+// retryFailed resends failed items once their backoff has expired.
 func (r *Reconciler) retryFailed(now fleet.Time, proxy *proxyState) {
 	if proxy.retryAt == 0 || now < proxy.retryAt {
 		return
--- a/internal/reconcile/acknowledge_test.go
+++ b/internal/reconcile/acknowledge_test.go
@@ -7,9 +7,9 @@
 	"cressknot/internal/fleet"
 )
 
-// TestFailuresCorrectAssumedState checks that an entry that exists where it was to be added is set instead, one
-// that is missing where it was to be set is added, an admission limit that failed is sent again, and what a proxy
-// has already is not sent.
+// TestFailuresCorrectAssumedState guards against a proxy that stays out of sync because the reconciler assumes a
+// wrong state. An entry to be added that exists is updated instead, an entry to be updated that is missing is added,
+// a failed admission limit is resent, and state that the proxy already has is not sent.
 func TestFailuresCorrectAssumedState(t *testing.T) {
 	r, now := newSettledReconciler(t, testSite(), 1, 3)
 	maintenance := EntryState{Present: true, Weight: 7, State: StateMaintenance}
@@ -17,7 +17,7 @@
 		entries:    map[entryKey]EntryState{{0, 0}: maintenance, {0, 1}: maintenance},
 		admissions: map[fleet.ClassID]Admission{},
 	}
-	r.Join(now, 0, Snapshot{}) // the proxy's entries came after that
+	r.Join(now, 0, Snapshot{}) // the entries were added after the readback
 	proxy.entries[entryKey{1, 0}] = EntryState{Present: true, Weight: 1, State: StateReady}
 	r.Apply(now, []fleet.Order{
 		fleet.AssignTable{Proxy: 0},
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestFailedChangeIsRetriedWithBackoff checks that a change that failed for an unknown reason is sent again after
-// growing delays, with one notice.
+// TestFailedChangeIsRetriedWithBackoff guards against a proxy being flooded with a change that it rejects for an
+// unknown reason: it is retried at growing intervals, with one or two notices in all.
 func TestFailedChangeIsRetriedWithBackoff(t *testing.T) {
 	r, now := newSettledReconciler(t, testSite(), 1, 3)
 	r.Apply(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 0.9}})
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestGoneEntriesAreDeleted checks that a server that is gone for long loses its entries, and that a deletion of
-// one with requests is tried again later.
+// TestGoneEntriesAreDeleted guards against entries of gone servers that accumulate at proxies. They are deleted after
+// the retention, and a deletion that fails because of requests in flight is retried.
 func TestGoneEntriesAreDeleted(t *testing.T) {
 	r, now := newSettledReconciler(t, testSite(), 1, 4)
 	r.SetEndpoints(now, changeList(fleet.ServerGone, 2))
--- a/internal/reconcile/arrange.go
+++ b/internal/reconcile/arrange.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// proposalRank orders the proposals of a message.
+// proposalRank is the sort key of the proposals in a message.
 type proposalRank uint8
 
-// The ranks, in the order in which a proxy should apply them.
+// The ranks, in the order in which a proxy applies the changes.
 const (
-	rankUrgent                proposalRank = iota // keeps requests away from gone and warming servers
+	rankUrgent                proposalRank = iota // reduces requests to gone and warming servers
 	rankEntryUsable                               // a warm server's entry becomes usable
 	rankWeightIncrease                            // a warm server's weight rises
 	rankWarmingWeightIncrease                     // a warming server's weight rises
@@ -34,19 +34,20 @@
 	return rankWeightIncrease
 }
 
-// Arrange sorts proposals into the order that does least harm while the proxy applies them one by one.
+// Arrange sorts the proposals of a plan so that the intermediate states, while the proxy applies them one by one, are
+// safe.
 //
-// By the order of the ranks, the fraction of requests that a warming server gets is never above both what it was
-// before the message and what it will be after it. A class that has a usable entry before and after a message has
-// one at each moment in between: where an urgent change would take the last entry of a class, an entry that the
-// message adds goes first. Otherwise a class that moves from one set of servers to another is without endpoints
-// while the proxy reads the message, which takes 50 ms and more at 150 servers.
+// The order of the ranks ensures that the fraction of requests sent to a warming server never exceeds the larger of
+// its fractions before and after the message. A class that has a usable entry before and after a message also has
+// one at each intermediate step: if an urgent change would remove the last usable entry of a class, an entry that
+// the message adds is moved in front of it. Otherwise a class that moves from one set of servers to another has no
+// endpoints while the proxy processes the message, which takes 50 ms or more with 150 servers.
 func Arrange(plan *UpdatePlan) {
 	sortByRank(plan)
 	keepLastUsableEntries(plan)
 }
 
-// sortByRank is a stable counting sort: a table of 700 entries is one message.
+// sortByRank sorts proposals by rank. It is a stable counting sort, as one message may hold a table of 700 entries.
 func sortByRank(plan *UpdatePlan) {
 	if len(plan.Proposals) < 2 {
 		return
@@ -69,7 +70,8 @@
 	plan.Proposals, plan.sorted = plan.sorted, plan.Proposals
 }
 
-// keepLastUsableEntries moves a proposal that adds an entry to a class before an urgent one that takes the last entry.
+// keepLastUsableEntries moves a proposal that adds a usable entry to a class in front of an urgent one that removes
+// the last.
 func keepLastUsableEntries(plan *UpdatePlan) {
 	remaining := slices.Clone(plan.EntryCounts)
 	for i := range plan.Proposals {
@@ -87,7 +89,8 @@
 	}
 }
 
-// moveAddedEntryForward moves the first later proposal that adds an entry to the class of proposal i in front of it.
+// moveAddedEntryForward finds the first proposal after i that adds a usable entry to the class of proposal i, and
+// moves it in front of i.
 func moveAddedEntryForward(proposals []Proposal, i int) {
 	for j := i + 1; j < len(proposals); j++ {
 		if gain := proposals[j]; gain.Class == proposals[i].Class && gain.EntryDelta() > 0 {
--- a/internal/reconcile/backoff.go
+++ b/internal/reconcile/backoff.go
@@ -2,27 +2,28 @@
 
 import "cressknot/internal/fleet"
 
-// Timeouts of transports. They are defined here because transports take no decisions.
+// Timeouts of transports. They are defined here because decisions belong to the reconciler, not to transports.
 const (
-	// DialTimeout bounds a connection attempt. On the same network, longer is as good as down.
+	// DialTimeout bounds a connection attempt. On the same network, a proxy that needs longer is treated as down.
 	DialTimeout = 2 * fleet.Second
-	// AnswerTimeout bounds a poll or a state readback. It covers a reload of a proxy and its longest stall.
+	// AnswerTimeout bounds a poll or a readback of the proxy's state. It exceeds the duration of a proxy reload and
+	// of the longest stall.
 	AnswerTimeout = 20 * fleet.Second
-	// SilenceTimeout is how old the counters file of a proxy may become. It is written every second; five missed
-	// writes are no coincidence.
+	// SilenceTimeout is the maximum age of a proxy's counters file. The file is written every second, and five
+	// missed writes in a row are not an accident of timing.
 	SilenceTimeout = 5 * fleet.Second
 )
 
 // Delays between connection attempts.
 const (
-	initialDialDelay = 100 * fleet.Millisecond // a proxy that restarts listens again within this
-	maxDialDelay     = 2 * fleet.Second        // a proxy that is back waits no longer for its controller
+	initialDialDelay = 100 * fleet.Millisecond // a restarted proxy listens again within this time
+	maxDialDelay     = 2 * fleet.Second        // longest time that a recovered proxy waits for its controller
 	maxDialDoublings = 8
-	dialJitter       = 0.5 // random part of a delay, so that proxies do not come back all at once
+	dialJitter       = 0.5 // random fraction of a delay, so that reconnections are spread over time
 )
 
-// DialBackoff works out the delays between connection attempts: doubled with each failure, up to a bound, with
-// jitter from a multiply-with-carry generator.
+// DialBackoff computes the delays between connection attempts: exponential up to a maximum, with jitter from a
+// multiply-with-carry generator. It is not safe for concurrent use.
 type DialBackoff struct {
 	failures int
 	x, carry uint32 // state of the generator
@@ -31,12 +32,12 @@
 // generatorMultiplier yields the full period of a 32-bit multiply-with-carry generator.
 const generatorMultiplier = 4294957665
 
-// NewDialBackoff returns a backoff with its own random sequence.
+// NewDialBackoff returns a backoff whose jitter is determined by the seed.
 func NewDialBackoff(seed uint64) DialBackoff {
 	return DialBackoff{x: uint32(seed) | 1, carry: uint32(seed>>33) | 1}
 }
 
-// Next returns the delay before the next attempt.
+// Next returns the delay before the next attempt and counts that attempt as a failure until Reset is called.
 func (b *DialBackoff) Next() fleet.Time {
 	product := generatorMultiplier*uint64(b.x) + uint64(b.carry)
 	b.x = uint32(product)
@@ -46,5 +47,5 @@
 	return delay.Scale(1 - dialJitter*float64(b.x)/(1<<32))
 }
 
-// Reset reports that a session was established: the next delay is the shortest one.
+// Reset returns to the initial delay. It is called when a session was established.
 func (b *DialBackoff) Reset() { b.failures = 0 }
--- a/internal/reconcile/barriers.go
+++ b/internal/reconcile/barriers.go
@@ -2,31 +2,33 @@
 
 import "cressknot/internal/fleet"
 
-// A proxy is slow, or stuck, after a multiple of the update delays that the site states, and not before a minimum.
+// A proxy counts as slow or stuck after a multiple of the update delays of the site, and at least after a minimum.
 const (
 	slowDelayFactor  = 4                       // of Site.MeanUpdateDelay
-	minSlowTimeout   = 500 * fleet.Millisecond // a turn of a loaded proxy's event loop
+	minSlowTimeout   = 500 * fleet.Millisecond // one iteration of a loaded proxy's event loop
 	stuckDelayFactor = 4                       // of Site.MaxUpdateDelay
 	minStuckTimeout  = 5 * fleet.Second        // a reload of a proxy takes some seconds
 )
 
-// slowTimeout is how long a message may go without an acknowledgement before it no longer delays barriers.
+// slowTimeout is the time after which a message without an acknowledgement no longer delays the barriers of other
+// proxies.
 func (r *Reconciler) slowTimeout() fleet.Time {
 	return max(minSlowTimeout, slowDelayFactor*r.site.MeanUpdateDelay)
 }
 
-// stuckTimeout is how long a proxy with messages in flight may go without progress before its session is ended.
+// stuckTimeout is the time without progress after which the session of a proxy with messages in flight is closed.
 func (r *Reconciler) stuckTimeout() fleet.Time {
 	return max(minStuckTimeout, stuckDelayFactor*r.site.MaxUpdateDelay)
 }
 
+// markAcknowledged records the acknowledgement of a message. Its barrier, if any, is reported by settleBarriers.
 func (r *Reconciler) markAcknowledged(now fleet.Time, message *queuedMessage) {
 	message.barrierPending = message.hasBarrier && !message.discarded
 	message.barrierDelay = now - message.queuedAt
 	message.acknowledged = true
 }
 
-// settleBarriers reports the barriers that are reached: their messages are acknowledged and all earlier ones are
+// settleBarriers emits an event for each barrier whose message is acknowledged and whose preceding messages are all
 // settled.
 func (r *Reconciler) settleBarriers() {
 	unsettled := r.channel.unsettled
@@ -56,7 +58,7 @@
 	r.channel.unsettled = remaining
 }
 
-// isSettled reports whether a message delays no barrier: it is acknowledged, or its proxy is slow.
+// isSettled reports whether a message no longer delays barriers, because it is acknowledged or its proxy is slow.
 func (r *Reconciler) isSettled(message *queuedMessage) bool {
 	return message.acknowledged || message.sentAt > 0 && r.channel.pacedAt > message.sentAt+r.slowTimeout()
 }
--- a/internal/reconcile/desired.go
+++ b/internal/reconcile/desired.go
@@ -6,24 +6,25 @@
 	"cressknot/internal/fleet"
 )
 
-// Weights of the runtime API are integers from 0 to maxWeight.
+// Weights in the runtime API of proxies are integers from 0 to maxWeight.
 const (
 	maxWeight = 256
-	// targetLargestWeight is the weight of a table's largest entry after scaling. It may double before the table is
-	// scaled again.
+	// targetLargestWeight is the weight of a table's largest entry after scaling. It leaves room for the entry to
+	// double before the table is rescaled.
 	targetLargestWeight = 128
-	// minLargestWeight is the smallest weight of a table's largest entry. Below it rounding exceeds 0.8% of that
-	// entry.
+	// minLargestWeight is the lower bound of the weight of a table's largest entry. Below it, the rounding error
+	// exceeds 0.8% of that entry.
 	minLargestWeight = 64
 )
 
 const (
 	perMille = 1000
-	// unlimitedRate is a rate in requests per second that no proxy reaches: it means no limit.
+	// unlimitedRate in requests per second stands for no limit. No proxy reaches it.
 	unlimitedRate = 1e6
 )
 
-// desiredEntry returns what a proxy should have of a server in a class.
+// desiredEntry returns the desired state of a server's entry in a class at a proxy. Before a table is assigned, that
+// is the state at the join, apart from withdrawals.
 func (r *Reconciler) desiredEntry(proxy *proxyState, i int32, class int) EntryState {
 	server := &r.endpoints.servers[i]
 	index := r.entryIndex(i, class)
@@ -54,8 +55,8 @@
 	return StateMaintenance
 }
 
-// publishedWeight returns the weight that proxies should have for an entry: the manual weight, else that of the
-// pin, else that of the balancer.
+// publishedWeight returns the weight that proxies should have for an entry. A manual weight takes precedence over a
+// pin, and a pin over the weight ordered by the balancer.
 func (r *Reconciler) publishedWeight(id fleet.TableID, table *tableState, i int32) int16 {
 	if manual, set := r.manualWeights[manualKey{id, i}]; set {
 		return manual.weight
@@ -69,8 +70,8 @@
 	return Round(table.weights[i]*(1-r.endpoints.servers[i].reduction), table.scale)
 }
 
-// Round returns the weight of the runtime API for a weight of a table. A positive weight never becomes 0, and none
-// exceeds the maximum of the API. The error is at most half a unit, or up to one for the smallest weights.
+// Round converts a table weight to a weight of the runtime API, which is an integer from 0 to 256. A positive weight
+// never becomes 0. Below the upper limit the error is at most half a unit, or up to one unit for weights below 0.5.
 func Round(weight, scale float64) int16 {
 	if weight <= 0 {
 		return 0
@@ -78,8 +79,8 @@
 	return int16(min(maxWeight, max(1, math.Round(weight*scale))))
 }
 
-// desiredAdmission returns the admission limit that a proxy should have for a class: the stricter one of that of
-// its table and that of all tables.
+// desiredAdmission returns the admission limit that a proxy should have for a class: the lower of the limits that
+// were ordered for its table and for all tables.
 func (r *Reconciler) desiredAdmission(proxy *proxyState, class int) Admission {
 	order := r.defaultAdmission[class]
 	if proxy.assigned[class] {
@@ -103,7 +104,7 @@
 	return desired
 }
 
-// limitsRequests reports whether an admission order keeps any requests away.
+// limitsRequests reports whether an admission order rejects any requests in the admission mode of the site.
 func (r *Reconciler) limitsRequests(order admissionOrder) bool {
 	switch r.site.Admission {
 	case fleet.AdmissionFraction:
@@ -114,7 +115,7 @@
 	return false
 }
 
-// needsUpdate reports whether a proxy has other entries of a server than it should have.
+// needsUpdate reports whether the sent state of a server's entries at a proxy differs from the desired state.
 func (r *Reconciler) needsUpdate(proxy *proxyState, i int32) bool {
 	for class := range r.classes() {
 		if proxy.sent[r.entryIndex(i, class)] != r.desiredEntry(proxy, i, class) {
--- a/internal/reconcile/endpoints.go
+++ b/internal/reconcile/endpoints.go
@@ -7,8 +7,8 @@
 	"cressknot/internal/fleet"
 )
 
-// endpointSet holds the servers that were ever named, by the endpoint list, an order or a proxy. Their indexes
-// never change.
+// endpointSet holds all servers that have ever occurred in an endpoint list, an order or a proxy's snapshot. The
+// index of a server never changes.
 type endpointSet struct {
 	index        map[fleet.ServerID]int32
 	servers      []trackedServer
@@ -21,13 +21,13 @@
 	listed        bool
 	state         fleet.ServerState
 	startedAt     fleet.Time
-	goneSince     fleet.Time // 0: not gone
+	goneSince     fleet.Time // 0: not gone; deleteGoneEntries moves it to schedule a retry
 	withdrawn     bool
-	withdrawalSet bool    // a withdrawal or its end was ordered
-	reduction     float64 // fraction taken off its weights in all tables
+	withdrawalSet bool    // a WithdrawServer order was received, whatever its value
+	reduction     float64 // fraction by which its weights in all tables are reduced
 }
 
-// serverIndex returns the index of a server and adds the server if it is new.
+// serverIndex returns the index of a server, which is added if it is unknown.
 func (r *Reconciler) serverIndex(id fleet.ServerID) int32 {
 	if i, known := r.endpoints.index[id]; known {
 		return i
@@ -45,13 +45,13 @@
 	return i
 }
 
-// SetEndpoints takes an endpoint list or a change of it, so that a draining server is distinguished from one that
-// is gone, and a warming one from a warm one.
+// SetEndpoints applies an endpoint list. With fleet.ListDelta it changes only the listed servers; otherwise servers
+// that are not listed are gone. A list with fleet.ListFailed is ignored.
 func (r *Reconciler) SetEndpoints(now fleet.Time, list fleet.EndpointList) {
 	if list.Scope == fleet.ListFailed {
 		return
 	}
-	if !r.endpoints.listReceived { // from here on servers that are not listed do not count
+	if !r.endpoints.listReceived { // from the first list on, unlisted servers are not ready
 		for i := range r.endpoints.servers {
 			r.adjustTotals(int32(i), -1)
 		}
@@ -70,7 +70,7 @@
 	if list.Scope != fleet.ListDelta {
 		r.removeUnlisted(now, listed)
 	}
-	if startChanged && r.safety != nil { // proxies may have entries of servers that are warming up now
+	if startChanged && r.safety != nil { // proxies may have entries of servers that have just begun to warm up
 		for _, proxy := range r.proxyOrder {
 			r.safety.ProxyAcknowledged(now, r.newPlan(now, proxy))
 		}
@@ -118,7 +118,7 @@
 	}
 }
 
-// AddressChanged reports that a server is listed at another address than before: each of its entries has to follow.
+// AddressChanged marks the entries of a server at all proxies as having an outdated address, and sends the new one.
 func (r *Reconciler) AddressChanged(id fleet.ServerID) {
 	i := r.serverIndex(id)
 	for _, proxy := range r.proxyOrder {
@@ -132,7 +132,7 @@
 	}
 }
 
-// isReady reports whether a server is listed as ready. Before the first list all servers count.
+// isReady reports whether a server is listed as ready. Before the first endpoint list all servers count as ready.
 func (r *Reconciler) isReady(i int32) bool {
 	server := &r.endpoints.servers[i]
 	return server.state == fleet.ServerReady && (server.listed || !r.endpoints.listReceived)
@@ -142,7 +142,7 @@
 	return server.startedAt > 0 && now < server.startedAt+r.site.SlowStart.Duration
 }
 
-// warmingServers returns the servers that are warming up, and forgets those that have finished.
+// warmingServers returns the servers that are warming up, and stops tracking those that have finished.
 func (r *Reconciler) warmingServers(now fleet.Time) []int32 {
 	r.endpoints.warming = slices.DeleteFunc(r.endpoints.warming, func(i int32) bool {
 		return !r.isWarmingUp(&r.endpoints.servers[i], now)
@@ -150,7 +150,7 @@
 	return r.endpoints.warming
 }
 
-// adjustTotals adds a server's usable entries to the sums of all proxies, or takes them away (sign -1).
+// adjustTotals adds (sign 1) or subtracts (sign -1) a server's usable entries in the totals of all proxies.
 func (r *Reconciler) adjustTotals(i int32, sign int) {
 	for _, proxy := range r.proxyOrder {
 		for class := range r.classes() {
@@ -162,20 +162,22 @@
 	}
 }
 
-// deleteGoneEntries deletes at all proxies the entries of servers that are gone for goneEntryRetention.
+// deleteGoneEntries deletes the entries of withdrawn servers that have been gone for goneEntryRetention.
 func (r *Reconciler) deleteGoneEntries(now fleet.Time) {
 	for i := range r.endpoints.servers {
 		server := &r.endpoints.servers[i]
 		if server.goneSince == 0 || !server.withdrawn || now < server.goneSince+goneEntryRetention {
 			continue
 		}
-		server.goneSince = now - goneEntryRetention/2 // entries still in use are retried after half the time
+		server.goneSince = now - goneEntryRetention/2 // entries that are still in use are retried after half the retention
 		for _, proxy := range r.proxyOrder {
 			r.deleteEntries(now, proxy, int32(i))
 		}
 	}
 }
 
+// deleteEntries releases a message that deletes the entries in maintenance of a server. It bypasses the update
+// channel.
 func (r *Reconciler) deleteEntries(now fleet.Time, proxy *proxyState, i int32) {
 	message := &queuedMessage{proxy: proxy, queuedAt: now, sentAt: now, acknowledged: true}
 	for class := range r.classes() {
--- a/internal/reconcile/entry.go
+++ b/internal/reconcile/entry.go
@@ -2,32 +2,34 @@
 
 import "cressknot/internal/fleet"
 
-// State is the administrative state of an entry, which decides together with its weight whether it gets requests.
+// State is the administrative state of an entry. Together with the weight it determines whether the entry receives
+// requests.
 type State uint8
 
-// The states of an entry. StateUnchanged occurs in changes only.
+// The states of an entry. StateUnchanged is valid only in a Change.
 const (
 	StateUnchanged   State = iota
-	StateReady             // gets requests by weight
-	StateDrain             // finishes the requests it has
-	StateMaintenance       // gets no requests
+	StateReady             // receives requests in proportion to its weight
+	StateDrain             // receives no new requests; those in flight continue
+	StateMaintenance       // receives no requests
 )
 
-// EntryState is what a proxy has for one server in one class. Weight is 0 to 256.
+// EntryState is the state of one server's entry in one class at a proxy. Weight is 0 to 256. The zero value is a
+// missing entry.
 type EntryState struct {
 	Present      bool
-	Unknown      bool // an error left open what the proxy has
-	WrongAddress bool // the entry points to another address than the endpoint list has
+	Unknown      bool // the state is unknown after an error
+	WrongAddress bool // the address differs from that in the endpoint list
 	Weight       int16
 	State        State
 }
 
-// Usable reports whether the proxy sends requests by this entry.
+// Usable reports whether the proxy sends requests to the server of this entry.
 func (e EntryState) Usable() bool {
 	return e.Present && !e.Unknown && e.State == StateReady && e.Weight > 0
 }
 
-// usableWeight returns the weight that the entry adds to the sum of its class.
+// usableWeight returns the entry's contribution to the weight sum of its class.
 func (e EntryState) usableWeight() int {
 	if e.Usable() {
 		return int(e.Weight)
@@ -35,21 +37,21 @@
 	return 0
 }
 
-// Admission is what a proxy has as the admission limit of a class.
+// Admission is the admission limit of a class at a proxy.
 type Admission struct {
-	Known bool
-	Limit int32 // thousandths of the requests, or of requests per second; negative: unlimited
+	Known bool  // false: the limit at the proxy is unknown, or none was ordered
+	Limit int32 // thousandths of all requests, or of a request per second; negative: unlimited
 	Retry fleet.RetryMode
 }
 
-// Snapshot is what a proxy has when its session begins, as read back from it.
+// Snapshot is the state of a proxy at the start of its session, as read back from it.
 type Snapshot struct {
 	Zone          fleet.ZoneID
-	RequestRate   float64 // requests per second that it usually receives
-	Fresh         bool    // it has its standing tables only
+	RequestRate   float64 // usual requests per second
+	Fresh         bool    // it has only its standing tables
 	Entries       []SnapshotEntry
-	Admissions    []Admission // by class; may be shorter than the classes
-	VersionStamps []string    // by class: the version that it was sent last; may be shorter than the classes
+	Admissions    []Admission // by class; may be shorter than Site.Classes
+	VersionStamps []string    // by class: the version last sent to it; may be shorter than Site.Classes
 }
 
 // SnapshotEntry is one entry of a snapshot.
--- a/internal/reconcile/helpers_test.go
+++ b/internal/reconcile/helpers_test.go
@@ -9,7 +9,8 @@
 	"cressknot/internal/fleet"
 )
 
-// TestMain fixes the seed, so that CI gives the same verdict each time; -rapid.seed and -rapid.checks play more.
+// TestMain fixes the seed of property tests, so that CI results are reproducible. The flags -rapid.seed and
+// -rapid.checks override it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set := map[string]bool{}
@@ -39,8 +40,8 @@
 	}
 }
 
-// newSettledReconciler returns a reconciler with proxies that all have table 0 with some servers, sent and
-// acknowledged.
+// newSettledReconciler returns a reconciler and its time after all proxies have acknowledged table 0 with the given
+// number of servers.
 func newSettledReconciler(tb testing.TB, site fleet.Site, proxies, servers int) (*Reconciler, fleet.Time) {
 	tb.Helper()
 	r := New(site)
@@ -66,7 +67,7 @@
 	return r, now
 }
 
-// runUntilIdle acknowledges all messages until nothing waits.
+// runUntilIdle acknowledges all messages until the reconciler is idle.
 func runUntilIdle(r *Reconciler, now *fleet.Time) {
 	for range 1_000_000 {
 		messages, _, _, _ := r.Next(*now)
@@ -79,7 +80,7 @@
 	}
 }
 
-// runFor acknowledges all messages for some seconds.
+// runFor acknowledges all messages for the given number of seconds.
 func runFor(r *Reconciler, now *fleet.Time, seconds float64) {
 	for end := *now + fleet.Second.Scale(seconds); *now < end; *now += 20 * fleet.Millisecond {
 		messages, _, _, _ := r.Next(*now)
@@ -89,7 +90,7 @@
 	}
 }
 
-// changeList returns a list that changes the state of servers.
+// changeList returns a delta of the endpoint list that sets the state of servers.
 func changeList(state fleet.ServerState, servers ...fleet.ServerID) fleet.EndpointList {
 	list := fleet.EndpointList{Scope: fleet.ListDelta}
 	for _, server := range servers {
@@ -103,12 +104,12 @@
 	class  fleet.ClassID
 }
 
-// fakeProxy applies messages as a real proxy does.
+// fakeProxy applies messages with the semantics of a real proxy.
 type fakeProxy struct {
 	entries    map[entryKey]EntryState
 	admissions map[fleet.ClassID]Admission
 	inbox      []Message
-	violation  string
+	violation  string // the latest violation that apply has found; "": none
 }
 
 func (f *fakeProxy) snapshot() Snapshot {
@@ -122,7 +123,7 @@
 	return snapshot
 }
 
-// usableCount counts the entries of a class that get requests.
+// usableCount returns the number of entries of a class that receive requests.
 func (f *fakeProxy) usableCount(class fleet.ClassID) (count int) {
 	for key, entry := range f.entries {
 		if key.class == class && entry.State == StateReady && entry.Weight > 0 {
@@ -132,8 +133,8 @@
 	return count
 }
 
-// apply carries out up to limit changes of a message and returns the failures. A class that has a usable entry
-// before and after a complete message must have one at each moment in between; otherwise a violation is recorded.
+// apply applies up to limit changes of a message and returns the failures. It records a violation if a class has
+// usable entries before and after a complete message, but none at some step in between.
 func (f *fakeProxy) apply(message Message, limit int) (failures []Failure) {
 	before := [2]int{f.usableCount(0), f.usableCount(1)}
 	emptyAfter := [2]int{-1, -1}
--- a/internal/reconcile/manual.go
+++ b/internal/reconcile/manual.go
@@ -7,10 +7,11 @@
 	"cressknot/internal/fleet"
 )
 
-// ManualWeightDuration is how long a manual weight lasts: operators renew it, or have forgotten it.
+// ManualWeightDuration is the lifetime of a manual weight. It is short so that a forgotten one expires; operators
+// renew it if needed.
 const ManualWeightDuration = 300 * fleet.Second
 
-// manualKey names a table entry whose weight operators have set.
+// manualKey identifies a table entry with a manual weight.
 type manualKey struct {
 	table  fleet.TableID
 	server int32 // index of the server
@@ -21,7 +22,7 @@
 	until  fleet.Time
 }
 
-// ManualWeight is a weight that operators have set in place of the balancer's.
+// ManualWeight is a weight, 0 to 256, that an operator has set and that replaces the balancer's until it expires.
 type ManualWeight struct {
 	Table  fleet.TableID
 	Server fleet.ServerID
@@ -29,8 +30,8 @@
 	Until  fleet.Time
 }
 
-// SetManualWeight sets the weight of a table entry until a time: 0 to 256, in place of what the balancer orders.
-// The safety check applies to it as to any change.
+// SetManualWeight overrides the balancer's weight of a table entry until the given time and sends it to proxies. The
+// weight is clamped to 0 to 256. The safety check applies as to any other change.
 func (r *Reconciler) SetManualWeight(
 	now fleet.Time, table fleet.TableID, server fleet.ServerID, weight int16, until fleet.Time,
 ) {
@@ -38,13 +39,15 @@
 	r.publishManualWeight(now, table, r.serverIndex(server))
 }
 
-// RestoreManualWeight takes up a stored manual weight. It makes no version, as nothing is published yet.
+// RestoreManualWeight restores a manual weight from the store. It creates no table version, as nothing is published
+// yet.
 func (r *Reconciler) RestoreManualWeight(manual ManualWeight) {
 	key := manualKey{manual.Table, r.serverIndex(manual.Server)}
 	r.manualWeights[key] = manualWeight{max(0, min(maxWeight, manual.Weight)), manual.Until}
 }
 
-// ClearManualWeight lets the balancer's weight count again. It returns false if there was no manual weight.
+// ClearManualWeight removes a manual weight, so that the balancer's weight is in effect again. It returns false if
+// there was none.
 func (r *Reconciler) ClearManualWeight(now fleet.Time, table fleet.TableID, server fleet.ServerID) bool {
 	key := manualKey{table, r.serverIndex(server)}
 	_, wasSet := r.manualWeights[key]
@@ -53,7 +56,7 @@
 	return wasSet
 }
 
-// publishManualWeight sends an entry to all proxies with the table.
+// publishManualWeight records a table version and sends the entry to all proxies that have the table.
 func (r *Reconciler) publishManualWeight(now fleet.Time, id fleet.TableID, i int32) {
 	if table := r.tables[id]; table != nil {
 		r.recordVersion(now, id, table, "set by hand")
@@ -64,7 +67,7 @@
 	})
 }
 
-// expireManualWeights ends manual weights whose time is over.
+// expireManualWeights removes manual weights that have expired.
 func (r *Reconciler) expireManualWeights(now fleet.Time) {
 	for _, manual := range r.ManualWeights() {
 		if now >= manual.Until {
@@ -73,7 +76,7 @@
 	}
 }
 
-// ManualWeights returns all manual weights, by table and server.
+// ManualWeights returns all manual weights, sorted by table and server.
 func (r *Reconciler) ManualWeights() []ManualWeight {
 	var all []ManualWeight
 	for key, manual := range r.manualWeights {
--- a/internal/reconcile/message.go
+++ b/internal/reconcile/message.go
@@ -2,31 +2,33 @@
 
 import "cressknot/internal/fleet"
 
-// ChangeKind says what a change is about.
+// ChangeKind is the operation of a change.
 type ChangeKind uint8
 
-// The kinds of changes.
+// The operations.
 const (
-	UpdateEntry     ChangeKind = iota // sets weight, state or both of a present entry
+	UpdateEntry     ChangeKind = iota // sets the weight, the state or both of an existing entry
 	AddEntry                          // adds an entry that the proxy does not have
-	DeleteEntry                       // deletes the entry of a server that is gone
+	DeleteEntry                       // deletes the entry of a gone server
 	UpdateAdmission                   // sets the admission limit of a class
 	UpdateVersion                     // sets the version of a class's table; last in a message
 )
 
-// Change is one update of a proxy, in absolute values, so that a repeat changes nothing.
+// Change is one update of a proxy. Its values are absolute, so applying it twice has no further effect. Which fields
+// are set depends on Kind.
 type Change struct {
 	Kind           ChangeKind
 	Class          fleet.ClassID
 	Server         fleet.ServerID
 	Weight         int16 // negative: unchanged
 	State          State
-	AddressChanged bool   // the address of the server has to be set as well
-	VersionStamp   string // version and digest
+	AddressChanged bool   // the server's address has to be set too
+	VersionStamp   string // version and digest, separated by a slash; of UpdateVersion
 	Admission      Admission
 }
 
-// Message holds the changes that leave for one proxy together. Entries is their cost in the update channel.
+// Message is a batch of changes for one proxy. Entries is its cost in the update channel, in table entries without
+// overhead. The transport passes Sequence back to Acknowledge.
 type Message struct {
 	Proxy    fleet.ProxyID
 	Sequence uint64
@@ -34,42 +36,42 @@
 	Changes  []Change
 }
 
-// FailureKind says why a change was not applied.
+// FailureKind is the reason why a change was not applied.
 type FailureKind uint8
 
-// The failures that a transport distinguishes.
+// The kinds of failures that transports distinguish.
 const (
-	FailureOther        FailureKind = iota // any other error, or an answer that could not be understood
-	FailureEntryMissing                    // the entry to be set or deleted does not exist
-	FailureEntryExists                     // the entry to be added exists
-	FailureEntryInUse                      // the entry to be deleted has requests
+	FailureOther        FailureKind = iota // any other error, or an answer that could not be parsed
+	FailureEntryMissing                    // the entry to be updated or deleted does not exist
+	FailureEntryExists                     // the entry to be added already exists
+	FailureEntryInUse                      // the entry to be deleted has requests in flight
 )
 
-// Failure reports a change of a message that was not applied.
+// Failure describes a change of a message that was not applied. Text is the proxy's answer or the error.
 type Failure struct {
 	Index int // of the change in the message
 	Kind  FailureKind
 	Text  string
 }
 
-// queuedMessage is a message from the time it is put into the update channel until it is acknowledged. Its changes
-// are worked out when it is written.
+// queuedMessage is a message from its insertion into the update channel until its acknowledgement. Its changes are
+// computed when it is written.
 type queuedMessage struct {
 	proxy    *proxyState
-	sequence uint64 // 0: not in the channel
+	sequence uint64 // 0: not in the update channel
 	entries  int
 	queuedAt fleet.Time
-	sentAt   fleet.Time // when it left the channel; 0: it waits there
+	sentAt   fleet.Time // when it left the update channel; 0: still queued
 
 	barrier      fleet.BarrierID
-	barrierAfter uint64     // the barrier is reached once all messages with a lower sequence are settled
-	barrierDelay fleet.Time // from the order to the acknowledgement
+	barrierAfter uint64     // the barrier requires that all messages with a lower sequence are settled
+	barrierDelay fleet.Time // from queueing to acknowledgement
 
 	hasBarrier     bool
-	barrierPending bool // acknowledged, but its barrier is not reached yet
+	barrierPending bool // acknowledged, but its barrier is not reported yet
 	acknowledged   bool
-	discarded      bool // its proxy left
+	discarded      bool // the session of its proxy has ended
 
 	changes []Change
-	items   []itemKey // what each change is about
+	items   []itemKey // the item of each change
 }
--- a/internal/reconcile/observe.go
+++ b/internal/reconcile/observe.go
@@ -7,16 +7,17 @@
 	"cressknot/internal/fleet"
 )
 
-// ObservedEntry is an entry as a poll of a proxy shows it.
+// ObservedEntry is an entry as reported by a poll of a proxy.
 type ObservedEntry struct {
 	Class  fleet.ClassID
 	Server fleet.ServerID
-	Weight int16 // of a ready entry
+	Weight int16 // valid only in StateReady
 	State  State
 }
 
-// ObserveEntries compares what a poll shows with what the proxy was sent. What differs was changed by hand or lost:
-// operators are notified, and only the difference is sent. Nothing is compared while messages are in flight.
+// ObserveEntries compares the result of a poll with the state that was sent to the proxy. Entries that differ were
+// changed by other means or lost: operators are notified and the differences are sent. Polls without entries, and
+// polls while messages are in flight, are ignored.
 func (r *Reconciler) ObserveEntries(now fleet.Time, id fleet.ProxyID, entries []ObservedEntry) {
 	proxy := r.proxies[id]
 	if proxy == nil || len(proxy.inFlight) > 0 || len(entries) == 0 {
@@ -40,7 +41,7 @@
 	}
 }
 
-// compareObserved takes over what a poll shows and returns how many entries differ.
+// compareObserved corrects the sent state of entries that a poll reports differently, and returns their number.
 func (r *Reconciler) compareObserved(proxy *proxyState, entries []ObservedEntry) (differing int) {
 	for _, observed := range entries {
 		i, known := r.endpoints.index[observed.Server]
@@ -71,12 +72,12 @@
 	return differing
 }
 
-// matches reports whether an observed entry is what was sent. The weight is known of ready entries only.
+// matches reports whether an observed entry equals what was sent. The weight is compared only in StateReady.
 func (o ObservedEntry) matches(sent EntryState) bool {
 	return sent.Present && sent.State == o.State && (o.State != StateReady || sent.Weight == o.Weight)
 }
 
-// removeUnobserved takes as missing what the latest poll did not show, and returns how many entries that were.
+// removeUnobserved treats entries that the latest poll did not report as missing, and returns their number.
 func (r *Reconciler) removeUnobserved(proxy *proxyState) (missing int) {
 	for index, sent := range proxy.sent {
 		if sent.Present && !sent.Unknown && proxy.lastObserved[index] != proxy.observationRound {
@@ -87,7 +88,7 @@
 	return missing
 }
 
-// correctEntry notes what a proxy really has of an entry and sends what is desired.
+// correctEntry records the actual state of an entry at a proxy and schedules the desired one.
 func (r *Reconciler) correctEntry(proxy *proxyState, index int, entry EntryState) {
 	r.setSent(proxy, index, entry)
 	r.markDirtyNow(proxy, itemKey{server: int32(index / r.classes())})
--- a/internal/reconcile/orders.go
+++ b/internal/reconcile/orders.go
@@ -6,10 +6,11 @@
 	"cressknot/internal/fleet"
 )
 
-// orderCosts counts the entries that the orders of one step cost at each proxy.
+// orderCosts is the cost of the orders of one step for each proxy, in entries.
 type orderCosts map[*proxyState]int
 
-// Apply takes the orders of one step. Each proxy that they concern gets one message.
+// Apply applies the orders of one step to the desired state and queues one message to each proxy that they concern.
+// Orders for proxies without a session and other kinds of orders are ignored.
 func (r *Reconciler) Apply(now fleet.Time, orders []fleet.Order) {
 	costs := orderCosts{}
 	var barrier *fleet.Barrier
@@ -40,8 +41,7 @@
 	r.enqueueOrders(now, costs, barrier)
 }
 
-// enqueueOrders puts a message to each proxy with costs into the update channel, and to all proxies if the barrier
-// says so.
+// enqueueOrders queues a message to each proxy with a cost, or to all proxies if the barrier requires it.
 func (r *Reconciler) enqueueOrders(now fleet.Time, costs orderCosts, barrier *fleet.Barrier) {
 	first := r.channel.lastSequence + 1
 	for _, proxy := range r.proxyOrder {
@@ -62,7 +62,7 @@
 	before := table.weights[i]
 	table.weights[i] = float64(order.Weight)
 	r.rescale(order.Table, table, costs)
-	// The entries of a warming server go down before others move, so that nothing overloads it meanwhile.
+	// A decrease at a warming server is applied before other changes, which could overload it in the meantime.
 	urgent := float64(order.Weight) < before && r.isWarmingUp(&r.endpoints.servers[i], now)
 	r.eachProxyOn(order.Table, func(proxy *proxyState) {
 		r.markDirty(proxy, itemKey{server: i}, urgent)
@@ -70,8 +70,8 @@
 	})
 }
 
-// rescale chooses a new scale for a table whose largest weight has left the range that rounds well, and sends all
-// entries.
+// rescale chooses a new scale, and resends all entries, if the largest weight of a table is outside of the range from
+// minLargestWeight to maxWeight.
 func (r *Reconciler) rescale(id fleet.TableID, table *tableState, costs orderCosts) {
 	largest := slices.Max(table.weights)
 	scaled := largest * table.scale
@@ -122,8 +122,8 @@
 	}
 }
 
-// applyAssignment assigns a table and returns what that costs: as many entries as the table has, or as differ if
-// those are more.
+// applyAssignment assigns a table to a proxy and returns the cost: the number of entries in the table or the number
+// of differences, whichever is larger.
 func (r *Reconciler) applyAssignment(proxy *proxyState, order fleet.AssignTable) int {
 	differing := 0
 	for class := range proxy.tables {
@@ -173,10 +173,10 @@
 	}
 }
 
-// includesClass reports whether a set of classes has the class. The zero set has all.
+// includesClass reports whether a class is in a set. The zero set contains all classes.
 func includesClass(set fleet.ClassSet, class int) bool { return set == 0 || set&(1<<class) != 0 }
 
-// ensureTable returns the state of a table and creates it if it is new.
+// ensureTable returns the state of a table, which is created if it does not exist.
 func (r *Reconciler) ensureTable(id fleet.TableID) *tableState {
 	table := r.tables[id]
 	if table == nil {
@@ -189,7 +189,7 @@
 	return table
 }
 
-// tableIDs returns the ids of all tables in ascending order.
+// tableIDs returns the IDs of all tables in ascending order.
 func (r *Reconciler) tableIDs() []fleet.TableID {
 	ids := make([]fleet.TableID, 0, len(r.tables))
 	for id := range r.tables {
--- a/internal/reconcile/pins.go
+++ b/internal/reconcile/pins.go
@@ -7,15 +7,15 @@
 	"cressknot/internal/tableversion"
 )
 
-// How long pins last.
+// Durations of pins.
 const (
-	// DefaultPinDuration is how long a pin or a rollback lasts unless stated otherwise.
+	// DefaultPinDuration is the duration of a pin or a rollback if the operator gives none.
 	DefaultPinDuration = 300 * fleet.Second
-	// MaxPinDuration bounds pins, so that one that is forgotten ends within a day.
+	// MaxPinDuration bounds the duration of pins, so that a forgotten one expires within a day.
 	MaxPinDuration = 24 * 3600 * fleet.Second
 )
 
-// Pin is a table that keeps its weights whatever the balancer orders.
+// Pin holds the weights of a table that are in effect until a time, whatever the balancer orders.
 type Pin struct {
 	Table   fleet.TableID
 	Weights []tableversion.Entry
@@ -30,7 +30,7 @@
 	reason  string
 }
 
-// Pin keeps a table as it is until a time.
+// Pin freezes the published weights of a table until the given time. It fails if the table does not exist.
 func (r *Reconciler) Pin(now fleet.Time, id fleet.TableID, until fleet.Time) error {
 	table := r.tables[id]
 	if table == nil {
@@ -44,8 +44,9 @@
 	return nil
 }
 
-// Rollback makes a new version of a table with the content of an earlier one, as far as the present servers allow,
-// and pins the table until a time. It returns the entries that had to differ.
+// Rollback creates a new version of a table with the content of an earlier one and pins the table until the given
+// time. Servers that are draining or gone are left out; the returned differences name them. Manual weights of the
+// table are removed.
 func (r *Reconciler) Rollback(
 	now fleet.Time, id fleet.TableID, to tableversion.Version, until fleet.Time,
 ) ([]tableversion.Difference, error) {
@@ -61,7 +62,7 @@
 	for i := range weights {
 		weights[i] = int16(min(maxWeight, table.versions.Weight(r.endpoints.servers[i].id)))
 	}
-	for key := range r.manualWeights { // a rollback replaces manual weights
+	for key := range r.manualWeights {
 		if key.table == id {
 			delete(r.manualWeights, key)
 		}
@@ -71,7 +72,7 @@
 	return differences, nil
 }
 
-// rollbackObstacle returns why a server may not be in a table that is rolled back, "" if it may.
+// rollbackObstacle returns why a server is left out of a rollback, or "" if it is included.
 func (r *Reconciler) rollbackObstacle(id fleet.ServerID) string {
 	i := r.serverIndex(id)
 	switch {
@@ -83,7 +84,8 @@
 	return ""
 }
 
-// Unpin lets a table follow the balancer again. It returns false if the table was not pinned.
+// Unpin removes the pin of a table, so that the balancer's weights are in effect again. The reason is stored with the
+// new table version. It returns false if the table was not pinned.
 func (r *Reconciler) Unpin(now fleet.Time, id fleet.TableID, reason string) bool {
 	table := r.tables[id]
 	if table == nil || table.pin == nil {
@@ -95,7 +97,7 @@
 	return true
 }
 
-// Pinned returns until when a table is pinned and why, 0 if it is not.
+// Pinned returns the expiry and the reason of a table's pin, or 0 and "" if it is not pinned.
 func (r *Reconciler) Pinned(id fleet.TableID) (until fleet.Time, reason string) {
 	if table := r.tables[id]; table != nil && table.pin != nil {
 		return table.pin.until, table.pin.reason
@@ -103,7 +105,7 @@
 	return 0, ""
 }
 
-// Pins returns the pins that are in force, by table.
+// Pins returns all pins, sorted by table.
 func (r *Reconciler) Pins() []Pin {
 	var pins []Pin
 	for _, id := range r.tableIDs() {
@@ -123,8 +125,8 @@
 	return pins
 }
 
-// endPins ends pins whose time is over, and those that leave a table without a usable server: withdrawals act on a
-// pinned table as on any other.
+// endPins removes pins that have expired, and pins whose servers are all gone, draining or withdrawn. Withdrawals
+// apply to pinned tables too.
 func (r *Reconciler) endPins(now fleet.Time) {
 	for _, id := range r.tableIDs() {
 		pin := r.tables[id].pin
@@ -151,7 +153,7 @@
 	return false
 }
 
-// resendTable sends all proxies with a table what differs from what they have.
+// resendTable queues the differences between the desired and the sent state to all proxies that have a table.
 func (r *Reconciler) resendTable(now fleet.Time, id fleet.TableID) {
 	r.eachProxyOn(id, func(proxy *proxyState) {
 		dirty := 0
--- a/internal/reconcile/pins_test.go
+++ b/internal/reconcile/pins_test.go
@@ -8,7 +8,7 @@
 	"cressknot/internal/fleet"
 )
 
-// pinnedTable is a settled reconciler whose table 0 gets pinned.
+// pinnedTable is a settled reconciler with versions, for tests that pin table 0.
 type pinnedTable struct {
 	*testing.T
 	r   *Reconciler
@@ -29,9 +29,9 @@
 
 func (p *pinnedTable) sentWeight(server int) int16 { return p.r.proxies[0].sent[server*2].Weight }
 
-// TestPinEndsWithTimeOrWithoutUsableServers checks that a pinned table ignores the balancer, whose orders count
-// again after, that a rollback leaves out what is draining and names it, that a pin without a usable server ends
-// early with one notice, and that a rollback to servers that are all gone is refused.
+// TestPinEndsWithTimeOrWithoutUsableServers guards against pins that outlive their purpose. A pinned table ignores
+// the balancer until the pin expires, a rollback leaves out draining servers and names them, a pin without a usable
+// server ends early with one notice, and a rollback to servers that are all gone is refused.
 func TestPinEndsWithTimeOrWithoutUsableServers(t *testing.T) {
 	p := newPinnedTable(t)
 	first, pinnedWeight := p.r.TableVersions(0).Version(), p.sentWeight(0)
@@ -60,7 +60,7 @@
 	}
 
 	p.r.Notices()
-	p.r.SetEndpoints(p.now, changeList(fleet.ServerGone, 0, 1, 2, 3, 4)) // all that the pinned table has
+	p.r.SetEndpoints(p.now, changeList(fleet.ServerGone, 0, 1, 2, 3, 4)) // all servers of the pinned table
 	p.run(3)
 	if until, _ := p.r.Pinned(0); until != 0 {
 		t.Error("a pin without a usable server is still in force")
--- a/internal/reconcile/plan.go
+++ b/internal/reconcile/plan.go
@@ -6,26 +6,27 @@
 	"cressknot/internal/fleet"
 )
 
-// Proposal is one change that a message would make, with what the proxy has before and after it. A safety check may
-// refuse it by HoldReason or lower its weight by LowerWeight.
+// Proposal is one change of a planned message, with the state of the entry before and after it. A safety check
+// refuses it by setting HoldReason, or reduces its weight with LowerWeight.
 type Proposal struct {
 	Change
-	Have, Want  EntryState // of an entry
+	Have, Want  EntryState // of the entry before and after; not used for UpdateAdmission
 	Ready       bool       // the server is listed as ready
 	Warming     bool       // the server is warming up
-	Urgent      bool       // keeps requests away from where they do harm: goes first
-	HoldReason  string     // why a safety check refuses it; "": not refused
-	LowerReason string     // why a safety check lowered its weight; "": not lowered
+	Urgent      bool       // sent ahead of ordinary changes, such as a withdrawal
+	HoldReason  string     // why the safety check refuses it; "": not refused
+	LowerReason string     // why the safety check lowered its weight; "": not lowered
 	item        itemKey
 	index       int // of the entry in proxyState.sent
 }
 
-// isEntryOfReadyServer reports whether the proposal will change an entry of a ready server.
+// isEntryOfReadyServer reports whether the proposal changes an entry of a ready server and is not refused.
 func (p *Proposal) isEntryOfReadyServer() bool {
 	return p.Ready && p.Kind != UpdateAdmission && p.HoldReason == ""
 }
 
-// EntryDelta returns by how many the change raises the number of usable entries of ready servers: 1, 0 or -1.
+// EntryDelta returns the change in the number of usable entries of ready servers: 1, 0 or -1. It is 0 for a refused
+// proposal.
 func (p *Proposal) EntryDelta() int {
 	switch {
 	case !p.isEntryOfReadyServer():
@@ -38,7 +39,8 @@
 	return 0
 }
 
-// WeightDelta returns by how much the change raises the sum of weights of usable entries of ready servers.
+// WeightDelta returns the change in the weight sum of usable entries of ready servers. It is 0 for a refused
+// proposal.
 func (p *Proposal) WeightDelta() int {
 	if !p.isEntryOfReadyServer() {
 		return 0
@@ -46,19 +48,20 @@
 	return p.Want.usableWeight() - p.Have.usableWeight()
 }
 
-// LowerWeight gives a proposal less weight than was wanted.
+// LowerWeight replaces the weight of a proposal by a lower one, 0 to 256. Only a SafetyCheck may call it.
 func (p *Proposal) LowerWeight(weight int16, reason string) {
 	p.Want.Weight = weight
 	p.Change = changeBetween(p.Class, p.Server, p.Have, p.Want)
 	p.LowerReason = reason
 }
 
-// UpdatePlan is a message before it leaves, with what the proxy has before it.
+// UpdatePlan is a message before it is sent, with the state of the proxy after all messages in flight are applied. It
+// is reused and valid only during the call that receives it.
 type UpdatePlan struct {
 	Proxy           fleet.ProxyID
 	Proposals       []Proposal
 	EntryCounts     []int          // by class: usable entries of ready servers
-	WeightSums      []int          // by class: the weights of those
+	WeightSums      []int          // by class: sum of their weights
 	Warming         []WarmingEntry // usable entries of ready servers that are warming up
 	NothingInFlight bool           // no other message is in flight to the proxy
 	sorted          []Proposal     // reused to avoid allocations
@@ -73,20 +76,21 @@
 	server int32 // index of the server
 }
 
-// SafetyCheck decides about each message before it leaves. It may refuse proposals, lower their weights and add
-// changes by AddWeightCut, and changes nothing else.
+// SafetyCheck examines each message before it is sent. It may refuse proposals, lower their weights and add changes
+// with AddWeightCut, and must not modify the plan otherwise.
 type SafetyCheck interface {
-	// ProxyJoined reports what a proxy has when it joins.
+	// ProxyJoined receives the state of a proxy that joins, in a plan without proposals.
 	ProxyJoined(now fleet.Time, plan *UpdatePlan)
-	// CheckPlan decides about one message.
+	// CheckPlan examines one message.
 	CheckPlan(now fleet.Time, plan *UpdatePlan)
-	// ProxyAcknowledged reports what a proxy has for certain after it acknowledged all messages.
+	// ProxyAcknowledged receives the confirmed state of a proxy that has acknowledged all messages, in a plan
+	// without proposals. It is also called for all proxies when the start time of a listed server has changed.
 	ProxyAcknowledged(now fleet.Time, plan *UpdatePlan)
-	// ProxyLeft reports that the session of a proxy ended.
+	// ProxyLeft is called when the session of a proxy ends.
 	ProxyLeft(id fleet.ProxyID)
 }
 
-// AddWeightCut adds a change that lowers the weight of a warming server's entry.
+// AddWeightCut adds an urgent change that sets the weight of a warming server's entry to a lower one, 0 to 256.
 func (p *UpdatePlan) AddWeightCut(entry WarmingEntry, weight int16, reason string) {
 	want := entry.State
 	want.Weight = weight
@@ -103,8 +107,8 @@
 	})
 }
 
-// newPlan returns an empty plan with what a proxy has once all that is in flight has arrived. It is valid until the
-// next call.
+// newPlan returns a plan without proposals, with the state of the proxy after all messages in flight are applied. It
+// is valid until the next call.
 func (r *Reconciler) newPlan(now fleet.Time, proxy *proxyState) *UpdatePlan {
 	plan := &r.plan
 	*plan = UpdatePlan{
@@ -133,7 +137,7 @@
 	return plan
 }
 
-// propose adds to a plan what brings an item of a proxy to its desired state.
+// propose adds to a plan the changes that bring an item of a proxy to its desired state.
 func (r *Reconciler) propose(now fleet.Time, plan *UpdatePlan, proxy *proxyState, item itemKey, urgent bool) {
 	if item.server == noServer {
 		r.proposeAdmission(plan, proxy, item, urgent)
@@ -176,7 +180,7 @@
 	})
 }
 
-// changeBetween returns the change that takes an entry from one state to another.
+// changeBetween returns the change that leads from one state of an entry to another.
 func changeBetween(class fleet.ClassID, server fleet.ServerID, have, want EntryState) Change {
 	change := Change{
 		Class:          class,
@@ -199,8 +203,8 @@
 	return change
 }
 
-// commitPlan adds to a message what passed the safety check and takes it as sent. What was refused is proposed
-// again later.
+// commitPlan adds the proposals that passed the safety check to a message and records them as sent. Refused ones are
+// recorded for retryRefused.
 func (r *Reconciler) commitPlan(now fleet.Time, proxy *proxyState, message *queuedMessage, plan *UpdatePlan) {
 	for i := range plan.Proposals {
 		proposal := &plan.Proposals[i]
@@ -215,7 +219,7 @@
 		case proposal.Kind == UpdateAdmission:
 			proxy.admissions[proposal.Class] = proposal.Admission
 		case proposal.Want == proposal.Have:
-			continue // lowered to what the proxy has
+			continue // the lowered weight is what the proxy already has
 		default:
 			r.setSent(proxy, proposal.index, proposal.Want)
 		}
--- a/internal/reconcile/proxies.go
+++ b/internal/reconcile/proxies.go
@@ -8,7 +8,8 @@
 	"cressknot/internal/fleet"
 )
 
-// Join begins the session of a proxy with the state that was read back from it.
+// Join starts the session of a proxy with the state that was read back from it. An earlier session of the proxy is
+// ended first.
 func (r *Reconciler) Join(now fleet.Time, id fleet.ProxyID, snapshot Snapshot) {
 	r.Leave(id)
 	proxy := r.newProxy(now, id, snapshot)
@@ -17,12 +18,12 @@
 		return cmp.Compare(proxy.id, id)
 	})
 	r.proxyOrder = slices.Insert(r.proxyOrder, position, proxy)
-	// It may have missed withdrawals while it was away. The desired state has them.
+	// The proxy may have missed withdrawals while it was disconnected.
 	for i := range r.endpoints.servers {
 		server := &r.endpoints.servers[i]
 		if server.withdrawalSet {
 			r.markDirty(proxy, itemKey{server: int32(i)}, server.withdrawn)
-		} else if r.needsUpdate(proxy, int32(i)) { // out of sync
+		} else if r.needsUpdate(proxy, int32(i)) { // its state differs from the desired one
 			r.markDirty(proxy, itemKey{server: int32(i)}, true)
 		}
 	}
@@ -76,7 +77,8 @@
 	return proxy
 }
 
-// Leave ends the session of a proxy. What waits for it or is in flight is lost.
+// Leave ends the session of a proxy and discards its messages, queued or in flight. A proxy without a session is
+// ignored.
 func (r *Reconciler) Leave(id fleet.ProxyID) {
 	proxy := r.proxies[id]
 	if proxy == nil {
@@ -95,7 +97,7 @@
 	r.settleBarriers()
 }
 
-// disconnectStuck ends the sessions of proxies that acknowledge nothing at all.
+// disconnectStuck ends the sessions of proxies that made no progress within stuckTimeout.
 func (r *Reconciler) disconnectStuck(now fleet.Time) {
 	for _, proxy := range slices.Clone(r.proxyOrder) {
 		if len(proxy.inFlight) > 0 && now >= proxy.progressAt+r.stuckTimeout() {
@@ -108,7 +110,8 @@
 	}
 }
 
-// markDirty marks an item of a proxy as to be sent. An item that waits already is not sent twice.
+// markDirty schedules an item of a proxy for sending. An item that is already scheduled is sent once; it becomes
+// urgent if either call is urgent.
 func (r *Reconciler) markDirty(proxy *proxyState, item itemKey, urgent bool) {
 	wasUrgent, isDirty := proxy.dirty[item]
 	if isDirty {
@@ -125,13 +128,13 @@
 	}
 }
 
-// markDirtyNow marks an item as urgent and lets it leave without waiting for the update channel.
+// markDirtyNow schedules an item as urgent and exempts it from the pacing of the update channel.
 func (r *Reconciler) markDirtyNow(proxy *proxyState, item itemKey) {
 	r.markDirty(proxy, item, true)
 	proxy.entryBudget++
 }
 
-// setSent changes what a proxy has of an entry, and the sums of its class.
+// setSent sets the sent state of an entry and updates the totals of its class.
 func (r *Reconciler) setSent(proxy *proxyState, index int, entry EntryState) {
 	class := index % r.classes()
 	server := int32(index / r.classes())
@@ -147,7 +150,7 @@
 	proxy.sent[index] = entry
 }
 
-// eachProxyOn calls each proxy that has a class assigned to the table.
+// eachProxyOn calls fn once for each proxy that has the table assigned to any class.
 func (r *Reconciler) eachProxyOn(table fleet.TableID, fn func(*proxyState)) {
 	for _, proxy := range r.proxyOrder {
 		for class, assigned := range proxy.tables {
--- a/internal/reconcile/queue.go
+++ b/internal/reconcile/queue.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	// maxInFlightMessages bounds the messages to one proxy that are not acknowledged: one is applied while another
-	// travels.
+	// maxInFlightMessages bounds the unacknowledged messages to one proxy. With two, one is in transit while the
+	// other is applied.
 	maxInFlightMessages = 2
-	// reservedMessages of Site.MaxMessages are reserved for urgent changes.
+	// reservedMessages is the part of Site.MaxMessages that is reserved for urgent changes.
 	reservedMessages = 3
-	// maxBurstDuration is how much lost pace may be caught up, such as after a timer that fired late under load.
+	// maxBurstDuration bounds the unused sending rate that may be caught up, such as after a timer that fired late
+	// under load.
 	maxBurstDuration = 50 * fleet.Millisecond
-	// goneEntryRetention is how long the entries of a gone server stay, until its requests have ended.
+	// goneEntryRetention is how long the entries of a gone server are kept, so that its requests can end.
 	goneEntryRetention = 60 * fleet.Second
 	sweepInterval      = fleet.Second
 )
 
-// updateChannel is the one queue through which all messages leave, first in, first out, at the pace of
-// Site.EntriesPerSecond. The changes of a message are worked out when it is written, from what is desired then. So
-// a weight that waits is replaced by a newer one, and withdrawals overtake ordinary changes of the same proxy.
+// updateChannel is the FIFO queue of the messages to all proxies. It is rate-limited to Site.EntriesPerSecond by a
+// token bucket. The changes of a message are computed from the desired state when it is written. Hence a newer weight
+// replaces one that is still queued, and withdrawals overtake ordinary changes of the same proxy.
 type updateChannel struct {
-	queue        []*queuedMessage // those before head have left
+	queue        []*queuedMessage // those before head have been released
 	head         int
 	lastSequence uint64
-	unsettled    []*queuedMessage // by sequence; settled ones are removed from the front
-	backlog      float64          // entries in the queue, message overhead included
-	credit       float64          // entries that may leave now
-	pacedAt      fleet.Time       // latest time that was added to the credit; negative: none yet
+	unsettled    []*queuedMessage // messages that may delay a barrier, by sequence
+	backlog      float64          // entries in the queue, including message overhead
+	credit       float64          // tokens: entries that may be released now; negative after a long message
+	pacedAt      fleet.Time       // time up to which credit was granted; negative: none yet
 }
 
-// cost returns what a message costs in the update channel, in entries.
+// cost returns the cost of a message in the update channel, in entries. A barrier costs one.
 func (r *Reconciler) cost(message *queuedMessage) float64 {
 	cost := float64(message.entries) + r.site.MessageOverhead
 	if message.hasBarrier {
@@ -41,8 +42,9 @@
 	return cost
 }
 
-// enqueue puts a message to a proxy into the update channel and returns it. Where a message to the proxy waits
-// already, the entries are added to that one. Where the channel is full, the items stay dirty until there is room.
+// enqueue adds a message to a proxy to the update channel and returns it. If a message to the proxy is still queued,
+// and there is no barrier, the entries are added to that one instead. If the channel is full, the message is not
+// queued (its sequence is 0) and the items stay dirty until enqueueDeferred finds room.
 func (r *Reconciler) enqueue(now fleet.Time, proxy *proxyState, entries int, barrier *fleet.Barrier) *queuedMessage {
 	channel := &r.channel
 	message := &queuedMessage{proxy: proxy, entries: entries, queuedAt: now}
@@ -73,13 +75,13 @@
 	return message
 }
 
-// canExtend reports whether more entries may be added to a message, which costs no further overhead.
+// canExtend reports whether entries may be added to a queued message, which saves the overhead of a new one.
 func (r *Reconciler) canExtend(message *queuedMessage, entries int) bool {
 	return message != nil && !message.discarded && message.sentAt == 0 &&
 		r.channel.backlog+float64(entries) <= r.site.MaxBacklog
 }
 
-// discardMessages gives up the messages of a proxy that left.
+// discardMessages discards the messages of a proxy whose session has ended.
 func (r *Reconciler) discardMessages(proxy *proxyState) {
 	for _, message := range r.channel.unsettled {
 		if message.proxy == proxy {
@@ -94,8 +96,9 @@
 	}
 }
 
-// Next returns the messages that may leave by now, the events for the balancer, the proxies whose sessions are to
-// be ended because they acknowledge nothing, and when to call again (0: when something happens).
+// Next returns the messages to send now, the events for the balancer, the proxies whose sessions the transport must
+// close because they are stuck, and the time of the next call. A wake time of 0 means that no call is due before the
+// next input.
 func (r *Reconciler) Next(now fleet.Time) (
 	messages []Message, events []fleet.Event, disconnects []fleet.ProxyID, wake fleet.Time,
 ) {
@@ -107,7 +110,7 @@
 		r.enqueueDeferred(now, proxy)
 		r.retryRefused(now, proxy)
 		if proxy.queuedCount == 0 && len(proxy.released) == 0 && proxy.retryAt == 0 && !proxy.deferred {
-			// The last message takes along what is left over.
+			// No message follows, so the next one carries all remaining items.
 			proxy.entryBudget = max(proxy.entryBudget, len(proxy.dirty))
 		}
 		for r.hasMessage(now, proxy) {
@@ -123,7 +126,7 @@
 	return messages, events, disconnects, wake
 }
 
-// sweep does once per second what is due by time alone.
+// sweep runs the periodic tasks, once per sweepInterval.
 func (r *Reconciler) sweep(now fleet.Time) {
 	if now < r.sweptAt+sweepInterval {
 		return
@@ -134,7 +137,8 @@
 	r.deleteGoneEntries(now)
 }
 
-// enqueueDeferred puts items that waited outside of the full update channel into it, once it is half empty.
+// enqueueDeferred queues the items that were deferred while the update channel was full, once it is at most half
+// full.
 func (r *Reconciler) enqueueDeferred(now fleet.Time, proxy *proxyState) {
 	if !proxy.deferred {
 		return
@@ -153,8 +157,8 @@
 	return len(proxy.released) > 0 || proxy.entryBudget > 0 && len(proxy.dirty) > 0
 }
 
-// withinMessageLimit keeps to Site.MaxMessages within Site.MessageWindow. The last ones are reserved for urgent
-// changes.
+// withinMessageLimit reports whether a message to a proxy is within Site.MaxMessages per Site.MessageWindow. The last
+// reservedMessages are available to urgent changes only.
 func (r *Reconciler) withinMessageLimit(now fleet.Time, proxy *proxyState) bool {
 	limit := r.site.MaxMessages
 	if limit <= 0 {
@@ -167,7 +171,7 @@
 	return written < limit-reservedMessages || written < limit && len(proxy.urgentItems) > 0
 }
 
-// releaseQueued lets messages leave the queue at the pace of Site.EntriesPerSecond.
+// releaseQueued releases messages from the queue at the rate of Site.EntriesPerSecond.
 func (r *Reconciler) releaseQueued(now fleet.Time) {
 	channel := &r.channel
 	if channel.pacedAt < 0 {
@@ -176,11 +180,11 @@
 	maxCredit := max(1, maxBurstDuration.Seconds()*r.site.EntriesPerSecond)
 	elapsed := max(0, (now - channel.pacedAt).Seconds())
 	channel.credit = min(maxCredit, channel.credit+elapsed*r.site.EntriesPerSecond)
-	channel.pacedAt = max(channel.pacedAt, now) // a clock that goes back gives no credit twice
+	channel.pacedAt = max(channel.pacedAt, now) // a clock that is set back does not grant credit twice
 	for channel.head < len(channel.queue) {
 		message := channel.queue[channel.head]
 		if !message.discarded {
-			// A message longer than a burst leaves with the full credit, which then becomes negative.
+			// A message that exceeds the burst size is released at full credit, which then becomes negative.
 			cost := r.cost(message)
 			if channel.credit < min(cost, maxCredit) {
 				break
@@ -206,7 +210,7 @@
 	proxy.entryBudget += message.entries
 }
 
-// nextWake returns when something is due by time alone, 0 for nothing.
+// nextWake returns the time of the next timeout or release, 0 if there is none.
 func (r *Reconciler) nextWake(now fleet.Time) (wake fleet.Time) {
 	if r.channel.head < len(r.channel.queue) {
 		missing := r.cost(r.channel.queue[r.channel.head]) - r.channel.credit
@@ -227,7 +231,7 @@
 	return wake
 }
 
-// earlier returns the earlier of two times, of which 0 means never.
+// earlier returns the earlier of two times, where 0 means never.
 func earlier(a, b fleet.Time) fleet.Time {
 	if a == 0 || b > 0 && b < a {
 		return max(0, b)
@@ -235,11 +239,10 @@
 	return a
 }
 
-// Backlog returns the entries that wait in the update channel, message overhead included. Site.MaxBacklog bounds
-// them.
+// Backlog returns the number of entries in the update channel, including message overhead. Site.MaxBacklog bounds it.
 func (r *Reconciler) Backlog() float64 { return r.channel.backlog }
 
-// Idle reports whether no change waits and no message is in flight.
+// Idle reports whether no change is pending and no message is queued or in flight.
 func (r *Reconciler) Idle() bool {
 	for _, proxy := range r.proxyOrder {
 		if len(proxy.inFlight) > 0 || len(proxy.released) > 0 || len(proxy.dirty) > 0 {
--- a/internal/reconcile/queue_test.go
+++ b/internal/reconcile/queue_test.go
@@ -7,9 +7,9 @@
 	"cressknot/internal/fleet"
 )
 
-// TestSlowProxyDelaysNoOther checks that while one proxy acknowledges nothing, the others get their messages at
-// once and reach their barriers, that messages to the slow one stay within the window, and that its session is
-// ended at last.
+// TestSlowProxyDelaysNoOther guards against head-of-line blocking in the shared update channel. While one proxy
+// acknowledges nothing, the others receive their messages and reach their barriers, messages to the slow one stay
+// within the in-flight window, and its session is closed after the stuck timeout.
 func TestSlowProxyDelaysNoOther(t *testing.T) {
 	r, now := newSettledReconciler(t, testSite(), 3, 10)
 	barriersReached := 0
@@ -47,7 +47,8 @@
 			messagesToSlowProxy, maxInFlightMessages)
 	}
 	if barriersReached < 30 {
-		t.Errorf("the two other proxies reached %d of about 40 barriers while one proxy was slow, want at least 30", barriersReached)
+		t.Errorf("the two other proxies reached %d of about 40 barriers while one proxy was slow, want at least 30",
+			barriersReached)
 	}
 	due := startedAt + r.stuckTimeout()
 	if disconnectedAt == 0 || disconnectedAt < due || disconnectedAt > due+fleet.Second {
@@ -56,8 +57,8 @@
 	}
 }
 
-// TestUrgentChangesOvertake checks that a withdrawal leaves with the proxy's next message, ahead of changes that
-// wait, and that a weight that waits is replaced by the newer one.
+// TestUrgentChangesOvertake guards against a withdrawal that is delayed by queued changes: it is sent in the proxy's
+// next message, as the first change. A queued weight is replaced by a newer one.
 func TestUrgentChangesOvertake(t *testing.T) {
 	r, now := newSettledReconciler(t, testSite(), 1, 40)
 	var orders []fleet.Order
@@ -99,12 +100,13 @@
 		now += 10 * fleet.Millisecond
 	}
 	if classes := len(r.site.Classes); sent[39] != classes {
-		t.Errorf("%d changes of server 39 were sent, want %d (one per class): the first weight was still queued", sent[39], classes)
+		t.Errorf("%d changes of server 39 were sent, want %d (one per class): the first weight was still queued",
+			sent[39], classes)
 	}
 }
 
-// TestBacklogAndMessagesStayBounded checks that, whatever is ordered, no more entries wait and no proxy is sent
-// more messages than allowed, and that all arrives in the end.
+// TestBacklogAndMessagesStayBounded guards against a backlog or a message rate above the site's limits when orders
+// come in faster than they can be sent. All proxies reach the desired state after the orders stop.
 func TestBacklogAndMessagesStayBounded(t *testing.T) {
 	site := testSite()
 	site.MaxBacklog = 300
@@ -152,6 +154,7 @@
 	}
 }
 
+// BenchmarkChangedLineToAll measures one changed entry that is sent to all proxies.
 func BenchmarkChangedLineToAll(b *testing.B) {
 	for _, proxies := range []int{230, 465, 930} {
 		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
@@ -167,6 +170,7 @@
 	}
 }
 
+// BenchmarkFullTableToOne measures a complete table that is sent to one proxy without entries.
 func BenchmarkFullTableToOne(b *testing.B) {
 	site := testSite()
 	site.EntriesPerSecond = 1e9
@@ -179,7 +183,8 @@
 	}
 }
 
-// BenchmarkReturn930 has 930 proxies of 700 servers come back with a table that some of the last versions had.
+// BenchmarkReturn930 measures the reconnection of 930 proxies with 700 servers, whose tables are spread over a number
+// of earlier versions.
 func BenchmarkReturn930(b *testing.B) {
 	for _, distinct := range []int{1, 10, 300} {
 		b.Run(fmt.Sprint("versions=", distinct), func(b *testing.B) {
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -14,7 +14,8 @@
 	simulatedServers = 5
 )
 
-// simulation drives a reconciler and fake proxies with drawn orders and faults, and knows what is desired.
+// simulation drives a reconciler and fake proxies with randomly drawn orders and faults, and tracks the expected
+// state.
 type simulation struct {
 	t           *rapid.T
 	r           *Reconciler
@@ -26,7 +27,7 @@
 	tables      [simulatedProxies]fleet.TableID // of both classes; 0: none assigned
 	withdrawn   map[fleet.ServerID]bool
 	admission   Admission
-	entries     float64 // that have left
+	entries     float64 // sent so far
 	lastBarrier fleet.BarrierID
 	barriers    map[fleet.BarrierID]int // how often each was reached
 }
@@ -70,7 +71,7 @@
 	s.r.Leave(fleet.ProxyID(i))
 }
 
-// next takes what the reconciler emits and checks its pace.
+// next collects the output of the reconciler and checks its rate.
 func (s *simulation) next() {
 	messages, events, disconnects, _ := s.r.Next(s.now)
 	for _, message := range messages {
@@ -95,8 +96,8 @@
 	}
 }
 
-// deliver lets a proxy apply its next message. With a limit below its number of changes the session breaks after
-// some.
+// deliver applies the next message at a proxy. If limit is below its number of changes, the session ends after that
+// many.
 func (s *simulation) deliver(i, limit int) {
 	proxy := s.proxies[i]
 	if !s.connected[i] || len(proxy.inbox) == 0 {
@@ -131,7 +132,7 @@
 			s.leave(i)
 		}
 	case 2:
-		if s.connected[i] && s.proxies[i] != nil { // changed by hand: the next errors or the next readback show it
+		if s.connected[i] && s.proxies[i] != nil { // changed by other means: detected by errors or the next readback
 			delete(s.proxies[i].entries, entryKey{server, 0})
 			s.leave(i)
 		}
@@ -176,7 +177,7 @@
 	s.admission = Admission{Known: true, Limit: int32(perMille * float64(limit))}
 }
 
-// heal lets all proxies join and apply their messages until all must be done.
+// heal connects all proxies and delivers messages for long enough that all proxies must be in sync.
 func (s *simulation) heal() {
 	joinMissing := func() {
 		for i := range simulatedProxies {
@@ -198,7 +199,7 @@
 	}
 }
 
-// checkProxy compares what a proxy has with what is desired.
+// checkProxy compares the state of a proxy with the expected one.
 func (s *simulation) checkProxy(i int, proxy *fakeProxy) {
 	if proxy.violation != "" {
 		s.t.Error(proxy.violation)
@@ -224,9 +225,10 @@
 	}
 }
 
-// TestEveryProxyReachesDesiredState checks that, whatever is ordered, lost, cut halfway, repeated, changed by hand
-// or answered late, each proxy that can be reached ends in the desired state, no message leaves ahead of the pace,
-// and every barrier is reached at most once by each proxy.
+// TestEveryProxyReachesDesiredState guards against proxies that stay out of sync after faults: lost sessions, partly
+// applied messages, late acknowledgements and entries changed by other means. After any sequence of orders and
+// faults, each connected proxy reaches the desired state, messages keep to the rate limit, and each proxy reaches
+// each barrier at most once.
 func TestEveryProxyReachesDesiredState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
@@ -248,8 +250,8 @@
 	})
 }
 
-// TestRoundKeepsProportions checks that a positive weight never becomes 0, and that rounding is off by at most half
-// a unit, or up to one for the smallest weights.
+// TestRoundKeepsProportions guards against rounding that distorts a table: a positive weight never becomes 0, and the
+// error is at most half a unit, or up to one unit for the smallest weights.
 func TestRoundKeepsProportions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0.01, 1), 1, 50).Draw(t, "weights")
--- a/internal/reconcile/refusals.go
+++ b/internal/reconcile/refusals.go
@@ -8,27 +8,27 @@
 	"cressknot/internal/fleet"
 )
 
-// refusedRetryInterval is the time after which refused changes are proposed again.
+// refusedRetryInterval is the interval at which refused changes are submitted to the safety check again.
 const refusedRetryInterval = fleet.Second / 2
 
-// refusalKey names a refusal, which is one for all proxies.
+// refusalKey identifies a refusal. The same refusal at several proxies is counted once.
 type refusalKey struct {
 	item   itemKey
 	reason string
 }
 
-// Refusal is what the safety check refuses or lowers now.
+// Refusal is a change that the safety check currently refuses or lowers.
 type Refusal struct {
 	Server    fleet.ServerID
-	Admission bool // it is about the admission limit of a class, not about a server
+	Admission bool // it concerns the admission limit of Class; Server is not set
 	Class     fleet.ClassID
 	Reason    string
 	Since     fleet.Time
-	Proxies   int
+	Proxies   int // number of proxies concerned
 }
 
-// recordRefusal notes that the safety check refused or lowered a change of a proxy. Operators are notified of the
-// first refusal of an item for a reason.
+// recordRefusal records that the safety check refused or lowered a change of a proxy. Operators are notified once for
+// each item and reason.
 func (r *Reconciler) recordRefusal(now fleet.Time, proxy *proxyState, proposal *Proposal, reason string) {
 	earlier, refused := proxy.refused[proposal.item]
 	if refused && earlier == reason {
@@ -57,7 +57,7 @@
 	refusal.Proxies++
 }
 
-// clearRefusal notes that nothing of an item is refused any more.
+// clearRefusal removes the refusal of an item at a proxy, if there is one.
 func (r *Reconciler) clearRefusal(proxy *proxyState, item itemKey) {
 	reason, refused := proxy.refused[item]
 	if !refused {
@@ -75,7 +75,7 @@
 	}
 }
 
-// retryRefused proposes refused items again.
+// retryRefused schedules refused items again once refusedRetryInterval has passed.
 func (r *Reconciler) retryRefused(now fleet.Time, proxy *proxyState) {
 	if proxy.refusedRetryAt == 0 || now < proxy.refusedRetryAt {
 		return
@@ -98,7 +98,7 @@
 	}
 }
 
-// Refusals returns what is refused now, the oldest first.
+// Refusals returns all current refusals, oldest first.
 func (r *Reconciler) Refusals() []Refusal {
 	var all []Refusal
 	for _, refusal := range r.refusals {
--- a/internal/reconcile/versions.go
+++ b/internal/reconcile/versions.go
@@ -8,18 +8,18 @@
 	"cressknot/internal/tableversion"
 )
 
-// historyLimits bound the history of a table to some 4 MB and to a day: a bad table is found within a day, or its
-// traffic is long gone.
+// historyLimits bounds the history of a table to about 4 MB and to one day. A table that is found to be bad after
+// more than a day is of no use for a rollback, as the traffic has changed.
 var historyLimits = tableversion.HistoryLimits{MaxEntries: 100_000, MaxAge: 24 * 3600 * fleet.Second}
 
-// SetEpoch begins versions of tables in an epoch. Digests are made with the names of servers. Without it tables
-// have no versions.
+// SetEpoch enables table versions, beginning in the given epoch. Digests are computed from the names of servers.
+// Tables have no versions if it is not called.
 func (r *Reconciler) SetEpoch(epoch uint64, name tableversion.NameFunc) {
 	r.versions.epoch = epoch
 	r.versions.serverName = name
 }
 
-// RaiseEpoch continues in a later epoch, with all tables unchanged.
+// RaiseEpoch continues table versions in a later epoch, with unchanged content. The reason is stored with them.
 func (r *Reconciler) RaiseEpoch(now fleet.Time, epoch uint64, reason string) {
 	r.versions.epoch = epoch
 	for _, id := range r.tableIDs() {
@@ -29,7 +29,7 @@
 	}
 }
 
-// LatestEpoch returns the epoch of the newest version stamp that a proxy had, 0 for none.
+// LatestEpoch returns the highest epoch of version stamps, 0 if none is valid.
 func LatestEpoch(stamps []string) (epoch uint64) {
 	for _, stamp := range stamps {
 		text, _, _ := strings.Cut(stamp, "/")
@@ -40,14 +40,14 @@
 	return epoch
 }
 
-// WeightFraction is the fraction of its weights that a server gets, 0 to 1.
+// WeightFraction scales the weights of a server by a fraction from 0 to 1.
 type WeightFraction struct {
 	Server   fleet.ServerID
 	Fraction float64
 }
 
-// ScaleWeights reduces the weights of servers in all tables to fractions of what the balancer orders. A fraction of 1
-// ends that.
+// ScaleWeights reduces the weights of servers in all tables to fractions of what the balancer orders, until a later
+// call sets another fraction. A fraction of 1 restores them. The reason is stored with the new table versions.
 func (r *Reconciler) ScaleWeights(now fleet.Time, fractions []WeightFraction, reason string) {
 	changed := map[int32]bool{}
 	for _, fraction := range fractions {
@@ -74,8 +74,7 @@
 	}
 }
 
-// recordVersion makes the next version of a table from what is published now, if that differs from the latest
-// version.
+// recordVersion creates the next version of a table if the published weights differ from the latest version.
 func (r *Reconciler) recordVersion(now fleet.Time, id fleet.TableID, table *tableState, reason string) {
 	if r.versions.serverName == nil {
 		return
@@ -94,7 +93,7 @@
 	table.versions.Change(now, entries, reason)
 }
 
-// TableVersions returns the versions of a table, nil where it has none.
+// TableVersions returns the versions of a table, nil if it has none.
 func (r *Reconciler) TableVersions(id fleet.TableID) *tableversion.Table {
 	if table := r.tables[id]; table != nil {
 		return table.versions
@@ -102,7 +101,8 @@
 	return nil
 }
 
-// RestoreVersions makes the versions of a table from what was stored, for Restore.
+// RestoreVersions creates the versions of a table from stored data, as an argument of Restore. SetEpoch has to be
+// called first.
 func (r *Reconciler) RestoreVersions(
 	version tableversion.Version, digest tableversion.Digest, entries []tableversion.Entry, deltas []tableversion.Delta,
 ) (*tableversion.Table, error) {
@@ -110,7 +110,8 @@
 		r.versions.epoch, r.versions.serverName, historyLimits, version, digest, entries, deltas)
 }
 
-// Restore gives a table its stored versions, and its pin if it had one. It is for a reconciler without orders.
+// Restore sets the stored versions and the stored pin of a table; either may be nil. It must be called before the
+// first order is applied.
 func (r *Reconciler) Restore(id fleet.TableID, versions *tableversion.Table, pin *Pin) {
 	table := r.ensureTable(id)
 	if versions != nil {
@@ -129,7 +130,7 @@
 	table.pin = &tablePin{weights, pin.Until, pin.Reason}
 }
 
-// versionStamp returns version and digest of the table of a proxy's class, "" where it has none.
+// versionStamp returns the version and the digest of the table that a proxy has for a class, "" if there is none.
 func (r *Reconciler) versionStamp(proxy *proxyState, class int) string {
 	if !proxy.assigned[class] {
 		return ""
@@ -141,8 +142,8 @@
 	return table.versions.Version().String() + "/" + table.versions.Digest().String()
 }
 
-// appendVersionStamps adds to a message the versions that the proxy has once it has applied it, unless more changes
-// wait.
+// appendVersionStamps adds to a message the table versions that the proxy reaches by applying it. It adds none while
+// further changes are pending, refused or failed.
 func (r *Reconciler) appendVersionStamps(proxy *proxyState, message *queuedMessage) {
 	if len(proxy.dirty) > 0 || len(proxy.refused) > 0 || len(proxy.failed) > 0 {
 		return
@@ -159,8 +160,9 @@
 	}
 }
 
-// verifyVersions compares what a proxy has at its join with the versions that it claims to have. What differs is
-// corrected like any difference; operators are notified, as somebody changed it meanwhile.
+// verifyVersions compares the digests of a joining proxy's entries with those in its version stamps. On a mismatch
+// the entries were changed by other means while the proxy was disconnected: operators are notified, and the
+// differences are corrected as usual.
 func (r *Reconciler) verifyVersions(proxy *proxyState, entries []SnapshotEntry) {
 	if r.versions.serverName == nil {
 		return
@@ -186,8 +188,8 @@
 	}
 }
 
-// VersionStamps calls each proxy and class with the version that it was sent; newest reports that it is the present
-// one and acknowledged.
+// VersionStamps calls fn for each proxy and class with the version stamp last sent, "" if none was. newest reports
+// whether it is the current version and no message to the proxy is in flight.
 func (r *Reconciler) VersionStamps(fn func(id fleet.ProxyID, class fleet.ClassID, stamp string, newest bool)) {
 	for _, proxy := range r.proxyOrder {
 		for class, stamp := range proxy.versionStamps {
--- a/internal/reconcile/views.go
+++ b/internal/reconcile/views.go
@@ -7,21 +7,21 @@
 	"cressknot/internal/fleet"
 )
 
-// ProxyView is what operators see of a proxy.
+// ProxyView is the state of a proxy as shown to operators.
 type ProxyView struct {
 	ID          fleet.ProxyID
 	Zone        fleet.ZoneID
 	Tables      []fleet.TableID // by class
 	Assigned    []bool          // by class
-	Fresh       bool            // it had only its standing tables when it joined
-	Waiting     int             // changes that are not written yet
-	InFlight    int             // messages that are not acknowledged
-	Written     int             // messages since it joined
+	Fresh       bool            // it had only its standing tables at the join
+	Waiting     int             // items that are not sent yet
+	InFlight    int             // messages that were sent and not acknowledged
+	Written     int             // messages sent since the join
 	AnswerDelay fleet.Time      // of the last acknowledged message
-	Entries     int             // ready entries with weight
+	Entries     int             // ready entries with a positive weight
 }
 
-// Proxies returns what operators see of all proxies, by id.
+// Proxies returns the state of all proxies with a session, sorted by ID.
 func (r *Reconciler) Proxies() []ProxyView {
 	var views []ProxyView
 	for _, proxy := range r.proxyOrder {
@@ -46,16 +46,16 @@
 	return views
 }
 
-// TableEntry is one entry of a table, as operators see it.
+// TableEntry is one entry of a table as shown to operators.
 type TableEntry struct {
 	Table     fleet.TableID
 	Server    fleet.ServerID
 	Weight    float64 // as ordered by the balancer
-	Published int16   // as sent to proxies
+	Published int16   // the weight sent to proxies, 0 to 256
 	Withdrawn bool
 }
 
-// Entries returns the entries of all tables, by table and server.
+// Entries returns the entries of all tables with a positive ordered or published weight, sorted by table and server.
 func (r *Reconciler) Entries() []TableEntry {
 	var entries []TableEntry
 	for id, table := range r.tables {
@@ -80,10 +80,11 @@
 	return entries
 }
 
-// TableIDs returns the ids of all tables in ascending order.
+// TableIDs returns the IDs of all tables in ascending order.
 func (r *Reconciler) TableIDs() []fleet.TableID { return r.tableIDs() }
 
-// TableOf returns the table of a proxy's class, and whether one was assigned.
+// TableOf returns the table that a proxy has for a class, and whether one was assigned. It returns 0 and false for a
+// proxy without a session.
 func (r *Reconciler) TableOf(id fleet.ProxyID, class fleet.ClassID) (table fleet.TableID, assigned bool) {
 	proxy := r.proxies[id]
 	if proxy == nil || int(class) >= len(proxy.tables) {
@@ -92,7 +93,7 @@
 	return proxy.tables[class], proxy.assigned[class]
 }
 
-// EachAssignment calls each proxy and class that a table is assigned to.
+// EachAssignment calls fn for each proxy and class that a table is assigned to.
 func (r *Reconciler) EachAssignment(table fleet.TableID, fn func(fleet.ProxyID, fleet.ClassID)) {
 	for _, proxy := range r.proxyOrder {
 		for class, assigned := range proxy.tables {
@@ -103,7 +104,8 @@
 	}
 }
 
-// Published returns the weight that proxies with a table are sent for a server.
+// Published returns the weight, 0 to 256, of a server that is sent to proxies with the table. It is 0 for an unknown
+// table or server.
 func (r *Reconciler) Published(table fleet.TableID, id fleet.ServerID) int16 {
 	state := r.tables[table]
 	i, known := r.endpoints.index[id]
@@ -113,14 +115,14 @@
 	return r.publishedWeight(table, state, i)
 }
 
-// Withdrawn reports whether a server is withdrawn.
+// Withdrawn reports whether a server is withdrawn from all proxies by an order. It is false for an unknown server.
 func (r *Reconciler) Withdrawn(id fleet.ServerID) bool {
 	i, known := r.endpoints.index[id]
 	return known && r.endpoints.servers[i].withdrawn
 }
 
-// Counters returns totals of what left: entries as the update channel counts them, messages, changes, and changes
-// that a newer one replaced while they waited.
+// Counters returns totals since the start: entries as the update channel counts them, messages and changes that were
+// sent, and changes that were merged into a pending one of the same item.
 func (r *Reconciler) Counters() (entries, messages, changes, coalesced uint64) {
 	return r.counters.entries, r.counters.messages, r.counters.changes, r.counters.coalesced
 }
--- a/internal/reconcile/write.go
+++ b/internal/reconcile/write.go
@@ -6,8 +6,8 @@
 	"cressknot/internal/fleet"
 )
 
-// writeMessage works out the next message to a proxy: all urgent items, then the ordinary ones whose turn has come.
-// It returns false where nothing differs any more.
+// writeMessage builds the next message to a proxy from all urgent items and the ordinary ones within entryBudget. It
+// returns false if no change is left.
 func (r *Reconciler) writeMessage(now fleet.Time, proxy *proxyState) (Message, bool) {
 	message := &queuedMessage{proxy: proxy, queuedAt: now, sentAt: now, acknowledged: true}
 	if len(proxy.released) > 0 {
@@ -37,7 +37,7 @@
 	}, true
 }
 
-// proposeDirty moves the dirty items whose turn has come to a plan.
+// proposeDirty moves the urgent items, and the ordinary ones within entryBudget, from the dirty items to a plan.
 func (r *Reconciler) proposeDirty(now fleet.Time, proxy *proxyState, plan *UpdatePlan) {
 	proxy.urgentItems = r.proposeItems(now, proxy, plan, proxy.urgentItems, true, len(proxy.urgentItems))
 	proxy.ordinaryItems = r.proposeItems(now, proxy, plan, proxy.ordinaryItems, false, proxy.entryBudget)
@@ -49,8 +49,8 @@
 	}
 }
 
-// proposeItems proposes up to limit items from the front and returns the others. Items whose urgency has changed
-// since they were queued are skipped.
+// proposeItems proposes up to limit items from the front of a list and returns the rest. Items that are no longer
+// dirty, or whose urgency has changed since they were listed, are skipped.
 func (r *Reconciler) proposeItems(
 	now fleet.Time, proxy *proxyState, plan *UpdatePlan, items []itemKey, urgent bool, limit int,
 ) []itemKey {
@@ -68,7 +68,7 @@
 	return slices.Delete(items, 0, taken)
 }
 
-// recordSent notes that a message leaves for its proxy.
+// recordSent records that a message is sent, and gives it a sequence if it bypassed the update channel.
 func (r *Reconciler) recordSent(now fleet.Time, proxy *proxyState, message *queuedMessage) {
 	if message.sequence == 0 {
 		r.channel.lastSequence++
