--- a/internal/reconcile/helpers_test.go
+++ b/internal/reconcile/helpers_test.go
@@ -137,11 +137,11 @@
 // usable entries before and after a complete message, but none at some step in between.
 func (f *fakeProxy) apply(message Message, limit int) (failures []Failure) {
 	before := [2]int{f.usableCount(0), f.usableCount(1)}
-	emptyAfter := [2]int{-1, -1}
+	emptyBefore := [2]int{-1, -1}
 	for i, change := range message.Changes[:min(limit, len(message.Changes))] {
 		for class := range 2 {
 			if i > 0 && f.usableCount(fleet.ClassID(class)) == 0 {
-				emptyAfter[class] = i
+				emptyBefore[class] = i
 			}
 		}
 		if kind, failed := f.applyChange(change); failed {
@@ -150,9 +150,9 @@
 	}
 	for class := range 2 {
 		complete := len(failures) == 0 && limit >= len(message.Changes)
-		if before[class] > 0 && emptyAfter[class] >= 0 && f.usableCount(fleet.ClassID(class)) > 0 && complete {
+		if before[class] > 0 && emptyBefore[class] >= 0 && f.usableCount(fleet.ClassID(class)) > 0 && complete {
 			f.violation = fmt.Sprintf("class %d has no usable entry before change %d of %+v",
-				class, emptyAfter[class], message.Changes)
+				class, emptyBefore[class], message.Changes)
 		}
 	}
 	return failures
