--- a/internal/reconcile/acknowledge_test.go
+++ b/internal/reconcile/acknowledge_test.go
@@ -7,9 +7,9 @@
 	"cressknot/internal/fleet"
 )
 
-// TestFailuresCorrectAssumedState checks that an entry that exists where it was to be added is set instead, one
-// that is missing where it was to be set is added, an admission limit that failed is sent again, and what a proxy
-// has already is not sent.
+// TestFailuresCorrectAssumedState guards against a proxy that stays out of sync because the reconciler assumes a
+// wrong state. An entry to be added that exists is updated instead, an entry to be updated that is missing is added,
+// a failed admission limit is resent, and state that the proxy already has is not sent.
 func TestFailuresCorrectAssumedState(t *testing.T) {
 	r, now := newSettledReconciler(t, testSite(), 1, 3)
 	maintenance := EntryState{Present: true, Weight: 7, State: StateMaintenance}
@@ -17,7 +17,7 @@
 		entries:    map[entryKey]EntryState{{0, 0}: maintenance, {0, 1}: maintenance},
 		admissions: map[fleet.ClassID]Admission{},
 	}
-	r.Join(now, 0, Snapshot{}) // the proxy's entries came after that
+	r.Join(now, 0, Snapshot{}) // the entries were added after the readback
 	proxy.entries[entryKey{1, 0}] = EntryState{Present: true, Weight: 1, State: StateReady}
 	r.Apply(now, []fleet.Order{
 		fleet.AssignTable{Proxy: 0},
@@ -49,31 +49,31 @@
 			for class := range 2 {
 				got := proxy.entries[entryKey{fleet.ServerID(server), fleet.ClassID(class)}]
 				if want := r.desiredEntry(r.proxies[0], int32(server), class); got != want {
-					t.Errorf("%s: server %d, class %d: has %+v, wanted %+v", when, server, class, got, want)
+					t.Errorf("%s: server %d, class %d: got %+v, want %+v", when, server, class, got, want)
 				}
 			}
 		}
 		if proxy.admissions[0].Limit != 500 || proxy.admissions[1].Limit != 500 {
-			t.Errorf("%s: admissions %+v", when, proxy.admissions)
+			t.Errorf("%s: admission limits %+v, want 500 for both classes", when, proxy.admissions)
 		}
 	}
 	run()
-	check("added where it existed")
+	check("entry to be added exists")
 	delete(proxy.entries, entryKey{2, 1})
 	r.Apply(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.9}})
 	run()
-	check("set where it was missing")
+	check("entry to be updated is missing")
 	r.Apply(now, []fleet.Order{
 		fleet.SetWeight{Server: 2, Weight: 0.9},
 		fleet.SetAdmission{Table: fleet.AllTables, Limit: 0.5},
 	})
 	if sent := run(); sent != 0 {
-		t.Errorf("%d messages for what the proxy has already", sent)
+		t.Errorf("%d messages sent although the proxy already has the desired state", sent)
 	}
 }
 
-// TestFailedChangeIsRetriedWithBackoff checks that a change that failed for an unknown reason is sent again after
-// growing delays, with one notice.
+// TestFailedChangeIsRetriedWithBackoff guards against a proxy being flooded with a change that it rejects for an
+// unknown reason: it is retried at growing intervals, with one or two notices in all.
 func TestFailedChangeIsRetriedWithBackoff(t *testing.T) {
 	r, now := newSettledReconciler(t, testSite(), 1, 3)
 	r.Apply(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 0.9}})
@@ -96,17 +96,17 @@
 		now += 50 * fleet.Millisecond
 	}
 	if len(sentAt) != 6 || notices == 0 || notices > 2 {
-		t.Errorf("sent %d times, %d notices", len(sentAt), notices)
+		t.Errorf("sent %d times with %d notices, want 6 times and 1 or 2 notices", len(sentAt), notices)
 	}
 	for i := 2; i < len(sentAt); i++ {
 		if sentAt[i]-sentAt[i-1] < sentAt[i-1]-sentAt[i-2] {
-			t.Errorf("delays do not grow: %v", sentAt)
+			t.Errorf("retry delays shrink; sent at %v", sentAt)
 		}
 	}
 }
 
-// TestGoneEntriesAreDeleted checks that a server that is gone for long loses its entries, and that a deletion of
-// one with requests is tried again later.
+// TestGoneEntriesAreDeleted guards against entries of gone servers that accumulate at proxies. They are deleted after
+// the retention, and a deletion that fails because of requests in flight is retried.
 func TestGoneEntriesAreDeleted(t *testing.T) {
 	r, now := newSettledReconciler(t, testSite(), 1, 4)
 	r.SetEndpoints(now, changeList(fleet.ServerGone, 2))
@@ -130,6 +130,6 @@
 		now += 500 * fleet.Millisecond
 	}
 	if attempts != 4 {
-		t.Errorf("deleted %d times, not twice in vain and twice successfully", attempts)
+		t.Errorf("%d deletions attempted, want 4: 2 refused and 2 successful", attempts)
 	}
 }
--- a/internal/reconcile/arrange.go
+++ b/internal/reconcile/arrange.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// proposalRank orders the proposals of a message.
+// proposalRank is the sort key of the proposals in a message.
 type proposalRank uint8
 
-// The ranks, in the order in which a proxy should apply them.
+// The ranks, in the order in which a proxy applies the changes.
 const (
-	rankUrgent      proposalRank = iota // keeps requests away from gone and warming servers
-	rankGain                            // a warm server's entry becomes usable
-	rankRise                            // a warm server's weight rises
-	rankWarmingRise                     // a warming server's weight rises
-	rankFall                            // a warm server's weight falls
-	rankRemove                          // a ready server's entry becomes unusable
+	rankUrgent                proposalRank = iota // reduces requests to gone and warming servers
+	rankEntryUsable                               // a warm server's entry becomes usable
+	rankWeightIncrease                            // a warm server's weight rises
+	rankWarmingWeightIncrease                     // a warming server's weight rises
+	rankWeightDecrease                            // a warm server's weight falls
+	rankEntryUnusable                             // a ready server's entry becomes unusable
 	rankCount
 )
 
@@ -23,30 +23,31 @@
 	case p.Warming && p.Ready && weight < 0, p.Urgent && entries >= 0 && weight <= 0:
 		return rankUrgent
 	case entries < 0:
-		return rankRemove
+		return rankEntryUnusable
 	case p.Warming && weight > 0:
-		return rankWarmingRise
+		return rankWarmingWeightIncrease
 	case entries > 0:
-		return rankGain
+		return rankEntryUsable
 	case weight < 0:
-		return rankFall
+		return rankWeightDecrease
 	}
-	return rankRise
+	return rankWeightIncrease
 }
 
-// Arrange sorts proposals into the order that does least harm while the proxy applies them one by one.
+// Arrange sorts the proposals of a plan so that the intermediate states, while the proxy applies them one by one, are
+// safe.
 //
-// By the order of the ranks, the fraction of requests that a warming server gets is never above both what it was
-// before the message and what it will be after it. A class that has a usable entry before and after a message has
-// one at each moment in between: where an urgent change would take the last entry of a class, an entry that the
-// message adds goes first. Otherwise a class that moves from one set of servers to another is without endpoints
-// while the proxy reads the message, which takes 50 ms and more at 150 servers.
+// The order of the ranks ensures that the fraction of requests sent to a warming server never exceeds the larger of
+// its fractions before and after the message. A class that has a usable entry before and after a message also has
+// one at each intermediate step: if an urgent change would remove the last usable entry of a class, an entry that
+// the message adds is moved in front of it. Otherwise a class that moves from one set of servers to another has no
+// endpoints while the proxy processes the message, which takes 50 ms or more with 150 servers.
 func Arrange(plan *UpdatePlan) {
 	sortByRank(plan)
-	keepLastEntries(plan)
+	keepLastUsableEntries(plan)
 }
 
-// sortByRank is a stable counting sort: a table of 700 entries is one message.
+// sortByRank sorts proposals by rank. It is a stable counting sort, as one message may hold a table of 700 entries.
 func sortByRank(plan *UpdatePlan) {
 	if len(plan.Proposals) < 2 {
 		return
@@ -69,8 +70,9 @@
 	plan.Proposals, plan.sorted = plan.sorted, plan.Proposals
 }
 
-// keepLastEntries moves a proposal that adds an entry to a class before an urgent one that takes the last entry.
-func keepLastEntries(plan *UpdatePlan) {
+// keepLastUsableEntries moves a proposal that adds a usable entry to a class in front of an urgent one that removes
+// the last.
+func keepLastUsableEntries(plan *UpdatePlan) {
 	remaining := slices.Clone(plan.EntryCounts)
 	for i := range plan.Proposals {
 		proposal := &plan.Proposals[i]
@@ -78,17 +80,18 @@
 			continue
 		}
 		class := proposal.Class
-		takesLast := proposal.EntryDelta() < 0 && remaining[class] == 1 ||
+		removesLast := proposal.EntryDelta() < 0 && remaining[class] == 1 ||
 			!proposal.Ready && proposal.Have.Usable() && remaining[class] == 0
-		if takesLast && proposal.rank() == rankUrgent {
-			moveGainForward(plan.Proposals, i)
+		if removesLast && proposal.rank() == rankUrgent {
+			moveAddedEntryForward(plan.Proposals, i)
 		}
 		remaining[class] += plan.Proposals[i].EntryDelta()
 	}
 }
 
-// moveGainForward moves the first later proposal that adds an entry to the class of proposal i in front of it.
-func moveGainForward(proposals []Proposal, i int) {
+// moveAddedEntryForward finds the first proposal after i that adds a usable entry to the class of proposal i, and
+// moves it in front of i.
+func moveAddedEntryForward(proposals []Proposal, i int) {
 	for j := i + 1; j < len(proposals); j++ {
 		if gain := proposals[j]; gain.Class == proposals[i].Class && gain.EntryDelta() > 0 {
 			copy(proposals[i+1:j+1], proposals[i:j])
--- a/internal/reconcile/queue_test.go
+++ b/internal/reconcile/queue_test.go
@@ -7,13 +7,13 @@
 	"cressknot/internal/fleet"
 )
 
-// TestSlowProxyDelaysNoOther checks that while one proxy acknowledges nothing, the others get their messages at
-// once and reach their barriers, that messages to the slow one stay within the window, and that its session is
-// ended at last.
+// TestSlowProxyDelaysNoOther guards against head-of-line blocking in the shared update channel. While one proxy
+// acknowledges nothing, the others receive their messages and reach their barriers, messages to the slow one stay
+// within the in-flight window, and its session is closed after the stuck timeout.
 func TestSlowProxyDelaysNoOther(t *testing.T) {
 	r, now := newSettledReconciler(t, testSite(), 3, 10)
 	barriersReached := 0
-	toSlowProxy := 0
+	messagesToSlowProxy := 0
 	var disconnectedAt fleet.Time
 	startedAt := now
 	for i := range 800 {
@@ -26,7 +26,7 @@
 		messages, events, disconnects, _ := r.Next(now)
 		for _, message := range messages {
 			if message.Proxy == 1 {
-				toSlowProxy++
+				messagesToSlowProxy++
 				continue
 			}
 			r.Acknowledge(now, message.Proxy, message.Sequence, nil)
@@ -42,20 +42,23 @@
 		}
 		now += 10 * fleet.Millisecond
 	}
-	if toSlowProxy > maxInFlightMessages {
-		t.Errorf("%d messages to a proxy that acknowledges none, the window is %d", toSlowProxy, maxInFlightMessages)
+	if messagesToSlowProxy > maxInFlightMessages {
+		t.Errorf("%d messages sent to a proxy that acknowledges none; the in-flight window is %d",
+			messagesToSlowProxy, maxInFlightMessages)
 	}
 	if barriersReached < 30 {
-		t.Errorf("only %d of some 40 barriers of two others reached while one proxy was slow", barriersReached)
+		t.Errorf("the two other proxies reached %d of about 40 barriers while one proxy was slow, want at least 30",
+			barriersReached)
 	}
 	due := startedAt + r.stuckTimeout()
 	if disconnectedAt == 0 || disconnectedAt < due || disconnectedAt > due+fleet.Second {
-		t.Errorf("disconnected after %v s", (disconnectedAt - startedAt).Seconds())
+		t.Errorf("disconnected after %v s, want %v s to %v s", (disconnectedAt - startedAt).Seconds(),
+			r.stuckTimeout().Seconds(), (r.stuckTimeout() + fleet.Second).Seconds())
 	}
 }
 
-// TestUrgentChangesOvertake checks that a withdrawal leaves with the proxy's next message, ahead of changes that
-// wait, and that a weight that waits is replaced by the newer one.
+// TestUrgentChangesOvertake guards against a withdrawal that is delayed by queued changes: it is sent in the proxy's
+// next message, as the first change. A queued weight is replaced by a newer one.
 func TestUrgentChangesOvertake(t *testing.T) {
 	r, now := newSettledReconciler(t, testSite(), 1, 40)
 	var orders []fleet.Order
@@ -79,7 +82,7 @@
 		now += fleet.Millisecond
 	}
 	if change := first.Changes[0]; change.Server != 30 || change.State != StateMaintenance {
-		t.Errorf("the first change is %+v, not the withdrawal", change)
+		t.Errorf("first change is %+v, want the withdrawal of server 30", change)
 	}
 	r.Acknowledge(now, 0, first.Sequence, nil)
 	sent := map[fleet.ServerID]int{}
@@ -97,12 +100,13 @@
 		now += 10 * fleet.Millisecond
 	}
 	if classes := len(r.site.Classes); sent[39] != classes {
-		t.Errorf("server 39 was sent %d times for %d classes, though the first weight still waited", sent[39], classes)
+		t.Errorf("%d changes of server 39 were sent, want %d (one per class): the first weight was still queued",
+			sent[39], classes)
 	}
 }
 
-// TestBacklogAndMessagesStayBounded checks that, whatever is ordered, no more entries wait and no proxy is sent
-// more messages than allowed, and that all arrives in the end.
+// TestBacklogAndMessagesStayBounded guards against a backlog or a message rate above the site's limits when orders
+// come in faster than they can be sent. All proxies reach the desired state after the orders stop.
 func TestBacklogAndMessagesStayBounded(t *testing.T) {
 	site := testSite()
 	site.MaxBacklog = 300
@@ -121,7 +125,7 @@
 		}
 		messages, _, _, _ := r.Next(now)
 		if r.Backlog() > site.MaxBacklog {
-			t.Fatalf("%.0f entries wait, %.0f may", r.Backlog(), site.MaxBacklog)
+			t.Fatalf("backlog is %.0f entries, limit %.0f", r.Backlog(), site.MaxBacklog)
 		}
 		for _, message := range messages {
 			written[message.Proxy] = append(written[message.Proxy], now)
@@ -132,23 +136,25 @@
 				}
 			}
 			if recent > site.MaxMessages {
-				t.Fatalf("%d messages to proxy %d", recent, message.Proxy)
+				t.Fatalf("%d messages to proxy %d within %v s, limit %d",
+					recent, message.Proxy, site.MessageWindow.Seconds(), site.MaxMessages)
 			}
 			r.Acknowledge(now, message.Proxy, message.Sequence, nil)
 		}
 		now += 20 * fleet.Millisecond
 	}
 	if !r.Idle() {
-		t.Error("not idle")
+		t.Error("reconciler is not idle after all orders")
 	}
 	for j := range 40 {
 		proxy := r.proxies[3]
 		if proxy.sent[2*j] != r.desiredEntry(proxy, int32(j), 0) {
-			t.Errorf("server %d: %+v", j, proxy.sent[2*j])
+			t.Errorf("server %d: sent %+v, want %+v", j, proxy.sent[2*j], r.desiredEntry(proxy, int32(j), 0))
 		}
 	}
 }
 
+// BenchmarkChangedLineToAll measures one changed entry that is sent to all proxies.
 func BenchmarkChangedLineToAll(b *testing.B) {
 	for _, proxies := range []int{230, 465, 930} {
 		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
@@ -164,6 +170,7 @@
 	}
 }
 
+// BenchmarkFullTableToOne measures a complete table that is sent to one proxy without entries.
 func BenchmarkFullTableToOne(b *testing.B) {
 	site := testSite()
 	site.EntriesPerSecond = 1e9
@@ -176,7 +183,8 @@
 	}
 }
 
-// BenchmarkReturn930 has 930 proxies of 700 servers come back with a table that some of the last versions had.
+// BenchmarkReturn930 measures the reconnection of 930 proxies with 700 servers, whose tables are spread over a number
+// of earlier versions.
 func BenchmarkReturn930(b *testing.B) {
 	for _, distinct := range []int{1, 10, 300} {
 		b.Run(fmt.Sprint("versions=", distinct), func(b *testing.B) {
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -14,21 +14,22 @@
 	simulatedServers = 5
 )
 
-// simulation drives a reconciler and fake proxies with drawn orders and faults, and knows what is desired.
+// simulation drives a reconciler and fake proxies with randomly drawn orders and faults, and tracks the expected
+// state.
 type simulation struct {
-	t          *rapid.T
-	r          *Reconciler
-	now        fleet.Time
-	startedAt  fleet.Time
-	proxies    [simulatedProxies]*fakeProxy
-	connected  [simulatedProxies]bool
-	weights    map[fleet.TableID]map[fleet.ServerID]float64
-	tables     [simulatedProxies]fleet.TableID // of both classes; 0: none assigned
-	withdrawn  map[fleet.ServerID]bool
-	admission  Admission
-	entries    float64 // that have left
-	newBarrier fleet.BarrierID
-	barriers   map[fleet.BarrierID]int // how often each was reached
+	t           *rapid.T
+	r           *Reconciler
+	now         fleet.Time
+	startedAt   fleet.Time
+	proxies     [simulatedProxies]*fakeProxy
+	connected   [simulatedProxies]bool
+	weights     map[fleet.TableID]map[fleet.ServerID]float64
+	tables      [simulatedProxies]fleet.TableID // of both classes; 0: none assigned
+	withdrawn   map[fleet.ServerID]bool
+	admission   Admission
+	entries     float64 // sent so far
+	lastBarrier fleet.BarrierID
+	barriers    map[fleet.BarrierID]int // how often each was reached
 }
 
 func newSimulation(t *rapid.T) *simulation {
@@ -70,14 +71,14 @@
 	s.r.Leave(fleet.ProxyID(i))
 }
 
-// next takes what the reconciler emits and checks its pace.
+// next collects the output of the reconciler and checks its rate.
 func (s *simulation) next() {
 	messages, events, disconnects, _ := s.r.Next(s.now)
 	for _, message := range messages {
 		s.proxies[message.Proxy].inbox = append(s.proxies[message.Proxy].inbox, message)
 		s.entries += float64(message.Entries)
 		if len(message.Changes) == 0 {
-			s.t.Fatalf("an empty message to %d", message.Proxy)
+			s.t.Fatalf("message to proxy %d has no changes", message.Proxy)
 		}
 	}
 	for _, id := range disconnects {
@@ -91,12 +92,12 @@
 	rate := s.r.site.EntriesPerSecond
 	limit := (s.now-s.startedAt).Seconds()*rate + 2*maxBurstDuration.Seconds()*rate + 100
 	if s.entries > limit {
-		s.t.Fatalf("%.0f entries have left, the pace allows %.0f", s.entries, limit)
+		s.t.Fatalf("%.0f entries were sent, the rate allows %.0f", s.entries, limit)
 	}
 }
 
-// deliver lets a proxy apply its next message. With a limit below its number of changes the session breaks after
-// some.
+// deliver applies the next message at a proxy. If limit is below its number of changes, the session ends after that
+// many.
 func (s *simulation) deliver(i, limit int) {
 	proxy := s.proxies[i]
 	if !s.connected[i] || len(proxy.inbox) == 0 {
@@ -131,7 +132,7 @@
 			s.leave(i)
 		}
 	case 2:
-		if s.connected[i] && s.proxies[i] != nil { // changed by hand: the next errors or the next readback show it
+		if s.connected[i] && s.proxies[i] != nil { // changed by other means: detected by errors or the next readback
 			delete(s.proxies[i].entries, entryKey{server, 0})
 			s.leave(i)
 		}
@@ -163,10 +164,10 @@
 		s.weights[table] = map[fleet.ServerID]float64{}
 	}
 	s.weights[table][server] = float64(weight)
-	s.newBarrier++
+	s.lastBarrier++
 	s.r.Apply(s.now, []fleet.Order{
 		fleet.SetWeight{Table: table, Server: server, Weight: weight},
-		fleet.Barrier{ID: s.newBarrier},
+		fleet.Barrier{ID: s.lastBarrier},
 	})
 }
 
@@ -176,7 +177,7 @@
 	s.admission = Admission{Known: true, Limit: int32(perMille * float64(limit))}
 }
 
-// heal lets all proxies join and apply their messages until all must be done.
+// heal connects all proxies and delivers messages for long enough that all proxies must be in sync.
 func (s *simulation) heal() {
 	joinMissing := func() {
 		for i := range simulatedProxies {
@@ -198,7 +199,7 @@
 	}
 }
 
-// checkProxy compares what a proxy has with what is desired.
+// checkProxy compares the state of a proxy with the expected one.
 func (s *simulation) checkProxy(i int, proxy *fakeProxy) {
 	if proxy.violation != "" {
 		s.t.Error(proxy.violation)
@@ -208,25 +209,26 @@
 			got := proxy.entries[entryKey{server, class}]
 			withdrawn, ordered := s.withdrawn[server]
 			if ordered && got.Present && withdrawn != (got.State != StateReady) {
-				s.t.Errorf("proxy %d, server %d: withdrawn %v, but has %+v", i, server, withdrawn, got)
+				s.t.Errorf("proxy %d, server %d: withdrawn is %v, entry is %+v", i, server, withdrawn, got)
 			}
 			if s.tables[i] == 0 {
 				continue
 			}
 			want := Round(s.weights[s.tables[i]][server], s.r.tables[s.tables[i]].scale)
 			if got.Weight != want {
-				s.t.Errorf("proxy %d, server %d: has weight %d, wanted %d", i, server, got.Weight, want)
+				s.t.Errorf("proxy %d, server %d: weight %d, want %d", i, server, got.Weight, want)
 			}
 		}
 	}
 	if s.admission.Known && proxy.admissions[0] != s.admission {
-		s.t.Errorf("proxy %d: admission %+v, wanted %+v", i, proxy.admissions[0], s.admission)
+		s.t.Errorf("proxy %d: admission %+v, want %+v", i, proxy.admissions[0], s.admission)
 	}
 }
 
-// TestEveryProxyReachesDesiredState checks that, whatever is ordered, lost, cut halfway, repeated, changed by hand
-// or answered late, each proxy that can be reached ends in the desired state, no message leaves ahead of the pace,
-// and every barrier is reached at most once by each proxy.
+// TestEveryProxyReachesDesiredState guards against proxies that stay out of sync after faults: lost sessions, partly
+// applied messages, late acknowledgements and entries changed by other means. After any sequence of orders and
+// faults, each connected proxy reaches the desired state, messages keep to the rate limit, and each proxy reaches
+// each barrier at most once.
 func TestEveryProxyReachesDesiredState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
@@ -235,21 +237,21 @@
 		}
 		s.heal()
 		if !s.r.Idle() || s.r.Backlog() != 0 {
-			t.Fatalf("not idle: %.0f entries wait", s.r.Backlog())
+			t.Fatalf("reconciler is not idle: backlog of %.0f entries", s.r.Backlog())
 		}
 		for i, proxy := range s.proxies {
 			s.checkProxy(i, proxy)
 		}
 		for barrier, count := range s.barriers {
 			if count > simulatedProxies {
-				t.Errorf("barrier %d reached %d times", barrier, count)
+				t.Errorf("barrier %d reached %d times by %d proxies", barrier, count, simulatedProxies)
 			}
 		}
 	})
 }
 
-// TestRoundKeepsProportions checks that a positive weight never becomes 0, and that rounding is off by at most half
-// a unit, or up to one for the smallest weights.
+// TestRoundKeepsProportions guards against rounding that distorts a table: a positive weight never becomes 0, and the
+// error is at most half a unit, or up to one unit for the smallest weights.
 func TestRoundKeepsProportions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0.01, 1), 1, 50).Draw(t, "weights")
@@ -260,16 +262,16 @@
 		for scale := minLargestWeight / largest; scale <= maxWeight/largest; scale *= 1.3 {
 			for _, weight := range weights {
 				rounded := float64(Round(weight, scale))
-				off := math.Abs(rounded - weight*scale)
-				if rounded < 1 || off > max(0.5, 1-weight*scale)+1e-9 || rounded > maxWeight {
-					t.Fatalf("%v at %v becomes %v", weight, scale, rounded)
+				roundingError := math.Abs(rounded - weight*scale)
+				if rounded < 1 || roundingError > max(0.5, 1-weight*scale)+1e-9 || rounded > maxWeight {
+					t.Fatalf("weight %v at scale %v is rounded to %v", weight, scale, rounded)
 				}
 			}
 		}
 	})
 	for weight, want := range map[float64]int16{0: 0, -1: 0, 1e-9: 1, 1e9: 256, 0.5: 64} {
 		if got := Round(weight, 128); got != want {
-			t.Errorf("Round(%v) = %d, not %d", weight, got, want)
+			t.Errorf("Round(%v, 128) = %d, want %d", weight, got, want)
 		}
 	}
 }
