--- a/internal/ingest/collector/connection.go
+++ b/internal/ingest/collector/connection.go
@@ -38,11 +38,11 @@
 
 // Reasons for which a connection is rejected.
 var (
-	errNotRegistered       = errors.New("not registered in time")
-	errTooManyUnregistered = errors.New("too many connections have not registered")
-	errCollectorReplaced   = errors.New("replaced by a newer collector of the zone")
-	errTooManyPings        = errors.New("too many pings")
-	errTooManyMalformed    = errors.New("too many malformed messages in a row")
+	errNotRegistered       = fmt.Errorf("not registered within %v", registrationTimeout)
+	errTooManyUnregistered = errors.New("too many unregistered connections: oldest one closed")
+	errCollectorReplaced   = fmt.Errorf("zone has more than %d collectors: oldest one closed", maxCollectorsPerZone)
+	errTooManyPings        = fmt.Errorf("more than %d pings on the connection", maxPings)
+	errTooManyMalformed    = errors.New("too many consecutive malformed messages")
 	errMessageTooLong      = errors.New("message too long")
 )
 
@@ -130,7 +130,7 @@
 		maxSize = maxMessageSize
 	}
 	if len(data) > maxSize {
-		c.reject(fmt.Errorf("%w: over %d bytes", errMessageTooLong, maxSize))
+		c.reject(fmt.Errorf("%w: got %d bytes without a line end, limit %d", errMessageTooLong, len(data), maxSize))
 		return
 	}
 	if isBinary(data[min(c.scanned, len(data)):]) {
@@ -182,7 +182,7 @@
 
 func (c *connection) handleRegistration(m *message, err error) (open bool) {
 	if err == nil && m.kind != kindRegister {
-		err = fmt.Errorf("kind %.40q before the registration", m.kind)
+		err = fmt.Errorf("message of kind %.40q before registration, expected %s", m.kind, kindRegister)
 	}
 	zone := 0
 	if err == nil {
@@ -226,7 +226,7 @@
 	if !c.hasReported && !report.IsDemand {
 		c.hasReported = true
 		c.server.sampledLog.Info().Str("remote", c.conn.RemoteAddr().String()).Str("message", beginning(text)).
-			Msg("first outcome report received")
+			Msg("first outcome report received on the connection")
 	}
 	c.server.options.OnReport(report)
 }
--- a/internal/ingest/collector/message.go
+++ b/internal/ingest/collector/message.go
@@ -21,7 +21,7 @@
 const maxFields = 32
 
 // errBinaryData reports a message that isn't text. Nothing that follows it on the connection can be trusted.
-var errBinaryData = errors.New("binary data")
+var errBinaryData = errors.New("message contains bytes other than printable ASCII")
 
 // isBinary reports whether the data holds a byte that no text of the protocol does.
 func isBinary(data []byte) bool {
@@ -64,13 +64,13 @@
 func (m *message) addField(text string) error {
 	name, value, ok := strings.Cut(text, "=")
 	if !ok || name == "" {
-		return fmt.Errorf("%.40q is not name=value", text)
+		return fmt.Errorf("field %.40q does not have the form name=value", text)
 	}
 	if m.fieldCount == maxFields {
-		return fmt.Errorf("more than %d fields", maxFields)
+		return fmt.Errorf("message has more than %d fields", maxFields)
 	}
 	if _, repeated := m.value(name); repeated {
-		return fmt.Errorf("field %.40q is repeated", name)
+		return fmt.Errorf("duplicate field %.40q", name)
 	}
 	m.fields[m.fieldCount] = field{name: name, value: value}
 	m.fieldCount++
@@ -97,7 +97,7 @@
 func (m *message) text(name string) string {
 	value, _ := m.value(name)
 	if value == "" {
-		m.fail("field %s is missing", name)
+		m.fail("field %s is missing or empty", name)
 	}
 	return value
 }
@@ -118,7 +118,7 @@
 func (m *message) count(name string, highest float64) uint32 {
 	number := m.number(name, 0, highest)
 	if number != math.Trunc(number) {
-		m.fail("field %s: %g is not a whole number", name, number)
+		m.fail("field %s: %g is not an integer", name, number)
 	}
 	return uint32(number)
 }
@@ -128,7 +128,7 @@
 	name, _ := m.value(field)
 	index := slices.Index(names, name)
 	if index < 0 {
-		m.fail("field %s: %.40q is unknown", field, name)
+		m.fail("field %s: unknown name %.40q", field, name)
 		return 0
 	}
 	return index
--- a/internal/ingest/collector/report.go
+++ b/internal/ingest/collector/report.go
@@ -68,7 +68,7 @@
 		report.IsDemand = true
 		report.Demand = v.readDemand(m)
 	default:
-		m.fail("kind %.40q is unknown", m.kind)
+		m.fail("unknown message kind %.40q", m.kind)
 	}
 	return report, m.fieldErr
 }
@@ -81,7 +81,7 @@
 		Zone:     fleet.ZoneID(m.index("locality", v.Zones)),
 	}
 	if outcome.Failures > outcome.Attempts {
-		m.fail("field errors: %d of %d attempts", outcome.Failures, outcome.Attempts)
+		m.fail("field errors: %d failures exceed the %d attempts in field total", outcome.Failures, outcome.Attempts)
 	}
 	_, hasLatency := m.value("rtt")
 	if hasLatency || outcome.Failures < outcome.Attempts {
@@ -126,7 +126,7 @@
 		}
 		inRange := figure >= 0 && figure <= highest // false for NaN
 		if err != nil || !inRange {
-			m.fail("field metrics: %.40q is out of range", part)
+			m.fail("field metrics: %.40q is not name:value with a number from 0 to %g", part, highest)
 			return nil
 		}
 		if i := slices.Index(v.LoadFields, loadField); known && i >= 0 {
--- a/internal/ingest/collector/report_test.go
+++ b/internal/ingest/collector/report_test.go
@@ -81,7 +81,7 @@
 	} {
 		text := strings.Replace(valid, change.from, change.to, 1)
 		if report, err := parseReport(text); err == nil {
-			t.Errorf("%s: read as %+v", text, report)
+			t.Errorf("%s: parsed as %+v, want an error", text, report)
 		}
 	}
 	for _, text := range []string{
@@ -92,7 +92,7 @@
 		"usage",
 	} {
 		if report, err := parseReport(text); err == nil {
-			t.Errorf("%s: read as %+v", text, report)
+			t.Errorf("%s: parsed as %+v, want an error", text, report)
 		}
 	}
 }
@@ -107,10 +107,10 @@
 		}
 		outcome, demand := report.Outcome, report.Demand
 		if outcome.Failures > outcome.Attempts || outcome.Latency < 0 || outcome.Interval < 0 || int(outcome.Zone) >= 2 {
-			t.Errorf("%q read as %+v", text, report)
+			t.Errorf("%q parsed as %+v: outcome out of range", text, report)
 		}
 		if int(demand.Class) >= 2 || demand.Proxy >= 20 || demand.Interval < 0 {
-			t.Errorf("%q read as %+v", text, report)
+			t.Errorf("%q parsed as %+v: demand out of range", text, report)
 		}
 	})
 }
@@ -126,6 +126,6 @@
 	})
 	got := report.Outcome
 	if got.Attempts != 6 || got.Failures != 2 || got.Latency != 125 || got.Interval != 20 || len(got.Load) != 1 {
-		t.Errorf("%+v", got)
+		t.Errorf("merged outcome %+v", got)
 	}
 }
--- a/internal/ingest/collector/server.go
+++ b/internal/ingest/collector/server.go
@@ -97,7 +97,7 @@
 	s.engine.OnData(s.dataReceived)
 	s.engine.OnClose(s.connectionClosed)
 	if err := s.engine.Start(); err != nil {
-		return nil, fmt.Errorf("listen: %s: %w", options.Addr, err)
+		return nil, fmt.Errorf("start collector server on %s: %w", options.Addr, err)
 	}
 	return s, nil
 }
--- a/internal/ingest/collector/server_test.go
+++ b/internal/ingest/collector/server_test.go
@@ -87,7 +87,7 @@
 func expectPong(t *testing.T, answers *bufio.Reader) {
 	t.Helper()
 	if answer, err := answers.ReadString('\n'); answer != "pong\r\n" {
-		t.Fatalf("answer %q, %v", answer, err)
+		t.Fatalf("got answer %q, %v, want a pong", answer, err)
 	}
 }
 
@@ -98,7 +98,7 @@
 	case report := <-reports:
 		return report
 	case <-time.After(20 * time.Second):
-		t.Fatal("no report came")
+		t.Fatal("no report received within 20 s")
 		panic("unreachable")
 	}
 }
@@ -108,7 +108,7 @@
 	text, err := io.ReadAll(client)
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		return fmt.Errorf("still open, after %q", text)
+		return fmt.Errorf("connection still open after receiving %q", text)
 	}
 	return nil
 }
@@ -126,7 +126,7 @@
 			return connections
 		}
 	}
-	t.Fatalf("%d connections, want %d", len(connections), count)
+	t.Fatalf("%d open connections, want %d", len(connections), count)
 	return nil
 }
 
@@ -180,7 +180,7 @@
 	unregistered := len(s.registry.unregistered)
 	s.registry.mu.Unlock()
 	if unregistered > maxSockets/unregisteredDivisor {
-		t.Errorf("%d unregistered connections hold descriptors", unregistered)
+		t.Errorf("%d unregistered connections, limit %d", unregistered, maxSockets/unregisteredDivisor)
 	}
 	client := dial(t, s, "")
 	const text = "collector locality=b\r\n" +
@@ -192,7 +192,7 @@
 	}
 	for _, isDemand := range []bool{false, true} { // the malformed report between them is dropped alone
 		if report := expectReport(t, reports); report.IsDemand != isDemand {
-			t.Errorf("%+v", report)
+			t.Errorf("got report %+v, want IsDemand %v", report, isDemand)
 		}
 	}
 }
@@ -234,7 +234,7 @@
 	registered := c.registered
 	s.registry.mu.Unlock()
 	if registered == c.closed.Load() {
-		t.Errorf("registered %v and rejected %v", registered, c.closed.Load())
+		t.Errorf("registered %v and rejected %v, want exactly one", registered, c.closed.Load())
 	}
 	_ = client.Close()
 	awaitConnections(t, s, 0)
@@ -251,7 +251,7 @@
 	s.registry.mu.Lock()
 	defer s.registry.mu.Unlock()
 	if len(s.registry.collectors[0]) > 0 || len(s.registry.unregistered) > 0 {
-		t.Errorf("%d collectors and %d unregistered connections remain",
+		t.Errorf("%d collectors and %d unregistered connections in the registry, want 0",
 			len(s.registry.collectors[0]), len(s.registry.unregistered))
 	}
 }
@@ -279,6 +279,6 @@
 	c.reject(errNotRegistered) // concerns the previous connection only
 	send(t, next, "heard locality=a endpoint=s2 total=1 errors=0 rtt=1 interval=1\r\n")
 	if report := expectReport(t, reports); report.Server != "s2" {
-		t.Errorf("%+v, which was sent after the rejection", report)
+		t.Errorf("got report %+v, want one of server s2: bytes after the rejection were handled", report)
 	}
 }
--- a/internal/platform/controller.go
+++ b/internal/platform/controller.go
@@ -99,7 +99,7 @@
 		operation.Server = c.servers.names[o.Server]
 	case fleet.ClearTable, fleet.AssignTable, fleet.SetAdmission, fleet.Barrier:
 	default:
-		effects.LogMessages = append(effects.LogMessages, fmt.Sprintf("order %T has no form on this platform", order))
+		effects.LogMessages = append(effects.LogMessages, fmt.Sprintf("order %T is not supported on this platform", order))
 		return
 	}
 	effects.Operations = append(effects.Operations, operation)
--- a/internal/platform/controller_test.go
+++ b/internal/platform/controller_test.go
@@ -102,7 +102,7 @@
 	for _, operation := range operations {
 		text := operation.Text([]string{"look"})
 		if _, isBarrier := operation.Order.(fleet.Barrier); !isBarrier && !repeated[text] {
-			t.Errorf("%s is not ordered again, but %v", text, repeated)
+			t.Errorf("%s is not sent again; sent: %v", text, repeated)
 		}
 	}
 }
@@ -125,12 +125,12 @@
 	h.run(10*fleet.Second, messages(snapshot(1, false, 1, 2)...))
 	lost := readmissions(h.run(30*fleet.Second, messages(endpointDelta(2, listed("s-2", "gone")))), "s-2")
 	if len(lost) != 1 {
-		t.Fatalf("%d orders readmit the server as it is forgotten", len(lost))
+		t.Fatalf("%d operations readmit the removed server, want 1", len(lost))
 	}
 	h.run(fleet.Second, messages(unconfirmed(lost), endpointDelta(3)))
 	operations := h.run(5*fleet.Second, messages(endpointDelta(4, listed("s-2", "ready"))))
 	if len(readmissions(operations, "s-2")) == 0 {
-		t.Error("the server is not readmitted")
+		t.Error("no operation readmits the new server")
 	}
 }
 
@@ -147,14 +147,14 @@
 		}
 	}
 	if !weighted["s-1"] || !weighted["s-2"] || len(weighted) != 2 {
-		t.Errorf("weights of %v", weighted)
+		t.Errorf("weights set for servers %v, want s-1 and s-2", weighted)
 	}
 	effects := h.controller.Step(h.now, Batch{Reports: []collector.Report{
 		{Server: "s-9"},
 		{Server: "s-2", Outcome: fleet.OutcomeReport{Attempts: 1, Interval: fleet.Second}},
 	}})
 	if effects.UnknownServerReports != 1 {
-		t.Errorf("%d reports of unknown servers", effects.UnknownServerReports)
+		t.Errorf("%d reports of unknown servers, want 1", effects.UnknownServerReports)
 	}
 }
 
@@ -162,7 +162,7 @@
 	h := newHarness("s-1")
 	h.run(0, Batch{})
 	if len(h.last.WatchRequests) != 1 || !h.last.WatchRequests[0] {
-		t.Errorf("watch requests %v", h.last.WatchRequests)
+		t.Errorf("watch requests %v, want [true]", h.last.WatchRequests)
 	}
 }
 
@@ -176,7 +176,7 @@
 	}
 	for _, want := range []fleet.Time{10, 20, 30} {
 		if timers.next() != startTime+want {
-			t.Fatalf("next timer is due at %d, not %d", timers.next()-startTime, want)
+			t.Fatalf("next timer is due at %d, want %d", timers.next()-startTime, want)
 		}
 		timers.timers = append(timerHeap{}, timers.timers...)
 		h.controller.Step(startTime+want, Batch{})
@@ -222,9 +222,9 @@
 		h.replaceServer(i, random)
 	}
 	if n := len(servers.names); n > namesBefore+2 || n > 12 || len(servers.ids) != n {
-		t.Errorf("%d names, %d before", n, namesBefore)
+		t.Errorf("registry holds %d names and %d IDs, %d names before", n, len(servers.ids), namesBefore)
 	}
 	if heapAfter := liveHeap(); heapAfter > heapBefore+heapBefore/4 {
-		t.Errorf("heap of %d bytes, %d before", heapAfter, heapBefore)
+		t.Errorf("heap is %d bytes, was %d bytes before", heapAfter, heapBefore)
 	}
 }
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -35,12 +35,14 @@
 	}
 	marks := ""
 	if estimate.WarmingUp {
-		marks += " warming up"
+		marks += ", warming up"
 	}
 	if estimate.Withdrawn {
-		marks += " withdrawn"
+		marks += ", withdrawn"
 	}
-	return fmt.Sprintf("%s health %.2f failures %.0f/%.0f utilization %.2f latency %.0f rate %.1f/%.1f weights %s%s",
+	const format = "%s health %.2f, failures %.0f of %.0f attempts, utilization %.2f, latency %.0f ms, " +
+		"rate %.1f of %.1f requests/s, table weights %s per mille%s"
+	return fmt.Sprintf(format,
 		name, estimate.HealthFactor, estimate.Failures, estimate.Attempts, estimate.Utilization,
 		estimate.Latency.Seconds()*1000, estimate.RequestRate, estimate.Capacity, strings.Join(weights, "/"), marks)
 }
@@ -54,7 +56,7 @@
 		case RelayEvent:
 			if m.Kind != relay.ProxyEvent {
 				l.Log.Info().Uint64("stream", m.Stream).Stringer("kind", m.Kind).
-					Int("joined", l.Controller.JoinedProxies()).Msg("relay stream changed")
+					Int("joined", l.Controller.JoinedProxies()).Msg("relay event stream state changed")
 			}
 		}
 	}
@@ -92,9 +94,10 @@
 	}
 	if now >= l.lastEstimateLog+estimateLogInterval {
 		l.lastEstimateLog = now
-		l.Log.Info().Strs("servers", l.Controller.DescribeEstimates()).Msg("servers estimated")
+		l.Log.Info().Strs("servers", l.Controller.DescribeEstimates()).Msg("server estimates")
 	}
 	if effects.UnknownServerReports > 0 {
-		l.Log.Debug().Int("reports", effects.UnknownServerReports).Msg("reports of unlisted servers dropped")
+		l.Log.Debug().Int("reports", effects.UnknownServerReports).
+			Msg("load reports dropped: server not in the endpoint list")
 	}
 }
--- a/internal/platform/mailbox_test.go
+++ b/internal/platform/mailbox_test.go
@@ -22,7 +22,7 @@
 	m.Take(&batch)
 	for i, message := range batch.Messages {
 		if stream := message.(RelayEvent).Stream; stream != uint64(i) {
-			t.Fatalf("message %d is of stream %d", i, stream)
+			t.Fatalf("message %d has stream %d, want %d", i, stream, i)
 		}
 	}
 	attempts := 0
@@ -30,10 +30,11 @@
 		attempts += int(report.Outcome.Attempts)
 	}
 	if attempts != 3*maxSeparateReports || len(batch.Messages) != posted {
-		t.Errorf("%d attempts, %d messages", attempts, len(batch.Messages))
+		t.Errorf("got %d attempts and %d messages, want %d and %d",
+			attempts, len(batch.Messages), 3*maxSeparateReports, posted)
 	}
 	if len(batch.Reports) > maxSeparateReports+posted || m.merged == 0 {
-		t.Errorf("%d reports, %d merged", len(batch.Reports), m.merged)
+		t.Errorf("got %d reports, limit %d; %d merged", len(batch.Reports), maxSeparateReports+posted, m.merged)
 	}
 }
 
@@ -52,13 +53,13 @@
 		before := len(batch.Messages)
 		m.Take(&batch)
 		if taken := len(batch.Messages) - before; taken > maxMessages {
-			t.Fatalf("%d messages were in the mailbox", taken)
+			t.Fatalf("mailbox held %d messages, limit %d", taken, maxMessages)
 		}
 	}
 	<-posted
 	for i, message := range batch.Messages {
 		if stream := message.(RelayEvent).Stream; stream != uint64(i) {
-			t.Fatalf("message %d is of stream %d", i, stream)
+			t.Fatalf("message %d has stream %d, want %d", i, stream, i)
 		}
 	}
 }
@@ -77,6 +78,6 @@
 	select {
 	case <-posted:
 	case <-time.After(20 * time.Second):
-		t.Fatal("a post waits after the end")
+		t.Fatal("Post still blocks after Close")
 	}
 }
--- a/internal/platform/stream_test.go
+++ b/internal/platform/stream_test.go
@@ -53,19 +53,20 @@
 	h.run(fleet.Second, messages(streamOpened(1, false)))
 	first := append(joined(1, 1, 2), snapshotComplete(1))
 	if got := assigned(h.run(15*fleet.Second, messages(first...))); len(got) != 2 {
-		t.Fatalf("assigned %v", got)
+		t.Fatalf("tables assigned to proxies %v, want 2 proxies", got)
 	}
 	got := assigned(h.run(15*fleet.Second, messages(snapshot(2, false, 2, 3)...)))
 	if fmt.Sprint(got) != "[2 3]" || h.controller.JoinedProxies() != 2 {
-		t.Errorf("assigned %v, %d joined", got, h.controller.JoinedProxies())
+		t.Errorf("tables assigned to proxies %v, want [2 3]; %d joined, want 2", got, h.controller.JoinedProxies())
 	}
 	got = assigned(h.run(5*fleet.Second, messages(joined(1, 5)...)))
 	if len(got) != 0 || h.controller.JoinedProxies() != 2 {
-		t.Errorf("an old stream counts: assigned %v", got)
+		t.Errorf("event of an old stream was handled: tables assigned to proxies %v, %d joined",
+			got, h.controller.JoinedProxies())
 	}
 	h.run(0, messages(proxyEvent(2, fleet.ProxyLeft{Proxy: 3})))
 	if len(h.last.ProxiesLeft) != 1 {
-		t.Errorf("left %v", h.last.ProxiesLeft)
+		t.Errorf("proxies left: %v, want 1", h.last.ProxiesLeft)
 	}
 }
 
@@ -79,6 +80,6 @@
 	second = append(second, fresh, snapshotComplete(2))
 	got := assigned(h.run(15*fleet.Second, messages(second...)))
 	if fmt.Sprint(got) != "[2]" || h.controller.JoinedProxies() != 2 {
-		t.Errorf("assigned %v, %d joined", got, h.controller.JoinedProxies())
+		t.Errorf("tables assigned to proxies %v, want [2]; %d joined, want 2", got, h.controller.JoinedProxies())
 	}
 }
--- a/internal/transport/relay/answer.go
+++ b/internal/transport/relay/answer.go
@@ -21,14 +21,14 @@
 )
 
 var (
-	errCallLimit     = errors.New("answer: call limit reached")
-	errCallMalformed = errors.New("answer: malformed call")
+	errCallLimit     = errors.New("relay rejected the call: limit reached")
+	errCallMalformed = errors.New("relay rejected the call as malformed")
 )
 
 // notSentError reports that no byte of a call has left: the relay can't have carried it out.
 type notSentError struct{ err error }
 
-func (e *notSentError) Error() string { return "call not sent: " + e.err.Error() }
+func (e *notSentError) Error() string { return "relay call not sent: " + e.err.Error() }
 
 func (e *notSentError) Unwrap() error { return e.err }
 
@@ -64,7 +64,7 @@
 			break
 		}
 		if err != nil {
-			return 0, fmt.Errorf("answer: byte %d: %w", decoder.InputOffset(), err)
+			return 0, fmt.Errorf("parse relay answer at byte %d: %w", decoder.InputOffset(), err)
 		}
 		if err := answer.add(token); err != nil {
 			return 0, err
@@ -78,7 +78,7 @@
 	case answer.malformed:
 		return 0, errCallMalformed
 	}
-	return 0, fmt.Errorf("answer: no %s element in %.80q", acceptedElement, body)
+	return 0, fmt.Errorf("relay answer has no %s element: %.80q", acceptedElement, body)
 }
 
 // answerFields collects what an answer states while its tokens are read.
@@ -114,7 +114,8 @@
 	}
 	accepted, err := strconv.Atoi(text)
 	if err != nil || accepted < 0 || accepted > a.operations || a.found {
-		return fmt.Errorf("answer: accepted %.20q of %d operations", text, a.operations)
+		return fmt.Errorf("relay answer: %s element %.20q is repeated or not a number from 0 to %d",
+			acceptedElement, text, a.operations)
 	}
 	a.accepted = accepted
 	a.found = true
--- a/internal/transport/relay/answer_test.go
+++ b/internal/transport/relay/answer_test.go
@@ -34,7 +34,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		accepted, err := parseAnswer(text, 3)
 		if err == nil && (accepted < 0 || accepted > 3) {
-			t.Errorf("%d of 3 operations accepted", accepted)
+			t.Errorf("%d operations accepted, want 0 to 3", accepted)
 		}
 	})
 }
--- a/internal/transport/relay/calls.go
+++ b/internal/transport/relay/calls.go
@@ -102,14 +102,15 @@
 		c.options.OnUnconfirmed(Unconfirmed{Operations: unconfirmed})
 	}
 	for _, operation := range dropped {
-		c.sampledLog.Warn().Str("operation", operation.Text(c.options.Classes)).Msg("operation rejected by relay")
+		c.sampledLog.Warn().Str("operation", operation.Text(c.options.Classes)).
+			Msg("operation dropped: rejected by relay twice")
 	}
 	if callErr != nil {
 		c.sampledLog.Warn().Err(callErr).Int("operations", operations).Int("unconfirmed", len(unconfirmed)).
-			Dur("duration", time.Since(began)).Msg("call failed")
+			Dur("duration", time.Since(began)).Msg("relay call failed")
 	} else {
 		c.options.Log.Debug().Int("operations", operations).Int("accepted", accepted).
-			Dur("duration", time.Since(began)).Msg("call answered")
+			Dur("duration", time.Since(began)).Msg("relay call answered")
 	}
 	return outcome
 }
@@ -150,7 +151,7 @@
 	defer func() { _ = response.Body.Close() }()
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerSize+1))
 	if err != nil {
-		return 0, fmt.Errorf("read answer: %w", err)
+		return 0, fmt.Errorf("read relay answer: %w", err)
 	}
 	accepted, err = parseAnswer(answer, operations)
 	if outcomeOf(err) == callUncertain {
--- a/internal/transport/relay/calls_test.go
+++ b/internal/transport/relay/calls_test.go
@@ -20,7 +20,7 @@
 func expectUnconfirmed(t *testing.T, from chan Unconfirmed, want Operation) {
 	t.Helper()
 	if got := next(t, from); fmt.Sprint(got.Operations) != fmt.Sprint([]Operation{want}) {
-		t.Errorf("unconfirmed %v, want only %v", got.Operations, want)
+		t.Errorf("unconfirmed operations %v, want only %v", got.Operations, want)
 	}
 }
 
@@ -51,7 +51,8 @@
 	expectCall(t, relay, "", "share,1,x,4")
 	relay.release <- struct{}{}
 	if len(unconfirmed) > 0 || client.Statistics().Uncertain != 3 {
-		t.Errorf("%d more reports, %+v", len(unconfirmed), client.Statistics())
+		t.Errorf("%d further unconfirmed reports, want 0; statistics %+v, want 3 uncertain calls",
+			len(unconfirmed), client.Statistics())
 	}
 }
 
@@ -111,6 +112,6 @@
 		})
 	}
 	if n := len(client.queue.pending); n > 8 {
-		t.Errorf("%d operations are pending, want at most seven weights and a barrier", n)
+		t.Errorf("%d operations are pending, want at most 7 weights and 1 barrier", n)
 	}
 }
--- a/internal/transport/relay/events.go
+++ b/internal/transport/relay/events.go
@@ -51,7 +51,7 @@
 func parseEvent(name, data string, zones []string, proxyCount int) (fleet.Event, error) {
 	values, err := url.ParseQuery(data)
 	if err != nil {
-		return nil, fmt.Errorf("event %s: %w", name, err)
+		return nil, fmt.Errorf("relay event %s: parse form fields: %w", name, err)
 	}
 	fields := eventFields{values: values}
 	proxy := fleet.ProxyID(fields.number("node", float64(proxyCount-1)))
@@ -76,7 +76,7 @@
 		return nil, nil
 	}
 	if fields.err != nil {
-		return nil, fmt.Errorf("event %s: %w", name, fields.err)
+		return nil, fmt.Errorf("relay event %s: %w", name, fields.err)
 	}
 	return event, nil
 }
@@ -96,7 +96,7 @@
 			return value
 		}
 	}
-	f.fail(fmt.Errorf("%s %.40q is not a number from 0 to %g", key, strings.Join(texts, ","), limit))
+	f.fail(fmt.Errorf("field %s: %.40q is not a number from 0 to %g", key, strings.Join(texts, ","), limit))
 	return 0
 }
 
@@ -108,7 +108,7 @@
 			return index
 		}
 	}
-	f.fail(fmt.Errorf("%s %.40q is unknown", key, name))
+	f.fail(fmt.Errorf("field %s: unknown name %.40q", key, name))
 	return 0
 }
 
--- a/internal/transport/relay/events_test.go
+++ b/internal/transport/relay/events_test.go
@@ -21,7 +21,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if event, err := parseEvent("joined", data, zones, 20); err == nil {
-				t.Errorf("%s gives %v", data, event)
+				t.Errorf("parseEvent(%q) = %v, want an error", data, event)
 			}
 		})
 	}
--- a/internal/transport/relay/fakerelay_test.go
+++ b/internal/transport/relay/fakerelay_test.go
@@ -167,7 +167,7 @@
 	case element := <-from:
 		return element
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("nothing received within 20 s")
 		panic("unreachable")
 	}
 }
--- a/internal/transport/relay/queue_test.go
+++ b/internal/transport/relay/queue_test.go
@@ -65,10 +65,10 @@
 func (r *queueRun) finish(t *rapid.T, outcome callOutcome, accepted int) {
 	_, unconfirmed := r.queue.finish(outcome, accepted)
 	if outcome != callUncertain && len(unconfirmed) > 0 {
-		t.Fatalf("outcome %v: %d operations unconfirmed", outcome, len(unconfirmed))
+		t.Fatalf("outcome %v: %d operations unconfirmed, want 0", outcome, len(unconfirmed))
 	}
 	if outcome == callUncertain && len(r.queue.call) > 0 {
-		t.Fatalf("%d operations of an uncertain call are sent again", len(r.queue.call))
+		t.Fatalf("%d operations of an uncertain call remain queued, want 0", len(r.queue.call))
 	}
 	r.unconfirmed = append(r.unconfirmed, unconfirmed...)
 }
@@ -99,12 +99,12 @@
 		}
 		for calls := 0; !run.queue.empty(); calls++ {
 			if calls > 100 {
-				t.Fatal("the queue does not run empty")
+				t.Fatal("queue is not empty after 100 calls")
 			}
 			run.call(t, fateAnswered+1)
 		}
 		if run.relay.String() != want.String() {
-			t.Fatalf("the relay holds\n%s, want\n%s", run.relay, want)
+			t.Fatalf("relay settings\n%s, want\n%s", run.relay, want)
 		}
 	})
 }
--- a/internal/transport/relay/stream.go
+++ b/internal/transport/relay/stream.go
@@ -155,7 +155,7 @@
 	default:
 		return
 	}
-	f.client.sampledLog.Warn().Err(end.err).Uint64("stream", end.stream.id).Msg("event stream ended")
+	f.client.sampledLog.Warn().Err(end.err).Uint64("stream", end.stream.id).Msg("relay event stream ended")
 	f.retry = time.After(time.Duration(f.backoff.Next()))
 }
 
--- a/internal/transport/relay/stream_test.go
+++ b/internal/transport/relay/stream_test.go
@@ -17,7 +17,7 @@
 	}
 	for _, kind := range append(want, SnapshotComplete) {
 		if e := next(t, events); e.Kind != kind || e.Stream != stream || e.Continuous {
-			t.Fatalf("%+v, want kind %v of stream %d", e, kind, stream)
+			t.Fatalf("got event %+v, want kind %v of stream %d, not continuous", e, kind, stream)
 		}
 	}
 }
@@ -27,7 +27,7 @@
 	t.Helper()
 	e := next(t, events)
 	if e.Kind != StreamOpened || e.Stream != stream || e.Continuous != continuous {
-		t.Fatalf("%+v, want stream %d opened, continuous %v", e, stream, continuous)
+		t.Fatalf("got event %+v, want stream %d opened, continuous %v", e, stream, continuous)
 	}
 }
 
@@ -35,7 +35,7 @@
 	t.Helper()
 	e := next(t, events)
 	if e.Kind != ProxyEvent || e.Stream != stream || e.Event != (fleet.ProxyLeft{Proxy: 1}) {
-		t.Fatalf("%+v, want the last event of stream %d", e, stream)
+		t.Fatalf("got event %+v, want proxy 1 left on stream %d", e, stream)
 	}
 }
 
@@ -87,7 +87,7 @@
 	deadline := time.Now().Add(20 * time.Second)
 	for client.Statistics().Streams < count {
 		if time.Now().After(deadline) {
-			t.Fatal("the new stream is not opened")
+			t.Fatalf("%d streams opened within 20 s, want %d", client.Statistics().Streams, count)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -114,12 +114,12 @@
 	}
 	select {
 	case e := <-events:
-		t.Errorf("%+v before a heartbeat", e)
+		t.Errorf("got event %+v before a heartbeat, want none", e)
 	case <-time.After(1200 * time.Millisecond): // longer than the relay's interval of a second
 	}
 	texts <- heartbeatText
 	if e := next(t, events); e.Kind != SnapshotComplete || e.Stream != 2 {
-		t.Errorf("%+v, want the complete snapshot of stream 2", e)
+		t.Errorf("got event %+v, want the snapshot of stream 2 complete", e)
 	}
 }
 
--- a/internal/transport/relay/streamreader.go
+++ b/internal/transport/relay/streamreader.go
@@ -21,7 +21,7 @@
 )
 
 // errStreamSilent is the cause of the end of a stream that sent nothing for heartbeatTimeout.
-var errStreamSilent = errors.New("no heartbeat on the event stream")
+var errStreamSilent = errors.New("no event or heartbeat on the relay event stream")
 
 // statusError is an HTTP status other than 200.
 type statusError struct {
@@ -29,7 +29,9 @@
 	status string
 }
 
-func (e *statusError) Error() string { return e.addr + ": " + e.status }
+func (e *statusError) Error() string {
+	return "relay " + e.addr + " answered the event stream request with HTTP status " + e.status
+}
 
 // readStream reads one stream and delivers its events until it ends. It never returns nil; io.ErrUnexpectedEOF
 // reports a connection that the relay closed.
