--- a/internal/ingest/collector/connection.go
+++ b/internal/ingest/collector/connection.go
@@ -13,20 +13,20 @@
 
 // Limits of one connection.
 const (
-	// maxFirstMessageSize, in bytes, holds until a connection has registered: a collector's first message is not longer
-	// than the name of its zone.
+	// maxFirstMessageSize, in bytes, applies until a connection has registered. A collector's first message contains
+	// little more than the name of its zone.
 	maxFirstMessageSize = 512
 
-	// maxMessageSize is in bytes and given by the users' platform.
+	// maxMessageSize, in bytes, is specified by the platform.
 	maxMessageSize = 1 << 20
 
-	// maxConsecutiveMalformed malformed messages show that the connection is of no further use.
+	// maxConsecutiveMalformed is the number of consecutive malformed messages at which a connection is closed.
 	maxConsecutiveMalformed = 16
 
-	// maxPings of one connection, which is pinged now and then.
+	// maxPings is the number of pings that one connection may send. Pings are occasional health checks.
 	maxPings = 64
 
-	// maxLoggedMessageSize is in bytes.
+	// maxLoggedMessageSize, in bytes, is the size to which messages are truncated in the log.
 	maxLoggedMessageSize = 160
 )
 
@@ -36,7 +36,7 @@
 	answerRejected = []byte("refused\r\n")
 )
 
-// Reasons for which a connection is rejected.
+// Reasons for rejecting a connection.
 var (
 	errNotRegistered       = fmt.Errorf("not registered within %v", registrationTimeout)
 	errTooManyUnregistered = errors.New("too many unregistered connections: oldest one closed")
@@ -46,19 +46,19 @@
 	errMessageTooLong      = errors.New("message too long")
 )
 
-// connection is one client of the listening address. The registry's lock guards registered, excluded and zone, of
-// which registered and zone are written by the event loop alone, which may thus read them without the lock. The
-// event loop owns the rest but for closed.
+// connection is one client connection. The registry's lock guards registered, excluded and zone. Only the event loop
+// writes registered and zone, so it may read them without the lock. The other fields, except closed, may only be used
+// by the event loop.
 type connection struct {
 	server     *Server
 	conn       *nbio.Conn
 	registered bool
-	excluded   bool // rejected or closed: it can't register any more
+	excluded   bool // rejected or closed, and unable to register
 	zone       fleet.ZoneID
 	closed     atomic.Bool
 
-	partial              []byte // the beginning of a message
-	scanned              int    // bytes of partial that are known to hold neither an end of message nor binary data
+	partial              []byte // beginning of an incomplete message
+	scanned              int    // number of bytes of partial known to contain no line end and no binary data
 	pings                int
 	consecutiveMalformed int
 	hasReportedOutcome   bool
@@ -71,7 +71,7 @@
 	}
 }
 
-// reject answers that the connection is rejected, and closes it.
+// reject sends a rejection and closes the connection. It has no effect on a closed connection.
 func (c *connection) reject(reason error) {
 	if c.closed.Swap(true) {
 		return
@@ -88,7 +88,7 @@
 	c.server.registry.remove(c)
 }
 
-// receive takes in bytes and handles the messages that they complete.
+// receive handles the messages that the received bytes complete, and saves the rest.
 func (c *connection) receive(data []byte) {
 	if c.closed.Load() {
 		return
@@ -110,7 +110,8 @@
 	c.savePartial(data)
 }
 
-// cutMessage cuts the first message off the data.
+// cutMessage splits the data into the first message, without its line end, and the rest. complete is false if the data
+// contains no line end.
 func (c *connection) cutMessage(data []byte) (text string, rest []byte, complete bool) {
 	scanned := min(c.scanned, len(data))
 	end := bytes.IndexByte(data[scanned:], '\n')
@@ -122,8 +123,8 @@
 	return string(bytes.TrimSuffix(data[:end], []byte{'\r'})), data[end+1:], true
 }
 
-// savePartial saves the beginning of a message until the rest comes, unless it shows already that the message is
-// invalid.
+// savePartial saves an incomplete message until the rest is received. It rejects the connection if the message is
+// already too long or binary.
 func (c *connection) savePartial(data []byte) {
 	maxSize := maxFirstMessageSize
 	if c.registered {
@@ -144,7 +145,7 @@
 	}
 }
 
-// handle handles one message. It returns false where the connection was rejected.
+// handleMessage handles one message. It returns false if it rejected the connection.
 func (c *connection) handleMessage(text string) (open bool) {
 	m, err := parseMessage(text)
 	switch {
@@ -169,6 +170,7 @@
 	return true
 }
 
+// handlePing answers a ping. It rejects the connection, and returns false, after maxPings.
 func (c *connection) handlePing() (open bool) {
 	c.server.counters.pings.Add(1)
 	c.pings++
@@ -176,10 +178,12 @@
 		c.reject(errTooManyPings)
 		return false
 	}
-	_, _ = c.conn.Write(answerPong) // a failure closes the connection
+	_, _ = c.conn.Write(answerPong) // a write error closes the connection
 	return true
 }
 
+// handleRegistration handles a message of an unregistered connection, which must be a valid registration. err is the
+// error of parsing the message. It returns false if it rejected the connection.
 func (c *connection) handleRegistration(m *message, err error) (open bool) {
 	if err == nil && m.kind != kindRegister {
 		err = fmt.Errorf("message of kind %.40q before registration, expected %s", m.kind, kindRegister)
@@ -197,7 +201,7 @@
 	return true
 }
 
-// register makes the connection a collector of the zone, and rejects the zone's oldest one where they are too many.
+// register makes the connection a collector of the zone, and rejects the zone's oldest collector if there are too many.
 func (c *connection) register(zone fleet.ZoneID) {
 	surplus, ok := c.server.registry.register(c, zone)
 	if !ok {
@@ -209,6 +213,8 @@
 	}
 }
 
+// handleMalformed counts and drops a malformed message. It rejects the connection, and returns false, after
+// maxConsecutiveMalformed.
 func (c *connection) handleMalformed(text string, err error) (open bool) {
 	c.server.counters.malformed.Add(1)
 	c.server.sampledLog.Info().Err(err).Str("message", truncateForLog(text)).Msg("malformed message dropped")
@@ -220,6 +226,7 @@
 	return true
 }
 
+// handleReport passes a report on and logs the first outcome report of the connection.
 func (c *connection) handleReport(text string, report Report) {
 	c.consecutiveMalformed = 0
 	c.server.counters.reports.Add(1)
@@ -231,5 +238,5 @@
 	c.server.options.OnReport(report)
 }
 
-// beginning returns what of a message goes into the log.
+// truncateForLog returns the first maxLoggedMessageSize bytes of a message.
 func truncateForLog(text string) string { return text[:min(len(text), maxLoggedMessageSize)] }
--- a/internal/ingest/collector/message.go
+++ b/internal/ingest/collector/message.go
@@ -17,31 +17,32 @@
 	kindDemand   = "usage"
 )
 
-// maxFields of a message.
+// maxFields is the maximum number of fields of a message.
 const maxFields = 32
 
-// errBinaryData reports a message that isn't text. Nothing that follows it on the connection can be trusted.
+// errBinaryData reports a message that is not text. Nothing that follows it on the connection can be trusted.
 var errBinaryData = errors.New("message contains bytes other than printable ASCII")
 
-// isBinary reports whether the data holds a byte that no text of the protocol does.
+// isBinary reports whether the data contains a byte other than printable ASCII or a carriage return.
 func isBinary(data []byte) bool {
 	return slices.ContainsFunc(data, func(c byte) bool { return (c < ' ' || c > '~') && c != '\r' })
 }
 
+// field is one name=value pair of a message.
 type field struct {
 	name  string
 	value string
 }
 
-// message is one line of the protocol: its kind, then fields of the form name=value.
+// message is one line of the protocol: a kind followed by fields of the form name=value.
 type message struct {
 	kind       string
-	fields     [maxFields]field // an array, so that reading a report allocates little
+	fields     [maxFields]field // an array, to reduce allocations per report
 	fieldCount int
-	fieldErr   error // the first error of reading a typed field
+	fieldErr   error // first error from reading a typed field
 }
 
-// parseMessage parses a line without its end. It returns errBinaryData for a line that isn't text.
+// parseMessage parses a line without its line end. It returns errBinaryData for a line that is not text.
 func parseMessage(text string) (m message, err error) {
 	if isBinary([]byte(text)) {
 		return m, errBinaryData
@@ -61,6 +62,7 @@
 	return m, nil
 }
 
+// addField adds a field of the form name=value. Names must not be repeated.
 func (m *message) addField(text string) error {
 	name, value, ok := strings.Cut(text, "=")
 	if !ok || name == "" {
@@ -77,6 +79,7 @@
 	return nil
 }
 
+// value returns the value of a field, and whether the message has the field.
 func (m *message) value(name string) (value string, ok bool) {
 	for _, f := range m.fields[:m.fieldCount] {
 		if f.name == name {
@@ -86,14 +89,15 @@
 	return "", false
 }
 
-// fail records the first error of reading a field. After one, the values that were read have no meaning.
+// fail records an error from reading a field, unless there was one before. After an error, the values read from the
+// message must not be used.
 func (m *message) fail(format string, args ...any) {
 	if m.fieldErr == nil {
 		m.fieldErr = fmt.Errorf(format, args...)
 	}
 }
 
-// text reads a field that must not be empty.
+// requiredText reads a field that must not be empty.
 func (m *message) requiredText(name string) string {
 	value, _ := m.value(name)
 	if value == "" {
@@ -102,7 +106,7 @@
 	return value
 }
 
-// number reads a number from minimum to maximum.
+// number reads a field that must be a number from minimum to maximum.
 func (m *message) number(name string, minimum, maximum float64) float64 {
 	text, _ := m.value(name)
 	number, err := strconv.ParseFloat(text, 64)
@@ -114,7 +118,7 @@
 	return number
 }
 
-// count reads a whole number from 0 to maximum.
+// count reads a field that must be an integer from 0 to maximum.
 func (m *message) count(name string, maximum float64) uint32 {
 	number := m.number(name, 0, maximum)
 	if number != math.Trunc(number) {
@@ -123,7 +127,7 @@
 	return uint32(number)
 }
 
-// index reads one of the names and returns its index.
+// nameIndex reads a field that must hold one of the names and returns the index of the name.
 func (m *message) nameIndex(field string, names []string) int {
 	name, _ := m.value(field)
 	index := slices.Index(names, name)
--- a/internal/ingest/collector/registry.go
+++ b/internal/ingest/collector/registry.go
@@ -7,25 +7,27 @@
 	"cressknot/internal/fleet"
 )
 
-// maxCollectorsPerZone is above 1, as the successor of a collector may connect before its end is seen.
+// maxCollectorsPerZone is above 1 because the successor of a collector may connect before the server notices that the
+// old connection has ended.
 const maxCollectorsPerZone = 3
 
-// registry knows the open connections: those that have not registered yet, and the collectors of each zone. It bounds
-// both.
+// registry tracks the open connections, unregistered ones and the collectors of each zone, and limits the number of
+// both. It is safe for concurrent use.
 type registry struct {
 	maxUnregistered int
 
 	mu           sync.Mutex
-	unregistered []*connection                  // in the order of their opening
-	collectors   map[fleet.ZoneID][]*connection // in the order of their registration
+	unregistered []*connection                  // oldest first
+	collectors   map[fleet.ZoneID][]*connection // earliest registration first
 }
 
+// newRegistry returns a registry that holds at most maxUnregistered unregistered connections.
 func newRegistry(maxUnregistered int) *registry {
 	return &registry{maxUnregistered: maxUnregistered, collectors: map[fleet.ZoneID][]*connection{}}
 }
 
-// add adds a connection that has not registered. It returns the oldest ones where they are too many; a collector
-// registers at once.
+// add adds an unregistered connection. If there are too many, it removes and returns the oldest ones: a collector
+// registers at once, so the oldest are the least likely to be collectors.
 func (r *registry) add(c *connection) (surplus []*connection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,8 +41,8 @@
 	return surplus
 }
 
-// register makes the connection a collector of the zone. It returns false where the connection was excluded before, and
-// the zone's oldest collector where they are too many.
+// register makes the connection a collector of the zone. ok is false if the connection was excluded before. surplus is
+// the zone's oldest collector if there are too many, otherwise nil; the caller rejects it.
 func (r *registry) register(c *connection, zone fleet.ZoneID) (surplus *connection, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +59,8 @@
 	return surplus, true
 }
 
-// exclude bars the connection from registering. It returns false where that has happened, or it was excluded before.
+// exclude prevents the connection from registering. It returns false if the connection has registered already or was
+// excluded before.
 func (r *registry) exclude(c *connection) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,7 +71,7 @@
 	return true
 }
 
-// remove removes a connection that is closed.
+// remove removes a closed connection.
 func (r *registry) remove(c *connection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,6 +82,7 @@
 	}
 }
 
+// deleteConnection removes a connection from the slice in place.
 func deleteConnection(connections []*connection, removed *connection) []*connection {
 	return slices.DeleteFunc(connections, func(c *connection) bool { return c == removed })
 }
--- a/internal/ingest/collector/report.go
+++ b/internal/ingest/collector/report.go
@@ -10,44 +10,45 @@
 	"cressknot/internal/simwire"
 )
 
-// Limits of the figures in a report. A report beyond them is malformed.
+// Limits of the values in a report. A report that exceeds them is malformed.
 const (
-	// maxReportedCount of attempts or requests is a thousand times what a controller's proxies make in an interval.
+	// maxReportedCount limits attempts and requests to a thousand times what a controller's proxies make in an interval.
 	maxReportedCount = 1_000_000
 
-	// maxReportedInterval is in ms. A collector that was partitioned away for longer starts anew.
+	// maxReportedInterval is in ms. A collector that was partitioned for longer starts over.
 	maxReportedInterval = 120_000.0
 
-	// maxReportedLatency is in ms. No client waits for ten minutes.
+	// maxReportedLatency is in ms. No client waits for 10 minutes.
 	maxReportedLatency = 600_000.0
 
+	// maxReportedLoad limits load figures other than utilization.
 	maxReportedLoad = 1e7
 
-	// maxReportedUtilization allows for noise, which may carry a share of busy time above 1.
+	// maxReportedUtilization is above 1 because measurement noise may raise the fraction of busy time above 1.
 	maxReportedUtilization = 4.0
 )
 
-// missingLoad stands for a load figure that a report doesn't hold.
+// missingLoad marks a load figure that a report does not contain.
 const missingLoad = -1
 
-// Vocabulary holds the names that reports may use.
+// Vocabulary holds the names that reports may use. Zones and Classes are indexed by ID.
 type Vocabulary struct {
 	Zones      []string
 	Classes    []string
-	ProxyCount int
-	LoadFields []fleet.LoadField // the order of the figures of a load report
+	ProxyCount int               // proxy IDs are below it
+	LoadFields []fleet.LoadField // the load figures to keep, in the order of OutcomeReport.Load
 }
 
 // Report is one load report: either an outcome report or a demand report.
 type Report struct {
-	Server   string // of Outcome, whose Server is not set
+	Server   string // name of the server of Outcome, whose field Server is not set
 	Outcome  fleet.OutcomeReport
 	Demand   fleet.DemandReport
-	IsDemand bool // Demand is set, not Outcome
+	IsDemand bool // true: only Demand is set; false: only Server and Outcome are
 }
 
-// platformLoadFields are the names of load figures on the users' platform. Collectors send those of the simulator,
-// which the platform allows as well.
+// platformLoadFields are the platform's names of load figures. Collectors send the simulator's names, which the
+// platform also allows.
 var platformLoadFields = map[string]fleet.LoadField{
 	"inflight":   fleet.LoadFieldInFlight,
 	"queue":      fleet.LoadFieldQueueLength,
@@ -57,7 +58,7 @@
 	"eps":        fleet.LoadFieldErrorRate,
 }
 
-// parseReport reads an outcome or demand report.
+// parseReport converts a message to an outcome or demand report.
 func (v *Vocabulary) parseReport(m *message) (Report, error) {
 	var report Report
 	switch m.kind {
@@ -73,6 +74,7 @@
 	return report, m.fieldErr
 }
 
+// parseOutcome parses an outcome report. The latency is optional only if all attempts failed.
 func (v *Vocabulary) parseOutcome(m *message) fleet.OutcomeReport {
 	outcome := fleet.OutcomeReport{
 		Attempts: m.count("total", maxReportedCount),
@@ -93,8 +95,8 @@
 	return outcome
 }
 
-// parseDemand reads a demand report. Its unanswered requests may be more than its requests, as some came in an earlier
-// interval.
+// parseDemand parses a demand report. The number of unanswered requests may exceed that of requests, since some of them
+// were received in an earlier interval.
 func (v *Vocabulary) parseDemand(m *message) fleet.DemandReport {
 	return fleet.DemandReport{
 		Requests:   m.count("total", maxReportedCount),
@@ -105,12 +107,13 @@
 	}
 }
 
+// parseInterval parses the interval in ms, which must be above 0.
 func parseInterval(m *message) fleet.Time {
 	return fleet.Milliseconds(m.number("interval", math.SmallestNonzeroFloat64, maxReportedInterval))
 }
 
-// parseLoad reads load figures into the order of LoadFields, with missingLoad where there is none. Figures that
-// LoadFields doesn't name are checked and dropped.
+// parseLoad returns the load figures in the order of LoadFields, with missingLoad for those that the text does not
+// contain. Figures that are not in LoadFields are validated and dropped.
 func (v *Vocabulary) parseLoad(m *message, text string) []float32 {
 	load := make([]float32, len(v.LoadFields))
 	for i := range load {
@@ -136,6 +139,7 @@
 	return load
 }
 
+// loadFieldByName looks up the platform's and the simulator's names of load figures.
 func loadFieldByName(name string) (loadField fleet.LoadField, known bool) {
 	loadField, known = platformLoadFields[name]
 	if !known {
@@ -144,7 +148,7 @@
 	return loadField, known
 }
 
-// SeriesKey identifies the series that a report belongs to. Reports of one series can be merged.
+// SeriesKey identifies the series that a report belongs to. Reports of the same series can be merged. It is comparable.
 type SeriesKey struct {
 	server   string
 	zone     fleet.ZoneID
@@ -153,7 +157,7 @@
 	isDemand bool
 }
 
-// Key returns the series of the report.
+// Key returns the key of the report's series: server and zone of an outcome report, proxy and class of a demand report.
 func (r *Report) Key() SeriesKey {
 	return SeriesKey{
 		server:   r.Server,
@@ -164,7 +168,8 @@
 	}
 }
 
-// Merge adds a later report of the same series to this one.
+// Merge adds a later report of the same series to this one: counts and intervals are summed, latencies are averaged
+// over the successful attempts, and later load figures replace earlier ones. The keys of both reports must be equal.
 func (r *Report) Merge(later Report) {
 	if r.IsDemand {
 		mergeDemand(&r.Demand, &later.Demand)
@@ -179,7 +184,7 @@
 	sum.Interval += later.Interval
 }
 
-// mergeOutcome weights the latencies by the numbers of successful attempts. The later load figures replace the earlier.
+// mergeOutcome weights the latencies by the number of successful attempts. Later load figures replace earlier ones.
 func mergeOutcome(sum, later *fleet.OutcomeReport) {
 	successes := float64(sum.Attempts - sum.Failures)
 	laterSuccesses := float64(later.Attempts - later.Failures)
--- a/internal/ingest/collector/report_test.go
+++ b/internal/ingest/collector/report_test.go
@@ -39,7 +39,7 @@
 			Server:  "s-5",
 			Outcome: fleet.OutcomeReport{Attempts: 1, Latency: fleet.Millisecond, Interval: fleet.Second / 2},
 		},
-		// Requests of an earlier interval may be among the unanswered ones.
+		// The unanswered requests may include requests of an earlier interval.
 		"usage node=17 route=book total=1 errors=2 interval=3000.0": {
 			IsDemand: true,
 			Demand: fleet.DemandReport{Proxy: 17, Class: 1, Requests: 1, Unanswered: 2,
--- a/internal/ingest/collector/server.go
+++ b/internal/ingest/collector/server.go
@@ -1,5 +1,6 @@
-// Package collector listens at a controller's address on the users' platform. It answers pings, receives load reports
-// from collectors, which forward what proxies measured, and rejects everybody else. It takes no decision.
+// Package collector implements the server to which the platform's collectors connect to send load reports. A collector
+// forwards the measurements of one zone's proxies. The server also answers the platform's health checks (pings) and
+// rejects all other clients. It hands the reports on without evaluating them.
 package collector
 
 import (
@@ -15,48 +16,48 @@
 )
 
 const (
-	// registrationTimeout lies between 1 s, from when the users' rules allow to close a connection that has not
-	// registered, and 3 s, by when they ask for it.
+	// registrationTimeout is how long a connection may stay unregistered. The platform's rules allow closing such a
+	// connection after 1 s and require it within 3 s.
 	registrationTimeout = 1200 * time.Millisecond
 
-	// readBufferSize, in bytes, takes some hundred reports at once; answers need far less.
+	// readBufferSize, in bytes, holds some hundred reports; answers (writeBufferSize) need far less.
 	readBufferSize  = 16 << 10
 	writeBufferSize = 4 << 10
 
-	// unregisteredDivisor gives the part of the descriptors that connections may take that have not registered.
+	// unregisteredDivisor limits unregistered connections to this fraction (1/n) of the descriptors.
 	unregisteredDivisor = 2
 
-	// spareTableSize is the number of entries of the event library's connection table beyond the descriptors; they take
-	// 32 KiB.
+	// spareTableSize is the number of entries of the event library's connection table in excess of the descriptors. They
+	// take 32 KiB.
 	spareTableSize = 4096
 
-	// logBurst lines of a kind that a faulty client could repeat are logged within logPeriod.
+	// At most logBurst messages are logged per logPeriod, since a faulty client could cause any number of them.
 	logBurst  = 5
 	logPeriod = 5 * time.Second
 )
 
 // Options configure a Server.
 type Options struct {
-	// Addr is the host:port to listen at.
+	// Addr is the host:port to listen on. Port 0 lets the system choose a port.
 	Addr       string
 	Vocabulary Vocabulary
-	// MaxSockets is the number of descriptors that the process may use.
+	// MaxSockets is the number of file descriptors that the process may use.
 	MaxSockets int
-	// OnReport receives each report. It must not block.
+	// OnReport receives each report. It is called by the event loop and must not block.
 	OnReport func(Report)
 	Log      zerolog.Logger
 }
 
-// Statistics count what came since the start.
+// Statistics are counts since Listen.
 type Statistics struct {
 	Reports    uint64
-	Malformed  uint64 // messages
+	Malformed  uint64 // malformed messages
 	Pings      uint64
-	Rejected   uint64 // connections
-	Collectors uint64 // registrations
+	Rejected   uint64 // rejected connections
+	Collectors uint64 // registrations of collectors
 }
 
-// counters are the figures of Statistics.
+// counters holds the figures of Statistics for concurrent use.
 type counters struct {
 	reports    atomic.Uint64
 	malformed  atomic.Uint64
@@ -65,7 +66,7 @@
 	collectors atomic.Uint64
 }
 
-// Server serves the listening address. One event loop serves all connections.
+// Server accepts connections and serves all of them in one event loop. Its methods are safe for concurrent use.
 type Server struct {
 	options     Options
 	engine      *nbio.Engine
@@ -75,9 +76,9 @@
 	counters    counters
 }
 
-// Listen begins to listen at options.Addr. The error wraps that of the system, such as syscall.EADDRINUSE.
+// Listen starts a server on options.Addr. The error wraps that of the system, such as syscall.EADDRINUSE.
 func Listen(options Options) (*Server, error) {
-	logging.SetLevel(logging.LevelNone) // the errors that the library returns suffice
+	logging.SetLevel(logging.LevelNone) // the errors that the library returns are enough
 	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, options.MaxSockets+spareTableSize)
 	s := &Server{
 		options:    options,
@@ -102,7 +103,7 @@
 	return s, nil
 }
 
-// listen opens the listener and notes its address, which the system chooses where the port is 0.
+// listen opens the listener and stores its address, in which the system has replaced port 0.
 func (s *Server) listen(network, addr string) (net.Listener, error) {
 	listener, err := net.Listen(network, addr)
 	if err != nil {
@@ -112,13 +113,13 @@
 	return listener, nil
 }
 
-// Addr returns the host:port at which the server listens.
+// Addr returns the host:port on which the server listens, with the port that the system chose if port 0 was requested.
 func (s *Server) Addr() string { return s.options.Addr }
 
-// Close closes the listener and all connections.
+// Close closes the listener and all connections and stops the event loop.
 func (s *Server) Close() { s.engine.Stop() }
 
-// Statistics returns the counts since the start.
+// Statistics returns the current counts.
 func (s *Server) Statistics() Statistics {
 	return Statistics{
 		Reports:    s.counters.reports.Load(),
--- a/internal/ingest/collector/server_test.go
+++ b/internal/ingest/collector/server_test.go
@@ -14,9 +14,10 @@
 	"github.com/rs/zerolog"
 )
 
-// testMaxSockets is a number of descriptors that no test uses up.
+// testMaxSockets is a number of descriptors that no test exceeds.
 const testMaxSockets = 1024
 
+// listen starts a server and returns it with the channel of its reports.
 func listen(t *testing.T, maxSockets int) (*Server, chan Report) {
 	t.Helper()
 	reports := make(chan Report, 1000)
@@ -35,8 +36,8 @@
 	return s, reports
 }
 
-// awaitPoller waits until the server's event loop has answered a connection that is gone again. The library loses a
-// stop that comes before its event loop has begun, so that Close would wait without end.
+// awaitPoller waits until the server's event loop has answered and closed a connection. If the server is closed before
+// its event loop runs, the library loses the request to stop, and Close blocks forever.
 func awaitPoller(t *testing.T, s *Server) {
 	t.Helper()
 	client := dial(t, s, "ping\r\n")
@@ -45,8 +46,8 @@
 	awaitEmptyRegistry(t, s)
 }
 
-// awaitEmptyRegistry waits until the server has no connection and its registry has none, either: a closed connection
-// leaves the two one after the other.
+// awaitEmptyRegistry waits until neither the server nor its registry has a connection. A closed connection is removed
+// from the server first.
 func awaitEmptyRegistry(t *testing.T, s *Server) {
 	t.Helper()
 	awaitConnections(t, s, 0)
@@ -64,7 +65,7 @@
 	t.Fatal("closed connections remain in the registry")
 }
 
-// dial connects to the server and sends text.
+// dial connects to the server and sends the text.
 func dial(t *testing.T, s *Server, text string) net.Conn {
 	t.Helper()
 	client, err := net.Dial("tcp", s.Addr())
@@ -91,7 +92,7 @@
 	}
 }
 
-// expectReport waits for a report.
+// expectReport returns the next report, or fails the test after 20 s.
 func expectReport(t *testing.T, reports chan Report) Report {
 	t.Helper()
 	select {
@@ -103,7 +104,8 @@
 	}
 }
 
-// awaitClose waits until the server closes the connection.
+// awaitClose waits until the server closes the connection. It returns an error if that does not happen before the
+// connection's deadline.
 func awaitClose(client net.Conn) error {
 	text, err := io.ReadAll(client)
 	var timeout net.Error
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// awaitConnections waits until the server has the given number of connections, and returns them.
+// awaitConnections waits until the server has the given number of connections and returns them.
 func awaitConnections(t *testing.T, s *Server, count int) (connections []*connection) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -130,6 +132,8 @@
 	return nil
 }
 
+// Clients that do not register with a known zone in time, or that send binary, overlong or repeatedly malformed
+// messages must be disconnected, or they would hold descriptors.
 func TestInvalidClientsAreRejected(t *testing.T) {
 	s, _ := listen(t, testMaxSockets)
 	for _, text := range []string{
@@ -152,6 +156,7 @@
 	}
 }
 
+// A registered client that sends data without a line end must be disconnected, or its message would take up the memory.
 func TestMessageWithoutEndIsRejected(t *testing.T) {
 	s, _ := listen(t, testMaxSockets)
 	client := dial(t, s, "collector locality=a\r\n")
@@ -167,8 +172,8 @@
 	}
 }
 
-// A ping is answered at once on any connection; and hundreds of connections that send nothing don't prevent a collector
-// from registering.
+// A ping is answered at once on any connection, and hundreds of silent connections do not prevent a collector from
+// registering. Messages may arrive byte by byte.
 func TestCollectorIsServedAmongManySilentConnections(t *testing.T) {
 	const maxSockets = 64
 	s, reports := listen(t, maxSockets)
@@ -190,15 +195,15 @@
 	for i := range len(text) {
 		send(t, client, text[i:i+1])
 	}
-	for _, isDemand := range []bool{false, true} { // the malformed report between them is dropped alone
+	for _, isDemand := range []bool{false, true} { // only the malformed report between them is dropped
 		if report := expectReport(t, reports); report.IsDemand != isDemand {
 			t.Errorf("got report %+v, want IsDemand %v", report, isDemand)
 		}
 	}
 }
 
-// Of a zone's collectors the newest remain: one that vanished without closing its connection doesn't hold a descriptor
-// for good.
+// The oldest of too many collectors of a zone is disconnected, so that a collector that vanished without closing its
+// connection does not hold a descriptor forever.
 func TestOldestCollectorOfAZoneIsReplaced(t *testing.T) {
 	s, _ := listen(t, testMaxSockets)
 	first := dial(t, s, "collector locality=a\r\nping\r\n")
@@ -211,13 +216,13 @@
 	}
 }
 
-// The rejection of a connection that has not registered in time crosses with its registration: exactly one of them
-// holds.
+// The rejection of a connection that has not registered in time races with its registration. Exactly one of them must
+// take effect.
 func TestRejectionCrossesWithRegistration(t *testing.T) {
 	s, _ := listen(t, testMaxSockets)
 	client := dial(t, s, "")
 	c := awaitConnections(t, s, 1)[0]
-	s.registry.mu.Lock() // both reach the lock in the same instant
+	s.registry.mu.Lock() // makes both goroutines contend for the lock
 	done := make(chan bool, 2)
 	go func() {
 		c.rejectUnregistered(errNotRegistered)
@@ -240,14 +245,14 @@
 	awaitConnections(t, s, 0)
 }
 
-// The registration of a connection that was rejected and closed before has no effect on the registry.
+// A registration that is handled after its connection was rejected and closed must not change the registry.
 func TestClosedConnectionCannotRegister(t *testing.T) {
 	s, _ := listen(t, testMaxSockets)
 	dial(t, s, "")
 	c := awaitConnections(t, s, 1)[0]
 	c.rejectUnregistered(errNotRegistered)
 	awaitEmptyRegistry(t, s)
-	c.register(0) // its message was read before
+	c.register(0) // the message was received before the rejection
 	s.registry.mu.Lock()
 	defer s.registry.mu.Unlock()
 	if len(s.registry.collectors[0]) > 0 || len(s.registry.unregistered) > 0 {
@@ -256,8 +261,8 @@
 	}
 }
 
-// A ping may come in pieces. Bytes that follow a rejection don't count, neither on the rejected connection nor on
-// the one that gets its descriptor next.
+// A ping may arrive in pieces. Bytes received after a rejection are ignored, and a second rejection must not affect the
+// connection that reuses the descriptor.
 func TestBytesAfterARejectionAreIgnored(t *testing.T) {
 	s, reports := listen(t, testMaxSockets)
 	client := dial(t, s, "pi")
@@ -276,7 +281,7 @@
 	awaitConnections(t, s, 0)
 	next := dial(t, s, "collector locality=a\r\n")
 	awaitConnections(t, s, 1)
-	c.reject(errNotRegistered) // concerns the previous connection only
+	c.reject(errNotRegistered) // must affect the previous connection only
 	send(t, next, "heard locality=a endpoint=s2 total=1 errors=0 rtt=1 interval=1\r\n")
 	if report := expectReport(t, reports); report.Server != "s2" {
 		t.Errorf("got report %+v, want one of server s2: bytes after the rejection were handled", report)
--- a/internal/ingest/collector/transcript_test.go
+++ b/internal/ingest/collector/transcript_test.go
@@ -8,7 +8,7 @@
 	"cressknot/internal/fleet"
 )
 
-// TestASessionKeepsItsBytes checks what a collector is answered and what its messages become.
+// TestASessionKeepsItsBytes checks the bytes of the answers to a collector and the reports parsed from its messages.
 func TestASessionKeepsItsBytes(t *testing.T) {
 	s, reports := listen(t, testMaxSockets)
 	client := dial(t, s, "ping\r\ncollector locality=b\r\nping\n"+
@@ -18,7 +18,7 @@
 	answers := bufio.NewReader(client)
 	for range 3 {
 		if line, err := answers.ReadString('\n'); err != nil || line != "pong\r\n" {
-			t.Fatalf("answered %q, %v", line, err)
+			t.Fatalf("got answer %q, %v, want a pong", line, err)
 		}
 	}
 	for _, want := range []Report{
@@ -33,6 +33,6 @@
 	}
 	unregistered := dial(t, s, "heard locality=b\r\n")
 	if line, err := bufio.NewReader(unregistered).ReadString('\n'); err != nil || line != "refused\r\n" {
-		t.Errorf("an unregistered client is answered %q, %v", line, err)
+		t.Errorf("answer to an unregistered client is %q, %v, want refused", line, err)
 	}
 }
--- a/internal/platform/controller.go
+++ b/internal/platform/controller.go
@@ -9,15 +9,15 @@
 	"cressknot/internal/transport/relay"
 )
 
-// Effects are the I/O that a step asks for. The loop carries them out in the order of the fields.
+// Effects are the I/O that a step requests. The loop performs them in the order of the fields.
 type Effects struct {
-	ProxiesLeft          []fleet.ProxyID   // nothing more is to be sent to these
-	Operations           []relay.Operation // for the relay, in one call
-	WatchRequests        []bool            // each begins (true) or ends (false) the watch of the endpoint list
-	FetchRequests        int               // how often the complete endpoint list is to be fetched
+	ProxiesLeft          []fleet.ProxyID   // operations for these proxies are to be dropped
+	Operations           []relay.Operation // to be sent to the relay, in this order
+	WatchRequests        []bool            // each starts (true) or stops (false) the watch of the endpoint list
+	FetchRequests        int               // number of requests for the complete endpoint list
 	LogMessages          []string
-	UnknownServerReports int        // reports dropped because their server is not listed
-	NextTimer            fleet.Time // when the next step is due at the latest; 0: no timer is set
+	UnknownServerReports int        // load reports dropped because their server is not in the endpoint list
+	NextTimer            fleet.Time // due time of the next timer; 0: no timer is set
 }
 
 // Controller translates between the platform and the balancer. It is not safe for concurrent use.
@@ -27,10 +27,11 @@
 	servers  serverRegistry
 	proxies  proxyTracker
 	timers   timerQueue
-	events   []fleet.Event // collected for the balancer's next step
+	events   []fleet.Event // input of the balancer's next step
 }
 
-// NewController returns a controller that starts from the endpoint list as it was known last.
+// NewController returns a controller that starts with the last known endpoint list, which may be empty or stale. The
+// seed initialises the balancer's random numbers.
 func NewController(site fleet.Site, seed uint64, known discovery.EndpointList) *Controller {
 	c := &Controller{
 		site:     site,
@@ -42,7 +43,7 @@
 	return c
 }
 
-// Step hands the batch and the timers that are due to the balancer and returns what its orders ask for.
+// Step passes the batch and the timers that are due to the balancer and returns the effects of the balancer's orders.
 func (c *Controller) Step(now fleet.Time, batch Batch) Effects {
 	var effects Effects
 	for _, message := range batch.Messages {
@@ -63,7 +64,8 @@
 	return effects
 }
 
-// JoinedProxies returns the number of proxies that are joined.
+// JoinedProxies returns the number of proxies that the relay currently reports as joined. It may only be called by the
+// goroutine that steps the controller.
 func (c *Controller) JoinedProxies() int { return len(c.proxies.joined) }
 
 func (c *Controller) handleMessage(message Message, effects *Effects) {
@@ -77,7 +79,7 @@
 	}
 }
 
-// applyOrder turns one order of the balancer into an effect or a timer.
+// applyOrder converts one order of the balancer to an effect or a timer.
 func (c *Controller) applyOrder(now fleet.Time, order fleet.Order, effects *Effects) {
 	operation := relay.Operation{Order: order}
 	switch o := order.(type) {
--- a/internal/platform/controller_test.go
+++ b/internal/platform/controller_test.go
@@ -42,14 +42,14 @@
 	}
 }
 
-// harness drives a controller with a clock of its own.
+// harness drives a controller with a simulated clock.
 type harness struct {
 	controller *Controller
 	now        fleet.Time
-	last       Effects // of the latest step
+	last       Effects // effects of the latest step
 }
 
-// newHarness returns a controller that knows the given servers at its start.
+// newHarness returns a harness whose controller starts with the given servers.
 func newHarness(servers ...string) *harness {
 	known := discovery.EndpointList{Revision: 1}
 	for _, name := range servers {
@@ -58,8 +58,8 @@
 	return &harness{controller: NewController(testSite(), 1, known), now: startTime}
 }
 
-// run steps the controller with a batch, then whenever a timer is due until the duration has passed. It returns all
-// operations.
+// run steps the controller with a batch, then once for each due timer until the duration has passed. It returns the
+// operations of all steps.
 func (h *harness) run(duration fleet.Time, batch Batch) []relay.Operation {
 	var operations []relay.Operation
 	end := h.now + duration
@@ -77,12 +77,12 @@
 
 func messageBatch(list ...Message) Batch { return Batch{Messages: list} }
 
-// listed is an endpoint of zone a.
+// testEndpoint returns an endpoint in zone a.
 func testEndpoint(name, state string) discovery.Endpoint {
 	return discovery.Endpoint{Name: name, Zone: "a", Kind: "m", State: state}
 }
 
-// endpointDelta is a change of the endpoint list.
+// endpointDelta returns an incremental update of the endpoint list.
 func endpointDelta(revision uint64, endpoints ...discovery.Endpoint) Message {
 	list := discovery.EndpointList{Revision: revision, Delta: true, Endpoints: endpoints}
 	return EndpointsChanged{discovery.Update{Scope: fleet.ListDelta, List: list}}
@@ -92,6 +92,7 @@
 	return OperationsUnconfirmed{relay.Unconfirmed{Operations: operations}}
 }
 
+// Every unconfirmed operation other than a barrier must be sent again, since the relay may not have carried it out.
 func TestUnconfirmedOrdersAreOrderedAgain(t *testing.T) {
 	h := newHarness("s-1", "s-2")
 	operations := h.run(15*fleet.Second, messageBatch(snapshot(1, false, 1, 2)...))
@@ -107,7 +108,7 @@
 	}
 }
 
-// readmissions returns the operations that let a withdrawn server back in.
+// readmissions returns the operations that end the withdrawal of a server.
 func readmissions(operations []relay.Operation, server string) []relay.Operation {
 	var found []relay.Operation
 	for _, operation := range operations {
@@ -119,7 +120,8 @@
 	return found
 }
 
-// The call that readmits a server as it is forgotten is lost, and a server comes back under its name.
+// A server is removed and its withdrawal ended, but the call that ends it is lost. A new server under the same name
+// must be readmitted, or it would stay withdrawn at the relay.
 func TestLostReadmissionOfForgottenServerIsOrderedForItsSuccessor(t *testing.T) {
 	h := newHarness("s-1", "s-2")
 	h.run(10*fleet.Second, messageBatch(snapshot(1, false, 1, 2)...))
@@ -134,6 +136,8 @@
 	}
 }
 
+// Weights are set for listed servers only: an endpoint first listed as gone gets none, and a report of an unknown
+// server is dropped and counted.
 func TestWeightsNameListedServersOnly(t *testing.T) {
 	h := newHarness("s-1")
 	operations := h.run(fleet.Second, messageBatch(append([]Message{streamOpened(1, false)}, proxiesJoined(1, 1)...)...))
@@ -183,7 +187,7 @@
 	}
 }
 
-// liveHeap returns the bytes of live objects.
+// liveHeap returns the size of the live heap objects in bytes.
 func liveHeap() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -191,7 +195,7 @@
 	return stats.HeapAlloc
 }
 
-// replaceServer adds server s-(i), drains its predecessor and removes that from the list.
+// replaceServer adds server s-i, drains s-(i-1) and removes it from the list.
 func (h *harness) replaceServer(i int, random *rand.Rand) {
 	name, predecessor := fmt.Sprint("s-", i), fmt.Sprint("s-", i-1)
 	added := testEndpoint(name, "")
@@ -209,6 +213,7 @@
 	h.run(2*fleet.Second, messageBatch(endpointDelta(revision+2, discovery.Endpoint{Name: predecessor, State: "gone"})))
 }
 
+// Continuous replacement of servers must not leak names, IDs or heap memory.
 func TestMemoryStaysBoundedWhileServersAreReplaced(t *testing.T) {
 	h := newHarness("s-0")
 	h.run(fleet.Second, messageBatch(snapshot(1, false, 1, 2)...))
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,6 +1,8 @@
-// Package platform is the control loop of a controller on the users' platform, as `cressknot node` runs it.
+// Package platform implements the control loop that `cressknot node` runs when the proxies belong to an external
+// platform and are reached through that platform's relay.
 //
-// The Controller translates between the platform, which names servers, and the balancer, which numbers them. It is
-// pure: time and everything that happened are arguments, the I/O to be done is a result. Run drives it in one
-// goroutine, fed through the bounded Mailbox by the goroutines that read from sockets.
+// The Controller translates between the platform, which identifies servers by name, and the balancer, which identifies
+// them by number. It performs no I/O and reads no clock: the time and the inputs are arguments, the I/O to be done is
+// returned as Effects. Run drives it in a single goroutine. The goroutines that read from sockets pass their input to
+// Run through the bounded Mailbox.
 package platform
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// estimateLogInterval is the time between two log lines with the balancer's estimates.
+	// estimateLogInterval is the minimum time between two log lines with the balancer's estimates.
 	estimateLogInterval = 2 * fleet.Second
-	// maxLoggedEndpoints is how many endpoints of a list are named in the log.
+	// maxLoggedEndpoints limits the endpoints of a list that one log line names.
 	maxLoggedEndpoints = 12
 )
 
-// DescribeEstimates returns one text for each server, with what the balancer estimates: the health factor, failures
-// of attempts, utilization, latency in milliseconds, requests per second sent and possible, and the weight in each
-// table in thousandths.
+// DescribeEstimates returns one text per server with the balancer's estimates: health factor, failures and attempts,
+// utilization, latency in ms, request rate and capacity in requests per second, and the weight in each table in
+// thousandths. It may only be called by the goroutine that steps the controller.
 func (c *Controller) DescribeEstimates() []string {
 	var descriptions []string
 	for _, estimate := range c.balancer.Estimates() {
@@ -47,7 +47,7 @@
 		estimate.Latency.Seconds()*1000, estimate.RequestRate, estimate.Capacity, strings.Join(weights, "/"), flags)
 }
 
-// logMessages logs the endpoint lists and the changes of the relay's stream among the messages of a step.
+// logMessages logs the endpoint lists among the messages of a step, and the state changes of the relay's event stream.
 func (l *loop) logMessages(now fleet.Time, messages []Message) {
 	for _, message := range messages {
 		switch m := message.(type) {
@@ -62,6 +62,7 @@
 	}
 }
 
+// logEndpoints logs the failure of an update, or the content of a changed endpoint list.
 func (l *loop) logEndpoints(now fleet.Time, update discovery.Update) {
 	if update.Err != nil {
 		l.Log.Warn().Err(update.Err).Msg("endpoint list update failed")
@@ -78,6 +79,7 @@
 		Int("servers", len(endpoints)).Strs("first", first).Msg("endpoint list received")
 }
 
+// describeEndpoint returns the endpoint's name, state and, if its start is known, the time since its start.
 func describeEndpoint(now fleet.Time, endpoint discovery.Endpoint) string {
 	text := endpoint.Name + " " + endpoint.State
 	if !endpoint.Started.IsZero() {
@@ -87,7 +89,8 @@
 	return text
 }
 
-// logStep logs what the balancer said in a step, and its estimates from time to time.
+// logStep logs the balancer's messages of a step and the number of dropped reports, and its estimates every
+// estimateLogInterval.
 func (l *loop) logStep(now fleet.Time, effects Effects) {
 	for _, text := range effects.LogMessages {
 		l.Log.Info().Msg(text)
--- a/internal/platform/loop.go
+++ b/internal/platform/loop.go
@@ -11,26 +11,26 @@
 	"cressknot/internal/transport/relay"
 )
 
-// maxIdleInterval is the time between two steps when nothing happens and no timer is set.
+// maxIdleInterval is the longest time between two steps without input or a timer.
 const maxIdleInterval = time.Hour
 
-// RelayClient sends operations to the relay. Its methods do not wait for the relay.
+// RelayClient sends operations to the relay. Its methods return without waiting for the relay.
 type RelayClient interface {
-	// Enqueue adds operations to those that wait to be sent.
+	// Enqueue appends operations to the queue of those to be sent.
 	Enqueue(operations []relay.Operation)
-	// ProxyLeft drops waiting operations that concern a proxy alone.
+	// ProxyLeft drops queued operations that affect only the given proxy.
 	ProxyLeft(proxy fleet.ProxyID)
 }
 
-// EndpointWatcher asks for the endpoint list. Its answers come through the mailbox, as EndpointsChanged.
+// EndpointWatcher requests the endpoint list. The results arrive in the mailbox as EndpointsChanged messages.
 type EndpointWatcher interface {
-	// Watch begins or ends a watch of the list.
+	// Watch starts or stops watching the list for changes.
 	Watch(enabled bool)
-	// Fetch asks for the complete list once.
+	// Fetch requests the complete list once.
 	Fetch()
 }
 
-// Options are what Run works with. All fields are required.
+// Options configure Run. All fields are required.
 type Options struct {
 	Controller *Controller
 	Mailbox    *Mailbox
@@ -41,9 +41,9 @@
 	Log        zerolog.Logger
 }
 
-// Run steps the controller until the context ends, then closes the mailbox. It owns the controller. A step is made
-// when something is in the mailbox or a timer is due, and at least Tick after the one before: what happens
-// meanwhile is one batch.
+// Run steps the controller until the context is cancelled, then closes the mailbox. No other goroutine may use the
+// controller while Run is active. A step runs when the mailbox has input or a timer is due, but no sooner than Tick
+// after the previous step; input that arrives in between is handled as one batch.
 func Run(ctx context.Context, options Options) {
 	defer options.Mailbox.Close()
 	l := loop{Options: options, lastEstimateLog: options.Clock.Now()}
@@ -72,11 +72,11 @@
 // loop is the state of Run.
 type loop struct {
 	Options
-	batch           Batch // its memory is reused from step to step
+	batch           Batch // its memory is reused by each step
 	lastEstimateLog fleet.Time
 }
 
-// step takes the mailbox's content and steps the controller.
+// step empties the mailbox and steps the controller with its content.
 func (l *loop) step(now fleet.Time) Effects {
 	l.Mailbox.Take(&l.batch)
 	effects := l.Controller.Step(now, l.batch)
@@ -85,7 +85,7 @@
 	return effects
 }
 
-// perform carries out the effects of a step.
+// perform does the I/O that a step requested, in the order of the fields of Effects.
 func (l *loop) perform(effects Effects) {
 	for _, proxy := range effects.ProxiesLeft {
 		l.Relay.ProxyLeft(proxy)
@@ -101,6 +101,7 @@
 	}
 }
 
+// untilNextTimer returns the time until the next timer is due, or maxIdleInterval if none is set.
 func (l *loop) untilNextTimer(effects Effects) time.Duration {
 	if effects.NextTimer <= 0 {
 		return maxIdleInterval
--- a/internal/platform/mailbox.go
+++ b/internal/platform/mailbox.go
@@ -10,22 +10,22 @@
 
 // Bounds of the mailbox.
 const (
-	// maxMessages is how many messages may wait before Post blocks.
+	// maxMessages is the number of queued messages from which Post blocks.
 	maxMessages = 4096
-	// maxSeparateReports is how many load reports may wait before further ones are merged by series.
+	// maxSeparateReports is the number of queued load reports from which further ones are merged by series.
 	maxSeparateReports = 4096
 )
 
-// Message is an input of the controller that is never dropped or merged. The set of messages is closed.
+// Message is an input of the controller that is never dropped or merged. Only types of this package implement it.
 type Message interface{ message() }
 
-// The messages.
+// The types of messages.
 type (
-	// RelayEvent is an event of the relay's stream.
+	// RelayEvent is an event of the relay's event stream.
 	RelayEvent struct{ relay.StreamEvent }
-	// OperationsUnconfirmed names operations that the relay may or may not have carried out.
+	// OperationsUnconfirmed lists operations that the relay may or may not have carried out.
 	OperationsUnconfirmed struct{ relay.Unconfirmed }
-	// EndpointsChanged is an update of the endpoint list, or says that one failed.
+	// EndpointsChanged is an update of the endpoint list, or reports that an update failed.
 	EndpointsChanged struct{ discovery.Update }
 )
 
@@ -33,13 +33,13 @@
 func (OperationsUnconfirmed) message() {}
 func (EndpointsChanged) message()      {}
 
-// Batch is what a step takes in: the messages in the order in which they were posted, then the load reports.
+// Batch is the input of one step: the messages in the order in which they were posted, then the load reports.
 type Batch struct {
 	Messages []Message
 	Reports  []collector.Report
 }
 
-// reset empties the batch and drops what it points at. Its memory is reused.
+// reset empties the batch, keeping its memory for reuse but none of the values that it referenced.
 func (b *Batch) reset() {
 	clear(b.Messages)
 	clear(b.Reports)
@@ -47,29 +47,29 @@
 	b.Reports = b.Reports[:0]
 }
 
-// Mailbox hands inputs from the goroutines that read from sockets to the loop. It is bounded: Post waits while
-// maxMessages messages are in it, PostReport never waits and merges reports of the same series once
-// maxSeparateReports are in it. Messages are neither dropped, merged nor reordered. All methods are safe for
-// concurrent use; only one goroutine may Take.
+// Mailbox is a bounded queue from the goroutines that read from sockets to the control loop. Post blocks while the
+// mailbox holds maxMessages messages. PostReport never blocks; it merges reports of the same series once the mailbox
+// holds maxSeparateReports reports. Messages are never dropped, merged or reordered. All methods are safe for
+// concurrent use, but only one goroutine may call Take.
 type Mailbox struct {
 	mu          sync.Mutex
-	notFull     sync.Cond // messages were taken, or the mailbox was closed
+	notFull     sync.Cond // signals that messages were taken or the mailbox was closed
 	messages    []Message
 	reports     []collector.Report
-	reportIndex map[collector.SeriesKey]int // the position in reports of each series; nil while reports are not merged
-	merged      uint64                      // reports that were merged into another one
+	reportIndex map[collector.SeriesKey]int // position of each series in reports; nil while reports are not merged
+	merged      uint64                      // number of reports merged into another one
 	closed      bool
-	notify      chan struct{} // has an element while the mailbox may hold something
+	notify      chan struct{} // holds an element while the mailbox may have input
 }
 
-// NewMailbox returns an empty mailbox.
+// NewMailbox returns an empty, open mailbox.
 func NewMailbox() *Mailbox {
 	m := &Mailbox{notify: make(chan struct{}, 1)}
 	m.notFull.L = &m.mu
 	return m
 }
 
-// Post adds a message. It waits while the mailbox is full, unless that was closed.
+// Post adds a message. It blocks while the mailbox is full and not closed.
 func (m *Mailbox) Post(message Message) {
 	m.mu.Lock()
 	for len(m.messages) >= maxMessages && !m.closed {
@@ -80,7 +80,7 @@
 	m.wake()
 }
 
-// PostReport adds a load report. It never waits.
+// PostReport adds a load report, or merges it into a queued one of the same series. It never blocks on a full mailbox.
 func (m *Mailbox) PostReport(report collector.Report) {
 	m.mu.Lock()
 	if len(m.reports) >= maxSeparateReports && m.merge(report) {
@@ -92,8 +92,8 @@
 	m.wake()
 }
 
-// merge adds a report to the one of its series that waits, and returns false if there is none. The caller holds the
-// lock, and appends the report in that case.
+// merge merges the report into the queued report of the same series. It returns false if there is none; the caller then
+// appends the report. The caller holds the lock.
 func (m *Mailbox) merge(report collector.Report) bool {
 	if m.reportIndex == nil {
 		m.reportIndex = make(map[collector.SeriesKey]int, maxSeparateReports)
@@ -112,7 +112,7 @@
 	return true
 }
 
-// Take moves everything from the mailbox to the end of the batch and lets those who wait in Post go on.
+// Take moves the content of the mailbox to the end of the batch and unblocks pending calls of Post.
 func (m *Mailbox) Take(batch *Batch) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,7 +126,7 @@
 	m.notFull.Broadcast()
 }
 
-// Close lets those who wait in Post go on, now and later. The mailbox is not bounded any more.
+// Close unblocks pending and future calls of Post. From then on the number of messages is not bounded.
 func (m *Mailbox) Close() {
 	m.mu.Lock()
 	m.closed = true
@@ -134,6 +134,7 @@
 	m.notFull.Broadcast()
 }
 
+// wake tells the loop that the mailbox has input.
 func (m *Mailbox) wake() {
 	select {
 	case m.notify <- struct{}{}:
--- a/internal/platform/mailbox_test.go
+++ b/internal/platform/mailbox_test.go
@@ -9,6 +9,7 @@
 	"cressknot/internal/transport/relay"
 )
 
+// A full mailbox may merge reports but must keep all attempts that they count, and must keep every message in order.
 func TestMailboxMergesReportsOnly(t *testing.T) {
 	const posted = 100
 	m := NewMailbox()
@@ -38,6 +39,7 @@
 	}
 }
 
+// Post must block on a full mailbox instead of dropping, reordering or piling up messages.
 func TestFullMailboxBlocksPostAndLosesNothing(t *testing.T) {
 	m := NewMailbox()
 	posted := make(chan struct{})
@@ -64,6 +66,7 @@
 	}
 }
 
+// Close must unblock a pending Post: nobody takes messages after the loop has ended, so that a reader would hang.
 func TestClosedMailboxBlocksNobody(t *testing.T) {
 	m := NewMailbox()
 	for range maxMessages {
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -9,19 +9,19 @@
 	"cressknot/internal/transport/relay"
 )
 
-// maxUnconfirmedNames bounds the names of forgotten servers that may still be withdrawn. It is enough for the lost
-// calls of some hundred rollouts.
+// maxUnconfirmedNames limits the remembered names of dropped servers that the relay may still have withdrawn. It is
+// enough for the lost calls of a few hundred rollouts.
 const maxUnconfirmedNames = 4096
 
-// serverRegistry maps the platform's server names to IDs and back. IDs are never reused, so that a name which
-// returns after its server was forgotten stands for a new server.
+// serverRegistry maps the platform's server names to IDs and back. IDs are never reused: if a name is listed again
+// after the balancer has dropped its server, the name gets a new ID.
 type serverRegistry struct {
 	ids    map[string]fleet.ServerID
 	names  map[fleet.ServerID]string
 	lastID fleet.ServerID
-	// pendingIDs are the IDs that were assigned since the last step: the balancer does not track them yet.
+	// pendingIDs are the IDs assigned since the last step, which the balancer does not track yet.
 	pendingIDs map[fleet.ServerID]bool
-	// unconfirmed are the names of forgotten servers whose last withdrawal or readmission is unconfirmed.
+	// unconfirmed are the names of dropped servers whose last withdrawal or readmission is unconfirmed.
 	unconfirmed map[string]bool
 }
 
@@ -34,7 +34,7 @@
 	}
 }
 
-// assign gives a new ID to a name.
+// assignID assigns a new ID to a name.
 func (r *serverRegistry) assignID(name string) fleet.ServerID {
 	r.lastID++
 	r.ids[name] = r.lastID
@@ -43,17 +43,18 @@
 	return r.lastID
 }
 
-// clearPendingIDs marks all assigned IDs as passed on to the balancer.
+// clearPendingIDs marks all assigned IDs as known to the balancer.
 func (r *serverRegistry) clearPendingIDs() { clear(r.pendingIDs) }
 
-// markUnconfirmed remembers that the last order for a forgotten server is unconfirmed.
+// markUnconfirmed records that the last withdrawal or readmission of a dropped server is unconfirmed. Names beyond
+// maxUnconfirmedNames are ignored.
 func (r *serverRegistry) markUnconfirmed(name string) {
 	if len(r.unconfirmed) < maxUnconfirmedNames {
 		r.unconfirmed[name] = true
 	}
 }
 
-// takeUnconfirmed reports whether the last order for a forgotten server is unconfirmed, and forgets that it was.
+// takeUnconfirmed removes the record of markUnconfirmed for a name and reports whether there was one.
 func (r *serverRegistry) takeUnconfirmed(name string) bool {
 	if !r.unconfirmed[name] {
 		return false
@@ -62,13 +63,13 @@
 	return true
 }
 
-// isDropped reports whether the balancer has dropped a server.
+// isDropped reports whether the balancer has dropped the server.
 func (c *Controller) isDropped(id fleet.ServerID) bool {
 	return !c.balancer.Tracks(id) && !c.servers.pendingIDs[id]
 }
 
-// removeDroppedServers frees the names of servers that the balancer has dropped, as a name may stand for another
-// server later.
+// removeDroppedServers removes the servers that the balancer has dropped from the registry, because another server may
+// use the name later.
 func (c *Controller) removeDroppedServers() {
 	for id, name := range c.servers.names {
 		if c.isDropped(id) {
@@ -78,7 +79,7 @@
 	}
 }
 
-// handleEndpoints passes on an update of the endpoint list, with IDs in place of names.
+// handleEndpoints converts an update of the endpoint list to an event of the balancer, with IDs in place of names.
 func (c *Controller) handleEndpoints(update discovery.Update) {
 	if update.Unchanged {
 		return
@@ -90,10 +91,10 @@
 		id, known := c.servers.ids[endpoint.Name]
 		if !known {
 			if endpoint.State == fleet.ServerGoneName {
-				continue // it was never in use here
+				continue // this controller never used the server
 			}
 			id = c.servers.assignID(endpoint.Name)
-			if c.servers.takeUnconfirmed(endpoint.Name) { // the relay may still have it withdrawn
+			if c.servers.takeUnconfirmed(endpoint.Name) { // the relay may still have the name withdrawn
 				unconfirmed = append(unconfirmed, fleet.WithdrawServer{Server: id})
 			}
 		}
@@ -105,9 +106,9 @@
 	}
 }
 
-// endpoint translates a listed endpoint. A zone or kind that the site does not name counts as the first one.
+// endpoint converts a listed endpoint. An endpoint whose zone or kind is not configured gets the first one.
 func (c *Controller) endpoint(id fleet.ServerID, listed discovery.Endpoint) fleet.Endpoint {
-	state, _ := fleet.ParseServerState(listed.State) // discovery has checked it
+	state, _ := fleet.ParseServerState(listed.State) // validated by package discovery
 	endpoint := fleet.Endpoint{
 		Server: id,
 		State:  state,
@@ -122,7 +123,7 @@
 	return endpoint
 }
 
-// handleReport passes on a load report, or counts it as dropped if its server is not listed.
+// handleReport passes a load report to the balancer, or drops and counts it if its server is not listed.
 func (c *Controller) handleReport(report *collector.Report, effects *Effects) {
 	if report.IsDemand {
 		c.events = append(c.events, report.Demand)
@@ -138,7 +139,7 @@
 	c.events = append(c.events, outcome)
 }
 
-// handleUnconfirmed passes on operations that the relay may or may not have carried out.
+// handleUnconfirmed tells the balancer which orders the relay may or may not have carried out.
 func (c *Controller) handleUnconfirmed(operations []relay.Operation) {
 	var orders []fleet.Order
 	for _, operation := range operations {
@@ -149,9 +150,9 @@
 	c.events = append(c.events, fleet.OrdersUnconfirmed{Orders: orders})
 }
 
-// resolveOrder returns the order of an unconfirmed operation as the balancer can use it now. The relay knows
-// servers by name: a withdrawal of a forgotten server concerns the server that has its name now. If there is none,
-// ok is false, and the name is remembered, as a server may return under it and still be withdrawn.
+// resolveOrder returns the order of an unconfirmed operation in terms of the servers that the balancer tracks now. The
+// relay identifies servers by name, so the withdrawal of a dropped server applies to the server that uses its name now.
+// If there is none, ok is false and the name is recorded: a server listed under it later may still be withdrawn.
 func (c *Controller) resolveOrder(operation relay.Operation) (order fleet.Order, ok bool) {
 	withdrawal, isWithdrawal := operation.Order.(fleet.WithdrawServer)
 	if !isWithdrawal || !c.isDropped(withdrawal.Server) {
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -7,14 +7,14 @@
 	"cressknot/internal/transport/relay"
 )
 
-// proxyTracker reconciles the relay's event streams with the proxies that the balancer counts as joined. Each stream
-// begins with a snapshot of the joined proxies.
+// proxyTracker tracks which proxies are joined across the relay's successive event streams. Each stream begins with a
+// snapshot of the joined proxies.
 type proxyTracker struct {
-	currentStream uint64 // the newest stream; events of older ones are ignored
+	currentStream uint64 // number of the newest stream; events of older ones are ignored
 	joined        map[fleet.ProxyID]bool
-	// snapshot are the proxies that the current stream's snapshot has named so far; nil once it is complete.
+	// snapshotProxies are the proxies in the current stream's snapshot so far; nil once the snapshot is complete.
 	snapshotProxies map[fleet.ProxyID]bool
-	// continuous says that no event was missed between the stream before and the current one.
+	// continuous reports that no event was missed between the previous stream and the current one.
 	continuous bool
 }
 
@@ -22,7 +22,7 @@
 	return proxyTracker{joined: map[fleet.ProxyID]bool{}}
 }
 
-// handleStreamEvent takes in an event of the relay's stream.
+// handleStreamEvent handles an event of the relay's event stream.
 func (c *Controller) handleStreamEvent(event relay.StreamEvent, effects *Effects) {
 	if event.Stream < c.proxies.currentStream {
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-// completeSnapshot reports the proxies that the snapshot did not name as left, in the order of their IDs.
+// completeSnapshot reports the joined proxies that are missing from the snapshot as left, in the order of their IDs.
 func (c *Controller) completeSnapshot(effects *Effects) {
 	if c.proxies.snapshotProxies == nil {
 		return
@@ -68,14 +68,15 @@
 	}
 }
 
-// handleProxyJoined handles a join. A proxy that is joined already and that a snapshot names for the first time may have
-// left and come back unseen, and then uses none of the controller's tables. The balancer receives its join without
-// a leave, so that it assigns tables anew; unless the streams are continuous: then the proxy has not moved.
+// handleProxyJoined handles a join. When a snapshot first lists a proxy that is already joined, the proxy may have left
+// and rejoined while no stream was read, in which case it uses none of the controller's tables. The balancer therefore
+// gets a join without a leave and assigns the tables again. If the streams are continuous, the proxy cannot have left
+// unseen and the join is ignored, unless the proxy reports itself as fresh.
 func (c *Controller) handleProxyJoined(event fleet.ProxyJoined, effects *Effects) {
 	if c.proxies.snapshotProxies != nil {
-		named := c.proxies.snapshotProxies[event.Proxy]
+		seen := c.proxies.snapshotProxies[event.Proxy]
 		c.proxies.snapshotProxies[event.Proxy] = true
-		if !named && c.proxies.joined[event.Proxy] && !event.Fresh {
+		if !seen && c.proxies.joined[event.Proxy] && !event.Fresh {
 			if !c.proxies.continuous {
 				c.events = append(c.events, event)
 			}
@@ -87,7 +88,7 @@
 	c.events = append(c.events, event)
 }
 
-// handleProxyLeft reports a joined proxy as left.
+// handleProxyLeft reports a proxy as left. It ignores a proxy that is not joined.
 func (c *Controller) handleProxyLeft(proxy fleet.ProxyID, effects *Effects) {
 	if !c.proxies.joined[proxy] {
 		return
--- a/internal/platform/stream_test.go
+++ b/internal/platform/stream_test.go
@@ -28,14 +28,14 @@
 	return list
 }
 
-// snapshot opens a stream, names its proxies and completes the snapshot.
+// snapshot returns the messages of a new stream with a complete snapshot of the given proxies.
 func snapshot(stream uint64, continuous bool, proxies ...fleet.ProxyID) []Message {
 	list := []Message{streamOpened(stream, continuous)}
 	list = append(list, proxiesJoined(stream, proxies...)...)
 	return append(list, snapshotComplete(stream))
 }
 
-// assigned returns the proxies that operations assign a table.
+// assignedProxies returns the proxies to which the operations assign a table.
 func assignedProxies(operations []relay.Operation) []fleet.ProxyID {
 	var proxies []fleet.ProxyID
 	for _, operation := range operations {
@@ -46,8 +46,8 @@
 	return proxies
 }
 
-// After a break a proxy that is still joined may have come back unseen, and one that the snapshot does not name has
-// left.
+// After a broken stream, a proxy that is still joined may have left and rejoined unseen and must get its tables again;
+// a proxy missing from the new snapshot has left. Events of the old stream must be ignored.
 func TestSnapshotAfterBreakReassignsTables(t *testing.T) {
 	h := newHarness("s-1", "s-2")
 	h.run(fleet.Second, messageBatch(streamOpened(1, false)))
@@ -70,8 +70,8 @@
 	}
 }
 
-// Nothing is missed between continuous streams, so a named proxy has not moved; unless it reports that it has no
-// tables.
+// No event is missed between continuous streams, so a proxy in the new snapshot still has its tables and must not get
+// them again, unless it reports itself as fresh.
 func TestContinuousSnapshotReassignsFreshProxiesOnly(t *testing.T) {
 	h := newHarness("s-1", "s-2")
 	h.run(15*fleet.Second, messageBatch(snapshot(1, false, 1, 2, 3)...))
--- a/internal/platform/timers.go
+++ b/internal/platform/timers.go
@@ -6,7 +6,7 @@
 	"cressknot/internal/fleet"
 )
 
-// timerQueue holds the balancer's timers, ordered by when they are due.
+// timerQueue holds the balancer's timers, ordered by due time.
 type timerQueue struct{ timers timerHeap }
 
 type timer struct {
@@ -18,7 +18,7 @@
 	heap.Push(&q.timers, timer{due: due, id: id})
 }
 
-// fire removes the timers that are due and appends their events to events, the earliest first.
+// fire removes the timers that are due and appends a TimerFired event for each to events, the earliest first.
 func (q *timerQueue) fire(now fleet.Time, events []fleet.Event) []fleet.Event {
 	for len(q.timers) > 0 && q.timers[0].due <= now {
 		fired := heap.Pop(&q.timers).(timer)
@@ -27,7 +27,7 @@
 	return events
 }
 
-// next returns when the next timer is due, or 0 if none is set.
+// next returns the due time of the earliest timer, or 0 if none is set.
 func (q *timerQueue) next() fleet.Time {
 	if len(q.timers) == 0 {
 		return 0
--- a/internal/transport/relay/answer.go
+++ b/internal/transport/relay/answer.go
@@ -14,10 +14,10 @@
 type callOutcome uint8
 
 const (
-	callAnswered  callOutcome = iota // the relay stated how many operations it carried out
-	callUncertain                    // carried out as if it had been answered, or not at all
-	callRejected                     // nothing was carried out
-	callMalformed                    // nothing was carried out, nor will it be when it is repeated unchanged
+	callAnswered  callOutcome = iota // the relay reported how many operations it carried out
+	callUncertain                    // unknown whether the call was carried out
+	callRejected                     // no operation was carried out; a retry may succeed
+	callMalformed                    // no operation was carried out; an unchanged retry would be rejected again
 )
 
 var (
@@ -25,14 +25,14 @@
 	errCallMalformed = errors.New("relay rejected the call as malformed")
 )
 
-// notSentError reports that no byte of a call has left: the relay can't have carried it out.
+// notSentError reports that no byte of a call was sent, so that the relay cannot have carried it out.
 type notSentError struct{ err error }
 
 func (e *notSentError) Error() string { return "relay call not sent: " + e.err.Error() }
 
 func (e *notSentError) Unwrap() error { return e.err }
 
-// outcomeOf classifies the error of a call.
+// outcomeOf returns the outcome of a call that ended with the given error.
 func outcomeOf(err error) callOutcome {
 	var notSent *notSentError
 	switch {
@@ -46,15 +46,16 @@
 	return callUncertain
 }
 
-// Names that the relay uses in its answers.
+// Names in the relay's answers.
 const (
 	acceptedElement = "accepted"
 	limitCode       = "limit"
 	malformedCode   = "malformed"
 )
 
-// parseAnswer reads how many operations the relay carried out of a call with the given number. It returns errCallLimit
-// or errCallMalformed where the relay states that it carried out none; any other error leaves the call uncertain.
+// parseAnswer parses the answer to a call with the given number of operations and returns how many of them the relay
+// carried out. It returns errCallLimit or errCallMalformed if the relay reports that it carried out none. After any
+// other error the outcome of the call is unknown.
 func parseAnswer(body []byte, operations int) (accepted int, err error) {
 	decoder := xml.NewDecoder(bytes.NewReader(body))
 	answer := answerFields{operations: operations}
@@ -81,16 +82,17 @@
 	return 0, fmt.Errorf("relay answer has no %s element: %.80q", acceptedElement, body)
 }
 
-// answerFields collects what an answer states while its tokens are read.
+// answerFields collects the content of an answer while its tokens are read.
 type answerFields struct {
-	operations  int      // of the call
-	path        []string // the open elements
+	operations  int      // number of operations of the call
+	path        []string // names of the open elements
 	accepted    int
-	hasAccepted bool // accepted was stated
+	hasAccepted bool // the answer has an accepted element
 	limit       bool
 	malformed   bool
 }
 
+// add processes the next token of the answer.
 func (a *answerFields) add(token xml.Token) error {
 	switch token := token.(type) {
 	case xml.StartElement:
@@ -103,6 +105,7 @@
 	return nil
 }
 
+// addText processes the text of the innermost open element.
 func (a *answerFields) addText(text string) error {
 	if len(a.path) == 0 || text == "" {
 		return nil
--- a/internal/transport/relay/answer_test.go
+++ b/internal/transport/relay/answer_test.go
@@ -2,13 +2,15 @@
 
 import "testing"
 
+// Only an explicit answer may count as accepted or rejected. Any damaged answer leaves the outcome unknown, or an
+// operation could be sent twice or never.
 func TestParseAnswerOutcome(t *testing.T) {
 	const head = `<?xml version="1.0"?><Response><entries><item>`
 	const tail = `</item></entries></Response>`
 	for text, want := range map[string]callOutcome{
 		head + "<accepted>2</accepted>" + tail:                       callAnswered,
 		head + "<accepted> 0 </accepted>" + tail:                     callAnswered,
-		head + "<accepted>3</accepted>" + tail:                       callUncertain, // of two
+		head + "<accepted>3</accepted>" + tail:                       callUncertain, // the call has 2 operations
 		head + "<accepted>-1</accepted>" + tail:                      callUncertain,
 		head + "<accepted>x</accepted>" + tail:                       callUncertain,
 		head + "<accepted>1</accepted><accepted>2</accepted>" + tail: callUncertain,
--- a/internal/transport/relay/calls.go
+++ b/internal/transport/relay/calls.go
@@ -13,27 +13,29 @@
 )
 
 const (
-	// callTimeout exceeds the relay's answer time of 50 ms by what this process may wait for its share of a core.
+	// callTimeout exceeds the relay's answer time of 50 ms by the time for which this process, which may use only a
+	// part of a core, may not be scheduled.
 	callTimeout = 300 * time.Millisecond
 
 	// maxAnswerSize is in bytes.
 	maxAnswerSize = 64 << 10
 
-	// rejectedCallDelay precedes the repeat of a call that the relay rejected.
+	// rejectedCallDelay is the delay before the retry of a call that the relay rejected.
 	rejectedCallDelay = 150 * time.Millisecond
 
-	// The delay after an uncertain call doubles from initialCallBackoff to maxCallBackoff. The users' rules allow 0.5 s
-	// for a broken call.
+	// The delay after a call with an unknown outcome doubles from initialCallBackoff to maxCallBackoff. The platform's
+	// rules allow 0.5 s for a broken call.
 	initialCallBackoff = 20 * time.Millisecond
 	maxCallBackoff     = 500 * time.Millisecond
 )
 
-// callBackoff is the delay between calls. It grows with each uncertain call until a call is answered.
+// callBackoff determines the delay between calls. The delay grows with each call whose outcome is unknown and is reset
+// by an answered call.
 type callBackoff struct{ uncertainDelay time.Duration }
 
 func newCallBackoff() callBackoff { return callBackoff{uncertainDelay: initialCallBackoff} }
 
-// next returns how long to wait after a call with the given outcome.
+// next returns the delay after a call with the given outcome.
 func (b *callBackoff) next(outcome callOutcome) time.Duration {
 	switch outcome {
 	case callAnswered:
@@ -47,7 +49,7 @@
 	return rejectedCallDelay
 }
 
-// sendCalls sends the queued operations, one call at a time, until the context ends.
+// sendCalls sends the queued operations, one call at a time, until the context is cancelled.
 func (c *Client) sendCalls(ctx context.Context) {
 	backoff := newCallBackoff()
 	for c.awaitOperations(ctx) {
@@ -64,7 +66,7 @@
 	}
 }
 
-// awaitOperations waits until an operation is queued. It returns false when the context has ended.
+// awaitOperations blocks until an operation is queued. It returns false if the context was cancelled.
 func (c *Client) awaitOperations(ctx context.Context) bool {
 	for c.queueEmpty() {
 		select {
@@ -82,7 +84,8 @@
 	return c.queue.empty()
 }
 
-// sendNextCall sends the next call and settles its operations.
+// sendNextCall sends the next call, updates the queue with its outcome and reports operations that are unconfirmed or
+// dropped.
 func (c *Client) sendNextCall(ctx context.Context) callOutcome {
 	c.mu.Lock()
 	text, operations := c.queue.nextCall()
@@ -129,7 +132,7 @@
 }
 
 // call sends one call and returns how many of its operations the relay carried out; outcomeOf classifies the error. It
-// ignores the end of the context, since a call that is cancelled at shutdown would be uncertain.
+// ignores the cancellation of the context, since a call cancelled at shutdown would have an unknown outcome.
 func (c *Client) call(ctx context.Context, addr, text string, operations int) (accepted int, err error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
@@ -155,7 +158,7 @@
 	}
 	accepted, err = parseAnswer(answer, operations)
 	if outcomeOf(err) == callUncertain {
-		// The next answer is to come on a new connection where this one delivers what can't be read.
+		// Use a new connection for the next call, since this one delivered an unreadable answer.
 		c.callClient.CloseIdleConnections()
 	}
 	return accepted, err
--- a/internal/transport/relay/calls_test.go
+++ b/internal/transport/relay/calls_test.go
@@ -24,8 +24,9 @@
 	}
 }
 
-// A call that is rejected because of a limit is repeated. One that breaks is not: its operations are reported as
-// unconfirmed, once, except those whose settings a pending operation changes anyway; and newer operations are sent.
+// A call rejected because of a limit is retried. A call without a complete answer is not, since the relay may have
+// carried it out: its operations are reported once as unconfirmed, except those whose settings a pending operation
+// changes, and newer operations are still sent.
 func TestBrokenCallsAreReportedAndNotRepeated(t *testing.T) {
 	relay := newFakeRelay(t, answerLimit, answerBroken, answerDropped, answerIncomplete, "")
 	relay.release = make(chan struct{}, 10)
@@ -38,7 +39,7 @@
 	expectCall(t, relay, answerLimit, "share,1,x,1;share,1,y,4")
 	relay.release <- struct{}{}
 	expectCall(t, relay, answerBroken, "share,1,x,1;share,1,y,4")
-	client.Enqueue([]Operation{weightOfX(2)}) // while the outcome is unknown
+	client.Enqueue([]Operation{weightOfX(2)}) // while the first call is in flight
 	relay.release <- struct{}{}
 	expectUnconfirmed(t, unconfirmed, weightOfY)
 	for i, answer := range []string{answerDropped, answerIncomplete} {
@@ -56,6 +57,7 @@
 	}
 }
 
+// An operation that the relay rejects in two calls is dropped, so that it does not block the operations behind it.
 func TestUnusableOperationIsDroppedAndLaterOnesAreSent(t *testing.T) {
 	relay := newFakeRelay(t)
 	relay.state.joined = func(proxy string) bool { return proxy != "3" }
@@ -70,8 +72,8 @@
 	expectCall(t, relay, "", "bind,4,1,*")
 }
 
-// The operations of a malformed call are reported as unconfirmed at its third attempt, and what follows it is sent;
-// a call that is rejected because of a limit is repeated.
+// A call that the relay reports as malformed in three attempts is reported as unconfirmed, so that it does not block
+// the operations behind it. A call rejected because of a limit is retried.
 func TestMalformedCallIsGivenUpAfterThreeAttempts(t *testing.T) {
 	relay := newFakeRelay(t, answerMalformed, answerMalformed, answerMalformed, answerLimit, "")
 	relay.release = make(chan struct{}, 10)
@@ -91,6 +93,7 @@
 	expectUnconfirmed(t, unconfirmed, withdrawX)
 }
 
+// While the relay is unreachable, the queue must not grow beyond one operation per setting.
 func TestPendingOperationsAreBoundedWithoutARelay(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/relay/client.go
+++ b/internal/transport/relay/client.go
@@ -1,7 +1,7 @@
-// Package relay is the client of the users' relay, which holds the update streams of the proxies. Operations go to
-// it as HTTP calls, one in flight at a time; its events about proxies come on an event stream. The package
-// maintains order, limits and deadlines and takes no decision. docs/design/platform.md describes what a broken call
-// means.
+// Package relay is the client of the platform's relay, which forwards settings to the proxies on their update streams.
+// Operations are sent to the relay in HTTP calls, one in flight at a time; events about proxies are received on an
+// event stream. The package enforces order, size limits and deadlines; what to send is decided by its callers.
+// docs/design/platform.md describes the handling of a call whose outcome is unknown.
 package relay
 
 import (
@@ -17,11 +17,11 @@
 )
 
 const (
-	// dialTimeout suits a relay on the same network: one that is partitioned away never answers.
+	// dialTimeout suits a relay on the same network. A relay behind a network partition never answers.
 	dialTimeout = 250 * time.Millisecond
 
-	// idleConnectionTimeout is shorter than the relay's own, which is some seconds: a call on a connection that the relay
-	// closes at that moment would be uncertain.
+	// idleConnectionTimeout is shorter than the relay's own timeout of some seconds: a call sent while the relay closes
+	// the connection would have an unknown outcome.
 	idleConnectionTimeout = 1500 * time.Millisecond
 
 	// streamHeaderTimeout bounds the wait for the response header of an event stream.
@@ -30,10 +30,10 @@
 	// maxResponseHeaderSize is in bytes.
 	maxResponseHeaderSize = 16 << 10
 
-	// maxConnections for calls leaves one besides a connection that is being closed.
+	// maxConnections is the number of connections for calls: one in use and one that is being closed.
 	maxConnections = 2
 
-	// logBurst lines of a kind that a faulty relay could repeat are logged within logPeriod.
+	// At most logBurst warnings are logged per logPeriod, since a faulty relay could cause any number of them.
 	logBurst  = 10
 	logPeriod = time.Second
 )
@@ -42,27 +42,29 @@
 type Options struct {
 	// Addr is the relay's host:port.
 	Addr string
-	// Zones and Classes give the names of the fleet's zones and classes; the index is the number.
+	// Zones and Classes are the names of the fleet's zones and classes, indexed by ID.
 	Zones   []string
 	Classes []string
-	// ProxyCount is the number of proxies; their numbers are below it.
+	// ProxyCount is the number of proxies; their IDs are below it.
 	ProxyCount int
-	// OnEvent receives the events of the stream in order.
+	// OnEvent receives the events of the stream in order. It is called by the goroutine that reads the stream.
 	OnEvent func(StreamEvent)
-	// OnUnconfirmed receives operations of which nobody knows whether they were carried out.
+	// OnUnconfirmed receives operations that the relay may or may not have carried out. It is called by the goroutine
+	// that sends calls.
 	OnUnconfirmed func(Unconfirmed)
 	Log           zerolog.Logger
-	// Seed of the random part of the backoff between streams.
+	// Seed initialises the jitter of the backoff between streams.
 	Seed uint64
 }
 
-// Client sends operations to one relay and follows its event stream.
+// Client sends operations to one relay and reads its event stream. Its methods are safe for concurrent use, except that
+// Start must be called once.
 type Client struct {
 	options        Options
 	callClient     http.Client
 	streamClient   http.Client
-	enqueued       chan struct{} // has an element after Enqueue
-	addressChanged chan struct{} // has an element after SetAddress
+	enqueued       chan struct{} // holds an element after Enqueue
+	addressChanged chan struct{} // holds an element after SetAddress
 	workers        sync.WaitGroup
 	sampledLog     zerolog.Logger
 
@@ -72,14 +74,14 @@
 	statistics Statistics
 }
 
-// Statistics count calls and streams since the start.
+// Statistics are counts of calls and streams since New.
 type Statistics struct {
 	Calls      uint64
-	Operations uint64 // accepted by the relay
-	Uncertain  uint64 // calls
-	Rejected   uint64 // calls, including malformed ones
-	Partial    uint64 // calls of which the relay accepted a part
-	Streams    uint64
+	Operations uint64 // operations accepted by the relay
+	Uncertain  uint64 // calls with an unknown outcome
+	Rejected   uint64 // rejected calls, including malformed ones
+	Partial    uint64 // calls of which the relay accepted only the first operations
+	Streams    uint64 // event streams opened
 }
 
 // New returns a client. It opens no connection before Start.
@@ -111,16 +113,18 @@
 	return c
 }
 
-// Start begins to follow the event stream and to send operations, until the context ends.
+// Start starts reading the event stream and sending operations. Both stop when the context is cancelled.
 func (c *Client) Start(ctx context.Context) {
 	c.workers.Go(func() { c.sendCalls(ctx) })
 	c.workers.Go(func() { newStreamFollower(c).run(ctx) })
 }
 
-// Wait waits, once the context of Start has ended, until a call in flight has finished and the streams are closed.
+// Wait blocks until the call in flight has finished and the streams are closed. It returns only after the context of
+// Start has been cancelled.
 func (c *Client) Wait() { c.workers.Wait() }
 
-// Enqueue adds the operations of a step. It does not block.
+// Enqueue queues the operations of one step for sending. It does not wait for the relay. Operations that are sent
+// together with earlier ones may replace them and be reordered, with the same final result.
 func (c *Client) Enqueue(operations []Operation) {
 	c.mu.Lock()
 	c.queue.add(operations)
@@ -128,14 +132,14 @@
 	notify(c.enqueued)
 }
 
-// ProxyLeft drops the pending assignments of tables to a proxy that has left.
+// ProxyLeft drops the queued assignments of tables to a proxy that has left.
 func (c *Client) ProxyLeft(id fleet.ProxyID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queue.dropProxy(id)
 }
 
-// SetAddress moves to another address. The stream at the old one continues until the new one is open.
+// SetAddress changes the relay's host:port. The stream to the old address is read until the new one is open.
 func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	c.addr = addr
@@ -144,7 +148,7 @@
 	notify(c.enqueued)
 }
 
-// Statistics returns the counts of calls and streams since the start.
+// Statistics returns the current counts.
 func (c *Client) Statistics() Statistics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,7 +161,7 @@
 	return c.addr
 }
 
-// notify adds an element to a channel of capacity 1 unless there is one.
+// notify adds an element to a channel of capacity 1 if it is empty.
 func notify(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/transport/relay/coalesce.go
+++ b/internal/transport/relay/coalesce.go
@@ -7,8 +7,9 @@
 	"cressknot/internal/fleet"
 )
 
-// coalesce merges the operations of several calls into those of one call with the same final result. Of several
-// barriers only the first remains, since its answer covers only what was sent before it.
+// coalesce reduces operations to those of one call with the same final result: a later operation replaces an earlier
+// one with the same key, and clearing a table replaces its earlier weights and admission limits. Only the first of
+// several barriers is kept, since its answer covers only what was sent before it.
 func coalesce(operations []Operation) []Operation {
 	effective := make(map[settingKey]int, len(operations))
 	clearedAt := map[uint16]int{}
@@ -39,7 +40,7 @@
 	return coalesced
 }
 
-// dropAssignments removes the assignments of tables to proxies for which match holds, in place.
+// dropAssignments removes, in place, the assignments of tables to proxies for which match returns true.
 func dropAssignments(operations []Operation, match func(fleet.ProxyID) bool) []Operation {
 	return slices.DeleteFunc(operations, func(operation Operation) bool { return operation.assignsTableTo(match) })
 }
--- a/internal/transport/relay/events.go
+++ b/internal/transport/relay/events.go
@@ -12,18 +12,18 @@
 	"cressknot/internal/fleet"
 )
 
-// StreamEvent is a watch event of the relay's event stream. Streams are numbered from 1; an event of an older stream
-// than the latest opened one is stale.
+// StreamEvent is an event of the relay's event stream. Streams are numbered from 1; an event is stale if its stream is
+// older than the latest opened one.
 type StreamEvent struct {
 	Stream uint64
 	Kind   StreamEventKind
 	// Event is set for ProxyEvent: a fleet.ProxyJoined, fleet.ProxyLeft or fleet.BarrierReached.
 	Event fleet.Event
-	// Continuous is set for StreamOpened where no event was lost between this stream and the one before it.
+	// Continuous is set for StreamOpened if no event was lost between the previous stream and this one.
 	Continuous bool
 }
 
-// Unconfirmed are operations of which nobody knows whether they were carried out. The client does not send them again.
+// Unconfirmed lists operations that the relay may or may not have carried out. The client does not send them again.
 type Unconfirmed struct{ Operations []Operation }
 
 // StreamEventKind is the kind of a StreamEvent.
@@ -32,11 +32,11 @@
 // The kinds of a StreamEvent.
 const (
 	StreamOpened     StreamEventKind = iota // a new stream, which begins with a snapshot of the joined proxies
-	ProxyEvent                              // an event of a proxy
-	SnapshotComplete                        // the stream has shown all joined proxies
+	ProxyEvent                              // an event of one proxy
+	SnapshotComplete                        // the stream has listed all joined proxies
 )
 
-// String returns a short name of the kind.
+// String returns the kind as it is logged. It panics on a value that is not one of the constants.
 func (k StreamEventKind) String() string {
 	return [...]string{"opened", "event", "snapshot complete"}[k]
 }
@@ -47,7 +47,8 @@
 	maxBarrierDelay = 1e9 // ms
 )
 
-// parseEvent reads one event of the stream. It returns nil for an event of a later version of the protocol.
+// parseEvent parses one event of the stream. It returns nil without an error for an event with an unknown name, which a
+// later version of the protocol may add.
 func parseEvent(name, data string, zones []string, proxyCount int) (fleet.Event, error) {
 	values, err := url.ParseQuery(data)
 	if err != nil {
@@ -81,13 +82,13 @@
 	return event, nil
 }
 
-// eventFields reads the fields of an event and collects what is wrong with them.
+// eventFields reads the fields of an event and collects errors in them.
 type eventFields struct {
 	values url.Values
 	err    error
 }
 
-// number reads a field that occurs once and holds a number from 0 to limit.
+// number reads a field that must occur once and hold a number from 0 to limit.
 func (f *eventFields) number(key string, limit float64) float64 {
 	texts := f.values[key]
 	if len(texts) == 1 {
@@ -100,7 +101,7 @@
 	return 0
 }
 
-// index reads a field that holds one of the names and returns the index of the name.
+// index reads a field that must hold one of the names and returns the index of the name.
 func (f *eventFields) index(key string, names []string) int {
 	name := f.values.Get(key)
 	for index, known := range slices.Backward(names) {
--- a/internal/transport/relay/fakerelay_test.go
+++ b/internal/transport/relay/fakerelay_test.go
@@ -12,10 +12,10 @@
 	"github.com/rs/zerolog"
 )
 
-// closeStream lets a stream of the fake relay end by a close, not by a reset.
+// closeStream, sent to a stream of the fake relay, closes the stream regularly instead of resetting the connection.
 const closeStream = "close"
 
-// Answers that a fake relay can give to a call; "" stands for an ordinary answer.
+// Scripted answers of a fake relay to a call; "" stands for a regular answer.
 const (
 	answerLimit      = "limit"
 	answerMalformed  = "malformed"
@@ -24,15 +24,15 @@
 	answerIncomplete = "carried out, answer cut short"
 )
 
-// fakeRelay is a relay on loopback that answers calls as its script says, and ordinarily after its end.
+// fakeRelay is a relay on loopback. It answers calls with the scripted answers, and regularly after the last of them.
 type fakeRelay struct {
 	*httptest.Server
 	mu      sync.Mutex
 	state   *relayState
 	script  []string
-	calls   chan string      // answer and operations of each call
-	streams chan chan string // for each stream the channel of what it sends; closing that breaks the stream
-	release chan struct{}    // unless nil, each call waits for an element before it is answered
+	calls   chan string      // receives "answer: operations" for each call
+	streams chan chan string // receives, for each stream, the channel of texts to send; closing it resets the stream
+	release chan struct{}    // if not nil, each call receives an element before it is answered
 }
 
 func newFakeRelay(t *testing.T, script ...string) *fakeRelay {
@@ -114,7 +114,7 @@
 	}
 }
 
-// openStream waits for a stream and lets it send a complete snapshot.
+// openStream waits for a stream and sends a complete snapshot of the given proxies on it.
 func (r *fakeRelay) openStream(t *testing.T, joined ...int) chan string {
 	t.Helper()
 	texts := receive(t, r.streams)
@@ -131,7 +131,7 @@
 	return fmt.Sprintf("event: joined\ndata: node=%d&locality=a&w=1&cold=0\n\n", proxy)
 }
 
-// startClient starts a client with the fake relay's address and returns it with the channels of its callbacks.
+// startClient starts a client of the fake relay and returns it with the channels that its callbacks send to.
 func startClient(t *testing.T, r *fakeRelay) (*Client, chan StreamEvent, chan Unconfirmed) {
 	t.Helper()
 	events := make(chan StreamEvent, 1000)
@@ -160,7 +160,7 @@
 	})
 }
 
-// next receives one element, or ends the test when none comes.
+// receive receives one element, or fails the test after 20 s.
 func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
--- a/internal/transport/relay/model_test.go
+++ b/internal/transport/relay/model_test.go
@@ -10,8 +10,8 @@
 
 var classes = []string{"look", "book", "issue"}
 
-// relayState models the settings that a relay holds. It reads the text of operations, as a relay does. The keys of the
-// maps are a table or proxy followed by a space and a server or class.
+// relayState models the settings that a relay stores. It parses the text of operations, as a relay does. The keys of
+// the maps of strings are a table or proxy ID, a space, and a server or class name.
 type relayState struct {
 	weights     map[string]string
 	admissions  map[string]string
@@ -30,7 +30,7 @@
 	}
 }
 
-// apply carries out operations until one can't be used, and returns how many were carried out.
+// apply carries out operations up to the first invalid one, and returns how many were carried out.
 func (s *relayState) apply(text string) int {
 	if text == "" {
 		return 0
@@ -44,6 +44,7 @@
 	return len(operations)
 }
 
+// applyOne carries out one operation. It returns false if the operation is invalid.
 func (s *relayState) applyOne(fields []string) bool {
 	switch fields[0] {
 	case "share":
@@ -102,7 +103,7 @@
 	return fmt.Sprint(s.weights, s.admissions, s.assignments, s.withdrawn)
 }
 
-// restoreOperations gives operations that bring the setting of an operation to its value in the model.
+// restoreOperations returns operations that set the setting that the given operation changes to its value in the model.
 func (s *relayState) restoreOperations(operation Operation) (operations []Operation) {
 	switch order := operation.Order.(type) {
 	case fleet.SetWeight:
@@ -147,12 +148,12 @@
 	return operations
 }
 
-// members gives the numbers of the classes in the set.
-func classIDs(set fleet.ClassSet) (numbers []int) {
+// classIDs returns the IDs of the classes in the set; the empty set contains all classes.
+func classIDs(set fleet.ClassSet) (ids []int) {
 	for class := range classes {
 		if set == 0 || set&(1<<class) != 0 {
-			numbers = append(numbers, class)
+			ids = append(ids, class)
 		}
 	}
-	return numbers
+	return ids
 }
--- a/internal/transport/relay/operations.go
+++ b/internal/transport/relay/operations.go
@@ -7,13 +7,15 @@
 	"cressknot/internal/fleet"
 )
 
-// Operation is an order together with the name of the server that it concerns, if any.
+// Operation is an order of the balancer together with the name of the server that it concerns, or "" if it concerns
+// none.
 type Operation struct {
 	Order  fleet.Order
 	Server string
 }
 
-// Text formats the operation as the relay reads it. The index of a class in classes is its number.
+// Text returns the operation in the relay's text format, or "" for an order that the relay does not support. The names
+// in classes are indexed by class ID.
 func (o Operation) Text(classes []string) string {
 	switch order := o.Order.(type) {
 	case fleet.SetWeight:
@@ -46,10 +48,10 @@
 
 func formatID[T ~uint8 | ~uint16 | ~uint64](id T) string { return strconv.FormatUint(uint64(id), 10) }
 
-// formatFloat formats a number without an exponent, in the fewest digits that read back as the same number.
+// formatFloat formats a number without an exponent, in the fewest digits that parse to the same float32.
 func formatFloat(value float32) string { return strconv.FormatFloat(float64(value), 'f', -1, 32) }
 
-// formatClasses joins the names of the classes in the set; the empty set stands for all classes.
+// formatClasses joins the names of the classes in the set with "+". The empty set stands for all classes.
 func formatClasses(set fleet.ClassSet, classes []string) string {
 	if set == 0 {
 		return "*"
@@ -63,14 +65,14 @@
 	return strings.Join(names, "+")
 }
 
-// assigns reports whether the operation assigns a table to a proxy for which match holds.
+// assignsTableTo reports whether the operation assigns a table to a proxy for which match returns true.
 func (o Operation) assignsTableTo(match func(fleet.ProxyID) bool) bool {
 	assignment, ok := o.Order.(fleet.AssignTable)
 	return ok && match(assignment.Proxy)
 }
 
 // operationKind is the kind of setting that an operation changes. Its value is also the rank of the operation in a
-// coalesced call: what adds precedes what removes, so that no table in use is empty in between.
+// coalesced call: operations that add precede those that remove, so that no table in use is empty in between.
 type operationKind uint8
 
 const (
@@ -94,6 +96,7 @@
 	server  string
 }
 
+// key returns the setting that the operation changes. All barriers have the same key.
 func (o Operation) key() settingKey {
 	switch order := o.Order.(type) {
 	case fleet.SetWeight:
@@ -110,8 +113,8 @@
 	return settingKey{kind: barrier}
 }
 
-// rank gives the position of the operation in a coalesced call. It differs from the kind of its key where a setting can
-// be both added and removed.
+// rank returns the sort key of the operation in a coalesced call. It differs from the kind of its setting key where the
+// operation can either add or remove the setting.
 func (o Operation) rank() operationKind {
 	switch order := o.Order.(type) {
 	case fleet.SetWeight:
--- a/internal/transport/relay/operations_test.go
+++ b/internal/transport/relay/operations_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// No table that a proxy uses is empty in between, also where a call is carried out in part.
+// Operations that add must precede those that remove, so that a table in use is never empty, even if the relay carries
+// out only a part of the call.
 func TestCoalesceAddsBeforeItRemoves(t *testing.T) {
 	coalesced := coalesce([]Operation{
 		{Order: fleet.SetWeight{Table: 1, Weight: 0}, Server: "old"},
--- a/internal/transport/relay/queue.go
+++ b/internal/transport/relay/queue.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	// maxCallSize is the relay's limit for the text of the operations of one call, in bytes.
+	// maxCallSize, in bytes, is the relay's limit for the text of the operations of one call.
 	maxCallSize = 60_000
 
-	// maxMalformedAttempts is how often a call that the relay reports as malformed is sent before it is given up. The
-	// first report may be due to damage on the network.
+	// maxMalformedAttempts is the number of attempts for a call that the relay reports as malformed. There is more than
+	// one because the report may be due to corruption on the network.
 	maxMalformedAttempts = 3
 )
 
 // callQueue holds, in order, the operations that are not known to have been carried out. Its size is bounded by the
-// number of settings that operations change. It is not safe for concurrent use.
+// number of settings that the operations change. It is not safe for concurrent use.
 type callQueue struct {
 	classes []string
-	// call is the call in flight, or the rest of it that precedes all pending operations.
+	// call holds the operations of the call in flight, or those that remain of a partly accepted call.
 	call []Operation
-	// pending follows the call.
+	// pending holds the operations to be sent after call.
 	pending []Operation
-	// leftDuringCall are the proxies that left while the call was in flight.
+	// leftDuringCall holds the proxies that left while the call was in flight.
 	leftDuringCall map[fleet.ProxyID]bool
-	// firstRejectedOnce reports that the relay has already stopped once at the first operation of the call.
+	// firstRejectedOnce reports that the relay has already rejected the first operation of the call once.
 	firstRejectedOnce bool
-	attempts          int
+	// attempts counts how often the call was sent.
+	attempts int
 }
 
 // add appends the operations of a step.
@@ -45,7 +46,7 @@
 	q.pending = coalesce(append(q.pending, operations...))
 }
 
-// proxyLeft drops the assignments of tables to a proxy that has left.
+// dropProxy drops the assignments of tables to a proxy that has left.
 func (q *callQueue) dropProxy(id fleet.ProxyID) {
 	if len(q.call) > 0 {
 		if q.leftDuringCall == nil {
@@ -58,8 +59,8 @@
 
 func (q *callQueue) empty() bool { return len(q.call) == 0 && len(q.pending) == 0 }
 
-// next gives the text of the call to send and its number of operations. It gives the same call until finish has
-// settled it.
+// nextCall returns the text of the call to send and its number of operations. It returns the same call until finishCall
+// is called.
 func (q *callQueue) nextCall() (text string, operations int) {
 	if len(q.call) == 0 {
 		q.startCall()
@@ -71,7 +72,7 @@
 	return strings.Join(parts, ";"), len(q.call)
 }
 
-// startCall moves as many pending operations into the call as fit.
+// startCall moves as many pending operations into the call as maxCallSize allows.
 func (q *callQueue) startCall() {
 	size := 0
 	for _, operation := range q.pending {
@@ -86,13 +87,14 @@
 	q.attempts = 0
 }
 
-// finish settles the call. It returns the operations that are dropped because the relay can't use them, and those
-// of which nobody knows whether they were carried out, unless a pending operation changes the same setting. An
-// unconfirmed operation isn't sent again, as that may use up its table entries in the update channel once more.
+// finishCall updates the queue with the outcome of the call. It returns the operations that are dropped because the
+// relay rejects them, and the unconfirmed ones: those that may or may not have been carried out and whose setting no
+// pending operation changes. An unconfirmed operation is not sent again, since it might use the update channel's limit
+// of table entries a second time.
 func (q *callQueue) finishCall(outcome callOutcome, accepted int) (dropped, unconfirmed []Operation) {
 	q.attempts++
 	switch {
-	case outcome == callRejected: // pending operations may replace these
+	case outcome == callRejected: // pending operations may replace some of the call
 		q.pending = coalesce(append(q.call, q.pending...))
 		q.call = nil
 	case outcome == callUncertain, outcome == callMalformed && q.attempts >= maxMalformedAttempts:
@@ -109,9 +111,11 @@
 	return dropped, unconfirmed
 }
 
+// hasLeft reports whether the proxy left while the call was in flight.
 func (q *callQueue) hasLeft(proxy fleet.ProxyID) bool { return q.leftDuringCall[proxy] }
 
-// unconfirmed gives the operations of the call whose settings no pending operation changes.
+// unconfirmed returns the operations of the call whose settings no pending operation changes, without assignments to
+// proxies that have left.
 func (q *callQueue) unconfirmed() (operations []Operation) {
 	replaced := make(map[settingKey]bool, len(q.pending))
 	for _, operation := range q.pending {
@@ -125,8 +129,8 @@
 	return operations
 }
 
-// removeAccepted removes the accepted operations from the call. An operation at which the relay stops twice is dropped:
-// a single stop may be due to a damaged answer.
+// removeAccepted removes the accepted operations from the call. An operation that the relay rejects twice is dropped;
+// a single rejection may be due to a corrupted answer.
 func (q *callQueue) removeAccepted(accepted int) (dropped []Operation) {
 	if accepted >= len(q.call) {
 		q.call = nil
--- a/internal/transport/relay/queue_test.go
+++ b/internal/transport/relay/queue_test.go
@@ -9,6 +9,7 @@
 	"cressknot/internal/fleet"
 )
 
+// drawOperation draws a random operation on a small set of tables, proxies and servers.
 func drawOperation(t *rapid.T) Operation {
 	table := fleet.TableID(rapid.IntRange(0, 2).Draw(t, "table"))
 	server := fmt.Sprint("s-", rapid.IntRange(0, 3).Draw(t, "server"))
@@ -31,22 +32,23 @@
 	return Operation{Order: fleet.SetWeight{Table: table, Weight: weight}, Server: server}
 }
 
-// queueRun drives a queue against a model relay.
+// queueRun drives a queue against a model of the relay.
 type queueRun struct {
 	queue       callQueue
 	relay       *relayState
 	unconfirmed []Operation
 }
 
-// Fates of a call.
+// Results of a simulated call.
 const (
 	resultAnswered = iota
 	resultAppliedUnanswered
 	resultNotDelivered
 	resultRejected
-	resultCount = 6 // those above resultRejected are answered, too
+	resultCount = 6 // results above resultRejected are answered, too
 )
 
+// call sends the next call with a random one of the first results.
 func (r *queueRun) call(t *rapid.T, results int) {
 	text, _ := r.queue.nextCall()
 	switch rapid.IntRange(0, results-1).Draw(t, "result") {
@@ -62,6 +64,7 @@
 	}
 }
 
+// finish passes the outcome to the queue, checks it and collects the unconfirmed operations.
 func (r *queueRun) finish(t *rapid.T, outcome callOutcome, accepted int) {
 	_, unconfirmed := r.queue.finishCall(outcome, accepted)
 	if outcome != callUncertain && len(unconfirmed) > 0 {
@@ -73,10 +76,9 @@
 	r.unconfirmed = append(r.unconfirmed, unconfirmed...)
 }
 
-// Whatever the outcomes of the calls, the relay ends in the state that all operations in turn lead to, provided
-// that the settings of unconfirmed operations are sent again; and the queue runs empty, so that an unusable
-// operation costs a bounded number of calls. Unconfirmed operations are reported once and not sent again by the
-// queue.
+// Whatever the outcomes of the calls, the relay ends in the state that results from all operations in order, provided
+// that the settings of unconfirmed operations are sent again. The queue becomes empty, so an invalid operation costs a
+// bounded number of calls. Unconfirmed operations are reported once and not sent again by the queue.
 func TestQueueLeadsToTheStateOfAllOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := newRelayState()
--- a/internal/transport/relay/stream.go
+++ b/internal/transport/relay/stream.go
@@ -10,28 +10,30 @@
 	"cressknot/internal/reconcile"
 )
 
-// streamOverlap is how long the predecessor of a newly opened stream is still read, for the events that were under way.
+// streamOverlap is how long the old stream is still read after a new one was opened, to receive events in transit.
 const streamOverlap = 200 * time.Millisecond
 
-// stream is one connection for events.
+// stream is one connection to the relay's event stream.
 type stream struct {
 	id     uint64
 	cancel context.CancelFunc
-	// activate gets one element when the events of the stream are to be delivered: whether none was lost since its
-	// predecessor.
+	// activate receives one element when delivery of the stream's events may begin: whether the stream is continuous,
+	// that is, no event was lost since its predecessor.
 	activate chan bool
 }
 
-// streamEnd reports the end of a stream.
+// streamEnd reports the end of a stream and its cause.
 type streamEnd struct {
 	stream *stream
 	err    error
 }
 
-// streamFollower maintains a stream of events. A stream passes through three states, each of which at most one stream
-// is in: connecting, until the relay answers; standby, while the predecessor is still read, which is so only after a
-// change of address; active, from when its events are delivered until it ends. The goroutine of run owns the fields,
-// except the channels.
+// streamFollower keeps an event stream open. A stream passes through three states, and at most one stream is in each:
+//   - connecting: until the relay answers the request;
+//   - standby: while the predecessor is still read, which happens only after a change of address;
+//   - active: from the delivery of its first event until it ends.
+//
+// Only the goroutine of run may use the fields, except for the channels.
 type streamFollower struct {
 	client     *Client
 	readers    sync.WaitGroup
@@ -41,7 +43,7 @@
 	connecting *stream
 	standby    *stream
 	active     *stream
-	// drained reports that the active stream was read until the end of the overlap.
+	// overlapElapsed reports that the active stream was read for the whole streamOverlap.
 	overlapElapsed bool
 	overlapEnd     <-chan time.Time
 	retry          <-chan time.Time
@@ -57,7 +59,7 @@
 	}
 }
 
-// run follows streams until the context ends, and returns when all of them are closed.
+// run keeps a stream open until the context is cancelled, and returns when all streams are closed.
 func (f *streamFollower) run(ctx context.Context) {
 	defer f.readers.Wait()
 	f.connect(ctx)
@@ -84,7 +86,7 @@
 	}
 }
 
-// connect starts a stream in the connecting state.
+// connect starts a new stream in the connecting state.
 func (f *streamFollower) connect(ctx context.Context) {
 	f.lastID++
 	streamCtx, cancel := context.WithCancel(ctx)
@@ -99,7 +101,7 @@
 	})
 }
 
-// reconnect connects to the new address in place of streams that are not active yet.
+// reconnect cancels the streams that are not active yet and connects to the new address.
 func (f *streamFollower) reconnect(ctx context.Context) {
 	if f.connecting != nil {
 		f.connecting.cancel()
@@ -116,8 +118,8 @@
 	f.overlapEnd = nil
 }
 
-// handleStreamOpened makes the stream active, or puts it on standby while its predecessor is still read: the last
-// events of the predecessor come before the snapshot of the new stream.
+// handleStreamOpened activates the stream, or puts it on standby while its predecessor is still read, so that the last
+// events of the predecessor are delivered before the snapshot of the new stream.
 func (f *streamFollower) handleStreamOpened(opened *stream) {
 	if opened != f.connecting {
 		return
@@ -135,15 +137,15 @@
 	f.overlapEnd = time.After(streamOverlap)
 }
 
-// handleStreamEnded activates the stream on standby, or schedules another attempt. The end of a stream that was
-// replaced changes nothing.
+// handleStreamEnded activates the stream on standby, or schedules a reconnection. It ignores the end of a stream that
+// was replaced.
 func (f *streamFollower) handleStreamEnded(end streamEnd) {
 	end.stream.cancel()
 	switch end.stream {
 	case f.active:
 		f.active = nil
 		if f.standby != nil {
-			// A connection that is reset may lose events that were not read yet; one that is closed does not.
+			// A connection reset may lose events that were not read yet; a regular close does not.
 			closed := errors.Is(end.err, io.ErrUnexpectedEOF)
 			f.activateStandby(f.overlapElapsed || closed)
 			return
@@ -165,8 +167,9 @@
 	f.active.activate <- continuous
 }
 
-// awaitActivation is called by the reader of a stream that the relay has answered. It returns whether no event was lost
-// since the predecessor, or an error where the stream was replaced before it became active.
+// awaitActivation reports a stream as opened and blocks until it may deliver its events. The goroutine that reads the
+// stream calls it. It returns whether the stream is continuous, or an error if the stream was replaced before it became
+// active.
 func (f *streamFollower) awaitActivation(ctx context.Context, s *stream) (continuous bool, err error) {
 	select {
 	case f.opened <- s:
--- a/internal/transport/relay/stream_test.go
+++ b/internal/transport/relay/stream_test.go
@@ -8,7 +8,7 @@
 	"cressknot/internal/fleet"
 )
 
-// expectSnapshot expects that a stream opens, with a gap to its predecessor, and shows the given number of proxies.
+// expectSnapshot expects a stream to open that is not continuous, with a snapshot of the given number of proxies.
 func expectSnapshot(t *testing.T, events chan StreamEvent, stream uint64, proxies int) {
 	t.Helper()
 	want := []StreamEventKind{StreamOpened}
@@ -22,7 +22,7 @@
 	}
 }
 
-// expectOpened expects that a stream opens.
+// expectOpened expects a stream to open.
 func expectOpened(t *testing.T, events chan StreamEvent, stream uint64, continuous bool) {
 	t.Helper()
 	e := receive(t, events)
@@ -41,6 +41,8 @@
 
 const leftText = "event: left\ndata: node=1\n\n"
 
+// After a broken connection the stream is reopened. After a change of address the old stream is read until the new one
+// is open, so that no event in transit is lost.
 func TestStreamIsReopenedAfterABreakAndOverlapsAfterAMove(t *testing.T) {
 	old, moved := newFakeRelay(t), newFakeRelay(t)
 	client, events, _ := startClient(t, old)
@@ -57,8 +59,8 @@
 	third <- heartbeatText
 }
 
-// Events may be lost where the old stream ends during the overlap because of what can't be read, so that the new
-// stream is not continuous. A stream that is closed was read to its end.
+// If the old stream ends during the overlap with an unreadable event, later events may be lost, so the new stream is
+// not continuous. A stream that the relay closed was read to its end, so the new stream is continuous.
 func TestNewStreamIsContinuousUnlessTheOldOneFails(t *testing.T) {
 	for name, test := range map[string]struct {
 		last       string
@@ -81,7 +83,7 @@
 	}
 }
 
-// awaitStreams waits until the client has opened the given number of streams.
+// awaitStreams blocks until the client has opened the given number of streams.
 func awaitStreams(t *testing.T, client *Client, count uint64) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
@@ -93,8 +95,8 @@
 	}
 }
 
-// A snapshot that breaks off is not completed, and the next stream begins anew. Only a heartbeat completes a snapshot,
-// however long it takes.
+// A snapshot cut off by a broken connection is never reported as complete, and the next stream starts a new one. Only a
+// heartbeat completes a snapshot, however long it takes.
 func TestSnapshotIsCompletedByAHeartbeatOnly(t *testing.T) {
 	relay := newFakeRelay(t)
 	_, events, _ := startClient(t, relay)
@@ -115,7 +117,7 @@
 	select {
 	case e := <-events:
 		t.Errorf("got event %+v before a heartbeat, want none", e)
-	case <-time.After(1200 * time.Millisecond): // longer than the relay's interval of a second
+	case <-time.After(1200 * time.Millisecond): // longer than the relay's heartbeat interval of 1 s
 	}
 	texts <- heartbeatText
 	if e := receive(t, events); e.Kind != SnapshotComplete || e.Stream != 2 {
@@ -123,15 +125,15 @@
 	}
 }
 
-// The address changes again before the stream at the second one is active: that stream delivers nothing, and no
-// event of the first one is lost.
+// The address changes again before the stream to the second address is active. That stream delivers nothing, and no
+// event of the first stream is lost.
 func TestSecondMoveReplacesAStreamThatIsNotActive(t *testing.T) {
-	old, passed, last := newFakeRelay(t), newFakeRelay(t), newFakeRelay(t)
+	old, skipped, last := newFakeRelay(t), newFakeRelay(t), newFakeRelay(t)
 	client, events, _ := startClient(t, old)
 	first := old.openStream(t)
 	expectSnapshot(t, events, 1, 0)
-	client.SetAddress(passed.addr())
-	receive(t, passed.streams)
+	client.SetAddress(skipped.addr())
+	receive(t, skipped.streams)
 	client.SetAddress(last.addr())
 	receive(t, last.streams)
 	first <- leftText
--- a/internal/transport/relay/streamreader.go
+++ b/internal/transport/relay/streamreader.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// heartbeatTimeout ends a stream without a line; the relay sends one at least every second.
+	// heartbeatTimeout is how long a stream may send no line; the relay sends one at least every second.
 	heartbeatTimeout = 2600 * time.Millisecond
 
 	// The buffer for a line of the stream grows from initialLineSize to maxLineSize, in bytes.
@@ -20,21 +20,21 @@
 	maxLineSize     = 64 << 10
 )
 
-// errHeartbeatTimeout is the cause of the end of a stream that sent nothing for heartbeatTimeout.
+// errHeartbeatTimeout reports a stream that sent no line for heartbeatTimeout.
 var errHeartbeatTimeout = errors.New("no event or heartbeat on the relay event stream")
 
-// statusError is an HTTP status other than 200.
+// statusError reports an HTTP status other than 200 in the answer to the request for the event stream.
 type statusError struct {
-	addr   string
-	status string
+	addr   string // host:port of the relay
+	status string // such as "503 Service Unavailable"
 }
 
 func (e *statusError) Error() string {
 	return "relay " + e.addr + " answered the event stream request with HTTP status " + e.status
 }
 
-// readStream reads one stream and delivers its events until it ends. It never returns nil; io.ErrUnexpectedEOF
-// reports a connection that the relay closed.
+// readStream opens one stream and delivers its events until it ends. The error is never nil; io.ErrUnexpectedEOF
+// reports that the relay closed the connection.
 func (f *streamFollower) readStream(ctx context.Context, s *stream) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -77,7 +77,7 @@
 	return io.ErrUnexpectedEOF
 }
 
-// requestStream asks the relay for its events and returns the body of the answer.
+// requestStream requests the event stream and returns the body of the response, which the caller closes.
 func (c *Client) requestStream(ctx context.Context) (io.ReadCloser, error) {
 	addr := c.address()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/api/stream", nil)
@@ -95,20 +95,19 @@
 	return response.Body, nil
 }
 
-// eventDecoder assembles the lines of a stream of server-sent events into events.
+// eventDecoder decodes the lines of a stream of server-sent events.
 type eventDecoder struct {
 	zones      []string
 	proxyCount int
 	stream     uint64
 	deliver    func(StreamEvent)
 
-	name             string // of the event that is being read
-	data             string
+	name             string // name of the event being read; "" between events
+	data             string // data of the event being read
 	snapshotComplete bool
 }
 
-// addLine takes in one line. An empty line ends an event; a comment is a heartbeat, the first of which ends the
-// snapshot.
+// addLine decodes one line. An empty line ends an event. A comment is a heartbeat; the first one ends the snapshot.
 func (d *eventDecoder) addLine(line string) error {
 	if line == "" {
 		return d.endEvent()
@@ -125,6 +124,7 @@
 	return nil
 }
 
+// endEvent parses and delivers the event that was read, if any.
 func (d *eventDecoder) endEvent() error {
 	if d.name == "" {
 		return nil
@@ -141,6 +141,7 @@
 	return nil
 }
 
+// endSnapshot reports the snapshot as complete, once.
 func (d *eventDecoder) endSnapshot() {
 	if d.snapshotComplete {
 		return
--- a/internal/transport/relay/transcript_test.go
+++ b/internal/transport/relay/transcript_test.go
@@ -13,8 +13,8 @@
 	"cressknot/internal/fleet"
 )
 
-// TestRequestsToTheRelayKeepTheirBytes checks the request line, headers and body of a call and of the request for
-// events.
+// TestRequestsToTheRelayKeepTheirBytes checks the request line, content type, length and body of a call and of the
+// request for the event stream.
 func TestRequestsToTheRelayKeepTheirBytes(t *testing.T) {
 	calls, streams := make(chan string, 10), make(chan string, 10)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -63,11 +63,11 @@
 		t.Errorf("call\n%s\nwant\n%s", got, call)
 	}
 	if got := receive(t, streams); got != "GET /api/stream HTTP/1.1\n\n0\n" {
-		t.Errorf("request for events %q", got)
+		t.Errorf("request for the event stream is %q", got)
 	}
 }
 
-// TestEventsOfTheRelayAreRead checks what each kind of line of the stream becomes.
+// TestEventsOfTheRelayAreRead checks the events decoded from each kind of line of the stream.
 func TestEventsOfTheRelayAreRead(t *testing.T) {
 	relay := newFakeRelay(t)
 	_, events, _ := startClient(t, relay)
