--- a/internal/ingest/collector/server.go
+++ b/internal/ingest/collector/server.go
@@ -66,7 +66,7 @@
 	collectors atomic.Uint64
 }
 
-// Server accepts connections and serves all of them in one event loop. Its methods are safe for concurrent use.
+// Server accepts connections and serves all of them in one event loop.
 type Server struct {
 	options     Options
 	engine      *nbio.Engine
--- a/internal/platform/controller.go
+++ b/internal/platform/controller.go
@@ -12,7 +12,7 @@
 // Effects are the I/O that a step requests. The loop performs them in the order of the fields.
 type Effects struct {
 	ProxiesLeft          []fleet.ProxyID   // operations for these proxies are to be dropped
-	Operations           []relay.Operation // to be sent to the relay, in this order
+	Operations           []relay.Operation // for the relay, in one call of Enqueue
 	WatchRequests        []bool            // each starts (true) or stops (false) the watch of the endpoint list
 	FetchRequests        int               // number of requests for the complete endpoint list
 	LogMessages          []string
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,5 +1,5 @@
-// Package platform implements the control loop that `cressknot node` runs when the proxies belong to an external
-// platform and are reached through that platform's relay.
+// Package platform implements the control loop of `cressknot node`, a controller for the proxies and servers of an
+// external platform. It reaches the proxies through the platform's relay.
 //
 // The Controller translates between the platform, which identifies servers by name, and the balancer, which identifies
 // them by number. It performs no I/O and reads no clock: the time and the inputs are arguments, the I/O to be done is
--- a/internal/platform/loop.go
+++ b/internal/platform/loop.go
@@ -18,8 +18,8 @@
 type RelayClient interface {
 	// Enqueue appends operations to the queue of those to be sent.
 	Enqueue(operations []relay.Operation)
-	// ProxyLeft drops queued operations that affect only the given proxy.
-	ProxyLeft(proxy fleet.ProxyID)
+	// DropAssignments drops the queued assignments of tables to a proxy that has left.
+	DropAssignments(proxy fleet.ProxyID)
 }
 
 // EndpointWatcher requests the endpoint list. The results arrive in the mailbox as EndpointsChanged messages.
@@ -88,7 +88,7 @@
 // perform does the I/O that a step requested, in the order of the fields of Effects.
 func (l *loop) perform(effects Effects) {
 	for _, proxy := range effects.ProxiesLeft {
-		l.Relay.ProxyLeft(proxy)
+		l.Relay.DropAssignments(proxy)
 	}
 	if len(effects.Operations) > 0 {
 		l.Relay.Enqueue(effects.Operations)
--- a/internal/platform/mailbox_test.go
+++ b/internal/platform/mailbox_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// Close must unblock a pending Post: nobody takes messages after the loop has ended, so that a reader would hang.
+// Close must unblock a pending Post: after the loop has ended no goroutine calls Take, so the poster would hang.
 func TestClosedMailboxBlocksNobody(t *testing.T) {
 	m := NewMailbox()
 	for range maxMessages {
--- a/internal/transport/relay/answer.go
+++ b/internal/transport/relay/answer.go
@@ -15,7 +15,7 @@
 
 const (
 	callAnswered  callOutcome = iota // the relay reported how many operations it carried out
-	callUncertain                    // unknown whether the call was carried out
+	callUncertain                    // unknown: carried out as if it had been answered, or not at all
 	callRejected                     // no operation was carried out; a retry may succeed
 	callMalformed                    // no operation was carried out; an unchanged retry would be rejected again
 )
--- a/internal/transport/relay/client.go
+++ b/internal/transport/relay/client.go
@@ -132,8 +132,8 @@
 	notify(c.enqueued)
 }
 
-// ProxyLeft drops the queued assignments of tables to a proxy that has left.
-func (c *Client) ProxyLeft(id fleet.ProxyID) {
+// DropAssignments drops the queued assignments of tables to a proxy that has left.
+func (c *Client) DropAssignments(id fleet.ProxyID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queue.dropProxy(id)
