--- a/internal/ingest/collector/connection.go
+++ b/internal/ingest/collector/connection.go
@@ -13,20 +13,20 @@
 
 // Limits of one connection.
 const (
-	// maxFirstMessageSize, in bytes, holds until a connection has registered: a collector's first message is not longer
-	// than the name of its zone.
+	// maxFirstMessageSize, in bytes, applies until a connection has registered. A collector's first message contains
+	// little more than the name of its zone.
 	maxFirstMessageSize = 512
 
-	// maxMessageSize is in bytes and given by the users' platform.
+	// maxMessageSize, in bytes, is specified by the platform.
 	maxMessageSize = 1 << 20
 
-	// maxMalformedInRow malformed messages show that the connection is of no further use.
-	maxMalformedInRow = 16
+	// maxConsecutiveMalformed is the number of consecutive malformed messages at which a connection is closed.
+	maxConsecutiveMalformed = 16
 
-	// maxPings of one connection, which is pinged now and then.
+	// maxPings is the number of pings that one connection may send. Pings are occasional health checks.
 	maxPings = 64
 
-	// maxLoggedMessageSize is in bytes.
+	// maxLoggedMessageSize, in bytes, is the size to which messages are truncated in the log.
 	maxLoggedMessageSize = 160
 )
 
@@ -36,32 +36,32 @@
 	answerRejected = []byte("refused\r\n")
 )
 
-// Reasons for which a connection is rejected.
+// Reasons for rejecting a connection.
 var (
-	errNotRegistered       = errors.New("not registered in time")
-	errTooManyUnregistered = errors.New("too many connections have not registered")
-	errCollectorReplaced   = errors.New("replaced by a newer collector of the zone")
-	errTooManyPings        = errors.New("too many pings")
-	errTooManyMalformed    = errors.New("too many malformed messages in a row")
+	errNotRegistered       = fmt.Errorf("not registered within %v", registrationTimeout)
+	errTooManyUnregistered = errors.New("too many unregistered connections: oldest one closed")
+	errCollectorReplaced   = fmt.Errorf("zone has more than %d collectors: oldest one closed", maxCollectorsPerZone)
+	errTooManyPings        = fmt.Errorf("more than %d pings on the connection", maxPings)
+	errTooManyMalformed    = errors.New("too many consecutive malformed messages")
 	errMessageTooLong      = errors.New("message too long")
 )
 
-// connection is one client of the listening address. The registry's lock guards registered, excluded and zone, of
-// which registered and zone are written by the event loop alone, which may thus read them without the lock. The
-// event loop owns the rest but for closed.
+// connection is one client connection. The registry's lock guards registered, excluded and zone. Only the event loop
+// writes registered and zone, so it may read them without the lock. The other fields, except closed, may only be used
+// by the event loop.
 type connection struct {
 	server     *Server
 	conn       *nbio.Conn
 	registered bool
-	excluded   bool // rejected or closed: it can't register any more
+	excluded   bool // rejected or closed, and unable to register
 	zone       fleet.ZoneID
 	closed     atomic.Bool
 
-	partial        []byte // the beginning of a message
-	scanned        int    // bytes of partial that are known to hold neither an end of message nor binary data
-	pings          int
-	malformedInRow int
-	hasReported    bool
+	partial              []byte // beginning of an incomplete message
+	scanned              int    // number of bytes of partial known to contain no line end and no binary data
+	pings                int
+	consecutiveMalformed int
+	hasReportedOutcome   bool
 }
 
 // rejectUnregistered rejects the connection unless it has registered.
@@ -71,7 +71,7 @@
 	}
 }
 
-// reject answers that the connection is rejected, and closes it.
+// reject sends a rejection and closes the connection. It has no effect on a closed connection.
 func (c *connection) reject(reason error) {
 	if c.closed.Swap(true) {
 		return
@@ -88,7 +88,7 @@
 	c.server.registry.remove(c)
 }
 
-// receive takes in bytes and handles the messages that they complete.
+// receive handles the messages that the received bytes complete, and saves the rest.
 func (c *connection) receive(data []byte) {
 	if c.closed.Load() {
 		return
@@ -103,14 +103,15 @@
 			break
 		}
 		data = rest
-		if !c.handle(text) {
+		if !c.handleMessage(text) {
 			return
 		}
 	}
 	c.savePartial(data)
 }
 
-// cutMessage cuts the first message off the data.
+// cutMessage splits the data into the first message, without its line end, and the rest. complete is false if the data
+// contains no line end.
 func (c *connection) cutMessage(data []byte) (text string, rest []byte, complete bool) {
 	scanned := min(c.scanned, len(data))
 	end := bytes.IndexByte(data[scanned:], '\n')
@@ -122,15 +123,15 @@
 	return string(bytes.TrimSuffix(data[:end], []byte{'\r'})), data[end+1:], true
 }
 
-// savePartial saves the beginning of a message until the rest comes, unless it shows already that the message is
-// invalid.
+// savePartial saves an incomplete message until the rest is received. It rejects the connection if the message is
+// already too long or binary.
 func (c *connection) savePartial(data []byte) {
 	maxSize := maxFirstMessageSize
 	if c.registered {
 		maxSize = maxMessageSize
 	}
 	if len(data) > maxSize {
-		c.reject(fmt.Errorf("%w: over %d bytes", errMessageTooLong, maxSize))
+		c.reject(fmt.Errorf("%w: got %d bytes without a line end, limit %d", errMessageTooLong, len(data), maxSize))
 		return
 	}
 	if isBinary(data[min(c.scanned, len(data)):]) {
@@ -144,8 +145,8 @@
 	}
 }
 
-// handle handles one message. It returns false where the connection was rejected.
-func (c *connection) handle(text string) (open bool) {
+// handleMessage handles one message. It returns false if it rejected the connection.
+func (c *connection) handleMessage(text string) (open bool) {
 	m, err := parseMessage(text)
 	switch {
 	case err == nil && m.kind == kindPing:
@@ -169,6 +170,7 @@
 	return true
 }
 
+// handlePing answers a ping. It rejects the connection, and returns false, after maxPings.
 func (c *connection) handlePing() (open bool) {
 	c.server.counters.pings.Add(1)
 	c.pings++
@@ -176,17 +178,19 @@
 		c.reject(errTooManyPings)
 		return false
 	}
-	_, _ = c.conn.Write(answerPong) // a failure closes the connection
+	_, _ = c.conn.Write(answerPong) // a write error closes the connection
 	return true
 }
 
+// handleRegistration handles a message of an unregistered connection, which must be a valid registration. err is the
+// error of parsing the message. It returns false if it rejected the connection.
 func (c *connection) handleRegistration(m *message, err error) (open bool) {
 	if err == nil && m.kind != kindRegister {
-		err = fmt.Errorf("kind %.40q before the registration", m.kind)
+		err = fmt.Errorf("message of kind %.40q before registration, expected %s", m.kind, kindRegister)
 	}
 	zone := 0
 	if err == nil {
-		zone = m.index("locality", c.server.options.Vocabulary.Zones)
+		zone = m.nameIndex("locality", c.server.options.Vocabulary.Zones)
 		err = m.fieldErr
 	}
 	if err != nil {
@@ -197,7 +201,7 @@
 	return true
 }
 
-// register makes the connection a collector of the zone, and rejects the zone's oldest one where they are too many.
+// register makes the connection a collector of the zone, and rejects the zone's oldest collector if there are too many.
 func (c *connection) register(zone fleet.ZoneID) {
 	surplus, ok := c.server.registry.register(c, zone)
 	if !ok {
@@ -209,27 +213,30 @@
 	}
 }
 
+// handleMalformed counts and drops a malformed message. It rejects the connection, and returns false, after
+// maxConsecutiveMalformed.
 func (c *connection) handleMalformed(text string, err error) (open bool) {
 	c.server.counters.malformed.Add(1)
-	c.server.sampledLog.Info().Err(err).Str("message", beginning(text)).Msg("malformed message dropped")
-	c.malformedInRow++
-	if c.malformedInRow >= maxMalformedInRow {
-		c.reject(fmt.Errorf("%w: %d", errTooManyMalformed, c.malformedInRow))
+	c.server.sampledLog.Info().Err(err).Str("message", truncateForLog(text)).Msg("malformed message dropped")
+	c.consecutiveMalformed++
+	if c.consecutiveMalformed >= maxConsecutiveMalformed {
+		c.reject(fmt.Errorf("%w: %d", errTooManyMalformed, c.consecutiveMalformed))
 		return false
 	}
 	return true
 }
 
+// handleReport passes a report on and logs the first outcome report of the connection.
 func (c *connection) handleReport(text string, report Report) {
-	c.malformedInRow = 0
+	c.consecutiveMalformed = 0
 	c.server.counters.reports.Add(1)
-	if !c.hasReported && !report.IsDemand {
-		c.hasReported = true
-		c.server.sampledLog.Info().Str("remote", c.conn.RemoteAddr().String()).Str("message", beginning(text)).
-			Msg("first outcome report received")
+	if !c.hasReportedOutcome && !report.IsDemand {
+		c.hasReportedOutcome = true
+		c.server.sampledLog.Info().Str("remote", c.conn.RemoteAddr().String()).Str("message", truncateForLog(text)).
+			Msg("first outcome report received on the connection")
 	}
 	c.server.options.OnReport(report)
 }
 
-// beginning returns what of a message goes into the log.
-func beginning(text string) string { return text[:min(len(text), maxLoggedMessageSize)] }
+// truncateForLog returns the first maxLoggedMessageSize bytes of a message.
+func truncateForLog(text string) string { return text[:min(len(text), maxLoggedMessageSize)] }
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// estimateLogInterval is the time between two log lines with the balancer's estimates.
+	// estimateLogInterval is the minimum time between two log lines with the balancer's estimates.
 	estimateLogInterval = 2 * fleet.Second
-	// maxLoggedEndpoints is how many endpoints of a list are named in the log.
+	// maxLoggedEndpoints limits the endpoints of a list that one log line names.
 	maxLoggedEndpoints = 12
 )
 
-// DescribeEstimates returns one text for each server, with what the balancer estimates: the health factor, failures
-// of attempts, utilization, latency in milliseconds, requests per second sent and possible, and the weight in each
-// table in thousandths.
+// DescribeEstimates returns one text per server with the balancer's estimates: health factor, failures and attempts,
+// utilization, latency in ms, request rate and capacity in requests per second, and the weight in each table in
+// thousandths. It may only be called by the goroutine that steps the controller.
 func (c *Controller) DescribeEstimates() []string {
 	var descriptions []string
 	for _, estimate := range c.balancer.Estimates() {
@@ -33,19 +33,21 @@
 	for _, fraction := range estimate.Fractions {
 		weights = append(weights, strconv.Itoa(int(1000*fraction+0.5)))
 	}
-	marks := ""
+	flags := ""
 	if estimate.WarmingUp {
-		marks += " warming up"
+		flags += ", warming up"
 	}
 	if estimate.Withdrawn {
-		marks += " withdrawn"
+		flags += ", withdrawn"
 	}
-	return fmt.Sprintf("%s health %.2f failures %.0f/%.0f utilization %.2f latency %.0f rate %.1f/%.1f weights %s%s",
+	const format = "%s health %.2f, failures %.0f of %.0f attempts, utilization %.2f, latency %.0f ms, " +
+		"rate %.1f of %.1f requests/s, table weights %s per mille%s"
+	return fmt.Sprintf(format,
 		name, estimate.HealthFactor, estimate.Failures, estimate.Attempts, estimate.Utilization,
-		estimate.Latency.Seconds()*1000, estimate.RequestRate, estimate.Capacity, strings.Join(weights, "/"), marks)
+		estimate.Latency.Seconds()*1000, estimate.RequestRate, estimate.Capacity, strings.Join(weights, "/"), flags)
 }
 
-// logMessages logs the endpoint lists and the changes of the relay's stream among the messages of a step.
+// logMessages logs the endpoint lists among the messages of a step, and the state changes of the relay's event stream.
 func (l *loop) logMessages(now fleet.Time, messages []Message) {
 	for _, message := range messages {
 		switch m := message.(type) {
@@ -54,12 +56,13 @@
 		case RelayEvent:
 			if m.Kind != relay.ProxyEvent {
 				l.Log.Info().Uint64("stream", m.Stream).Stringer("kind", m.Kind).
-					Int("joined", l.Controller.JoinedProxies()).Msg("relay stream changed")
+					Int("joined", l.Controller.JoinedProxies()).Msg("relay event stream state changed")
 			}
 		}
 	}
 }
 
+// logEndpoints logs the failure of an update, or the content of a changed endpoint list.
 func (l *loop) logEndpoints(now fleet.Time, update discovery.Update) {
 	if update.Err != nil {
 		l.Log.Warn().Err(update.Err).Msg("endpoint list update failed")
@@ -76,6 +79,7 @@
 		Int("servers", len(endpoints)).Strs("first", first).Msg("endpoint list received")
 }
 
+// describeEndpoint returns the endpoint's name, state and, if its start is known, the time since its start.
 func describeEndpoint(now fleet.Time, endpoint discovery.Endpoint) string {
 	text := endpoint.Name + " " + endpoint.State
 	if !endpoint.Started.IsZero() {
@@ -85,16 +89,18 @@
 	return text
 }
 
-// logStep logs what the balancer said in a step, and its estimates from time to time.
+// logStep logs the balancer's messages of a step and the number of dropped reports, and its estimates every
+// estimateLogInterval.
 func (l *loop) logStep(now fleet.Time, effects Effects) {
 	for _, text := range effects.LogMessages {
 		l.Log.Info().Msg(text)
 	}
 	if now >= l.lastEstimateLog+estimateLogInterval {
 		l.lastEstimateLog = now
-		l.Log.Info().Strs("servers", l.Controller.DescribeEstimates()).Msg("servers estimated")
+		l.Log.Info().Strs("servers", l.Controller.DescribeEstimates()).Msg("server estimates")
 	}
 	if effects.UnknownServerReports > 0 {
-		l.Log.Debug().Int("reports", effects.UnknownServerReports).Msg("reports of unlisted servers dropped")
+		l.Log.Debug().Int("reports", effects.UnknownServerReports).
+			Msg("load reports dropped: server not in the endpoint list")
 	}
 }
--- a/internal/platform/mailbox_test.go
+++ b/internal/platform/mailbox_test.go
@@ -9,6 +9,7 @@
 	"cressknot/internal/transport/relay"
 )
 
+// A full mailbox may merge reports but must keep all attempts that they count, and must keep every message in order.
 func TestMailboxMergesReportsOnly(t *testing.T) {
 	const posted = 100
 	m := NewMailbox()
@@ -22,7 +23,7 @@
 	m.Take(&batch)
 	for i, message := range batch.Messages {
 		if stream := message.(RelayEvent).Stream; stream != uint64(i) {
-			t.Fatalf("message %d is of stream %d", i, stream)
+			t.Fatalf("message %d has stream %d, want %d", i, stream, i)
 		}
 	}
 	attempts := 0
@@ -30,13 +31,15 @@
 		attempts += int(report.Outcome.Attempts)
 	}
 	if attempts != 3*maxSeparateReports || len(batch.Messages) != posted {
-		t.Errorf("%d attempts, %d messages", attempts, len(batch.Messages))
+		t.Errorf("got %d attempts and %d messages, want %d and %d",
+			attempts, len(batch.Messages), 3*maxSeparateReports, posted)
 	}
 	if len(batch.Reports) > maxSeparateReports+posted || m.merged == 0 {
-		t.Errorf("%d reports, %d merged", len(batch.Reports), m.merged)
+		t.Errorf("got %d reports, limit %d; %d merged", len(batch.Reports), maxSeparateReports+posted, m.merged)
 	}
 }
 
+// Post must block on a full mailbox instead of dropping, reordering or piling up messages.
 func TestFullMailboxBlocksPostAndLosesNothing(t *testing.T) {
 	m := NewMailbox()
 	posted := make(chan struct{})
@@ -52,17 +55,18 @@
 		before := len(batch.Messages)
 		m.Take(&batch)
 		if taken := len(batch.Messages) - before; taken > maxMessages {
-			t.Fatalf("%d messages were in the mailbox", taken)
+			t.Fatalf("mailbox held %d messages, limit %d", taken, maxMessages)
 		}
 	}
 	<-posted
 	for i, message := range batch.Messages {
 		if stream := message.(RelayEvent).Stream; stream != uint64(i) {
-			t.Fatalf("message %d is of stream %d", i, stream)
+			t.Fatalf("message %d has stream %d, want %d", i, stream, i)
 		}
 	}
 }
 
+// Close must unblock a pending Post: after the loop has ended no goroutine calls Take, so the poster would hang.
 func TestClosedMailboxBlocksNobody(t *testing.T) {
 	m := NewMailbox()
 	for range maxMessages {
@@ -77,6 +81,6 @@
 	select {
 	case <-posted:
 	case <-time.After(20 * time.Second):
-		t.Fatal("a post waits after the end")
+		t.Fatal("Post still blocks after Close")
 	}
 }
--- a/internal/transport/relay/answer_test.go
+++ b/internal/transport/relay/answer_test.go
@@ -2,13 +2,15 @@
 
 import "testing"
 
+// Only an explicit answer may count as accepted or rejected. Any damaged answer leaves the outcome unknown, or an
+// operation could be sent twice or never.
 func TestParseAnswerOutcome(t *testing.T) {
 	const head = `<?xml version="1.0"?><Response><entries><item>`
 	const tail = `</item></entries></Response>`
 	for text, want := range map[string]callOutcome{
 		head + "<accepted>2</accepted>" + tail:                       callAnswered,
 		head + "<accepted> 0 </accepted>" + tail:                     callAnswered,
-		head + "<accepted>3</accepted>" + tail:                       callUncertain, // of two
+		head + "<accepted>3</accepted>" + tail:                       callUncertain, // the call has 2 operations
 		head + "<accepted>-1</accepted>" + tail:                      callUncertain,
 		head + "<accepted>x</accepted>" + tail:                       callUncertain,
 		head + "<accepted>1</accepted><accepted>2</accepted>" + tail: callUncertain,
@@ -34,7 +36,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		accepted, err := parseAnswer(text, 3)
 		if err == nil && (accepted < 0 || accepted > 3) {
-			t.Errorf("%d of 3 operations accepted", accepted)
+			t.Errorf("%d operations accepted, want 0 to 3", accepted)
 		}
 	})
 }
--- a/internal/transport/relay/stream_test.go
+++ b/internal/transport/relay/stream_test.go
@@ -8,7 +8,7 @@
 	"cressknot/internal/fleet"
 )
 
-// expectSnapshot expects that a stream opens, with a gap to its predecessor, and shows the given number of proxies.
+// expectSnapshot expects a stream to open that is not continuous, with a snapshot of the given number of proxies.
 func expectSnapshot(t *testing.T, events chan StreamEvent, stream uint64, proxies int) {
 	t.Helper()
 	want := []StreamEventKind{StreamOpened}
@@ -16,31 +16,33 @@
 		want = append(want, ProxyEvent)
 	}
 	for _, kind := range append(want, SnapshotComplete) {
-		if e := next(t, events); e.Kind != kind || e.Stream != stream || e.Continuous {
-			t.Fatalf("%+v, want kind %v of stream %d", e, kind, stream)
+		if e := receive(t, events); e.Kind != kind || e.Stream != stream || e.Continuous {
+			t.Fatalf("got event %+v, want kind %v of stream %d, not continuous", e, kind, stream)
 		}
 	}
 }
 
-// expectOpened expects that a stream opens.
+// expectOpened expects a stream to open.
 func expectOpened(t *testing.T, events chan StreamEvent, stream uint64, continuous bool) {
 	t.Helper()
-	e := next(t, events)
+	e := receive(t, events)
 	if e.Kind != StreamOpened || e.Stream != stream || e.Continuous != continuous {
-		t.Fatalf("%+v, want stream %d opened, continuous %v", e, stream, continuous)
+		t.Fatalf("got event %+v, want stream %d opened, continuous %v", e, stream, continuous)
 	}
 }
 
 func expectLeft(t *testing.T, events chan StreamEvent, stream uint64) {
 	t.Helper()
-	e := next(t, events)
+	e := receive(t, events)
 	if e.Kind != ProxyEvent || e.Stream != stream || e.Event != (fleet.ProxyLeft{Proxy: 1}) {
-		t.Fatalf("%+v, want the last event of stream %d", e, stream)
+		t.Fatalf("got event %+v, want proxy 1 left on stream %d", e, stream)
 	}
 }
 
 const leftText = "event: left\ndata: node=1\n\n"
 
+// After a broken connection the stream is reopened. After a change of address the old stream is read until the new one
+// is open, so that no event in transit is lost.
 func TestStreamIsReopenedAfterABreakAndOverlapsAfterAMove(t *testing.T) {
 	old, moved := newFakeRelay(t), newFakeRelay(t)
 	client, events, _ := startClient(t, old)
@@ -50,15 +52,15 @@
 	second := old.openStream(t, 1)
 	expectSnapshot(t, events, 2, 1)
 	client.SetAddress(moved.addr())
-	third := next(t, moved.streams)
+	third := receive(t, moved.streams)
 	second <- leftText
 	expectLeft(t, events, 2)
 	expectOpened(t, events, 3, true)
 	third <- heartbeatText
 }
 
-// Events may be lost where the old stream ends during the overlap because of what can't be read, so that the new
-// stream is not continuous. A stream that is closed was read to its end.
+// If the old stream ends during the overlap with an unreadable event, later events may be lost, so the new stream is
+// not continuous. A stream that the relay closed was read to its end, so the new stream is continuous.
 func TestNewStreamIsContinuousUnlessTheOldOneFails(t *testing.T) {
 	for name, test := range map[string]struct {
 		last       string
@@ -73,7 +75,7 @@
 			first := old.openStream(t, 1)
 			expectSnapshot(t, events, 1, 1)
 			client.SetAddress(moved.addr())
-			next(t, moved.streams)
+			receive(t, moved.streams)
 			awaitStreams(t, client, 2)
 			first <- test.last
 			expectOpened(t, events, 2, test.continuous)
@@ -81,32 +83,32 @@
 	}
 }
 
-// awaitStreams waits until the client has opened the given number of streams.
+// awaitStreams blocks until the client has opened the given number of streams.
 func awaitStreams(t *testing.T, client *Client, count uint64) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
 	for client.Statistics().Streams < count {
 		if time.Now().After(deadline) {
-			t.Fatal("the new stream is not opened")
+			t.Fatalf("%d streams opened within 20 s, want %d", client.Statistics().Streams, count)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A snapshot that breaks off is not completed, and the next stream begins anew. Only a heartbeat completes a snapshot,
-// however long it takes.
+// A snapshot cut off by a broken connection is never reported as complete, and the next stream starts a new one. Only a
+// heartbeat completes a snapshot, however long it takes.
 func TestSnapshotIsCompletedByAHeartbeatOnly(t *testing.T) {
 	relay := newFakeRelay(t)
 	_, events, _ := startClient(t, relay)
-	texts := next(t, relay.streams)
+	texts := receive(t, relay.streams)
 	texts <- joinedText(1)
 	texts <- "event: joined\ndata: node=2&loc"
 	close(texts)
-	texts = next(t, relay.streams)
+	texts = receive(t, relay.streams)
 	texts <- joinedText(1)
 	var got []string
 	for range 4 {
-		e := next(t, events)
+		e := receive(t, events)
 		got = append(got, fmt.Sprint(e.Stream, e.Kind))
 	}
 	if fmt.Sprint(got) != "[1 opened 1 event 2 opened 2 event]" {
@@ -114,26 +116,26 @@
 	}
 	select {
 	case e := <-events:
-		t.Errorf("%+v before a heartbeat", e)
-	case <-time.After(1200 * time.Millisecond): // longer than the relay's interval of a second
+		t.Errorf("got event %+v before a heartbeat, want none", e)
+	case <-time.After(1200 * time.Millisecond): // longer than the relay's heartbeat interval of 1 s
 	}
 	texts <- heartbeatText
-	if e := next(t, events); e.Kind != SnapshotComplete || e.Stream != 2 {
-		t.Errorf("%+v, want the complete snapshot of stream 2", e)
+	if e := receive(t, events); e.Kind != SnapshotComplete || e.Stream != 2 {
+		t.Errorf("got event %+v, want the snapshot of stream 2 complete", e)
 	}
 }
 
-// The address changes again before the stream at the second one is active: that stream delivers nothing, and no
-// event of the first one is lost.
+// The address changes again before the stream to the second address is active. That stream delivers nothing, and no
+// event of the first stream is lost.
 func TestSecondMoveReplacesAStreamThatIsNotActive(t *testing.T) {
-	old, passed, last := newFakeRelay(t), newFakeRelay(t), newFakeRelay(t)
+	old, skipped, last := newFakeRelay(t), newFakeRelay(t), newFakeRelay(t)
 	client, events, _ := startClient(t, old)
 	first := old.openStream(t)
 	expectSnapshot(t, events, 1, 0)
-	client.SetAddress(passed.addr())
-	next(t, passed.streams)
+	client.SetAddress(skipped.addr())
+	receive(t, skipped.streams)
 	client.SetAddress(last.addr())
-	next(t, last.streams)
+	receive(t, last.streams)
 	first <- leftText
 	expectLeft(t, events, 1)
 	expectOpened(t, events, 3, true)
