--- a/internal/controller/history.go
+++ b/internal/controller/history.go
@@ -81,7 +81,9 @@
 		switch {
 		case notice.Refused != nil:
 			entry.Source = "guard"
-			entry.Text = "held back: " + safety.FormatRefusal(*notice.Refused, c.serverName(notice.Refused.Server))
+			refusal := *notice.Refused
+			entry.Text = "change held back by the safety check: " +
+				safety.FormatRefusal(refusal, c.serverName(refusal.Server))
 		case notice.Table:
 			entry.Source = "table"
 			entry.Text = notice.Text
@@ -105,7 +107,7 @@
 		case notice.OfSource:
 			entry.Text = fmt.Sprintf("server %s: %s", c.serverName(notice.Server), notice.Text)
 		case !notice.OfAll:
-			entry.Text = fmt.Sprintf("server %s %s: %s", c.serverName(notice.Server), notice.Verdict, notice.Text)
+			entry.Text = fmt.Sprintf("server %s is %s: %s", c.serverName(notice.Server), notice.Verdict, notice.Text)
 		}
 		c.log(out, entry)
 	}
--- a/internal/controller/operators.go
+++ b/internal/controller/operators.go
@@ -50,7 +50,7 @@
 	o.engine.OnData(o.feedSession)
 	o.engine.OnClose(func(conn *nbio.Conn, _ error) { o.sessions.Delete(conn) })
 	if err := o.engine.Start(); err != nil {
-		return nil, fmt.Errorf("operators' socket %s: %w", addr, err)
+		return nil, fmt.Errorf("listen on operators' socket %s: %w", addr, err)
 	}
 	return o, nil
 }
@@ -92,7 +92,8 @@
 		}
 		return o.run(known, c.Words[n:])
 	}
-	return fmt.Appendf(nil, "%s'%s'. Known are:\n%s", haproxyapi.UnknownPrefix, strings.Join(c.Words, " "), helpText())
+	words := strings.Join(c.Words, " ")
+	return fmt.Appendf(nil, "%s'%s'. Known commands:\n%s", haproxyapi.UnknownPrefix, words, helpText())
 }
 
 // run runs a command in the loop's goroutine.
@@ -113,7 +114,8 @@
 	}
 	if known.persists {
 		if err := o.loop.WaitPersisted(ctx); err != nil {
-			text += fmt.Sprintf("It holds while this governor runs, but is not kept on disk: %v.\n", err)
+			text += fmt.Sprintf("Manual changes are in effect but not on disk, "+
+				"and a restart of this controller may lose them: %v.\n", err)
 		}
 	}
 	return []byte(text)
--- a/internal/controller/operators_commands.go
+++ b/internal/controller/operators_commands.go
@@ -32,8 +32,10 @@
 
 func (e commandError) Error() string { return string(e) }
 
-// refusef makes a commandError.
-func refusef(format string, args ...any) error { return commandError(fmt.Sprintf(format, args...)) }
+// commandErrorf makes a commandError.
+func commandErrorf(format string, args ...any) error {
+	return commandError(fmt.Sprintf(format, args...))
+}
 
 // answerf makes the answer of a handler.
 func answerf(format string, args ...any) (string, error) { return fmt.Sprintf(format, args...), nil }
--- a/internal/controller/operators_explain.go
+++ b/internal/controller/operators_explain.go
@@ -14,12 +14,12 @@
 	return []command{
 		{
 			words:  []string{"show", "log"},
-			help:   "the latest log lines, oldest first",
+			help:   fmt.Sprintf("the latest %d log entries, oldest first", logCapacity),
 			handle: (*query).showLog,
 		},
 		{
 			words:  []string{"explain"},
-			help:   "<server>: its weights and the reasons that were logged",
+			help:   "<server>: its state, its weights and the log entries that name it",
 			handle: (*query).explain,
 		},
 		{
@@ -29,7 +29,7 @@
 		},
 		{
 			words:  []string{"show", "refusals"},
-			help:   "what the guard holds back now, and what is set by hand",
+			help:   "changes that the safety check holds back now, and manual weights",
 			handle: (*query).showRefusals,
 		},
 	}
@@ -45,7 +45,7 @@
 
 func (q *query) explain() (string, error) {
 	if len(q.args) != 1 {
-		return "", commandError("'explain' expects one server's name.\n")
+		return "", commandError("'explain' expects one server name.\n")
 	}
 	id, err := q.server(q.args[0])
 	if err != nil {
@@ -61,20 +61,20 @@
 	for _, e := range c.reconciler.Entries() {
 		if e.Server == id {
 			inTable = true
-			fmt.Fprintf(&b, "Table %d: weight %.4f, sent as %d.\n", e.Table, e.Weight, e.Published)
+			fmt.Fprintf(&b, "Table %d: weight %.4f, published to proxies as %d.\n", e.Table, e.Weight, e.Published)
 		}
 	}
 	if !inTable {
-		b.WriteString("It stands in no table.\n")
+		b.WriteString("It is in no weight table.\n")
 	}
 	attempts, failed := c.pipeline.PendingOutcomes(id)
-	fmt.Fprintf(&b, "Reports that wait to be heard: %d tries, %d without a good answer.\n", attempts, failed)
+	fmt.Fprintf(&b, "Load reports not yet passed to the balancer: %d attempts, %d of them failed.\n", attempts, failed)
 	entries := c.history.logOf(q.args[0])
 	for _, e := range entries {
 		fmt.Fprintf(&b, "%s %s: %s\n", formatTime(e.At), e.Source, e.Text)
 	}
 	if len(entries) == 0 {
-		b.WriteString("No line of the log names it.\n")
+		b.WriteString("No log entry names it.\n")
 	}
 	return b.String(), nil
 }
@@ -85,12 +85,12 @@
 	name, addr := c.names.Lookup(id)
 	e, listed := c.endpoints.listed[id]
 	if !listed {
-		return fmt.Sprintf("%s (%s) is not listed: visits are kept from it.\n", name, addr)
+		return fmt.Sprintf("%s (%s) is not listed, so it gets no requests.\n", name, addr)
 	}
 	text := fmt.Sprintf("%s (%s) is listed as %s in %s.\n", name, addr, e.State.Name(), c.site.Zones[e.Zone])
 	if c.warmingUp(q.now, id) {
 		remaining := e.Started + c.site.SlowStart.Duration - q.now
-		text += fmt.Sprintf("It is cold for %.1f s more and bounded to what a cold server surely can do.\n",
+		text += fmt.Sprintf("It is in slow start for another %.1f s, with its weight limited accordingly.\n",
 			remaining.Seconds())
 	}
 	return text
@@ -98,7 +98,7 @@
 
 func (q *query) getWeight() (string, error) {
 	if len(q.args) != 1 {
-		return "", commandError("'get weight' expects one server's name.\n")
+		return "", commandError("'get weight' expects one server name.\n")
 	}
 	id, err := q.server(q.args[0])
 	if err != nil {
@@ -110,7 +110,7 @@
 			fmt.Fprintf(&b, "%d: %d (initial 1)\n", e.Table, e.Published)
 		}
 	}
-	return cmp.Or(b.String(), "In no table.\n"), nil
+	return cmp.Or(b.String(), "It is in no weight table.\n"), nil
 }
 
 func (q *query) showRefusals() (string, error) {
@@ -120,7 +120,7 @@
 		fmt.Fprintf(&b, "%s %d %s\n", formatTime(r.Since), r.Proxies, safety.FormatRefusal(r, q.core.serverName(r.Server)))
 	}
 	for _, m := range q.core.reconciler.ManualWeights() {
-		fmt.Fprintf(&b, "%s - set by hand until then: table %d, server %s, weight %d\n",
+		fmt.Fprintf(&b, "%s - end of a manual weight: table %d, server %s, weight %d\n",
 			formatTime(m.Until), m.Table, q.core.serverName(m.Server), m.Weight)
 	}
 	return b.String(), nil
--- a/internal/controller/operators_peers.go
+++ b/internal/controller/operators_peers.go
@@ -14,28 +14,28 @@
 	return []command{
 		{
 			words:  []string{"show", "members"},
-			help:   "[proxies]: governors that share the proxies, and who serves which",
+			help:   "[proxies]: controllers that share the proxies, and which one serves each",
 			handle: (*query).showMembers,
 		},
 		{
 			words:  []string{"show", "peers"},
-			help:   "other governors that are heard, and what their news change",
+			help:   "other controllers whose gossip is received, and how many servers it overrides",
 			handle: (*query).showPeers,
 		},
 		{
 			words:  []string{"take"},
-			help:   "<proxy> on|off: have a proxy by hand, whoever should by the plan, or end that",
+			help:   "<proxy> on|off: assign a proxy to this controller regardless of the plan, or end that",
 			handle: (*query).takeProxy,
 		},
 		{
 			words:  []string{"retire"},
-			help:   "on|off: hand all proxies on to other governors, or take its part again",
+			help:   "on|off: hand all proxies over to other controllers, or take proxies again",
 			handle: (*query).retire,
 		},
 	}
 }
 
-const errNotShared = commandError("This governor shares its proxies with no other one.\n")
+const errNotShared = commandError("This controller does not share its proxies (setting sharing.governors).\n")
 
 // holderSummary is what the leases at the proxies show of a controller.
 type holderSummary struct {
@@ -92,13 +92,13 @@
 	}
 	on, ok := q.switchAt(0)
 	if !ok {
-		return "", commandError("'retire' expects on or off.\n")
+		return "", commandError("'retire' expects 'on' or 'off'.\n")
 	}
 	q.loop.leases.Retire(on)
 	if on {
-		return "Hands its proxies on; 'show members' tells how far that is.\n", nil
+		return "Handing all proxies over to other controllers; 'show members' shows how many are left.\n", nil
 	}
-	return "Takes its part of the proxies again.\n", nil
+	return "Taking proxies again; 'show members' shows how many this controller serves.\n", nil
 }
 
 // takeProxy is "take <proxy> on|off": it moves a proxy to this controller by hand, or ends that.
@@ -108,24 +108,25 @@
 	}
 	on, ok := q.switchAt(1)
 	if !ok {
-		return "", commandError("'take' expects a proxy's name, and on or off.\n")
+		return "", commandError("'take' expects a proxy name, and 'on' or 'off'.\n")
 	}
 	for id, p := range q.core.proxies.configured {
 		if p.Name != q.args[0] || !q.loop.leases.Take(id, on) {
 			continue
 		}
 		if on {
-			return answerf("Asks for it; it is this governor's until 'take %s off', or a restart.\n", p.Name)
+			return answerf("Requested proxy %s for this controller until 'take %s off' or a restart; "+
+				"'show members proxies' shows who serves it.\n", p.Name, p.Name)
 		}
-		return "It goes where the plan has it.\n", nil
+		return answerf("Proxy %s is assigned by the plan again.\n", p.Name)
 	}
-	return "", refusef("Refused: %.80q is no proxy that is shared.\n", q.args[0])
+	return "", commandErrorf("Refused: %.80q is not a shared proxy; 'show members proxies' lists them.\n", q.args[0])
 }
 
 func (q *query) showPeers() (string, error) {
 	peers := q.core.gossip.peers
 	if peers == nil {
-		return "", commandError("No peers are heard.\n")
+		return "", commandError("Gossip with other controllers is off (setting peers.listen).\n")
 	}
 	var b strings.Builder
 	b.WriteString("# governor age_s list_rev live tells_of list_ahead\n")
@@ -133,7 +134,7 @@
 		fmt.Fprintf(&b, "%s %.1f %d %v %d %v\n",
 			p.Controller, p.Age.Seconds(), p.ListRevision, p.Live, p.Servers, p.Ahead)
 	}
-	fmt.Fprintf(&b, "# %d servers count as peers say; %d news refused, %d old\n",
+	fmt.Fprintf(&b, "# %d servers overridden by peers; %d invalid and %d outdated messages ignored\n",
 		peers.OverrideCount(), peers.Invalid, peers.Outdated)
 	return b.String(), nil
 }
--- a/internal/controller/operators_reports.go
+++ b/internal/controller/operators_reports.go
@@ -25,22 +25,22 @@
 	return []command{
 		{
 			words:  []string{"show", "reports"},
-			help:   "[stale]: servers as sources: what is made of their silence, age, load, trust",
+			help:   "[stale]: servers as sources of load reports: verdict, age, attempts, trust",
 			handle: (*query).showReports,
 		},
 		{
 			words:  []string{"show", "intake"},
-			help:   "where reports went: sums, what was thinned, shed or not believed",
+			help:   "what became of load reports: totals, and what was dropped, shed or not trusted",
 			handle: (*query).showIngest,
 		},
 		{
 			words:  []string{"show", "series"},
-			help:   "<server> [minutes]: what proxies met there, a row a minute",
+			help:   "<server> [minutes]: attempts, failures, latency and load, a row a minute",
 			handle: (*query).showSeries,
 		},
 		{
 			words:  []string{"top", "servers"},
-			help:   "age|load|failures [n]: the servers that stand out",
+			help:   "age|load|failures [n]: the servers with the highest values",
 			handle: (*query).topServers,
 		},
 	}
@@ -49,7 +49,7 @@
 func (q *query) showReports() (string, error) {
 	staleOnly := q.hasOption("stale")
 	if len(q.args) > 0 && !staleOnly {
-		return "", commandError("'show reports' expects nothing or 'stale'.\n")
+		return "", commandError("'show reports' expects no argument or 'stale'.\n")
 	}
 	var b strings.Builder
 	b.WriteString("# server sight since_s report_age_s met_age_s tries failed served erred clock_off_s believed\n")
@@ -145,11 +145,12 @@
 	if len(q.args) == 2 {
 		n, err := strconv.Atoi(q.args[1])
 		if err != nil || n < 1 || n > maxTopServers {
-			return "", refusef("'top servers' shows 1 to %d lines, not %.20q.\n", maxTopServers, q.args[1])
+			return "", commandErrorf("'top servers' shows 1 to %d servers, not %.20q.\n", maxTopServers, q.args[1])
 		}
 		limit = n
 	}
-	const usage = commandError("'top servers' expects age, load or failures, and how many.\n")
+	usage := commandErrorf("'top servers' expects age, load or failures, and optionally a number of servers (1 to %d).\n",
+		maxTopServers)
 	if len(q.args) < 1 || len(q.args) > 2 {
 		return "", usage
 	}
@@ -169,7 +170,8 @@
 
 func (q *query) showSeries() (string, error) {
 	if len(q.args) < 1 || len(q.args) > 2 {
-		return "", commandError("'show series' expects one server's name, and how many minutes.\n")
+		return "", commandErrorf("'show series' expects one server name, and optionally a number of minutes (1 to %d).\n",
+			maxSeriesMinutes)
 	}
 	id, err := q.server(q.args[0])
 	if err != nil {
@@ -179,16 +181,16 @@
 	if len(q.args) == 2 {
 		n, err := strconv.Atoi(q.args[1])
 		if err != nil || n < 1 || n > maxSeriesMinutes {
-			return "", refusef("'show series' goes back 1 to %d minutes, not %.20q.\n", maxSeriesMinutes, q.args[1])
+			return "", commandErrorf("'show series' covers the last 1 to %d minutes, not %.20q.\n", maxSeriesMinutes, q.args[1])
 		}
 		minutes = n
 	}
 	if q.loop.series == nil {
-		return "", commandError("No series are kept.\n")
+		return "", commandError("This controller records no time series; its log says why at the start.\n")
 	}
 	points, damaged, err := q.loop.series.Read(id, q.now-fleet.Time(minutes)*minute)
 	if err != nil {
-		return "", refusef("%v\n", err)
+		return "", commandErrorf("%v\n", err)
 	}
 	var b strings.Builder
 	b.WriteString("# minute tries failed p50_ms p99_ms most_ms load\n")
@@ -198,7 +200,7 @@
 	total := timeseries.Sum(points)
 	b.WriteString(formatPoint("all", &total))
 	if damaged > 0 {
-		fmt.Fprintf(&b, "# %d rows could not be read\n", damaged)
+		fmt.Fprintf(&b, "# %d damaged rows were skipped\n", damaged)
 	}
 	return b.String(), nil
 }
--- a/internal/controller/operators_show.go
+++ b/internal/controller/operators_show.go
@@ -16,32 +16,32 @@
 	return []command{
 		{
 			words:  []string{"show", "info"},
-			help:   "the governor: version, clock, counters, time of decisions",
+			help:   "the controller: version, uptime, counters, duration of steps",
 			handle: (*query).showInfo,
 		},
 		{
 			words:  []string{"show", "servers"},
-			help:   "listed servers: state, health as the module logged it, weights",
+			help:   "listed servers: address, zone, state, age, withdrawal, weights",
 			handle: (*query).showServers,
 		},
 		{
 			words:  []string{"show", "tables"},
-			help:   "lines of all tables, with the weight that proxies are sent",
+			help:   "entries of all weight tables, with the weights published to proxies",
 			handle: (*query).showTables,
 		},
 		{
 			words:  []string{"show", "proxies"},
-			help:   "proxies: stream, tables, what waits for them",
+			help:   "proxies: connection, tables, pending entries and messages",
 			handle: (*query).showProxies,
 		},
 		{
 			words:  []string{"show", "orders"},
-			help:   "the latest orders, oldest first",
+			help:   fmt.Sprintf("the latest %d orders of the balancer, oldest first", orderCapacity),
 			handle: (*query).showOrders,
 		},
 		{
 			words:  []string{"show", "doubts"},
-			help:   "servers of a kept list that the list's source has not confirmed yet",
+			help:   "servers of a cached endpoint list that its source has not confirmed yet",
 			handle: (*query).showVerification,
 		},
 	}
--- a/internal/controller/operators_tables.go
+++ b/internal/controller/operators_tables.go
@@ -42,7 +42,8 @@
 }
 
 const errTableUsage = commandError("'table' expects history T, show T [VERSION], diff T VERSION [VERSION], " +
-	"rollback T VERSION [TIME], pin T [TIME], unpin T, proxies.\n")
+	"rollback T VERSION [TIME], pin T [TIME], unpin T or proxies; " +
+	"T is a table's number, TIME a duration of at most 24h such as 5m.\n")
 
 // table is "table history|show|diff|rollback|pin|unpin|proxies ...".
 func (q *query) table() (string, error) {
@@ -54,12 +55,12 @@
 	}
 	number, err := strconv.ParseUint(q.args[1], 10, 16)
 	if err != nil {
-		return "", refusef("'%s' is no table's number.\n", q.args[1])
+		return "", commandErrorf("'%s' is not a table's number (0 to 65535).\n", q.args[1])
 	}
 	id := fleet.TableID(number)
 	table := q.core.reconciler.TableVersions(id)
 	if table == nil {
-		return "", refusef("Table %d is not there.\n", id)
+		return "", commandErrorf("Table %d has no versions; 'show tables' lists the tables.\n", id)
 	}
 	args := q.args[2:]
 	known, ok := tableCommands()[q.args[0]]
@@ -72,7 +73,7 @@
 func parseVersion(text string) (tableversion.Version, error) {
 	version, err := tableversion.ParseVersion(text)
 	if err != nil {
-		return version, refusef("%v.\n", err)
+		return version, commandErrorf("%v.\n", err)
 	}
 	return version, nil
 }
@@ -85,7 +86,7 @@
 	parsed, err := time.ParseDuration(args[0])
 	duration := fleet.Time(parsed)
 	if err != nil || duration <= 0 || duration > reconcile.MaxPinDuration {
-		return 0, refusef("'%s' is no time from 1s to 24h.\n", args[0])
+		return 0, commandErrorf("'%s' is not a duration of at most 24h, such as 5m.\n", args[0])
 	}
 	return q.now + duration, nil
 }
@@ -114,7 +115,7 @@
 	}
 	entries, err := q.table.At(version)
 	if err != nil {
-		return "", refusef("%v.\n", err)
+		return "", commandErrorf("%v.\n", err)
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "# table %d version %s server weight\n", q.id, version)
@@ -160,7 +161,7 @@
 func (q *tableQuery) weightsAt(version tableversion.Version) (map[string]int, error) {
 	entries, err := q.table.At(version)
 	if err != nil {
-		return nil, refusef("%v.\n", err)
+		return nil, commandErrorf("%v.\n", err)
 	}
 	weights := map[string]int{}
 	for _, e := range entries {
@@ -179,16 +180,16 @@
 	var b strings.Builder
 	for _, o := range omitted {
 		name := q.core.serverName(o.Server)
-		fmt.Fprintf(&b, "%s had %d there and is left out: it is %s.\n", name, o.Weight, o.Reason)
+		fmt.Fprintf(&b, "Server %s (weight %d in that version) is left out because it is %s.\n", name, o.Weight, o.Reason)
 	}
 	if err != nil {
 		fmt.Fprintf(&b, "Refused: %v.\n", err)
 		return b.String(), nil
 	}
 	version := q.table.Version()
-	fmt.Fprintf(&b, "Table %d is back at the content of %s, as version %s, until %s.\n",
-		q.id, to, version, formatTime(until))
-	q.core.logOperatorAction(q.now, "table %d was taken back to %s as %s", q.id, to, version)
+	fmt.Fprintf(&b, "Table %d is rolled back to the content of %s, as version %s, and pinned until %s; "+
+		"'table unpin %d' ends the pin earlier.\n", q.id, to, version, formatTime(until), q.id)
+	q.core.logOperatorAction(q.now, "table %d was rolled back to the content of %s, as version %s", q.id, to, version)
 	return b.String(), nil
 }
 
@@ -198,18 +199,19 @@
 		return "", err
 	}
 	if err := q.core.reconciler.Pin(q.now, q.id, until); err != nil {
-		return "", refusef("Refused: %v.\n", err)
+		return "", commandErrorf("Refused: %v.\n", err)
 	}
 	version := q.table.Version()
-	q.core.logOperatorAction(q.now, "table %d is pinned at %s until %s", q.id, version, formatTime(until))
-	return answerf("Table %d is pinned at %s until %s.\n", q.id, version, formatTime(until))
+	q.core.logOperatorAction(q.now, "table %d is pinned at version %s until %s", q.id, version, formatTime(until))
+	return answerf("Table %d is pinned at version %s until %s; 'table unpin %d' ends the pin earlier.\n",
+		q.id, version, formatTime(until), q.id)
 }
 
 func (q *tableQuery) unpin() (string, error) {
 	if !q.core.reconciler.Unpin(q.now, q.id, "unpinned") {
-		return "", refusef("Table %d is not pinned.\n", q.id)
+		return "", commandErrorf("Table %d is not pinned.\n", q.id)
 	}
-	return answerf("Table %d goes by the module again, as version %s.\n", q.id, q.table.Version())
+	return answerf("Table %d follows the balancer again, as version %s.\n", q.id, q.table.Version())
 }
 
 // tableProxies is "table proxies": the version that each proxy says it holds.
--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -177,14 +177,14 @@
 		{"table diff 0 " + history[1] + "\n", "server before after"},
 		{"table show 0 x.y\n", "is no version"},
 		{"table show 0 zz.9\n", "is not kept"},
-		{"table pin 0 nonsense\n", "is no time"},
-		{"table pin 0 1m\n", "is pinned at"},
+		{"table pin 0 nonsense\n", "is not a duration"},
+		{"table pin 0 1m\n", "is pinned at version "},
 		{"table history 0\n", "# pinned until"},
-		{"table unpin 0\n", "goes by the module again"},
+		{"table unpin 0\n", "follows the balancer again, as version "},
 		{"table unpin 0\n", "is not pinned"},
 		{"table rollback 0 " + history[1] + "\n", "Refused: that is what stands already"},
 		{"table rollback 0 zz.9\n", "Refused: version zz.9 is not kept"},
-		{"table history 9\n", "Table 9 is not there"},
+		{"table history 9\n", "Table 9 has no versions"},
 		{"table\n", "'table' expects"},
 		{"table pin 0 1m 2m\n", "'table' expects"},
 	} {
@@ -200,11 +200,11 @@
 		"show tables;explain n1\n":      {"# table server", "n1 (127.0.0.1:1) is listed as ready in a."},
 		"explain n9\n":                  {"is not listed"},
 		"explain n7\n":                  {"No such server."},
-		"explain\n":                     {"expects one server's name"},
+		"explain\n":                     {"expects one server name"},
 		"set server look/n1 weight 3\n": {"Unknown command: 'set server look/n1 weight 3'", "show orders"},
 		"prompt\nhelp\nquit\n":          {"> ", "explain"},
 		"show \x01\n":                   {"byte 5: the control character 0x01"},
-		"show orders;get weight n9\n":   {"In no table."},
+		"show orders;get weight n9\n":   {"It is in no weight table."},
 	} {
 		answer := ask(text)
 		for _, want := range wants {
--- a/internal/controller/operators_weights.go
+++ b/internal/controller/operators_weights.go
@@ -16,19 +16,19 @@
 	return []command{
 		{
 			words:    []string{"set", "weight"},
-			help:     "<table>/<server> <0-256>: set a line by hand for 5 minutes",
+			help:     "<table>/<server> <0-256>: override the weight of a table entry for 5 minutes",
 			handle:   (*query).setWeight,
 			persists: true,
 		},
 		{
 			words:    []string{"clear", "weight"},
-			help:     "<table>/<server>: let the module's weight count again",
+			help:     "<table>/<server>: end a manual weight, so that the balancer's applies again",
 			handle:   (*query).clearWeight,
 			persists: true,
 		},
 		{
 			words:    []string{"table"},
-			help:     "history|show|diff|rollback|pin|unpin T ..., proxies: versions of a table",
+			help:     "history|show|diff|rollback|pin|unpin T ..., proxies: versions of a weight table",
 			handle:   (*query).table,
 			persists: true,
 		},
@@ -110,7 +110,7 @@
 	tableText, name, ok := strings.Cut(target, "/")
 	table, err := strconv.ParseUint(tableText, 10, 16)
 	if !ok || err != nil {
-		return 0, 0, commandError("Require '<table>/<server>', the table by its number.\n")
+		return 0, 0, commandError("Require '<table>/<server>', with the table's number (0 to 65535).\n")
 	}
 	server, err := q.server(name)
 	return fleet.TableID(table), server, err
@@ -124,7 +124,8 @@
 	c := q.core
 	harms := c.harmsOfWeight(q.now, a.table, a.server, a.weight)
 	if a.forced && !c.overrides.redeem(q.now, a.token, a.command) {
-		return "", commandError("Refused: that token is not for this, or its time is over.\n")
+		return "", commandErrorf("Refused: the token is unknown, older than %.0f s or for another weight; "+
+			"repeat 'set weight %s' to get a new one.\n", safety.ForceTimeout.Seconds(), a.command)
 	}
 	forcible := true
 	for _, harm := range harms {
@@ -138,7 +139,7 @@
 	if a.forced {
 		suffix = ", forced"
 	}
-	c.logOperatorAction(q.now, "%s was set to %d by hand for %.0f s%s",
+	c.logOperatorAction(q.now, "weight of %s was set to %d by hand for %.0f s%s",
 		a.target, a.weight, reconcile.ManualWeightDuration.Seconds(), suffix)
 	return "", nil
 }
@@ -154,15 +155,16 @@
 		fmt.Fprintf(&b, "Refused: %s%s: %s.\n", subject, harm.Reason, harm.Text)
 	}
 	if !forcible {
-		b.WriteString("This can't be forced.\n")
+		b.WriteString("This weight can't be forced.\n")
 		return commandError(b.String())
 	}
 	token, ok := q.core.overrides.issue(q.now, command)
 	if !ok {
-		b.WriteString("Too many refusals wait to be forced.\n")
+		fmt.Fprintf(&b, "It can't be forced now: %d other weights await confirmation; repeat the command in %.0f s.\n",
+			safety.MaxForces, safety.ForceTimeout.Seconds())
 		return commandError(b.String())
 	}
-	fmt.Fprintf(&b, "To force it all the same, within %.0f s: set weight %s force %s\n",
+	fmt.Fprintf(&b, "To force it, send this command within %.0f s: set weight %s force %s\n",
 		safety.ForceTimeout.Seconds(), command, token)
 	return commandError(b.String())
 }
@@ -177,7 +179,7 @@
 		return "", err
 	}
 	if !q.core.reconciler.ClearManualWeight(q.now, table, server) {
-		return "", commandError("That line is not set by hand.\n")
+		return "", commandErrorf("%s has no manual weight; 'show refusals' lists the manual weights.\n", q.args[0])
 	}
 	return "", nil
 }
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -33,7 +33,8 @@
 	var state service.ServerState
 	id, known := c.names.Server(name)
 	if !known {
-		return state, &service.Error{Code: service.NoServer, Text: fmt.Sprintf("%q was never heard of", name)}
+		text := fmt.Sprintf("no server %q is known to this controller", name)
+		return state, &service.Error{Code: service.NoServer, Text: text}
 	}
 	e, listed := c.endpoints.listed[id]
 	state.Name, state.Addr = c.names.Lookup(id)
@@ -91,15 +92,16 @@
 	class := slices.IndexFunc(c.site.Classes, func(k fleet.RequestClass) bool { return k.Name == className })
 	switch {
 	case zone < 0:
-		text := fmt.Sprintf("zone %.256q is none of this governor's", zoneName)
+		text := fmt.Sprintf("zone %.256q is not served by this controller", zoneName)
 		return nil, &service.Error{Code: service.NoZone, Text: text}
 	case class < 0:
-		text := fmt.Sprintf("%.256q is none of the classes", className)
+		text := fmt.Sprintf("class %.256q is not configured", className)
 		return nil, &service.Error{Code: service.NoClass, Text: text}
 	}
 	id, assigned := c.reconciler.TableOf(zones[zone].Proxy, fleet.ClassID(class))
 	if !assigned || c.reconciler.TableVersions(id) == nil {
-		return nil, &service.Error{Code: service.Unready, Text: "no table is laid yet", RetryAfter: fleet.Second}
+		text := fmt.Sprintf("class %s has no weight table in zone %s yet", className, zoneName)
+		return nil, &service.Error{Code: service.Unready, Text: text, RetryAfter: fleet.Second}
 	}
 	history := c.reconciler.TableVersions(id).History()
 	for _, v := range history[max(0, len(history)-limit):] {
