--- a/internal/controller/history.go
+++ b/internal/controller/history.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	logCapacity   = 512 // entries for "show log" and "explain": some minutes of a busy day
+	logCapacity   = 512 // entries for "show log" and "explain": a few minutes under heavy traffic
 	orderCapacity = 512 // orders for "show orders"
 )
 
-// Level is the severity of a log entry, as operators see it.
+// Level is the severity of a log entry. "show log" prints it as it is.
 type Level string
 
-// The levels of log entries.
+// The levels of log entries. LevelInfo also reports the end of a fault.
 const (
 	LevelInfo  Level = "info"
 	LevelWarn  Level = "warn"
 	LevelError Level = "error"
 )
 
-// LogEntry is one entry of the controller's log, which operators read over their socket.
+// LogEntry is an entry of the controller's log, which "show log" prints. All but operators' actions are also written to
+// the process's log.
 type LogEntry struct {
 	At     fleet.Time
 	Level  Level
-	Source string // "module", "channel", "list", "proxy" and so on: part of the operators' protocol
+	Source string // part of the program: "module" (the balancer), "channel", "list", "proxy" etc.; scripts rely on it
 	Text   string
 }
 
-// orderEntry is an order as "show orders" prints it.
+// orderEntry is an order in the format of "show orders".
 type orderEntry struct {
 	at   fleet.Time
 	text string
@@ -52,8 +53,8 @@
 	h.orders = append(h.orders[max(0, len(h.orders)+1-orderCapacity):], orderEntry{at, text})
 }
 
-// logOf gives the log entries that name a server, oldest first.
-func (h *history) logOf(name string) (entries []LogEntry) {
+// entriesNaming returns the log entries whose text contains a server's name as a word, oldest first.
+func (h *history) entriesNaming(name string) (entries []LogEntry) {
 	isSeparator := func(r rune) bool { return r == ' ' || r == ':' || r == ',' }
 	for _, entry := range h.log {
 		if slices.Contains(strings.FieldsFunc(entry.Text, isSeparator), name) {
@@ -63,18 +64,18 @@
 	return entries
 }
 
-// log adds an entry to the history and to what the step writes to the process's log.
+// log adds an entry to the history and to the output of the step, from which it reaches the process's log.
 func (c *Core) log(out *Output, entry LogEntry) {
 	c.history.addLog(entry)
 	out.Log = append(out.Log, entry)
 }
 
-// logOperatorAction notes what an operator has changed.
+// logOperatorAction records an operator's change in the history, but not in the process's log.
 func (c *Core) logOperatorAction(now fleet.Time, format string, args ...any) {
 	c.history.log = append(c.history.log, LogEntry{now, LevelWarn, "staff", fmt.Sprintf(format, args...)})
 }
 
-// logReconcilerNotices logs what the reconciler and its safety check have to say.
+// logReconcilerNotices logs the notices of the reconciler and its safety check.
 func (c *Core) logReconcilerNotices(now fleet.Time, out *Output) {
 	for _, notice := range c.reconciler.Notices() {
 		entry := LogEntry{now, LevelWarn, "channel", ""}
@@ -94,7 +95,7 @@
 	}
 }
 
-// logIngestNotices logs what the pipeline has to say of servers, sources, proxies and itself.
+// logIngestNotices logs the pipeline's notices about servers, sources of reports, proxies and the pipeline itself.
 func (c *Core) logIngestNotices(now fleet.Time, out *Output) {
 	for _, notice := range c.pipeline.Examine(now) {
 		entry := LogEntry{now, LevelWarn, "intake", notice.Text}
--- a/internal/controller/operators.go
+++ b/internal/controller/operators.go
@@ -17,23 +17,26 @@
 )
 
 const (
-	commandTimeout     = 2 * time.Second // of an operator's command: some steps of a busy controller
+	commandTimeout     = 2 * time.Second // long enough for several steps of a busy controller
 	sessionIdleTimeout = 10 * time.Minute
 )
 
-// Operators serves the operators' socket: the runtime API's text protocol, with the commands that "help" lists.
+// Operators serves the operators' socket. It speaks the text protocol of HAProxy's runtime API with the commands that
+// "help" lists. Commands wait for the loop's goroutine for up to 2 s.
 type Operators struct {
 	loop       *Loop
 	version    string
 	engine     *nbio.Engine
-	sessions   sync.Map // *nbio.Conn to *haproxyapi.Session
+	sessions   sync.Map // *haproxyapi.Session by *nbio.Conn
 	socketPath string   // "" for a TCP listener
 }
 
-// ServeOperators listens on a Unix socket of mode 0600, or on host:port.
+// ServeOperators starts to serve commands to a loop. An address with a slash is the path of a Unix socket, which gets
+// mode 0600; any other is host:port. The version is that of the program, for "show info". An address that another
+// process listens on is an error; a Unix socket that nobody listens on any more is replaced.
 func ServeOperators(loop *Loop, addr, version string) (*Operators, error) {
 	o := &Operators{loop: loop, version: version}
-	logging.SetLevel(logging.LevelNone) // the library's own log; what matters comes as errors
+	logging.SetLevel(logging.LevelNone) // nbio reports what matters as errors, too
 	network := "tcp"
 	if strings.Contains(addr, "/") {
 		network = "unix"
@@ -57,7 +60,7 @@
 
 func (o *Operators) openSession(conn *nbio.Conn) {
 	o.sessions.Store(conn, &haproxyapi.Session{Answer: o.answer})
-	_ = conn.SetReadDeadline(time.Now().Add(sessionIdleTimeout)) // fails on a closed connection alone
+	_ = conn.SetReadDeadline(time.Now().Add(sessionIdleTimeout)) // fails only on a closed connection
 }
 
 func (o *Operators) feedSession(conn *nbio.Conn, data []byte) {
@@ -67,15 +70,15 @@
 		return
 	}
 	session := value.(*haproxyapi.Session)
-	_ = conn.SetReadDeadline(time.Now().Add(sessionIdleTimeout)) // fails on a closed connection alone
+	_ = conn.SetReadDeadline(time.Now().Add(sessionIdleTimeout)) // fails only on a closed connection
 	reply, done := session.Feed(data)
-	_, _ = conn.Write(reply) // the session ends with the connection
+	_, _ = conn.Write(reply) // a write error closes the connection, and OnClose ends the session
 	if done {
 		_ = conn.Close()
 	}
 }
 
-// Close ends all sessions and removes the Unix socket.
+// Close stops listening, closes all connections and removes the Unix socket.
 func (o *Operators) Close() {
 	o.engine.Stop()
 	if o.socketPath != "" {
@@ -83,27 +86,27 @@
 	}
 }
 
-// answer runs one command and gives what the session writes.
-func (o *Operators) answer(c haproxyapi.Command) []byte {
-	for _, known := range commands() {
-		n := len(known.words)
-		if len(c.Words) < n || !slices.Equal(c.Words[:n], known.words) {
+// answer runs the command that a request names and returns the answer.
+func (o *Operators) answer(request haproxyapi.Command) []byte {
+	for _, candidate := range commands() {
+		n := len(candidate.words)
+		if len(request.Words) < n || !slices.Equal(request.Words[:n], candidate.words) {
 			continue
 		}
-		return o.run(known, c.Words[n:])
+		return o.run(candidate, request.Words[n:])
 	}
-	words := strings.Join(c.Words, " ")
+	words := strings.Join(request.Words, " ")
 	return fmt.Appendf(nil, "%s'%s'. Known commands:\n%s", haproxyapi.UnknownPrefix, words, helpText())
 }
 
-// run runs a command in the loop's goroutine.
-func (o *Operators) run(known command, args []string) []byte {
+// run handles a command in the loop's goroutine and, where the command requires it, waits until its effect is on disk.
+func (o *Operators) run(cmd command, args []string) []byte {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
 	var text string
 	err := o.loop.Do(ctx, func(core *Core) {
 		q := &query{core: core, loop: o.loop, version: o.version, now: o.loop.Now(), args: args}
-		answer, err := known.handle(q)
+		answer, err := cmd.handle(q)
 		if err != nil {
 			answer = err.Error()
 		}
@@ -112,7 +115,7 @@
 	if err != nil {
 		return fmt.Appendln(nil, err)
 	}
-	if known.persists {
+	if cmd.persists {
 		if err := o.loop.WaitPersisted(ctx); err != nil {
 			text += fmt.Sprintf("Manual changes are in effect but not on disk, "+
 				"and a restart of this controller may lose them: %v.\n", err)
@@ -121,12 +124,12 @@
 	return []byte(text)
 }
 
-// formatTime gives a time as operators see it.
+// formatTime formats a time in UTC with milliseconds.
 func formatTime(t fleet.Time) string {
 	return time.Unix(0, int64(t)).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-// formatSeconds gives a positive duration in seconds, and "-" for none.
+// formatSeconds formats a duration in seconds with one decimal; 0 and less is "-".
 func formatSeconds(t fleet.Time) string {
 	if t <= 0 {
 		return "-"
--- a/internal/controller/operators_commands.go
+++ b/internal/controller/operators_commands.go
@@ -9,41 +9,42 @@
 	"cressknot/internal/haproxyapi"
 )
 
-// query is one command of an operator, as its handler gets it in the loop's goroutine.
+// query is the context in which a command is handled in the loop's goroutine.
 type query struct {
 	core    *Core
 	loop    *Loop
 	version string // of the program
 	now     fleet.Time
-	args    []string // after the command's words
+	args    []string // that follow the command's words
 }
 
-// command is one that operators know. Its words, help and answers are a protocol that scripts read: they never change.
+// command is a command of the operators' socket. Scripts rely on its words, its arguments, and the headers, keys and
+// columns of its answers, so these never change.
 type command struct {
 	words []string
 	help  string
-	// handle gives the answer; the text of an error is the answer, too, and ends its line itself.
+	// handle returns the answer. The text of an error is sent as the answer as well, and includes the final newline.
 	handle   func(q *query) (string, error)
-	persists bool // what must survive a restart: the answer waits until it is on disk
+	persists bool // its effect must survive a restart, so the answer waits until it is on disk
 }
 
-// commandError is the answer to a command that can't be carried out.
+// commandError is the answer to a command that can't be carried out: one or more lines with their newlines.
 type commandError string
 
 func (e commandError) Error() string { return string(e) }
 
-// commandErrorf makes a commandError.
+// commandErrorf formats a commandError.
 func commandErrorf(format string, args ...any) error {
 	return commandError(fmt.Sprintf(format, args...))
 }
 
-// answerf makes the answer of a handler.
+// answerf formats the result of a handler that succeeded.
 func answerf(format string, args ...any) (string, error) { return fmt.Sprintf(format, args...), nil }
 
-// errNoServer is the answer where a server's name is not known.
-const errNoServer = commandError(haproxyapi.NoServer)
+// errUnknownServer answers a command that names an unknown server.
+const errUnknownServer = commandError(haproxyapi.NoServer)
 
-// commands gives all commands, in the order in which "help" lists them.
+// commands returns all commands in the order in which "help" lists them.
 func commands() []command {
 	help := command{
 		words:  []string{"help"},
@@ -63,30 +64,31 @@
 	return b.String()
 }
 
-// server reads an argument that is a server's name.
+// server returns the id of the server with a name.
 func (q *query) server(name string) (fleet.ServerID, error) {
 	id, known := q.core.names.Server(name)
 	if !known {
-		return 0, errNoServer
+		return 0, errUnknownServer
 	}
 	return id, nil
 }
 
-// hasOption reports whether the only argument is an option, with or without dashes.
+// hasOption reports whether an option, with or without leading dashes, is the only argument.
 func (q *query) hasOption(name string) bool {
 	return len(q.args) == 1 && strings.TrimLeft(q.args[0], "-") == name
 }
 
-// switchAt reads the last argument, which is "on" or "off", at an index.
-func (q *query) switchAt(i int) (on, ok bool) {
+// parseOnOff parses the argument at an index, which must be the last one, as "on" or "off".
+func (q *query) parseOnOff(i int) (on, ok bool) {
 	if len(q.args) != i+1 {
 		return false, false
 	}
 	return q.args[i] == "on", q.args[i] == "on" || q.args[i] == "off"
 }
 
-// joinAnswers gives one error whose text is those of all, one after the other; nil for none.
-func joinAnswers(errs ...error) error {
+// joinCommandErrors concatenates the texts of errors to one error. It skips nil, and returns nil if all are. Unlike
+// errors.Join it adds no newlines, as each text has its own.
+func joinCommandErrors(errs ...error) error {
 	var text strings.Builder
 	for _, err := range errs {
 		if err != nil {
--- a/internal/controller/operators_explain.go
+++ b/internal/controller/operators_explain.go
@@ -9,7 +9,7 @@
 	"cressknot/internal/safety"
 )
 
-// explainCommands are those that say why weights are what they are.
+// explainCommands returns the commands that explain the current weights.
 func explainCommands() []command {
 	return []command{
 		{
@@ -69,7 +69,7 @@
 	}
 	attempts, failed := c.pipeline.PendingOutcomes(id)
 	fmt.Fprintf(&b, "Load reports not yet passed to the balancer: %d attempts, %d of them failed.\n", attempts, failed)
-	entries := c.history.logOf(q.args[0])
+	entries := c.history.entriesNaming(q.args[0])
 	for _, e := range entries {
 		fmt.Fprintf(&b, "%s %s: %s\n", formatTime(e.At), e.Source, e.Text)
 	}
@@ -79,7 +79,7 @@
 	return b.String(), nil
 }
 
-// explainListing says how a server is listed.
+// explainListing describes a server's entry in the endpoint list.
 func (q *query) explainListing(id fleet.ServerID) string {
 	c := q.core
 	name, addr := c.names.Lookup(id)
--- a/internal/controller/operators_peers.go
+++ b/internal/controller/operators_peers.go
@@ -9,7 +9,7 @@
 	"cressknot/internal/fleet"
 )
 
-// peerCommands are those about other controllers.
+// peerCommands returns the commands about other controllers and the proxies shared with them.
 func peerCommands() []command {
 	return []command{
 		{
@@ -35,15 +35,17 @@
 	}
 }
 
+// errNotShared answers commands about shared proxies where this controller shares none.
 const errNotShared = commandError("This controller does not share its proxies (setting sharing.governors).\n")
 
-// holderSummary is what the leases at the proxies show of a controller.
+// holderSummary sums up the leases that one controller holds.
 type holderSummary struct {
 	proxies       int
-	lastHeartbeat fleet.Time
+	lastHeartbeat fleet.Time // the newest of all its leases
 }
 
-// formatHolder gives the name and the age of the heartbeat of a lease holder; "" is nobody.
+// formatHolder returns the name of a lease holder and the age of its heartbeat in seconds. The name "" stands for a
+// lease without holder.
 func (q *query) formatHolder(name string, lastHeartbeat fleet.Time) (shownName, age string) {
 	if name == "" {
 		return "(nobody)", "-"
@@ -51,13 +53,13 @@
 	return name, fmt.Sprintf("%.1f", (q.now - lastHeartbeat).Seconds())
 }
 
-// showMembers lists which controllers serve how many proxies, as the proxies say.
+// showMembers lists how many proxies each controller serves, by the leases that were last read at the proxies.
 func (q *query) showMembers() (string, error) {
 	if q.loop.leases == nil {
 		return "", errNotShared
 	}
 	holders := q.loop.leases.Holders()
-	q.now = q.loop.Now() // heartbeats may have been seen since
+	q.now = q.loop.Now() // a heartbeat seen since the command began would have a negative age
 	byName := map[string]holderSummary{}
 	for _, h := range holders {
 		summary := byName[h.Controller]
@@ -85,12 +87,12 @@
 	return b.String(), nil
 }
 
-// retire is "retire on|off": it hands all proxies on, or takes this controller's part again.
+// retire handles "retire on|off": the controller hands its proxies over to others, or takes proxies again.
 func (q *query) retire() (string, error) {
 	if q.loop.leases == nil {
 		return "", errNotShared
 	}
-	on, ok := q.switchAt(0)
+	on, ok := q.parseOnOff(0)
 	if !ok {
 		return "", commandError("'retire' expects 'on' or 'off'.\n")
 	}
@@ -101,12 +103,12 @@
 	return "Taking proxies again; 'show members' shows how many this controller serves.\n", nil
 }
 
-// takeProxy is "take <proxy> on|off": it moves a proxy to this controller by hand, or ends that.
+// takeProxy handles "take <proxy> on|off": the controller requests a proxy's lease whatever its rank, or ends that.
 func (q *query) takeProxy() (string, error) {
 	if q.loop.leases == nil {
 		return "", errNotShared
 	}
-	on, ok := q.switchAt(1)
+	on, ok := q.parseOnOff(1)
 	if !ok {
 		return "", commandError("'take' expects a proxy name, and 'on' or 'off'.\n")
 	}
--- a/internal/controller/operators_reports.go
+++ b/internal/controller/operators_reports.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	defaultTopServers    = 20 // rows of "top servers", and violations of "show intake"
+	defaultTopServers    = 20 // rows of "top servers", and violations in "show intake"
 	maxTopServers        = 500
-	defaultSeriesMinutes = 60 // of "show series"
+	defaultSeriesMinutes = 60 // rows of "show series"
 	maxSeriesMinutes     = 24 * 60
 	minute               = 60 * fleet.Second
 )
 
-// reportCommands are those about load reports.
+// reportCommands returns the commands about load reports.
 func reportCommands() []command {
 	return []command{
 		{
@@ -75,7 +75,7 @@
 	return b.String() + strings.Join(lines, ""), nil
 }
 
-// formatSource gives the line of a server as a source of reports.
+// formatSource formats the row of a server in "show reports".
 func (q *query) formatSource(v ingest.View) string {
 	age := "-"
 	if v.Reports {
@@ -102,7 +102,7 @@
 	violations, repeated, odd, unbelieved := p.Violations()
 	level, misses, shedText := p.Shedding()
 	var b strings.Builder
-	b.WriteString(formatFacts([]fact{
+	b.WriteString(formatInfo([]infoField{
 		{"Tries_counted", totals.Counted},
 		{"Tries_told", totals.Reported},
 		{"Tries_waiting", totals.Pending},
@@ -127,9 +127,9 @@
 	return b.String(), nil
 }
 
-// rankServers gives the figure by which "top servers" ranks, nil for an unknown one.
-func rankServers(by string) func(v *ingest.View) float64 {
-	switch by {
+// rankingBy returns the function whose value "top servers" sorts by, nil for an unknown criterion.
+func rankingBy(criterion string) func(v *ingest.View) float64 {
+	switch criterion {
 	case "age":
 		return func(v *ingest.View) float64 { return v.Age.Seconds() }
 	case "load":
@@ -154,7 +154,7 @@
 	if len(q.args) < 1 || len(q.args) > 2 {
 		return "", usage
 	}
-	rank := rankServers(q.args[0])
+	rank := rankingBy(q.args[0])
 	if rank == nil {
 		return "", usage
 	}
@@ -205,7 +205,7 @@
 	return b.String(), nil
 }
 
-// formatPoint gives the row of a time series.
+// formatPoint formats a row of "show series".
 func formatPoint(label string, p *timeseries.Point) string {
 	return fmt.Sprintf("%s %d %d %d %d %d %.3f\n", label, p.Attempts, p.Failures,
 		p.Latencies.ValueAtQuantile(50), p.Latencies.ValueAtQuantile(99), p.Latencies.Max(), p.Load)
--- a/internal/controller/operators_show.go
+++ b/internal/controller/operators_show.go
@@ -11,7 +11,7 @@
 	"cressknot/internal/fleet"
 )
 
-// stateCommands are those that print the state of the controller, its servers, tables and proxies.
+// stateCommands returns the commands that print the state of the controller, its servers, tables and proxies.
 func stateCommands() []command {
 	return []command{
 		{
@@ -47,15 +47,15 @@
 	}
 }
 
-// fact is one line "name: value" of an answer.
-type fact struct {
+// infoField is a line "name: value" of an answer.
+type infoField struct {
 	name  string
 	value any
 }
 
-func formatFacts(facts []fact) string {
+func formatInfo(fields []infoField) string {
 	var b strings.Builder
-	for _, f := range facts {
+	for _, f := range fields {
 		fmt.Fprintf(&b, "%s: %v\n", f.name, f.value)
 	}
 	return b.String()
@@ -68,7 +68,7 @@
 	passed, stopped := c.guard.Counts()
 	versions, deltaPercent := c.versionTotals()
 	reportsWaiting, _ := c.pipeline.Waiting(q.now)
-	return formatFacts([]fact{
+	return formatInfo([]infoField{
 		{"Name", "cressknot"},
 		{"Version", q.version},
 		{"Pid", os.Getpid()},
@@ -98,7 +98,8 @@
 	}), nil
 }
 
-// versionTotals counts the versions that all tables hold, and the size of their deltas in percent of the full tables.
+// versionTotals counts the versions that the tables hold, and returns the number of entries that these versions
+// changed in percent of the entries of the full tables.
 func (c *Core) versionTotals() (versions int, deltaPercent float64) {
 	changed := 0
 	full := 0
@@ -108,7 +109,7 @@
 			continue
 		}
 		history := table.History()
-		for _, d := range history[min(1, len(history)):] { // the first is the full table
+		for _, d := range history[min(1, len(history)):] { // the oldest holds the full table, not a delta
 			versions++
 			changed += len(d.Entries)
 			full += table.Len()
--- a/internal/controller/operators_tables.go
+++ b/internal/controller/operators_tables.go
@@ -14,22 +14,22 @@
 	"cressknot/internal/tableversion"
 )
 
-// tableQuery is a subcommand of "table" about one table.
+// tableQuery is the context in which a subcommand of "table" about one table is handled.
 type tableQuery struct {
 	*query
 	id    fleet.TableID
 	table *tableversion.Table
-	args  []string // after the table's number
+	args  []string // that follow the table's number
 }
 
-// tableCommand is a subcommand of "table" with the number of arguments that it takes after the table's number.
+// tableCommand is a subcommand of "table", with the number of arguments that may follow the table's number.
 type tableCommand struct {
 	minArgs int
 	maxArgs int
 	handle  func(q *tableQuery) (string, error)
 }
 
-// tableCommands gives the subcommands of "table" about one table, by name.
+// tableCommands returns the subcommands of "table" about one table, by name.
 func tableCommands() map[string]tableCommand {
 	return map[string]tableCommand{
 		"history":  {0, 0, (*tableQuery).history},
@@ -45,10 +45,10 @@
 	"rollback T VERSION [TIME], pin T [TIME], unpin T or proxies; " +
 	"T is a table's number, TIME a duration of at most 24h such as 5m.\n")
 
-// table is "table history|show|diff|rollback|pin|unpin|proxies ...".
+// table handles "table history|show|diff|rollback|pin|unpin|proxies ...".
 func (q *query) table() (string, error) {
 	if len(q.args) == 1 && q.args[0] == "proxies" {
-		return q.tableProxies()
+		return q.showProxyVersions()
 	}
 	if len(q.args) < 2 {
 		return "", errTableUsage
@@ -63,11 +63,11 @@
 		return "", commandErrorf("Table %d has no versions; 'show tables' lists the tables.\n", id)
 	}
 	args := q.args[2:]
-	known, ok := tableCommands()[q.args[0]]
-	if !ok || len(args) < known.minArgs || len(args) > known.maxArgs {
+	subcommand, ok := tableCommands()[q.args[0]]
+	if !ok || len(args) < subcommand.minArgs || len(args) > subcommand.maxArgs {
 		return "", errTableUsage
 	}
-	return known.handle(&tableQuery{query: q, id: id, table: table, args: args})
+	return subcommand.handle(&tableQuery{query: q, id: id, table: table, args: args})
 }
 
 func parseVersion(text string) (tableversion.Version, error) {
@@ -78,7 +78,7 @@
 	return version, nil
 }
 
-// parsePinEnd reads the optional duration of a pin and gives the time of its end.
+// parsePinEnd parses the optional duration of a pin (5 minutes unless given) and returns when the pin ends.
 func (q *tableQuery) parsePinEnd(args []string) (fleet.Time, error) {
 	if len(args) == 0 {
 		return q.now + reconcile.DefaultPinDuration, nil
@@ -157,7 +157,7 @@
 	return b.String(), nil
 }
 
-// weightsAt gives the weights of a version by the names of servers.
+// weightsAt returns the weights in a version by server name.
 func (q *tableQuery) weightsAt(version tableversion.Version) (map[string]int, error) {
 	entries, err := q.table.At(version)
 	if err != nil {
@@ -173,7 +173,7 @@
 func (q *tableQuery) rollback() (string, error) {
 	to, versionErr := parseVersion(q.args[0])
 	until, timeErr := q.parsePinEnd(q.args[1:])
-	if err := joinAnswers(versionErr, timeErr); err != nil {
+	if err := joinCommandErrors(versionErr, timeErr); err != nil {
 		return "", err
 	}
 	omitted, err := q.core.reconciler.Rollback(q.now, q.id, to, until)
@@ -214,8 +214,9 @@
 	return answerf("Table %d follows the balancer again, as version %s.\n", q.id, q.table.Version())
 }
 
-// tableProxies is "table proxies": the version that each proxy says it holds.
-func (q *query) tableProxies() (string, error) {
+// showProxyVersions handles "table proxies": it prints the version that each proxy was sent last, and whether that is
+// the newest and acknowledged.
+func (q *query) showProxyVersions() (string, error) {
 	var b strings.Builder
 	b.WriteString("# proxy class version/digest newest\n")
 	c := q.core
--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -23,12 +23,13 @@
 	"cressknot/internal/transport"
 )
 
-// fakeTransport is a transport without proxies; acknowledge answers the messages that it was sent.
+// fakeTransport records the messages sent, and has no proxies behind it.
 type fakeTransport struct {
 	mu   sync.Mutex
 	sent []reconcile.Message
 }
 
+// acknowledge answers all messages that the loop has sent by its fakeTransport.
 func (l *Loop) acknowledge() {
 	s := l.transport.(*fakeTransport)
 	s.mu.Lock()
@@ -88,7 +89,7 @@
 	})
 }
 
-// startLoop runs a loop until stop is called, which fails the test where the loop gives an error.
+// startLoop runs a loop until stop is called. Stop fails the test if the loop returned an error.
 func startLoop(t *testing.T, loop *Loop) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -103,7 +104,7 @@
 	}
 }
 
-// askOperators sends a line to the operators' socket and gives all that it answers.
+// askOperators sends a line to the operators' socket and returns all bytes until the connection is closed.
 func askOperators(t *testing.T, path, line string, timeout time.Duration) string {
 	t.Helper()
 	conn, err := net.Dial("unix", path)
@@ -111,7 +112,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(timeout)) // a later read fails otherwise
+	_ = conn.SetDeadline(time.Now().Add(timeout)) // if it fails, so does the read below
 	if _, err := io.WriteString(conn, line); err != nil {
 		t.Fatal(err)
 	}
@@ -122,16 +123,16 @@
 	return string(answer)
 }
 
-// TestOperatorsSocketAnswersCommands checks the socket's mode and answers, and that the socket of a killed controller
-// is taken over while that of a running one is not.
+// TestOperatorsSocketAnswersCommands checks the answers and the socket: its mode keeps other users out, the socket file
+// that a killed controller left behind does not prevent the start, and that of a running controller is not replaced.
 func TestOperatorsSocketAnswersCommands(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "g.sock")
-	dead, err := net.Listen("unix", path)
+	abandoned, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead.(*net.UnixListener).SetUnlinkOnClose(false)
-	_ = dead.Close() // leaves the socket as kill -9 does
+	abandoned.(*net.UnixListener).SetUnlinkOnClose(false)
+	_ = abandoned.Close() // leaves the socket file behind, as kill -9 does
 	loop := testLoop(t)
 	o, err := ServeOperators(loop, path, "1.2")
 	if err != nil {
@@ -160,13 +161,13 @@
 	}
 	for end := time.Now().Add(10 * time.Second); !strings.Contains(ask("show proxies\n"), "p0 a  up"); {
 		if time.Now().After(end) {
-			t.Fatalf("not joined: %s", ask("show proxies\n"))
+			t.Fatalf("proxy p0 is not connected after 10 s: %s", ask("show proxies\n"))
 		}
 	}
-	// Versions of a table: their content, differences, a pin and its end, a rollback that is refused.
+	// Versions of a table: content, differences, pinning and unpinning, refused rollbacks.
 	for end := time.Now().Add(20 * time.Second); !strings.Contains(ask("table proxies\n"), "/"); {
 		if time.Now().After(end) {
-			t.Fatalf("no version was told: %s", ask("table proxies\n"))
+			t.Fatalf("no proxy has a table version after 20 s: %s", ask("table proxies\n"))
 		}
 		loop.acknowledge()
 	}
@@ -216,8 +217,9 @@
 	stop()
 }
 
-// TestMailboxDropsNothingUrgent: a newer reading replaces an older one of its stream, and a newer pushed record one
-// of its source; what a step has no room for waits; nothing else is dropped.
+// TestMailboxDropsNothingUrgent checks what a mailbox drops when inputs arrive faster than steps take them: only
+// counter readings and pushed records, each replaced by a newer one of the same stream or source. Inputs beyond the
+// limits of a step wait for the next one.
 func TestMailboxDropsNothingUrgent(t *testing.T) {
 	loop := testLoop(t)
 	const inputCount = 5000
@@ -232,7 +234,7 @@
 		Proxy:   0,
 		Stream:  2,
 		Reading: counters.NewReading(0),
-	}) // of another stream, so that it replaces none
+	}) // of another stream, so it replaces no other reading
 	progress := 0
 	streams := 0
 	pushed := 0
@@ -269,8 +271,8 @@
 	}
 }
 
-// TestReplayReportsFirstDifference replays an event log, and reports a changed order, an unknown event and a truncated
-// last line by file and line.
+// TestReplayReportsFirstDifference checks that the replay of an intact event log succeeds, and that a changed order, an
+// unknown event, a truncated last line, an unknown format and an empty file are reported with their place.
 func TestReplayReportsFirstDifference(t *testing.T) {
 	loop := testLoop(t)
 	var text bytes.Buffer
--- a/internal/controller/operators_weights.go
+++ b/internal/controller/operators_weights.go
@@ -11,7 +11,7 @@
 	"cressknot/internal/safety"
 )
 
-// overrideCommands are those that set weights and table versions by hand.
+// overrideCommands returns the commands that set weights and table versions in place of the balancer's.
 func overrideCommands() []command {
 	return []command{
 		{
@@ -35,10 +35,10 @@
 	}
 }
 
-// overrideConfirmations are the manual weights that were refused and may be forced with a token.
+// overrideConfirmations holds the refused manual weights that operators may still force by a token.
 type overrideConfirmations struct {
 	byToken map[string]overrideConfirmation
-	issued  int
+	issued  int // tokens since the start, which makes each one unique
 }
 
 type overrideConfirmation struct {
@@ -50,14 +50,15 @@
 	return overrideConfirmations{byToken: map[string]overrideConfirmation{}}
 }
 
-// redeem ends a token and reports whether it confirms the command.
+// redeem removes a token and reports whether it was valid for the command. A token serves once, even for another
+// command.
 func (o *overrideConfirmations) redeem(now fleet.Time, token, command string) bool {
 	confirmation, known := o.byToken[token]
 	delete(o.byToken, token)
 	return known && confirmation.command == command && now < confirmation.until
 }
 
-// issue makes a token for a command; ok is false where too many wait.
+// issue returns a new token for a command. It returns false if safety.MaxForces tokens are valid already.
 func (o *overrideConfirmations) issue(now fleet.Time, command string) (token string, ok bool) {
 	for token, confirmation := range o.byToken {
 		if now >= confirmation.until {
@@ -75,11 +76,11 @@
 
 // setWeightArgs are the arguments of "set weight <table>/<server> <0-256> [force <token>]".
 type setWeightArgs struct {
-	target  string // as it was written
+	target  string // "<table>/<server>" as written
 	table   fleet.TableID
 	server  fleet.ServerID
 	weight  int
-	command string // what a token confirms
+	command string // "<table>/<server> <weight>", which a token confirms
 	token   string
 	forced  bool
 }
@@ -105,7 +106,7 @@
 	return a, nil
 }
 
-// parseTarget reads "<table>/<server>".
+// parseTarget parses "<table>/<server>".
 func (q *query) parseTarget(target string) (fleet.TableID, fleet.ServerID, error) {
 	tableText, name, ok := strings.Cut(target, "/")
 	table, err := strconv.ParseUint(tableText, 10, 16)
@@ -122,17 +123,17 @@
 		return "", err
 	}
 	c := q.core
-	harms := c.harmsOfWeight(q.now, a.table, a.server, a.weight)
+	violations := c.weightViolations(q.now, a.table, a.server, a.weight)
 	if a.forced && !c.overrides.redeem(q.now, a.token, a.command) {
 		return "", commandErrorf("Refused: the token is unknown, older than %.0f s or for another weight; "+
 			"repeat 'set weight %s' to get a new one.\n", safety.ForceTimeout.Seconds(), a.command)
 	}
 	forcible := true
-	for _, harm := range harms {
-		forcible = forcible && harm.Forcible
+	for _, violation := range violations {
+		forcible = forcible && violation.Forcible
 	}
-	if len(harms) > 0 && (!forcible || !a.forced) {
-		return "", q.refuseWeight(a.command, harms, forcible)
+	if len(violations) > 0 && (!forcible || !a.forced) {
+		return "", q.refuseWeight(a.command, violations, forcible)
 	}
 	c.reconciler.SetManualWeight(q.now, a.table, a.server, int16(a.weight), q.now+reconcile.ManualWeightDuration)
 	suffix := ""
@@ -144,15 +145,16 @@
 	return "", nil
 }
 
-// refuseWeight says why a weight is refused, and gives the token by which it may be forced, if it may.
-func (q *query) refuseWeight(command string, harms []safety.Violation, forcible bool) error {
+// refuseWeight returns the error that says why a weight is refused. If the weight may be forced, its last line is the
+// command for that, with a token.
+func (q *query) refuseWeight(command string, violations []safety.Violation, forcible bool) error {
 	var b strings.Builder
-	for _, harm := range harms {
+	for _, violation := range violations {
 		subject := ""
-		if !harm.NoServer {
-			subject = q.core.serverName(harm.Server) + ": "
+		if !violation.NoServer {
+			subject = q.core.serverName(violation.Server) + ": "
 		}
-		fmt.Fprintf(&b, "Refused: %s%s: %s.\n", subject, harm.Reason, harm.Text)
+		fmt.Fprintf(&b, "Refused: %s%s: %s.\n", subject, violation.Reason, violation.Text)
 	}
 	if !forcible {
 		b.WriteString("This weight can't be forced.\n")
@@ -169,7 +171,7 @@
 	return commandError(b.String())
 }
 
-// clearWeight is "clear weight <table>/<server>".
+// clearWeight handles "clear weight <table>/<server>".
 func (q *query) clearWeight() (string, error) {
 	if len(q.args) != 1 {
 		return "", commandError("'clear weight' expects <table>/<server>.\n")
@@ -184,34 +186,35 @@
 	return "", nil
 }
 
-// harmsOfWeight gives the harm that a manual weight would do to its table.
-func (c *Core) harmsOfWeight(
+// weightViolations returns the safety rules that a table would violate with a manual weight, none where safety checks
+// are off.
+func (c *Core) weightViolations(
 	now fleet.Time, table fleet.TableID, server fleet.ServerID, weight int,
 ) []safety.Violation {
 	if !c.safetyChecks {
 		return nil
 	}
-	lines := c.tableLines(table)
+	entries := c.tableWithManualWeights(table)
 	found := false
-	for i := range lines {
-		if lines[i].Server == server {
-			lines[i].Weight = float64(weight)
+	for i := range entries {
+		if entries[i].Server == server {
+			entries[i].Weight = float64(weight)
 			found = true
 		}
 	}
 	if !found {
 		withdrawn := c.reconciler.Withdrawn(server)
-		lines = append(lines, safety.TableLine{Server: server, Weight: float64(weight), Withdrawn: withdrawn})
+		entries = append(entries, safety.TableLine{Server: server, Weight: float64(weight), Withdrawn: withdrawn})
 	}
 	demand := 0.0
 	c.reconciler.EachAssignment(table, func(proxy fleet.ProxyID, class fleet.ClassID) {
 		demand += c.guard.Demand(proxy, class)
 	})
-	return c.guard.CheckTable(now, lines, demand)
+	return c.guard.CheckTable(now, entries, demand)
 }
 
-// tableLines gives a table with its manual weights.
-func (c *Core) tableLines(table fleet.TableID) (lines []safety.TableLine) {
+// tableWithManualWeights returns the entries of a table as published, but with its current manual weights.
+func (c *Core) tableWithManualWeights(table fleet.TableID) (entries []safety.TableLine) {
 	manual := map[fleet.ServerID]int16{}
 	for _, m := range c.reconciler.ManualWeights() {
 		if m.Table == table {
@@ -226,7 +229,7 @@
 		if w, isManual := manual[e.Server]; isManual {
 			weight = w
 		}
-		lines = append(lines, safety.TableLine{Server: e.Server, Weight: float64(weight), Withdrawn: e.Withdrawn})
+		entries = append(entries, safety.TableLine{Server: e.Server, Weight: float64(weight), Withdrawn: e.Withdrawn})
 	}
-	return lines
+	return entries
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -9,10 +9,10 @@
 	"cressknot/internal/fleet"
 )
 
-// serverIDInText finds the ids of servers in the balancer's log messages: it knows no names.
+// serverIDInText matches the server ids in the balancer's log messages: the balancer does not know servers by name.
 var serverIDInText = regexp.MustCompile(`\bserver (\d+)\b`)
 
-// applyOrders hands the balancer's orders to where they are carried out.
+// applyOrders carries out the balancer's orders and records them for "show orders".
 func (c *Core) applyOrders(now fleet.Time, orders []fleet.Order, out *Output) {
 	for _, order := range orders {
 		if c.applyOrder(now, order, out) {
@@ -20,12 +20,13 @@
 		}
 	}
 	if c.faults[FaultUnboundedSlowStart] {
-		orders = c.unboundSlowStart(now, slices.Clone(orders))
+		orders = c.applySlowStartFault(now, slices.Clone(orders))
 	}
 	c.reconciler.Apply(now, orders)
 }
 
-// applyOrder carries out what of an order is not the reconciler's; shown reports whether "show orders" prints it.
+// applyOrder carries out the part of an order that is not left to the reconciler. It returns whether "show orders"
+// prints the order.
 func (c *Core) applyOrder(now fleet.Time, order fleet.Order, out *Output) (shown bool) {
 	switch order := order.(type) {
 	case fleet.SetTimer:
@@ -37,7 +38,7 @@
 	case fleet.Barrier:
 		return false
 	case fleet.LogMessage:
-		c.log(out, LogEntry{now, LevelInfo, "module", c.nameServers(order.Text)})
+		c.log(out, LogEntry{now, LevelInfo, "module", c.replaceServerIDs(order.Text)})
 	case fleet.WatchEndpoints:
 		out.WatchEndpoints = &order.Enabled
 	case fleet.FetchEndpoints:
@@ -48,34 +49,36 @@
 	return true
 }
 
-// nameServers puts the names of servers in place of their ids.
-func (c *Core) nameServers(text string) string {
+// replaceServerIDs replaces the server ids in a text by the servers' names.
+func (c *Core) replaceServerIDs(text string) string {
 	return serverIDInText.ReplaceAllStringFunc(text, func(match string) string {
-		id, _ := strconv.ParseUint(match[len("server "):], 10, 32) // the expression matches digits alone
+		id, _ := strconv.ParseUint(match[len("server "):], 10, 32) // the expression matches only digits
 		return "server " + c.serverName(fleet.ServerID(id))
 	})
 }
 
-// unboundedSlowStartFactor is how many times the highest weight of its table a server in slow start gets by
-// FaultUnboundedSlowStart.
-const unboundedSlowStartFactor = 8
+// slowStartFaultFactor is the weight that FaultUnboundedSlowStart gives a server in slow start, as a multiple of the
+// highest weight in its table.
+const slowStartFaultFactor = 8
 
-// unboundSlowStart gives servers that are warming up high weights, as a balancer without a limit on them would.
-func (c *Core) unboundSlowStart(now fleet.Time, orders []fleet.Order) []fleet.Order {
+// applySlowStartFault simulates a balancer that does not limit the weights of servers in slow start: it raises the
+// weights that the orders give them.
+func (c *Core) applySlowStartFault(now fleet.Time, orders []fleet.Order) []fleet.Order {
 	highest := map[fleet.TableID]float32{}
 	for _, entry := range c.reconciler.Entries() {
 		highest[entry.Table] = max(highest[entry.Table], float32(entry.Weight))
 	}
 	for i, order := range orders {
 		if set, ok := order.(fleet.SetWeight); ok && c.warmingUp(now, set.Server) {
-			set.Weight = max(highest[set.Table], 1) * unboundedSlowStartFactor
+			set.Weight = max(highest[set.Table], 1) * slowStartFaultFactor
 			orders[i] = set
 		}
 	}
 	return orders
 }
 
-// formatOrder gives the text of an order for "show orders", which operators' scripts read: it never changes.
+// formatOrder returns the text of an order for "show orders", "" for an unknown kind. Operators' scripts parse the
+// texts, so they never change.
 func (c *Core) formatOrder(order fleet.Order) string {
 	switch o := order.(type) {
 	case fleet.SetWeight:
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -7,7 +7,7 @@
 	"cressknot/internal/transport"
 )
 
-// TestOrderTextIsStable checks what "show orders" prints of each kind of order.
+// TestOrderTextIsStable checks the format of each kind of order in "show orders", which operators' scripts parse.
 func TestOrderTextIsStable(t *testing.T) {
 	names := NewNames()
 	server := names.Learn("n1", "127.0.0.1:1")
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -9,18 +9,20 @@
 	"cressknot/internal/service"
 )
 
-// maxReasons is the number of log entries that the service gives of a server.
-const maxReasons = 10
+// maxServerLogEntries is how many of the latest log entries about a server the service returns with its state.
+const maxServerLogEntries = 10
 
-// QueryHandler answers what only the controller's loop knows, for the service.
+// QueryHandler answers the service's queries from the state of a controller's loop. Its methods may be called from any
+// goroutine but the loop's own. They wait until the loop is free, and return an error if the context ends before that.
 type QueryHandler struct {
 	Loop    *Loop
-	Program string // its version
+	Program string // version of the program
 }
 
 var _ service.QueryHandler = QueryHandler{}
 
-// Server gives the state of a server.
+// Server returns the state of a server by name. A server that has left the list is "gone"; a name that the controller
+// never saw is a service.Error with code NoServer.
 func (h QueryHandler) Server(ctx context.Context, name string) (state service.ServerState, err error) {
 	callErr := h.Loop.Do(ctx, func(c *Core) { state, err = c.serverState(h.Loop.Now(), name) })
 	if callErr != nil {
@@ -49,25 +51,25 @@
 	}
 	state.Withdrawn = c.reconciler.Withdrawn(id)
 	state.Weights = c.serverWeights(id)
-	entries := c.history.logOf(name)
-	for _, entry := range entries[max(0, len(entries)-maxReasons):] {
+	entries := c.history.entriesNaming(name)
+	for _, entry := range entries[max(0, len(entries)-maxServerLogEntries):] {
 		reason := fmt.Sprintf("%s %s: %s", formatTime(entry.At), entry.Source, entry.Text)
 		state.Reasons = append(state.Reasons, reason)
 	}
 	return state, nil
 }
 
-// serverWeights gives the weights of a server for the programs of each zone.
+// serverWeights returns the weights that clients in each zone use for a server, by class.
 func (c *Core) serverWeights(id fleet.ServerID) (weights []service.ClassWeight) {
 	for _, zone := range c.published.zones {
-		for class, of := range c.site.Classes {
+		for class, requestClass := range c.site.Classes {
 			table, assigned := c.reconciler.TableOf(zone.Proxy, fleet.ClassID(class))
 			if !assigned {
 				continue
 			}
 			weights = append(weights, service.ClassWeight{
 				Zone:   zone.Name,
-				Class:  of.Name,
+				Class:  requestClass.Name,
 				Weight: int(c.reconciler.Published(table, id)),
 			})
 		}
@@ -75,7 +77,8 @@
 	return weights
 }
 
-// History gives the latest versions of the table that serves a class in a zone, oldest first.
+// History returns up to limit of the latest versions of the table that serves a class in a zone, oldest first. The
+// error is a service.Error with code NoZone, NoClass, or Unready while the class has no table there.
 func (h QueryHandler) History(
 	ctx context.Context, zone, class string, limit int,
 ) (rows []service.VersionRow, err error) {
@@ -88,17 +91,17 @@
 
 func (c *Core) tableHistory(zoneName, className string, limit int) (rows []service.VersionRow, err error) {
 	zones := c.published.zones
-	zone := slices.IndexFunc(zones, func(z service.Zone) bool { return z.Name == zoneName })
-	class := slices.IndexFunc(c.site.Classes, func(k fleet.RequestClass) bool { return k.Name == className })
+	zoneIndex := slices.IndexFunc(zones, func(z service.Zone) bool { return z.Name == zoneName })
+	classIndex := slices.IndexFunc(c.site.Classes, func(k fleet.RequestClass) bool { return k.Name == className })
 	switch {
-	case zone < 0:
+	case zoneIndex < 0:
 		text := fmt.Sprintf("zone %.256q is not served by this controller", zoneName)
 		return nil, &service.Error{Code: service.NoZone, Text: text}
-	case class < 0:
+	case classIndex < 0:
 		text := fmt.Sprintf("class %.256q is not configured", className)
 		return nil, &service.Error{Code: service.NoClass, Text: text}
 	}
-	id, assigned := c.reconciler.TableOf(zones[zone].Proxy, fleet.ClassID(class))
+	id, assigned := c.reconciler.TableOf(zones[zoneIndex].Proxy, fleet.ClassID(classIndex))
 	if !assigned || c.reconciler.TableVersions(id) == nil {
 		text := fmt.Sprintf("class %s has no weight table in zone %s yet", className, zoneName)
 		return nil, &service.Error{Code: service.Unready, Text: text, RetryAfter: fleet.Second}
@@ -116,7 +119,7 @@
 	return rows, nil
 }
 
-// Summary gives the state of the fleet in figures.
+// Summary returns the state of the fleet in figures. The controller's name is set even with an error.
 func (h QueryHandler) Summary(ctx context.Context) (summary service.Summary, err error) {
 	err = h.Loop.Do(ctx, func(c *Core) { summary = c.summary(h.Loop.Now()) })
 	if err == nil {
--- a/internal/controller/transcript_test.go
+++ b/internal/controller/transcript_test.go
@@ -16,10 +16,10 @@
 
 const goldenTranscript = "testdata/operators.golden"
 
-// variableParts are the parts of answers that depend on the clock.
+// variableParts are the parts of answers that differ between runs, with the placeholders that replace them.
 var variableParts = []struct {
-	form *regexp.Regexp
-	by   string
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z`), "TIME"},
 	{
@@ -32,8 +32,8 @@
 	{regexp.MustCompile(`(?m)^(n\d well) .* (yes|no)$`), "${1} N ${2}"},
 }
 
-// TestOperatorsAnswersAreStable runs every command with valid and invalid arguments and compares the answers with those
-// of earlier versions.
+// TestOperatorsAnswersAreStable compares the answers to all commands, with valid and invalid arguments, with the golden
+// transcript, so that no change to the code alters what operators' scripts read by accident.
 func TestOperatorsAnswersAreStable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "g.sock")
 	loop := testLoop(t)
@@ -51,7 +51,7 @@
 	for end := time.Now().Add(30 * time.Second); !strings.Contains(ask("show proxies"), "look=") ||
 		!strings.Contains(ask("table proxies"), "/"); {
 		if time.Now().After(end) {
-			t.Fatalf("no table was laid: %s", ask("show proxies"))
+			t.Fatalf("no proxy has a table after 30 s: %s", ask("show proxies"))
 		}
 		loop.acknowledge()
 		time.Sleep(50 * time.Millisecond)
@@ -63,7 +63,7 @@
 	})
 	for end := time.Now().Add(30 * time.Second); !strings.Contains(ask("show servers"), "n3 127.0.0.1:3 a draining"); {
 		if time.Now().After(end) {
-			t.Fatalf("the list was not taken in: %s", ask("show servers"))
+			t.Fatalf("the new endpoint list is not in use after 30 s: %s", ask("show servers"))
 		}
 	}
 	loop.acknowledge()
@@ -140,7 +140,7 @@
 	}
 	answers := b.String()
 	for _, v := range variableParts {
-		answers = v.form.ReplaceAllString(answers, v.by)
+		answers = v.pattern.ReplaceAllString(answers, v.replacement)
 	}
 	if *writeFixtures {
 		if err := os.WriteFile(goldenTranscript, []byte(answers), 0o644); err != nil {
@@ -156,9 +156,9 @@
 		wanted := strings.Split(string(want), "\n")
 		for i := range min(len(got), len(wanted)) {
 			if got[i] != wanted[i] {
-				t.Fatalf("line %d: answered %q, want %q", i+1, got[i], wanted[i])
+				t.Fatalf("line %d: got %q, want %q", i+1, got[i], wanted[i])
 			}
 		}
-		t.Errorf("%d lines of answers, want %d", len(got), len(wanted))
+		t.Errorf("got %d lines, want %d", len(got), len(wanted))
 	}
 }
