--- a/internal/controller/operators_weights.go
+++ b/internal/controller/operators_weights.go
@@ -11,34 +11,34 @@
 	"cressknot/internal/safety"
 )
 
-// overrideCommands are those that set weights and table versions by hand.
+// overrideCommands returns the commands that set weights and table versions in place of the balancer's.
 func overrideCommands() []command {
 	return []command{
 		{
 			words:    []string{"set", "weight"},
-			help:     "<table>/<server> <0-256>: set a line by hand for 5 minutes",
+			help:     "<table>/<server> <0-256>: override the weight of a table entry for 5 minutes",
 			handle:   (*query).setWeight,
 			persists: true,
 		},
 		{
 			words:    []string{"clear", "weight"},
-			help:     "<table>/<server>: let the module's weight count again",
+			help:     "<table>/<server>: end a manual weight, so that the balancer's applies again",
 			handle:   (*query).clearWeight,
 			persists: true,
 		},
 		{
 			words:    []string{"table"},
-			help:     "history|show|diff|rollback|pin|unpin T ..., proxies: versions of a table",
+			help:     "history|show|diff|rollback|pin|unpin T ..., proxies: versions of a weight table",
 			handle:   (*query).table,
 			persists: true,
 		},
 	}
 }
 
-// overrideConfirmations are the manual weights that were refused and may be forced with a token.
+// overrideConfirmations holds the refused manual weights that operators may still force by a token.
 type overrideConfirmations struct {
 	byToken map[string]overrideConfirmation
-	issued  int
+	issued  int // tokens since the start, which makes each one unique
 }
 
 type overrideConfirmation struct {
@@ -50,14 +50,15 @@
 	return overrideConfirmations{byToken: map[string]overrideConfirmation{}}
 }
 
-// redeem ends a token and reports whether it confirms the command.
+// redeem removes a token and reports whether it was valid for the command. A token serves once, even for another
+// command.
 func (o *overrideConfirmations) redeem(now fleet.Time, token, command string) bool {
 	confirmation, known := o.byToken[token]
 	delete(o.byToken, token)
 	return known && confirmation.command == command && now < confirmation.until
 }
 
-// issue makes a token for a command; ok is false where too many wait.
+// issue returns a new token for a command. It returns false if safety.MaxForces tokens are valid already.
 func (o *overrideConfirmations) issue(now fleet.Time, command string) (token string, ok bool) {
 	for token, confirmation := range o.byToken {
 		if now >= confirmation.until {
@@ -75,11 +76,11 @@
 
 // setWeightArgs are the arguments of "set weight <table>/<server> <0-256> [force <token>]".
 type setWeightArgs struct {
-	target  string // as it was written
+	target  string // "<table>/<server>" as written
 	table   fleet.TableID
 	server  fleet.ServerID
 	weight  int
-	command string // what a token confirms
+	command string // "<table>/<server> <weight>", which a token confirms
 	token   string
 	forced  bool
 }
@@ -105,12 +106,12 @@
 	return a, nil
 }
 
-// parseTarget reads "<table>/<server>".
+// parseTarget parses "<table>/<server>".
 func (q *query) parseTarget(target string) (fleet.TableID, fleet.ServerID, error) {
 	tableText, name, ok := strings.Cut(target, "/")
 	table, err := strconv.ParseUint(tableText, 10, 16)
 	if !ok || err != nil {
-		return 0, 0, commandError("Require '<table>/<server>', the table by its number.\n")
+		return 0, 0, commandError("Require '<table>/<server>', with the table's number (0 to 65535).\n")
 	}
 	server, err := q.server(name)
 	return fleet.TableID(table), server, err
@@ -122,52 +123,55 @@
 		return "", err
 	}
 	c := q.core
-	harms := c.harmsOfWeight(q.now, a.table, a.server, a.weight)
+	violations := c.weightViolations(q.now, a.table, a.server, a.weight)
 	if a.forced && !c.overrides.redeem(q.now, a.token, a.command) {
-		return "", commandError("Refused: that token is not for this, or its time is over.\n")
+		return "", commandErrorf("Refused: the token is unknown, older than %.0f s or for another weight; "+
+			"repeat 'set weight %s' to get a new one.\n", safety.ForceTimeout.Seconds(), a.command)
 	}
 	forcible := true
-	for _, harm := range harms {
-		forcible = forcible && harm.Forcible
+	for _, violation := range violations {
+		forcible = forcible && violation.Forcible
 	}
-	if len(harms) > 0 && (!forcible || !a.forced) {
-		return "", q.refuseWeight(a.command, harms, forcible)
+	if len(violations) > 0 && (!forcible || !a.forced) {
+		return "", q.refuseWeight(a.command, violations, forcible)
 	}
 	c.reconciler.SetManualWeight(q.now, a.table, a.server, int16(a.weight), q.now+reconcile.ManualWeightDuration)
 	suffix := ""
 	if a.forced {
 		suffix = ", forced"
 	}
-	c.logOperatorAction(q.now, "%s was set to %d by hand for %.0f s%s",
+	c.logOperatorAction(q.now, "weight of %s was set to %d by hand for %.0f s%s",
 		a.target, a.weight, reconcile.ManualWeightDuration.Seconds(), suffix)
 	return "", nil
 }
 
-// refuseWeight says why a weight is refused, and gives the token by which it may be forced, if it may.
-func (q *query) refuseWeight(command string, harms []safety.Violation, forcible bool) error {
+// refuseWeight returns the error that says why a weight is refused. If the weight may be forced, its last line is the
+// command for that, with a token.
+func (q *query) refuseWeight(command string, violations []safety.Violation, forcible bool) error {
 	var b strings.Builder
-	for _, harm := range harms {
+	for _, violation := range violations {
 		subject := ""
-		if !harm.NoServer {
-			subject = q.core.serverName(harm.Server) + ": "
+		if !violation.NoServer {
+			subject = q.core.serverName(violation.Server) + ": "
 		}
-		fmt.Fprintf(&b, "Refused: %s%s: %s.\n", subject, harm.Reason, harm.Text)
+		fmt.Fprintf(&b, "Refused: %s%s: %s.\n", subject, violation.Reason, violation.Text)
 	}
 	if !forcible {
-		b.WriteString("This can't be forced.\n")
+		b.WriteString("This weight can't be forced.\n")
 		return commandError(b.String())
 	}
 	token, ok := q.core.overrides.issue(q.now, command)
 	if !ok {
-		b.WriteString("Too many refusals wait to be forced.\n")
+		fmt.Fprintf(&b, "It can't be forced now: %d other weights await confirmation; repeat the command in %.0f s.\n",
+			safety.MaxForces, safety.ForceTimeout.Seconds())
 		return commandError(b.String())
 	}
-	fmt.Fprintf(&b, "To force it all the same, within %.0f s: set weight %s force %s\n",
+	fmt.Fprintf(&b, "To force it, send this command within %.0f s: set weight %s force %s\n",
 		safety.ForceTimeout.Seconds(), command, token)
 	return commandError(b.String())
 }
 
-// clearWeight is "clear weight <table>/<server>".
+// clearWeight handles "clear weight <table>/<server>".
 func (q *query) clearWeight() (string, error) {
 	if len(q.args) != 1 {
 		return "", commandError("'clear weight' expects <table>/<server>.\n")
@@ -177,39 +181,40 @@
 		return "", err
 	}
 	if !q.core.reconciler.ClearManualWeight(q.now, table, server) {
-		return "", commandError("That line is not set by hand.\n")
+		return "", commandErrorf("%s has no manual weight; 'show refusals' lists the manual weights.\n", q.args[0])
 	}
 	return "", nil
 }
 
-// harmsOfWeight gives the harm that a manual weight would do to its table.
-func (c *Core) harmsOfWeight(
+// weightViolations returns the safety rules that a table would violate with a manual weight, none where safety checks
+// are off.
+func (c *Core) weightViolations(
 	now fleet.Time, table fleet.TableID, server fleet.ServerID, weight int,
 ) []safety.Violation {
 	if !c.safetyChecks {
 		return nil
 	}
-	lines := c.tableLines(table)
+	entries := c.tableWithManualWeights(table)
 	found := false
-	for i := range lines {
-		if lines[i].Server == server {
-			lines[i].Weight = float64(weight)
+	for i := range entries {
+		if entries[i].Server == server {
+			entries[i].Weight = float64(weight)
 			found = true
 		}
 	}
 	if !found {
 		withdrawn := c.reconciler.Withdrawn(server)
-		lines = append(lines, safety.TableLine{Server: server, Weight: float64(weight), Withdrawn: withdrawn})
+		entries = append(entries, safety.TableLine{Server: server, Weight: float64(weight), Withdrawn: withdrawn})
 	}
 	demand := 0.0
 	c.reconciler.EachAssignment(table, func(proxy fleet.ProxyID, class fleet.ClassID) {
 		demand += c.guard.Demand(proxy, class)
 	})
-	return c.guard.CheckTable(now, lines, demand)
+	return c.guard.CheckTable(now, entries, demand)
 }
 
-// tableLines gives a table with its manual weights.
-func (c *Core) tableLines(table fleet.TableID) (lines []safety.TableLine) {
+// tableWithManualWeights returns the entries of a table as published, but with its current manual weights.
+func (c *Core) tableWithManualWeights(table fleet.TableID) (entries []safety.TableLine) {
 	manual := map[fleet.ServerID]int16{}
 	for _, m := range c.reconciler.ManualWeights() {
 		if m.Table == table {
@@ -224,7 +229,7 @@
 		if w, isManual := manual[e.Server]; isManual {
 			weight = w
 		}
-		lines = append(lines, safety.TableLine{Server: e.Server, Weight: float64(weight), Withdrawn: e.Withdrawn})
+		entries = append(entries, safety.TableLine{Server: e.Server, Weight: float64(weight), Withdrawn: e.Withdrawn})
 	}
-	return lines
+	return entries
 }
