--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -24,14 +24,14 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("reading: %w", err)
+			return fmt.Errorf("read batch: %w", err)
 		}
 		reply, err := h.answer(batch)
 		if err != nil {
 			return err
 		}
 		if _, err := out.Write(reply); err != nil {
-			return fmt.Errorf("writing: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
@@ -61,12 +61,12 @@
 	h.schedule = h.schedule[:0]
 	for _, item := range batch.Items {
 		if err := h.handleItem(item); err != nil {
-			return nil, fmt.Errorf("governor %d: %w", item.Controller, err)
+			return nil, fmt.Errorf("controller %d: %w", item.Controller, err)
 		}
 	}
 	for _, scheduled := range h.schedule {
 		if err := h.step(scheduled, batch.Now); err != nil {
-			return nil, fmt.Errorf("governor %d: %w", scheduled.id, err)
+			return nil, fmt.Errorf("controller %d: %w", scheduled.id, err)
 		}
 	}
 	return h.reply.Frame(), nil
@@ -110,7 +110,7 @@
 func (h *host) addEvent(id fleet.ControllerID, event fleet.Event) error {
 	target := h.instances[id]
 	if target == nil {
-		return fmt.Errorf("%T before its enlist", event)
+		return fmt.Errorf("received %T before enlist", event)
 	}
 	if !target.scheduled {
 		target.scheduled = true
--- a/cmd/wirehost/host_test.go
+++ b/cmd/wirehost/host_test.go
@@ -87,8 +87,8 @@
 		name, want string
 		records    []byte
 	}{
-		{"event before start", "governor 3: fleet.TimerFired before its enlist", timerRecord(3)},
-		{"missing settings", "governor 3: settings: key discovery", startRecord(3, "{}")},
+		{"event before start", "controller 3: received fleet.TimerFired before enlist", timerRecord(3)},
+		{"missing settings", "controller 3: settings: key discovery", startRecord(3, "{}")},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			err := serve(bytes.NewReader(batch(1000, test.records)), &bytes.Buffer{})
--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -307,7 +307,7 @@
 	changed := strings.Replace(recorded, `"Is":"Share","V":{"Table":0,"Server":0,"Weight":`,
 		`"Is":"Share","V":{"Table":0,"Server":0,"Weight":1`, 1)
 	for bad, want := range map[string]string{
-		changed:                     "the module gives Share",
+		changed:                     "the replay emits Share",
 		recorded[:len(recorded)-20]: "unexpected end of JSON",
 		strings.Join(lines[:1], "") + `{"Now":1,"Events":[{"Is":"Odd","V":{}}]}`: `r:2: event 0: "Odd" is no event`,
 		strings.Replace(recorded, `"Format":1`, `"Format":9`, 1):                 "r:1: format 9 is not known",
--- a/internal/eventlog/replay.go
+++ b/internal/eventlog/replay.go
@@ -24,8 +24,16 @@
 }
 
 func (e *DifferenceError) Error() string {
-	return fmt.Sprintf("%s:%d: order %d: the records have %s %s, the module gives %s %s",
-		e.File, e.Line, e.Order, e.Recorded.Kind, e.Recorded.Value, e.Given.Kind, e.Given.Value)
+	return fmt.Sprintf("%s:%d: order %d: the log has %s, the replay emits %s",
+		e.File, e.Line, e.Order, describe(e.Recorded), describe(e.Given))
+}
+
+// describe returns the kind and the value of an order for an error.
+func describe(order Item) string {
+	if order.Kind == "" {
+		return "no order"
+	}
+	return fmt.Sprintf("%s %s", order.Kind, order.Value)
 }
 
 // Replay steps a new balancer through a log and compares its orders. It gives how many steps and orders were the same;
--- a/internal/simwire/cursor.go
+++ b/internal/simwire/cursor.go
@@ -37,7 +37,7 @@
 // take returns the next size bytes, or after a failure zeros, enough for a number.
 func (c *cursor) take(size int, field string) []byte {
 	if c.err == nil && size > c.remaining() {
-		c.fail("%s wants %d bytes, %d are left", field, size, c.remaining())
+		c.fail("%s: need %d bytes, %d remain", field, size, c.remaining())
 	}
 	if c.err != nil {
 		return make([]byte, min(size, maxScalarBytes))
@@ -58,7 +58,7 @@
 
 func (c *cursor) finite(value float64, field string) float64 {
 	if math.IsNaN(value) || math.IsInf(value, 0) {
-		c.fail("%s is not a finite number", field)
+		c.fail("%s: %v is not a finite number", field, value)
 		return 0
 	}
 	return value
@@ -68,7 +68,7 @@
 func (c *cursor) milliseconds(field string) fleet.Time {
 	ms := c.finite(math.Float64frombits(c.uint64(field)), field)
 	if math.Abs(ms) > maxMilliseconds {
-		c.fail("%s of %g ms is out of range", field, ms)
+		c.fail("%s: %g ms is not between %g and %g ms", field, ms, -maxMilliseconds, maxMilliseconds)
 		return 0
 	}
 	return fleet.Milliseconds(ms)
@@ -77,7 +77,7 @@
 func (c *cursor) flag(field string) bool {
 	value := c.uint8(field)
 	if value > 1 {
-		c.fail("%s is %d, neither 0 nor 1", field, value)
+		c.fail("%s: got %d, want 0 or 1", field, value)
 	}
 	return value == 1
 }
@@ -86,7 +86,7 @@
 func (c *cursor) listNumber() uint16 {
 	number := c.uint16("page")
 	if number >= registeredListCount {
-		c.fail("list number %d is not below %d", number, registeredListCount)
+		c.fail("page: list number %d is not between 0 and %d", number, registeredListCount-1)
 		return 0
 	}
 	return number
@@ -96,7 +96,7 @@
 func (c *cursor) count(field string, elementBytes int) int {
 	count := c.uint32(field)
 	if c.err == nil && uint64(count)*uint64(elementBytes) > uint64(c.remaining()) {
-		c.fail("%s: count %d does not fit the %d bytes left", field, count, c.remaining())
+		c.fail("%s: count %d needs %d bytes, %d remain", field, count, uint64(count)*uint64(elementBytes), c.remaining())
 		return 0
 	}
 	return int(count)
@@ -121,7 +121,7 @@
 		return nil
 	}
 	if count*loadFigureBytes > c.remaining() {
-		c.fail("feedback: count %d does not fit the %d bytes left", count, c.remaining())
+		c.fail("feedback: count %d needs %d bytes, %d remain", count, count*loadFigureBytes, c.remaining())
 		return nil
 	}
 	figures := make([]float32, count)
--- a/internal/simwire/endpoints.go
+++ b/internal/simwire/endpoints.go
@@ -29,7 +29,7 @@
 	case stateGone:
 		endpoint.State = fleet.ServerGone
 	default:
-		c.fail("server state %d is unknown", state)
+		c.fail("state: unknown server state %d", state)
 	}
 	endpoint.Cell = fleet.CellID(c.uint16("block"))
 	endpoint.Started = c.milliseconds("launchedMs")
@@ -53,7 +53,7 @@
 	case scopeCached:
 		list.Scope = fleet.ListCached
 	default:
-		c.fail("list scope %d is unknown", scope)
+		c.fail("scope: unknown list scope %d", scope)
 		return list
 	}
 	if list.Scope == fleet.ListFailed {
@@ -72,7 +72,7 @@
 		return nil
 	}
 	if !r.lists[number].known {
-		c.fail("list %d was never registered", number)
+		c.fail("page: endpoint list %d is not registered", number)
 	}
 	return r.lists[number].endpoints
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -78,11 +78,11 @@
 		if errors.Is(err, io.EOF) {
 			return io.EOF
 		}
-		return fmt.Errorf("byte %d: frame length cut short after %d bytes: %w", r.offset, n, err)
+		return fmt.Errorf("byte %d: input ends after %d of %d bytes of the frame length: %w", r.offset, n, lengthBytes, err)
 	}
 	size := binary.LittleEndian.Uint32(length[:])
 	if size < batchHeaderBytes || size > maxFrameBytes {
-		return fmt.Errorf("byte %d: frame length %d is not between %d and %d",
+		return fmt.Errorf("byte %d: frame length of %d bytes is not between %d and %d",
 			r.offset, size, batchHeaderBytes, maxFrameBytes)
 	}
 	if cap(r.frame) < int(size) {
@@ -91,7 +91,7 @@
 	r.frame = r.frame[:size]
 	copy(r.frame, length[:])
 	if n, err := io.ReadFull(r.in, r.frame[lengthBytes:]); err != nil {
-		return fmt.Errorf("byte %d: frame of %d bytes ends after %d: %w", r.offset, size, n+lengthBytes, err)
+		return fmt.Errorf("byte %d: input ends after %d of %d bytes of the frame: %w", r.offset, n+lengthBytes, size, err)
 	}
 	return nil
 }
@@ -102,7 +102,8 @@
 	batch := Batch{Now: c.milliseconds("clock")}
 	records := c.uint32("record count")
 	if c.err == nil && uint64(records)*recordHeaderBytes > uint64(c.remaining()) {
-		c.fail("record count %d does not fit the frame", records)
+		c.fail("record count %d needs at least %d bytes, %d remain",
+			records, uint64(records)*recordHeaderBytes, c.remaining())
 	}
 	clear(r.items) // drops what the batch before points at
 	r.items = r.items[:0]
@@ -110,7 +111,7 @@
 		r.decodeRecord(&c)
 	}
 	if c.err == nil && c.remaining() > 0 {
-		c.fail("%d bytes left over after the last record", c.remaining())
+		c.fail("%d unexpected bytes after the last record", c.remaining())
 	}
 	batch.Items = r.items
 	return batch, c.err
@@ -125,7 +126,7 @@
 		return
 	}
 	if int64(size) > int64(c.remaining()) {
-		c.fail("record of code %d wants %d bytes, %d are left", code, size, c.remaining())
+		c.fail("record of code %d: need %d bytes, %d remain", code, size, c.remaining())
 		return
 	}
 	end := c.position + int(size)
@@ -136,7 +137,7 @@
 		r.decodeItem(code, &fields, start)
 	}
 	if fields.err == nil && fields.remaining() > 0 {
-		fields.fail("record of code %d has %d bytes too many", code, fields.remaining())
+		fields.fail("record of code %d: %d unexpected bytes after the last field", code, fields.remaining())
 	}
 	c.position = end
 	c.err = fields.err
@@ -158,7 +159,7 @@
 		item.Event = decodeEvent(code, c)
 		if item.Event == nil {
 			c.position = start
-			c.fail("event code %d is unknown", code)
+			c.fail("unknown event code %d", code)
 		}
 	}
 	if c.err == nil {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -126,13 +126,13 @@
 	wrongCount := append([]byte(nil), stop...)
 	wrongCount[12] = 9
 	for want, input := range map[string][]byte{
-		"byte 0: frame length cut short": {3, 0},
-		"byte 0: frame of 24 bytes ends": stop[:20],
-		"byte 16: record count 9":        wrongCount,
-		"byte 16: event code 511":        frame(decodeHex(t, "ff01 02000000 0300")),
-		"byte 22: record of code 257":    frame(decodeHex(t, "0101 09000000 0300")),
-		"byte 27: list 0 was never":      frame(decodeHex(t, listZeroRecord)),
-		"byte 28: entries: count 9":      frame(decodeHex(t, "0c01 06000000 0000 09000000")),
+		"byte 0: input ends after 2 of 4 bytes of the frame length": {3, 0},
+		"byte 0: input ends after 20 of 24 bytes of the frame":      stop[:20],
+		"byte 16: record count 9 needs at least 54 bytes, 8 remain": wrongCount,
+		"byte 16: unknown event code 511":                           frame(decodeHex(t, "ff01 02000000 0300")),
+		"byte 22: record of code 257: need 9 bytes, 2 remain":       frame(decodeHex(t, "0101 09000000 0300")),
+		"byte 27: page: endpoint list 0 is not registered":          frame(decodeHex(t, listZeroRecord)),
+		"byte 28: entries: count 9 needs 189 bytes, 0 remain":       frame(decodeHex(t, "0c01 06000000 0000 09000000")),
 	} {
 		_, err := NewReader(bytes.NewReader(input)).Next()
 		if err == nil || !strings.HasPrefix(err.Error(), want) {
--- a/internal/simwire/site.go
+++ b/internal/simwire/site.go
@@ -171,7 +171,7 @@
 // convertClasses converts the request classes.
 func convertClasses(c *checker, o *options) []fleet.RequestClass {
 	if len(o.Grades) == 0 || len(o.Grades) > maxClasses {
-		c.fail("grades", fmt.Sprintf("wants 1 to %d classes, has %d", maxClasses, len(o.Grades)))
+		c.fail("grades", fmt.Sprintf("has %d classes, want 1 to %d", len(o.Grades), maxClasses))
 	}
 	var classes []fleet.RequestClass
 	for i, grade := range o.Grades {
@@ -228,7 +228,7 @@
 func enumValue[T any](c *checker, key, name string, values map[string]T) T {
 	value, known := values[name]
 	if !known {
-		c.fail(key, fmt.Sprintf("has the unknown word %q", name))
+		c.fail(key, fmt.Sprintf("has the unknown value %q", name))
 	}
 	return value
 }
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -85,7 +85,7 @@
 		w.uint64(uint64(o.ID))
 		w.flag(o.AllProxies)
 	default:
-		return fmt.Errorf("order %T has no form on this wire", order)
+		return fmt.Errorf("order %T has no encoding in the simulator protocol", order)
 	}
 	w.endRecord()
 	return nil
