--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -124,7 +124,7 @@
 // instance and leaves the others alone.
 func (h *host) step(target *instance, now fleet.Time) error {
 	if target.balancer != nil {
-		orders, failure := target.decide(now)
+		orders, failure := target.stepBalancer(now)
 		for _, order := range orders {
 			if err := h.reply.AppendOrder(target.id, order); err != nil {
 				return err
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// decide steps the balancer. The failure is the text of a panic, or empty.
-func (i *instance) decide(now fleet.Time) (orders []fleet.Order, failure string) {
+// stepBalancer steps the balancer. The failure is the text of a panic, or empty.
+func (i *instance) stepBalancer(now fleet.Time) (orders []fleet.Order, failure string) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			orders = nil
--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -11,34 +11,34 @@
 const (
 	// unlimitedAdmission is a limit, as a fraction or as requests per second at a proxy, that admits all requests.
 	unlimitedAdmission = 1e6
-	// minAdmittedFraction is the part of its requests that each class always has admitted.
+	// minAdmittedFraction is the fraction of the requests of each class that is always admitted.
 	minAdmittedFraction = 0.1
-	// admissionStep bounds how much the admitted fraction of a class rises at a time.
+	// admissionStep is the largest rise of the admitted fraction of a class per estimate.
 	admissionStep = 0.1
-	// minAdmissionChange is the relative change of a limit that is worth an order.
+	// minAdmissionChange is the relative change of a limit above which it is sent to the proxies.
 	minAdmissionChange = 0.1
-	// minRequestRate is the requests per second below which there is no load to judge by.
+	// minRequestRate is the number of requests per second below which there is no load to measure.
 	minRequestRate = 1e-9
 	// minWorkPerRequest replaces a latency objective of zero.
 	minWorkPerRequest = 1e-9
 )
 
 // admissionState is the state of admission: which classes to cut first when the fleet cannot handle all requests in
-// time, and whether proxies may retry. The limits themselves are with the classes.
+// time, and whether proxies may retry. The limits are in requestClass.
 type admissionState struct {
 	classesByValue []int // in ascending order of value per work
 	retry          fleet.RetryMode
 }
 
-// requestClass is what the balancer knows of a class of requests and has ordered for it.
+// requestClass is the state of a request class: its settings, its measured demand and its latest orders.
 type requestClass struct {
-	valuePerWork   float64 // priority weight for the work that a request causes
-	workPerRequest float64 // seconds, estimated by the latency objective
-	// tableGroup says which tables the class uses. Shared classes use one group, those that load is shed from another;
-	// each zone-local class has a group of its own.
+	valuePerWork   float64 // priority weight divided by workPerRequest
+	workPerRequest float64 // in seconds, estimated by the latency objective
+	// tableGroup is the group of tables that the class uses: sharedGroup, lowPriorityGroup while load shedding restricts
+	// the class, or a group of its own for a zone-local class.
 	tableGroup       int
 	demand           float64 // requests per second that clients send
-	admittedFraction float64 // part of the demand to admit
+	admittedFraction float64 // fraction of the demand to admit
 	sentAdmission    fleet.SetAdmission
 }
 
@@ -61,7 +61,7 @@
 	return classes
 }
 
-// classesByValue returns the positions of classes in ascending order of their value per work.
+// classesByValue returns the indices of classes in ascending order of their value per work.
 func classesByValue(classes []requestClass) []int {
 	order := make([]int, len(classes))
 	for i := range order {
@@ -73,16 +73,16 @@
 	return order
 }
 
-// fleetCapacity is what the fleet can handle.
+// fleetCapacity is the capacity of the ready servers.
 type fleetCapacity struct {
-	serving     float64 // servers, as multiples of a fully warm one, that are in tables
-	joining     float64 // the same, of servers that are in no table yet
+	serving     float64 // servers that are in tables, in units of a fully warm server
+	joining     float64 // servers that are in no table yet, in the same unit
 	successRate float64 // requests per second that the measured servers handled
-	utilization float64 // sum of the utilizations at which they did
+	utilization float64 // sum of the utilizations of the measured servers
 }
 
-// updateAdmission admits what the fleet can handle in time, cutting the classes of the lowest value first. An
-// overloaded fleet gets no retries.
+// updateAdmission sets the admitted fractions to what the fleet can handle in time, cutting the classes of the lowest
+// value first. Proxies of an overloaded fleet must not retry.
 func (b *Balancer) updateAdmission() {
 	capacity := b.measureFleetCapacity()
 	demand := 0.0
@@ -107,7 +107,7 @@
 	}
 }
 
-// measureFleetCapacity measures what the ready servers handle.
+// measureFleetCapacity sums up the capacity and the measurements of the ready servers.
 func (b *Balancer) measureFleetCapacity() fleetCapacity {
 	var capacity fleetCapacity
 	for _, server := range b.endpoints.ready {
@@ -117,7 +117,7 @@
 		} else if server.healthFactor > 0 {
 			capacity.joining += usable
 		}
-		if b.takesAllClasses(server) && server.shortWindow.utilization >= 0 {
+		if b.servesAllClasses(server) && server.shortWindow.utilization >= 0 {
 			capacity.successRate += server.shortWindow.successRate * b.lostAnswerFactor(server)
 			capacity.utilization += server.shortWindow.utilization
 		}
@@ -125,8 +125,8 @@
 	return capacity
 }
 
-// lostAnswerFactor corrects what a server handled for answers that were lost although it has capacity to spare: they
-// do not mean that the fleet is too small.
+// lostAnswerFactor returns the factor that corrects the success rate of a server for answers that were lost although
+// it has spare capacity, as these do not mean that the fleet is too small.
 func (b *Balancer) lostAnswerFactor(server *serverState) float64 {
 	window := &server.shortWindow
 	if window.utilization >= overloadedUtilization || b.site.Admission == fleet.AdmissionUnlimited {
@@ -135,7 +135,7 @@
 	return window.attempts / max(1, window.successes)
 }
 
-// cutAdmission cuts a number of requests per second from the classes of the lowest value.
+// cutAdmission reduces the admitted requests by excess per second, in the classes of the lowest value first.
 func (b *Balancer) cutAdmission(excess float64) {
 	for _, i := range b.admission.classesByValue {
 		class := &b.classes[i]
@@ -158,8 +158,8 @@
 	return b.proxyRateLimit(class)
 }
 
-// proxyRateLimit returns the rate that, as a limit at each proxy, admits the fraction of the demand that a class is
-// to have: proxies with a lower rate are not limited.
+// proxyRateLimit returns the limit in requests per second at each proxy that admits the admitted fraction of the demand
+// of a class in total. Proxies with a lower rate are not limited.
 func (b *Balancer) proxyRateLimit(class int) float64 {
 	var rates []float64
 	for _, proxy := range b.proxies.all {
@@ -177,8 +177,8 @@
 	return unlimitedAdmission
 }
 
-// publishAdmission orders limits and retry modes that have changed. It returns the entries that remain of the
-// channel's capacity.
+// publishAdmission emits the limits and retry modes that have changed, as far as the capacity of the update channel, in
+// entries, allows. It returns the remaining capacity.
 func (b *Balancer) publishAdmission(capacity float64) float64 {
 	proxyCount := float64(len(b.proxies.all))
 	for i := range b.classes {
--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -29,8 +29,8 @@
 	}, 1)
 	for id, requests := range []uint32{1, 3, 8} {
 		proxy := fleet.ProxyID(id)
-		b.observe(fleet.ProxyJoined{Proxy: proxy, Fresh: true})
-		b.observe(fleet.DemandReport{Proxy: proxy, Requests: requests, Interval: fleet.Second})
+		b.handleEvent(fleet.ProxyJoined{Proxy: proxy, Fresh: true})
+		b.handleEvent(fleet.DemandReport{Proxy: proxy, Requests: requests, Interval: fleet.Second})
 	}
 	b.classes[0].demand = 12
 	b.classes[0].admittedFraction = 0.75 // 9 per second: 1, 3 and 5
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,34 +1,35 @@
 // Package balancer decides which servers the proxies of a fleet send their requests to.
 //
-// A Balancer is a pure state machine. Its host turns all that happens into events and calls Step with each batch of
+// A Balancer is a deterministic state machine. Its host converts all inputs to events and calls Step with each batch of
 // them; Step returns the orders to carry out. The package reads no clock, file or network and starts no goroutine:
 // the same seed, times and events give the same orders, so a recorded run can be replayed. Site, events and orders
 // are defined in package fleet.
 //
-// Step proceeds in this order: it takes in the events, derives the state of the fleet, estimates demand and capacity,
-// sets admission, ejects outliers and balances the weights, works out the wanted tables, and orders what differs from
-// the tables that proxies have, as far as the update channel has capacity.
+// Step proceeds in this order: it processes the events, derives the state of the fleet, estimates demand and capacity,
+// sets admission, ejects outliers and balances the weights, computes the wanted tables, and emits orders for the
+// differences from the tables that proxies have, as far as the update channel has capacity.
 package balancer
 
 import "cressknot/internal/fleet"
 
 const (
-	// balanceInterval is the shortest interval of measurement in the design. Weights change once per interval.
+	// balanceInterval is the shortest interval of measurement. Weights change once per interval.
 	balanceInterval = 2 * fleet.Second
-	// estimateInterval is the time between two estimates. Admission follows demand at the pace of load reports.
+	// estimateInterval is the time between two estimates of demand and capacity. It is close to the interval of load
+	// reports, so that admission follows demand.
 	estimateInterval = balanceInterval / 2
-	// timerInterval is the time between two timers that wake the balancer where no events come.
+	// timerInterval is the time between two timers, which cause steps in the absence of other events.
 	timerInterval = fleet.Second / 4
-	// maxObservationDuration bounds the wait for measurements before the first tables are laid out.
+	// maxObservationDuration is the longest wait for measurements before the first tables are assigned.
 	maxObservationDuration = 2 * balanceInterval
-	// unservedDivisor ends the observation in half the time that a proxy may be without endpoints.
-	unservedDivisor = 2
-	// epsilon replaces a zero divisor: sums of rates, weights, seconds and capacities are at least this.
+	// unservedDurationDivisor limits the initial observation to half the time that a proxy may be without endpoints.
+	unservedDurationDivisor = 2
+	// epsilon replaces zero divisors: sums of rates, weights, seconds and capacities are at least this.
 	epsilon = 1e-9
 )
 
-// Balancer decides for the proxies that are joined to one controller. It is not safe for concurrent use: the host
-// calls its methods from one goroutine.
+// Balancer decides the weight tables, assignments and admission limits of the proxies that are joined to one
+// controller. It is not safe for concurrent use: the host calls its methods from one goroutine.
 type Balancer struct {
 	site      fleet.Site
 	random    randomGenerator
@@ -42,21 +43,21 @@
 	shedding  sheddingState
 	channel   updateChannel
 	schedule  schedule
-	now       fleet.Time    // time of the present step
-	orders    []fleet.Order // of the present step
+	now       fleet.Time    // time of the current step
+	orders    []fleet.Order // emitted in the current step
 }
 
-// schedule says when the periodic parts of a step are due.
+// schedule holds when the periodic parts of a step ran last or are due.
 type schedule struct {
 	startedAt   fleet.Time // first step; negative: none yet
 	balancedAt  fleet.Time // last end of a balance interval
 	estimatedAt fleet.Time // last estimates
-	timerDueAt  fleet.Time // when the next timer is due
+	timerDueAt  fleet.Time // when the next timer fires
 	intervalDue bool       // a balance interval ends in this step
-	observing   bool       // the first tables are not laid out yet
+	observing   bool       // the initial observation has not ended: no table is assigned yet
 }
 
-// New returns a balancer for a site. The seed varies the times at which controllers ask for the endpoint list.
+// New returns a balancer for a site. The seed determines the jitter of endpoint list requests after failed ones.
 func New(site fleet.Site, seed uint64) *Balancer {
 	b := &Balancer{
 		site:      site,
@@ -74,7 +75,7 @@
 	return b
 }
 
-// Step takes in the events up to now and returns the orders to carry out, in this order. The returned slice is valid
+// Step processes the events up to now and returns the orders to carry out, in this order. The returned slice is valid
 // until the next call of Step. Times must not decrease from step to step.
 func (b *Balancer) Step(now fleet.Time, events []fleet.Event) []fleet.Order {
 	b.now = now
@@ -83,7 +84,7 @@
 		b.start()
 	}
 	for _, event := range events {
-		b.observe(event)
+		b.handleEvent(event)
 	}
 
 	observationEnds := b.observationEnds()
@@ -109,7 +110,7 @@
 	if b.schedule.intervalDue {
 		b.schedule.balancedAt = now
 		b.channel.nextChangesAt = now
-		b.forgetGoneServers()
+		b.removeGoneServers()
 	}
 
 	b.updateFleet()
@@ -118,7 +119,7 @@
 	return b.orders
 }
 
-// start sets the times that count from the first step.
+// start sets the times that are relative to the first step.
 func (b *Balancer) start() {
 	b.schedule.startedAt = b.now
 	b.schedule.balancedAt = b.now
@@ -129,7 +130,7 @@
 	}
 }
 
-// observationEnds reports whether the first tables are to be laid out in this step.
+// observationEnds reports whether the initial observation ends in this step, so that the first tables are assigned.
 func (b *Balancer) observationEnds() bool {
 	if !b.schedule.observing {
 		return false
@@ -140,18 +141,19 @@
 	return b.estimates.medianCapacity > 0 && b.now >= b.schedule.startedAt+balanceInterval
 }
 
-// observationDuration returns how long the balancer waits for measurements at most.
+// observationDuration returns the longest duration of the initial observation.
 func (b *Balancer) observationDuration() fleet.Time {
 	tableEntries := float64(len(b.proxies.all) * len(b.endpoints.all))
 	if !b.proxies.inheritedTables && tableEntries > balanceInterval.Seconds()*b.site.EntriesPerSecond {
-		// Tables that take longer than an interval to send are expensive to correct.
+		// Sending the tables takes longer than an interval, so correcting them later is expensive.
 		return maxObservationDuration
 	}
-	// Inherited tables may consist of withdrawn servers only, so they are replaced well before that breaks a limit.
-	return min(maxObservationDuration, b.site.MaxUnservedDuration/unservedDivisor)
+	// Inherited tables may contain only withdrawn servers, so they are replaced well before a proxy exceeds the time
+	// that it may be without endpoints.
+	return min(maxObservationDuration, b.site.MaxUnservedDuration/unservedDurationDivisor)
 }
 
-// mayRebalance reports whether a balance interval ends and outcomes were reported in it. Without any, weights stay.
+// mayRebalance reports whether a balance interval ends in which outcomes were reported. Otherwise weights stay.
 func (b *Balancer) mayRebalance() bool {
 	return b.schedule.intervalDue && b.estimates.medianCapacity > 0 && b.estimates.latestOutcomeAt > b.schedule.balancedAt
 }
@@ -166,7 +168,7 @@
 	b.updateDemand()
 }
 
-// emit adds an order to those of the present step.
+// emit adds an order to those of the current step.
 func (b *Balancer) emit(order fleet.Order) { b.orders = append(b.orders, order) }
 
 // emitTimer sets the next timer if none is pending.
@@ -178,14 +180,14 @@
 	b.emit(fleet.SetTimer{Delay: timerInterval})
 }
 
-// emitOrders orders timers, lists and health checks, and sends the proxies what changed.
+// emitOrders emits timers, endpoint list requests, health checks and the changes for proxies.
 func (b *Balancer) emitOrders() {
 	b.channel.advance(b.now, &b.site)
 	b.emitTimer()
 	b.emitListRequest()
 	b.emitProbes()
 	if b.site.SliceCount > 0 {
-		return // on such sites tables belong to slices, which this package does not decide about
+		return // the tables of such sites belong to slices, which this package does not manage
 	}
 	entriesBefore := b.channel.entriesSent
 	if b.now >= b.channel.broadcastAt+b.broadcastInterval() {
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -36,7 +36,7 @@
 	requests := uint32(0)
 	for i, rate := range rates {
 		attempts := uint32(2 * rate)
-		b.observe(fleet.OutcomeReport{
+		b.handleEvent(fleet.OutcomeReport{
 			Server:   fleet.ServerID(i + 1),
 			Attempts: attempts,
 			Latency:  fleet.Second / 5,
@@ -45,7 +45,7 @@
 		})
 		requests += attempts
 	}
-	b.observe(fleet.DemandReport{Requests: requests, Interval: 2 * fleet.Second})
+	b.handleEvent(fleet.DemandReport{Requests: requests, Interval: 2 * fleet.Second})
 	return b
 }
 
--- a/internal/balancer/channel.go
+++ b/internal/balancer/channel.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// assumedChannelFraction is the part of the stated channel capacity that is counted on between acknowledgements.
+	// assumedChannelFraction is the fraction of the configured channel capacity that is assumed to be delivered between
+	// acknowledgements.
 	assumedChannelFraction = 0.25
-	// usableBacklogFraction is the part of the maximum backlog that ordinary updates may fill.
+	// usableBacklogFraction is the fraction of the maximum backlog that ordinary updates may fill.
 	usableBacklogFraction = 0.5
-	// barrierEntries is what a barrier costs in a message.
+	// barrierEntries is the cost of a barrier in a message.
 	barrierEntries = 1
-	// barrierIDCount is how many barrier IDs are used in turn.
+	// barrierIDCount is the number of barrier IDs, after which they are reused.
 	barrierIDCount = 65536
-	// reservedMessages is the part of the message limit of a proxy that is reserved for its assignments.
+	// reservedMessages is the number of messages per proxy and message window that is reserved for assignments.
 	reservedMessages = 5
-	// unlimitedMessages is the limit on sites that state none.
+	// unlimitedMessages is the message limit on sites that configure none.
 	unlimitedMessages = 1e6
 	// minBroadcastInterval is the shortest time between two messages to all proxies.
 	minBroadcastInterval = 2 * timerInterval
 )
 
-// updateChannel accounts for the channel that brings updates to proxies. Its unit is the entry: one value, such as a
+// updateChannel accounts for the channel that delivers updates to proxies. Its unit is the entry: one value, such as a
 // weight, sent to one proxy. The channel delivers messages in order.
 type updateChannel struct {
-	entriesSent         float64    // in all
-	entriesDelivered    float64    // of those, acknowledged or assumed from the passing of time
-	entriesAcknowledged float64    // of those, acknowledged
+	entriesSent         float64    // in total
+	entriesDelivered    float64    // of those sent, acknowledged or assumed to be delivered after the time passed
+	entriesAcknowledged float64    // of those delivered, acknowledged
 	deliveredAt         fleet.Time // when entriesDelivered was last updated
 	broadcastAt         fleet.Time // last message to all proxies
-	// nextChangesAt is when ordinary changes of weights may be sent; 0: none wait.
+	// nextChangesAt is when ordinary changes of weights may be sent; 0: none are pending.
 	nextChangesAt   fleet.Time
 	lastBarrier     fleet.BarrierID
 	pendingBarriers map[fleet.BarrierID]*pendingBarrier
@@ -40,30 +41,30 @@
 
 // pendingBarrier is a barrier that not all proxies have acknowledged.
 type pendingBarrier struct {
-	entriesBefore    float64 // sent before the entries that the barrier ends
-	entries          float64 // that the barrier ends
+	entriesBefore    float64 // entries sent before those that the barrier covers
+	entries          float64 // entries that the barrier covers
 	proxyCount       float64 // proxies that the barrier was sent to
 	acknowledgements float64
 }
 
-// assumedEntries returns how many entries the channel is assumed to deliver in a time.
+// assumedEntries returns the number of entries that the channel is assumed to deliver in a duration.
 func assumedEntries(duration fleet.Time, site *fleet.Site) float64 {
 	return duration.Seconds() * site.EntriesPerSecond * assumedChannelFraction
 }
 
-// advance counts what the channel is assumed to have delivered since the last call.
+// advance adds the entries that the channel is assumed to have delivered since the last call.
 func (c *updateChannel) advance(now fleet.Time, site *fleet.Site) {
 	c.entriesDelivered = min(c.entriesSent, c.entriesDelivered+assumedEntries(now-c.deliveredAt, site))
 	c.deliveredAt = now
 }
 
-// backlog returns the entries that wait in the channel: neither delivered nor in transit.
+// backlog returns the number of entries queued in the channel: neither delivered nor in transit.
 func (c *updateChannel) backlog(site *fleet.Site) float64 {
 	return max(0, c.entriesSent-c.entriesDelivered-assumedEntries(site.MeanUpdateDelay, site))
 }
 
-// acknowledge counts a proxy that has reached a barrier. What was sent before the barrier is delivered then, also
-// where the channel is slower than assumed.
+// acknowledge counts a proxy that has reached a barrier. This proves that all entries before the barrier are delivered,
+// which corrects the assumption where the channel is slower.
 func (c *updateChannel) acknowledge(id fleet.BarrierID) {
 	barrier := c.pendingBarriers[id]
 	if barrier == nil {
@@ -80,7 +81,7 @@
 	})
 }
 
-// addBarrier returns a barrier that ends all entries sent since entriesBefore and goes to a number of proxies.
+// addBarrier returns a barrier for proxyCount proxies that covers the entries sent since entriesSent was entriesBefore.
 func (c *updateChannel) addBarrier(entriesBefore float64, proxyCount int) fleet.Barrier {
 	c.lastBarrier = (c.lastBarrier + 1) % barrierIDCount
 	c.pendingBarriers[c.lastBarrier] = &pendingBarrier{
@@ -91,12 +92,12 @@
 	return fleet.Barrier{ID: c.lastBarrier}
 }
 
-// messageCost returns the entries that a message costs beside its weights: its overhead, admission and a barrier.
+// messageCost returns the cost of a message in entries, apart from its weights: overhead, admission and a barrier.
 func (b *Balancer) messageCost() float64 {
 	return b.site.MessageOverhead + float64(len(b.classes)) + barrierEntries
 }
 
-// broadcast emits an order that costs one entry at each of a number of proxies.
+// broadcast emits an order that costs one entry at each of proxyCount proxies.
 func (b *Balancer) broadcast(order fleet.Order, proxyCount float64) {
 	b.channel.entriesSent += proxyCount
 	if proxyCount > 0 && b.channel.broadcastAt != b.now {
@@ -106,7 +107,7 @@
 	b.emit(order)
 }
 
-// broadcastInterval returns the time between messages to all that the message limit of proxies allows.
+// broadcastInterval returns the time between messages to all proxies that the message limit of a proxy allows.
 func (b *Balancer) broadcastInterval() fleet.Time {
 	maxBroadcasts := max(1, cmp.Or(b.site.MaxMessages, unlimitedMessages)-reservedMessages)
 	return max(minBroadcastInterval, b.site.MessageWindow/fleet.Time(maxBroadcasts))
--- a/internal/balancer/desired.go
+++ b/internal/balancer/desired.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// lastResortHealthFactor is the lowest health factor where a table would be without warm servers otherwise.
+	// lastResortHealthFactor is the lowest health factor in tables that would have no warm server otherwise.
 	lastResortHealthFactor = 0.25
-	// warmingLoadFraction is the part of its present capacity that a server in slow start is sent.
+	// warmingLoadFraction is the fraction of its current capacity up to which a server in slow start is loaded.
 	warmingLoadFraction = 0.8
-	// unsharedOverloadFraction is the part of the stated overload limit that servers in slow start are sent where there
-	// are no others.
+	// unsharedOverloadFraction is the fraction of the configured overload limit up to which servers in slow start are
+	// loaded in tables without warm servers.
 	unsharedOverloadFraction = 0.5
-	// maxAllFailedProbability is the probability of consecutive failures that make a proxy avoid a server, at which
-	// servers in slow start get no requests.
+	// maxAllFailedProbability is the probability of a run of failures that makes a proxy avoid a server, at which servers
+	// in slow start get no requests.
 	maxAllFailedProbability = 0.1
-	// proxiesNeverAvoid is the number of consecutive failures on sites whose proxies never avoid a server.
-	proxiesNeverAvoid = 1e6
+	// unlimitedFailures replaces the number of consecutive failures on sites whose proxies never avoid a server.
+	unlimitedFailures = 1e6
 )
 
-// updateWantedWeights works out the weights that each table should have.
+// updateWantedWeights computes the weights that each table should have.
 func (b *Balancer) updateWantedWeights() {
 	for t := range b.tables {
 		b.setWantedWeights(t, false)
@@ -31,8 +31,8 @@
 	b.limitWarmingServers()
 }
 
-// setWantedWeights sets the wanted weights of a table from the balanced weights and from health. As a last resort, so
-// that no proxy is without endpoints, ejected servers and those reserved for other classes take part.
+// setWantedWeights sets the wanted weights of a table from the balanced weights and the health factors. As a last
+// resort, so that no proxy is without endpoints, it includes ejected servers and those reserved for other classes.
 func (b *Balancer) setWantedWeights(index int, lastResort bool) {
 	table := &b.tables[index]
 	minHealthFactor := 0.0
@@ -54,7 +54,8 @@
 	}
 }
 
-// isReservedFor reports whether load shedding leaves a server to the classes of a table. Zone-local classes use all.
+// isReservedFor reports whether load shedding lets the classes of a table use a server. Zone-local classes may use
+// every server.
 func isReservedFor(server *serverState, table *weightTable) bool {
 	if table.group >= firstZoneLocalGroup {
 		return true
@@ -62,24 +63,25 @@
 	return server.lowPriorityOnly == (table.group == lowPriorityGroup)
 }
 
-// limitWarmingServers limits the wanted weights of servers in slow start to what they can surely handle.
+// limitWarmingServers limits the wanted weights of servers in slow start to a low estimate of their capacity.
 func (b *Balancer) limitWarmingServers() {
 	if b.estimates.medianCapacity == 0 {
 		return
 	}
-	crowding := b.crowdingFactor()
+	concentration := b.concentrationFactor()
 	for _, server := range b.endpoints.ready {
 		if b.warmingUp(server) {
-			capacity := b.warmFraction(server) * b.estimates.lowCapacity * crowding
+			capacity := b.warmFraction(server) * b.estimates.lowCapacity * concentration
 			b.limitWarmingServer(server, capacity)
 		}
 	}
 }
 
-// crowdingFactor reduces the load of servers in slow start where most attempts fail: the proxies avoid the failing
-// servers then and crowd on the few that answer. At 0 such servers are out of the tables.
-func (b *Balancer) crowdingFactor() float64 {
-	consecutiveFailures := cmp.Or(float64(b.site.ProxyOutlierFailures), proxiesNeverAvoid)
+// concentrationFactor returns the factor by which the load of servers in slow start is reduced while most attempts
+// fail: proxies then avoid the failing servers and concentrate their requests on the few others. At 0, servers in slow
+// start are left out of the tables.
+func (b *Balancer) concentrationFactor() float64 {
+	consecutiveFailures := cmp.Or(float64(b.site.ProxyOutlierFailures), unlimitedFailures)
 	allFailed := math.Pow(b.estimates.failedFraction, consecutiveFailures)
 	return max(0, 1-allFailed/maxAllFailedProbability)
 }
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// minListRequestBackoff is the mean wait after the first failed endpoint list; it doubles with each further one.
+	// minListRequestBackoff is the mean backoff after the first failed endpoint list request; each further failure
+	// doubles it.
 	minListRequestBackoff = 2 * timerInterval
-	// pollIntervalDivisor limits the mean backoff to half the poll interval, as jitter makes it up to half longer.
+	// pollIntervalDivisor limits the mean backoff to half the poll interval, as jitter adds up to half of it.
 	pollIntervalDivisor = 2
-	// minBackoffJitter is the smallest factor of the backoff. The largest is 1 more.
+	// minBackoffJitter is the smallest jitter factor of the backoff. The largest is greater by 1.
 	minBackoffJitter = 0.5
-	// goneServerRetention is how long a withdrawn server is remembered after it is gone.
+	// goneServerRetention is how long the state of a gone server is kept after its withdrawal.
 	goneServerRetention = 16 * fleet.Second
 	// remotePartitionWeight is the initial weight, over all partitions, of a server in partitions other than its own.
 	remotePartitionWeight = 0.1
 )
 
-// endpointState is the state of endpoint discovery: the servers of the endpoint list, and when to ask for it.
+// endpointState is the state of endpoint discovery: the servers of the endpoint list and the next request for it.
 type endpointState struct {
 	byID  map[fleet.ServerID]*serverState
-	all   []*serverState // by ID, those that are gone included until they are forgotten
-	ready []*serverState // by ID, those listed as ready
-	// nextRequestAt is when to ask for the list; 0: not at all.
+	all   []*serverState // ordered by ID, with gone servers until their state is removed
+	ready []*serverState // ordered by ID, servers listed as ready
+	// nextRequestAt is when to request the list; 0: no request is pending.
 	nextRequestAt  fleet.Time
 	requestBackoff fleet.Time
 }
@@ -37,12 +38,12 @@
 	}
 }
 
-// serverState is what the balancer knows of a server and has ordered for it.
+// serverState is the state of a server: its endpoint, measurements, health and latest orders.
 type serverState struct {
 	fleet.Endpoint
-	// addedAt is when the server was listed for the first time or again; 0: it ran before the balancer did.
+	// addedAt is when the server was listed for the first time or again; 0: it was warm in the first list.
 	addedAt fleet.Time
-	// partition is the one whose tables prefer the server.
+	// partition is the partition whose tables prefer the server.
 	partition int
 
 	samples       []reportSample
@@ -50,27 +51,27 @@
 	shortWindow   windowStats
 	bestLatency   fleet.Time // lowest mean latency of a long window; 0: none yet
 	lastSuccessAt fleet.Time
-	capacity      float64 // estimated attempts per second at full utilization, of the proxies joined here
-	requestRate   float64 // attempts per second that the ordered tables send it
+	capacity      float64 // estimated attempts per second at full utilization, from proxies of this controller
+	requestRate   float64 // attempts per second that the ordered tables send to it
 
-	// healthFactor is the fraction of its weight that outlier detection leaves it; 0: ejected.
+	// healthFactor is the factor that outlier detection applies to its weight; 0: ejected.
 	healthFactor      float64
 	ejectedUntil      fleet.Time
 	ejectionDuration  fleet.Time // of the latest ejection; 0 after a full recovery
-	reducedForLatency bool       // its health factor was reduced since its latency was last within bounds
+	reducedForLatency bool       // the health factor was reduced since the latency was last within bounds
 
-	lowPriorityOnly bool      // load is shed: it serves the low-priority classes only
-	weight          []float64 // by table, as the balancing of load sets it
-	wantedWeight    []float64 // by table, with health and slow start taken into account
-	orderedWeight   []float64 // by table, as ordered last
+	lowPriorityOnly bool      // load is shed: the server is reserved for the low-priority classes
+	weight          []float64 // by table, set by load balancing
+	wantedWeight    []float64 // by table, with health and slow start applied
+	orderedWeight   []float64 // by table, as last ordered
 
-	weightUnconfirmed     []bool // by table: the ordered weight may not have been carried out
-	withdrawn             bool   // as ordered last
-	withdrawalUnconfirmed bool   // that order may not have been carried out
+	weightUnconfirmed     []bool // by table: the order of the weight may not have been carried out
+	withdrawn             bool   // as last ordered
+	withdrawalUnconfirmed bool   // the order of withdrawn may not have been carried out
 	withdrawalChangedAt   fleet.Time
 }
 
-// updateEndpoints takes in an endpoint list, a change of it or the failure to get it.
+// updateEndpoints applies an endpoint list or a delta, or handles the failure to get one.
 func (b *Balancer) updateEndpoints(list fleet.EndpointList) {
 	if list.Scope == fleet.ListFailed {
 		b.scheduleListRequest()
@@ -90,7 +91,7 @@
 	slices.SortFunc(b.endpoints.all, func(x, y *serverState) int { return cmp.Compare(x.Server, y.Server) })
 }
 
-// scheduleListRequest asks for the endpoint list again after a backoff with jitter.
+// scheduleListRequest schedules the next request for the endpoint list after a backoff with jitter.
 func (b *Balancer) scheduleListRequest() {
 	backoff := b.endpoints.requestBackoff
 	b.endpoints.nextRequestAt = b.now + backoff.Scale(minBackoffJitter+b.random.float64())
@@ -98,7 +99,7 @@
 	b.endpoints.requestBackoff = min(maxBackoff, 2*backoff)
 }
 
-// emitListRequest asks for the endpoint list if that is due.
+// emitListRequest requests the endpoint list if a request is due.
 func (b *Balancer) emitListRequest() {
 	if b.endpoints.nextRequestAt > 0 && b.endpoints.nextRequestAt <= b.now {
 		b.endpoints.nextRequestAt = 0
@@ -106,8 +107,8 @@
 	}
 }
 
-// emitProbes asks for a health check of each ready server once per balance interval, where these bring the load
-// reports.
+// emitProbes requests a health check of each ready server once per balance interval, on sites where the results carry
+// the load reports.
 func (b *Balancer) emitProbes() {
 	if !b.schedule.intervalDue || !b.site.ProbesAllowed || b.site.LoadReports != fleet.LoadReportOnProbe {
 		return
@@ -117,7 +118,7 @@
 	}
 }
 
-// updateEndpoint takes in what the list says of one server.
+// updateEndpoint applies one endpoint of a list.
 func (b *Balancer) updateEndpoint(endpoint fleet.Endpoint, isFirstList bool) {
 	server, known := b.endpoints.byID[endpoint.Server]
 	if !known {
@@ -145,7 +146,7 @@
 	return server
 }
 
-// resetServer drops what was measured of a server before its start. What was ordered for it stays.
+// resetServer drops the measurements of a server from before its start and keeps its latest orders.
 func (b *Balancer) resetServer(server *serverState, isFirstList bool) {
 	*server = serverState{
 		Endpoint:              server.Endpoint,
@@ -161,7 +162,7 @@
 		withdrawalUnconfirmed: server.withdrawalUnconfirmed,
 		withdrawalChangedAt:   server.withdrawalChangedAt,
 	}
-	if isFirstList && !b.warmingUp(server) { // it ran before the balancer did
+	if isFirstList && !b.warmingUp(server) { // the server was running before the balancer started
 		server.healthFactor = 1
 		server.addedAt = 0
 	}
@@ -176,7 +177,7 @@
 	}
 }
 
-// markUnlistedGone marks the servers that a complete list does not have.
+// markUnlistedGone marks the servers that are missing from a complete list as gone.
 func (e *endpointState) markUnlistedGone(listed map[fleet.ServerID]bool) {
 	for _, server := range e.all {
 		if !listed[server.Server] {
@@ -185,25 +186,26 @@
 	}
 }
 
-// Tracks reports whether the balancer still has state of a server.
+// Tracks reports whether the balancer has state of a server. It keeps the state of a gone server until proxies have
+// no entry for it.
 func (b *Balancer) Tracks(id fleet.ServerID) bool { return b.endpoints.byID[id] != nil }
 
-// forgetGoneServers drops the servers that are gone and in no table, with their withdrawals, as new servers have new
-// IDs without end.
-func (b *Balancer) forgetGoneServers() {
+// removeGoneServers removes the state of servers that are gone and in no table, and their withdrawals. As every new
+// server has a new ID, the state would grow without bound otherwise.
+func (b *Balancer) removeGoneServers() {
 	b.endpoints.all = slices.DeleteFunc(b.endpoints.all, func(server *serverState) bool {
-		if !b.mayForget(server) {
+		if !b.mayRemove(server) {
 			return false
 		}
-		b.emit(fleet.WithdrawServer{Server: server.Server}) // no table has the server, so this costs no entry
+		b.emit(fleet.WithdrawServer{Server: server.Server}) // costs no entry, as no table has the server
 		delete(b.endpoints.byID, server.Server)
 		return true
 	})
 }
 
-// mayForget reports whether no proxy sends to a server. Proxies that are out of sync might, by tables of an earlier
-// controller.
-func (b *Balancer) mayForget(server *serverState) bool {
+// mayRemove reports whether no proxy can send requests to a server any more. Proxies that are out of sync can, by
+// tables of an earlier controller.
+func (b *Balancer) mayRemove(server *serverState) bool {
 	if server.State != fleet.ServerGone || !server.withdrawn || server.withdrawalUnconfirmed {
 		return false
 	}
@@ -223,12 +225,13 @@
 	}
 }
 
-// warmingUp reports whether a server is in its slow start.
+// warmingUp reports whether a server is in slow start.
 func (b *Balancer) warmingUp(server *serverState) bool {
 	return server.Started > 0 && b.now < server.Started+b.site.SlowStart.Duration
 }
 
-// warmFraction returns the guaranteed fraction of a server's capacity at this point of its slow start.
+// warmFraction returns the fraction of its full capacity that a server is guaranteed to have at this point of its slow
+// start.
 func (b *Balancer) warmFraction(server *serverState) float64 {
 	if !b.warmingUp(server) {
 		return 1
@@ -238,7 +241,7 @@
 	return slowStart.InitialFraction + (1-slowStart.InitialFraction)*elapsed
 }
 
-// takesAllClasses reports whether a server has a weight and serves every class at its full capacity.
-func (b *Balancer) takesAllClasses(server *serverState) bool {
+// servesAllClasses reports whether a server is in service for all classes at its full capacity.
+func (b *Balancer) servesAllClasses(server *serverState) bool {
 	return server.healthFactor > 0 && !server.lowPriorityOnly && !b.warmingUp(server)
 }
--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -8,52 +8,53 @@
 )
 
 const (
-	// longWindow is the window for single servers: five balance intervals, in which some 30 attempts bring chance down
-	// to a fifth.
+	// longWindow is the window for single servers: five balance intervals, in which a server gets some 30 attempts, so
+	// that the random error is about a fifth.
 	longWindow = 10 * fleet.Second
-	// shortWindow is the window for the fleet in total: a cycle of load reports and their delay.
+	// shortWindow is the window for totals of the fleet: a cycle of load reports and their delay.
 	shortWindow = 3 * fleet.Second
 	// minWindowCycles is the minimum length of the long window in report cycles; that of the short one is half of it.
 	minWindowCycles = 3
 	// recentlyAddedDuration is how long a server or proxy counts as recently added.
 	recentlyAddedDuration = longWindow
-	// minMeanAttempts is how many successful attempts make a mean.
+	// minMeanAttempts is the smallest number of successful attempts whose mean is used.
 	minMeanAttempts = 8
-	// priorAttempts is how many attempts the median of its kind counts as in the estimate of a server's capacity.
+	// priorAttempts is the weight, in attempts, of the median capacity of its kind in the estimate of a server's capacity.
 	priorAttempts = 8
 	// unknownUtilization marks a utilization that was not reported.
 	unknownUtilization = -1
-	// minMeaningfulUtilization is the utilization below which a measurement says nothing of capacity.
+	// minMeaningfulUtilization is the utilization below which a measurement gives no estimate of the capacity.
 	minMeaningfulUtilization = 0.05
-	// maxTargetUtilization is the utilization past which random variation overloads some servers.
+	// maxTargetUtilization is the utilization above which random variation overloads some servers.
 	maxTargetUtilization = 0.74
-	// maxUtilizationRatio lets servers exceed the mean utilization of the fleet by a tenth.
+	// maxUtilizationRatio is the ratio of the target utilization of a server to the mean utilization of the fleet.
 	maxUtilizationRatio = 1.1
-	// lowCapacityQuantile is the quantile of the capacities that is counted on from a server of unknown capacity.
+	// lowCapacityQuantile is the quantile of the capacities that is assumed for a server of unknown capacity.
 	lowCapacityQuantile = 0.25
-	// foreignZoneCapacityFraction is the part of its capacity that is counted on from a server in a zone without joined
-	// proxies: other controllers use it.
+	// foreignZoneCapacityFraction is the fraction of its capacity that is assumed to be available from a server in a zone
+	// without joined proxies, as the proxies of other controllers use it.
 	foreignZoneCapacityFraction = 0.1
 )
 
-// fleetEstimates are the estimates of load and capacity for the fleet. Those for single servers are in serverState.
+// fleetEstimates holds the estimates of load and capacity of the fleet. Those of single servers are in serverState.
 type fleetEstimates struct {
-	utilizationField int        // position of the utilization in load reports; negative: not reported
-	latestOutcomeAt  fleet.Time // when the latest outcome report came
-	reportCycle      fleet.Time // how long each reporter waits for its turn, as the rate of reports is limited
-	// recentlyAddedFraction is the part of the servers, or of the requests by proxy, that was added recently.
+	utilizationField int        // index of the utilization in load reports; negative: not reported
+	latestOutcomeAt  fleet.Time // when the latest outcome report was received
+	reportCycle      fleet.Time // time until all reporters have reported once, as the rate of reports is limited
+	// recentlyAddedFraction is the larger of the recently added fractions of the servers and of the requests, by proxy.
 	recentlyAddedFraction float64
-	targetUtilization     float64 // that each server may have
-	meanUtilization       float64 // that the ordered tables cause
-	medianCapacity        float64 // attempts per second, of servers past their slow start; 0: not known
-	lowCapacity           float64 // the same, lower quartile
+	targetUtilization     float64 // above which the weight of a server is cut
+	meanUtilization       float64 // caused by the ordered tables
+	medianCapacity        float64 // of servers past their slow start, in attempts per second; 0: unknown
+	lowCapacity           float64 // lower quartile of the same
 	failedFraction        float64 // of the attempts in the short window
 }
 
-// reportSample is one report: of the attempts at a server, of its load, or of the requests that a proxy received.
+// reportSample is a report of the attempts at a server, of the load of a server, or of the requests that a proxy
+// received.
 type reportSample struct {
 	receivedAt  fleet.Time
-	interval    fleet.Time // that the report covers
+	interval    fleet.Time // covered by the report
 	latency     fleet.Time // mean of the successful attempts
 	zone        fleet.ZoneID
 	attempts    float64 // or requests, in a demand report
@@ -68,7 +69,7 @@
 	utilization float64    // mean; negative: not reported
 	latency     fleet.Time // mean of the successful attempts
 	successRate float64    // successful attempts per second
-	capacity    float64    // successful attempts per second at full utilization; 0: not known
+	capacity    float64    // successful attempts per second at full utilization; 0: unknown
 }
 
 func newFleetEstimates(site *fleet.Site) fleetEstimates {
@@ -78,7 +79,7 @@
 	}
 }
 
-// utilizationIn returns the utilization in a load report.
+// utilizationIn returns the utilization in a load report, unknownUtilization if there is none.
 func (e *fleetEstimates) utilizationIn(load []float32) float64 {
 	if e.utilizationField < 0 || e.utilizationField >= len(load) {
 		return unknownUtilization
@@ -86,7 +87,7 @@
 	return float64(load[e.utilizationField])
 }
 
-// Estimates returns what the balancer knows of each server that is ready, ordered by ID.
+// Estimates returns the present estimates of the ready servers, ordered by ID.
 func (b *Balancer) Estimates() []fleet.ServerEstimate {
 	var estimates []fleet.ServerEstimate
 	for _, server := range b.endpoints.ready {
@@ -108,7 +109,7 @@
 	return estimates
 }
 
-// tableFractions returns the part that a server has of the ordered weight of each table in use.
+// tableFractions returns the server's fraction of the ordered weight of each table in use.
 func (b *Balancer) tableFractions(server *serverState) []float64 {
 	fractions := []float64{}
 	for t := range b.tables {
@@ -120,7 +121,7 @@
 	return fractions
 }
 
-// updateRecentlyAdded works out how much of the fleet is so new that measurements lag behind.
+// updateRecentlyAdded computes which fraction of the fleet was added so recently that measurements lag behind.
 func (b *Balancer) updateRecentlyAdded() {
 	addedServers := 0.0
 	for _, server := range b.endpoints.ready {
@@ -138,8 +139,8 @@
 	b.estimates.recentlyAddedFraction = max(addedRate/b.proxies.expectedRate, addedServers/max(1, serverCount))
 }
 
-// updateReportCycle works out how long each reporter waits for its turn: each proxy reports each class, and each zone
-// with proxies reports each server.
+// updateReportCycle computes the time until all reporters have reported once: each proxy reports each class, and each
+// zone with proxies reports each server.
 func (b *Balancer) updateReportCycle() {
 	reports := float64(len(b.proxies.all) * len(b.classes))
 	for _, hasProxies := range b.proxies.zoneHasProxies {
@@ -151,8 +152,8 @@
 	b.estimates.reportCycle = max(b.site.ReportInterval, cycle)
 }
 
-// updateDemand works out the demand of each class and what each table admits of it. Proxies that have not reported
-// yet are taken to receive as much as the others, relative to their expected rates.
+// updateDemand computes the demand of each class and the admitted rate of each table. Proxies that have not reported
+// yet are assumed to receive as much as the others, relative to their expected rates.
 func (b *Balancer) updateDemand() {
 	for c := range b.classes {
 		class := &b.classes[c]
@@ -168,9 +169,9 @@
 	}
 }
 
-// proxyRequestRate returns the requests per second of a class that a proxy receives. Reports cover only times with
-// requests, so the silence since the last report counts too: where requests are rare, the rate would come out half
-// too high otherwise.
+// proxyRequestRate returns the requests per second of a class that a proxy receives. Proxies report only intervals with
+// requests, so the time since the last report is included. Without it the rate of a proxy with few requests would be
+// half too high.
 func (b *Balancer) proxyRequestRate(proxy *proxyState, class int) float64 {
 	samples := proxy.demandSamples[class]
 	if len(samples) == 0 {
@@ -186,7 +187,7 @@
 	return perSecond(requests, interval)
 }
 
-// updateEstimates works out the load and capacity of each ready server and of the fleet.
+// updateEstimates computes the load and capacity of each ready server and of the fleet.
 func (b *Balancer) updateEstimates() {
 	b.updateWindows()
 	b.updateFailedFraction()
@@ -194,8 +195,8 @@
 	b.updateUtilization()
 }
 
-// updateWindows sums up the reports of each ready server. The windows end at the latest report, so that a pause of
-// the reports changes nothing.
+// updateWindows sums up the reports of each ready server. The windows end at the latest report, so that a gap in the
+// reports leaves the estimates unchanged.
 func (b *Balancer) updateWindows() {
 	latest := b.estimates.latestOutcomeAt
 	minWindow := minWindowCycles * b.estimates.reportCycle
@@ -225,8 +226,8 @@
 	b.estimates.failedFraction = (attempts - successes) / max(1, attempts)
 }
 
-// updateCapacities estimates the capacity of each ready server. The fewer attempts it had, the more the median of its
-// kind counts.
+// updateCapacities estimates the capacity of each ready server. The fewer attempts a server had, the larger is the
+// influence of the median of its kind.
 func (b *Balancer) updateCapacities() {
 	var measured []float64
 	measuredByKind := map[fleet.KindID][]float64{}
@@ -246,23 +247,24 @@
 	}
 }
 
-// isCapacityMeasured reports whether the capacity of a server was measured under ordinary load.
+// isCapacityMeasured reports whether the measured capacity of a server may enter the medians: it has had enough
+// attempts under ordinary load.
 func (b *Balancer) isCapacityMeasured(server *serverState) bool {
 	if server.longWindow.successes < minMeanAttempts || server.lowPriorityOnly || b.warmingUp(server) {
 		return false
 	}
-	return !b.isUsedByOthers(server)
+	return !b.isUsedByOtherControllers(server)
 }
 
-// isUsedByOthers reports whether a server is in a zone without proxies joined here, so that it prefers those of other
-// controllers.
-func (b *Balancer) isUsedByOthers(server *serverState) bool {
+// isUsedByOtherControllers reports whether a server is in a zone without joined proxies, so that it mainly serves the
+// proxies of other controllers.
+func (b *Balancer) isUsedByOtherControllers(server *serverState) bool {
 	return b.layout.partitioned && !b.proxies.zoneHasProxies[b.layout.zoneOf(server.partition)]
 }
 
-// estimateCapacity returns the mean of a server's measured capacity and of the prior, weighted by attempts.
+// estimateCapacity returns the mean of a server's measured capacity and the prior, weighted by attempts.
 func (b *Balancer) estimateCapacity(server *serverState, prior float64) float64 {
-	if b.isUsedByOthers(server) {
+	if b.isUsedByOtherControllers(server) {
 		prior *= foreignZoneCapacityFraction
 	}
 	window := &server.longWindow
@@ -272,12 +274,12 @@
 	return prior
 }
 
-// updateUtilization works out the mean utilization that the ordered tables cause, and the one that servers may have.
+// updateUtilization computes the mean utilization that the ordered tables cause, and the target utilization.
 func (b *Balancer) updateUtilization() {
 	requestRate := 0.0
 	capacity := 0.0
 	for _, server := range b.endpoints.ready {
-		if b.takesAllClasses(server) {
+		if b.servesAllClasses(server) {
 			requestRate += server.requestRate
 			capacity += server.capacity * server.healthFactor
 		}
@@ -287,13 +289,14 @@
 	b.estimates.targetUtilization = max(mean, min(maxTargetUtilization, maxUtilizationRatio*mean))
 }
 
-// zoneSuccesses sums up the successful attempts from one zone and the intervals of their reports.
+// zoneSuccesses is the number of successful attempts from one zone and the total interval of their reports.
 type zoneSuccesses struct {
 	count    float64
 	interval fleet.Time
 }
 
-// summarize sums up the samples since a time. Rates go by the intervals that the reports state, as these come late.
+// summarize sums up the samples since a time. Rates are relative to the intervals in the reports, not to the times of
+// their receipt, as reports arrive late.
 func (s *serverState) summarize(since fleet.Time, zoneCount int) windowStats {
 	stats := windowStats{utilization: unknownUtilization}
 	latencySum := 0.0
@@ -328,16 +331,15 @@
 	return stats
 }
 
-// perSecond returns the rate that a count over an interval makes.
+// perSecond returns the rate of a count over an interval.
 func perSecond(count float64, interval fleet.Time) float64 {
 	return count / max(interval.Seconds(), epsilon)
 }
 
-// median returns the upper median of values and sorts them; 0 where there are none.
+// median sorts values and returns their upper median, 0 if there are none.
 func median(values []float64) float64 { return quantile(values, 0.5) }
 
-// quantile returns the value that a fraction, less than 1, of the values is below, and sorts them; 0 where there are
-// none.
+// quantile sorts values and returns the value that a fraction, less than 1, of them is below; 0 if there are none.
 func quantile(values []float64, fraction float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/balancer/estimates_test.go
+++ b/internal/balancer/estimates_test.go
@@ -43,7 +43,7 @@
 		}
 		if requests > 0 {
 			interval := min(b.now-lastReportAt, 5*fleet.Second)
-			b.observe(fleet.DemandReport{Requests: requests, Interval: interval})
+			b.handleEvent(fleet.DemandReport{Requests: requests, Interval: interval})
 			lastReportAt = b.now
 		}
 		if second > 50 {
--- a/internal/balancer/inputs.go
+++ b/internal/balancer/inputs.go
@@ -3,18 +3,18 @@
 import "cressknot/internal/fleet"
 
 const (
-	// maxSamplesPerServer bounds the samples of a server: over two reports per second and zone within longWindow.
+	// maxSamplesPerServer bounds the memory for the samples of a server. It holds more than two reports per second and
+	// zone within longWindow.
 	maxSamplesPerServer = 128
-	// maxDemandSamples is how many demand reports make an estimate of a proxy's request rate.
+	// maxDemandSamples is the number of demand reports that the estimate of a proxy's request rate uses.
 	maxDemandSamples = 3
-	// maxReportGap is the number of report intervals past which a demand report says that the proxy was silent, so that
-	// what it reported before no longer counts.
+	// maxReportGap is the number of report intervals above which the interval of a demand report shows that the proxy had
+	// no requests for a while, so that its earlier reports are dropped.
 	maxReportGap = 3
 )
 
-// observe takes in one event. Events of kinds that the balancer has no use for are ignored, as are those that name
-// servers, proxies or classes it does not know.
-func (b *Balancer) observe(event fleet.Event) {
+// handleEvent processes one event. It ignores events of other kinds, and those for unknown servers, proxies or classes.
+func (b *Balancer) handleEvent(event fleet.Event) {
 	switch e := event.(type) {
 	case fleet.EndpointList:
 		b.updateEndpoints(e)
@@ -23,11 +23,11 @@
 	case fleet.ProxyLeft:
 		b.removeProxy(e.Proxy)
 	case fleet.OutcomeReport:
-		b.observeOutcome(e)
+		b.recordOutcome(e)
 	case fleet.ProbeResult:
-		b.observeProbe(e)
+		b.recordProbe(e)
 	case fleet.DemandReport:
-		b.observeDemand(e)
+		b.recordDemand(e)
 	case fleet.BarrierReached:
 		b.channel.acknowledge(e.Barrier)
 	case fleet.OrdersUnconfirmed:
@@ -35,7 +35,7 @@
 	}
 }
 
-func (b *Balancer) observeOutcome(report fleet.OutcomeReport) {
+func (b *Balancer) recordOutcome(report fleet.OutcomeReport) {
 	server := b.endpoints.byID[report.Server]
 	if server == nil || int(report.Zone) >= len(b.site.Zones) {
 		return
@@ -57,7 +57,7 @@
 	}
 }
 
-func (b *Balancer) observeProbe(result fleet.ProbeResult) {
+func (b *Balancer) recordProbe(result fleet.ProbeResult) {
 	server := b.endpoints.byID[result.Server]
 	if server == nil || result.Outcome != fleet.ProbeAnswered {
 		return
@@ -68,7 +68,7 @@
 	})
 }
 
-func (b *Balancer) observeDemand(report fleet.DemandReport) {
+func (b *Balancer) recordDemand(report fleet.DemandReport) {
 	proxy := b.proxies.byID[report.Proxy]
 	if proxy == nil || int(report.Class) >= len(proxy.demandSamples) {
 		return
@@ -78,7 +78,8 @@
 	samples := proxy.demandSamples[report.Class]
 	interval := report.Interval
 	if len(samples) > 0 {
-		// The silence that a report states is capped at some seconds; the time since the last report is not.
+		// The interval in a report covers at most some seconds without requests, so the time since the last report is
+		// used if it is longer.
 		last := samples[len(samples)-1]
 		interval = max(interval, b.now-last.receivedAt-b.estimates.reportCycle)
 	}
@@ -93,8 +94,8 @@
 	})
 }
 
-// markUnconfirmed notes that orders may or may not have been carried out. They are sent again as any other difference
-// is, when the update channel has capacity.
+// markUnconfirmed marks orders that may or may not have been carried out. They are sent again like other changes, when
+// the update channel has capacity.
 func (b *Balancer) markUnconfirmed(orders []fleet.Order) {
 	b.channel.nextChangesAt = b.now
 	for _, order := range orders {
--- a/internal/balancer/outliers.go
+++ b/internal/balancer/outliers.go
@@ -7,62 +7,66 @@
 )
 
 const (
-	// initialHealthFactor is the health factor of new and returning servers, and of outliers that the others cannot
-	// replace.
+	// initialHealthFactor is the health factor of new and returning servers, and of outliers that stay in service
+	// because too many servers are ejected already.
 	initialHealthFactor = 0.25
-	// minReducedHealthFactor bounds the reductions for latency.
+	// minReducedHealthFactor is the lowest health factor that reductions for latency lead to.
 	minReducedHealthFactor = 0.25
-	// healthRecoveryStep is what a healthy server regains of its health factor per balance interval.
+	// healthRecoveryStep is added to the health factor of a healthy server in each balance interval.
 	healthRecoveryStep = 0.25
-	// latencyReduction is the divisor of the health factor of a server that is late.
-	latencyReduction = 2
+	// latencyReductionDivisor divides the health factor of a server whose latency is too high.
+	latencyReductionDivisor = 2
 
-	// minFailures is how many failed attempts make an outlier: fewer are chance.
+	// minFailures is the number of failed attempts that makes an outlier: fewer can be chance.
 	minFailures = 3
-	// minFailedFraction is the smallest part of failed attempts that makes an outlier.
+	// minFailedFraction is the smallest fraction of failed attempts that makes an outlier.
 	minFailedFraction = 0.25
-	// failedFractionRatio is how far the failures of an outlier exceed those of the fleet, which none is blamed for.
+	// failedFractionRatio is the ratio to the failed fraction of the fleet above which a server is an outlier. Failures
+	// that all servers share have a common cause.
 	failedFractionRatio = 2
-	// minUsefulSuccessFraction is the part of successful attempts below which a server is of no help to a fleet under
-	// load.
+	// minUsefulSuccessFraction is the fraction of successful attempts below which a server does not help even a fleet
+	// under load, so that it is ejected whether or not the other servers can replace it.
 	minUsefulSuccessFraction = 1.0 / 3
-	// silentReportCycles is how many report cycles pass before a server without successes is silent: reports take turns.
-	silentReportCycles = 3
-	// minUnansweredAttempts is how many attempts a silent server has left unanswered; by chance that is 1 in 3000.
+	// unresponsiveReportCycles is the number of report cycles without a success after which a server may count as
+	// unresponsive. The rate of reports is limited, so it takes a cycle until all servers have been reported.
+	unresponsiveReportCycles = 3
+	// minUnansweredAttempts is the expected number of unanswered attempts that makes a server unresponsive. The
+	// probability that a healthy server reaches it by chance is 1 in 3000.
 	minUnansweredAttempts = 8
-	// overloadedUtilization is the utilization from which a server is overloaded: its weight is cut, it is not ejected.
+	// overloadedUtilization is the utilization from which a server is overloaded. Balancing cuts its weight instead of
+	// ejecting it.
 	overloadedUtilization = 0.9
 
-	// maxLatencyFactor is the design's bound of latency, over the best latency of the server at rest.
+	// maxLatencyFactor is the highest accepted ratio of the latency of an idle server to its best latency.
 	maxLatencyFactor = 1.5
-	// minIdleFraction bounds how much a high utilization excuses of the latency.
+	// minIdleFraction limits by how much a high utilization raises the accepted latency.
 	minIdleFraction = 0.05
 
-	// maxEjectedFraction is the design's bound of the servers that are ejected at a time.
+	// maxEjectedFraction is the largest fraction of the servers that may be ejected at a time.
 	maxEjectedFraction = 1.0 / 3
-	// minEjectionDuration is the duration of the first ejection; it doubles with each one that follows.
+	// minEjectionDuration is the duration of the first ejection. Each further one doubles it.
 	minEjectionDuration = balanceInterval
-	// maxEjectionDuration is where it stops doubling, after 8 balance intervals.
+	// maxEjectionDuration is the longest ejection: 8 balance intervals.
 	maxEjectionDuration = 16 * fleet.Second
-	// returnGracePeriod is the time in which a returning server may be silent.
+	// returnGracePeriod is the time after an ejection in which a server does not count as unresponsive.
 	returnGracePeriod = balanceInterval
 )
 
-// updateHealth sets the health factor of each ready server: it ejects outliers for a while, reduces the load of
-// servers that are late and restores that of the others step by step.
+// updateHealth sets the health factor of each ready server: it ejects outliers for a limited time, reduces the load of
+// servers with a high latency and restores that of the others in steps.
 func (b *Balancer) updateHealth() {
 	health := b.measureFleetHealth()
 	for _, server := range b.endpoints.ready {
 		mayEject := server.healthFactor > 0 && server.longWindow.utilization < overloadedUtilization
-		silent := b.isSilent(server, &health)
+		unresponsive := b.isUnresponsive(server, &health)
 		switch {
-		case mayEject && (silent || isFailing(server, &health)):
-			b.eject(server, silent, &health)
+		case mayEject && (unresponsive || isFailing(server, &health)):
+			b.eject(server, unresponsive, &health)
 		case server.healthFactor == 0 && b.now >= server.ejectedUntil:
 			server.healthFactor = initialHealthFactor
 			server.lastSuccessAt = b.now + returnGracePeriod
 		case server.healthFactor == 0: // remains ejected
-		case isLate(server):
+		case exceedsLatencyBound(server):
 			b.reduceForLatency(server)
 		default:
 			server.restoreHealth()
@@ -70,10 +74,11 @@
 	}
 }
 
-// fleetHealth is what single servers are compared with, so that none is ejected for what all of them do.
+// fleetHealth is the state of the fleet that single servers are compared with, so that no server is ejected for a
+// fault that all of them share.
 type fleetHealth struct {
 	ejectedCount      float64
-	healthyCapacity   float64 // attempts per second, less than the capacity of servers ejected in this round
+	healthyCapacity   float64 // attempts per second, without servers that were ejected in this round
 	requestRate       float64 // attempts per second
 	maxFailedFraction float64
 	maxSilence        fleet.Time
@@ -82,7 +87,7 @@
 func (b *Balancer) measureFleetHealth() fleetHealth {
 	health := fleetHealth{
 		maxFailedFraction: max(minFailedFraction, failedFractionRatio*b.estimates.failedFraction),
-		maxSilence:        silentReportCycles * b.estimates.reportCycle,
+		maxSilence:        unresponsiveReportCycles * b.estimates.reportCycle,
 	}
 	for _, server := range b.endpoints.ready {
 		health.healthyCapacity += server.capacity * server.healthFactor
@@ -94,14 +99,15 @@
 	return health
 }
 
-// isSilent reports whether a server has left many attempts without success while others were reported on.
-func (b *Balancer) isSilent(server *serverState, health *fleetHealth) bool {
+// isUnresponsive reports whether a server has had many attempts and no success, while outcomes of other servers were
+// reported.
+func (b *Balancer) isUnresponsive(server *serverState, health *fleetHealth) bool {
 	silence := b.estimates.latestOutcomeAt - server.lastSuccessAt
 	return silence > health.maxSilence && server.requestRate*silence.Seconds() > minUnansweredAttempts
 }
 
-// isFailing reports whether a server fails far more attempts than the fleet does. One that still succeeds with some
-// is failing only if the other servers have the capacity to replace it.
+// isFailing reports whether a server fails far more attempts than the fleet does. A server that still succeeds with
+// some attempts counts as failing only if the other servers have the capacity to replace it.
 func isFailing(server *serverState, health *fleetHealth) bool {
 	failures := server.longWindow.attempts - server.longWindow.successes
 	if failures < max(minFailures, server.longWindow.attempts*health.maxFailedFraction) {
@@ -114,8 +120,8 @@
 	return health.requestRate < maxTargetUtilization*otherCapacity
 }
 
-// isLate reports whether the latency of a server exceeds what its utilization explains.
-func isLate(server *serverState) bool {
+// exceedsLatencyBound reports whether the latency of a server is higher than its utilization explains.
+func exceedsLatencyBound(server *serverState) bool {
 	if server.bestLatency <= 0 {
 		return false
 	}
@@ -123,8 +129,9 @@
 	return server.longWindow.latency > server.bestLatency.Scale(maxLatencyFactor/idleFraction)
 }
 
-// eject takes all load from an outlier for a while or, where too many servers are ejected already, most of it.
-func (b *Balancer) eject(server *serverState, silent bool, health *fleetHealth) {
+// eject removes all load from an outlier for a limited time or, if too many servers are ejected already, most of its
+// load.
+func (b *Balancer) eject(server *serverState, unresponsive bool, health *fleetHealth) {
 	health.healthyCapacity -= server.capacity * server.healthFactor
 	server.ejectionDuration = min(maxEjectionDuration, max(minEjectionDuration, 2*server.ejectionDuration))
 	server.ejectedUntil = b.now + server.ejectionDuration
@@ -136,21 +143,21 @@
 	failures := server.longWindow.attempts - server.longWindow.successes
 	b.emit(fleet.LogMessage{Text: fmt.Sprintf(
 		"server %d ejected for %.0f s: unresponsive: %v, failed attempts: %.0f of %.0f",
-		server.Server, server.ejectionDuration.Seconds(), silent, failures, server.longWindow.attempts)})
+		server.Server, server.ejectionDuration.Seconds(), unresponsive, failures, server.longWindow.attempts)})
 	server.samples = server.samples[:0]
 }
 
-// reduceForLatency reduces the load of a late server, once until it is on time again. One that gets its target load
-// or more is late for that reason, and the balancing of weights relieves it.
+// reduceForLatency reduces the load of a server with a high latency, once until the latency is within bounds again. A
+// server at or above its target load is left to the balancing of weights, as the load explains the latency.
 func (b *Balancer) reduceForLatency(server *serverState) {
 	if server.reducedForLatency || server.requestRate >= server.capacity*b.estimates.targetUtilization {
 		return
 	}
-	server.healthFactor = max(minReducedHealthFactor, server.healthFactor/latencyReduction)
+	server.healthFactor = max(minReducedHealthFactor, server.healthFactor/latencyReductionDivisor)
 	server.reducedForLatency = true
 }
 
-// restoreHealth restores a step of the health factor of a healthy server.
+// restoreHealth raises the health factor of a healthy server by one step.
 func (s *serverState) restoreHealth() {
 	s.healthFactor = min(1, s.healthFactor+healthRecoveryStep)
 	s.reducedForLatency = false
--- a/internal/balancer/proxies.go
+++ b/internal/balancer/proxies.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// noTable is the assignment of a proxy that uses no table of this balancer yet.
+	// noTable is the assignment of a proxy that this balancer has not assigned to a table yet.
 	noTable = -1
-	// minExpectedRate replaces an expected rate of zero, which would leave the proxy out of all sums.
+	// minExpectedRate replaces an expected rate of zero, which would exclude the proxy from all sums.
 	minExpectedRate = 1e-9
-	// repeatWithdrawalsDivisor sets the part of the drain timeout after which earlier withdrawals are sent again.
+	// repeatWithdrawalsDivisor divides the drain timeout to give the time after which a proxy that is out of sync causes
+	// earlier withdrawals to be sent again.
 	repeatWithdrawalsDivisor = 4
-	// repeatedWithdrawalAge bounds the age, when a proxy joined, of the withdrawals that are sent again for it.
+	// repeatedWithdrawalAge is the maximum age of these withdrawals at the time when the proxy joined.
 	repeatedWithdrawalAge = 3 * balanceInterval
-	// urgentAssignmentDivisor sets the part of the drain timeout after which an assignment may use more of the channel.
+	// urgentAssignmentDivisor divides the drain timeout to give the time after which an assignment becomes urgent.
 	urgentAssignmentDivisor = 8
-	// urgentAssignmentBonus is the further part of the maximum backlog that such an assignment may use.
+	// urgentAssignmentBonus is the additional fraction of the maximum backlog that an urgent assignment may use.
 	urgentAssignmentBonus = 0.35
 )
 
@@ -28,36 +29,37 @@
 	all            []*proxyState // by ID
 	zoneHasProxies []bool        // by zone
 	outOfSync      float64       // number of proxies that are out of sync
-	// expectedRate sums up the expected requests per second; reportedExpectedRate only of proxies whose reports came.
+	// expectedRate is the sum of the expected requests per second; reportedExpectedRate includes only proxies that have
+	// sent demand reports.
 	expectedRate         float64
 	reportedExpectedRate float64
-	// inheritedTables is set once a proxy has joined with tables of another controller or of an earlier incarnation.
+	// inheritedTables is set once a proxy has joined with tables of another controller or of an earlier run of this one.
 	inheritedTables bool
 }
 
-// proxyState is what the balancer knows of a joined proxy and has ordered for it.
+// proxyState is the state of a joined proxy: its demand and its assignments.
 type proxyState struct {
 	id        fleet.ProxyID
-	partition int // whose tables it uses
+	partition int // the proxy uses the tables of this partition
 	joinedAt  fleet.Time
-	// expectedRate is the requests per second that were stated when it joined; reportedExpectedRate is the same, but 0
-	// until the first demand report.
+	// expectedRate is the number of requests per second announced when the proxy joined; reportedExpectedRate is the
+	// same after the first demand report and 0 before.
 	expectedRate         float64
 	reportedExpectedRate float64
 	demandSamples        [][]reportSample // by class
-	assignedTables       []int            // by class; noTable: none of this balancer yet
-	// outOfSync says that the proxy does not use the tables it should, or that this is not confirmed.
+	assignedTables       []int            // by class; noTable: not assigned by this balancer yet
+	// outOfSync is set if the proxy does not use the tables it should, or if its assignments are unconfirmed.
 	outOfSync             bool
-	assignmentUnconfirmed bool // whether the assignments were carried out is not known
-	withdrawalsRepeated   bool // the withdrawals before it joined are ordered again
+	assignmentUnconfirmed bool // the assignments may not have been carried out
+	withdrawalsRepeated   bool // the withdrawals shortly before it joined were marked to be sent again
 }
 
-// addProxy takes in that the update stream of a proxy is open.
+// addProxy registers a proxy whose update stream has opened.
 func (b *Balancer) addProxy(joined fleet.ProxyJoined) {
 	b.schedule.timerDueAt = b.now
 	known := b.proxies.byID[joined.Proxy]
 	if known != nil && !joined.Fresh {
-		// It may have left unnoticed, so whether it still uses the assigned tables is unknown.
+		// The proxy may have left without an event, so it is unknown whether it still uses the assigned tables.
 		known.assignmentUnconfirmed = true
 		known.withdrawalsRepeated = false
 		known.joinedAt = b.now
@@ -84,7 +86,7 @@
 	b.proxies.all = slices.DeleteFunc(b.proxies.all, func(proxy *proxyState) bool { return proxy.id == id })
 }
 
-// updateProxies derives where proxies are, which tables they use and which of them are out of sync.
+// updateProxies computes the zones with proxies, the number of proxies per table and which proxies are out of sync.
 func (b *Balancer) updateProxies() {
 	b.proxies.zoneHasProxies = make([]bool, len(b.site.Zones))
 	b.proxies.outOfSync = 0
@@ -103,7 +105,7 @@
 	}
 }
 
-// countAssignedTables counts a proxy once at each table that it uses.
+// countAssignedTables adds a proxy to the proxy count of each table that it uses.
 func (b *Balancer) countAssignedTables(proxy *proxyState) {
 	for class, table := range proxy.assignedTables {
 		if table != noTable && !slices.Contains(proxy.assignedTables[:class], table) {
@@ -124,8 +126,8 @@
 	return false
 }
 
-// repeatWithdrawals orders withdrawals again that a waiting proxy may have missed, as they were sent shortly before
-// it joined.
+// repeatWithdrawals marks the withdrawals that were sent shortly before a proxy joined to be sent again, as the proxy
+// may have missed them.
 func (b *Balancer) repeatWithdrawals(proxy *proxyState) {
 	if proxy.withdrawalsRepeated || b.now < proxy.joinedAt+b.site.DrainTimeout/repeatWithdrawalsDivisor {
 		return
@@ -139,8 +141,8 @@
 	}
 }
 
-// assignProxies assigns proxies that are out of sync to their tables, the busiest first, as far as the update channel
-// has capacity. It returns how many it assigned.
+// assignProxies assigns proxies that are out of sync to their tables, those with the highest expected rate first, as
+// far as the update channel has capacity. It returns the number of assigned proxies.
 func (b *Balancer) assignProxies() int {
 	if b.schedule.observing {
 		return 0
@@ -164,8 +166,8 @@
 	return assigned
 }
 
-// updateAssignmentEntries counts what each table sends to a newly assigned proxy, the orders of this step included:
-// its weights, and the withdrawals of servers in it.
+// updateAssignmentEntries counts the entries that each table sends to a newly assigned proxy: its weights and the
+// withdrawals of its servers, including those ordered in this step.
 func (b *Balancer) updateAssignmentEntries() {
 	for t := range b.tables {
 		for _, server := range b.endpoints.all {
@@ -188,7 +190,7 @@
 	return waiting
 }
 
-// assignmentOrders returns the orders that bring a proxy to its tables, and the entries that they cost.
+// assignmentOrders returns the orders that assign a proxy to its tables, and their cost in entries.
 func (b *Balancer) assignmentOrders(proxy *proxyState) ([]fleet.Order, float64) {
 	var orders []fleet.Order
 	entries := b.messageCost()
@@ -203,7 +205,8 @@
 	return orders, entries
 }
 
-// needsAssignment reports whether a proxy should use a table for some class, but does not or may not.
+// needsAssignment reports whether a proxy should use a table for some class, but does not, or its assignment is
+// unconfirmed.
 func (b *Balancer) needsAssignment(proxy *proxyState, table int) bool {
 	for class, assigned := range proxy.assignedTables {
 		if b.tables[table].classes&classBit(class) == 0 {
@@ -216,8 +219,8 @@
 	return false
 }
 
-// maxAssignmentBacklog returns the backlog that an assignment may lead to. A proxy that has waited for a while may
-// send to servers that drain, so it may use more.
+// maxAssignmentBacklog returns the backlog up to which a proxy may be assigned. The limit is higher for a proxy that
+// has waited for a while, as it may be sending to draining servers.
 func (b *Balancer) maxAssignmentBacklog(proxy *proxyState) float64 {
 	fraction := usableBacklogFraction
 	if b.now >= proxy.joinedAt+b.site.DrainTimeout/urgentAssignmentDivisor {
--- a/internal/balancer/publish.go
+++ b/internal/balancer/publish.go
@@ -9,36 +9,39 @@
 )
 
 const (
-	// maxWithdrawalOverdraft is the part of the maximum backlog that withdrawals may use beyond the usable part.
+	// maxWithdrawalOverdraft is the fraction of the maximum backlog that withdrawals may use beyond
+	// usableBacklogFraction.
 	maxWithdrawalOverdraft = 0.45
-	// maxWeightOverdraft is the part that urgent weights may use beyond it.
+	// maxWeightOverdraft is the fraction of the maximum backlog that urgent weights may use beyond
+	// usableBacklogFraction.
 	maxWeightOverdraft = 0.35
-	// assignmentReserve is the part of the usable backlog that is reserved for proxies that are out of sync.
+	// assignmentReserve is the fraction of the usable backlog that is reserved for proxies that are out of sync.
 	assignmentReserve = 0.5
-	// maxBatchFraction is the part of what the channel delivers in a balance interval that one batch of weights may use.
+	// maxBatchFraction limits one batch of weights to a fraction of the channel's capacity in a balance interval.
 	maxBatchFraction = 0.5
-	// deferredChangesDelay is the wait before changes that found no capacity are sent.
+	// deferredChangesDelay is the time until changes that exceeded the capacity are sent.
 	deferredChangesDelay = balanceInterval / 2
-	// maxUnavailableFraction is the part of the servers that may be withdrawn for slow start or not ready.
+	// maxUnavailableFraction is the largest fraction of the servers that may be unavailable, whether not ready or
+	// withdrawn for slow start.
 	maxUnavailableFraction = 0.25
 
-	// minRelativeChange is the relative change of a weight that is worth an entry.
+	// minRelativeChange is the relative change of a weight above which it is sent.
 	minRelativeChange = 0.03
-	// maxWarmingWeightRatio is how far the weight of a server in slow start may exceed the wanted one.
+	// maxWarmingWeightRatio is the highest ratio of the ordered to the wanted weight of a server in slow start.
 	maxWarmingWeightRatio = 1.1
-	// minSparseWeight is the weight, relative to the largest, below which an entry is left out where entries are
-	// expensive.
+	// minSparseWeight is the weight, relative to the largest, below which an entry is omitted if entries are expensive.
 	minSparseWeight = 0.1
-	// minAddedWeight is the weight, in units of the table, below which an entry is not added while assignments wait.
+	// minAddedWeight is the weight, in units of the table, below which an entry is not added while assignments are
+	// pending.
 	minAddedWeight = 0.1
-	// maxScaleRatio bounds the ratios of ordered to wanted weights that count for the unit of a table.
+	// maxScaleRatio bounds the ratios of ordered to wanted weights that determine the unit of a table.
 	maxScaleRatio = 1e6
-	// urgentPriority is the lowest priority of urgent changes. Ordinary ones have their relative size as priority.
+	// urgentPriority is the lowest priority of urgent changes. That of an ordinary change is its relative size.
 	urgentPriority = 1e6
 )
 
-// publish orders the changes that concern all proxies, as far as the update channel has capacity: withdrawals,
-// admission and weights, in this order.
+// publish emits the changes for all proxies, as far as the update channel has capacity: withdrawals, admission and
+// weights, in this order.
 func (b *Balancer) publish() {
 	proxyCount := float64(len(b.proxies.all))
 	backlog := b.channel.backlog(&b.site)
@@ -49,7 +52,7 @@
 	b.publishWeights(capacity, reserved)
 }
 
-// weightChange is a weight to order. Changes of a higher priority go first.
+// weightChange is a weight to send. Changes of a higher priority are sent first.
 type weightChange struct {
 	fleet.SetWeight
 	priority float64
@@ -57,18 +60,18 @@
 
 func (c *weightChange) isUrgent() bool { return c.priority >= urgentPriority }
 
-// reservedCapacity returns the capacity that ordinary weights leave to others. Proxies that are out of sync come
-// first, and more than the channel delivers until the next batch would only make others wait. The capacity given is
-// that of a channel without backlog.
+// reservedCapacity returns the capacity that ordinary weights must leave free: a reserve for the assignment of proxies
+// that are out of sync, and whatever exceeds the channel's capacity until the next batch, as more would only delay
+// other orders. emptyCapacity is the capacity of a channel without backlog.
 func (b *Balancer) reservedCapacity(emptyCapacity float64) float64 {
 	assignments := b.site.MaxBacklog * usableBacklogFraction * assignmentReserve * min(1, b.proxies.outOfSync)
 	maxBatch := maxBatchFraction * balanceInterval.Seconds() * b.site.EntriesPerSecond
 	return max(assignments, emptyCapacity-maxBatch)
 }
 
-// publishWithdrawals withdraws servers that are not ready and lets those back in that are again. It returns the
-// remaining capacity. Inherited tables send as much to servers in slow start as to others, so some of these are
-// withdrawn, too, while proxies use such tables.
+// publishWithdrawals withdraws servers that are not ready and reverts the withdrawals of servers that are ready again.
+// It returns the remaining capacity. Inherited tables send as much to servers in slow start as to others, so some of
+// these servers are withdrawn, too, while proxies use such tables.
 func (b *Balancer) publishWithdrawals(capacity float64) float64 {
 	serverCount := float64(len(b.endpoints.all))
 	unready := float64(len(b.endpoints.all) - len(b.endpoints.ready))
@@ -97,7 +100,7 @@
 	return capacity
 }
 
-// proxiesThatUse returns the number of proxies whose tables have a server or may have it.
+// proxiesThatUse returns the number of proxies whose tables have, or may have, an entry for a server.
 func (b *Balancer) proxiesThatUse(server *serverState) float64 {
 	proxyCount := float64(len(b.proxies.all))
 	count := b.proxies.outOfSync
@@ -109,8 +112,8 @@
 	return count
 }
 
-// publishWeights orders weights that differ from the wanted ones. Urgent changes may exceed the capacity; ordinary
-// ones go once per balance interval, the largest first, and those that find no capacity are deferred.
+// publishWeights emits the wanted weights that differ from the ordered ones. Urgent changes may exceed the capacity.
+// Ordinary ones are sent once per balance interval, the largest first, and deferred if they exceed the capacity.
 func (b *Balancer) publishWeights(capacity, reserved float64) {
 	includeOrdinary := b.channel.nextChangesAt > 0 && b.now >= b.channel.nextChangesAt
 	changes := b.weightChanges(includeOrdinary)
@@ -134,7 +137,7 @@
 	}
 }
 
-// weightChanges returns the weights to order, those of the highest priority first.
+// weightChanges returns the weights to send, ordered by descending priority.
 func (b *Balancer) weightChanges(includeOrdinary bool) []weightChange {
 	var changes []weightChange
 	entriesExpensive := b.entriesExpensive()
@@ -152,21 +155,21 @@
 	return changes
 }
 
-// entriesExpensive reports whether sending all tables takes longer than a server may drain.
+// entriesExpensive reports whether sending all tables takes longer than the drain timeout.
 func (b *Balancer) entriesExpensive() bool {
 	entries := float64(b.site.ProxyCount * len(b.endpoints.all))
 	return b.layout.partitioned && entries > b.site.EntriesPerSecond*b.site.DrainTimeout.Seconds()
 }
 
-// tableScale relates the wanted weights of a table to those ordered before.
+// tableScale relates the wanted weights of a table to the ordered ones.
 type tableScale struct {
 	unit    float64 // ordered weight for a wanted weight of 1
 	largest float64 // largest wanted weight
-	sparse  bool    // small weights are left out
+	sparse  bool    // small weights are omitted
 }
 
-// measureTableScale returns the scale of a table. Only the ratios of weights matter to proxies, so a factor that most
-// weights of a table have in common is no change.
+// measureTableScale returns the scale of a table. Proxies use only the ratios of weights, so a factor that most weights
+// of a table have in common need not be sent.
 func (b *Balancer) measureTableScale(table int) tableScale {
 	var ratios []float64
 	largest := 0.0
@@ -181,8 +184,8 @@
 	return tableScale{unit: cmp.Or(median(ratios), 1), largest: largest}
 }
 
-// changeFor returns the weight to order for a server in a table, and whether it is due: it differs from the one
-// ordered before, and it is urgent or ordinary changes are included.
+// changeFor returns the weight to send for a server in a table, and whether it is due: it differs from the ordered
+// weight, and it is urgent or ordinary changes are included.
 func (b *Balancer) changeFor(
 	server *serverState, index int, scale *tableScale, includeOrdinary bool,
 ) (weightChange, bool) {
@@ -215,20 +218,20 @@
 	case urgent:
 		change.priority = urgentPriority + size/scale.unit
 	case server.withdrawn:
-		change.priority = 0 // proxies do not use the weight at present
+		change.priority = 0 // proxies do not use the weight while the server is withdrawn
 	default:
 		change.priority = size / scale.unit
 	}
 	return change, true
 }
 
-// isSmallChange reports whether a change is not worth an entry.
+// isSmallChange reports whether a change is too small to be sent.
 func isSmallChange(weight, ordered, size float64) bool {
 	return weight == ordered || weight > 0 && size <= minRelativeChange*ordered
 }
 
-// mayOmit reports whether a server with a small weight need not be added to a table, as that would make assignments
-// more expensive while they wait. A table without any weight in use needs it.
+// mayOmit reports whether a server with a small weight need not be added to a table, as the entry would make pending
+// assignments more expensive. A used table without any weight needs the entry.
 func (b *Balancer) mayOmit(table *weightTable, ordered, size float64, scale *tableScale) bool {
 	if ordered != 0 || size >= minAddedWeight*scale.unit {
 		return false
--- a/internal/balancer/random.go
+++ b/internal/balancer/random.go
@@ -3,8 +3,8 @@
 // randomMultiplier is the multiplier of the multiply-with-carry generator with 32-bit words.
 const randomMultiplier = 4294957665
 
-// randomGenerator is a multiply-with-carry generator of pseudo-random numbers. The balancer has a generator of its
-// own, so that equal seeds give equal orders under every release of Go.
+// randomGenerator is a multiply-with-carry generator of pseudo-random numbers. The balancer does not use the standard
+// library's, so that equal seeds give equal orders with every release of Go.
 type randomGenerator struct {
 	state uint32
 	carry uint32
--- a/internal/balancer/randomevent_test.go
+++ b/internal/balancer/randomevent_test.go
@@ -6,31 +6,33 @@
 	"cressknot/internal/fleet"
 )
 
-// randomIDs draws the names and figures of random events.
-type randomIDs struct{ rng *rand.Rand }
+// randomValues draws the names and figures of random events.
+type randomValues struct{ rng *rand.Rand }
 
-func (r randomIDs) server() fleet.ServerID { return fleet.ServerID(1 + r.rng.Intn(12)) }
+func (r randomValues) server() fleet.ServerID { return fleet.ServerID(1 + r.rng.Intn(12)) }
 
-func (r randomIDs) proxy() fleet.ProxyID { return fleet.ProxyID(r.rng.Intn(20)) }
+func (r randomValues) proxy() fleet.ProxyID { return fleet.ProxyID(r.rng.Intn(20)) }
 
-func (r randomIDs) class() fleet.ClassID { return fleet.ClassID(r.rng.Intn(3)) }
+func (r randomValues) class() fleet.ClassID { return fleet.ClassID(r.rng.Intn(3)) }
 
-func (r randomIDs) zone() fleet.ZoneID { return fleet.ZoneID(r.rng.Intn(3)) }
+func (r randomValues) zone() fleet.ZoneID { return fleet.ZoneID(r.rng.Intn(3)) }
 
-func (r randomIDs) slice() fleet.TableID { return fleet.TableID(r.rng.Intn(8)) }
+func (r randomValues) slice() fleet.TableID { return fleet.TableID(r.rng.Intn(8)) }
 
-func (r randomIDs) load() []float32 { return []float32{float32(r.rng.Intn(9)), r.rng.Float32() * 1.1} }
+func (r randomValues) load() []float32 {
+	return []float32{float32(r.rng.Intn(9)), r.rng.Float32() * 1.1}
+}
 
-func (r randomIDs) interval() fleet.Time {
+func (r randomValues) interval() fleet.Time {
 	return fleet.Time(200+r.rng.Intn(2000)) * fleet.Millisecond
 }
 
-func (r randomIDs) oneIn(n int) bool { return r.rng.Intn(n) == 0 }
+func (r randomValues) oneIn(n int) bool { return r.rng.Intn(n) == 0 }
 
 // randomEvent returns an event of a random kind. The recorded digests depend on the order in which it draws numbers.
 // lastOrders are those of the step before.
 func randomEvent(rng *rand.Rand, now fleet.Time, lastOrders []fleet.Order) fleet.Event {
-	random := randomIDs{rng}
+	random := randomValues{rng}
 	switch kind := rng.Intn(40); {
 	case kind == 0:
 		return randomEndpointList(random, now)
@@ -77,7 +79,7 @@
 }
 
 // randomEndpointList returns a list of any scope, in which some servers are missing, restarted or not ready.
-func randomEndpointList(random randomIDs, now fleet.Time) fleet.EndpointList {
+func randomEndpointList(random randomValues, now fleet.Time) fleet.EndpointList {
 	list := fleet.EndpointList{
 		Scope:    fleet.ListScope(random.rng.Intn(4)),
 		Revision: fleet.ListRevision(random.rng.Intn(99)),
@@ -107,7 +109,7 @@
 }
 
 // randomSliceEvent returns an event of a site with slices.
-func randomSliceEvent(random randomIDs, kind int) fleet.Event {
+func randomSliceEvent(random randomValues, kind int) fleet.Event {
 	switch kind {
 	case 10:
 		return fleet.SliceDemandReport{
@@ -124,7 +126,7 @@
 }
 
 // randomOutcomeReport returns a report in which up to a quarter of the attempts failed.
-func randomOutcomeReport(random randomIDs) fleet.OutcomeReport {
+func randomOutcomeReport(random randomValues) fleet.OutcomeReport {
 	attempts := random.rng.Intn(30)
 	return fleet.OutcomeReport{
 		Server:   random.server(),
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -9,39 +9,41 @@
 )
 
 const (
-	// minSheddingUtilization is the utilization, asked of the fleet, past which load is shed.
+	// minSheddingUtilization is the utilization that all requests would cause, above which load is shed.
 	minSheddingUtilization = 1.0
-	// sheddingDelayRounds is for how many rounds of estimates that lasts before: drained servers are replaced in that
-	// time.
+	// sheddingDelayRounds is the number of consecutive estimates above minSheddingUtilization before load is shed, which
+	// leaves time to replace drained servers.
 	sheddingDelayRounds = 6
-	// maxRestoredUtilization is the utilization at which the load that is shed may be restored.
+	// maxRestoredUtilization is the highest utilization at which shedding ends, early if servers were added.
 	maxRestoredUtilization = 0.9
-	// sheddingDuration is how long load is shed at least, unless servers are added.
+	// sheddingDuration is the shortest time for which load is shed, unless servers are added.
 	sheddingDuration = 16 * fleet.Second
-	// sheddingRenewalPeriod is the time after its end in which shedding is renewed without delay.
+	// sheddingRenewalPeriod is the time after the end of shedding in which it may start again without delay.
 	sheddingRenewalPeriod = balanceInterval
-	// maxRecentlyAddedFraction is the part of the fleet past which, when recently added, the load is not judged.
+	// maxRecentlyAddedFraction is the recently added fraction of the fleet above which measurements of load lag too far
+	// behind to shed load.
 	maxRecentlyAddedFraction = 0.25
-	// maxProtectedFraction is the part of the servers that the protected classes get at most.
+	// maxProtectedFraction is the largest fraction of the servers that is reserved for the protected classes.
 	maxProtectedFraction = 0.9
 )
 
-// sheddingState is the state of load shedding, which restricts low-priority classes to a part of the servers.
+// sheddingState is the state of load shedding, which restricts low-priority classes to some of the servers.
 type sheddingState struct {
 	overloadedRounds int        // consecutive rounds of estimates with too much load
-	activeUntil      fleet.Time // load is shed until then; 0: it is not
+	activeUntil      fleet.Time // end of the present or last shedding; 0: none, or it ended early
 	load             float64    // utilization of a single fully warm server that all requests would cause
 }
 
-// updateShedding is the last resort on sites that cannot limit admission: the classes of the lowest value are
-// restricted to a few servers, so that the others are handled in time. The load is the utilization that all requests
-// would cause, the capacity is given in fully warm servers.
+// updateShedding starts, continues or ends load shedding, the last resort on sites that cannot limit admission: the
+// classes of the lowest value are restricted to a few servers, so that the others are handled in time. The load is the
+// utilization that all requests would cause; the capacity is a number of fully warm servers.
 func (b *Balancer) updateShedding(load, capacity float64) {
 	if b.site.Admission != fleet.AdmissionUnlimited {
 		return
 	}
 	if b.now < b.shedding.activeUntil {
-		// The classes that remain cause less work each, so the measured load says too little. Added servers do count.
+		// While classes are restricted the measured load is too low, so the load at the start of shedding is used with
+		// the present capacity, which includes added servers.
 		load = b.shedding.load / capacity
 		if load > maxRestoredUtilization {
 			return
@@ -55,8 +57,8 @@
 	b.reserveLowPriorityServers(lowPriorityServers)
 }
 
-// countOverload counts the consecutive rounds with too much load. Where many servers or proxies were just added, the
-// measurements lag behind and say nothing.
+// countOverload counts the consecutive estimates with too much load. It resets the count while many servers or proxies
+// are recently added, as the measurements lag behind then.
 func (b *Balancer) countOverload(load float64) {
 	b.shedding.overloadedRounds++
 	lagging := b.schedule.observing || b.estimates.recentlyAddedFraction > maxRecentlyAddedFraction
@@ -65,9 +67,9 @@
 	}
 }
 
-// restrictClasses decides for each class, starting from that of the highest value, whether it is protected. The
-// protected ones get the part of the servers that they need, those after them share the rest, whose number is
-// returned.
+// restrictClasses decides for each class, in descending order of value, whether it is protected. Protected classes get
+// the fraction of the servers that they need. The other classes share the rest; it returns the number of servers in
+// the rest.
 func (b *Balancer) restrictClasses(overloaded bool, load, capacity float64) int {
 	totalWork := 0.0
 	for i := range b.classes {
@@ -98,7 +100,7 @@
 	return lowPriorityServers
 }
 
-// startShedding notes and logs that a class is restricted.
+// startShedding records and logs that a class is restricted to a number of servers.
 func (b *Balancer) startShedding(class int, load, capacity float64, serverCount int) {
 	b.shedding.activeUntil = b.now + sheddingDuration
 	b.shedding.load = load * capacity
@@ -108,7 +110,7 @@
 		class, load, capacity, b.estimates.meanUtilization, serverCount)})
 }
 
-// reserveLowPriorityServers reserves the first warm servers for the restricted classes, and releases all others.
+// reserveLowPriorityServers reserves the first count warm servers for the restricted classes and releases the others.
 func (b *Balancer) reserveLowPriorityServers(count int) {
 	for _, server := range b.endpoints.ready {
 		server.lowPriorityOnly = count > 0 && !b.warmingUp(server)
--- a/internal/balancer/tables.go
+++ b/internal/balancer/tables.go
@@ -9,25 +9,25 @@
 
 // The groups of tables. The zone-local class c has the group firstZoneLocalGroup + c to itself.
 const (
-	sharedGroup         = iota // classes that any server may take
-	lowPriorityGroup           // classes restricted to the low-priority-only servers
-	firstZoneLocalGroup        // classes that stay in the zone of the proxy
+	sharedGroup         = iota // classes that any server may serve
+	lowPriorityGroup           // classes that load shedding restricts to the low-priority servers
+	firstZoneLocalGroup        // classes that only servers in the zone of the proxy may serve
 )
 
 const (
-	// maxPartitionsPerZone bounds the number of tables, which all cost entries in the update channel.
+	// maxPartitionsPerZone bounds the number of tables, as each one costs entries in the update channel.
 	maxPartitionsPerZone = 8
-	// proxyCountMargin allows a zone a tenth more proxies than the average one.
+	// proxyCountMargin is the ratio of the proxies in the largest expected zone to the mean per zone.
 	proxyCountMargin = 1.1
-	// unlimitedConnections is the connection limit on sites that state none.
+	// unlimitedConnections is the connection limit on sites that configure none.
 	unlimitedConnections = 1e6
 )
 
-// tableLayout says how proxies and servers are spread over tables. Each group has one table per partition. A
+// tableLayout is the distribution of proxies and servers over tables. Each group has one table per partition. A
 // partition belongs to one zone, and its proxies prefer its servers, which bounds the connections of each server.
 type tableLayout struct {
-	// partitioned is set where a server has fewer connections than there are proxies. Otherwise the shared classes of
-	// all proxies use partition 0.
+	// partitioned is set if a server accepts fewer connections than there are proxies. Otherwise all proxies use
+	// partition 0 for the shared classes.
 	partitioned       bool
 	zoneCount         int
 	partitionsPerZone int
@@ -57,7 +57,8 @@
 	return tables
 }
 
-// partitionFor spreads the members of a zone over its partitions by a number that each of them has.
+// partitionFor returns the partition of a server or proxy: the members of a zone are distributed over its partitions
+// by number.
 func (l *tableLayout) partitionFor(zone fleet.ZoneID, number int) int {
 	return min(int(zone), l.zoneCount-1)*l.partitionsPerZone + number%l.partitionsPerZone
 }
@@ -65,11 +66,11 @@
 // zoneOf returns the zone that a partition belongs to.
 func (l *tableLayout) zoneOf(partition int) int { return partition / l.partitionsPerZone }
 
-// weightTable is a table of server weights that proxies share. The weights themselves are with the servers.
+// weightTable is a table of server weights that proxies share. The weights are in serverState.
 type weightTable struct {
 	group     int
 	partition int
-	// classes is the set of classes that are to use the table.
+	// classes is the set of classes that should use the table.
 	classes fleet.ClassSet
 	// proxyCount is the number of proxies that use the table for some class.
 	proxyCount float64
@@ -80,7 +81,7 @@
 	// wantedWeight is the sum of the wanted weights, wantedWarmWeight that of servers that are not warming up.
 	wantedWeight     float64
 	wantedWarmWeight float64
-	// assignmentEntries is what assigning a proxy to the table costs in the update channel.
+	// assignmentEntries is the cost, in entries, of assigning a proxy to the table.
 	assignmentEntries float64
 }
 
@@ -93,7 +94,7 @@
 	return group*b.layout.partitionCount + partition
 }
 
-// resetTables clears what is derived about tables and sums up the ordered weights anew.
+// resetTables clears the derived state of all tables and recomputes the sums of the ordered weights.
 func (b *Balancer) resetTables() {
 	for t := range b.tables {
 		table := &b.tables[t]
@@ -120,5 +121,5 @@
 	return b.tables[table].admittedRate * server.orderedWeight[table] / max(b.tables[table].orderedWeight, epsilon)
 }
 
-// classBit returns the set of one class.
+// classBit returns the set that contains only the given class.
 func classBit(class int) fleet.ClassSet { return 1 << class }
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// minWeight bounds weights from below, relative to the largest of the table, so that an entry can grow again.
+	// minWeight is the lowest weight relative to the largest of the table, so that a weight can rise again.
 	minWeight = 0.01
-	// spreadRounds is how often the load that was cut is spread: receivers reach their target, and leave a remainder.
+	// spreadRounds is the number of rounds in which the load that was cut is spread: servers that reach their target in
+	// a round leave a remainder for the next.
 	spreadRounds = 3
 )
 
-// balanceWeights is the ordinary path of the design: in each table it cuts the weights of servers above their target,
-// spreads what was cut evenly over the others and normalizes the weights.
+// balanceWeights balances the load: in each table it cuts the weights of servers above their target, spreads the load
+// that was cut evenly over the others and normalizes the weights.
 func (b *Balancer) balanceWeights() {
 	round := b.newBalancingRound()
 	for t := range b.tables {
@@ -23,7 +24,7 @@
 	}
 }
 
-// setInitialWeights makes the first tables go by the measured capacities.
+// setInitialWeights scales the weights of the first tables by the measured capacities.
 func (b *Balancer) setInitialWeights() {
 	for _, server := range b.endpoints.ready {
 		for t := range server.weight {
@@ -32,11 +33,11 @@
 	}
 }
 
-// balancingRound is the load of the ready servers while weights change. The load of a server is its requests per
+// balancingRound tracks the load of the ready servers while weights change. The load of a server is its requests per
 // second multiplied by its residence factor.
 type balancingRound struct {
-	load   []float64 // by position in the ready servers
-	target []float64 // the same; 0 where the server is ejected or serves low-priority classes only
+	load   []float64 // by index in the ready servers
+	target []float64 // by the same index; 0 if the server is ejected or reserved for low-priority classes
 }
 
 func (b *Balancer) newBalancingRound() *balancingRound {
@@ -54,17 +55,18 @@
 	return round
 }
 
-// residenceFactor returns for how long attempts begun in a balance interval occupy a server, in such intervals.
+// residenceFactor returns how long the attempts that start in a balance interval occupy a server, in balance intervals.
 func residenceFactor(server *serverState) float64 {
 	return 1 + server.longWindow.latency.Seconds()/balanceInterval.Seconds()
 }
 
-// attemptsBegun returns the attempts that a table begins at a server in a balance interval.
+// attemptsBegun returns the number of attempts that a table starts at a server in a balance interval.
 func (b *Balancer) attemptsBegun(server *serverState, table int) float64 {
 	return b.orderedRate(server, table) * balanceInterval.Seconds()
 }
 
-// cutOverload reduces the weights of servers above their target. It returns the attempts per interval that it cut.
+// cutOverload reduces the weights of servers above their target. It returns the load that it cut, in attempts per
+// balance interval.
 func (b *Balancer) cutOverload(round *balancingRound, table int) float64 {
 	cut := 0.0
 	for i, server := range b.endpoints.ready {
@@ -79,7 +81,7 @@
 	return cut
 }
 
-// spreadLoad spreads a number of attempts per interval evenly over the servers that can receive them.
+// spreadLoad spreads a number of attempts per balance interval evenly over the servers below their target.
 func (b *Balancer) spreadLoad(round *balancingRound, table int, attempts float64) {
 	for range spreadRounds {
 		receivers := 0.0
@@ -96,8 +98,8 @@
 	}
 }
 
-// spareAttempts returns the attempts per interval that a ready server, given by its position, can receive up to its
-// target.
+// spareAttempts returns how many more attempts per balance interval a ready server, given by its index, can receive
+// before it reaches its target.
 func (b *Balancer) spareAttempts(round *balancingRound, table, position int) float64 {
 	server := b.endpoints.ready[position]
 	load := round.load[position]
