--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -11,10 +11,10 @@
 	"cressknot/internal/simwire"
 )
 
-// inputBufferBytes exceeds the size of most batches.
+// inputBufferBytes is larger than most batches.
 const inputBufferBytes = 1 << 16
 
-// serve answers every batch until the input ends.
+// serve writes a reply to every batch until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(bufio.NewReaderSize(in, inputBufferBytes))
 	h := newHost()
@@ -26,7 +26,7 @@
 		if err != nil {
 			return fmt.Errorf("read batch: %w", err)
 		}
-		reply, err := h.answer(batch)
+		reply, err := h.handleBatch(batch)
 		if err != nil {
 			return err
 		}
@@ -36,27 +36,28 @@
 	}
 }
 
-// instance is one controller and its events of the current batch.
+// instance is one controller with its events of the current batch.
 type instance struct {
 	id        fleet.ControllerID
-	balancer  *balancer.Balancer // nil once the instance was stopped
+	balancer  *balancer.Balancer // nil after the instance was stopped
 	events    []fleet.Event
 	scheduled bool // the instance is in host.schedule
 }
 
-// host runs the instances of one wire.
+// host runs the instances of one connection.
 type host struct {
 	reply     simwire.Writer
 	instances map[fleet.ControllerID]*instance
-	schedule  []*instance // to be stepped in this batch, in the order of their first items
+	schedule  []*instance // instances to step in this batch, in the order of their first items
 }
 
 func newHost() *host {
 	return &host{instances: make(map[fleet.ControllerID]*instance)}
 }
 
-// answer steps each instance that a batch concerns, once, and returns the reply, which is valid until the next call.
-func (h *host) answer(batch simwire.Batch) ([]byte, error) {
+// handleBatch steps each instance that has items in a batch once, and returns the reply, which is valid until the next
+// call.
+func (h *host) handleBatch(batch simwire.Batch) ([]byte, error) {
 	h.reply.Begin()
 	h.schedule = h.schedule[:0]
 	for _, item := range batch.Items {
@@ -84,7 +85,7 @@
 	}
 }
 
-// start begins an instance, which is stepped even without an event.
+// start starts an instance and schedules its first step, which needs no event.
 func (h *host) start(id fleet.ControllerID, start *simwire.Start) error {
 	site, err := simwire.ParseSite(start.Options)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// stop ends an instance. It orders nothing more, whatever events of this batch came before.
+// stop stops an instance. It emits no orders for this batch, even for events before the stop.
 func (h *host) stop(id fleet.ControllerID) {
 	stopped := h.instances[id]
 	if stopped == nil {
@@ -120,8 +121,8 @@
 	return nil
 }
 
-// step lets an instance act on its events and adds its orders to the reply. A panic is reported as a crash of this
-// instance and leaves the others alone.
+// step steps an instance with its events and adds its orders to the reply. A panic is reported as a crash of this
+// instance and does not affect the others.
 func (h *host) step(target *instance, now fleet.Time) error {
 	if target.balancer != nil {
 		orders, failure := target.stepBalancer(now)
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// stepBalancer steps the balancer. The failure is the text of a panic, or empty.
+// stepBalancer steps the balancer. The failure is the text of a panic, empty if there was none.
 func (i *instance) stepBalancer(now fleet.Time) (orders []fleet.Order, failure string) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/cmd/wirehost/host_test.go
+++ b/cmd/wirehost/host_test.go
@@ -13,14 +13,14 @@
 	"familyInfo": {"mostWaiting": 30000, "egressPerS": 15000, "envelope": 6, "unservedMaxMs": 5800},
 	"rules": {"coldFrom": 0.16, "coldMs": 18000, "drainGraceMs": 3500, "fallMs": 2000, "overloadFactor": 4}}`
 
-// Codes of the wire's specification.
+// Codes of the protocol's specification.
 const (
 	codeStop  = 257
 	codeTimer = 258
 	codeStart = 259
 )
 
-// record is a record for an instance.
+// record returns a record for an instance.
 func record(code, instance uint16, fields ...byte) []byte {
 	data := binary.LittleEndian.AppendUint16(nil, code)
 	data = binary.LittleEndian.AppendUint32(data, uint32(2+len(fields)))
@@ -38,7 +38,7 @@
 	return record(codeTimer, instance, binary.LittleEndian.AppendUint32(nil, 1)...)
 }
 
-// batch is a frame at a time in milliseconds.
+// batch returns a frame with a clock in milliseconds.
 func batch(now float64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	data := binary.LittleEndian.AppendUint32(nil, uint32(16+len(body)))
@@ -47,7 +47,7 @@
 	return append(data, body...)
 }
 
-// replyRecords serves the batches and returns the number of records of each reply.
+// replyRecords serves the batches and returns the number of records in each reply.
 func replyRecords(t *testing.T, batches ...[]byte) []uint32 {
 	t.Helper()
 	var out bytes.Buffer
@@ -65,20 +65,20 @@
 func TestServeAnswersEachBatch(t *testing.T) {
 	counts := replyRecords(t, batch(1000, startRecord(3, testSettings)), batch(1001), batch(1002))
 	if len(counts) != 3 {
-		t.Fatalf("%d replies", len(counts))
+		t.Fatalf("got %d replies, want 3", len(counts))
 	}
 	if counts[0] == 0 {
-		t.Error("a started instance orders nothing")
+		t.Error("no orders from an instance that was just started")
 	}
 	if counts[1] != 0 || counts[2] != 0 {
-		t.Errorf("%v records in the replies to empty batches", counts[1:])
+		t.Errorf("replies to empty batches have %v records, want none", counts[1:])
 	}
 }
 
 func TestStoppedInstanceOrdersNothing(t *testing.T) {
 	counts := replyRecords(t, batch(1000, startRecord(3, testSettings), timerRecord(3), record(codeStop, 3)))
 	if len(counts) != 1 || counts[0] != 0 {
-		t.Errorf("records in the replies: %v", counts)
+		t.Errorf("replies have %v records, want a single empty reply", counts)
 	}
 }
 
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,6 @@
-// Wirehost runs many controllers on one simulator wire: it reads batches of events from standard input and writes
-// one reply for each to standard output. The controllers share nothing.
+// Wirehost runs any number of controllers for the simulator: it reads batches of events in the protocol of package
+// simwire from standard input and writes one reply for each to standard output. The controllers share no state, except
+// for the endpoint lists that the simulator registers.
 package main
 
 import (
--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -7,7 +7,8 @@
 	"cressknot/internal/fleet"
 )
 
-// Answers that are lost on servers with capacity to spare must not look like a fleet that is too small.
+// Guards against cutting admission for lost answers: servers that lose some of their answers but have spare capacity
+// must not make the fleet look too small.
 func TestLostAnswersKeepAdmission(t *testing.T) {
 	b := newMeasuredBalancer([]float64{10, 10}, []float64{0.6, 0.6})
 	b.site.Admission = fleet.AdmissionFraction
@@ -20,7 +21,7 @@
 	}
 }
 
-// A rate limit that admits a part of the demand limits the proxies with the highest rates only.
+// A rate limit that admits a fraction of the demand must limit only the proxies with the highest rates.
 func TestProxyRateLimitSparesSmallProxies(t *testing.T) {
 	b := New(fleet.Site{
 		Zones:     []string{"a"},
@@ -39,7 +40,7 @@
 	}
 }
 
-// Each order of a limit costs a message to all proxies.
+// Guards against limits that overfill the update channel: each order of a limit costs a message to all proxies.
 func TestAdmissionOrdersNeedChannelCapacity(t *testing.T) {
 	b := newMeasuredBalancer([]float64{10, 10}, []float64{0.6, 0.6})
 	b.site.Admission = fleet.AdmissionFraction
@@ -48,14 +49,14 @@
 	b.classes[0].demand = 20
 	b.channel.nextChangesAt = 0
 	if count := publishedLimits(b, 0.6*b.site.MaxBacklog); count != 0 {
-		t.Errorf("%d limits ordered into a full channel", count)
+		t.Errorf("%d limits emitted into a full channel, want none", count)
 	}
 	if count := publishedLimits(b, 0.2*b.site.MaxBacklog); count != 1 {
-		t.Errorf("%d limits ordered into a channel with capacity, want 1", count)
+		t.Errorf("%d limits emitted into a channel with capacity, want 1", count)
 	}
 }
 
-// publishedLimits returns how many limits a balancer orders with a given backlog in the update channel.
+// publishedLimits returns the number of limits that a balancer emits with a given backlog in the update channel.
 func publishedLimits(b *Balancer, backlog float64) int {
 	b.orders = nil
 	b.channel.entriesSent = b.channel.entriesDelivered + backlog
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// newMeasuredBalancer returns a balancer past its observation, with one proxy, one shared table and servers that were
-// measured at given requests per second and utilizations.
+// newMeasuredBalancer returns a balancer after the initial observation, with one proxy, one shared table, and servers
+// measured at the given requests per second and utilizations.
 func newMeasuredBalancer(rates, utilizations []float64) *Balancer {
 	b := New(fleet.Site{
 		Zones:            []string{"a"},
@@ -62,8 +62,8 @@
 	})
 }
 
-// Tables of hundreds of entries for hundreds of proxies are far more than the update channel delivers in a balance
-// interval, so assignments and changes go out in parts.
+// Tables with hundreds of entries for more than a hundred proxies exceed by far what the update channel delivers in a
+// balance interval, so that assignments and changes are sent in several steps. The invariants must hold meanwhile.
 func TestInvariantsHoldInLargeFleet(t *testing.T) {
 	sim := newSimulatedFleet(13, 300, 120)
 	sim.site.EntriesPerSecond = 15000
@@ -80,11 +80,11 @@
 		}
 	}
 	if sim.violation != "" || unassigned > 12 {
-		t.Errorf("%d proxies without their tables; %s", unassigned, sim.violation)
+		t.Errorf("%d proxies without assigned tables; %s", unassigned, sim.violation)
 	}
 }
 
-// Reports that stop say nothing of any server: the tables stay.
+// Guards against ejecting or rebalancing servers when the reports of the whole fleet stop: the tables must stay.
 func TestOrdersNothingWithoutReports(t *testing.T) {
 	sim := newSimulatedFleet(8, 10, 5)
 	sim.run(15, 0)
@@ -92,7 +92,7 @@
 	sim.step(nil) // deferred changes are sent
 	for sim.now += fleet.Second; sim.now < 130*fleet.Second; sim.now += fleet.Second {
 		if orders := sim.step(nil); len(orders) > 1 { // the timer
-			t.Fatalf("%v ordered without a report", orders)
+			t.Fatalf("%v emitted without a report", orders)
 		}
 	}
 }
--- a/internal/balancer/benchmark_test.go
+++ b/internal/balancer/benchmark_test.go
@@ -9,8 +9,8 @@
 	"cressknot/internal/fleet"
 )
 
-// BenchmarkStep measures one second of simulated time: ten steps with 100 reports of outcomes and of demand each, in
-// which all barriers are reached.
+// BenchmarkStep measures one second of simulated time: ten steps with 100 outcome reports and 100 demand reports each.
+// All barriers are reached.
 func BenchmarkStep(b *testing.B) {
 	for _, serverCount := range []int{175, 350, 700, 1400} {
 		b.Run(fmt.Sprint(serverCount), func(b *testing.B) {
--- a/internal/balancer/channel_test.go
+++ b/internal/balancer/channel_test.go
@@ -6,8 +6,8 @@
 	"cressknot/internal/fleet"
 )
 
-// The update channel is eight times slower than assumed while six in ten servers are replaced. The acknowledgements
-// say so.
+// Guards against overfilling the update channel when it is eight times slower than assumed while six in ten servers are
+// replaced. The balancer must learn of the delay from the acknowledgements.
 func TestSlowChannelIsNotOverfilled(t *testing.T) {
 	for seed := range int64(4) {
 		sim := newSimulatedFleet(seed, 200, 60)
@@ -24,13 +24,13 @@
 			maxBacklog = max(maxBacklog, sim.backlog())
 		}
 		if sim.violation != "" || maxBacklog < sim.site.MaxBacklog/4 {
-			t.Errorf("seed %d: at most %.0f entries waited; %s", seed, maxBacklog, sim.violation)
+			t.Errorf("seed %d: largest backlog %.0f entries; %s", seed, maxBacklog, sim.violation)
 		}
 	}
 }
 
-// replaceServers drains servers and adds as many new ones. The drain timeout is extended, as it grows with the delay
-// of the channel.
+// replaceServers drains servers and adds as many new ones. It extends the drain timeout, because the slow channel
+// delays the withdrawals.
 func replaceServers(sim *simulatedFleet, servers []*fakeServer) fleet.EndpointList {
 	list := fleet.EndpointList{Scope: fleet.ListDelta}
 	for _, server := range servers {
@@ -46,7 +46,7 @@
 	return list
 }
 
-// What goes to no proxy is not a message to all.
+// Guards against counting a weight of an unused table as a message to all proxies.
 func TestOrderForUnusedTableCostsNothing(t *testing.T) {
 	b := newMeasuredBalancer([]float64{10, 10}, []float64{0.6, 0.6})
 	b.updateFleet()
@@ -54,6 +54,6 @@
 	b.now += fleet.Second
 	b.broadcast(fleet.SetWeight{Table: 1, Server: 1, Weight: 1}, 0)
 	if b.channel.entriesSent != before {
-		t.Errorf("a weight that no proxy uses counted %.0f entries", b.channel.entriesSent-before)
+		t.Errorf("a weight that no proxy uses costs %.0f entries, want 0", b.channel.entriesSent-before)
 	}
 }
--- a/internal/balancer/desired_test.go
+++ b/internal/balancer/desired_test.go
@@ -6,9 +6,9 @@
 	"cressknot/internal/fleet"
 )
 
-// Servers return while proxies still wait for their first tables, and inherited tables say nothing of slow start. A
-// server whose load is limited in slow start must not return to a weight from before those of the others were cut,
-// either.
+// Guards against overloading a server in slow start in two ways: it restarts while proxies still wait for their first
+// tables and use inherited ones, which ignore slow start; or, after its load was limited in slow start, it returns to a
+// weight from before the weights of the others were cut.
 func TestWarmingServerIsNotOverloaded(t *testing.T) {
 	sim := newSimulatedFleet(14, 12, 6)
 	sim.site.EntriesPerSecond = 100 // assignments take long
--- a/internal/balancer/digest_test.go
+++ b/internal/balancer/digest_test.go
@@ -13,11 +13,11 @@
 	"cressknot/internal/fleet"
 )
 
-// orderDigest is a hash of a stream of orders. Its encoding depends on no name of a Go type or field, so that it
-// stays the same when these are renamed.
+// orderDigest is a hash of a sequence of orders. Its encoding does not depend on the names of Go types or fields, so
+// that renaming them does not change it.
 type orderDigest struct {
 	hash         hash.Hash
-	masksLogText bool // the texts of log messages are left out, their places are not
+	masksLogText bool // the texts of log messages are omitted, their positions are kept
 }
 
 func newOrderDigest() *orderDigest { return &orderDigest{hash: sha256.New()} }
@@ -25,7 +25,7 @@
 // newMaskedDigest returns a digest that does not depend on the wording of log messages.
 func newMaskedDigest() *orderDigest { return &orderDigest{hash: sha256.New(), masksLogText: true} }
 
-// put adds a record of a kind with numbers.
+// put adds a record that consists of a kind and numbers.
 func (d *orderDigest) put(kind byte, numbers ...uint64) {
 	record := []byte{kind, byte(len(numbers))}
 	for _, number := range numbers {
@@ -94,7 +94,7 @@
 func checkDigest(t *testing.T, name string, digest *orderDigest, want string) {
 	t.Helper()
 	if got := digest.String(); got != want {
-		t.Errorf("%s %s, recorded was %s", name, got, want)
+		t.Errorf("%s is %s, recorded %s", name, got, want)
 	}
 }
 
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestOrdersOfRandomEventsStayTheSame gives the balancer events of all kinds, sensible or not, on sites that differ
-// in all modes, and compares the digest of all orders with the recorded one.
+// TestOrdersOfRandomEventsStayTheSame steps the balancer with random events of all kinds, valid or not, on sites with
+// different modes, and compares the digest of all orders with the recorded one.
 func TestOrdersOfRandomEventsStayTheSame(t *testing.T) {
 	for _, run := range []struct {
 		seed      int64
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -186,8 +186,8 @@
 	}
 }
 
-// Tracks reports whether the balancer has state of a server. It keeps the state of a gone server until proxies have
-// no entry for it.
+// Tracks reports whether the balancer has state of a server. The state of a gone server is kept until no proxy can
+// send requests to it.
 func (b *Balancer) Tracks(id fleet.ServerID) bool { return b.endpoints.byID[id] != nil }
 
 // removeGoneServers removes the state of servers that are gone and in no table, and their withdrawals. As every new
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -6,7 +6,8 @@
 	"cressknot/internal/fleet"
 )
 
-// Server IDs come without end. A server that is gone and in no table is forgotten, with its withdrawal.
+// Guards against unbounded state: every new server has a new ID, so the state and the withdrawal of a server that is
+// gone and in no table must be removed.
 func TestForgetsGoneServers(t *testing.T) {
 	sim := newSimulatedFleet(4, 6, 5)
 	sim.run(20, 0)
@@ -15,7 +16,7 @@
 	sim.step([]fleet.Event{sim.endpointList(fleet.ListFull)})
 	sim.run(10, 0)
 	if !sim.balancer.Tracks(gone) {
-		t.Error("forgotten while proxies may join with inherited tables")
+		t.Error("state removed while proxies may join with inherited tables")
 	}
 	sim.run(30, 0)
 	for id, proxy := range sim.proxies {
@@ -29,7 +30,8 @@
 	}
 }
 
-// A proxy joins just after a withdrawal, which it may have missed, and the server returns in the same step.
+// Guards against a withdrawal that is never reverted: a proxy joins shortly after a withdrawal, which it may have
+// missed, and in the same step the server becomes ready again.
 func TestServerReturnsWhileProxyJoins(t *testing.T) {
 	sim := newSimulatedFleet(9, 8, 4)
 	sim.run(10, 0)
--- a/internal/balancer/estimates_test.go
+++ b/internal/balancer/estimates_test.go
@@ -8,7 +8,8 @@
 	"cressknot/internal/fleet"
 )
 
-// Demand reports come only for times with requests and state the silence before them, up to some seconds.
+// Guards against overestimating the rate of proxies with few requests: demand reports are sent only after requests, and
+// their interval covers at most some seconds without requests before.
 func TestRequestRateCountsSilence(t *testing.T) {
 	for _, want := range []float64{0.1, 0.5, 5} {
 		rng := rand.New(rand.NewSource(3))
--- a/internal/balancer/inputs_test.go
+++ b/internal/balancer/inputs_test.go
@@ -7,8 +7,8 @@
 	"cressknot/internal/fleet"
 )
 
-// Orders of a broken call were carried out or not. They are repeated within the invariants, and in the end the
-// proxies have what was ordered.
+// The orders of a call that broke may or may not have been carried out. They must be sent again without violating the
+// invariants, and the proxies must end up with the state that was ordered.
 func TestUnconfirmedOrdersAreRepeated(t *testing.T) {
 	checkSeeds(t, func(seed int64) bool {
 		sim := newSimulatedFleet(seed, 6+int(seed&7), 5)
--- a/internal/balancer/outliers_test.go
+++ b/internal/balancer/outliers_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A server that accepts requests and answers none is not reported on any more: it is ejected for its silence. One
-// that fails most of them is ejected, too.
+// A server that accepts requests and answers none must be ejected although no report mentions it any more, and so must
+// a server that fails most requests. Both must get requests again after their recovery.
 func TestOutliersAreEjectedAndReturn(t *testing.T) {
 	for _, fault := range []struct {
 		name           string
@@ -20,7 +20,7 @@
 			server.unresponsive = fault.unresponsive
 			server.failedFraction = fault.failedFraction
 			if lowest := lowestRequestRate(sim, server, 8); lowest > 0 {
-				t.Errorf("never got less than %.1f requests per second", lowest)
+				t.Errorf("not ejected: lowest load is %.1f requests per second", lowest)
 			}
 			server.unresponsive = false
 			server.failedFraction = 0
@@ -33,7 +33,7 @@
 	}
 }
 
-// lowestRequestRate returns the lowest requests per second that a server gets in the next seconds.
+// lowestRequestRate returns the lowest number of requests per second that a server gets in the next seconds.
 func lowestRequestRate(sim *simulatedFleet, server *fakeServer, seconds int) float64 {
 	lowest := sim.requestRate(server.Server)
 	for range seconds {
@@ -43,7 +43,7 @@
 	return lowest
 }
 
-// checkNoneEjectedIfAllFail checks that no server is ejected for failures that all servers have.
+// checkNoneEjectedIfAllFail checks that no server is ejected for failures that all servers share.
 func checkNoneEjectedIfAllFail(t *testing.T, sim *simulatedFleet) {
 	t.Helper()
 	for _, server := range sim.servers {
@@ -52,7 +52,7 @@
 	sim.run(5, 0)
 	for _, server := range sim.servers {
 		if sim.requestRate(server.Server) == 0 {
-			t.Errorf("server %d is ejected for failures that all have", server.Server)
+			t.Errorf("server %d is ejected for failures that all servers share", server.Server)
 		}
 	}
 }
--- a/internal/balancer/proxies_test.go
+++ b/internal/balancer/proxies_test.go
@@ -7,8 +7,8 @@
 	"cressknot/internal/fleet"
 )
 
-// A restarted balancer withdraws a server, then a proxy joins with an inherited table and must wait for its
-// assignment.
+// Guards against requests to a gone server: a restarted balancer withdraws the server, then a proxy joins with an
+// inherited table, has missed the withdrawal and waits for its assignment.
 func TestWaitingProxyReceivesEarlierWithdrawals(t *testing.T) {
 	sim := newSimulatedFleet(9, 8, 4)
 	sim.run(10, 0)
@@ -39,7 +39,7 @@
 	}
 }
 
-// newBusyFleet returns a fleet whose tables cost much of what the update channel delivers.
+// newBusyFleet returns a fleet whose tables need much of the capacity of the update channel.
 func newBusyFleet(maxBacklog float64) *simulatedFleet {
 	sim := newSimulatedFleet(17, 150, 120)
 	sim.site.EntriesPerSecond = 8000
@@ -51,7 +51,7 @@
 	return sim
 }
 
-// checkAllAssigned checks that within some seconds no proxy waits for its tables.
+// checkAllAssigned checks that after 8 seconds no proxy waits for its tables.
 func checkAllAssigned(t *testing.T, sim *simulatedFleet) {
 	t.Helper()
 	sim.run(8, 0)
@@ -66,8 +66,9 @@
 	}
 }
 
-// Proxies that are reported as joined again, after a break of the connection to the transport, use their tables as
-// before, so a change of these costs entries at each of them.
+// Proxies that are reported as joined again, after the connection to the transport broke, still use their tables, so a
+// change of a table costs an entry at each of them. Guards against not counting these entries, which would delay the
+// assignments.
 func TestProxiesReportedAgainAreAssignedInTime(t *testing.T) {
 	sim := newBusyFleet(9000)
 	sim.step(nil)
@@ -98,13 +99,13 @@
 			}
 		}
 		if counted := sim.balancer.tables[index].proxyCount; counted < actual {
-			t.Errorf("a weight of table %d goes to %.0f proxies, counted as %.0f", index, actual, counted)
+			t.Errorf("table %d: %.0f proxies counted, %.0f use it", index, counted, actual)
 		}
 	}
 }
 
-// Many proxies rejoin while many servers drain. Those that wait receive the withdrawals of the last seconds again,
-// which cost an entry at each proxy and must leave capacity for the assignments.
+// Many proxies rejoin while many servers drain. While they wait, the withdrawals of the last seconds are sent again,
+// which costs an entry at each proxy and must leave capacity for the assignments.
 func TestRejoiningProxiesAreAssignedInTime(t *testing.T) {
 	const rejoining = 60
 	sim := newBusyFleet(40000)
@@ -133,8 +134,8 @@
 	checkAllAssigned(t, sim)
 }
 
-// Load shedding moves all proxies to tables that had no entry until this step. Their assignments cost the entries
-// that the step adds.
+// Load shedding moves all proxies to tables that had no entries before this step. The cost of the assignments must
+// include the entries that the step adds.
 func TestAssignmentsCountEntriesOfTheirStep(t *testing.T) {
 	rates := []float64{10, 10, 10, 10, 10, 10}
 	b := newMeasuredBalancer(rates, []float64{0.5, 0.5, 0.5, 0.5, 0.5, 0.5})
@@ -154,6 +155,6 @@
 	b.emitOrders()
 	cost := b.channel.entriesSent - before
 	if proxy.assignedTables[0] != b.tableFor(0, 0) || cost < 5+1 {
-		t.Errorf("assigned to table %d; five entries and an assignment counted %.0f", proxy.assignedTables[0], cost)
+		t.Errorf("assigned to table %d; cost %.0f entries, want at least 6", proxy.assignedTables[0], cost)
 	}
 }
--- a/internal/balancer/publish_test.go
+++ b/internal/balancer/publish_test.go
@@ -22,7 +22,7 @@
 	return sim
 }
 
-// entryCount returns the number of entries that a table has by the balancer's orders.
+// entryCount returns the number of entries that a table has according to the balancer's orders.
 func entryCount(b *Balancer, table int) int {
 	count := 0
 	for _, server := range b.endpoints.all {
@@ -33,9 +33,9 @@
 	return count
 }
 
-// After the other controllers have crashed, many proxies join at once. Tables that no proxy used must not have grown
-// to an entry for each server, most of them with a small weight, or the assignments take long; and a withdrawal goes
-// only to the proxies whose tables have the server.
+// Many proxies join at once after the other controllers have crashed. If unused tables had grown to an entry for each
+// server, most of them with a small weight, the assignments would take long. A withdrawal must cost entries only at the
+// proxies whose tables have the server.
 func TestUnusedTablesAreCheapToAssign(t *testing.T) {
 	sim := newFleetWithUnusedTables()
 	checkUnusedTablesAreSparse(t, sim.balancer)
@@ -49,7 +49,7 @@
 	}
 }
 
-// checkUnusedTablesAreSparse checks that there are tables without proxies, and that these have entries for some
+// checkUnusedTablesAreSparse checks that there are tables without proxies, and that they have entries for some of the
 // servers only.
 func checkUnusedTablesAreSparse(t *testing.T, b *Balancer) {
 	t.Helper()
@@ -70,8 +70,8 @@
 	}
 }
 
-// checkWithdrawalCost checks that the withdrawal of a server that is in one table costs an entry at each proxy that
-// uses it.
+// checkWithdrawalCost checks that the withdrawal of a server that is in one table costs an entry only at each proxy
+// that uses the table.
 func checkWithdrawalCost(t *testing.T, b *Balancer) {
 	t.Helper()
 	server := b.endpoints.ready[len(b.endpoints.ready)-1]
@@ -90,6 +90,6 @@
 	server.State = fleet.ServerDraining
 	b.publish()
 	if cost := b.channel.entriesSent - before; cost > maxCost || !server.withdrawn {
-		t.Errorf("a withdrawal counted %.0f entries, want at most %.0f; withdrawn %v", cost, maxCost, server.withdrawn)
+		t.Errorf("withdrawal costs %.0f entries, want at most %.0f; withdrawn %v", cost, maxCost, server.withdrawn)
 	}
 }
--- a/internal/balancer/randomevent_test.go
+++ b/internal/balancer/randomevent_test.go
@@ -6,7 +6,7 @@
 	"cressknot/internal/fleet"
 )
 
-// randomValues draws the names and figures of random events.
+// randomValues draws the IDs and numbers of random events.
 type randomValues struct{ rng *rand.Rand }
 
 func (r randomValues) server() fleet.ServerID { return fleet.ServerID(1 + r.rng.Intn(12)) }
@@ -30,7 +30,7 @@
 func (r randomValues) oneIn(n int) bool { return r.rng.Intn(n) == 0 }
 
 // randomEvent returns an event of a random kind. The recorded digests depend on the order in which it draws numbers.
-// lastOrders are those of the step before.
+// lastOrders are the orders of the previous step.
 func randomEvent(rng *rand.Rand, now fleet.Time, lastOrders []fleet.Order) fleet.Event {
 	random := randomValues{rng}
 	switch kind := rng.Intn(40); {
--- a/internal/balancer/shedding_test.go
+++ b/internal/balancer/shedding_test.go
@@ -6,8 +6,9 @@
 	"cressknot/internal/fleet"
 )
 
-// With more requests than a fleet can handle and no way to reject any, all would be late. The class of the lowest
-// value for its work goes to a few servers, and the others avoid these.
+// With more requests than a fleet can handle and no way to reject any, all of them would exceed their latency
+// objective. The class of the lowest value per work must be restricted to a few servers, and the other classes must
+// avoid these.
 func TestSheddingSeparatesClasses(t *testing.T) {
 	sim := newSimulatedFleet(12, 10, 5)
 	sim.site.Admission = fleet.AdmissionUnlimited
@@ -30,12 +31,12 @@
 		}
 	}
 	if sharedWeight == 0 || lowPriorityWeight == 0 || sim.violation != "" {
-		t.Errorf("weights %.2f and %.2f; %s", sharedWeight, lowPriorityWeight, sim.violation)
+		t.Errorf("shared weight %.2f, low-priority weight %.2f; %s", sharedWeight, lowPriorityWeight, sim.violation)
 	}
 }
 
-// newOverloadedBalancer returns a balancer with two classes of equal demand, which cause twice the load the fleet can
-// handle.
+// newOverloadedBalancer returns a balancer with two classes of equal demand, which together cause twice the load that
+// the fleet can handle.
 func newOverloadedBalancer() *Balancer {
 	b := newMeasuredBalancer([]float64{10, 10, 10}, []float64{0.5, 0.5, 0.5})
 	b.classes = append(b.classes, requestClass{workPerRequest: 1, demand: 5})
@@ -48,8 +49,8 @@
 	return b
 }
 
-// A rolling restart drains many servers at once and replaces them. While it lasts the measurements lag behind, and no
-// load is shed.
+// Guards against shedding load during a rolling restart, which drains many servers at once and replaces them:
+// measurements lag behind while it lasts.
 func TestSheddingIgnoresTransientLoad(t *testing.T) {
 	for rounds := range 2 * sheddingDelayRounds {
 		for _, recentlyAdded := range []float64{0, 1} {
--- a/internal/balancer/simulatedfleet_test.go
+++ b/internal/balancer/simulatedfleet_test.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// fakeServerCapacity is the requests per second that a fake server handles when it is warm.
+	// fakeServerCapacity is the number of requests per second that a warm fake server handles.
 	fakeServerCapacity = 20.0
 	// simulationStart is the time of the first step.
 	simulationStart = 100 * fleet.Second
-	// farFuture is past the end of any test.
+	// farFuture is after the end of every test.
 	farFuture = 1e6 * fleet.Second
 )
 
-// simulatedFleet carries out a balancer's orders on the tables of fake proxies, and checks the invariants after every
-// step. It simulates no single requests: reports state what the tables would bring.
+// simulatedFleet applies a balancer's orders to the tables of fake proxies and checks the invariants after every step.
+// It does not simulate single requests: the reports are derived from the tables.
 type simulatedFleet struct {
 	rng      *rand.Rand
 	site     fleet.Site
@@ -28,18 +28,18 @@
 
 	tables          map[fleet.TableID]map[fleet.ServerID]float64
 	admissionLimits map[int]float64 // by class
-	weightOrders    int             // how many SetWeight orders were carried out
+	weightOrders    int             // number of SetWeight orders that were carried out
 
-	channel             []queuedUpdate // what waits in the update channel
-	channelSlowdown     float64        // how many times slower than assumed the channel is
-	unconfirmedFraction float64        // part of the steps whose orders are unconfirmed; half of these are lost
+	channel             []queuedUpdate // messages queued in the update channel
+	channelSlowdown     float64        // ratio of the assumed to the actual speed of the channel
+	unconfirmedFraction float64        // fraction of the steps whose orders are unconfirmed; half of these are lost
 	pendingEvents       []fleet.Event  // for the next step
 
 	violation     string                          // the first violated invariant
 	observeOrders func(fleet.Time, []fleet.Order) // called with each step's orders; may be nil
 }
 
-// queuedUpdate is a message to a proxy that waits in the update channel.
+// queuedUpdate is a message to a proxy in the update channel.
 type queuedUpdate struct {
 	entries         float64
 	acknowledgement fleet.BarrierReached
@@ -49,7 +49,7 @@
 	fleet.Endpoint
 	stateChangedAt fleet.Time // when the balancer was notified of its state
 	failedFraction float64
-	unresponsive   bool // it accepts requests and answers none
+	unresponsive   bool // it accepts requests but answers none
 }
 
 type fakeProxy struct {
@@ -57,7 +57,7 @@
 	zone                  fleet.ZoneID
 	joinedAt              fleet.Time
 	ownTables             []map[fleet.ServerID]float64 // by class: standing or inherited table; nil: the proxy is new
-	assignedTables        []int                        // by class: table of the balancer, or noTable
+	assignedTables        []int                        // by class: a table of the balancer, or noTable
 	withdrawn             map[fleet.ServerID]bool
 	withoutEndpointsSince []fleet.Time // by class; 0: it has endpoints
 	messagesAt            []fleet.Time
@@ -143,7 +143,7 @@
 	return f
 }
 
-// startBalancer starts a new balancer with the present endpoint list; all proxies join at once.
+// startBalancer starts a new balancer with the present endpoint list. All proxies join at once.
 func (f *simulatedFleet) startBalancer(scope fleet.ListScope) {
 	f.balancer = New(f.site, f.rng.Uint64())
 	f.tables = map[fleet.TableID]map[fleet.ServerID]float64{}
@@ -164,13 +164,13 @@
 			list.Endpoints = append(list.Endpoints, server.Endpoint)
 			server.stateChangedAt = f.now
 		} else if scope == fleet.ListCached {
-			server.stateChangedAt = farFuture // a new balancer cannot withdraw what was in no list of its own
+			server.stateChangedAt = farFuture // a new balancer cannot withdraw a server that is in none of its lists
 		}
 	}
 	return list
 }
 
-// joinProxy lets a proxy join with the tables it has or, if it is new, with standing tables.
+// joinProxy makes a proxy join with the tables that it has or, if it is new, with standing tables.
 func (f *simulatedFleet) joinProxy(id int) fleet.Event {
 	proxy := f.proxies[id]
 	classCount := len(f.site.Classes)
@@ -201,7 +201,7 @@
 	return table
 }
 
-// disconnectProxy ends a proxy's update stream. The proxy goes on with a copy of its tables, unless it crashed.
+// disconnectProxy ends a proxy's update stream. The proxy continues with a copy of its tables, unless it crashed.
 func (f *simulatedFleet) disconnectProxy(id int, crashed bool) fleet.Event {
 	proxy := f.proxies[id]
 	for class := range proxy.ownTables {
@@ -218,7 +218,7 @@
 	return fleet.ProxyLeft{Proxy: fleet.ProxyID(id)}
 }
 
-// run lets seconds pass with reports, and with a mean number of faults per second.
+// run simulates a number of seconds, with reports and with faultsPerSecond random faults on average.
 func (f *simulatedFleet) run(seconds int, faultsPerSecond float64) {
 	for tick := range 4 * seconds {
 		f.now += fleet.Second / 4
@@ -233,7 +233,7 @@
 	}
 }
 
-// step gives the balancer events, carries out its orders and checks the invariants.
+// step steps the balancer with events, carries out its orders and checks the invariants.
 func (f *simulatedFleet) step(events []fleet.Event) []fleet.Order {
 	f.deliverUpdates()
 	events = append(f.pendingEvents, events...)
@@ -304,7 +304,7 @@
 	return []fleet.Event{f.endpointList(fleet.ListFull)}
 }
 
-// crashBalancer replaces the balancer by a new one; the tables of the proxies stay.
+// crashBalancer replaces the balancer by a new one. The proxies keep their tables.
 func (f *simulatedFleet) crashBalancer() {
 	for id, proxy := range f.proxies {
 		if proxy.joined {
--- a/internal/balancer/simulatedinvariants_test.go
+++ b/internal/balancer/simulatedinvariants_test.go
@@ -6,10 +6,10 @@
 	"cressknot/internal/fleet"
 )
 
-// maxStallSeconds is how long a proxy may stall between two attempts.
+// maxStallSeconds is the longest pause of a proxy between two attempts.
 const maxStallSeconds = 2
 
-// reportViolation notes the first violated invariant.
+// reportViolation records the first violated invariant.
 func (f *simulatedFleet) reportViolation(format string, args ...any) {
 	if f.violation == "" {
 		f.violation = fmt.Sprintf("%.2f s: ", (f.now-simulationStart).Seconds()) + fmt.Sprintf(format, args...)
@@ -31,11 +31,11 @@
 	}
 	f.checkWarmingServers()
 	if entries := f.backlog(); entries > f.site.MaxBacklog {
-		f.reportViolation("backlog: %.0f entries wait in the update channel", entries)
+		f.reportViolation("backlog: %.0f entries in the update channel, limit %.0f", entries, f.site.MaxBacklog)
 	}
 }
 
-// checkMessageCount checks that a proxy gets no more messages than its limit.
+// checkMessageCount checks that a proxy gets no more messages within the message window than its limit.
 func (f *simulatedFleet) checkMessageCount(id int, proxy *fakeProxy) {
 	recent := 0
 	for _, sentAt := range proxy.messagesAt {
@@ -44,12 +44,12 @@
 		}
 	}
 	if recent > f.site.MaxMessages {
-		f.reportViolation("message limit: %d messages to proxy %d", recent, id)
+		f.reportViolation("message limit: %d messages to proxy %d, limit %d", recent, id, f.site.MaxMessages)
 	}
 }
 
-// checkFractions checks that a proxy sends nothing to servers that drain or are gone, nor, in a zone-local class, out
-// of its zone.
+// checkFractions checks that a proxy sends no requests to draining or gone servers and, in a zone-local class, none to
+// other zones.
 func (f *simulatedFleet) checkFractions(id, class int, fractions map[fleet.ServerID]float64) {
 	proxy := f.proxies[id]
 	for _, server := range f.servers {
@@ -66,8 +66,8 @@
 	}
 }
 
-// checkEndpoints checks that a proxy is not without endpoints for too long while there are warm servers for the
-// class.
+// checkEndpoints checks that a proxy is not without endpoints for a class for too long while there are warm servers for
+// it.
 func (f *simulatedFleet) checkEndpoints(id, class int, hasEndpoints bool) {
 	proxy := f.proxies[id]
 	warmServers := false
@@ -103,12 +103,12 @@
 		rate := sum(rates[server.Server])
 		capacity := f.capacity(server)
 		if rate > recovery.OverloadFactor*capacity*0.9 {
-			f.reportViolation("slow start: server %d gets %.1f of %.1f", server.Server, rate, capacity)
+			f.reportViolation("slow start: server %d gets %.1f requests/s, capacity %.1f", server.Server, rate, capacity)
 		}
 	}
 }
 
-// checkRetryMode checks that retries do not execute a request twice that must be executed once.
+// checkRetryMode checks that retries cannot execute a request twice if its class forbids that.
 func (f *simulatedFleet) checkRetryMode(retry fleet.RetryMode, class *fleet.RequestClass) {
 	if retry < fleet.RetryOnce {
 		return
--- a/internal/balancer/simulatedorders_test.go
+++ b/internal/balancer/simulatedorders_test.go
@@ -6,10 +6,11 @@
 	"cressknot/internal/fleet"
 )
 
-// deliveredFraction is the part of the stated channel capacity that the simulated channel has without slowdown.
+// deliveredFraction is the fraction of the configured capacity that the simulated channel has without slowdown.
 const deliveredFraction = 0.25
 
-// deliverUpdates lets the update channel deliver what it can between two steps. It collects the acknowledgements.
+// deliverUpdates delivers what the update channel has capacity for between two steps, and collects the
+// acknowledgements.
 func (f *simulatedFleet) deliverUpdates() {
 	capacity := deliveredFraction * f.site.EntriesPerSecond / f.channelSlowdown
 	for len(f.channel) > 0 && capacity > 0 {
@@ -24,7 +25,7 @@
 	}
 }
 
-// backlog returns the entries that wait in the update channel.
+// backlog returns the number of entries queued in the update channel.
 func (f *simulatedFleet) backlog() float64 {
 	entries := 0.0
 	for i := range f.channel {
@@ -33,7 +34,7 @@
 	return entries
 }
 
-// applyOrders carries out the orders of a step and puts what they send to proxies into the update channel.
+// applyOrders carries out the orders of a step and queues the messages to proxies in the update channel.
 func (f *simulatedFleet) applyOrders(orders []fleet.Order) {
 	sent := map[*fakeProxy]float64{} // entries
 	for _, order := range orders {
@@ -55,7 +56,7 @@
 	}
 }
 
-// applyOrder carries out an order and adds the entries that it costs to sent.
+// applyOrder carries out an order and adds its cost in entries, by proxy, to sent.
 func (f *simulatedFleet) applyOrder(order fleet.Order, sent map[*fakeProxy]float64) {
 	switch o := order.(type) {
 	case fleet.SetWeight:
@@ -114,8 +115,8 @@
 	}
 }
 
-// assignTable costs an entry for itself and one for each weight of the table. A proxy with an assigned table has only
-// the withdrawals of this balancer.
+// assignTable costs an entry for the assignment and one for each weight of the table. A proxy with an assigned table
+// has only the withdrawals of this balancer.
 func (f *simulatedFleet) assignTable(order fleet.AssignTable, sent map[*fakeProxy]float64) {
 	proxy := f.proxies[order.Proxy]
 	sent[proxy]++
--- a/internal/balancer/simulatedreports_test.go
+++ b/internal/balancer/simulatedreports_test.go
@@ -10,7 +10,7 @@
 	return proxy.ownTables[class]
 }
 
-// fractions returns the part of a proxy's requests of a class that goes to each server.
+// fractions returns the fraction of a proxy's requests of a class that each server gets.
 func (f *simulatedFleet) fractions(proxy *fakeProxy, class int) map[fleet.ServerID]float64 {
 	total := 0.0
 	fractions := map[fleet.ServerID]float64{}
@@ -27,8 +27,7 @@
 	return fractions
 }
 
-// requestRates returns the requests per second that each server receives from the joined proxies, by zone of the
-// proxy.
+// requestRates returns the requests per second that each server receives from joined proxies, by zone of the proxies.
 func (f *simulatedFleet) requestRates() map[fleet.ServerID][]float64 {
 	rates := map[fleet.ServerID][]float64{}
 	for _, server := range f.servers {
@@ -84,7 +83,7 @@
 	return fakeServerCapacity * min(1, warm)
 }
 
-// reports returns what servers and proxies report of the last report interval.
+// reports returns the reports of servers and proxies on the last report interval.
 func (f *simulatedFleet) reports() []fleet.Event {
 	var events []fleet.Event
 	rates := f.requestRates()
@@ -107,7 +106,7 @@
 	return events
 }
 
-// outcomeReports returns the reports of each zone's proxies on a server.
+// outcomeReports returns the reports on a server by the proxies of each zone.
 func (f *simulatedFleet) outcomeReports(server *fakeServer, rates []float64) []fleet.Event {
 	var events []fleet.Event
 	rate := sum(rates)
@@ -132,7 +131,7 @@
 	return events
 }
 
-// reportedCount returns the integer number of requests that a rate makes in a report interval, rounded at random.
+// reportedCount returns the number of requests at a rate in a report interval, randomly rounded to an integer.
 func (f *simulatedFleet) reportedCount(rate float64) uint32 {
 	return uint32(rate*f.site.ReportInterval.Seconds() + f.rng.Float64())
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock reads Unix time without jumps.
+// Package clock provides a Unix time that is unaffected by changes of the wall clock.
 package clock
 
 import (
@@ -7,12 +7,12 @@
 	"cressknot/internal/fleet"
 )
 
-// Clock reads the wall clock once, in New, and goes on by the monotonic clock, so that its time never jumps when the
-// wall clock is set. Endpoint lists give the starts of servers in Unix time, so the two can be compared. It is safe
-// for concurrent use; the zero Clock is not usable.
+// Clock reads the wall clock once, in New, and then advances with the monotonic clock, so that setting the wall clock
+// does not make its time jump. Its time is comparable with the start times of servers in endpoint lists, which are in
+// Unix time. It is safe for concurrent use. The zero Clock is not usable.
 type Clock struct{ started time.Time }
 
-// New starts a clock at the wall clock's time.
+// New returns a clock that starts at the present time of the wall clock.
 func New() Clock { return Clock{started: time.Now()} }
 
 // Now returns the nanoseconds since the Unix epoch.
--- a/internal/eventlog/replay.go
+++ b/internal/eventlog/replay.go
@@ -13,12 +13,12 @@
 	"cressknot/internal/fleet"
 )
 
-// DifferenceError says that the balancer gives another order than the log has. One of the two has kind "" where the
-// other is one too many.
+// DifferenceError reports an order of the balancer that differs from the recorded one. If only one of the two exists,
+// the other has the kind "".
 type DifferenceError struct {
 	File     string
-	Line     int
-	Order    int // of the line, from 0
+	Line     int // from 1; the header is line 1
+	Order    int // index in the orders of the line
 	Recorded Item
 	Given    Item
 }
@@ -28,7 +28,7 @@
 		e.File, e.Line, e.Order, describe(e.Recorded), describe(e.Given))
 }
 
-// describe returns the kind and the value of an order for an error.
+// describe returns the kind and value of an order, for errors.
 func describe(order Item) string {
 	if order.Kind == "" {
 		return "no order"
@@ -36,8 +36,9 @@
 	return fmt.Sprintf("%s %s", order.Kind, order.Value)
 }
 
-// Replay steps a new balancer through a log and compares its orders. It gives how many steps and orders were the same;
-// the error names the first line that differs.
+// Replay steps a new balancer through the events of a log and compares its orders with the recorded ones. It returns
+// the number of steps and orders that were equal. The first difference is returned as a *DifferenceError. Errors refer
+// to the log by name.
 func Replay(name string, in io.Reader) (steps, orders int, err error) {
 	r, err := NewReader(name, in)
 	if err != nil {
@@ -61,21 +62,21 @@
 	}
 }
 
-// compare gives how many orders are the same as those of the line read last, up to the first that differs.
+// compare returns the number of equal orders up to the first difference, for the line that was read last.
 func (r *Reader) compare(given []fleet.Order, recorded []Item) (same int, err error) {
 	for i := range max(len(given), len(recorded)) {
-		var have, want Item
+		var givenItem, recordedItem Item
 		if i < len(given) {
-			have, err = orderItem(given[i])
+			givenItem, err = orderItem(given[i])
 			if err != nil {
 				return i, err
 			}
 		}
 		if i < len(recorded) {
-			want = recorded[i]
+			recordedItem = recorded[i]
 		}
-		if !sameOrder(have, want) {
-			return i, &DifferenceError{File: r.name, Line: r.line, Order: i, Recorded: want, Given: have}
+		if !sameOrder(givenItem, recordedItem) {
+			return i, &DifferenceError{File: r.name, Line: r.line, Order: i, Recorded: recordedItem, Given: givenItem}
 		}
 	}
 	return max(len(given), len(recorded)), nil
@@ -85,7 +86,7 @@
 var logValues = regexp.MustCompile(`\b(?:true|false|NaN)\b|[+-]Inf\b|-?\d+(?:\.\d+)?`)
 
 // sameOrder reports whether two orders are equal. Log messages are equal if they have the same numbers and booleans in
-// the same sequence, as their wording differs between versions.
+// the same sequence, because their wording differs between versions.
 func sameOrder(given, recorded Item) bool {
 	if given.Kind != recorded.Kind {
 		return false
--- a/internal/fleet/estimate.go
+++ b/internal/fleet/estimate.go
@@ -1,17 +1,17 @@
 package fleet
 
-// ServerEstimate is what the balancer knows of a server at the moment, for logs and operators.
+// ServerEstimate holds the present estimates of a server for logs and operators.
 type ServerEstimate struct {
 	Server       ServerID
 	State        ServerState
 	WarmingUp    bool
 	Withdrawn    bool
-	Attempts     float64 // reported over the long observation window
-	Failures     float64 // of those
-	Utilization  float64 // negative: not reported
-	Latency      Time
+	Attempts     float64   // reported in the long window of the balancer
+	Failures     float64   // failed ones among Attempts
+	Utilization  float64   // mean over the same window; negative: not reported
+	Latency      Time      // mean of the successful attempts; 0: none
 	Capacity     float64   // requests per second at full utilization
-	RequestRate  float64   // requests per second that the balancer's tables send it
-	HealthFactor float64   // fraction of its weight that outlier detection leaves it
-	Fractions    []float64 // of each table in use, the part of the weight that is ordered for it
+	RequestRate  float64   // requests per second that the balancer's tables send to it
+	HealthFactor float64   // factor that outlier detection applies to its weight; 0: ejected
+	Fractions    []float64 // its fraction of the ordered weight of each table in use
 }
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -1,24 +1,24 @@
 package fleet
 
-// ServerState is what an endpoint list says of a server.
+// ServerState is the state of a server in an endpoint list.
 type ServerState uint8
 
 // The states of a listed endpoint.
 const (
-	ServerReady ServerState = iota
-	ServerDraining
-	ServerGone
+	ServerReady    ServerState = iota // accepts requests
+	ServerDraining                    // finishes the requests it has and must not receive new ones
+	ServerGone                        // removed from the list
 )
 
-// ListScope says what an EndpointList holds.
+// ListScope is the meaning of the endpoints in an EndpointList.
 type ListScope uint8
 
 // The scopes of an EndpointList.
 const (
 	ListFull   ListScope = iota // the complete list
-	ListDelta                   // the endpoints that changed
-	ListFailed                  // nothing: a call failed or the watch broke
-	ListCached                  // the complete list as it was known last, possibly stale
+	ListDelta                   // only the endpoints that changed
+	ListFailed                  // no endpoints: a call failed or the watch ended
+	ListCached                  // the complete list as last known, possibly stale
 )
 
 // Endpoint is one server of an endpoint list.
@@ -26,13 +26,13 @@
 	Server  ServerID    `json:"Server"`
 	State   ServerState `json:"State"`
 	Cell    CellID      `json:"Cell"`
-	Started Time        `json:"Started"` // latest start; 0: long ago
+	Started Time        `json:"Started"` // latest start; 0: too long ago for a slow start
 	Zone    ZoneID      `json:"Zone"`
 	Kind    KindID      `json:"Kind"`
 	Weight  float64     `json:"Weight"` // see Site.ListWeight
 }
 
-// ProbeOutcome is how a health check ended.
+// ProbeOutcome is the outcome of a health check.
 type ProbeOutcome uint8
 
 // The outcomes of a health check.
@@ -51,14 +51,14 @@
 
 // The events.
 type (
-	// EndpointList brings an endpoint list or a change of it. Endpoints belongs to the sender and must not be
-	// changed.
+	// EndpointList carries an endpoint list or a delta. Endpoints belongs to the sender: the receiver must not change
+	// it.
 	EndpointList struct {
 		Scope     ListScope    `json:"Scope"`
 		Revision  ListRevision `json:"Rev"`
 		Endpoints []Endpoint   `json:"Entries"`
 	}
-	// TimerFired reports that a timer set by SetTimer is due.
+	// TimerFired reports that a timer set by SetTimer has expired.
 	TimerFired struct {
 		ID TimerID `json:"ID"`
 	}
@@ -69,7 +69,7 @@
 		Duration Time         `json:"Took"`
 		Load     []float32    `json:"Load"` // in the order of Site.LoadFields; empty: no report
 	}
-	// PeerMessage comes from another controller.
+	// PeerMessage is a message from another controller.
 	PeerMessage struct {
 		From ControllerID `json:"From"`
 		Data []byte       `json:"Data"`
@@ -79,13 +79,13 @@
 		Proxy       ProxyID `json:"Proxy"`
 		Zone        ZoneID  `json:"Zone"`
 		RequestRate float64 `json:"Weight"` // requests per second that it usually receives
-		Fresh       bool    `json:"Fresh"`  // it holds its standing tables only
+		Fresh       bool    `json:"Fresh"`  // it has only its standing tables, none of a controller
 	}
 	// ProxyLeft reports that a proxy's update stream has ended.
 	ProxyLeft struct {
 		Proxy ProxyID `json:"Proxy"`
 	}
-	// OutcomeReport sums up the attempts of one zone's proxies at a server over an interval.
+	// OutcomeReport sums up the attempts at a server by the proxies of one zone over an interval.
 	OutcomeReport struct {
 		Server   ServerID  `json:"Server"`
 		Failures uint32    `json:"Failed"`
@@ -93,30 +93,30 @@
 		Latency  Time      `json:"Latency"` // mean of the successful attempts
 		Interval Time      `json:"Span"`
 		Zone     ZoneID    `json:"Zone"`
-		Load     []float32 `json:"Load"` // in the order of Site.LoadFields; a negative figure is missing
+		Load     []float32 `json:"Load"` // in the order of Site.LoadFields; negative: not reported
 	}
 	// DemandReport sums up the requests of a class that a proxy received over an interval.
 	DemandReport struct {
 		Proxy      ProxyID `json:"Proxy"`
 		Class      ClassID `json:"Class"`
 		Requests   uint32  `json:"Visits"`
-		Unanswered uint32  `json:"NoAnswer"`
+		Unanswered uint32  `json:"NoAnswer"` // among Requests
 		Interval   Time    `json:"Span"`
 	}
-	// SliceDemandReport sums up the requests of a class that came for a slice over an interval.
+	// SliceDemandReport sums up the requests of a class for a slice over an interval.
 	SliceDemandReport struct {
 		Slice      TableID `json:"Slice"`
 		Class      ClassID `json:"Class"`
 		Requests   uint32  `json:"Visits"`
-		Unanswered uint32  `json:"NoAnswer"`
+		Unanswered uint32  `json:"NoAnswer"` // among Requests
 		Interval   Time    `json:"Span"`
 	}
-	// SliceAssigned gives a slice to this controller or takes it away.
+	// SliceAssigned reports that this controller has become, or is no longer, an owner of a slice.
 	SliceAssigned struct {
 		Slice    TableID `json:"Slice"`
 		Assigned bool    `json:"Given"`
 	}
-	// StoredEntry is one stored table entry of a slice that was just assigned.
+	// StoredEntry is one stored entry of the table of a slice that was just assigned.
 	StoredEntry struct {
 		Slice  TableID  `json:"Slice"`
 		Server ServerID `json:"Server"`
@@ -128,8 +128,8 @@
 		Barrier BarrierID `json:"Mark"`
 		Delay   Time      `json:"Took"`
 	}
-	// OrdersUnconfirmed reports orders that may or may not have been carried out. The host does not send them again,
-	// as that could cost their capacity in the update channel a second time.
+	// OrdersUnconfirmed reports orders that may or may not have been carried out. The host does not send them again, as
+	// that could use the capacity of the update channel twice.
 	OrdersUnconfirmed struct {
 		Orders []Order `json:"Orders"`
 	}
--- a/internal/fleet/ids.go
+++ b/internal/fleet/ids.go
@@ -1,16 +1,16 @@
 package fleet
 
-// Identifiers. Neither their order nor their size says anything about what they name.
+// Identifiers. Neither their order nor their magnitude has a meaning.
 type (
-	// ServerID names a server instance: a server that restarts keeps its ID, one that is replaced does not.
+	// ServerID identifies a server instance. It survives a restart; a replacement gets a new ID.
 	ServerID uint32
-	// ProxyID names a proxy.
+	// ProxyID identifies a proxy among all proxies of the site.
 	ProxyID uint16
-	// TableID names a weight table or, where the site has slices, a slice.
+	// TableID identifies a weight table or, on sites with slices, a slice.
 	TableID uint16
-	// ControllerID names a controller instance.
+	// ControllerID identifies a controller instance.
 	ControllerID uint16
-	// PeerID addresses a controller in a message between controllers.
+	// PeerID is the address of a controller in SendToPeer; see AllPeers.
 	PeerID uint32
 	// ClassID is the position of a request class in Site.Classes.
 	ClassID uint8
@@ -18,11 +18,11 @@
 	ZoneID uint8
 	// KindID is the position of a server kind in Site.Kinds.
 	KindID uint8
-	// CellID names a group of servers that share idempotency keys.
+	// CellID identifies a group of servers that share idempotency keys.
 	CellID uint16
-	// TimerID is chosen by whoever sets a timer and returned when it fires.
+	// TimerID is chosen by the sender of SetTimer and returned in TimerFired.
 	TimerID uint32
-	// BarrierID is chosen by whoever sets a barrier and returned when a proxy has reached it.
+	// BarrierID is chosen by the sender of Barrier and returned in BarrierReached.
 	BarrierID uint64
 	// ListRevision orders the endpoint lists of one source.
 	ListRevision uint64
@@ -34,5 +34,5 @@
 // AllPeers addresses a SendToPeer order to all other controllers.
 const AllPeers PeerID = 1<<32 - 1
 
-// ClassSet is a set of request classes as a bit mask by ClassID. The zero value stands for all classes.
+// ClassSet is a set of request classes, a bit mask by ClassID. The zero value means all classes.
 type ClassSet uint16
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -1,17 +1,17 @@
 package fleet
 
-// Order is an output of the balancer. The set of orders is closed. All orders set absolute values, so that a
-// repeated order changes nothing.
+// Order is an output of the balancer. The set of orders is closed. All orders set absolute values, so that they are
+// idempotent.
 type Order interface{ order() }
 
 // The orders.
 type (
-	// SetTimer asks for a TimerFired event after Delay.
+	// SetTimer requests a TimerFired event after Delay.
 	SetTimer struct {
 		Delay Time    `json:"After"`
 		ID    TimerID `json:"ID"`
 	}
-	// ProbeServer asks for a health check of a server.
+	// ProbeServer requests a health check of a server.
 	ProbeServer struct {
 		Server ServerID `json:"Server"`
 	}
@@ -24,11 +24,11 @@
 	LogMessage struct {
 		Text string `json:"Text"`
 	}
-	// WatchEndpoints starts or ends a watch of the endpoint list.
+	// WatchEndpoints starts or stops watching the endpoint list.
 	WatchEndpoints struct {
 		Enabled bool `json:"On"`
 	}
-	// FetchEndpoints asks for the complete endpoint list once.
+	// FetchEndpoints requests the complete endpoint list once.
 	FetchEndpoints struct{}
 	// SetWeight sets an entry of a table. A weight of 0 removes it.
 	SetWeight struct {
@@ -40,29 +40,28 @@
 	ClearTable struct {
 		Table TableID `json:"Table"`
 	}
-	// WithdrawServer removes a server from all tables of joined proxies, whatever their weights, or lets it back
-	// in.
+	// WithdrawServer removes a server from all tables of joined proxies regardless of its weights, or reverts this.
 	WithdrawServer struct {
 		Server    ServerID `json:"Server"`
 		Withdrawn bool     `json:"Out"`
 	}
-	// AssignTable makes a proxy use a table for some classes.
+	// AssignTable assigns a table to a proxy for some classes.
 	AssignTable struct {
 		Proxy   ProxyID  `json:"Proxy"`
 		Table   TableID  `json:"Table"`
 		Classes ClassSet `json:"Classes"`
 	}
-	// SetAdmission sets how many requests of some classes are admitted, and when proxies retry.
+	// SetAdmission sets the admission limit and the retry mode of some classes.
 	SetAdmission struct {
 		Table   TableID   `json:"Table"`
 		Classes ClassSet  `json:"Classes"`
 		Limit   float32   `json:"Amount"` // see Site.Admission
 		Retry   RetryMode `json:"Retry"`
 	}
-	// Barrier asks for a BarrierReached event from each proxy that this step's orders reach.
+	// Barrier requests a BarrierReached event from each proxy that receives orders of the same step.
 	Barrier struct {
 		ID         BarrierID `json:"ID"`
-		AllProxies bool      `json:"All"` // from all other proxies, too
+		AllProxies bool      `json:"All"` // requests it from all other proxies, too
 	}
 )
 
--- a/internal/fleet/serverstate.go
+++ b/internal/fleet/serverstate.go
@@ -7,7 +7,7 @@
 	ServerGoneName     = "gone"
 )
 
-// Name returns the state's name, "" for a value that is no state.
+// Name returns the state's name, "" for an invalid value.
 func (s ServerState) Name() string {
 	switch s {
 	case ServerReady:
@@ -20,8 +20,8 @@
 	return ""
 }
 
-// ParseServerState returns the state of a name, and whether the name is known. The empty name means ready; a name that
-// is not known gives ServerReady, too.
+// ParseServerState returns the state with a name, and whether the name is known. The empty name means ready; for an
+// unknown name the state is ServerReady, too.
 func ParseServerState(name string) (state ServerState, known bool) {
 	switch name {
 	case "", ServerReadyName:
--- a/internal/fleet/serverstate_test.go
+++ b/internal/fleet/serverstate_test.go
@@ -14,6 +14,6 @@
 		}
 	}
 	if name := ServerState(9).Name(); name != "" {
-		t.Errorf("a value that is no state is called %q", name)
+		t.Errorf("an invalid state has the name %q", name)
 	}
 }
--- a/internal/fleet/site.go
+++ b/internal/fleet/site.go
@@ -1,16 +1,16 @@
 package fleet
 
-// Idempotency says what executing a request twice would do.
+// Idempotency is the effect of executing a request twice.
 type Idempotency uint8
 
 // The idempotency of a request class.
 const (
 	Idempotent        Idempotency = iota // repeated execution is harmless
-	IdempotentWithKey                    // servers in the deduplication scope drop a repeated key for a while
+	IdempotentWithKey                    // servers in the deduplication scope drop a key repeated within the window
 	NotIdempotent                        // must never be executed twice
 )
 
-// DeduplicationScope says which servers recognise a repeated idempotency key.
+// DeduplicationScope is the set of servers that recognise a repeated idempotency key.
 type DeduplicationScope uint8
 
 // The deduplication scopes.
@@ -20,17 +20,17 @@
 	DeduplicationCell                            // the servers of one cell
 )
 
-// AdmissionMode says how proxies read the limit of a SetAdmission order.
+// AdmissionMode is the meaning of the limit in a SetAdmission order.
 type AdmissionMode uint8
 
 // The admission modes.
 const (
-	AdmissionUnlimited AdmissionMode = iota // limits are ignored; retry modes are honoured
-	AdmissionFraction                       // a fraction of the requests, 1 or more meaning all
+	AdmissionUnlimited AdmissionMode = iota // proxies ignore limits and apply retry modes
+	AdmissionFraction                       // fraction of the requests; 1 or more admits all
 	AdmissionRate                           // requests per second at each proxy
 )
 
-// RetryMode says when a proxy sends a request again.
+// RetryMode is the condition for a proxy to retry a request.
 type RetryMode uint8
 
 // The retry modes.
@@ -41,129 +41,131 @@
 	RetryTwice                   // twice, after any failure
 )
 
-// ListWeight says what the weight of a listed endpoint means.
+// ListWeight is the meaning of the weight of a listed endpoint.
 type ListWeight uint8
 
 // The meanings of a listed weight.
 const (
 	ListWeightNone        ListWeight = iota // always 1
 	ListWeightNominal                       // the registered capacity
-	ListWeightApproximate                   // roughly the capacity
+	ListWeightApproximate                   // an approximation of the capacity
 	ListWeightLive                          // the capacity divided by a recent number of requests in flight
 )
 
-// LoadReportMode says how servers report their load.
+// LoadReportMode is the way in which servers report their load.
 type LoadReportMode uint8
 
 // The load report modes.
 const (
 	LoadReportNone    LoadReportMode = iota
-	LoadReportInline                 // with the answers to requests
-	LoadReportOnProbe                // with the answers to health checks
+	LoadReportInline                 // in responses to requests
+	LoadReportOnProbe                // in responses to health checks
 )
 
-// LoadField names one figure of a load report.
+// LoadField identifies one value of a load report.
 type LoadField uint8
 
-// The figures that a load report may hold. Those that this program does not know are LoadFieldOther.
+// The values that a load report may have. LoadFieldOther stands for every unknown one.
 const (
 	LoadFieldOther         LoadField = iota
 	LoadFieldInFlight                // requests in flight
-	LoadFieldQueueLength             // requests that wait
+	LoadFieldQueueLength             // queued requests
 	LoadFieldUtilization             // fraction of the capacity in use
 	LoadFieldServiceTimeMs           // milliseconds
 	LoadFieldRequestRate             // requests per second
 	LoadFieldErrorRate               // errors per second
 )
 
-// RequestClass is one kind of request, as the site's settings describe it.
+// RequestClass is a class of requests in the settings of a site.
 type RequestClass struct {
 	Name               string             `json:"Name"`
 	Idempotency        Idempotency        `json:"Effect"`
 	DeduplicationScope DeduplicationScope `json:"Group"`
-	// DeduplicationWindow is how long repeated keys are dropped, from the first attempt that may have been executed.
+	// DeduplicationWindow is the time in which repeated keys are dropped, from the first attempt that may have been
+	// executed.
 	DeduplicationWindow Time `json:"Window"`
-	// LatencyObjective is the response time within which an answer has its full value.
+	// LatencyObjective is the response time within which a response has its full value.
 	LatencyObjective Time `json:"Expected"`
-	// Deadline is how long the client waits, over all attempts.
+	// Deadline is the time for which the client waits, over all attempts.
 	Deadline Time `json:"HardStop"`
-	// PriorityWeight is what an answer within the objective is worth, relative to other classes.
+	// PriorityWeight is the value of a response within the objective, relative to other classes.
 	PriorityWeight float64 `json:"Value"`
-	// LateValueFraction is the part of its value that an answer past the objective keeps.
+	// LateValueFraction is the fraction of PriorityWeight that a response after the objective is worth.
 	LateValueFraction float64 `json:"LateShare"`
 	// ZoneLocal restricts the class to servers of the proxy's own zone.
 	ZoneLocal bool `json:"StaysLocal"`
 	Writes    bool `json:"Writes"`
 }
 
-// SlowStart states how a server warms up after its start: its capacity grows from InitialFraction of the full one
-// to all of it over Duration.
+// SlowStart describes how a server warms up after its start: its capacity grows linearly from InitialFraction of the
+// full capacity to all of it over Duration.
 type SlowStart struct {
 	InitialFraction float64 `json:"ColdFrom"`
 	Duration        Time    `json:"ColdFor"`
 }
 
-// RecoveryRamp states what overloads a warming or recovering server: OverloadFactor times its present capacity, for
-// Duration.
+// RecoveryRamp describes which load makes a warming or recovering server fail: OverloadFactor times its present
+// capacity, for Duration.
 type RecoveryRamp struct {
 	OverloadFactor float64 `json:"FallFactor"`
 	Duration       Time    `json:"FallFor"`
 }
 
-// Site is what a controller is configured with: the shape of the fleet, what its interfaces can do and what they
-// cost. The JSON names are those of the event log.
+// Site is the configuration of a controller: the structure of the fleet, and the capabilities and costs of its
+// interfaces. The JSON names are those of the event log.
 type Site struct {
-	ControllerIndex int            `json:"Me"` // this controller among Controllers
+	ControllerIndex int            `json:"Me"` // index of this controller among Controllers
 	Controllers     int            `json:"Governors"`
-	Zone            ZoneID         `json:"Zone"` // this controller's own zone
+	Zone            ZoneID         `json:"Zone"` // zone of this controller
 	Zones           []string       `json:"Zones"`
 	Kinds           []string       `json:"Kinds"`
 	Classes         []RequestClass `json:"Classes"`
 	Tick            Time           `json:"Tick"` // shortest time between two steps
 
-	ListOnRequest bool           `json:"ListOnRequest"` // endpoint lists come only when asked for
+	ListOnRequest bool           `json:"ListOnRequest"` // endpoint lists are sent only on request
 	ListWeight    ListWeight     `json:"ListWeight"`
 	LoadReports   LoadReportMode `json:"Report"`
-	LoadFields    []LoadField    `json:"LoadFields"` // the order of figures in a load report
+	LoadFields    []LoadField    `json:"LoadFields"` // the values of a load report, in order
 	ProbesAllowed bool           `json:"Probes"`
 	PeersAllowed  bool           `json:"Peers"` // messages between controllers are allowed
 
 	Admission         AdmissionMode `json:"Admission"`
-	ProxyCount        int           `json:"Proxies"` // over all controllers
+	ProxyCount        int           `json:"Proxies"` // of all controllers
 	JoinByZone        bool          `json:"JoinByZone"`
-	StandingTableSize int           `json:"Standing"`  // most servers in a proxy's own, standing table
-	SliceCount        int           `json:"Slices"`    // 0: proxies join one controller at a time
-	ExclusiveSlices   bool          `json:"Exclusive"` // a slice has a single owner
-	// WriteLeaseDuration is how long a proxy sends writes for an exclusive slice without its controller.
+	StandingTableSize int           `json:"Standing"`  // maximum number of servers in a proxy's own, standing table
+	SliceCount        int           `json:"Slices"`    // 0: no slices; proxies join one controller at a time
+	ExclusiveSlices   bool          `json:"Exclusive"` // each slice has a single owner
+	// WriteLeaseDuration is the time for which a proxy sends writes for an exclusive slice without its controller.
 	WriteLeaseDuration Time `json:"Tenure"`
-	MaxWriteDuration   Time `json:"InFlightMost"` // a write in flight ends within this
-	// AttemptTimeoutFactor is how many latency objectives an attempt that may be retried waits.
+	MaxWriteDuration   Time `json:"InFlightMost"` // maximum duration of a write in flight
+	// AttemptTimeoutFactor is the timeout of an attempt that may be retried, as a multiple of the latency objective.
 	AttemptTimeoutFactor float64   `json:"PerTry"`
 	DefaultRetry         RetryMode `json:"RetryDefault"`
 	// ProxyOutlierFailures is the number of consecutive failures after which a proxy avoids a server; 0: never.
 	ProxyOutlierFailures int `json:"OutlierAfter"`
 	// MinServerConnections is the smallest connection limit of any server; 0: unlimited.
 	MinServerConnections float64 `json:"ConnLeast"`
-	ReportInterval       Time    `json:"ReportEvery"`
-	ReportsPerSecond     float64 `json:"ReportsPerS"`
-	MeanUpdateDelay      Time    `json:"Travel"`
-	MaxUpdateDelay       Time    `json:"TravelMost"`
+	ReportInterval       Time    `json:"ReportEvery"`  // time between two reports on a server or proxy
+	ReportsPerSecond     float64 `json:"ReportsPerS"`  // maximum rate of all reports to a controller
+	MeanUpdateDelay      Time    `json:"Travel"`       // of an update on its way to a proxy
+	MaxUpdateDelay       Time    `json:"TravelMost"`   // of an update on its way to a proxy
 	EntriesPerSecond     float64 `json:"LinesPerS"`    // capacity of the update channel, in table entries
-	MessageOverhead      float64 `json:"MessageHead"`  // entries that each message costs beside its own
-	MaxBacklog           float64 `json:"BacklogMost"`  // entries that may wait in the update channel
+	MessageOverhead      float64 `json:"MessageHead"`  // cost of a message in entries, in addition to its own entries
+	MaxBacklog           float64 `json:"BacklogMost"`  // maximum number of entries queued in the update channel
 	MaxMessages          int     `json:"MessagesMost"` // to one proxy within MessageWindow; 0: unlimited
 	MessageWindow        Time    `json:"MessagesOver"`
-	MaxUnservedDuration  Time    `json:"BareMost"` // a proxy may be without endpoints for a class this long
+	MaxUnservedDuration  Time    `json:"BareMost"` // maximum time that a proxy may be without endpoints for a class
 	ConnectTimeout       Time    `json:"ConnectTimeout"`
 
 	SlowStart
 	RecoveryRamp
-	DrainTimeout Time `json:"DrainGrace"` // requests to a draining server must end within this
-	// MaxPollInterval bounds the time between polls where lists come on request: a controller that has not polled
-	// for so long counts as notified.
+	DrainTimeout Time `json:"DrainGrace"` // proxies must stop sending requests to a draining server within this
+	// MaxPollInterval is the longest time between polls of an endpoint list that is sent on request: a controller that
+	// has not polled for so long counts as notified.
 	MaxPollInterval Time `json:"AskWithin"`
-	// RemovalNotBinding says that only a draining entry binds the controller, and a removed one does not.
+	// RemovalNotBinding means that only a draining entry obliges the controller to stop requests to a server; a removed
+	// entry does not.
 	RemovalNotBinding bool    `json:"GoneDoesNot"`
-	WorstClassWeight  float64 `json:"WorstClassPay"`
-	OverallWeight     float64 `json:"WholePay"`
+	WorstClassWeight  float64 `json:"WorstClassPay"` // weight of the worst class in the objective
+	OverallWeight     float64 `json:"WholePay"`      // weight of all classes together in the objective
 }
--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -1,6 +1,6 @@
 package simwire
 
-// Codes of the records of a batch, with the wire's names.
+// Codes of the records of a batch. The comments are the names in the protocol.
 const (
 	codeProbeResult    = 256 // pong
 	codeStop           = 257 // crash now
@@ -19,7 +19,7 @@
 	codeProxyDemand    = 270 // proxy stats
 )
 
-// Codes of the records of a reply, with the wire's names.
+// Codes of the records of a reply. The comments are the names in the protocol.
 const (
 	codeSetTimer       = 256 // set alarm
 	codeProbeServer    = 257 // probe
@@ -43,11 +43,11 @@
 	replyHeaderBytes  = 8
 	codeBytes         = 2
 	recordHeaderBytes = codeBytes + lengthBytes
-	endpointBytes     = 21 // of an endpoint of a registered list
+	endpointBytes     = 21 // an endpoint of a registered list
 	maxFrameBytes     = 1 << 30
 )
 
-// registeredListCount is how many endpoint lists can be registered at a time.
+// registeredListCount is the number of endpoint lists that can be registered at a time.
 const registeredListCount = 16
 
 // Codes of a server's state in a registered list.
@@ -65,7 +65,7 @@
 	scopeCached = 3
 )
 
-// Codes of a probe's result. There are others, which make no difference.
+// Codes of a probe's result. Every other code means fleet.ProbeOtherOutcome.
 const (
 	resultAnswered         = 0
 	resultTimedOut         = 4
--- a/internal/simwire/cursor.go
+++ b/internal/simwire/cursor.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxMilliseconds bounds times, so that they fit into a fleet.Time.
+	// maxMilliseconds limits times to the range of fleet.Time.
 	maxMilliseconds = 9e12
 	// maxScalarBytes is the size of the largest number on the wire.
-	maxScalarBytes  = 8
-	loadFigureBytes = 4
+	maxScalarBytes = 8
+	loadValueBytes = 4
 )
 
-// cursor reads the fields of a frame one after another. After a failure it holds the first error and reads zeros.
-// Each method takes the wire's name of the field, for the error.
+// cursor reads the fields of a frame in sequence. After a failure it keeps the first error and all reads return zero.
+// Its methods take the name of the field in the protocol, for errors.
 type cursor struct {
 	data     []byte
 	position int
@@ -27,14 +27,14 @@
 
 func (c *cursor) remaining() int { return len(c.data) - c.position }
 
-// fail records an error at the current position, unless there is one.
+// fail records an error at the current position, unless one is recorded already.
 func (c *cursor) fail(format string, args ...any) {
 	if c.err == nil {
 		c.err = fmt.Errorf("byte %d: %s", c.base+int64(c.position), fmt.Sprintf(format, args...))
 	}
 }
 
-// take returns the next size bytes, or after a failure zeros, enough for a number.
+// take returns the next size bytes. After a failure it returns zeros, at most maxScalarBytes of them.
 func (c *cursor) take(size int, field string) []byte {
 	if c.err == nil && size > c.remaining() {
 		c.fail("%s: need %d bytes, %d remain", field, size, c.remaining())
@@ -92,7 +92,7 @@
 	return number
 }
 
-// count reads how many elements of elementBytes each follow.
+// count reads the number of the elements that follow, of elementBytes each, and checks that the frame can hold them.
 func (c *cursor) count(field string, elementBytes int) int {
 	count := c.uint32(field)
 	if c.err == nil && uint64(count)*uint64(elementBytes) > uint64(c.remaining()) {
@@ -102,7 +102,7 @@
 	return int(count)
 }
 
-// bytes returns a copy of the next size bytes, as the frame's memory is reused.
+// bytes returns a copy of the next size bytes, as the buffer of the frame is reused.
 func (c *cursor) bytes(size int) []byte {
 	if c.err != nil {
 		return nil
@@ -114,19 +114,19 @@
 	return append([]byte(nil), data...)
 }
 
-// loadFigures reads a load report: a byte with the number of figures, then these.
-func (c *cursor) loadFigures() []float32 {
+// loadValues reads a load report: a byte with the number of values, then the values.
+func (c *cursor) loadValues() []float32 {
 	count := int(c.uint8("feedback"))
 	if count == 0 || c.err != nil {
 		return nil
 	}
-	if count*loadFigureBytes > c.remaining() {
-		c.fail("feedback: count %d needs %d bytes, %d remain", count, count*loadFigureBytes, c.remaining())
+	if count*loadValueBytes > c.remaining() {
+		c.fail("feedback: count %d needs %d bytes, %d remain", count, count*loadValueBytes, c.remaining())
 		return nil
 	}
-	figures := make([]float32, count)
-	for i := range figures {
-		figures[i] = float32(c.float32("feedback"))
+	values := make([]float32, count)
+	for i := range values {
+		values[i] = float32(c.float32("feedback"))
 	}
-	return figures
+	return values
 }
--- a/internal/simwire/endpoints.go
+++ b/internal/simwire/endpoints.go
@@ -2,8 +2,8 @@
 
 import "cressknot/internal/fleet"
 
-// registerList reads an endpoint list for later records. Lists that were sent on stay as they are, so it gets
-// memory of its own.
+// registerList reads an endpoint list that later records refer to. Events keep references to earlier lists, so each one
+// is allocated anew.
 func (r *Reader) registerList(c *cursor) {
 	number := c.listNumber()
 	count := c.count("entries", endpointBytes)
@@ -57,7 +57,7 @@
 		return list
 	}
 	if list.Scope == fleet.ListFailed {
-		c.uint16("page") // its value has no meaning
+		c.uint16("page") // unused in this scope
 	} else {
 		list.Endpoints = r.registeredEndpoints(c)
 	}
--- a/internal/simwire/enums.go
+++ b/internal/simwire/enums.go
@@ -2,7 +2,8 @@
 
 import "cressknot/internal/fleet"
 
-// LoadFieldByName maps the wire's names of the figures of a load report. It must not be changed.
+// LoadFieldByName maps the protocol's names of the values of a load report. It is read-only. An unknown name maps to
+// fleet.LoadFieldOther, the zero value.
 var LoadFieldByName = map[string]fleet.LoadField{
 	"rif":       fleet.LoadFieldInFlight,
 	"q":         fleet.LoadFieldQueueLength,
@@ -12,7 +13,7 @@
 	"fail_rate": fleet.LoadFieldErrorRate,
 }
 
-// The values of the settings' enumerations. Those with an empty name may be missing.
+// The values of enumerations in the settings. A key whose map has the empty name may be missing.
 var (
 	listOnRequestByName = map[string]bool{
 		"pushed":     false,
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -2,7 +2,7 @@
 
 import "cressknot/internal/fleet"
 
-// decodeEvent reads the fields of an event that needs nothing but its record. It returns nil if the code is unknown.
+// decodeEvent reads the fields of an event that refers to no registered list. It returns nil if the code is unknown.
 func decodeEvent(code uint16, c *cursor) fleet.Event {
 	switch code {
 	case codeProbeResult:
@@ -31,14 +31,14 @@
 	return nil
 }
 
-// The decoders read fields in the order of the wire, which is that of the calls below.
+// The decoders below read the fields in the order of their calls, which is that of the protocol.
 
 func decodeProbeResult(c *cursor) fleet.ProbeResult {
 	return fleet.ProbeResult{
 		Server:   fleet.ServerID(c.uint32("replica")),
 		Outcome:  probeOutcome(c.uint16("result")),
 		Duration: c.milliseconds("durationMs"),
-		Load:     c.loadFigures(),
+		Load:     c.loadValues(),
 	}
 }
 
@@ -107,7 +107,7 @@
 		Latency:  c.milliseconds("durationMs"),
 		Interval: c.milliseconds("spanMs"),
 		Zone:     fleet.ZoneID(c.uint8("az")),
-		Load:     c.loadFigures(),
+		Load:     c.loadValues(),
 	}
 }
 
--- a/internal/simwire/jsonerror.go
+++ b/internal/simwire/jsonerror.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// LocateJSONError adds to an error of package json where the text is wrong: the byte or the key. Other errors are
-// returned as they are.
+// LocateJSONError wraps an error of package json with the location of the fault: the byte for a syntax error, the key
+// for a value of the wrong type. It returns other errors unchanged.
 func LocateJSONError(err error) error {
 	var syntaxError *json.SyntaxError
 	if errors.As(err, &syntaxError) {
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -9,37 +9,38 @@
 	"cressknot/internal/fleet"
 )
 
-// Start begins an instance, in place of one with the same ID.
+// Start starts an instance and replaces one with the same ID.
 type Start struct {
 	Seed    uint64
-	Options []byte // the settings as JSON text, for ParseSite
+	Options []byte // settings in JSON, for ParseSite
 }
 
-// ItemKind says what an Item is.
+// ItemKind is the kind of an Item.
 type ItemKind uint8
 
 // The kinds of items.
 const (
-	ItemStart ItemKind = iota // begins an instance
-	ItemStop                  // ends an instance at once
-	ItemEvent                 // is an event for an instance
+	ItemStart ItemKind = iota // starts an instance
+	ItemStop                  // stops an instance immediately
+	ItemEvent                 // carries an event for an instance
 )
 
 // Item is one record that is addressed to an instance.
 type Item struct {
 	Controller fleet.ControllerID
 	Kind       ItemKind
-	Start      *Start      // of ItemStart
-	Event      fleet.Event // of ItemEvent
+	Start      *Start      // set for ItemStart only
+	Event      fleet.Event // set for ItemEvent only
 }
 
-// Batch is one frame of input. Its endpoint lists are resolved.
+// Batch is one frame of input. Its endpoint list events contain the registered lists that they refer to.
 type Batch struct {
 	Now   fleet.Time
 	Items []Item
 }
 
-// Reader reads batches. It stores the registered endpoint lists, which all instances share.
+// Reader reads batches. It stores the registered endpoint lists, which all instances share. It is not safe for
+// concurrent use.
 type Reader struct {
 	in     io.Reader
 	offset int64 // of the current frame in the input
@@ -105,7 +106,7 @@
 		c.fail("record count %d needs at least %d bytes, %d remain",
 			records, uint64(records)*recordHeaderBytes, c.remaining())
 	}
-	clear(r.items) // drops what the batch before points at
+	clear(r.items) // drops references to objects of the previous batch
 	r.items = r.items[:0]
 	for n := uint32(0); n < records && c.err == nil; n++ {
 		r.decodeRecord(&c)
@@ -117,7 +118,7 @@
 	return batch, c.err
 }
 
-// decodeRecord reads a record and moves the cursor behind it.
+// decodeRecord reads a record and moves the cursor to its end.
 func (r *Reader) decodeRecord(c *cursor) {
 	start := c.position
 	code := c.uint16("event code")
@@ -143,8 +144,8 @@
 	c.err = fields.err
 }
 
-// decodeItem reads the fields of a record that is addressed to an instance, and adds it to the items. The record
-// starts at start.
+// decodeItem reads the fields of a record that is addressed to an instance, and adds the item. start is the position of
+// the record, for errors.
 func (r *Reader) decodeItem(code uint16, c *cursor, start int) {
 	item := Item{Controller: fleet.ControllerID(c.uint16("governor")), Kind: ItemEvent}
 	switch code {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -21,7 +21,7 @@
 	return data
 }
 
-// frame puts records behind a batch header with a clock of 246145 ms.
+// frame returns a batch of records with a clock of 246145 ms.
 func frame(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	size := batchHeaderBytes + len(body)
@@ -33,7 +33,7 @@
 	return append(header, body...)
 }
 
-// eventRecords are the examples of the wire's specification, all for instance 3.
+// eventRecords are the examples in the protocol's specification, all for instance 3.
 var eventRecords = []struct {
 	record string
 	event  fleet.Event
--- a/internal/simwire/site.go
+++ b/internal/simwire/site.go
@@ -10,8 +10,8 @@
 // maxClasses is the number of bits of a fleet.ClassSet.
 const maxClasses = 16
 
-// options is the form of the settings in JSON. Pointers mark the keys that have no default and must be there. The
-// names of this type and of its parts appear in errors of package json.
+// options is the JSON structure of the settings. Pointers mark required keys, which have no default. The names of this
+// type and its fields appear in errors of package json.
 type options struct {
 	Me        int      `json:"me"`
 	Balancers int      `json:"balancers"`
@@ -81,7 +81,8 @@
 	} `json:"familyInfo"`
 }
 
-// ParseSite reads the JSON settings of a start. Unknown keys are ignored. An error names the first key that is wrong.
+// ParseSite parses the JSON settings of a start. It ignores unknown keys. The error names the first key that is missing
+// or invalid.
 func ParseSite(text []byte) (fleet.Site, error) {
 	var o options
 	if err := json.Unmarshal(text, &o); err != nil {
@@ -96,7 +97,7 @@
 	return site, nil
 }
 
-// convertSite converts all settings but the classes. The order of the checks decides which error is returned.
+// convertSite converts all settings except the classes. The order of the checks determines which error is returned.
 func convertSite(c *checker, o *options) fleet.Site {
 	family := &o.Family
 	return fleet.Site{
@@ -151,7 +152,7 @@
 	}
 }
 
-// zonesOrDefault returns the named zones. A site that names none is a single one.
+// zonesOrDefault returns the configured zones, or a single unnamed zone if there are none.
 func zonesOrDefault(names []string) []string {
 	if len(names) == 0 {
 		return []string{""}
@@ -159,7 +160,7 @@
 	return names
 }
 
-// convertLoadFields converts the names of load figures. Unknown ones become LoadFieldOther.
+// convertLoadFields converts the names of load report values. Unknown names become LoadFieldOther.
 func convertLoadFields(names []string) []fleet.LoadField {
 	var fields []fleet.LoadField
 	for _, name := range names {
@@ -202,7 +203,7 @@
 // flagAt returns the flag of a class. Missing ones are false.
 func flagAt(flags []bool, i int) bool { return i < len(flags) && flags[i] }
 
-// checker collects the first error of the settings.
+// checker keeps the first error in the settings.
 type checker struct{ err error }
 
 func (c *checker) fail(key, problem string) {
@@ -211,7 +212,7 @@
 	}
 }
 
-// required returns the value of a key that must be there.
+// required returns the value of a required key.
 func (c *checker) required(key string, value *float64) float64 {
 	if value == nil {
 		c.fail(key, "is missing")
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -8,11 +8,11 @@
 	"cressknot/internal/fleet"
 )
 
-// Writer builds replies, one at a time.
+// Writer encodes replies, one at a time. It is not safe for concurrent use.
 type Writer struct {
 	frame       []byte
 	records     uint32
-	recordStart int // of the record that was begun last
+	recordStart int // offset of the current record in frame
 }
 
 // Begin starts a new reply.
@@ -28,14 +28,14 @@
 	return w.frame
 }
 
-// AppendCrash adds that an instance has failed. The text says how.
+// AppendCrash adds a record that reports the crash of an instance. The text is its cause.
 func (w *Writer) AppendCrash(controller fleet.ControllerID, text string) {
 	w.beginRecord(codeCrash, controller)
 	w.text(text)
 	w.endRecord()
 }
 
-// AppendOrder adds an order of an instance.
+// AppendOrder adds an order of an instance. It returns an error for an order that the protocol does not have.
 func (w *Writer) AppendOrder(controller fleet.ControllerID, order fleet.Order) error {
 	switch o := order.(type) {
 	case fleet.SetTimer:
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// beginRecord writes a record's header and instance.
+// beginRecord writes the header of a record and the instance.
 func (w *Writer) beginRecord(code uint16, controller fleet.ControllerID) {
 	w.recordStart = len(w.frame)
 	w.uint16(code)
@@ -99,7 +99,7 @@
 	w.uint16(uint16(controller))
 }
 
-// endRecord fills in the length of the record that was begun last.
+// endRecord fills in the length of the current record.
 func (w *Writer) endRecord() {
 	length := len(w.frame) - w.recordStart - recordHeaderBytes
 	binary.LittleEndian.PutUint32(w.frame[w.recordStart+codeBytes:], uint32(length))
@@ -124,7 +124,7 @@
 	}
 }
 
-// text writes a text with its length before it, cut to what that length can count.
+// text writes a text after its length, truncated to 65535 bytes, the maximum of the length field.
 func (w *Writer) text(text string) {
 	text = text[:min(len(text), math.MaxUint16)]
 	w.uint16(uint16(len(text)))
