--- a/internal/balancer/estimates_test.go
+++ b/internal/balancer/estimates_test.go
@@ -8,7 +8,8 @@
 	"cressknot/internal/fleet"
 )
 
-// Demand reports come only for times with requests and state the silence before them, up to some seconds.
+// Guards against overestimating the rate of proxies with few requests: demand reports are sent only after requests, and
+// their interval covers at most some seconds without requests before.
 func TestRequestRateCountsSilence(t *testing.T) {
 	for _, want := range []float64{0.1, 0.5, 5} {
 		rng := rand.New(rand.NewSource(3))
@@ -43,7 +44,7 @@
 		}
 		if requests > 0 {
 			interval := min(b.now-lastReportAt, 5*fleet.Second)
-			b.observe(fleet.DemandReport{Requests: requests, Interval: interval})
+			b.handleEvent(fleet.DemandReport{Requests: requests, Interval: interval})
 			lastReportAt = b.now
 		}
 		if second > 50 {
--- a/internal/simwire/cursor.go
+++ b/internal/simwire/cursor.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxMilliseconds bounds times, so that they fit into a fleet.Time.
+	// maxMilliseconds limits times to the range of fleet.Time.
 	maxMilliseconds = 9e12
 	// maxScalarBytes is the size of the largest number on the wire.
-	maxScalarBytes  = 8
-	loadFigureBytes = 4
+	maxScalarBytes = 8
+	loadValueBytes = 4
 )
 
-// cursor reads the fields of a frame one after another. After a failure it holds the first error and reads zeros.
-// Each method takes the wire's name of the field, for the error.
+// cursor reads the fields of a frame in sequence. After a failure it keeps the first error and all reads return zero.
+// Its methods take the name of the field in the protocol, for errors.
 type cursor struct {
 	data     []byte
 	position int
@@ -27,17 +27,17 @@
 
 func (c *cursor) remaining() int { return len(c.data) - c.position }
 
-// fail records an error at the current position, unless there is one.
+// fail records an error at the current position, unless one is recorded already.
 func (c *cursor) fail(format string, args ...any) {
 	if c.err == nil {
 		c.err = fmt.Errorf("byte %d: %s", c.base+int64(c.position), fmt.Sprintf(format, args...))
 	}
 }
 
-// take returns the next size bytes, or after a failure zeros, enough for a number.
+// take returns the next size bytes. After a failure it returns zeros, at most maxScalarBytes of them.
 func (c *cursor) take(size int, field string) []byte {
 	if c.err == nil && size > c.remaining() {
-		c.fail("%s wants %d bytes, %d are left", field, size, c.remaining())
+		c.fail("%s: need %d bytes, %d remain", field, size, c.remaining())
 	}
 	if c.err != nil {
 		return make([]byte, min(size, maxScalarBytes))
@@ -58,7 +58,7 @@
 
 func (c *cursor) finite(value float64, field string) float64 {
 	if math.IsNaN(value) || math.IsInf(value, 0) {
-		c.fail("%s is not a finite number", field)
+		c.fail("%s: %v is not a finite number", field, value)
 		return 0
 	}
 	return value
@@ -68,7 +68,7 @@
 func (c *cursor) milliseconds(field string) fleet.Time {
 	ms := c.finite(math.Float64frombits(c.uint64(field)), field)
 	if math.Abs(ms) > maxMilliseconds {
-		c.fail("%s of %g ms is out of range", field, ms)
+		c.fail("%s: %g ms is not between %g and %g ms", field, ms, -maxMilliseconds, maxMilliseconds)
 		return 0
 	}
 	return fleet.Milliseconds(ms)
@@ -77,7 +77,7 @@
 func (c *cursor) flag(field string) bool {
 	value := c.uint8(field)
 	if value > 1 {
-		c.fail("%s is %d, neither 0 nor 1", field, value)
+		c.fail("%s: got %d, want 0 or 1", field, value)
 	}
 	return value == 1
 }
@@ -86,23 +86,23 @@
 func (c *cursor) listNumber() uint16 {
 	number := c.uint16("page")
 	if number >= registeredListCount {
-		c.fail("list number %d is not below %d", number, registeredListCount)
+		c.fail("page: list number %d is not between 0 and %d", number, registeredListCount-1)
 		return 0
 	}
 	return number
 }
 
-// count reads how many elements of elementBytes each follow.
+// count reads the number of the elements that follow, of elementBytes each, and checks that the frame can hold them.
 func (c *cursor) count(field string, elementBytes int) int {
 	count := c.uint32(field)
 	if c.err == nil && uint64(count)*uint64(elementBytes) > uint64(c.remaining()) {
-		c.fail("%s: count %d does not fit the %d bytes left", field, count, c.remaining())
+		c.fail("%s: count %d needs %d bytes, %d remain", field, count, uint64(count)*uint64(elementBytes), c.remaining())
 		return 0
 	}
 	return int(count)
 }
 
-// bytes returns a copy of the next size bytes, as the frame's memory is reused.
+// bytes returns a copy of the next size bytes, as the buffer of the frame is reused.
 func (c *cursor) bytes(size int) []byte {
 	if c.err != nil {
 		return nil
@@ -114,19 +114,19 @@
 	return append([]byte(nil), data...)
 }
 
-// loadFigures reads a load report: a byte with the number of figures, then these.
-func (c *cursor) loadFigures() []float32 {
+// loadValues reads a load report: a byte with the number of values, then the values.
+func (c *cursor) loadValues() []float32 {
 	count := int(c.uint8("feedback"))
 	if count == 0 || c.err != nil {
 		return nil
 	}
-	if count*loadFigureBytes > c.remaining() {
-		c.fail("feedback: count %d does not fit the %d bytes left", count, c.remaining())
+	if count*loadValueBytes > c.remaining() {
+		c.fail("feedback: count %d needs %d bytes, %d remain", count, count*loadValueBytes, c.remaining())
 		return nil
 	}
-	figures := make([]float32, count)
-	for i := range figures {
-		figures[i] = float32(c.float32("feedback"))
+	values := make([]float32, count)
+	for i := range values {
+		values[i] = float32(c.float32("feedback"))
 	}
-	return figures
+	return values
 }
--- a/internal/simwire/endpoints.go
+++ b/internal/simwire/endpoints.go
@@ -2,8 +2,8 @@
 
 import "cressknot/internal/fleet"
 
-// registerList reads an endpoint list for later records. Lists that were sent on stay as they are, so it gets
-// memory of its own.
+// registerList reads an endpoint list that later records refer to. Events keep references to earlier lists, so each one
+// is allocated anew.
 func (r *Reader) registerList(c *cursor) {
 	number := c.listNumber()
 	count := c.count("entries", endpointBytes)
@@ -29,7 +29,7 @@
 	case stateGone:
 		endpoint.State = fleet.ServerGone
 	default:
-		c.fail("server state %d is unknown", state)
+		c.fail("state: unknown server state %d", state)
 	}
 	endpoint.Cell = fleet.CellID(c.uint16("block"))
 	endpoint.Started = c.milliseconds("launchedMs")
@@ -53,11 +53,11 @@
 	case scopeCached:
 		list.Scope = fleet.ListCached
 	default:
-		c.fail("list scope %d is unknown", scope)
+		c.fail("scope: unknown list scope %d", scope)
 		return list
 	}
 	if list.Scope == fleet.ListFailed {
-		c.uint16("page") // its value has no meaning
+		c.uint16("page") // unused in this scope
 	} else {
 		list.Endpoints = r.registeredEndpoints(c)
 	}
@@ -72,7 +72,7 @@
 		return nil
 	}
 	if !r.lists[number].known {
-		c.fail("list %d was never registered", number)
+		c.fail("page: endpoint list %d is not registered", number)
 	}
 	return r.lists[number].endpoints
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -9,37 +9,38 @@
 	"cressknot/internal/fleet"
 )
 
-// Start begins an instance, in place of one with the same ID.
+// Start starts an instance and replaces one with the same ID.
 type Start struct {
 	Seed    uint64
-	Options []byte // the settings as JSON text, for ParseSite
+	Options []byte // settings in JSON, for ParseSite
 }
 
-// ItemKind says what an Item is.
+// ItemKind is the kind of an Item.
 type ItemKind uint8
 
 // The kinds of items.
 const (
-	ItemStart ItemKind = iota // begins an instance
-	ItemStop                  // ends an instance at once
-	ItemEvent                 // is an event for an instance
+	ItemStart ItemKind = iota // starts an instance
+	ItemStop                  // stops an instance immediately
+	ItemEvent                 // carries an event for an instance
 )
 
 // Item is one record that is addressed to an instance.
 type Item struct {
 	Controller fleet.ControllerID
 	Kind       ItemKind
-	Start      *Start      // of ItemStart
-	Event      fleet.Event // of ItemEvent
+	Start      *Start      // set for ItemStart only
+	Event      fleet.Event // set for ItemEvent only
 }
 
-// Batch is one frame of input. Its endpoint lists are resolved.
+// Batch is one frame of input. Its endpoint list events contain the registered lists that they refer to.
 type Batch struct {
 	Now   fleet.Time
 	Items []Item
 }
 
-// Reader reads batches. It stores the registered endpoint lists, which all instances share.
+// Reader reads batches. It stores the registered endpoint lists, which all instances share. It is not safe for
+// concurrent use.
 type Reader struct {
 	in     io.Reader
 	offset int64 // of the current frame in the input
@@ -78,11 +79,11 @@
 		if errors.Is(err, io.EOF) {
 			return io.EOF
 		}
-		return fmt.Errorf("byte %d: frame length cut short after %d bytes: %w", r.offset, n, err)
+		return fmt.Errorf("byte %d: input ends after %d of %d bytes of the frame length: %w", r.offset, n, lengthBytes, err)
 	}
 	size := binary.LittleEndian.Uint32(length[:])
 	if size < batchHeaderBytes || size > maxFrameBytes {
-		return fmt.Errorf("byte %d: frame length %d is not between %d and %d",
+		return fmt.Errorf("byte %d: frame length of %d bytes is not between %d and %d",
 			r.offset, size, batchHeaderBytes, maxFrameBytes)
 	}
 	if cap(r.frame) < int(size) {
@@ -91,7 +92,7 @@
 	r.frame = r.frame[:size]
 	copy(r.frame, length[:])
 	if n, err := io.ReadFull(r.in, r.frame[lengthBytes:]); err != nil {
-		return fmt.Errorf("byte %d: frame of %d bytes ends after %d: %w", r.offset, size, n+lengthBytes, err)
+		return fmt.Errorf("byte %d: input ends after %d of %d bytes of the frame: %w", r.offset, n+lengthBytes, size, err)
 	}
 	return nil
 }
@@ -102,21 +103,22 @@
 	batch := Batch{Now: c.milliseconds("clock")}
 	records := c.uint32("record count")
 	if c.err == nil && uint64(records)*recordHeaderBytes > uint64(c.remaining()) {
-		c.fail("record count %d does not fit the frame", records)
+		c.fail("record count %d needs at least %d bytes, %d remain",
+			records, uint64(records)*recordHeaderBytes, c.remaining())
 	}
-	clear(r.items) // drops what the batch before points at
+	clear(r.items) // drops references to objects of the previous batch
 	r.items = r.items[:0]
 	for n := uint32(0); n < records && c.err == nil; n++ {
 		r.decodeRecord(&c)
 	}
 	if c.err == nil && c.remaining() > 0 {
-		c.fail("%d bytes left over after the last record", c.remaining())
+		c.fail("%d unexpected bytes after the last record", c.remaining())
 	}
 	batch.Items = r.items
 	return batch, c.err
 }
 
-// decodeRecord reads a record and moves the cursor behind it.
+// decodeRecord reads a record and moves the cursor to its end.
 func (r *Reader) decodeRecord(c *cursor) {
 	start := c.position
 	code := c.uint16("event code")
@@ -125,7 +127,7 @@
 		return
 	}
 	if int64(size) > int64(c.remaining()) {
-		c.fail("record of code %d wants %d bytes, %d are left", code, size, c.remaining())
+		c.fail("record of code %d: need %d bytes, %d remain", code, size, c.remaining())
 		return
 	}
 	end := c.position + int(size)
@@ -136,14 +138,14 @@
 		r.decodeItem(code, &fields, start)
 	}
 	if fields.err == nil && fields.remaining() > 0 {
-		fields.fail("record of code %d has %d bytes too many", code, fields.remaining())
+		fields.fail("record of code %d: %d unexpected bytes after the last field", code, fields.remaining())
 	}
 	c.position = end
 	c.err = fields.err
 }
 
-// decodeItem reads the fields of a record that is addressed to an instance, and adds it to the items. The record
-// starts at start.
+// decodeItem reads the fields of a record that is addressed to an instance, and adds the item. start is the position of
+// the record, for errors.
 func (r *Reader) decodeItem(code uint16, c *cursor, start int) {
 	item := Item{Controller: fleet.ControllerID(c.uint16("governor")), Kind: ItemEvent}
 	switch code {
@@ -158,7 +160,7 @@
 		item.Event = decodeEvent(code, c)
 		if item.Event == nil {
 			c.position = start
-			c.fail("event code %d is unknown", code)
+			c.fail("unknown event code %d", code)
 		}
 	}
 	if c.err == nil {
