--- a/internal/controller/crash_recovery_test.go
+++ b/internal/controller/crash_recovery_test.go
@@ -96,7 +96,7 @@
 		return loop, func() {
 			cancel()
 			if err := <-done; err != nil { // streams are cut, as by a kill
-				t.Logf("the killed controller ended with: %v", err)
+				t.Logf("the killed controller returned: %v", err)
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: not within 20 s", what)
+				t.Fatalf("%s: condition not met within 20 s", what)
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 	wait("table applied", func() bool { return served(loop) })
 	for _, p := range proxies {
 		if p.EntryState(backend, "n5") == "No such server." || p.MapEntry("cressknot.steered") != "1" {
-			t.Errorf("%s was not served: n5 %s", p.Name, p.EntryState(backend, "n5"))
+			t.Errorf("%s did not receive its table: n5 is %q", p.Name, p.EntryState(backend, "n5"))
 		}
 	}
 	kill()
@@ -133,12 +133,12 @@
 	wait("taken over by the next controller", func() bool { return served(loop) })
 	_ = loop.Do(context.Background(), func(c *controller.Core) {
 		if slices.ContainsFunc(c.ProxyViews(), func(v reconcile.ProxyView) bool { return v.Fresh }) {
-			t.Error("a proxy that an earlier controller has served counts as fresh")
+			t.Error("a proxy that an earlier controller has served is reported as fresh")
 		}
 	})
 	for _, p := range proxies {
 		if n, log := p.Commands(); n > 6 {
-			t.Errorf("%s was sent %d commands for tables that it held: %q", p.Name, n, log)
+			t.Errorf("%s was sent %d commands for tables that it already held: %q", p.Name, n, log)
 		}
 	}
 	for _, v := range watch.Judge(invariants.Figures{
--- a/internal/controller/discovery_outage_test.go
+++ b/internal/controller/discovery_outage_test.go
@@ -149,8 +149,8 @@
 		Scope: fleet.ListFull,
 		List:  listOf(5, "s0", "s1", "s2"),
 	}) // more than half of those that are left
-	if len(sim.core.endpoints.listed) != 3 || sim.logged("asked for again") {
-		t.Errorf("%d are listed: %v", len(sim.core.endpoints.listed), sim.logs)
+	if len(sim.core.endpoints.listed) != 3 || sim.logged("fetching the list again") {
+		t.Errorf("%d servers are listed, want 3; log: %v", len(sim.core.endpoints.listed), sim.logs)
 	}
 }
 
@@ -177,16 +177,16 @@
 	after := fmt.Sprint(sim.weights)
 	errorsLogged := strings.Count(strings.Join(sim.logs, "\n"), "list: away")
 	if after != before || errorsLogged > 20 {
-		t.Errorf("from %s to %s\n%v", before, after, sim.logs)
+		t.Errorf("weights changed from %s to %s, %d source errors logged\n%v", before, after, errorsLogged, sim.logs)
 	}
 	if sim.cachedList == nil || sim.cachedAt < sim.now-verification.ConfirmInterval-4*fleet.Second {
-		t.Errorf("cached list was confirmed %.0f s before", (sim.now - sim.cachedAt).Seconds())
+		t.Errorf("the cached list was confirmed %.0f s ago", (sim.now - sim.cachedAt).Seconds())
 	}
 	cachedBefore := sim.cachedAt
 	sim.runUntil(sim.now+2*verification.ConfirmInterval,
 		func() { sim.core.handleEndpoints(sim.now, discovery.Update{Unchanged: true}, &Output{}) })
 	if sim.cachedAt < cachedBefore+verification.ConfirmInterval {
-		t.Error("an unchanged answer of the source does not confirm the list")
+		t.Error("an unchanged answer of the source did not confirm the cached list")
 	}
 }
 
@@ -196,13 +196,14 @@
 	sim := newSimulation(nil)
 	sim.step(EndpointUpdate{Scope: fleet.ListCached, ConfirmedAt: sim.now})
 	endpoints := &sim.core.endpoints
-	if len(endpoints.listed) != 0 || !sim.logged("the kept list is empty") || endpoints.revision != 0 {
-		t.Error(sim.logs)
+	if len(endpoints.listed) != 0 || !sim.logged("the cached endpoint list is empty") || endpoints.revision != 0 {
+		t.Errorf("an empty cached list was applied: %d servers, rev %d; log: %v",
+			len(endpoints.listed), endpoints.revision, sim.logs)
 	}
 	sim.step(EndpointUpdate{Scope: fleet.ListFull, List: listOf(4, "s0")})
 	sim.step(EndpointUpdate{Scope: fleet.ListCached, List: listOf(3, "s0", "s1"), ConfirmedAt: sim.now})
 	if len(sim.core.endpoints.listed) != 1 || sim.core.endpoints.revision != 4 {
-		t.Errorf("%d are listed, rev %d", len(sim.core.endpoints.listed), sim.core.endpoints.revision)
+		t.Errorf("%d servers are listed at rev %d, want 1 at rev 4", len(sim.core.endpoints.listed), sim.core.endpoints.revision)
 	}
 }
 
@@ -253,16 +254,16 @@
 	}
 	inputs, _ := loop.mailbox.collect(0, 0)
 	if len(inputs) != gossip.MaxControllers {
-		t.Errorf("a step takes %d", len(inputs))
+		t.Errorf("a step takes %d messages, want %d", len(inputs), gossip.MaxControllers)
 	}
 	for _, in := range inputs {
 		if in.(GossipMessage).Sequence != 1000 {
-			t.Errorf("%+v is not the newest", in)
+			t.Errorf("%+v is not the newest message of its controller", in)
 		}
 	}
 	inputs, _ = loop.mailbox.collect(0, 0)
 	if len(inputs) != 0 {
-		t.Error("taken twice")
+		t.Errorf("%d messages were taken twice", len(inputs))
 	}
 }
 
@@ -278,11 +279,11 @@
 	later := tableversion.Version{Epoch: before.Epoch + 5_000_000_000, Count: 7}
 	sim.step(connected(1, reconcile.Snapshot{RequestRate: 5, VersionStamps: []string{later.String() + "/00"}}))
 	if v := sim.core.reconciler.TableVersions(0).Version(); v.Compare(later) <= 0 {
-		t.Errorf("the proxy is sent version %s and holds %s", v, later)
+		t.Errorf("the proxy is sent version %s, which is not newer than the held %s", v, later)
 	}
 	sim.core.reconciler.SetManualWeight(sim.now, 0, 0, 9, sim.now+fleet.Second)
 	if v := sim.core.reconciler.TableVersions(0).Version(); v.Compare(later) <= 0 {
-		t.Errorf("%s follows %s at the proxy", v, later)
+		t.Errorf("a manual weight makes version %s, which is not newer than %s at the proxy", v, later)
 	}
 	epoch := sim.core.epoch
 	sim.step(connected(1, reconcile.Snapshot{
@@ -290,6 +291,6 @@
 		VersionStamps: []string{tableversion.Version{Epoch: 1<<64 - 1, Count: 7}.String() + "/00", "x"},
 	}))
 	if sim.core.epoch != epoch {
-		t.Errorf("epoch %d by a version of an impossible epoch", sim.core.epoch)
+		t.Errorf("an impossible epoch at a proxy raised the epoch to %d", sim.core.epoch)
 	}
 }
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -163,7 +163,8 @@
 		return false
 	}
 	e.heldList = update
-	text := fmt.Sprintf("rev %d names only %d of %d servers: it is asked for again before it is obeyed",
+	text := fmt.Sprintf(
+		"endpoint list rev %d has only %d of %d known servers: holding it back and fetching the list again",
 		update.List.Revision, remaining, known)
 	c.log(out, LogEntry{now, LevelWarn, "list", text})
 	return true
@@ -174,7 +175,8 @@
 	release, fetch, due := c.endpoints.shrinkGate.Due(now)
 	out.FetchEndpoints = out.FetchEndpoints || fetch
 	if release {
-		text := fmt.Sprintf("rev %d is obeyed: nothing better came", c.endpoints.heldList.List.Revision)
+		text := fmt.Sprintf("applying held endpoint list rev %d: no complete list arrived in time",
+			c.endpoints.heldList.List.Revision)
 		c.log(out, LogEntry{now, LevelWarn, "list", text})
 		c.takeHeldList(now, out)
 	}
@@ -191,7 +193,7 @@
 	list := fleet.EndpointList{Scope: update.Scope, Revision: fleet.ListRevision(update.List.Revision)}
 	for _, s := range update.List.Endpoints {
 		if _, ok := e.zones[s.Zone]; !ok && s.State != fleet.ServerGoneName { // one that is gone needs no zone
-			text := fmt.Sprintf("server %s: zone %q is none of this site's; left out", s.Name, s.Zone)
+			text := fmt.Sprintf("server %s: zone %q is not configured for this site; ignoring the server", s.Name, s.Zone)
 			c.log(out, LogEntry{now, LevelError, "list", text})
 			continue
 		}
--- a/internal/controller/faulty_proxies_test.go
+++ b/internal/controller/faulty_proxies_test.go
@@ -90,6 +90,6 @@
 		return sim.joins[5] == 1
 	})
 	if got := working.EntryState(backend, "n1"); got != "100 ready" {
-		t.Errorf("the working proxy holds %q", got)
+		t.Errorf("the working proxy holds %q for n1, want \"100 ready\"", got)
 	}
 }
--- a/internal/controller/files_transport_test.go
+++ b/internal/controller/files_transport_test.go
@@ -66,7 +66,7 @@
 			})
 			left, _ := filepath.Glob(filepath.Join(sim.addresses[0].Addr, files.TablesFile+".*"))
 			if len(left) > 0 {
-				t.Errorf("step %d: temporary files are left: %v", step, left)
+				t.Errorf("step %d: temporary files were not removed: %v", step, left)
 			}
 			sim.proxies[0].Down()
 		}
@@ -111,7 +111,7 @@
 	close(stop)
 	done.Wait()
 	if reads.Load() < 40 {
-		t.Errorf("only %d reads", reads.Load())
+		t.Errorf("only %d reads, want at least 40", reads.Load())
 	}
 }
 
@@ -135,7 +135,7 @@
 	sim.reconciler.Apply(sim.now(), []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.31}})
 	sim.waitUntil("reported", func() bool { return strings.Contains(sim.lastErrors[0], "no space left") })
 	if held := p.EntryState(backend, "n2"); held == "" || sim.holdsTable(p, servers) {
-		t.Errorf("holds %q though nothing could be written", held)
+		t.Errorf("entry n2 is %q while the disk is full, want the old value", held)
 	}
 	full.Store(false)
 	sim.waitUntil("written once there is room", func() bool { return sim.holdsTable(p, servers) && sim.reconciler.Idle() })
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -96,7 +96,7 @@
 	delete(c.proxies.unreachable, event.Proxy)
 	c.reconciler.Join(now, event.Proxy, event.Snapshot)
 	c.pipeline.Join(now, event.Proxy, event.Snapshot.Zone, event.Snapshot.Fresh)
-	text := fmt.Sprintf("proxy %s joined: %d lines held, fresh %v",
+	text := fmt.Sprintf("proxy %s connected: %d entries held, fresh %v",
 		c.proxies.configured[event.Proxy].Name, len(event.Snapshot.Entries), event.Snapshot.Fresh)
 	c.log(out, LogEntry{now, LevelInfo, "proxy", text})
 }
@@ -108,7 +108,7 @@
 	delete(c.proxies.streams, event.Proxy)
 	c.reconciler.Leave(event.Proxy)
 	c.pipeline.Leave(event.Proxy)
-	text := fmt.Sprintf("proxy %s left: %v", c.proxies.configured[event.Proxy].Name, event.Err)
+	text := fmt.Sprintf("proxy %s disconnected: %v", c.proxies.configured[event.Proxy].Name, event.Err)
 	c.log(out, LogEntry{now, LevelWarn, "proxy", text})
 }
 
@@ -119,7 +119,7 @@
 		return
 	}
 	c.proxies.unreachable[event.Proxy] = reason
-	text := fmt.Sprintf("proxy %s can't be reached: %s", c.proxies.configured[event.Proxy].Name, reason)
+	text := fmt.Sprintf("proxy %s is unreachable: %s", c.proxies.configured[event.Proxy].Name, reason)
 	c.log(out, LogEntry{now, LevelWarn, "proxy", text})
 }
 
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -168,7 +168,7 @@
 	select {
 	case l.calls <- run:
 	case <-ctx.Done():
-		return fmt.Errorf("the governor is busy: %w", ctx.Err())
+		return fmt.Errorf("controller is busy: control loop did not accept the request: %w", ctx.Err())
 	}
 	<-done
 	return nil
@@ -181,7 +181,7 @@
 	defer cancel()
 	l.probesCtx = inner
 	if err := l.transport.Start(inner, l.receiveTransport); err != nil {
-		return fmt.Errorf("front: %w", err)
+		return fmt.Errorf("start proxy transport: %w", err)
 	}
 	if err := l.source.Start(inner, l.receiveEndpoints); err != nil {
 		return errors.Join(err, l.transport.Stop(inner))
@@ -215,7 +215,7 @@
 	l.carryOut(&out)
 	if out.BalancerStepped {
 		if err := l.recorder.record(now, out, l.names); err != nil {
-			l.log.Error().Err(err).Msg("event log failed; recording ended")
+			l.log.Error().Err(err).Msg("writing the event log failed; recording stopped")
 		}
 	}
 	l.persist(out.Persist, nil)
@@ -243,7 +243,7 @@
 	}
 	if out.Endpoints != nil && l.cachePath != "" {
 		if err := discovery.WriteCache(l.cachePath, *out.Endpoints, out.EndpointsConfirmedAt); err != nil {
-			l.log.Error().Err(err).Msg("endpoint list was not cached; continuing without")
+			l.log.Error().Err(err).Msg("writing the endpoint list cache failed; continuing without it")
 		}
 	}
 	if out.Gossip != nil && l.sendGossip != nil {
@@ -282,7 +282,7 @@
 		return
 	}
 	if err := l.store.Put(changes, done); err != nil {
-		l.log.Error().Err(err).Msg("state was not persisted")
+		l.log.Error().Err(err).Msg("persisting controller state failed")
 		if done != nil {
 			done(err)
 		}
@@ -290,7 +290,7 @@
 }
 
 // errNotPersisted is the answer to operators where what they set is not on disk.
-var errNotPersisted = errors.New("not kept on disk yet")
+var errNotPersisted = errors.New("store did not confirm the write in time")
 
 // WaitPersisted waits until all that was decided so far is on disk, and gives what prevents that.
 func (l *Loop) WaitPersisted(ctx context.Context) error {
@@ -351,7 +351,7 @@
 // start of the controller: a recording that began later serves to read, not to replay.
 func (l *Loop) RecordTo(path string, start eventlog.Header) error {
 	if err := l.recorder.close(); err != nil {
-		l.log.Error().Err(err).Msg("event log was not closed")
+		l.log.Error().Err(err).Msg("closing the event log failed")
 	}
 	if path == "" {
 		return nil
--- a/internal/controller/persist_test.go
+++ b/internal/controller/persist_test.go
@@ -52,7 +52,7 @@
 	}
 	l.restored, err = l.core.Restore(now, s)
 	if err != nil || l.restored.Epoch.Epoch <= before.Epoch {
-		t.Fatalf("epoch %d after %d (%v)", l.restored.Epoch.Epoch, before.Epoch, err)
+		t.Fatalf("restored epoch %d is not later than %d (error: %v)", l.restored.Epoch.Epoch, before.Epoch, err)
 	}
 	l.persist(t, []store.Change{{Key: "epoch", Value: l.restored.Epoch}})
 	return l
@@ -145,7 +145,7 @@
 				stored.persist(t, out.Persist)
 				if table := stored.core.reconciler.TableVersions(id); table != nil {
 					if v := table.Version(); v.Compare(newest[id]) < 0 {
-						t.Fatalf("seed %d: version %s after %s", seed, v, newest[id])
+						t.Fatalf("seed %d: version %s is older than %s", seed, v, newest[id])
 					} else {
 						newest[id] = v
 					}
@@ -160,7 +160,7 @@
 				stored := startController(t, mem, now)
 				before = stored.persistentState()
 				if !strings.Contains(before, "table") && len(newest) > 0 {
-					t.Fatalf("seed %d: nothing is restored after the clock was set back", seed)
+					t.Fatalf("seed %d: no table was restored after the clock was set back", seed)
 				}
 				mem2 = mem.CrashClone(vfs.CrashCloneCfg{})
 				_ = stored.store.Close()
@@ -202,7 +202,7 @@
 	stored = restart(8, 4, 0, 0)
 	stored.persist(t, stored.core.persistEndpoints(13*fleet.Second, &list)) // confirmed
 	if len(stored.restored.Lists) != 2 {
-		t.Errorf("%d generations", len(stored.restored.Lists))
+		t.Errorf("%d list generations were restored, want 2", len(stored.restored.Lists))
 	}
 	stored = restart(8, 4, 0, 0)
 	stored.persist(t, []store.Change{{Key: "list/0/entry/s2", Value: "no server"}})
--- a/internal/controller/recording.go
+++ b/internal/controller/recording.go
@@ -22,12 +22,12 @@
 func (r *stepRecorder) open(path string, start eventlog.Header) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
-		return fmt.Errorf("records: %w", err)
+		return fmt.Errorf("setting records: create event log: %w", err)
 	}
 	writer, err := eventlog.NewWriter(file, start)
 	if err != nil {
 		_ = file.Close() // the first error counts
-		return fmt.Errorf("records: %s: %w", path, err)
+		return fmt.Errorf("setting records: write header of event log %s: %w", path, err)
 	}
 	r.mu.Lock()
 	r.writer = writer
--- a/internal/controller/report_flood_test.go
+++ b/internal/controller/report_flood_test.go
@@ -193,7 +193,7 @@
 		highest = max(highest, w)
 	}
 	if highest < 1.3*lowest {
-		t.Fatalf("the run needs no different weights: %.2f to %.2f", lowest, highest)
+		t.Fatalf("the run without a flood has nearly equal weights, %.2f to %.2f, and tests nothing", lowest, highest)
 	}
 	for _, flood := range []int{10_000, 100_000} {
 		weights, waited, totals := runUnderFlood(t, flood)
@@ -201,12 +201,12 @@
 		for name, w := range weights {
 			worst = max(worst, math.Abs(w-baseline[name]))
 		}
-		t.Logf("%d reports a second: weights differ by up to %.4f, a record waited up to %.3f s", flood, worst,
+		t.Logf("%d reports per second: weights differ by up to %.4f, a record waited up to %.3f s", flood, worst,
 			waited.Seconds())
 		if worst > 0.05 || waited > fleet.Second/10 ||
 			math.Abs(float64(totals.Counted)-float64(baselineTotals.Counted)) > 0.01*float64(baselineTotals.Counted) ||
 			totals.Counted != totals.Reported+totals.Pending+totals.Aged+totals.Gone {
-			t.Errorf("%d reports a second: weights differ by up to %.4f, a record waited up to %.3f s, sums %+v and %+v",
+			t.Errorf("%d reports per second: weights differ by up to %.4f, a record waited up to %.3f s, totals %+v, want %+v",
 				flood, worst, waited.Seconds(), totals, baselineTotals)
 		}
 	}
--- a/internal/controller/restore.go
+++ b/internal/controller/restore.go
@@ -149,7 +149,7 @@
 		entries := c.tableEntries(snapshot.Entries)
 		table, err := c.reconciler.RestoreVersions(snapshot.Version, snapshot.Digest, entries, deltas)
 		if err != nil { // its versions begin anew; what proxies hold is read back as always
-			restored.Unreadable = append(restored.Unreadable, fmt.Sprintf("versions of table %d: %v", id, err))
+			restored.Unreadable = append(restored.Unreadable, fmt.Sprintf("versions of table %d can't be restored: %v", id, err))
 			continue
 		}
 		c.reconciler.Restore(id, table, nil)
--- a/internal/controller/shrink_gate_test.go
+++ b/internal/controller/shrink_gate_test.go
@@ -25,17 +25,17 @@
 		then func(core *Core, now fleet.Time) // a second after
 		want int                              // servers 1.6 s after
 	}{
-		"a full list follows": {func(core *Core, now fleet.Time) {
+		"a complete list follows": {func(core *Core, now fleet.Time) {
 			core.Step(now, []Input{EndpointUpdate{Scope: fleet.ListFull, List: list(3, 12)}})
 		}, 12},
-		"nothing better follows": {func(*Core, fleet.Time) {}, 4},
-		"the same list comes again": {func(core *Core, now fleet.Time) {
+		"no other list follows": {func(*Core, fleet.Time) {}, 4},
+		"the same list is repeated": {func(core *Core, now fleet.Time) {
 			core.Step(now, []Input{EndpointUpdate{Scope: fleet.ListFull, List: list(2, 4)}})
 			if len(core.endpoints.listed) != 4 {
-				t.Errorf("given twice, %d servers are listed", len(core.endpoints.listed))
+				t.Errorf("after the list was repeated, %d servers are listed, want 4", len(core.endpoints.listed))
 			}
 		}, 4},
-		"a delta follows on it": {func(core *Core, now fleet.Time) {
+		"a delta to the held list follows": {func(core *Core, now fleet.Time) {
 			core.Step(now, []Input{EndpointUpdate{
 				Scope: fleet.ListDelta,
 				List:  discovery.EndpointList{Revision: 3, Endpoints: []discovery.Endpoint{{Name: "s9", Addr: "x:1", Zone: "a"}}},
@@ -59,7 +59,7 @@
 		began := now + s
 		core.Step(began, []Input{EndpointUpdate{Scope: fleet.ListFull, List: list(2, 4)}})
 		if len(core.endpoints.listed) != 12 {
-			t.Errorf("%s: applied at once", name)
+			t.Errorf("%s: the shrunk list was applied at once", name)
 		}
 		for now = began; now < began+16*s/10; now += s / 10 {
 			if now == began+s {
@@ -68,11 +68,12 @@
 			if out := core.Step(now, nil); out.FetchEndpoints {
 				fetches++
 			} else if out.NextStep > now+maxStepInterval {
-				t.Errorf("%s: no step before %d", name, out.NextStep)
+				t.Errorf("%s: the next step is due only at %d", name, out.NextStep)
 			}
 		}
 		if len(core.endpoints.listed) != c.want || fetches != 1 {
-			t.Errorf("%s: %d servers are listed, fetched %d times", name, len(core.endpoints.listed), fetches)
+			t.Errorf("%s: %d servers are listed, want %d; the list was fetched %d times, want once",
+				name, len(core.endpoints.listed), c.want, fetches)
 		}
 	}
 }
--- a/internal/controller/simulated_fleet_test.go
+++ b/internal/controller/simulated_fleet_test.go
@@ -166,8 +166,8 @@
 				ack, _ := os.ReadFile(filepath.Join(to.Addr, "ack.json"))
 				sim.t.Logf("proxy %s acknowledges %s", to.Name, ack)
 			}
-			sim.t.Fatalf("%s: not within 30 s; refusals %v; joins %v; proxies %+v", what, sim.lastErrors, sim.joins,
-				sim.reconciler.Proxies())
+			sim.t.Fatalf("%s: condition not met within 30 s; last errors %v; connections %v; proxies %+v",
+				what, sim.lastErrors, sim.joins, sim.reconciler.Proxies())
 		}
 	}
 }
--- a/internal/controller/storeddata_test.go
+++ b/internal/controller/storeddata_test.go
@@ -18,7 +18,7 @@
 	"cressknot/internal/store"
 )
 
-var writeFixtures = flag.Bool("write-fixtures", false, "write the stored data in testdata anew")
+var writeFixtures = flag.Bool("write-fixtures", false, "regenerate the stored data in testdata")
 
 const (
 	goldenFolder  = "testdata/store"
@@ -130,7 +130,7 @@
 	if changes := stored.core.Step(storedNow+2*fleet.Second, nil).Persist; len(changes) > 0 {
 		for _, c := range changes {
 			if !strings.HasPrefix(c.Key, "table/") { // the new epoch begins its own versions
-				t.Errorf("an unchanged record is persisted again: %s", c.Key)
+				t.Errorf("unchanged record persisted again: %s", c.Key)
 			}
 		}
 	}
--- a/internal/controller/update_delivery_test.go
+++ b/internal/controller/update_delivery_test.go
@@ -56,7 +56,7 @@
 		for _, c := range log {
 			counts[c]++
 			if counts[c] > 1 && strings.Contains(c, "weight") {
-				t.Errorf("cut at byte %d: %q was carried out %d times", i, c, counts[c])
+				t.Errorf("cut at byte %d: %q was executed %d times", i, c, counts[c])
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 	sim.reconciler.Apply(sim.now(), []fleet.Order{fleet.AssignTable{Proxy: 0}, fleet.Barrier{ID: 9}})
 	sim.waitUntil("idle", sim.reconciler.Idle)
 	if n, log := sim.proxies[0].Commands(); n > 0 {
-		t.Errorf("%d commands without a change: %q", n, log)
+		t.Errorf("%d commands were sent without a change: %q", n, log)
 	}
 }
 
@@ -108,7 +108,7 @@
 	sim.applyTable(30)
 	sim.waitUntil("the fast proxy has its table", func() bool { return sim.holdsTable(sim.proxies[1], 30) })
 	if sim.holdsTable(sim.proxies[0], 30) {
-		t.Error("the slow one was not slow")
+		t.Error("the slow proxy had its table as early as the fast one")
 	}
 	sim.waitUntil("the slow proxy has its table", func() bool { return sim.holdsTable(sim.proxies[0], 30) })
 }
@@ -149,10 +149,10 @@
 		sim.transport.Drop(1)
 		id, moved := sim.names.Listed("n2", "127.0.0.1:9999")
 		if !moved {
-			t.Fatal("the address did not count as changed")
+			t.Fatal("the new address was not reported as changed")
 		}
 		sim.reconciler.AddressChanged(id)
-		sim.waitUntil("followed", func() bool {
+		sim.waitUntil("the new address is used", func() bool {
 			return sim.proxies[0].Addr(backend, "n2") == "127.0.0.1:9999" && (on == "files" ||
 				sim.proxies[1].Addr(backend, "n2") == "127.0.0.1:9999")
 		})
--- a/internal/controller/verification.go
+++ b/internal/controller/verification.go
@@ -21,7 +21,7 @@
 		return
 	}
 	if len(update.List.Endpoints) == 0 { // taken over, it would take every server out
-		text := "the kept list is empty: proxies go on by what they hold until the list's source is heard"
+		text := "the cached endpoint list is empty and ignored: proxies keep their tables until the source delivers a list"
 		c.log(out, LogEntry{now, LevelWarn, "list", text})
 		return
 	}
@@ -33,11 +33,12 @@
 		named = append(named, verification.NamedEndpoint{Endpoint: e, Addr: addr, Unverified: update.Unverified[name]})
 	}
 	c.endpoints.verifier.Begin(now, age, named)
-	text := fmt.Sprintf("starts from a list of %d servers that is %.0f s old", len(named), age.Seconds())
+	text := fmt.Sprintf("starting from a cached endpoint list of %d servers, confirmed %.0f s ago",
+		len(named), age.Seconds())
 	if !known {
-		text = fmt.Sprintf("starts from a list of %d servers whose age can't be told", len(named))
+		text = fmt.Sprintf("starting from a cached endpoint list of %d servers of unknown age", len(named))
 	}
-	text = fmt.Sprintf("%s; a name is worth %.2f", text, verification.Trust(age))
+	text = fmt.Sprintf("%s; weight factor of unverified servers: %.2f", text, verification.Trust(age))
 	c.log(out, LogEntry{now, LevelInfo, "list", text})
 }
 
--- a/internal/controller/version_convergence_test.go
+++ b/internal/controller/version_convergence_test.go
@@ -102,7 +102,7 @@
 			}
 			if notices := sim.reconciler.Notices(); len(notices) == 0 ||
 				!strings.Contains(notices[0].Text, "lines are not what it was sent") {
-				t.Errorf("not noticed: %+v", notices)
+				t.Errorf("the manual change was not reported: %+v", notices)
 			}
 		})
 	}
@@ -126,7 +126,7 @@
 	sim.waitUntil("connected again", func() bool { return sim.joins[0] == 2 && sim.joins[1] == 2 })
 	notices := sim.reconciler.Notices()
 	if len(notices) != 1 || notices[0].Proxy != 1 || !strings.Contains(notices[0].Text, "it says that it holds version") {
-		t.Errorf("notices %+v", notices)
+		t.Errorf("want one notice for proxy 1 about its version, got %+v", notices)
 	}
 	sim.reconciler.Apply(sim.now(), []fleet.Order{fleet.AssignTable{Proxy: 0}, fleet.AssignTable{Proxy: 1}})
 	sim.waitUntil("corrected", func() bool {
