--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -258,13 +258,13 @@
 	c.events.current = append(c.events.current, c.events.deferred...)
 	c.events.deferred = c.events.deferred[:0]
 	for _, event := range events {
-		c.noteProxyLeft(event)
+		c.handleProxyLeft(event)
 		c.events.current = append(c.events.current, event)
 	}
 	return due
 }
 
-func (c *Core) noteProxyLeft(event fleet.Event) {
+func (c *Core) handleProxyLeft(event fleet.Event) {
 	if left, ok := event.(fleet.ProxyLeft); ok {
 		c.pipeline.Leave(left.Proxy)
 	}
@@ -308,7 +308,7 @@
 // stepBalancer lets the balancer decide and hands its orders on.
 func (c *Core) stepBalancer(now fleet.Time, out *Output) (reconcileDue fleet.Time) {
 	for _, event := range c.events.current {
-		if _, isList := event.(fleet.EndpointList); !isList { // applyEndpoints has shown the guard those already
+		if _, isList := event.(fleet.EndpointList); !isList { // distributeEndpoints has shown the guard those already
 			c.guard.Observe(now, event)
 		}
 	}
@@ -322,7 +322,7 @@
 	out.Messages = append(out.Messages, messages...)
 	out.Drops = append(out.Drops, drops...)
 	for _, event := range events { // answered at once, as nothing had to be sent
-		c.noteProxyLeft(event)
+		c.handleProxyLeft(event)
 		c.events.deferred = append(c.events.deferred, event)
 	}
 	return due
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -50,8 +50,8 @@
 	return e
 }
 
-// toFleet gives an endpoint as the balancer knows it, with the state and start given.
-func (e *endpointState) toFleet(
+// fleetEndpoint gives an endpoint as the balancer knows it, with the state and start given.
+func (e *endpointState) fleetEndpoint(
 	id fleet.ServerID, s discovery.Endpoint, state fleet.ServerState, started fleet.Time,
 ) fleet.Endpoint {
 	return fleet.Endpoint{
@@ -71,16 +71,16 @@
 	return state
 }
 
-// startOf gives the time at which a server says that it started; 0 where it says none.
-func startOf(s discovery.Endpoint) fleet.Time {
+// startTimeOf gives the time at which a server says that it started; 0 where it says none.
+func startTimeOf(s discovery.Endpoint) fleet.Time {
 	if s.Started.IsZero() {
 		return 0
 	}
 	return fleet.Time(s.Started.UnixNano())
 }
 
-// put updates the endpoint in listed, or removes it where it is gone.
-func (e *endpointState) put(endpoint fleet.Endpoint) {
+// updateListed updates the endpoint in listed, or removes it where it is gone.
+func (e *endpointState) updateListed(endpoint fleet.Endpoint) {
 	if endpoint.State == fleet.ServerGone {
 		delete(e.listed, endpoint.Server)
 	} else {
@@ -112,14 +112,14 @@
 		c.startFromCache(now, update, out)
 	case update.Scope == fleet.ListFull:
 		if !c.holdIfShrunk(now, update, out) {
-			c.takeList(now, update, out)
+			c.applyList(now, update, out)
 		}
 	default:
-		if update.Scope == fleet.ListDelta && c.holdsList() { // it continues the list that is held
+		if update.Scope == fleet.ListDelta && c.hasHeldList() { // it continues the list that is held
 			c.endpoints.shrinkGate.Reset()
-			c.takeHeldList(now, out)
+			c.applyHeldList(now, out)
 		}
-		c.takeList(now, update, out)
+		c.applyList(now, update, out)
 	}
 }
 
@@ -136,13 +136,13 @@
 	}
 }
 
-func (c *Core) holdsList() bool {
+func (c *Core) hasHeldList() bool {
 	held := &c.endpoints.heldList
 	return held.Scope == fleet.ListFull && held.List.Revision > 0
 }
 
-func (c *Core) takeHeldList(now fleet.Time, out *Output) {
-	c.takeList(now, c.endpoints.heldList, out)
+func (c *Core) applyHeldList(now fleet.Time, out *Output) {
+	c.applyList(now, c.endpoints.heldList, out)
 	c.endpoints.heldList = discovery.Update{}
 }
 
@@ -178,13 +178,13 @@
 		text := fmt.Sprintf("applying held endpoint list rev %d: no complete list arrived in time",
 			c.endpoints.heldList.List.Revision)
 		c.log(out, LogEntry{now, LevelWarn, "list", text})
-		c.takeHeldList(now, out)
+		c.applyHeldList(now, out)
 	}
 	return due
 }
 
-// takeList applies an update of the endpoint list.
-func (c *Core) takeList(now fleet.Time, update discovery.Update, out *Output) {
+// applyList applies an update of the endpoint list.
+func (c *Core) applyList(now fleet.Time, update discovery.Update, out *Output) {
 	e := &c.endpoints
 	if update.Scope != fleet.ListDelta {
 		clear(e.byName)
@@ -197,7 +197,7 @@
 			c.log(out, LogEntry{now, LevelError, "list", text})
 			continue
 		}
-		endpoint := c.takeEndpoint(s)
+		endpoint := c.applyEndpoint(s)
 		if endpoint.State == fleet.ServerGone && update.Scope != fleet.ListDelta {
 			continue
 		}
@@ -211,18 +211,18 @@
 		e.verifier.ListReceived(now, list)
 		out.Endpoints = e.list()
 	}
-	c.applyEndpoints(now, list)
+	c.distributeEndpoints(now, list)
 	c.shareListWithGossip(now)
 }
 
-// takeEndpoint applies one endpoint of a list, and notifies the reconciler of a changed address.
-func (c *Core) takeEndpoint(s discovery.Endpoint) fleet.Endpoint {
-	id, moved := c.names.Listed(s.Name, s.Addr)
-	if moved {
+// applyEndpoint applies one endpoint of a list, and notifies the reconciler of a changed address.
+func (c *Core) applyEndpoint(s discovery.Endpoint) fleet.Endpoint {
+	id, addressChanged := c.names.SetAddress(s.Name, s.Addr)
+	if addressChanged {
 		c.reconciler.AddressChanged(id)
 	}
-	endpoint := c.endpoints.toFleet(id, s, stateOf(s), startOf(s))
-	c.endpoints.put(endpoint)
+	endpoint := c.endpoints.fleetEndpoint(id, s, stateOf(s), startTimeOf(s))
+	c.endpoints.updateListed(endpoint)
 	if endpoint.State == fleet.ServerGone {
 		delete(c.endpoints.byName, s.Name)
 	} else {
@@ -231,8 +231,8 @@
 	return endpoint
 }
 
-// applyEndpoints gives a list to the report pipeline, the safety checks, the reconciler and the balancer.
-func (c *Core) applyEndpoints(now fleet.Time, list fleet.EndpointList) {
+// distributeEndpoints gives a list to the report pipeline, the safety checks, the reconciler and the balancer.
+func (c *Core) distributeEndpoints(now fleet.Time, list fleet.EndpointList) {
 	c.published.changed = true
 	c.updateReportSources(list)
 	c.guard.Observe(now, list) // first, as the reconciler asks it what the list makes of the entries at proxies
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -34,7 +34,7 @@
 	e := &c.endpoints
 	own := make(map[string]gossip.LocalServer, len(e.byName))
 	for name, s := range e.byName {
-		own[name] = gossip.LocalServer{State: stateOf(s), Started: startOf(s)}
+		own[name] = gossip.LocalServer{State: stateOf(s), Started: startTimeOf(s)}
 	}
 	c.gossip.peers.SetLocalList(now, e.revision, e.live, own)
 }
@@ -55,12 +55,12 @@
 	changes, notices := c.gossip.peers.Next(now)
 	list := fleet.EndpointList{Scope: fleet.ListDelta, Revision: fleet.ListRevision(c.endpoints.revision)}
 	for _, change := range changes {
-		if endpoint, listed := c.takePeerEndpoint(change.Name, change.Server); listed {
+		if endpoint, listed := c.applyPeerState(change.Name, change.Server); listed {
 			list.Endpoints = append(list.Endpoints, endpoint)
 		}
 	}
 	if len(list.Endpoints) > 0 {
-		c.applyEndpoints(now, list)
+		c.distributeEndpoints(now, list)
 	}
 	for _, notice := range notices {
 		text := notice.Text
@@ -74,15 +74,15 @@
 	}
 }
 
-// takePeerEndpoint applies state and start of a server as peers report them; listed is false for one that our list
+// applyPeerState applies state and start of a server as peers report them; listed is false for one that our list
 // lacks.
-func (c *Core) takePeerEndpoint(name string, as gossip.LocalServer) (endpoint fleet.Endpoint, listed bool) {
+func (c *Core) applyPeerState(name string, as gossip.LocalServer) (endpoint fleet.Endpoint, listed bool) {
 	s, listed := c.endpoints.byName[name]
 	id, known := c.names.Server(name)
 	if !listed || !known {
 		return fleet.Endpoint{}, false
 	}
-	endpoint = c.endpoints.toFleet(id, s, as.State, as.Started)
-	c.endpoints.put(endpoint)
+	endpoint = c.endpoints.fleetEndpoint(id, s, as.State, as.Started)
+	c.endpoints.updateListed(endpoint)
 	return endpoint, true
 }
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -96,7 +96,7 @@
 	delete(c.proxies.unreachable, event.Proxy)
 	c.reconciler.Join(now, event.Proxy, event.Snapshot)
 	c.pipeline.Join(now, event.Proxy, event.Snapshot.Zone, event.Snapshot.Fresh)
-	text := fmt.Sprintf("proxy %s connected: %d entries held, fresh %v",
+	text := fmt.Sprintf("proxy %s connected: %d entries, fresh %v",
 		c.proxies.configured[event.Proxy].Name, len(event.Snapshot.Entries), event.Snapshot.Fresh)
 	c.log(out, LogEntry{now, LevelInfo, "proxy", text})
 }
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -209,10 +209,10 @@
 	inputs, more := l.mailbox.collect(l.core.pipeline.TurnLimits())
 	now := l.Now()
 	out := l.core.Step(now, inputs)
-	took := l.Now() - now
-	l.core.pipeline.TurnEnded(now, took)
-	l.timings.add(took)
-	l.carryOut(&out)
+	duration := l.Now() - now
+	l.core.pipeline.TurnEnded(now, duration)
+	l.timings.add(duration)
+	l.execute(&out)
 	if out.BalancerStepped {
 		if err := l.recorder.record(now, out, l.names); err != nil {
 			l.log.Error().Err(err).Msg("writing the event log failed; recording stopped")
@@ -225,13 +225,13 @@
 	return out.NextStep
 }
 
-// carryOut does what a step wants done outside the core.
-func (l *Loop) carryOut(out *Output) {
+// execute does what a step wants done outside the core.
+func (l *Loop) execute(out *Output) {
 	for _, id := range out.TrustChanges {
 		l.mailbox.pushed.Distrust(id, l.core.pipeline.UntrustedUntil(id))
 	}
 	l.sendToProxies(out)
-	l.askServers(out)
+	l.startProbes(out)
 	if out.WatchEndpoints != nil {
 		l.source.Watch(*out.WatchEndpoints)
 	}
@@ -266,8 +266,8 @@
 	}
 }
 
-// askServers starts probes and verifications; their results come as inputs of later steps.
-func (l *Loop) askServers(out *Output) {
+// startProbes starts probes and verifications; their results come as inputs of later steps.
+func (l *Loop) startProbes(out *Output) {
 	for _, id := range out.Probes {
 		l.probes.Go(func() { l.mailbox.put(l.prober.probe(l.probesCtx, id)) })
 	}
@@ -359,11 +359,11 @@
 	return l.recorder.open(path, start)
 }
 
-func (t *stepTimings) add(took fleet.Time) {
+func (t *stepTimings) add(duration fleet.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.steps++
-	_ = t.durations.RecordValue(min(maxStepDuration, max(minStepDuration, int64(took)))) // always in its range
+	_ = t.durations.RecordValue(min(maxStepDuration, max(minStepDuration, int64(duration)))) // always in its range
 }
 
 // StepDurations gives how long steps took, in nanoseconds at the quantiles asked for (0 to 100), and how many there
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -58,8 +58,8 @@
 // putReading adds a reading, in place of one of the same stream that still waits.
 func (m *mailbox) putReading(reading transport.CountersPolled) {
 	m.mu.Lock()
-	at, waits := m.readingIndex[reading.Proxy]
-	if waits && m.readings[at].Stream == reading.Stream {
+	at, waiting := m.readingIndex[reading.Proxy]
+	if waiting && m.readings[at].Stream == reading.Stream {
 		m.readings[at].Reading.Release()
 		m.readings[at] = CountersPolled(reading)
 		m.replacedReadings++
@@ -75,9 +75,9 @@
 // gossip.MaxControllers controllers are dropped, so that a flood fills no memory.
 func (m *mailbox) putGossip(message gossip.Message) {
 	m.mu.Lock()
-	old, waits := m.gossip[message.Controller]
-	outdated := waits && message.Epoch == old.Epoch && message.Sequence < old.Sequence
-	full := !waits && len(m.gossip) >= gossip.MaxControllers
+	old, waiting := m.gossip[message.Controller]
+	outdated := waiting && message.Epoch == old.Epoch && message.Sequence < old.Sequence
+	full := !waiting && len(m.gossip) >= gossip.MaxControllers
 	if !outdated && !full {
 		m.gossip[message.Controller] = message
 	}
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -53,7 +53,7 @@
 // probe asks a server for its health and load.
 func (p *prober) probe(ctx context.Context, id fleet.ServerID) ProbeResult {
 	_, addr := p.names.Lookup(id)
-	began := time.Now()
+	startedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(reconcile.DialTimeout))
 	defer cancel()
 	result := ProbeResult{Server: id}
@@ -71,7 +71,7 @@
 	default:
 		result.Outcome = fleet.ProbeFailed
 	}
-	result.Duration = fleet.Time(time.Since(began))
+	result.Duration = fleet.Time(time.Since(startedAt))
 	return result
 }
 
--- a/internal/controller/server_names.go
+++ b/internal/controller/server_names.go
@@ -39,17 +39,17 @@
 
 // Learn gives the id of a name, a new one for a new name. Its address replaces none that is known.
 func (n *Names) Learn(name, addr string) fleet.ServerID {
-	id, _ := n.put(name, addr, false)
+	id, _ := n.register(name, addr, false)
 	return id
 }
 
 // Listed is Learn for the endpoint list, whose address replaces the known one. Moved reports that it was another one
 // before.
-func (n *Names) Listed(name, addr string) (id fleet.ServerID, moved bool) {
-	return n.put(name, addr, true)
+func (n *Names) SetAddress(name, addr string) (id fleet.ServerID, changed bool) {
+	return n.register(name, addr, true)
 }
 
-func (n *Names) put(name, addr string, replace bool) (id fleet.ServerID, moved bool) {
+func (n *Names) register(name, addr string, replace bool) (id fleet.ServerID, changed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	id, ok := n.byName[name]
@@ -61,10 +61,10 @@
 	}
 	server := &n.servers[id]
 	if replace && addr != "" || server.addr == "" {
-		moved = server.addr != "" && server.addr != addr
+		changed = server.addr != "" && server.addr != addr
 		server.addr = addr
 	}
-	return id, moved
+	return id, changed
 }
 
 // Lookup gives name and address of an id, both "" for an unknown one.
--- a/internal/controller/verification.go
+++ b/internal/controller/verification.go
@@ -25,7 +25,7 @@
 		c.log(out, LogEntry{now, LevelWarn, "list", text})
 		return
 	}
-	c.takeList(now, update, out)
+	c.applyList(now, update, out)
 	age, known := verification.Age(now, update.ConfirmedAt)
 	var named []verification.NamedEndpoint
 	for id, e := range c.endpoints.listed {
@@ -53,9 +53,9 @@
 			Endpoints: changed,
 		}
 		for _, e := range list.Endpoints {
-			c.endpoints.put(e)
+			c.endpoints.updateListed(e)
 		}
-		c.applyEndpoints(now, list)
+		c.distributeEndpoints(now, list)
 	}
 	if len(plan.WeightFractions) > 0 {
 		var parts []reconcile.WeightFraction
