--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -1,7 +1,7 @@
-// Package controller is the control loop of `cressknot serve`. A Core holds all decision state of one controller and
-// does no I/O; a Loop is the goroutine that owns it: it gathers what transports, endpoint sources, timers and sockets
-// deliver, calls Core.Step with that, and carries out the Output. Operators and the service for clients put their
-// questions to the loop's goroutine.
+// Package controller implements the control loop of `cressknot serve`. A Core holds all decision state of one
+// controller and does no I/O. A Loop is the goroutine that owns the Core: it collects inputs from transports, endpoint
+// sources, timers and sockets, passes them to Core.Step, and executes the returned Output. Queries from operators and
+// from the client service run on the loop's goroutine.
 package controller
 
 import (
@@ -21,35 +21,36 @@
 	"cressknot/internal/transport"
 )
 
-// maxStepInterval is the longest time without a step, so that sweeps and barriers of slow proxies are not late.
+// maxStepInterval is the longest time between two steps, so that periodic sweeps and the barriers of slow proxies are
+// handled in time.
 const maxStepInterval = fleet.Second / 4
 
-// FaultUnboundedSlowStart takes the limit off the weights of servers that are warming up.
+// FaultUnboundedSlowStart is the fault that removes the weight limit of servers in slow start.
 const FaultUnboundedSlowStart = "cold-unbound"
 
-// CoreOptions are what a Core is made of.
+// CoreOptions configures a Core.
 type CoreOptions struct {
 	Site    fleet.Site
-	Seed    uint64 // of the balancer's random choices
+	Seed    uint64 // of the balancer's random number generator
 	Proxies []transport.Proxy
 	Names   *Names
-	// SafetyChecks has every message judged before it leaves.
+	// SafetyChecks makes the controller check every message before it is sent.
 	SafetyChecks bool
-	// PushedLoads takes load figures from what servers push.
+	// PushedLoads makes the load that servers push take precedence over the load in their answers.
 	PushedLoads bool
-	// Faults break the controller on purpose, for fault drills: FaultUnboundedSlowStart.
+	// Faults are injected for fault drills; the only one is FaultUnboundedSlowStart.
 	Faults []string
 }
 
-// Core holds all decision state of a controller. Only the goroutine that calls Step may touch it; it does no I/O and
-// reads no clock.
+// Core holds all decision state of a controller. It does no I/O and reads no clock. It is not safe for concurrent use:
+// after the first Step only the goroutine that calls Step may access it.
 type Core struct {
 	site       fleet.Site
 	names      *Names
 	balancer   *balancer.Balancer
 	reconciler *reconcile.Reconciler
 	pipeline   *ingest.Pipeline
-	guard      *safety.Checker // observes events even where safety checks are off
+	guard      *safety.Checker // observes events even if safety checks are disabled
 	endpoints  endpointState
 	proxies    proxyState
 	gossip     gossipState
@@ -63,61 +64,62 @@
 
 	safetyChecks bool
 	startedAt    fleet.Time // negative before the first step
-	epoch        uint64     // of table versions; 0 before one has begun
+	epoch        uint64     // of table versions; 0 until one has begun
 }
 
-// proxyState is what the core knows of the proxies beside the reconciler.
+// proxyState is the core's own state of the proxies; the reconciler holds the rest.
 type proxyState struct {
 	configured  map[fleet.ProxyID]transport.Proxy
 	streams     map[fleet.ProxyID]uint64 // number of the stream of each connected proxy
-	unreachable map[fleet.ProxyID]string // the last logged reason
+	unreachable map[fleet.ProxyID]string // the last reason logged
 }
 
-// publication is what the service's clients are notified of beside tables.
+// publication is the state, apart from tables, that clients of the service are notified of.
 type publication struct {
-	zones   []service.Zone // whose programs ask the service
-	changed bool
+	zones   []service.Zone // the zones whose clients query the service
+	changed bool           // since the state was published last
 }
 
-// eventQueue gathers the events of the balancer's next step.
+// eventQueue collects the events for the balancer's next step.
 type eventQueue struct {
 	current  []fleet.Event
-	deferred []fleet.Event // for the step after
-	steps    uint64        // of the balancer so far
+	deferred []fleet.Event // for the step after the next
+	steps    uint64        // balancer steps so far
 }
 
-// timer is one that the balancer has set.
+// timer is a timer that the balancer has set.
 type timer struct {
 	at fleet.Time
 	id fleet.TimerID
 }
 
-// Output is what a step wants done.
+// Output lists the actions that the caller of a step must execute.
 type Output struct {
 	Messages       []reconcile.Message
-	Drops          []fleet.ProxyID // streams to break
-	Polls          []fleet.ProxyID // proxies whose counters are to be read
-	Probes         []fleet.ServerID
-	Verifications  []fleet.ServerID // servers of a cached list that are to be asked whether they are there
-	WatchEndpoints *bool            // whether the endpoint source is to be watched; nil for no change
-	FetchEndpoints bool
+	Drops          []fleet.ProxyID         // proxies whose stream must be closed
+	Polls          []fleet.ProxyID         // proxies whose counters must be read
+	Probes         []fleet.ServerID        // servers to probe for health and load
+	Verifications  []fleet.ServerID        // servers of a cached list whose existence must be verified
+	WatchEndpoints *bool                   // turns watching of the endpoint source on or off; nil for no change
+	FetchEndpoints bool                    // requests the endpoint list from its source
 	TrustChanges   []fleet.ServerID        // sources of pushed reports whose trust has changed
-	Gossip         *gossip.Message         // for other controllers
-	PublishedState *service.PublishedState // for clients of the service, where it has changed
+	Gossip         *gossip.Message         // for other controllers; nil for none
+	PublishedState *service.PublishedState // for clients of the service; nil if unchanged
 	Persist        []store.Change
 	Log            []LogEntry
 	// Endpoints is a full list to cache, which its source confirmed at EndpointsConfirmedAt; nil for none.
 	Endpoints            *discovery.EndpointList
 	EndpointsConfirmedAt fleet.Time
-	// NextStep is when Step is to be called again at the latest.
+	// NextStep is the latest time at which Step must be called again.
 	NextStep fleet.Time
-	// What the balancer was given and ordered, for the event log; valid until the next step.
+	// The balancer's inputs and orders for the event log, if it took a step. Valid until the next call of Step.
 	BalancerStepped bool
 	Events          []fleet.Event
 	Orders          []fleet.Order
 }
 
-// NewCore makes the decision state of a controller.
+// NewCore returns a Core without endpoints, proxies or tables. Restore, EnableGossip and ServeZones, where used, are
+// called before the first Step.
 func NewCore(o CoreOptions) *Core {
 	c := &Core{
 		site:       o.Site,
@@ -153,20 +155,20 @@
 	return c
 }
 
-// Epoch gives the epoch of table versions; 0 before it has begun.
+// Epoch returns the epoch of table versions, 0 until one has begun.
 func (c *Core) Epoch() uint64 { return c.epoch }
 
-// BeginEpoch begins the epoch of table versions unless Restore has begun one.
+// BeginEpoch begins the epoch of table versions. It has no effect if one has begun, for example in Restore.
 func (c *Core) BeginEpoch(epoch uint64) {
 	if c.epoch == 0 {
 		c.setEpoch(epoch)
 	}
 }
 
-// ServeZones sets the zones that have programs that ask the service.
+// ServeZones sets the zones whose clients query the service.
 func (c *Core) ServeZones(zones []service.Zone) { c.published.zones = zones }
 
-// ProxyViews gives what operators see of the proxies that are connected.
+// ProxyViews returns the state of the connected proxies, as operators see it.
 func (c *Core) ProxyViews() []reconcile.ProxyView { return c.reconciler.Proxies() }
 
 func (c *Core) setEpoch(epoch uint64) {
@@ -174,25 +176,26 @@
 	c.reconciler.SetEpoch(epoch, c.serverName)
 }
 
-// maxEpoch bounds the epochs that are taken over from proxies. No clock shows it in a hundred years: a proxy that
-// reports a later one has been changed by hand.
+// maxEpoch bounds the epochs that are accepted from proxies. Epochs are Unix times in nanoseconds, and this one lies in
+// the year 2116: a proxy that reports a later epoch has been changed by hand.
 const maxEpoch = 1 << 62
 
-// raiseEpoch begins a new epoch where a proxy that is taken over holds versions of a later one: versions at a proxy
-// never go back, though a controller that started earlier serves it now.
+// raiseEpoch begins a new epoch if a proxy that this controller takes over holds versions of a later epoch. This
+// happens if the proxy was served by a controller that started later; versions at a proxy must never go back.
 func (c *Core) raiseEpoch(now fleet.Time, latest uint64, out *Output) {
 	if latest <= c.epoch || latest >= maxEpoch {
 		return
 	}
 	c.epoch = latest + 1
+	// The reason is persisted with the new versions.
 	c.reconciler.RaiseEpoch(now, c.epoch, "a proxy holds versions of a later governor")
 	if c.persister.enabled {
 		out.Persist = append(out.Persist, store.Change{Key: EpochKey, Value: persistedEpoch{c.epoch, now}})
 	}
 }
 
-// Step handles the inputs that have arrived and returns what is to be done now. It must be called again at
-// Output.NextStep, or earlier with further inputs.
+// Step handles the inputs that have arrived since the last step and returns the actions to execute. It must be called
+// again at Output.NextStep, or earlier if there are further inputs.
 func (c *Core) Step(now fleet.Time, inputs []Input) Output {
 	if c.startedAt < 0 {
 		c.startedAt = now
@@ -222,7 +225,8 @@
 	return out
 }
 
-// nextStep gives the earliest of the times at which something is due; 0 means never.
+// nextStep returns the time of the next step: the earliest due time, at most maxStepInterval from now. A due time of 0
+// means never.
 func (c *Core) nextStep(now fleet.Time, due ...fleet.Time) fleet.Time {
 	if len(c.events.deferred) > 0 {
 		return now
@@ -239,7 +243,8 @@
 	return next
 }
 
-// Drain lets messages in hand leave, without any further decision; idle means that nothing is left.
+// Drain returns the messages that may be sent now, without taking any further decision, and when to call it again. Idle
+// reports that no change waits and no message is in flight.
 func (c *Core) Drain(now fleet.Time, inputs []Input) (messages []reconcile.Message, next fleet.Time, idle bool) {
 	var out Output
 	c.events.current = c.events.current[:0]
@@ -250,7 +255,7 @@
 	return messages, cmp.Or(next, now+maxStepInterval), c.reconciler.Idle()
 }
 
-// reconcile takes the messages that may leave now, and the events that follow from answers, from the reconciler.
+// reconcile collects from the reconciler the messages that may be sent now and the events that result from answers.
 func (c *Core) reconcile(now fleet.Time, out *Output) (due fleet.Time) {
 	messages, events, drops, due := c.reconciler.Next(now)
 	out.Messages = messages
@@ -270,7 +275,8 @@
 	}
 }
 
-// collectReports takes the load reports that are due as events, and has those who judge servers observe them.
+// collectReports adds the load reports that are due to the balancer's events, and passes their outcomes to gossip and
+// to the verifier.
 func (c *Core) collectReports(now fleet.Time) (due fleet.Time) {
 	reports, due := c.pipeline.Reports(now)
 	c.events.current = append(c.events.current, reports...)
@@ -286,7 +292,7 @@
 	return due
 }
 
-// fireTimers turns timers that have come due into events.
+// fireTimers turns expired timers into events.
 func (c *Core) fireTimers(now fleet.Time) {
 	pending := c.timers[:0]
 	for _, t := range c.timers {
@@ -299,16 +305,16 @@
 	c.timers = pending
 }
 
-// balancerDue reports whether the balancer has anything to decide on. Its first step waits for the endpoint list,
-// unless the list comes only on request.
+// balancerDue reports whether the balancer has events to handle. Its first step waits for the endpoint list, unless the
+// list is only sent on request.
 func (c *Core) balancerDue() bool {
 	return len(c.events.current) > 0 || c.events.steps == 0 && c.site.ListOnRequest
 }
 
-// stepBalancer lets the balancer decide and hands its orders on.
+// stepBalancer runs one step of the balancer and applies its orders.
 func (c *Core) stepBalancer(now fleet.Time, out *Output) (reconcileDue fleet.Time) {
 	for _, event := range c.events.current {
-		if _, isList := event.(fleet.EndpointList); !isList { // distributeEndpoints has shown the guard those already
+		if _, isList := event.(fleet.EndpointList); !isList { // distributeEndpoints has passed these to the guard
 			c.guard.Observe(now, event)
 		}
 	}
@@ -321,14 +327,14 @@
 	messages, events, drops, due := c.reconciler.Next(now)
 	out.Messages = append(out.Messages, messages...)
 	out.Drops = append(out.Drops, drops...)
-	for _, event := range events { // answered at once, as nothing had to be sent
+	for _, event := range events { // completed without a message, as nothing had to be sent
 		c.handleProxyLeft(event)
 		c.events.deferred = append(c.events.deferred, event)
 	}
 	return due
 }
 
-// persistStep gives what the step has changed of the state that must survive a restart.
+// persistStep adds the changes of the step to the state that must survive a restart.
 func (c *Core) persistStep(out *Output) {
 	e := &c.endpoints
 	if out.Endpoints == nil && e.live && e.confirmedAt >= e.cachedAt+verification.ConfirmInterval {
@@ -342,7 +348,7 @@
 	out.Persist = append(out.Persist, c.persistChanges()...)
 }
 
-// publishState gives clients of the service the state beside tables, where that has changed.
+// publishState outputs the state for clients of the service, apart from tables, if it has changed.
 func (c *Core) publishState(out *Output) {
 	if !c.published.changed {
 		return
@@ -358,7 +364,7 @@
 	out.PublishedState = &state
 }
 
-// serverName gives the name of a server.
+// serverName returns the name of a server, "" for an unknown id.
 func (c *Core) serverName(id fleet.ServerID) string {
 	name, _ := c.names.Lookup(id)
 	return name
--- a/internal/controller/crash_recovery_test.go
+++ b/internal/controller/crash_recovery_test.go
@@ -37,8 +37,9 @@
 func (s *fakeSource) Watch(bool) {}
 func (s *fakeSource) Fetch()     {}
 
-// TestControllerCrashLeavesProxiesServed kills a controller after it has sent tables: proxies go on with them, the next
-// controller finds that they are not fresh, and at no time does a proxy lack an entry.
+// TestControllerCrashLeavesProxiesServed kills a controller after it has sent tables. Proxies continue to use these
+// tables, the next controller reads them back instead of treating the proxies as fresh, and no proxy lacks an entry at
+// any time.
 func TestControllerCrashLeavesProxiesServed(t *testing.T) {
 	dir := t.TempDir()
 	watch := invariants.NewWatch()
@@ -95,7 +96,7 @@
 		go func() { done <- loop.Run(ctx, 0) }()
 		return loop, func() {
 			cancel()
-			if err := <-done; err != nil { // streams are cut, as by a kill
+			if err := <-done; err != nil { // streams are cut without a drain, as by a kill
 				t.Logf("the killed controller returned: %v", err)
 			}
 		}
--- a/internal/controller/discovery_outage_test.go
+++ b/internal/controller/discovery_outage_test.go
@@ -17,14 +17,14 @@
 	"cressknot/internal/transport"
 )
 
-// simulation is a core with two proxies that connect fresh, on time of its own. Servers answer verifications while
-// they are reachable; proxies apply what they are sent.
+// simulation is a core with two fresh proxies, in simulated time. Reachable servers answer verifications, and proxies
+// apply all messages.
 type simulation struct {
 	core       *Core
 	now        fleet.Time
 	reachable  map[string]bool
-	weights    [2]map[string]int16     // by proxy: 0 for servers in maintenance or draining
-	cachedList *discovery.EndpointList // the last that a step wanted cached
+	weights    [2]map[string]int16     // by proxy; 0 for servers in maintenance or draining
+	cachedList *discovery.EndpointList // the last list that a step cached
 	cachedAt   fleet.Time
 	logs       []string
 }
@@ -72,7 +72,7 @@
 	return out
 }
 
-// runUntil steps until a time, and answers messages and verifications. It calls each, if any, before each step.
+// runUntil steps until a time, and answers messages and verifications. It calls each, if not nil, before each step.
 func (sim *simulation) runUntil(until fleet.Time, each func()) {
 	var next []Input
 	for ; sim.now < until; sim.now += 50 * fleet.Millisecond {
@@ -125,9 +125,9 @@
 
 const day = 24 * 3600 * fleet.Second
 
-// TestOldCachedListServesAnsweringServers starts from a list that is a day old: within ten seconds proxies have tables
-// with the servers that answer and without the others. The list of the source on its return is compared with the
-// servers that are left alone, so that it does not count as shrunk.
+// TestOldCachedListServesAnsweringServers starts from a list that is a day old. Within ten seconds the proxies' tables
+// must contain exactly the servers that answer. The source's first list is compared with the remaining servers only, so
+// that the removed servers do not make it count as shrunk.
 func TestOldCachedListServesAnsweringServers(t *testing.T) {
 	sim := newSimulation(map[string]bool{"s0": true, "s1": true, "s2": true, "s3": true})
 	u := EndpointUpdate{
@@ -148,14 +148,14 @@
 	sim.step(EndpointUpdate{
 		Scope: fleet.ListFull,
 		List:  listOf(5, "s0", "s1", "s2"),
-	}) // more than half of those that are left
+	}) // more than half of the remaining servers
 	if len(sim.core.endpoints.listed) != 3 || sim.logged("fetching the list again") {
 		t.Errorf("%d servers are listed, want 3; log: %v", len(sim.core.endpoints.listed), sim.logs)
 	}
 }
 
-// TestFlappingSourceMovesNoWeight has a source come and go each second with the same list: no weight changes and no
-// server is withdrawn, and the cached list says when the source last confirmed it.
+// TestFlappingSourceMovesNoWeight lets a source fail and recover every second with the same list. No weight may change,
+// no server may be withdrawn, and the cached list must record when the source last confirmed it.
 func TestFlappingSourceMovesNoWeight(t *testing.T) {
 	sim := newSimulation(map[string]bool{"s0": true, "s1": true, "s2": true})
 	list := listOf(4, "s0", "s1", "s2")
@@ -190,8 +190,8 @@
 	}
 }
 
-// TestEmptyOrLateCachedListIsIgnored: an empty cached list removes no server, and one that comes after the source's own
-// list changes nothing.
+// TestEmptyOrLateCachedListIsIgnored checks that an empty cached list removes no server, and that a cached list that
+// arrives after the source's own list changes nothing.
 func TestEmptyOrLateCachedListIsIgnored(t *testing.T) {
 	sim := newSimulation(nil)
 	sim.step(EndpointUpdate{Scope: fleet.ListCached, ConfirmedAt: sim.now})
@@ -207,12 +207,12 @@
 	}
 }
 
-// TestVerificationTellsWhoAnswers verifies servers on loopback by a connection and by a probe: one that gives its name,
-// one that gives another, one that gives none, and one that is down.
+// TestVerificationTellsWhoAnswers verifies servers by a connection and by a probe: a server that reports the expected
+// name, one that reports another name, one that reports none, and one that is down.
 func TestVerificationTellsWhoAnswers(t *testing.T) {
 	const name = "a"
 	for _, c := range []struct {
-		reportedName string // in the answer to a probe
+		reportedName string // in the response to a probe
 		down         bool
 		byConnection verification.Evidence
 		byProbe      verification.Evidence
@@ -243,8 +243,8 @@
 	}
 }
 
-// TestGossipFloodKeepsNewestOfEachController: however many messages arrive between two steps, a step takes the newest
-// of each controller, of gossip.MaxControllers controllers at most.
+// TestGossipFloodKeepsNewestOfEachController checks that a step handles only the newest message of each controller, for
+// at most gossip.MaxControllers controllers, however many messages arrive between two steps.
 func TestGossipFloodKeepsNewestOfEachController(t *testing.T) {
 	loop := NewLoop(Options{Core: newSimulation(nil).core, Names: NewNames()})
 	for seq := range uint64(1000) {
@@ -267,9 +267,8 @@
 	}
 }
 
-// TestVersionsNeverGoBackAfterTakeover takes over a proxy that holds a version of a controller that started later: the
-// versions that it and all other proxies are sent from then on are newer. A version of an epoch that no clock could
-// have given changes nothing.
+// TestVersionsNeverGoBackAfterTakeover takes over a proxy that holds a version of a controller that started later. All
+// proxies must get newer versions from then on. A version with an epoch that no clock could have given is ignored.
 func TestVersionsNeverGoBackAfterTakeover(t *testing.T) {
 	sim := newSimulation(nil)
 	sim.step(EndpointUpdate{Scope: fleet.ListFull, List: listOf(1, "s0", "s1")})
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -17,18 +17,18 @@
 type endpointState struct {
 	zones map[string]fleet.ZoneID
 	kinds map[string]fleet.KindID
-	// byName is the list as its source gave it; listed is what the balancer was given of it, which gossip and
-	// verification may have changed.
+	// byName is the list as its source sent it. listed is the list that the balancer uses; gossip and verification
+	// may have changed it.
 	byName      map[string]discovery.Endpoint
 	listed      map[fleet.ServerID]fleet.Endpoint
 	revision    uint64
 	updatedAt   fleet.Time
-	live        bool       // the source itself has answered, not only a cache
+	live        bool       // the source itself has delivered a list, not only a cache
 	confirmedAt fleet.Time // when the source last confirmed the list
-	cachedAt    fleet.Time // confirmedAt of what was cached last
-	lastError   string     // of the source, as logged last
+	cachedAt    fleet.Time // confirmedAt of the list that was cached last
+	lastError   string     // the last error of the source that was logged; "" for none
 	shrinkGate  *verification.ShrinkGate
-	heldList    discovery.Update // by the shrink gate
+	heldList    discovery.Update // the list that the shrink gate holds back
 	verifier    *verification.Verifier
 }
 
@@ -50,7 +50,7 @@
 	return e
 }
 
-// fleetEndpoint gives an endpoint as the balancer knows it, with the state and start given.
+// fleetEndpoint returns a listed server in the balancer's form, with the given state and start time.
 func (e *endpointState) fleetEndpoint(
 	id fleet.ServerID, s discovery.Endpoint, state fleet.ServerState, started fleet.Time,
 ) fleet.Endpoint {
@@ -65,13 +65,13 @@
 	}
 }
 
-// stateOf gives the state of a listed server. One that is not known counts as ready.
+// stateOf returns the state of a listed server. An unknown state counts as ready.
 func stateOf(s discovery.Endpoint) fleet.ServerState {
 	state, _ := fleet.ParseServerState(s.State)
 	return state
 }
 
-// startTimeOf gives the time at which a server says that it started; 0 where it says none.
+// startTimeOf returns the start time that a server has reported, 0 for none.
 func startTimeOf(s discovery.Endpoint) fleet.Time {
 	if s.Started.IsZero() {
 		return 0
@@ -79,7 +79,7 @@
 	return fleet.Time(s.Started.UnixNano())
 }
 
-// updateListed updates the endpoint in listed, or removes it where it is gone.
+// updateListed updates an endpoint in listed, or removes it if the server is gone.
 func (e *endpointState) updateListed(endpoint fleet.Endpoint) {
 	if endpoint.State == fleet.ServerGone {
 		delete(e.listed, endpoint.Server)
@@ -88,7 +88,7 @@
 	}
 }
 
-// list gives the full list, by name.
+// list returns the full list, sorted by name.
 func (e *endpointState) list() *discovery.EndpointList {
 	list := discovery.EndpointList{Revision: e.revision}
 	for _, s := range e.byName {
@@ -98,7 +98,7 @@
 	return &list
 }
 
-// handleEndpoints handles an update of the endpoint source or of a cache.
+// handleEndpoints handles an update from the endpoint source or from a cache.
 func (c *Core) handleEndpoints(now fleet.Time, update discovery.Update, out *Output) {
 	c.logSourceError(now, update.Err, out)
 	switch {
@@ -115,7 +115,7 @@
 			c.applyList(now, update, out)
 		}
 	default:
-		if update.Scope == fleet.ListDelta && c.hasHeldList() { // it continues the list that is held
+		if update.Scope == fleet.ListDelta && c.hasHeldList() { // the delta is relative to the held list
 			c.endpoints.shrinkGate.Reset()
 			c.applyHeldList(now, out)
 		}
@@ -123,7 +123,7 @@
 	}
 }
 
-// logSourceError logs each reason once: a source may be away for hours.
+// logSourceError logs an error only when it changes, as a source may be unavailable for hours.
 func (c *Core) logSourceError(now fleet.Time, err error, out *Output) {
 	if err == nil {
 		c.endpoints.lastError = ""
@@ -146,7 +146,7 @@
 	c.endpoints.heldList = discovery.Update{}
 }
 
-// holdIfShrunk holds back a full list that names too few of the known servers, and reports whether it did.
+// holdIfShrunk holds back a full list that contains too few of the known servers, and reports whether it did.
 func (c *Core) holdIfShrunk(now fleet.Time, update discovery.Update, out *Output) bool {
 	e := &c.endpoints
 	remaining := 0
@@ -157,7 +157,7 @@
 		}
 		_, _ = fmt.Fprintln(digest, s.Name, s.State) // a hash never fails
 	}
-	known := len(e.byName) - e.verifier.EjectedCount() // those are known to be gone already
+	known := len(e.byName) - e.verifier.EjectedCount() // ejected servers are already considered gone
 	if e.shrinkGate.Check(now, known, remaining, digest.Sum64()) == verification.AcceptList {
 		e.heldList = discovery.Update{}
 		return false
@@ -170,7 +170,7 @@
 	return true
 }
 
-// releaseHeldList applies the list that is held back when no better one came in time.
+// releaseHeldList applies the list that is held back if no complete one has arrived in time.
 func (c *Core) releaseHeldList(now fleet.Time, out *Output) (due fleet.Time) {
 	release, fetch, due := c.endpoints.shrinkGate.Due(now)
 	out.FetchEndpoints = out.FetchEndpoints || fetch
@@ -192,7 +192,7 @@
 	}
 	list := fleet.EndpointList{Scope: update.Scope, Revision: fleet.ListRevision(update.List.Revision)}
 	for _, s := range update.List.Endpoints {
-		if _, ok := e.zones[s.Zone]; !ok && s.State != fleet.ServerGoneName { // one that is gone needs no zone
+		if _, ok := e.zones[s.Zone]; !ok && s.State != fleet.ServerGoneName { // a server that is gone needs no zone
 			text := fmt.Sprintf("server %s: zone %q is not configured for this site; ignoring the server", s.Name, s.Zone)
 			c.log(out, LogEntry{now, LevelError, "list", text})
 			continue
@@ -231,16 +231,16 @@
 	return endpoint
 }
 
-// distributeEndpoints gives a list to the report pipeline, the safety checks, the reconciler and the balancer.
+// distributeEndpoints passes a list to the report pipeline, the safety checker, the reconciler and the balancer.
 func (c *Core) distributeEndpoints(now fleet.Time, list fleet.EndpointList) {
 	c.published.changed = true
 	c.updateReportSources(list)
-	c.guard.Observe(now, list) // first, as the reconciler asks it what the list makes of the entries at proxies
+	c.guard.Observe(now, list) // before the reconciler, which checks the entries at proxies against the new list
 	c.reconciler.SetEndpoints(now, list)
 	c.events.current = append(c.events.current, list)
 }
 
-// updateReportSources gives the pipeline the servers that are listed.
+// updateReportSources updates the listed servers of the report pipeline. A full list removes all other servers.
 func (c *Core) updateReportSources(list fleet.EndpointList) {
 	if list.Scope != fleet.ListDelta {
 		for id := range c.names.Count() {
--- a/internal/controller/faulty_proxies_test.go
+++ b/internal/controller/faulty_proxies_test.go
@@ -14,8 +14,9 @@
 	"cressknot/internal/transport/haproxy"
 )
 
-// TestFaultyProxiesAreReportedByReason: proxies that answer garbage, have the name of another or lack the map, and one
-// that is not there, are each reported with the reason, and a working one beside them is served.
+// TestFaultyProxiesAreReportedByReason connects to proxies that send garbage, report another proxy's name or lack the
+// map, and to one that does not exist. Each must be reported with its reason, and a working proxy next to them must be
+// served.
 func TestFaultyProxiesAreReportedByReason(t *testing.T) {
 	dir := t.TempDir()
 	scriptedProxy := func(name, answer string) transport.Proxy {
@@ -80,7 +81,7 @@
 	if p := proxies[0]; p.Name != "garbage" {
 		t.Fatal(p)
 	}
-	want[0] = "answer to" // depends on what of it is read first
+	want[0] = "answer to" // the rest of the text depends on which part is read first
 	sim.waitUntil("each reported", func() bool {
 		for id, text := range want {
 			if !strings.Contains(sim.lastErrors[id], text) {
--- a/internal/controller/files_transport_test.go
+++ b/internal/controller/files_transport_test.go
@@ -15,12 +15,13 @@
 	"cressknot/internal/transport/files"
 )
 
-// TestFileSwapCutAtAnyStepConverges: a kill at any step of any swap leaves a complete file in place, old or new; the
-// next controller reads back what the proxy holds, removes temporary files and reaches the desired state.
+// TestFileSwapCutAtAnyStepConverges kills the controller at each step of each file swap. A complete file, old or new,
+// must remain in place, and the next controller must read back what the proxy holds, remove temporary files and reach
+// the desired state.
 func TestFileSwapCutAtAnyStepConverges(t *testing.T) {
 	const servers = 6
 	for step := range 5 {
-		for nth := range 3 { // of the swaps: tables, admission limits, tables again
+		for nth := range 3 { // the swaps are: tables, admission limits, tables again
 			sim := newFileFleet(t, 1, servers)
 			var mu sync.Mutex // swaps are retried from a timer
 			swaps := 0
@@ -42,7 +43,7 @@
 			sim.waitUntil("cut", func() bool {
 				mu.Lock()
 				defer mu.Unlock()
-				if swaps == 2 && !dead { // for a third swap; waitUntil sends it without the lock
+				if swaps == 2 && !dead { // causes a third swap; waitUntil sends it after the lock is released
 					sim.reconciler.Apply(sim.now(), []fleet.Order{fleet.SetWeight{Server: 4, Weight: 0.9}})
 				}
 				return dead
@@ -58,7 +59,7 @@
 			sim.restartController(servers, nil)
 			connections := 0
 			sim.waitUntil(fmt.Sprintf("step %d of swap %d: in the desired state", step, nth), func() bool {
-				if connections < sim.joins[0] { // on a slow disk it may connect twice; its assignment ends with a stream
+				if connections < sim.joins[0] { // on a slow disk it may connect twice; each stream needs an assignment
 					connections = sim.joins[0]
 					sim.applyTable(servers)
 				}
@@ -73,7 +74,8 @@
 	}
 }
 
-// TestReaderNeverSeesPartialFile: while tables are swapped again and again, every reader finds a complete file.
+// TestReaderNeverSeesPartialFile swaps tables repeatedly while other goroutines read the file. Each read must find a
+// complete file.
 func TestReaderNeverSeesPartialFile(t *testing.T) {
 	sim := newFileFleet(t, 1, 200)
 	sim.restartController(200, nil)
@@ -115,8 +117,9 @@
 	}
 }
 
-// TestFullDiskAndManualFileChanges: while the disk is full the old files stay and the reason is reported; once there is
-// room the proxy reaches the desired state. A file that is removed, emptied or damaged is written again.
+// TestFullDiskAndManualFileChanges fills the disk: the old files must stay and the reason must be reported, and the
+// proxy must reach the desired state once there is space. Files that are removed, emptied or damaged by hand must be
+// written again.
 func TestFullDiskAndManualFileChanges(t *testing.T) {
 	const servers = 5
 	sim := newFileFleet(t, 1, servers)
@@ -138,7 +141,7 @@
 		t.Errorf("entry n2 is %q while the disk is full, want the old value", held)
 	}
 	full.Store(false)
-	sim.waitUntil("written once there is room", func() bool { return sim.hasTable(p, servers) && sim.reconciler.Idle() })
+	sim.waitUntil("written once there is space", func() bool { return sim.hasTable(p, servers) && sim.reconciler.Idle() })
 	for what, damage := range map[string]func() error{
 		"removed":   func() error { return os.Remove(path) },
 		"emptied":   func() error { return os.WriteFile(path, nil, 0o644) },
@@ -159,8 +162,8 @@
 	}
 }
 
-// TestDroppedStreamReconnectsWhileAcknowledged: a stream that is dropped while the proxy has acknowledged all files
-// connects again.
+// TestDroppedStreamReconnectsWhileAcknowledged checks that a stream connects again if it was dropped while the proxy
+// had acknowledged all files.
 func TestDroppedStreamReconnectsWhileAcknowledged(t *testing.T) {
 	sim := newFileFleet(t, 1, 3)
 	sim.restartController(3, nil)
@@ -170,15 +173,15 @@
 	sim.waitUntil("connected again", func() bool { return sim.joins[0] == 2 })
 }
 
-// TestSilentProxyIsDroppedAndTakenUpAgain: a proxy that never acknowledges is dropped, and connects again when it
-// acknowledges something new.
+// TestSilentProxyIsDroppedAndTakenUpAgain checks that a proxy that does not acknowledge is dropped, and connects again
+// when it acknowledges something new.
 func TestSilentProxyIsDroppedAndTakenUpAgain(t *testing.T) {
 	const servers = 4
 	sim := newFileFleet(t, 2, servers)
 	sim.restartController(servers, nil)
 	sim.proxies[0].StopAcknowledging(true)
 	sim.applyTable(servers)
-	sim.waitUntil("the other one is served", func() bool { return sim.hasTable(sim.proxies[1], servers) })
+	sim.waitUntil("the other proxy is served", func() bool { return sim.hasTable(sim.proxies[1], servers) })
 	sim.waitUntil("dropped", func() bool { return len(sim.reconciler.Proxies()) == 1 })
 	sim.proxies[0].StopAcknowledging(false)
 	sim.proxies[0].Down()
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -5,16 +5,17 @@
 	"cressknot/internal/gossip"
 )
 
-// gossipInterval is the time between two exchanges; steps are at least as frequent in any case.
+// gossipInterval is the time between two exchanges. It is not shorter than maxStepInterval, so it adds no steps.
 const gossipInterval = fleet.Second / 4
 
-// gossipState is the merged state of other controllers; peers is nil where gossip is off.
+// gossipState is the merged state of other controllers.
 type gossipState struct {
-	peers       *gossip.PeerState
+	peers       *gossip.PeerState // nil if gossip is disabled
 	exchangedAt fleet.Time
 }
 
-// EnableGossip has the controller exchange gossip with others under its name.
+// EnableGossip makes the controller exchange gossip with others under the given name. It is called after the epoch has
+// begun and before the first Step.
 func (c *Core) EnableGossip(name string) { c.gossip.peers = gossip.NewPeerState(name, c.epoch) }
 
 func (c *Core) handleGossip(now fleet.Time, message gossip.Message, out *Output) {
@@ -26,7 +27,7 @@
 	}
 }
 
-// shareListWithGossip gives our own list to the merged state, which compares it with those of peers.
+// shareListWithGossip passes this controller's own list to the merged state, which compares it with those of peers.
 func (c *Core) shareListWithGossip(now fleet.Time) {
 	if c.gossip.peers == nil {
 		return
@@ -45,8 +46,8 @@
 	}
 }
 
-// exchangeGossip applies the server states that follow from the peers' messages, and outputs our own message when one
-// is due.
+// exchangeGossip applies the server states that result from the peers' messages, and outputs this controller's own
+// message when one is due.
 func (c *Core) exchangeGossip(now fleet.Time, out *Output) {
 	if c.gossip.peers == nil || now < c.gossip.exchangedAt+gossipInterval {
 		return
@@ -74,8 +75,8 @@
 	}
 }
 
-// applyPeerState applies state and start of a server as peers report them; listed is false for one that our list
-// lacks.
+// applyPeerState applies the state and start time that peers report for a server. listed is false if the server is not
+// in this controller's list, in which case nothing changes.
 func (c *Core) applyPeerState(name string, as gossip.LocalServer) (endpoint fleet.Endpoint, listed bool) {
 	s, listed := c.endpoints.byName[name]
 	id, known := c.names.Server(name)
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -12,27 +12,27 @@
 	"cressknot/internal/transport"
 )
 
-// Input is something that a step takes in. The types below are all there are.
+// Input is an input of Core.Step: one of the types below.
 type Input interface{ isInput() }
 
 // The inputs of a step.
 type (
-	// TransportEvent is any event of the proxies' transport but a reading of counters.
+	// TransportEvent is an event of the proxy transport other than a reading of counters.
 	TransportEvent struct{ transport.Event }
 	// CountersPolled is a reading of a proxy's counters.
 	CountersPolled transport.CountersPolled
-	// EndpointUpdate is what an endpoint source or a cache has to say.
+	// EndpointUpdate is an update from an endpoint source or a cache.
 	EndpointUpdate discovery.Update
-	// VerificationResult is what came of asking a server of a cached list whether it is there.
+	// VerificationResult is the result of verifying that a server of a cached list exists.
 	VerificationResult struct {
 		Server   fleet.ServerID
 		Evidence verification.Evidence
 	}
-	// GossipMessage is one from another controller.
+	// GossipMessage is a gossip message from another controller.
 	GossipMessage gossip.Message
-	// ProbeResult is what came of probing a server.
+	// ProbeResult is the result of probing a server.
 	ProbeResult fleet.ProbeResult
-	// PushedRecords are load reports that servers pushed. A step does not retain them.
+	// PushedRecords are load reports that servers pushed. The slice is not retained after the step.
 	PushedRecords []ingest.Record
 )
 
@@ -44,7 +44,7 @@
 func (ProbeResult) isInput()        {}
 func (PushedRecords) isInput()      {}
 
-// handle takes one input in.
+// handle dispatches one input by its type.
 func (c *Core) handle(now fleet.Time, in Input, out *Output) {
 	switch in := in.(type) {
 	case TransportEvent:
@@ -85,7 +85,7 @@
 	}
 }
 
-// currentStream reports whether an event is of a proxy's current stream; what an older one delivers is dropped.
+// currentStream reports whether an event belongs to a proxy's current stream. Events of older streams are dropped.
 func (c *Core) currentStream(proxy fleet.ProxyID, stream uint64) bool {
 	return c.proxies.streams[proxy] == stream
 }
@@ -112,7 +112,7 @@
 	c.log(out, LogEntry{now, LevelWarn, "proxy", text})
 }
 
-// handleUnreachable logs each reason once: a proxy may be away for hours.
+// handleUnreachable logs a reason only when it changes, as a proxy may be unreachable for hours.
 func (c *Core) handleUnreachable(now fleet.Time, event transport.Unreachable, out *Output) {
 	reason := event.Err.Error()
 	if c.proxies.unreachable[event.Proxy] == reason {
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -23,18 +23,18 @@
 	"cressknot/internal/transport"
 )
 
-// backlogDelay is the time before a step that takes what the last one had no room for, so that urgent inputs come
-// between.
+// backlogDelay is the pause before a step that handles the remaining inputs of the last one, so that urgent inputs can
+// arrive in between.
 const backlogDelay = 5 * fleet.Millisecond
 
-// The histogram of step durations, in nanoseconds.
+// Range, in nanoseconds, and significant digits of the histogram of step durations.
 const (
 	minStepDuration    = int64(time.Microsecond)
 	maxStepDuration    = int64(time.Hour)
 	stepDurationDigits = 3
 )
 
-// Loop runs a Core: one goroutine that owns it, a mailbox, a clock and a timer.
+// Loop runs a Core in one goroutine, with a mailbox for its inputs, a clock and a timer.
 type Loop struct {
 	core     *Core
 	names    *Names
@@ -44,55 +44,57 @@
 	name     string // of the controller
 	prober   prober
 	recorder stepRecorder
-	calls    chan func(*Core) // what Do has to run
+	calls    chan func(*Core) // functions passed to Do
 	timings  stepTimings
 
 	transport        transport.Transport
 	source           discovery.EndpointSource
-	leases           transport.LeaseTransport     // nil where proxies are not shared
+	leases           transport.LeaseTransport     // nil if proxies are not shared with other controllers
 	series           Series                       // may be nil
 	store            *store.Store                 // may be nil
 	sendGossip       func(gossip.Message)         // may be nil
 	onPublishedState func(service.PublishedState) // may be nil
-	cachePath        string
+	cachePath        string                       // "" for no cache
 
-	probesCtx context.Context // ends with Run
-	probes    sync.WaitGroup  // probes and verifications on their way
+	probesCtx context.Context // cancelled when Run returns
+	probes    sync.WaitGroup  // running probes and verifications
 }
 
-// stepTimings counts steps and holds the histogram of their durations.
+// stepTimings counts steps and records their durations. It is safe for concurrent use.
 type stepTimings struct {
 	mu        sync.Mutex
 	durations *hdrhistogram.Histogram
 	steps     uint64
 }
 
-// Options are what a Loop is made of.
+// Options configures a Loop.
 type Options struct {
 	Core             *Core
 	Names            *Names
 	Transport        transport.Transport
 	Source           discovery.EndpointSource
 	Log              zerolog.Logger
-	CachePath        string                       // file that holds the last endpoint list; "" for none
-	CachedList       *discovery.Update            // a cached list to start from, if any
-	VerificationMode string                       // how servers of it are verified
-	ProbePath        string                       // of the URL of probes
-	Series           Series                       // of reports, for operators; may be nil
-	Store            *store.Store                 // of what must survive a restart; may be nil
-	SendGossip       func(gossip.Message)         // carries messages to other controllers; may be nil
-	Leases           transport.LeaseTransport     // where other controllers may serve the same proxies; else nil
+	CachePath        string                       // file that caches the endpoint list; "" for none
+	CachedList       *discovery.Update            // cached list to start from; nil for none
+	VerificationMode string                       // how servers of the cached list are verified: VerifyBy...
+	ProbePath        string                       // path of the URL that probes request
+	Series           Series                       // time series for operators; may be nil
+	Store            *store.Store                 // state that must survive a restart; may be nil
+	SendGossip       func(gossip.Message)         // sends a message to other controllers; may be nil
+	Leases           transport.LeaseTransport     // nil unless other controllers may serve the same proxies
 	Name             string                       // of the controller
-	OnPublishedState func(service.PublishedState) // called with what the service's clients see; may be nil
+	OnPublishedState func(service.PublishedState) // receives the state for clients of the service; may be nil
 }
 
-// Series holds what proxies met at servers over time.
+// Series stores the outcomes that proxies counted at each server over time.
 type Series interface {
+	// Add adds what one reading of counters adds. The loop's goroutine calls it.
 	Add(ingest.CounterDelta)
+	// Read returns the points of a server since a time, and how many stored points were damaged.
 	Read(server fleet.ServerID, from fleet.Time) (points []timeseries.Point, damaged int, err error)
 }
 
-// NewLoop makes a loop that Run runs.
+// NewLoop returns a Loop for Options.Core, which the Loop owns from then on. It does nothing until Run is called.
 func NewLoop(o Options) *Loop {
 	l := &Loop{
 		core:    o.Core,
@@ -127,10 +129,10 @@
 	return l
 }
 
-// Now is the time of the controller's clock.
+// Now returns the current time of the controller's clock.
 func (l *Loop) Now() fleet.Time { return l.clock.Now() }
 
-// receiveTransport is the transport's sink.
+// receiveTransport receives the events of the transport.
 func (l *Loop) receiveTransport(event transport.Event) {
 	if reading, ok := event.(transport.CountersPolled); ok {
 		reading.Reading.At = l.Now()
@@ -140,25 +142,27 @@
 	l.mailbox.put(TransportEvent{event})
 }
 
-// receiveEndpoints is the endpoint source's sink.
+// receiveEndpoints receives the updates of the endpoint source.
 func (l *Loop) receiveEndpoints(update discovery.Update) { l.mailbox.put(EndpointUpdate(update)) }
 
-// Push takes in load reports that servers pushed, and gives the answer for their sender.
+// Push queues load reports that servers pushed, and returns the reply to their sender. It may be called from any
+// goroutine.
 func (l *Loop) Push(records []ingest.Record) ingest.Reply {
 	reply := l.mailbox.pushed.Put(l.Now(), records)
 	l.mailbox.wake()
 	return reply
 }
 
-// ReceiveGossip takes in a message of another controller.
+// ReceiveGossip queues a message of another controller. It may be called from any goroutine.
 func (l *Loop) ReceiveGossip(message gossip.Message) { l.mailbox.putGossip(message) }
 
-// Notice writes a line to the process's log.
+// Notice writes an entry to the process log. Operators' "show log" does not include it.
 func (l *Loop) Notice(level Level, source, text string) {
 	l.writeLog(LogEntry{l.Now(), level, source, text})
 }
 
-// Do runs a function in the loop's goroutine, between two steps.
+// Do runs a function in the loop's goroutine between two steps, and waits until it has returned. It returns an error,
+// without having run the function, if the context ends before the loop accepts it.
 func (l *Loop) Do(ctx context.Context, call func(*Core)) error {
 	done := make(chan struct{})
 	run := func(c *Core) {
@@ -174,9 +178,10 @@
 	return nil
 }
 
-// Run decides until the context ends; then messages in hand leave for as long as stopTimeout allows, and streams close.
+// Run starts the transport and the endpoint source and runs the control loop until the context ends. Then it sends the
+// messages that still wait, for at most stopTimeout, and stops the transport. Run is called once.
 func (l *Loop) Run(ctx context.Context, stopTimeout time.Duration) error {
-	inner, cancel := context.WithCancel(context.WithoutCancel(ctx)) // outlives ctx by the drain
+	inner, cancel := context.WithCancel(context.WithoutCancel(ctx)) // stays valid during the drain
 	defer l.probes.Wait()                                           // after cancel
 	defer cancel()
 	l.probesCtx = inner
@@ -204,7 +209,7 @@
 	return l.drain(inner, stopTimeout)
 }
 
-// step takes one step of the core and carries out what it gives. It returns when the next one is due.
+// step runs one step of the core and executes its output. It returns the time at which the next step is due.
 func (l *Loop) step() fleet.Time {
 	inputs, more := l.mailbox.collect(l.core.pipeline.TurnLimits())
 	now := l.Now()
@@ -225,7 +230,7 @@
 	return out.NextStep
 }
 
-// execute does what a step wants done outside the core.
+// execute performs the actions of a step outside the core, except recording and persisting.
 func (l *Loop) execute(out *Output) {
 	for _, id := range out.TrustChanges {
 		l.mailbox.pushed.Distrust(id, l.core.pipeline.UntrustedUntil(id))
@@ -266,7 +271,7 @@
 	}
 }
 
-// startProbes starts probes and verifications; their results come as inputs of later steps.
+// startProbes starts probes and verifications. Their results are inputs of later steps.
 func (l *Loop) startProbes(out *Output) {
 	for _, id := range out.Probes {
 		l.probes.Go(func() { l.mailbox.put(l.prober.probe(l.probesCtx, id)) })
@@ -276,7 +281,8 @@
 	}
 }
 
-// persist hands changes to the store, which never makes the loop wait; done, if any, is called once they are on disk.
+// persist passes changes to the store without waiting for the disk. done, if not nil, is called once they are on disk,
+// or with the error that prevents it.
 func (l *Loop) persist(changes []store.Change, done func(error)) {
 	if l.store == nil || len(changes) == 0 && done == nil {
 		return
@@ -289,10 +295,11 @@
 	}
 }
 
-// errNotPersisted is the answer to operators where what they set is not on disk.
+// errNotPersisted is returned to operators if their change was not on disk before their request timed out.
 var errNotPersisted = errors.New("store did not confirm the write in time")
 
-// WaitPersisted waits until all that was decided so far is on disk, and gives what prevents that.
+// WaitPersisted waits until all state changes so far are on disk, or returns the error that prevents it. It returns nil
+// at once if the controller has no store.
 func (l *Loop) WaitPersisted(ctx context.Context) error {
 	if l.store == nil {
 		return nil
@@ -323,7 +330,7 @@
 		Msg("controller notice")
 }
 
-// drain lets messages in hand leave, then stops the transport and closes the event log.
+// drain sends the messages that still wait, for at most the timeout, then stops the transport and closes the event log.
 func (l *Loop) drain(ctx context.Context, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -347,8 +354,9 @@
 	return errors.Join(l.transport.Stop(ctx), l.recorder.close())
 }
 
-// RecordTo begins to record the balancer's steps to a file, or ends that with "". A replay needs all steps since the
-// start of the controller: a recording that began later serves to read, not to replay.
+// RecordTo starts recording the balancer's steps to a file, in place of the current recording; an empty path stops
+// recording. Only a recording since the start of the controller can be replayed, as a replay needs all steps; a later
+// one can only be read.
 func (l *Loop) RecordTo(path string, start eventlog.Header) error {
 	if err := l.recorder.close(); err != nil {
 		l.log.Error().Err(err).Msg("closing the event log failed")
@@ -363,11 +371,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.steps++
-	_ = t.durations.RecordValue(min(maxStepDuration, max(minStepDuration, int64(duration)))) // always in its range
+	_ = t.durations.RecordValue(min(maxStepDuration, max(minStepDuration, int64(duration)))) // always within range
 }
 
-// StepDurations gives how long steps took, in nanoseconds at the quantiles asked for (0 to 100), and how many there
-// were.
+// StepDurations returns step durations in nanoseconds at the given quantiles, in percent (0 to 100), and the number of
+// steps. It may be called from any goroutine.
 func (l *Loop) StepDurations(quantiles ...float64) (nanoseconds []int64, steps uint64) {
 	t := &l.timings
 	t.mu.Lock()
--- a/internal/controller/loop_bench_test.go
+++ b/internal/controller/loop_bench_test.go
@@ -15,8 +15,9 @@
 	"cressknot/internal/transport"
 )
 
-// BenchmarkLoop runs a core without sockets at the size of a fleet: each op is a simulated second with polls of all
-// proxies, 1,000 reports per second and all messages answered. It prints the duration of steps and decisions.
+// BenchmarkLoop runs a core without sockets for fleets of several sizes. Each iteration is a simulated second with
+// polls of all proxies, 1,000 reports and answers to all messages. It reports the durations of all steps and of those
+// in which the balancer took a step.
 func BenchmarkLoop(b *testing.B) {
 	for _, size := range [][2]int{{175, 232}, {350, 465}, {700, 930}, {1400, 1860}} {
 		b.Run(fmt.Sprintf("servers=%d/proxies=%d", size[0], size[1]), func(b *testing.B) {
@@ -101,7 +102,7 @@
 					inputs = append(inputs, answered(m))
 				}
 				for _, id := range out.Polls {
-					for range 9 { // requests of a second
+					for range 9 { // requests of one second
 						s := fleet.ServerID(rng.IntN(servers))
 						row := &serverRows[id][s]
 						row.Attempts++
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -11,21 +11,22 @@
 	"cressknot/internal/transport"
 )
 
-// mailbox gathers the inputs of the next step from any goroutine. It is bounded without losing anything that counts:
-// lists, connections, answers and probes are never dropped or merged; of counters, which are sums, the newest reading
-// of a stream is enough; of gossip the newest message of each controller is; of pushed reports the queue takes care.
+// mailbox collects the inputs of the next step from any goroutine. Endpoint lists, connections, answers and probe
+// results are never dropped or merged. Memory for the rest is bounded without loss of information: of the counters,
+// which are sums, only the newest reading of a stream is kept; of gossip, only the newest message of each controller;
+// ingest.Queue bounds pushed reports.
 type mailbox struct {
-	notify chan struct{} // has room for one: set while inputs wait
+	notify chan struct{} // capacity 1; signalled while inputs wait
 	pushed *ingest.Queue
 
 	mu               sync.Mutex
 	urgent           []Input
 	readings         []CountersPolled // oldest first
 	readingIndex     map[fleet.ProxyID]int
-	gossip           map[string]gossip.Message // by the name of the controller
+	gossip           map[string]gossip.Message // by name of the controller
 	replacedReadings uint64
 
-	// Buffers of collect, which one goroutine calls.
+	// Buffers that collect reuses; only one goroutine calls it.
 	inputs  []Input
 	records []ingest.Record
 }
@@ -39,7 +40,7 @@
 	}
 }
 
-// wake has the loop take a step soon.
+// wake signals the loop to take a step. It never blocks.
 func (m *mailbox) wake() {
 	select {
 	case m.notify <- struct{}{}:
@@ -55,7 +56,7 @@
 	m.wake()
 }
 
-// putReading adds a reading, in place of one of the same stream that still waits.
+// putReading adds a reading. It replaces a reading of the same stream that no step has handled yet.
 func (m *mailbox) putReading(reading transport.CountersPolled) {
 	m.mu.Lock()
 	at, waiting := m.readingIndex[reading.Proxy]
@@ -71,8 +72,8 @@
 	m.wake()
 }
 
-// putGossip adds a message, in place of an older one of the same controller. Messages of more than
-// gossip.MaxControllers controllers are dropped, so that a flood fills no memory.
+// putGossip adds a message. It replaces an older one of the same controller. Messages of more than
+// gossip.MaxControllers controllers are dropped to bound memory use during a flood.
 func (m *mailbox) putGossip(message gossip.Message) {
 	m.mu.Lock()
 	old, waiting := m.gossip[message.Controller]
@@ -85,8 +86,9 @@
 	m.wake()
 }
 
-// collect gives what the next step takes in: all that is urgent, then readings of at most maxRows rows and at most
-// maxPushed pushed records. More reports that some wait. The slice is valid until the next call.
+// collect returns the inputs of the next step: all urgent inputs, readings up to a total of maxRows rows, all gossip
+// messages, and at most maxPushed pushed records. more reports that some inputs remain. The slice is valid until the
+// next call.
 func (m *mailbox) collect(maxPushed, maxRows int) (inputs []Input, more bool) {
 	m.mu.Lock()
 	inputs = append(m.inputs[:0], m.urgent...)
@@ -107,7 +109,8 @@
 	return inputs, more || waiting > 0
 }
 
-// collectReadings takes readings while there is room for rows; at least one row counts for each. The caller holds mu.
+// collectReadings moves readings to the inputs until maxRows rows are reached; each reading counts as at least one row.
+// The caller must hold mu.
 func (m *mailbox) collectReadings(inputs []Input, maxRows int) []Input {
 	taken := 0
 	for taken < len(m.readings) && maxRows > 0 {
@@ -123,7 +126,7 @@
 	return inputs
 }
 
-// replaced gives how many readings were replaced by newer ones before a step took them.
+// replaced returns how many readings were replaced by newer ones before a step handled them.
 func (m *mailbox) replaced() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/controller/persist.go
+++ b/internal/controller/persist.go
@@ -14,11 +14,12 @@
 	"cressknot/internal/tableversion"
 )
 
-// snapshotInterval is the number of deltas after which a full table is persisted anew: a start folds no more.
+// snapshotInterval is the number of deltas after which a full table is persisted again. It bounds the deltas that a
+// restart has to apply to a snapshot.
 const snapshotInterval = 64
 
-// The records that survive a restart, as JSON. docs/design/store.md says what is persisted and why; keys and tags are
-// read by later programs and never change.
+// The persisted records, encoded as JSON. docs/design/store.md describes what is persisted and why. Keys and tags must
+// never change, as later versions of the program read them.
 type (
 	persistedEpoch struct {
 		Epoch uint64     `json:"epoch"`
@@ -57,11 +58,11 @@
 		Revision    uint64     `json:"rev"`
 		ConfirmedAt fleet.Time `json:"at"` // when the source last confirmed the list
 		Entries     int        `json:"entries"`
-		Digest      string     `json:"digest,omitempty"` // of all entries
+		Digest      string     `json:"digest,omitempty"` // of all entries; "" in records without one
 	}
 )
 
-// EpochKey is the key of the record of the epoch.
+// EpochKey is the store key of the record that holds the controller's latest epoch (Restored.Epoch).
 const EpochKey = "epoch"
 
 const pinKeyFormat = "pin/%05d"
@@ -69,14 +70,14 @@
 // listGenerations is the number of endpoint lists that are persisted: the current one and the one before it.
 const listGenerations = 2
 
-// persister knows what of the core is persisted, so that only what changed is written again.
+// persister tracks which state is persisted, so that only changes are written.
 type persister struct {
 	enabled       bool
 	tables        map[fleet.TableID]*persistedTable
 	pins          map[fleet.TableID]reconcile.Pin
 	manualWeights map[string]persistedManualWeight
 	list          persistedListHead
-	// entries are those of the persisted lists, each at its generation modulo listGenerations.
+	// entries are the entries of the persisted lists; the index is the generation modulo listGenerations.
 	entries [listGenerations]map[string]discovery.Endpoint
 }
 
@@ -114,7 +115,7 @@
 	return store.Key(append([]string{"list", slot}, parts...)...)
 }
 
-// namedEntries gives table entries by the names of their servers, as ids end with the process.
+// namedEntries replaces the server ids of table entries by names, as ids are only valid within one process.
 func (c *Core) namedEntries(entries []tableversion.Entry) []persistedEntry {
 	named := make([]persistedEntry, len(entries))
 	for i, e := range entries {
@@ -123,7 +124,7 @@
 	return named
 }
 
-// tableEntries is the inverse of namedEntries.
+// tableEntries is the inverse of namedEntries. It assigns ids to unknown names.
 func (c *Core) tableEntries(named []persistedEntry) []tableversion.Entry {
 	entries := make([]tableversion.Entry, len(named))
 	for i, e := range named {
@@ -132,7 +133,7 @@
 	return entries
 }
 
-// persistChanges gives what has changed, since it was called last, of the tables, pins and manual weights.
+// persistChanges returns the changes of tables, pins and manual weights since the last call.
 func (c *Core) persistChanges() (changes []store.Change) {
 	if !c.persister.enabled {
 		return nil
@@ -146,8 +147,8 @@
 	return c.persistManualWeights(changes)
 }
 
-// persistTable adds the new deltas of a table, forgets those that the table has forgotten, and adds a snapshot where
-// one is due.
+// persistTable adds the new deltas of a table, deletes those that the table no longer holds, and adds a snapshot when
+// one is due: after snapshotInterval deltas, or if the deltas since the last snapshot are no longer complete.
 func (c *Core) persistTable(changes []store.Change, id fleet.TableID, table *tableversion.Table) []store.Change {
 	t := c.persister.tables[id]
 	if t == nil {
@@ -224,8 +225,8 @@
 	return changes
 }
 
-// persistEndpoints writes a list beside the one before: a record for each entry, so that a damaged one costs itself
-// only, and last the head that makes the list count.
+// persistEndpoints writes a list next to the previous one. Each entry has its own record, so that a damaged record
+// loses only that entry. The head is written last; a list without its head is ignored.
 func (c *Core) persistEndpoints(confirmedAt fleet.Time, list *discovery.EndpointList) (changes []store.Change) {
 	p := &c.persister
 	if !p.enabled {
@@ -233,7 +234,7 @@
 	}
 	generation := p.list.Generation + 1
 	digest := endpointsDigest(list.Endpoints)
-	if p.list.Generation > 0 && digest == p.list.Digest { // the same list, confirmed: the one before it stays
+	if p.list.Generation > 0 && digest == p.list.Digest { // the same list, confirmed again: keep the previous one
 		generation = p.list.Generation
 	}
 	persisted := p.entries[generation%listGenerations]
@@ -256,11 +257,11 @@
 	return append(changes, store.Change{Key: listKey(slot, "head"), Value: p.list})
 }
 
-// endpointsDigest gives a checksum of a full list, whatever the order of its entries.
+// endpointsDigest returns a checksum of a full list that does not depend on the order of its entries.
 func endpointsDigest(endpoints []discovery.Endpoint) string {
 	sum := uint64(0)
 	for _, e := range endpoints {
-		text, _ := json.Marshal(e) // strings and numbers always encode
+		text, _ := json.Marshal(e) // strings and numbers can always be encoded
 		sum += xxhash.Sum64(text)
 	}
 	return fmt.Sprintf("%016x", sum)
--- a/internal/controller/persist_test.go
+++ b/internal/controller/persist_test.go
@@ -18,7 +18,7 @@
 	"cressknot/internal/tableversion"
 )
 
-// storedController is a controller with its store, without sockets: what must be persisted is written at once.
+// storedController is a core with its store and without sockets. Tests write all changes to the store synchronously.
 type storedController struct {
 	core     *Core
 	store    *store.Store
@@ -75,7 +75,7 @@
 	}
 }
 
-// persistentState prints all that must survive a restart.
+// persistentState formats all state that must survive a restart.
 func (stored *storedController) persistentState() string {
 	var b strings.Builder
 	for _, id := range stored.core.reconciler.TableIDs() {
@@ -102,9 +102,9 @@
 	return b.String() + strings.Join(manualWeights, "")
 }
 
-// TestRestoreGivesPersistedState runs controllers one after the other, each killed at a random moment, some with a
-// clock that was set back: each restores exactly the versions, pins and weights before, its versions come after all
-// earlier ones, and the history of a table continues without a gap.
+// TestRestoreGivesPersistedState runs a sequence of controllers on one store. Each is killed after a random number of
+// steps, and some start with a clock that was set back. Each must restore exactly the versions, pins and weights of its
+// predecessor, its versions must be later than all earlier ones, and the history of a table must have no gap.
 func TestRestoreGivesPersistedState(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 9))
@@ -120,7 +120,7 @@
 			stored.persist(t, stored.core.Step(now, nil).Persist)
 			for range rng.IntN(150) {
 				now += fleet.Second / 10
-				if rng.IntN(60) == 0 { // half a day: the oldest versions are forgotten
+				if rng.IntN(60) == 0 { // more than half a day, so that the oldest versions are deleted
 					now += 13 * 3600 * fleet.Second
 				}
 				id := fleet.TableID(rng.IntN(2))
@@ -156,7 +156,7 @@
 			_ = stored.store.Close()
 			mem = clone
 			if rng.IntN(3) == 0 {
-				now -= fleet.Time(rng.IntN(60)) * fleet.Second // the clock is set back; pins end no later by it
+				now -= fleet.Time(rng.IntN(60)) * fleet.Second // the clock is set back, which must not prolong pins
 				stored := startController(t, mem, now)
 				before = stored.persistentState()
 				if !strings.Contains(before, "table") && len(newest) > 0 {
@@ -170,9 +170,9 @@
 	}
 }
 
-// TestRestoreChoosesNewestCompleteList: of two generations the newer one counts; a damaged entry costs itself, is
-// reported, and entries of the generation before replace it unverified; a list without its head does not count; one
-// that is confirmed replaces no other.
+// TestRestoreChoosesNewestCompleteList checks which of the two persisted generations is used: the newer one, unless its
+// head is missing. A damaged entry is reported and only that entry is lost; entries of the previous generation then
+// replace it as unverified. A list that is confirmed again must not overwrite the previous generation.
 func TestRestoreChoosesNewestCompleteList(t *testing.T) {
 	mem := vfs.NewCrashableMem()
 	stored := startController(t, mem, fleet.Second)
@@ -200,21 +200,21 @@
 	stored = restart(7, 5, 0, 0)
 	stored.persist(t, stored.core.persistEndpoints(12*fleet.Second, &list))
 	stored = restart(8, 4, 0, 0)
-	stored.persist(t, stored.core.persistEndpoints(13*fleet.Second, &list)) // confirmed
+	stored.persist(t, stored.core.persistEndpoints(13*fleet.Second, &list)) // the same list, confirmed again
 	if len(stored.restored.Lists) != 2 {
 		t.Errorf("%d list generations were restored, want 2", len(stored.restored.Lists))
 	}
 	stored = restart(8, 4, 0, 0)
 	stored.persist(t, []store.Change{{Key: "list/0/entry/s2", Value: "no server"}})
-	stored = restart(8, 5, 1, 2) // the entry; s2 and s4 are in the generation before
+	stored = restart(8, 5, 1, 2) // the damaged entry; s2 and s4 come from the previous generation
 	list.Revision = 9
 	stored.persist(t, stored.core.persistEndpoints(14*fleet.Second, &list))
 	stored = restart(9, 4, 0, 0)
 	_ = stored.store.Close()
 }
 
-// BenchmarkRestore is a start after a day at 700 servers: three tables with a version of 20 entries every 2 s, and the
-// endpoint list.
+// BenchmarkRestore measures a restart after a day with 700 servers: three tables, each with a version of 20 entries
+// every 2 s, and the endpoint list.
 func BenchmarkRestore(b *testing.B) {
 	folder := b.TempDir()
 	s, err := store.Open(store.Options{Directory: folder})
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	maxProbeBody = 1 << 12  // bytes read of a probe's answer
-	loadUnit     = 1000     // load figures are in thousandths, as proxies hold whole numbers
-	loadHeader   = "X-Load" // of a probe's answer: load figures, separated by commas
+	maxProbeBody = 1 << 12  // bytes read from a probe's response
+	loadUnit     = 1000     // loads are in thousandths, as proxies hold integers
+	loadHeader   = "X-Load" // of a probe's response: loads, separated by commas
 	serverHeader = "X-Server"
 )
 
-// Ways to verify servers of a cached list, as settings name them. Any other value means VerifyByConnection.
+// The verification modes for servers of a cached list, as written in the settings. Any other value means
+// VerifyByConnection.
 const (
 	VerifyByConnection = "connect"
 	VerifyByProbe      = "probe"
-	VerifyByOutcomes   = "answers" // by what proxies meet there: servers aren't asked themselves
+	VerifyByOutcomes   = "answers" // by the outcomes of proxies' requests, without contacting servers
 )
 
-// prober asks servers over the network. Each call takes at most reconcile.DialTimeout.
+// prober probes and verifies servers over the network. Each call takes at most reconcile.DialTimeout.
 type prober struct {
 	names            *Names
-	path             string // of probes
+	path             string // of the probe URL
 	verificationMode string
 }
 
-// get asks a server by a probe, and gives the answer with its body closed.
+// get sends a probe request to a server and returns the response with its body closed.
 func (p *prober) get(ctx context.Context, addr string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+p.path, nil)
 	if err != nil {
@@ -45,12 +46,12 @@
 	if err != nil {
 		return nil, err
 	}
-	_, _ = io.CopyN(io.Discard, response.Body, maxProbeBody) // lets the connection be used again
+	_, _ = io.CopyN(io.Discard, response.Body, maxProbeBody) // so that the connection can be reused
 	_ = response.Body.Close()
 	return response, nil
 }
 
-// probe asks a server for its health and load.
+// probe requests a server's health and load. Failures are outcomes of the result.
 func (p *prober) probe(ctx context.Context, id fleet.ServerID) ProbeResult {
 	_, addr := p.names.Lookup(id)
 	startedAt := time.Now()
@@ -75,8 +76,8 @@
 	return result
 }
 
-// verify asks a server of a cached list whether it is there: by a connection, or by a probe whose answer may name the
-// server that gives it.
+// verify checks that a server of a cached list exists: by a TCP connection, or by a probe whose response may contain
+// the name of the server that sent it.
 func (p *prober) verify(ctx context.Context, id fleet.ServerID) VerificationResult {
 	name, addr := p.names.Lookup(id)
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(reconcile.DialTimeout))
@@ -105,7 +106,7 @@
 	return result
 }
 
-// parseLoad reads load figures up to the first that is no number.
+// parseLoad parses loads up to the first that is not a number.
 func parseLoad(text string) (load []float32) {
 	for _, field := range strings.Split(text, ",") {
 		thousandths, err := strconv.ParseUint(field, 10, 32)
--- a/internal/controller/recording.go
+++ b/internal/controller/recording.go
@@ -14,11 +14,11 @@
 // stepRecorder writes the balancer's steps to an event log while one is open.
 type stepRecorder struct {
 	mu     sync.Mutex
-	writer *eventlog.Writer // nil: nothing is recorded
+	writer *eventlog.Writer // nil if nothing is recorded
 	file   io.Closer
 }
 
-// open begins a new event log, in place of the one that is open.
+// open starts a new event log. An event log that is open must be closed first.
 func (r *stepRecorder) open(path string, start eventlog.Header) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -26,7 +26,7 @@
 	}
 	writer, err := eventlog.NewWriter(file, start)
 	if err != nil {
-		_ = file.Close() // the first error counts
+		_ = file.Close() // the first error is returned
 		return fmt.Errorf("setting records: write header of event log %s: %w", path, err)
 	}
 	r.mu.Lock()
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// record writes a step. After an error, which it gives once, nothing more is recorded.
+// record writes a step, if an event log is open. An error ends the recording: it is returned once and nothing more is
+// recorded.
 func (r *stepRecorder) record(now fleet.Time, out Output, names *Names) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,7 +50,7 @@
 	})
 	err := r.writer.Flush()
 	if err != nil {
-		_ = r.file.Close() // the first error counts
+		_ = r.file.Close() // the first error is returned
 		r.writer = nil
 		r.file = nil
 	}
--- a/internal/controller/report_flood_test.go
+++ b/internal/controller/report_flood_test.go
@@ -14,9 +14,9 @@
 	"cressknot/internal/transport"
 )
 
-// runUnderFlood simulates 40 seconds of 30 servers of three sizes and 16 proxies: requests follow the weights that were
-// sent, servers push their loads, and other reporters push flood records per second. It gives the last weights, the
-// longest wait of a record of a server itself, and the totals of reports.
+// runUnderFlood simulates 40 seconds of 30 servers of three sizes and 16 proxies. Requests follow the weights that were
+// sent, servers push their loads, and other reporters push flood records per second. It returns the last weights, the
+// longest time that a server's own record waited, and the totals of reports.
 func runUnderFlood(t *testing.T, flood int) (weights map[string]float64, longestWait fleet.Time, totals ingest.Totals) {
 	const servers, proxies = 30, 16
 	s := fleet.Second
@@ -77,14 +77,14 @@
 	var remainders [proxies][servers]float64
 	for i := range published {
 		published[i] = 1
-		for p := range remainders { // the same requests in each run, spread over the proxies
+		for p := range remainders { // the same for each run, spread over the proxies
 			remainders[p][i] = float64(p*7%proxies) / proxies
 		}
 	}
 	var taken []ingest.Record
 	const tick = 10 * fleet.Millisecond
 	for end := now + 40*s; now < end; now += tick {
-		if now%s == 0 { // the requests of a second, by the published weights
+		if now%s == 0 { // one second of requests, distributed by the published weights
 			total := 0.0
 			for _, w := range published {
 				total += w
@@ -106,7 +106,7 @@
 				handled[i] += rate
 			}
 		}
-		for i := range servers { // each pushes once a second, at its own time
+		for i := range servers { // each server pushes once per second, at its own offset
 			if int(now/tick)%100 == i*3 {
 				queue.Put(now, []ingest.Record{{
 					Server:   fleet.ServerID(i),
@@ -119,7 +119,7 @@
 			}
 		}
 		for range flood / 100 {
-			// Reporters in a loop, late and repeated records, servers that are not listed, impossible figures.
+			// Senders that repeat without pause, late and repeated records, unlisted servers and impossible values.
 			i := rng.IntN(300)
 			r := ingest.Record{Server: fleet.ServerID(i), Stated: now, Arrived: now, HasLoad: true}
 			if rng.IntN(2) == 0 {
@@ -182,8 +182,8 @@
 }
 
 // TestReportFloodLeavesWeightsUnchanged compares a run without a flood with floods of 10,000 and 100,000 useless
-// reports per second: weights differ by less than 5 % of an even share, totals are the same, and no record of a
-// server itself waits for more than 100 ms.
+// reports per second. Weights may differ by at most 5 % of an even share, the totals by at most 1 %, and no record of a
+// server itself may wait for more than 100 ms.
 func TestReportFloodLeavesWeightsUnchanged(t *testing.T) {
 	baseline, _, baselineTotals := runUnderFlood(t, 0)
 	lowest := math.Inf(1)
--- a/internal/controller/restore.go
+++ b/internal/controller/restore.go
@@ -15,17 +15,17 @@
 	"cressknot/internal/tableversion"
 )
 
-// Restored says what a controller has restored from its store.
+// Restored describes what a controller has restored from its store.
 type Restored struct {
-	Epoch         persistedEpoch
-	Lists         []verification.Generation[discovery.Endpoint] // as they were persisted
-	Unreadable    []string                                      // records that were there and can't be used
-	Tables        int
-	Pins          int
-	ManualWeights int
+	Epoch         persistedEpoch                                // the new epoch, to be stored under EpochKey
+	Lists         []verification.Generation[discovery.Endpoint] // the latest confirmed first
+	Unreadable    []string                                      // records that exist but can't be used, with the reason
+	Tables        int                                           // number of restored tables
+	Pins          int                                           // number of restored pins that have not expired
+	ManualWeights int                                           // number of restored weights that have not expired
 }
 
-// storedState is all that a store holds of a controller, as it was read.
+// storedState holds the decoded records of a store.
 type storedState struct {
 	epoch         persistedEpoch
 	snapshots     map[fleet.TableID]persistedSnapshot
@@ -37,8 +37,9 @@
 	endpoints     [listGenerations][]discovery.Endpoint
 }
 
-// Restore takes over what was persisted, before the first step, and begins a new epoch after all before it, whatever
-// the clock says. What is damaged is left out and reported.
+// Restore restores the persisted state and begins a new epoch, which is later than all earlier ones even if the clock
+// was set back. It must be called before the first Step. Damaged records are skipped and reported in Unreadable. If the
+// store can't be read, Restore returns an error, and the epoch as far as it was read.
 func (c *Core) Restore(now fleet.Time, s *store.Store) (Restored, error) {
 	var restored Restored
 	stored := storedState{
@@ -71,8 +72,8 @@
 	return restored, nil
 }
 
-// decode reads one record. Records of unknown keys are skipped. One that can't be read counts with what of it could
-// be, but for entries of lists, which are left out.
+// decode decodes one record. Records with unknown keys are skipped. Of a record that can't be decoded completely, the
+// decoded part is used, except for list entries, which are skipped.
 func (s *storedState) decode(key string, payload []byte) error {
 	var table fleet.TableID
 	var slot int
@@ -124,13 +125,13 @@
 	return value, err
 }
 
-// parseKey reads the parts of a record's key, by a format of fmt.Sscanf.
+// parseKey parses the parts of a record's key with a format of fmt.Sscanf. It reports whether all were parsed.
 func parseKey(key, format string, into ...any) bool {
 	n, err := fmt.Sscanf(key, format, into...)
 	return err == nil && n == len(into)
 }
 
-// restoreTables restores tables in the order of their numbers, so that servers get the same ids each time.
+// restoreTables restores tables in the order of their ids, so that servers get the same ids on each restart.
 func (c *Core) restoreTables(restored *Restored, stored *storedState) {
 	for _, id := range slices.Sorted(maps.Keys(stored.snapshots)) {
 		snapshot := stored.snapshots[id]
@@ -148,7 +149,7 @@
 		}
 		entries := c.tableEntries(snapshot.Entries)
 		table, err := c.reconciler.RestoreVersions(snapshot.Version, snapshot.Digest, entries, deltas)
-		if err != nil { // its versions begin anew; what proxies hold is read back as always
+		if err != nil { // the table starts without history; the entries at proxies are read back when they connect
 			restored.Unreadable = append(restored.Unreadable, fmt.Sprintf("versions of table %d can't be restored: %v", id, err))
 			continue
 		}
@@ -163,7 +164,8 @@
 	}
 }
 
-// restorePins takes over the pins that have not ended. A clock that went back makes none longer.
+// restorePins restores the pins that have not expired. Pins that end later than the maximum duration allows are
+// dropped: otherwise a clock that was set back would prolong them.
 func (c *Core) restorePins(now fleet.Time, restored *Restored, pins map[fleet.TableID]persistedPin) {
 	for _, id := range slices.Sorted(maps.Keys(pins)) {
 		p := pins[id]
@@ -176,7 +178,8 @@
 	}
 }
 
-// restoreManualWeights takes over the manual weights that have not ended. A clock that went back makes none longer.
+// restoreManualWeights restores the manual weights that have not expired. As with pins, those that end later than the
+// maximum duration allows are dropped.
 func (c *Core) restoreManualWeights(now fleet.Time, restored *Restored, weights map[string]persistedManualWeight) {
 	for _, key := range slices.Sorted(maps.Keys(weights)) {
 		w := weights[key]
@@ -196,8 +199,8 @@
 	}
 }
 
-// restoreLists returns both generations with their readable entries, the latest confirmed first; persisting continues
-// from the newer one.
+// restoreLists adds the persisted generations of the endpoint list with their readable entries to Restored.Lists, the
+// latest confirmed first. Persisting continues from the newer generation.
 func (c *Core) restoreLists(restored *Restored, stored *storedState) {
 	p := &c.persister
 	for slot, head := range stored.heads {
--- a/internal/controller/server_names.go
+++ b/internal/controller/server_names.go
@@ -7,7 +7,8 @@
 	"cressknot/internal/transport"
 )
 
-// Names holds the ids of servers, which live as long as the process. It may be used from any goroutine.
+// Names assigns ids to server names and holds the servers' addresses. Ids are valid for the lifetime of the process. It
+// is safe for concurrent use.
 type Names struct {
 	mu      sync.RWMutex
 	byName  map[string]fleet.ServerID
@@ -18,10 +19,10 @@
 
 var _ transport.ServerNames = (*Names)(nil)
 
-// NewNames makes an empty register.
+// NewNames returns an empty register; ids start at 0.
 func NewNames() *Names { return &Names{byName: map[string]fleet.ServerID{}} }
 
-// Server gives the id of a name.
+// Server returns the id of a name, and whether the name is known.
 func (n *Names) Server(name string) (fleet.ServerID, bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -29,7 +30,7 @@
 	return id, ok
 }
 
-// ServerBytes is Server for a name in a buffer.
+// ServerBytes is like Server for a name in a buffer; it does not allocate.
 func (n *Names) ServerBytes(name []byte) (fleet.ServerID, bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -37,14 +38,15 @@
 	return id, ok
 }
 
-// Learn gives the id of a name, a new one for a new name. Its address replaces none that is known.
+// Learn returns the id of a name, and assigns one to a new name. The address, "" for none, is only used if the server's
+// address is not known yet.
 func (n *Names) Learn(name, addr string) fleet.ServerID {
 	id, _ := n.register(name, addr, false)
 	return id
 }
 
-// Listed is Learn for the endpoint list, whose address replaces the known one. Moved reports that it was another one
-// before.
+// SetAddress returns the id of a name, and assigns one to a new name. Unlike with Learn, the address replaces the known
+// one, unless it is "". changed reports that a different address was known before.
 func (n *Names) SetAddress(name, addr string) (id fleet.ServerID, changed bool) {
 	return n.register(name, addr, true)
 }
@@ -67,7 +69,7 @@
 	return id, changed
 }
 
-// Lookup gives name and address of an id, both "" for an unknown one.
+// Lookup returns the name and the address, host:port, of a server. Both are "" for an unknown id.
 func (n *Names) Lookup(id fleet.ServerID) (name, addr string) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -78,7 +80,7 @@
 	return server.name, server.addr
 }
 
-// Count gives the number of names; ids go from 0 to one less.
+// Count returns the number of names. Ids range from 0 to Count()-1.
 func (n *Names) Count() int {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
--- a/internal/controller/shrink_gate_test.go
+++ b/internal/controller/shrink_gate_test.go
@@ -8,9 +8,9 @@
 	"cressknot/internal/fleet"
 )
 
-// TestShrunkListIsFetchedAgain has the source come back with a third of the servers. That list is held and fetched
-// again: either a full list follows and nobody was withdrawn, or it is applied within half a drain timeout; a delta
-// on it is applied with it.
+// TestShrunkListIsFetchedAgain lets a source recover with a third of the servers. The list must be held back and
+// fetched again. If a complete list follows, no server is removed; otherwise the held list is applied within half a
+// drain timeout. A delta to the held list applies both.
 func TestShrunkListIsFetchedAgain(t *testing.T) {
 	s := fleet.Second
 	list := func(revision uint64, n int) discovery.EndpointList {
@@ -22,8 +22,8 @@
 		return list
 	}
 	for name, c := range map[string]struct {
-		followUp func(core *Core, now fleet.Time) // a second after
-		want     int                              // servers 1.6 s after
+		followUp func(core *Core, now fleet.Time) // called 1 s after the shrunk list
+		want     int                              // listed servers 1.6 s after the shrunk list
 	}{
 		"a complete list follows": {func(core *Core, now fleet.Time) {
 			core.Step(now, []Input{EndpointUpdate{Scope: fleet.ListFull, List: list(3, 12)}})
--- a/internal/controller/simulated_fleet_test.go
+++ b/internal/controller/simulated_fleet_test.go
@@ -23,11 +23,11 @@
 
 const (
 	backend       = "look"
-	waitTimeout   = 30 * time.Second // for anything that must happen, also on a loaded machine
-	eventCapacity = 1 << 16          // so that a transport never waits for a test
+	waitTimeout   = 30 * time.Second // for each condition, with a margin for loaded machines
+	eventCapacity = 1 << 16          // large enough that a transport never blocks on a test
 )
 
-// simulatedFleet is a transport with fake proxies, driven by a reconciler alone, so that tests choose the orders.
+// simulatedFleet is a transport with fake proxies, driven by a reconciler without a balancer: tests choose the orders.
 type simulatedFleet struct {
 	t          *testing.T
 	reconciler *reconcile.Reconciler
@@ -72,7 +72,7 @@
 		Runtime: filepath.Join(dir, name+".sock")}, testEndpoints(servers), watch, 1)
 }
 
-// newSimulatedFleet is a fleet without proxies and transport.
+// newSimulatedFleet returns a fleet without proxies and transport.
 func newSimulatedFleet(t *testing.T) *simulatedFleet {
 	return &simulatedFleet{
 		t:          t,
@@ -87,6 +87,8 @@
 	}
 }
 
+// newSocketFleet returns a fleet whose proxies are served over their runtime sockets. prepare, if not nil, is called
+// for each proxy before it starts.
 func newSocketFleet(t *testing.T, proxies, servers int, prepare func(i int, p *fakes.Proxy)) *simulatedFleet {
 	t.Helper()
 	sim := newSimulatedFleet(t)
@@ -124,10 +126,10 @@
 	return sim
 }
 
-// startTransport starts a transport and stops it with the test.
+// startTransport starts a transport and stops it when the test ends.
 func (sim *simulatedFleet) startTransport(started transport.Transport) {
 	sim.transport = started
-	events := sim.events // a later transport of this fleet has a channel of its own
+	events := sim.events // restartController gives the next transport a new channel
 	if err := started.Start(context.Background(), func(e transport.Event) { events <- e }); err != nil {
 		sim.t.Fatal(err)
 	}
@@ -140,7 +142,7 @@
 
 func (sim *simulatedFleet) now() fleet.Time { return fleet.Second + fleet.Time(time.Since(sim.start)) }
 
-// waitUntil handles events and sends messages until the condition holds.
+// waitUntil handles events and sends messages until met returns true. It fails the test after waitTimeout.
 func (sim *simulatedFleet) waitUntil(condition string, met func() bool) {
 	sim.t.Helper()
 	deadline := time.After(waitTimeout)
@@ -194,7 +196,8 @@
 	}
 }
 
-// applyTable orders a table of the first servers for all proxies, with an admission limit and a withdrawal.
+// applyTable orders a table of the given number of servers for all proxies, an admission limit of 0.75 and the
+// withdrawal of server 1.
 func (sim *simulatedFleet) applyTable(servers int) {
 	var orders []fleet.Order
 	for i := range servers {
@@ -207,7 +210,7 @@
 		fleet.SetAdmission{Table: fleet.AllTables, Limit: 0.75}))
 }
 
-// hasTable reports whether a proxy holds what applyTable has ordered.
+// hasTable reports whether a proxy holds the entries and the admission limit that applyTable ordered.
 func (sim *simulatedFleet) hasTable(p *fakes.Proxy, servers int) bool {
 	for _, l := range sim.reconciler.Entries() {
 		state := "ready"
@@ -237,8 +240,8 @@
 	return digest == table.Digest() && p.MapEntry(backend+".version") == stamp
 }
 
-// newMemoryDir gives a folder in memory where the machine has one: syncing a file may take seconds on a disk that
-// builds write to, and these tests are not about that.
+// newMemoryDir returns a folder in memory if /dev/shm exists, else one on disk. Syncing a file may take seconds on a
+// disk that builds write to, which would dominate these tests.
 func newMemoryDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("/dev/shm", "files")
@@ -249,7 +252,7 @@
 	return dir
 }
 
-// newFileFleet is a fleet whose proxies read files.
+// newFileFleet returns a fleet whose proxies read files. It has no transport before restartController.
 func newFileFleet(t *testing.T, proxies, servers int) *simulatedFleet {
 	t.Helper()
 	sim := newSimulatedFleet(t)
@@ -272,7 +275,8 @@
 	return sim
 }
 
-// restartController starts over with a new reconciler and transport, as a new process does.
+// restartController replaces the reconciler and the transport by new ones, as a restarted process does. fault, if not
+// nil, is called at each step of a file swap, which fails if it returns an error.
 func (sim *simulatedFleet) restartController(servers int, fault func(string, int) error) {
 	sim.t.Helper()
 	sim.reconciler = reconcile.New(testSite())
--- a/internal/controller/storeddata_test.go
+++ b/internal/controller/storeddata_test.go
@@ -22,12 +22,12 @@
 
 const (
 	goldenFolder  = "testdata/store"
-	goldenState   = "testdata/store-state.golden"   // what is restored from the folder
+	goldenState   = "testdata/store-state.golden"   // the state that is restored from the folder
 	goldenRecords = "testdata/store-records.golden" // keys and payloads of all records
-	storedNow     = 5000 * fleet.Second             // the time of its last record
+	storedNow     = 5000 * fleet.Second             // the time of the folder's last record
 )
 
-// runStoredController runs a controller that leaves versions, pins, manual weights, two lists and an epoch.
+// runStoredController runs a controller that persists versions, pins, manual weights, two lists and an epoch.
 func runStoredController(t *testing.T, fs vfs.FS) *storedController {
 	t.Helper()
 	stored := startController(t, fs, 4000*fleet.Second)
@@ -72,7 +72,7 @@
 	return stored
 }
 
-// formatRecords prints all records of a store, by key.
+// formatRecords formats all records of a store, sorted by key.
 func formatRecords(t *testing.T, s *store.Store) string {
 	t.Helper()
 	var lines []string
@@ -87,7 +87,7 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// formatRestored prints what a controller has restored.
+// formatRestored formats the state that a controller has restored.
 func formatRestored(stored *storedController) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "epoch %d at %d, %d tables, %d pins, %d weights by hand, lost %v\n", stored.restored.Epoch.Epoch,
@@ -110,6 +110,8 @@
 	return b.String() + stored.persistentState()
 }
 
+// TestStoreOfEarlierVersionIsRestored guards against changes of the record format that make an existing store
+// unreadable: it restores the folder in testdata, which earlier code has written, and compares the state.
 func TestStoreOfEarlierVersionIsRestored(t *testing.T) {
 	if *writeFixtures {
 		writeGoldenFolder(t)
@@ -129,15 +131,15 @@
 	}
 	if changes := stored.core.Step(storedNow+2*fleet.Second, nil).Persist; len(changes) > 0 {
 		for _, c := range changes {
-			if !strings.HasPrefix(c.Key, "table/") { // the new epoch begins its own versions
+			if !strings.HasPrefix(c.Key, "table/") { // tables get new versions in the new epoch
 				t.Errorf("unchanged record persisted again: %s", c.Key)
 			}
 		}
 	}
 }
 
-// TestStoredRecordsAreStable repeats the run that the folder in testdata was written by: all records are the same to
-// the byte.
+// TestStoredRecordsAreStable repeats the run that wrote the folder in testdata. All records must be equal byte for
+// byte.
 func TestStoredRecordsAreStable(t *testing.T) {
 	stored := runStoredController(t, vfs.NewCrashableMem())
 	defer func() { _ = stored.store.Close() }()
@@ -213,10 +215,10 @@
 	}
 }
 
-// rawPayload is a payload that is written without encoding it again.
+// rawPayload is an encoded payload that is written as it is.
 type rawPayload []byte
 
-// MarshalJSON gives the payload itself.
+// MarshalJSON returns the payload unchanged.
 func (p rawPayload) MarshalJSON() ([]byte, error) { return p, nil }
 
 func wallTime(t fleet.Time) time.Time { return time.Unix(0, int64(t)).UTC() }
--- a/internal/controller/update_delivery_test.go
+++ b/internal/controller/update_delivery_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestStreamCutAtAnyByteConverges cuts the stream after each byte of an update of many commands. After the reconnect
-// the proxy reaches the desired state, and what it holds already is not sent again.
+// the proxy must reach the desired state, without being sent again what it already holds.
 func TestStreamCutAtAnyByteConverges(t *testing.T) {
 	const servers = 5
 	uncut := newSocketFleet(t, 1, servers, nil)
@@ -29,7 +29,7 @@
 	sim.waitUntil("all in the desired state", func() bool {
 		for i := range sim.proxies {
 			id := fleet.ProxyID(i)
-			if sim.joins[id] > 1 && !reassigned[id] { // an assignment ends with its stream, so the balancer assigns anew
+			if sim.joins[id] > 1 && !reassigned[id] { // an assignment ends with its stream, so a balancer would assign again
 				reassigned[id] = true
 				sim.reconciler.Apply(sim.now(), []fleet.Order{fleet.AssignTable{Proxy: id}})
 			}
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestReconnectSendsNothingUnchanged: after a reconnect without a change nothing is sent.
+// TestReconnectSendsNothingUnchanged checks that nothing is sent after a reconnect without a change.
 func TestReconnectSendsNothingUnchanged(t *testing.T) {
 	sim := newSocketFleet(t, 1, 4, nil)
 	sim.waitUntil("connected", sim.allConnected)
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestProxyRestartDuringUpdateConverges restarts a proxy, which comes back with its initial tables and then reaches the
-// desired state.
+// TestProxyRestartDuringUpdateConverges restarts a proxy in the middle of an update. It starts with its initial tables
+// and must reach the desired state.
 func TestProxyRestartDuringUpdateConverges(t *testing.T) {
 	sim := newSocketFleet(t, 2, 30, nil)
 	sim.waitUntil("connected", sim.allConnected)
@@ -100,7 +100,7 @@
 	})
 }
 
-// TestSlowProxyDelaysNoOther has one proxy take 50 ms for each command; the other has its table long before.
+// TestSlowProxyDelaysNoOther slows one proxy down to 50 ms per command. The other must not wait for it.
 func TestSlowProxyDelaysNoOther(t *testing.T) {
 	sim := newSocketFleet(t, 2, 30, nil)
 	sim.waitUntil("connected", sim.allConnected)
@@ -113,8 +113,8 @@
 	sim.waitUntil("the slow proxy has its table", func() bool { return sim.hasTable(sim.proxies[0], 30) })
 }
 
-// TestManualProxyChangesAreCorrected changes a proxy by hand: a server is there already where it is to be added, one is
-// missing where it is to be set, and a ready one can't be deleted.
+// TestManualProxyChangesAreCorrected changes a proxy by hand: a server that is to be added exists already, and one
+// whose weight is to be set is missing. The proxy must reach the desired state. A ready server can't be deleted.
 func TestManualProxyChangesAreCorrected(t *testing.T) {
 	sim := newSocketFleet(t, 1, 6, nil)
 	sim.waitUntil("connected", sim.allConnected)
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestChangedServerAddressIsFollowed lists a server at another address: proxies send requests there, also one that was
-// disconnected.
+// TestChangedServerAddressIsFollowed lists a server at another address. Proxies must send requests to the new address,
+// including one that was disconnected at the time of the change.
 func TestChangedServerAddressIsFollowed(t *testing.T) {
 	for _, on := range []string{"sockets", "files"} {
 		var sim *simulatedFleet
--- a/internal/controller/verification.go
+++ b/internal/controller/verification.go
@@ -9,18 +9,18 @@
 	"cressknot/internal/reconcile"
 )
 
-// verifyByOutcomesOnly verifies servers of a cached list by what proxies meet there alone: they aren't asked
-// themselves.
+// verifyByOutcomesOnly makes the outcomes of proxies' requests the only way to verify servers of a cached list: the
+// controller does not contact the servers.
 func (c *Core) verifyByOutcomesOnly() {
 	c.endpoints.verifier = verification.NewVerifier(c.site, false)
 }
 
-// startFromCache takes a cached list over, unless the source itself was quicker.
+// startFromCache applies a cached list, unless the source itself has already delivered one.
 func (c *Core) startFromCache(now fleet.Time, update discovery.Update, out *Output) {
 	if c.endpoints.live {
 		return
 	}
-	if len(update.List.Endpoints) == 0 { // taken over, it would take every server out
+	if len(update.List.Endpoints) == 0 { // applying it would remove all servers
 		text := "the cached endpoint list is empty and ignored: proxies keep their tables until the source delivers a list"
 		c.log(out, LogEntry{now, LevelWarn, "list", text})
 		return
@@ -42,7 +42,7 @@
 	c.log(out, LogEntry{now, LevelInfo, "list", text})
 }
 
-// verifyEndpoints carries out what the verifier decides of servers of a cached list.
+// verifyEndpoints executes the verifier's plan for servers of a cached list: probes, ejections and weight fractions.
 func (c *Core) verifyEndpoints(now fleet.Time, out *Output) (due fleet.Time) {
 	plan := c.endpoints.verifier.NextPlan(now)
 	out.Verifications = plan.Probes
@@ -62,6 +62,7 @@
 		for _, part := range plan.WeightFractions {
 			parts = append(parts, reconcile.WeightFraction(part))
 		}
+		// The reason is persisted with the new versions.
 		c.reconciler.ScaleWeights(now, parts, "a kept list's names")
 	}
 	for _, notice := range plan.Notices {
--- a/internal/controller/version_convergence_test.go
+++ b/internal/controller/version_convergence_test.go
@@ -11,8 +11,8 @@
 	"cressknot/internal/testing/fakes"
 )
 
-// TestAllProxiesConvergeOnNewestVersion: through cuts, restarts, manual changes, slow reading and rollbacks during
-// updates, every proxy ends on the same verified version, over both transports.
+// TestAllProxiesConvergeOnNewestVersion cuts streams, restarts proxies, changes them by hand, slows them down and rolls
+// back during updates. Every proxy must end on the same verified version, over both transports.
 func TestAllProxiesConvergeOnNewestVersion(t *testing.T) {
 	const servers, proxies = 8, 4
 	for _, on := range []string{"sockets", "files"} {
@@ -25,7 +25,7 @@
 				sim = newSocketFleet(t, proxies, servers, nil)
 				sim.waitUntil("connected", sim.allConnected)
 			}
-			assignedAt := map[fleet.ProxyID]int{} // by the number of its connection
+			assignedAt := map[fleet.ProxyID]int{} // the number of the connection in which a proxy was last assigned its table
 			assign := func() {
 				for i := range sim.proxies {
 					if id := fleet.ProxyID(i); assignedAt[id] < sim.joins[id] {
@@ -58,7 +58,7 @@
 						t.Fatal(err)
 					}
 				case 2:
-					if on == "sockets" { // noticed by the next poll
+					if on == "sockets" { // detected by the next poll
 						p.Execute("set", "server", backend+"/n2", "weight", "3")
 						p.Execute("del", "server", backend+"/n1")
 						p.Execute("set", "server", backend+"/n4", "state", "maint")
@@ -66,7 +66,7 @@
 				case 3:
 					p.ReadSlowly(5 * time.Millisecond)
 				}
-				if round == 6 || round == 9 { // the last change may be in flight or not yet sent
+				if round == 6 || round == 9 { // while the last change may be in flight or not yet sent
 					if _, err := sim.reconciler.Rollback(sim.now(), 0, firstVersion, sim.now()+fleet.Second/2); err != nil &&
 						!strings.Contains(err.Error(), "stands already") {
 						t.Fatal(err)
@@ -87,7 +87,7 @@
 			}
 			sim.waitUntil("all on the newest version", polled)
 			if on == "files" {
-				return // manual changes of files have a test of their own
+				return // TestFullDiskAndManualFileChanges covers manual changes of files
 			}
 			sim.waitUntil("idle", sim.reconciler.Idle)
 			sim.reconciler.Notices()
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestReadBackIsVerified: a proxy that reports a version and was changed while disconnected is noticed and corrected;
-// one that holds what it reports is left alone.
+// TestReadBackIsVerified changes one of two proxies while they are disconnected. Its entries no longer match the
+// version that it reports, which must be logged and corrected. The other proxy must be left unchanged.
 func TestReadBackIsVerified(t *testing.T) {
 	const servers = 5
 	sim := newSocketFleet(t, 2, servers, nil)
