--- a/internal/controller/discovery_outage_test.go
+++ b/internal/controller/discovery_outage_test.go
@@ -17,14 +17,14 @@
 	"cressknot/internal/transport"
 )
 
-// simulation is a core with two proxies that connect fresh, on time of its own. Servers answer verifications while
-// they are reachable; proxies apply what they are sent.
+// simulation is a core with two fresh proxies, in simulated time. Reachable servers answer verifications, and proxies
+// apply all messages.
 type simulation struct {
 	core       *Core
 	now        fleet.Time
 	reachable  map[string]bool
-	weights    [2]map[string]int16     // by proxy: 0 for servers in maintenance or draining
-	cachedList *discovery.EndpointList // the last that a step wanted cached
+	weights    [2]map[string]int16     // by proxy; 0 for servers in maintenance or draining
+	cachedList *discovery.EndpointList // the last list that a step cached
 	cachedAt   fleet.Time
 	logs       []string
 }
@@ -60,45 +60,45 @@
 	return sim
 }
 
-func (d *simulation) step(inputs ...Input) Output {
-	out := d.core.Step(d.now, inputs)
+func (sim *simulation) step(inputs ...Input) Output {
+	out := sim.core.Step(sim.now, inputs)
 	for _, l := range out.Log {
-		d.logs = append(d.logs, l.Text)
+		sim.logs = append(sim.logs, l.Text)
 	}
 	if out.Endpoints != nil {
-		d.cachedList = out.Endpoints
-		d.cachedAt = out.EndpointsConfirmedAt
+		sim.cachedList = out.Endpoints
+		sim.cachedAt = out.EndpointsConfirmedAt
 	}
 	return out
 }
 
-// runUntil steps until a time, and answers messages and verifications. It calls each, if any, before each step.
-func (d *simulation) runUntil(until fleet.Time, each func()) {
+// runUntil steps until a time, and answers messages and verifications. It calls each, if not nil, before each step.
+func (sim *simulation) runUntil(until fleet.Time, each func()) {
 	var next []Input
-	for ; d.now < until; d.now += 50 * fleet.Millisecond {
+	for ; sim.now < until; sim.now += 50 * fleet.Millisecond {
 		if each != nil {
 			each()
 		}
-		out := d.step(next...)
+		out := sim.step(next...)
 		next = nil
 		for _, m := range out.Messages {
 			for _, c := range m.Changes {
-				name, _ := d.core.names.Lookup(c.Server)
+				name, _ := sim.core.names.Lookup(c.Server)
 				if c.Kind == reconcile.UpdateEntry || c.Kind == reconcile.AddEntry {
 					if c.Weight >= 0 {
-						d.weights[m.Proxy][name] = c.Weight
+						sim.weights[m.Proxy][name] = c.Weight
 					}
 					if c.State == reconcile.StateMaintenance || c.State == reconcile.StateDrain {
-						d.weights[m.Proxy][name] = 0
+						sim.weights[m.Proxy][name] = 0
 					}
 				}
 			}
 			next = append(next, answered(m))
 		}
 		for _, id := range out.Verifications {
-			name, _ := d.core.names.Lookup(id)
+			name, _ := sim.core.names.Lookup(id)
 			p := VerificationResult{Server: id}
-			if d.reachable[name] {
+			if sim.reachable[name] {
 				p.Evidence = verification.EvidenceConnection
 			}
 			next = append(next, p)
@@ -106,13 +106,13 @@
 	}
 }
 
-func (d *simulation) connectProxies() {
+func (sim *simulation) connectProxies() {
 	fresh := reconcile.Snapshot{RequestRate: 5, Fresh: true}
-	d.step(connected(0, fresh), connected(1, fresh))
+	sim.step(connected(0, fresh), connected(1, fresh))
 }
 
-func (d *simulation) logged(text string) bool {
-	return strings.Contains(strings.Join(d.logs, "\n"), text)
+func (sim *simulation) logged(text string) bool {
+	return strings.Contains(strings.Join(sim.logs, "\n"), text)
 }
 
 func listOf(rev uint64, names ...string) discovery.EndpointList {
@@ -125,9 +125,9 @@
 
 const day = 24 * 3600 * fleet.Second
 
-// TestOldCachedListServesAnsweringServers starts from a list that is a day old: within ten seconds proxies have tables
-// with the servers that answer and without the others. The list of the source on its return is compared with the
-// servers that are left alone, so that it does not count as shrunk.
+// TestOldCachedListServesAnsweringServers starts from a list that is a day old. Within ten seconds the proxies' tables
+// must contain exactly the servers that answer. The source's first list is compared with the remaining servers only, so
+// that the removed servers do not make it count as shrunk.
 func TestOldCachedListServesAnsweringServers(t *testing.T) {
 	sim := newSimulation(map[string]bool{"s0": true, "s1": true, "s2": true, "s3": true})
 	u := EndpointUpdate{
@@ -148,14 +148,14 @@
 	sim.step(EndpointUpdate{
 		Scope: fleet.ListFull,
 		List:  listOf(5, "s0", "s1", "s2"),
-	}) // more than half of those that are left
-	if len(sim.core.endpoints.listed) != 3 || sim.logged("asked for again") {
-		t.Errorf("%d are listed: %v", len(sim.core.endpoints.listed), sim.logs)
+	}) // more than half of the remaining servers
+	if len(sim.core.endpoints.listed) != 3 || sim.logged("fetching the list again") {
+		t.Errorf("%d servers are listed, want 3; log: %v", len(sim.core.endpoints.listed), sim.logs)
 	}
 }
 
-// TestFlappingSourceMovesNoWeight has a source come and go each second with the same list: no weight changes and no
-// server is withdrawn, and the cached list says when the source last confirmed it.
+// TestFlappingSourceMovesNoWeight lets a source fail and recover every second with the same list. No weight may change,
+// no server may be withdrawn, and the cached list must record when the source last confirmed it.
 func TestFlappingSourceMovesNoWeight(t *testing.T) {
 	sim := newSimulation(map[string]bool{"s0": true, "s1": true, "s2": true})
 	list := listOf(4, "s0", "s1", "s2")
@@ -177,55 +177,56 @@
 	after := fmt.Sprint(sim.weights)
 	errorsLogged := strings.Count(strings.Join(sim.logs, "\n"), "list: away")
 	if after != before || errorsLogged > 20 {
-		t.Errorf("from %s to %s\n%v", before, after, sim.logs)
+		t.Errorf("weights changed from %s to %s, %d source errors logged\n%v", before, after, errorsLogged, sim.logs)
 	}
 	if sim.cachedList == nil || sim.cachedAt < sim.now-verification.ConfirmInterval-4*fleet.Second {
-		t.Errorf("cached list was confirmed %.0f s before", (sim.now - sim.cachedAt).Seconds())
+		t.Errorf("the cached list was confirmed %.0f s ago", (sim.now - sim.cachedAt).Seconds())
 	}
 	cachedBefore := sim.cachedAt
 	sim.runUntil(sim.now+2*verification.ConfirmInterval,
 		func() { sim.core.handleEndpoints(sim.now, discovery.Update{Unchanged: true}, &Output{}) })
 	if sim.cachedAt < cachedBefore+verification.ConfirmInterval {
-		t.Error("an unchanged answer of the source does not confirm the list")
+		t.Error("an unchanged answer of the source did not confirm the cached list")
 	}
 }
 
-// TestEmptyOrLateCachedListIsIgnored: an empty cached list removes no server, and one that comes after the source's own
-// list changes nothing.
+// TestEmptyOrLateCachedListIsIgnored checks that an empty cached list removes no server, and that a cached list that
+// arrives after the source's own list changes nothing.
 func TestEmptyOrLateCachedListIsIgnored(t *testing.T) {
 	sim := newSimulation(nil)
 	sim.step(EndpointUpdate{Scope: fleet.ListCached, ConfirmedAt: sim.now})
 	endpoints := &sim.core.endpoints
-	if len(endpoints.listed) != 0 || !sim.logged("the kept list is empty") || endpoints.revision != 0 {
-		t.Error(sim.logs)
+	if len(endpoints.listed) != 0 || !sim.logged("the cached endpoint list is empty") || endpoints.revision != 0 {
+		t.Errorf("an empty cached list was applied: %d servers, rev %d; log: %v",
+			len(endpoints.listed), endpoints.revision, sim.logs)
 	}
 	sim.step(EndpointUpdate{Scope: fleet.ListFull, List: listOf(4, "s0")})
 	sim.step(EndpointUpdate{Scope: fleet.ListCached, List: listOf(3, "s0", "s1"), ConfirmedAt: sim.now})
 	if len(sim.core.endpoints.listed) != 1 || sim.core.endpoints.revision != 4 {
-		t.Errorf("%d are listed, rev %d", len(sim.core.endpoints.listed), sim.core.endpoints.revision)
+		t.Errorf("%d servers are listed at rev %d, want 1 at rev 4", len(endpoints.listed), endpoints.revision)
 	}
 }
 
-// TestVerificationTellsWhoAnswers verifies servers on loopback by a connection and by a probe: one that gives its name,
-// one that gives another, one that gives none, and one that is down.
+// TestVerificationTellsWhoAnswers verifies servers by a connection and by a probe: a server that reports the expected
+// name, one that reports another name, one that reports none, and one that is down.
 func TestVerificationTellsWhoAnswers(t *testing.T) {
 	const name = "a"
 	for _, c := range []struct {
-		says         string // in the answer to a probe
+		reportedName string // in the response to a probe
 		down         bool
 		byConnection verification.Evidence
 		byProbe      verification.Evidence
 	}{
-		{says: name, byConnection: verification.EvidenceConnection, byProbe: verification.EvidenceConfirmed},
-		{says: "b", byConnection: verification.EvidenceConnection, byProbe: verification.EvidenceOtherServer},
-		{says: "", byConnection: verification.EvidenceConnection, byProbe: verification.EvidenceConnection},
-		{says: "nobody", down: true},
+		{reportedName: name, byConnection: verification.EvidenceConnection, byProbe: verification.EvidenceConfirmed},
+		{reportedName: "b", byConnection: verification.EvidenceConnection, byProbe: verification.EvidenceOtherServer},
+		{reportedName: "", byConnection: verification.EvidenceConnection, byProbe: verification.EvidenceConnection},
+		{reportedName: "nobody", down: true},
 	} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("X-Server", c.says)
+			w.Header().Set("X-Server", c.reportedName)
 		}))
 		names := NewNames()
-		id, _ := names.Listed(name, strings.TrimPrefix(server.URL, "http://"))
+		id, _ := names.SetAddress(name, strings.TrimPrefix(server.URL, "http://"))
 		if c.down {
 			server.Close()
 		}
@@ -235,15 +236,15 @@
 		} {
 			p := prober{names: names, path: "/probe", verificationMode: mode}
 			if got := p.verify(context.Background(), id); got != (VerificationResult{id, want}) {
-				t.Errorf("%q by %s: %+v, want evidence %v", c.says, mode, got, want)
+				t.Errorf("%q by %s: %+v, want evidence %v", c.reportedName, mode, got, want)
 			}
 		}
 		server.Close()
 	}
 }
 
-// TestGossipFloodKeepsNewestOfEachController: however many messages arrive between two steps, a step takes the newest
-// of each controller, of gossip.MaxControllers controllers at most.
+// TestGossipFloodKeepsNewestOfEachController checks that a step handles only the newest message of each controller, for
+// at most gossip.MaxControllers controllers, however many messages arrive between two steps.
 func TestGossipFloodKeepsNewestOfEachController(t *testing.T) {
 	loop := NewLoop(Options{Core: newSimulation(nil).core, Names: NewNames()})
 	for seq := range uint64(1000) {
@@ -253,22 +254,21 @@
 	}
 	inputs, _ := loop.mailbox.collect(0, 0)
 	if len(inputs) != gossip.MaxControllers {
-		t.Errorf("a step takes %d", len(inputs))
+		t.Errorf("a step takes %d messages, want %d", len(inputs), gossip.MaxControllers)
 	}
 	for _, in := range inputs {
 		if in.(GossipMessage).Sequence != 1000 {
-			t.Errorf("%+v is not the newest", in)
+			t.Errorf("%+v is not the newest message of its controller", in)
 		}
 	}
 	inputs, _ = loop.mailbox.collect(0, 0)
 	if len(inputs) != 0 {
-		t.Error("taken twice")
+		t.Errorf("%d messages were taken twice", len(inputs))
 	}
 }
 
-// TestVersionsNeverGoBackAfterTakeover takes over a proxy that holds a version of a controller that started later: the
-// versions that it and all other proxies are sent from then on are newer. A version of an epoch that no clock could
-// have given changes nothing.
+// TestVersionsNeverGoBackAfterTakeover takes over a proxy that holds a version of a controller that started later. All
+// proxies must get newer versions from then on. A version with an epoch that no clock could have given is ignored.
 func TestVersionsNeverGoBackAfterTakeover(t *testing.T) {
 	sim := newSimulation(nil)
 	sim.step(EndpointUpdate{Scope: fleet.ListFull, List: listOf(1, "s0", "s1")})
@@ -278,11 +278,11 @@
 	later := tableversion.Version{Epoch: before.Epoch + 5_000_000_000, Count: 7}
 	sim.step(connected(1, reconcile.Snapshot{RequestRate: 5, VersionStamps: []string{later.String() + "/00"}}))
 	if v := sim.core.reconciler.TableVersions(0).Version(); v.Compare(later) <= 0 {
-		t.Errorf("the proxy is sent version %s and holds %s", v, later)
+		t.Errorf("the proxy is sent version %s, which is not newer than the held %s", v, later)
 	}
 	sim.core.reconciler.SetManualWeight(sim.now, 0, 0, 9, sim.now+fleet.Second)
 	if v := sim.core.reconciler.TableVersions(0).Version(); v.Compare(later) <= 0 {
-		t.Errorf("%s follows %s at the proxy", v, later)
+		t.Errorf("a manual weight makes version %s, which is not newer than %s at the proxy", v, later)
 	}
 	epoch := sim.core.epoch
 	sim.step(connected(1, reconcile.Snapshot{
@@ -290,6 +290,6 @@
 		VersionStamps: []string{tableversion.Version{Epoch: 1<<64 - 1, Count: 7}.String() + "/00", "x"},
 	}))
 	if sim.core.epoch != epoch {
-		t.Errorf("epoch %d by a version of an impossible epoch", sim.core.epoch)
+		t.Errorf("an impossible epoch at a proxy raised the epoch to %d", sim.core.epoch)
 	}
 }
--- a/internal/controller/faulty_proxies_test.go
+++ b/internal/controller/faulty_proxies_test.go
@@ -14,11 +14,12 @@
 	"cressknot/internal/transport/haproxy"
 )
 
-// TestFaultyProxiesAreReportedByReason: proxies that answer garbage, have the name of another or lack the map, and one
-// that is not there, are each reported with the reason, and a working one beside them is served.
+// TestFaultyProxiesAreReportedByReason connects to proxies that send garbage, report another proxy's name or lack the
+// map, and to one that does not exist. Each must be reported with its reason, and a working proxy next to them must be
+// served.
 func TestFaultyProxiesAreReportedByReason(t *testing.T) {
 	dir := t.TempDir()
-	scripted := func(name, answer string) transport.Proxy {
+	scriptedProxy := func(name, answer string) transport.Proxy {
 		path := filepath.Join(dir, name+".sock")
 		l, err := net.Listen("unix", path)
 		if err != nil {
@@ -53,11 +54,11 @@
 	t.Cleanup(working.Down)
 	state := "1\n# be_id be_name srv_id srv_name srv_addr srv_op_state srv_admin_state srv_uweight srv_port\n\n"
 	proxies := []transport.Proxy{
-		scripted("garbage", "\n> HTTP/1.1 400 Bad request\n\n"),
-		scripted("half", "\n> node: half\n\n> 1\n# be_id srv_id\n\n"),
-		scripted("twin", "\n> node: sound\n\n"),
-		scripted("bare", "\n> node: bare\n\n> "+state+"> Unknown map identifier. Please use #<id> or <file>.\n\n"),
-		scripted("chatty", "\n> node: chatty\n\n> "+state+"> \n> what\n\n"),
+		scriptedProxy("garbage", "\n> HTTP/1.1 400 Bad request\n\n"),
+		scriptedProxy("half", "\n> node: half\n\n> 1\n# be_id srv_id\n\n"),
+		scriptedProxy("twin", "\n> node: sound\n\n"),
+		scriptedProxy("bare", "\n> node: bare\n\n> "+state+"> Unknown map identifier. Please use #<id> or <file>.\n\n"),
+		scriptedProxy("chatty", "\n> node: chatty\n\n> "+state+"> \n> what\n\n"),
 		{Name: "sound", Addr: working.Runtime},
 		{Name: "nobody", Addr: filepath.Join(dir, "nobody.sock")},
 	}
@@ -80,7 +81,7 @@
 	if p := proxies[0]; p.Name != "garbage" {
 		t.Fatal(p)
 	}
-	want[0] = "answer to" // depends on what of it is read first
+	want[0] = "answer to" // the rest of the text depends on which part is read first
 	sim.waitUntil("each reported", func() bool {
 		for id, text := range want {
 			if !strings.Contains(sim.lastErrors[id], text) {
@@ -90,6 +91,6 @@
 		return sim.joins[5] == 1
 	})
 	if got := working.EntryState(backend, "n1"); got != "100 ready" {
-		t.Errorf("the working proxy holds %q", got)
+		t.Errorf("the working proxy holds %q for n1, want \"100 ready\"", got)
 	}
 }
--- a/internal/controller/persist_test.go
+++ b/internal/controller/persist_test.go
@@ -18,7 +18,7 @@
 	"cressknot/internal/tableversion"
 )
 
-// storedController is a controller with its store, without sockets: what must be persisted is written at once.
+// storedController is a core with its store and without sockets. Tests write all changes to the store synchronously.
 type storedController struct {
 	core     *Core
 	store    *store.Store
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &storedController{
+	stored := &storedController{
 		store: s,
 		core: NewCore(CoreOptions{
 			Site: fleet.Site{
@@ -50,17 +50,17 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	l.restored, err = l.core.Restore(now, s)
-	if err != nil || l.restored.Epoch.Epoch <= before.Epoch {
-		t.Fatalf("epoch %d after %d (%v)", l.restored.Epoch.Epoch, before.Epoch, err)
+	stored.restored, err = stored.core.Restore(now, s)
+	if err != nil || stored.restored.Epoch.Epoch <= before.Epoch {
+		t.Fatalf("restored epoch %d is not later than %d (error: %v)", stored.restored.Epoch.Epoch, before.Epoch, err)
 	}
-	l.persist(t, []store.Change{{Key: "epoch", Value: l.restored.Epoch}})
-	return l
+	stored.persist(t, []store.Change{{Key: "epoch", Value: stored.restored.Epoch}})
+	return stored
 }
 
-func (l *storedController) persist(t *testing.T, changes []store.Change) {
+func (stored *storedController) persist(t *testing.T, changes []store.Change) {
 	t.Helper()
-	persist(t, l.store, changes)
+	persist(t, stored.store, changes)
 }
 
 // persist writes changes and waits until they are on disk.
@@ -75,36 +75,36 @@
 	}
 }
 
-// persistentState prints all that must survive a restart.
-func (l *storedController) persistentState() string {
+// persistentState formats all state that must survive a restart.
+func (stored *storedController) persistentState() string {
 	var b strings.Builder
-	for _, id := range l.core.reconciler.TableIDs() {
-		if table := l.core.reconciler.TableVersions(id); table != nil {
+	for _, id := range stored.core.reconciler.TableIDs() {
+		if table := stored.core.reconciler.TableVersions(id); table != nil {
 			fmt.Fprintf(&b, "table %d %s %s %d\n", id, table.Version(), table.Digest(), table.Len())
 			for _, d := range table.History() {
-				entries := l.core.namedEntries(d.Entries)
+				entries := stored.core.namedEntries(d.Entries)
 				slices.SortFunc(entries, func(a, b persistedEntry) int { return strings.Compare(a.Server, b.Server) })
 				fmt.Fprintf(&b, " %s-%s %v %q\n", d.From, d.To, entries, d.Reason)
 			}
 		}
 	}
-	for _, p := range l.core.reconciler.Pins() {
-		entries := l.core.namedEntries(p.Weights)
+	for _, p := range stored.core.reconciler.Pins() {
+		entries := stored.core.namedEntries(p.Weights)
 		slices.SortFunc(entries, func(a, b persistedEntry) int { return strings.Compare(a.Server, b.Server) })
 		fmt.Fprintf(&b, "pin %d %d %q %v\n", p.Table, p.Until, p.Reason, entries)
 	}
 	var manualWeights []string
-	for _, o := range l.core.reconciler.ManualWeights() {
-		name, _ := l.core.names.Lookup(o.Server)
+	for _, o := range stored.core.reconciler.ManualWeights() {
+		name, _ := stored.core.names.Lookup(o.Server)
 		manualWeights = append(manualWeights, fmt.Sprintf("hand %d %s %d %d\n", o.Table, name, o.Weight, o.Until))
 	}
 	slices.Sort(manualWeights)
 	return b.String() + strings.Join(manualWeights, "")
 }
 
-// TestRestoreGivesPersistedState runs controllers one after the other, each killed at a random moment, some with a
-// clock that was set back: each restores exactly the versions, pins and weights before, its versions come after all
-// earlier ones, and the history of a table continues without a gap.
+// TestRestoreGivesPersistedState runs a sequence of controllers on one store. Each is killed after a random number of
+// steps, and some start with a clock that was set back. Each must restore exactly the versions, pins and weights of its
+// predecessor, its versions must be later than all earlier ones, and the history of a table must have no gap.
 func TestRestoreGivesPersistedState(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 9))
@@ -120,7 +120,7 @@
 			stored.persist(t, stored.core.Step(now, nil).Persist)
 			for range rng.IntN(150) {
 				now += fleet.Second / 10
-				if rng.IntN(60) == 0 { // half a day: the oldest versions are forgotten
+				if rng.IntN(60) == 0 { // more than half a day, so that the oldest versions are deleted
 					now += 13 * 3600 * fleet.Second
 				}
 				id := fleet.TableID(rng.IntN(2))
@@ -145,34 +145,34 @@
 				stored.persist(t, out.Persist)
 				if table := stored.core.reconciler.TableVersions(id); table != nil {
 					if v := table.Version(); v.Compare(newest[id]) < 0 {
-						t.Fatalf("seed %d: version %s after %s", seed, v, newest[id])
+						t.Fatalf("seed %d: version %s is older than %s", seed, v, newest[id])
 					} else {
 						newest[id] = v
 					}
 				}
 			}
 			before = stored.persistentState()
-			mem2 := mem.CrashClone(vfs.CrashCloneCfg{})
+			clone := mem.CrashClone(vfs.CrashCloneCfg{})
 			_ = stored.store.Close()
-			mem = mem2
+			mem = clone
 			if rng.IntN(3) == 0 {
-				now -= fleet.Time(rng.IntN(60)) * fleet.Second // the clock is set back; pins end no later by it
+				now -= fleet.Time(rng.IntN(60)) * fleet.Second // the clock is set back, which must not prolong pins
 				stored := startController(t, mem, now)
 				before = stored.persistentState()
 				if !strings.Contains(before, "table") && len(newest) > 0 {
-					t.Fatalf("seed %d: nothing is restored after the clock was set back", seed)
+					t.Fatalf("seed %d: no table was restored after the clock was set back", seed)
 				}
-				mem2 = mem.CrashClone(vfs.CrashCloneCfg{})
+				clone = mem.CrashClone(vfs.CrashCloneCfg{})
 				_ = stored.store.Close()
-				mem = mem2
+				mem = clone
 			}
 		}
 	}
 }
 
-// TestRestoreChoosesNewestCompleteList: of two generations the newer one counts; a damaged entry costs itself, is
-// reported, and entries of the generation before replace it unverified; a list without its head does not count; one
-// that is confirmed replaces no other.
+// TestRestoreChoosesNewestCompleteList checks which of the two persisted generations is used: the newer one, unless its
+// head is missing. A damaged entry is reported and only that entry is lost; entries of the previous generation then
+// replace it as unverified. A list that is confirmed again must not overwrite the previous generation.
 func TestRestoreChoosesNewestCompleteList(t *testing.T) {
 	mem := vfs.NewCrashableMem()
 	stored := startController(t, mem, fleet.Second)
@@ -184,14 +184,14 @@
 	list.Revision, list.Endpoints = 8, list.Endpoints[:4]
 	changes := stored.core.persistEndpoints(3*fleet.Second, &list)
 	stored.persist(t, changes[:len(changes)-1]) // all but the head
-	restart := func(rev uint64, servers, lost, unverified int) *storedController {
+	restart := func(rev uint64, servers, unreadable, unverified int) *storedController {
 		t.Helper()
 		clone := mem.CrashClone(vfs.CrashCloneCfg{})
 		_ = stored.store.Close()
 		mem = clone
 		next := startController(t, mem, 10*fleet.Second)
 		got, ok := verification.Choose(10*fleet.Second, next.restored.Lists)
-		if !ok || got.Revision != rev || len(got.Entries) != servers || len(next.restored.Unreadable) != lost ||
+		if !ok || got.Revision != rev || len(got.Entries) != servers || len(next.restored.Unreadable) != unreadable ||
 			len(got.Unverified) != unverified || (len(got.Notices) > 0) != (unverified > 0) {
 			t.Errorf("restored %+v, unreadable %v", got, next.restored.Unreadable)
 		}
@@ -200,21 +200,21 @@
 	stored = restart(7, 5, 0, 0)
 	stored.persist(t, stored.core.persistEndpoints(12*fleet.Second, &list))
 	stored = restart(8, 4, 0, 0)
-	stored.persist(t, stored.core.persistEndpoints(13*fleet.Second, &list)) // confirmed
+	stored.persist(t, stored.core.persistEndpoints(13*fleet.Second, &list)) // the same list, confirmed again
 	if len(stored.restored.Lists) != 2 {
-		t.Errorf("%d generations", len(stored.restored.Lists))
+		t.Errorf("%d list generations were restored, want 2", len(stored.restored.Lists))
 	}
 	stored = restart(8, 4, 0, 0)
 	stored.persist(t, []store.Change{{Key: "list/0/entry/s2", Value: "no server"}})
-	stored = restart(8, 5, 1, 2) // the entry; s2 and s4 are in the generation before
+	stored = restart(8, 5, 1, 2) // the damaged entry; s2 and s4 come from the previous generation
 	list.Revision = 9
 	stored.persist(t, stored.core.persistEndpoints(14*fleet.Second, &list))
 	stored = restart(9, 4, 0, 0)
 	_ = stored.store.Close()
 }
 
-// BenchmarkRestore is a start after a day at 700 servers: three tables with a version of 20 entries every 2 s, and the
-// endpoint list.
+// BenchmarkRestore measures a restart after a day with 700 servers: three tables, each with a version of 20 entries
+// every 2 s, and the endpoint list.
 func BenchmarkRestore(b *testing.B) {
 	folder := b.TempDir()
 	s, err := store.Open(store.Options{Directory: folder})
@@ -238,9 +238,9 @@
 	if _, err := c.Restore(now, s); err != nil {
 		b.Fatal(err)
 	}
-	doc := discovery.EndpointList{Revision: 1}
+	list := discovery.EndpointList{Revision: 1}
 	for i := range 700 {
-		doc.Endpoints = append(doc.Endpoints, discovery.Endpoint{
+		list.Endpoints = append(list.Endpoints, discovery.Endpoint{
 			Name: fmt.Sprintf("node-%04d", i),
 			Addr: "127.0.0.1:80",
 			Zone: "a",
@@ -250,7 +250,7 @@
 		b.Helper()
 		persist(b, s, changes)
 	}
-	put(c.persistEndpoints(now, &doc))
+	put(c.persistEndpoints(now, &list))
 	for i := range 43_200 {
 		now += 2 * fleet.Second
 		var orders []fleet.Order
@@ -271,7 +271,7 @@
 		}
 	}
 	put(nil)
-	f := s.Statistics()
+	statistics := s.Statistics()
 	if err := s.Close(); err != nil {
 		b.Fatal(err)
 	}
@@ -281,12 +281,12 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		w, err := core().Restore(now, s)
-		if err != nil || w.Tables != 3 || len(w.Unreadable) > 0 {
-			b.Fatal(err, w)
+		restored, err := core().Restore(now, s)
+		if err != nil || restored.Tables != 3 || len(restored.Unreadable) > 0 {
+			b.Fatal(err, restored)
 		}
 		_ = s.Close()
 	}
-	b.ReportMetric(float64(f.OnDisk)/(1<<20), "MiB-on-disk")
-	b.ReportMetric(float64(f.Written)/float64(f.Bytes), "write-amplification")
+	b.ReportMetric(float64(statistics.OnDisk)/(1<<20), "MiB-on-disk")
+	b.ReportMetric(float64(statistics.Written)/float64(statistics.Bytes), "write-amplification")
 }
--- a/internal/controller/shrink_gate_test.go
+++ b/internal/controller/shrink_gate_test.go
@@ -8,9 +8,9 @@
 	"cressknot/internal/fleet"
 )
 
-// TestShrunkListIsFetchedAgain has the source come back with a third of the servers. That list is held and fetched
-// again: either a full list follows and nobody was withdrawn, or it is applied within half a drain timeout; a delta
-// on it is applied with it.
+// TestShrunkListIsFetchedAgain lets a source recover with a third of the servers. The list must be held back and
+// fetched again. If a complete list follows, no server is removed; otherwise the held list is applied within half a
+// drain timeout. A delta to the held list applies both.
 func TestShrunkListIsFetchedAgain(t *testing.T) {
 	s := fleet.Second
 	list := func(revision uint64, n int) discovery.EndpointList {
@@ -22,20 +22,20 @@
 		return list
 	}
 	for name, c := range map[string]struct {
-		then func(core *Core, now fleet.Time) // a second after
-		want int                              // servers 1.6 s after
+		followUp func(core *Core, now fleet.Time) // called 1 s after the shrunk list
+		want     int                              // listed servers 1.6 s after the shrunk list
 	}{
-		"a full list follows": {func(core *Core, now fleet.Time) {
+		"a complete list follows": {func(core *Core, now fleet.Time) {
 			core.Step(now, []Input{EndpointUpdate{Scope: fleet.ListFull, List: list(3, 12)}})
 		}, 12},
-		"nothing better follows": {func(*Core, fleet.Time) {}, 4},
-		"the same list comes again": {func(core *Core, now fleet.Time) {
+		"no other list follows": {func(*Core, fleet.Time) {}, 4},
+		"the same list is repeated": {func(core *Core, now fleet.Time) {
 			core.Step(now, []Input{EndpointUpdate{Scope: fleet.ListFull, List: list(2, 4)}})
 			if len(core.endpoints.listed) != 4 {
-				t.Errorf("given twice, %d servers are listed", len(core.endpoints.listed))
+				t.Errorf("after the list was repeated, %d servers are listed, want 4", len(core.endpoints.listed))
 			}
 		}, 4},
-		"a delta follows on it": {func(core *Core, now fleet.Time) {
+		"a delta to the held list follows": {func(core *Core, now fleet.Time) {
 			core.Step(now, []Input{EndpointUpdate{
 				Scope: fleet.ListDelta,
 				List:  discovery.EndpointList{Revision: 3, Endpoints: []discovery.Endpoint{{Name: "s9", Addr: "x:1", Zone: "a"}}},
@@ -59,20 +59,21 @@
 		began := now + s
 		core.Step(began, []Input{EndpointUpdate{Scope: fleet.ListFull, List: list(2, 4)}})
 		if len(core.endpoints.listed) != 12 {
-			t.Errorf("%s: applied at once", name)
+			t.Errorf("%s: the shrunk list was applied at once", name)
 		}
 		for now = began; now < began+16*s/10; now += s / 10 {
 			if now == began+s {
-				c.then(core, now)
+				c.followUp(core, now)
 			}
 			if out := core.Step(now, nil); out.FetchEndpoints {
 				fetches++
 			} else if out.NextStep > now+maxStepInterval {
-				t.Errorf("%s: no step before %d", name, out.NextStep)
+				t.Errorf("%s: the next step is due only at %d", name, out.NextStep)
 			}
 		}
 		if len(core.endpoints.listed) != c.want || fetches != 1 {
-			t.Errorf("%s: %d servers are listed, fetched %d times", name, len(core.endpoints.listed), fetches)
+			t.Errorf("%s: %d servers are listed, want %d; the list was fetched %d times, want once",
+				name, len(core.endpoints.listed), c.want, fetches)
 		}
 	}
 }
--- a/internal/controller/simulated_fleet_test.go
+++ b/internal/controller/simulated_fleet_test.go
@@ -23,11 +23,11 @@
 
 const (
 	backend       = "look"
-	waitTimeout   = 30 * time.Second // for anything that must happen, also on a loaded machine
-	eventCapacity = 1 << 16          // so that a transport never waits for a test
+	waitTimeout   = 30 * time.Second // for each condition, with a margin for loaded machines
+	eventCapacity = 1 << 16          // large enough that a transport never blocks on a test
 )
 
-// simulatedFleet is a transport with fake proxies, driven by a reconciler alone, so that tests choose the orders.
+// simulatedFleet is a transport with fake proxies, driven by a reconciler without a balancer: tests choose the orders.
 type simulatedFleet struct {
 	t          *testing.T
 	reconciler *reconcile.Reconciler
@@ -72,7 +72,7 @@
 		Runtime: filepath.Join(dir, name+".sock")}, testEndpoints(servers), watch, 1)
 }
 
-// newSimulatedFleet is a fleet without proxies and transport.
+// newSimulatedFleet returns a fleet without proxies and transport.
 func newSimulatedFleet(t *testing.T) *simulatedFleet {
 	return &simulatedFleet{
 		t:          t,
@@ -87,6 +87,8 @@
 	}
 }
 
+// newSocketFleet returns a fleet whose proxies are served over their runtime sockets. prepare, if not nil, is called
+// for each proxy before it starts.
 func newSocketFleet(t *testing.T, proxies, servers int, prepare func(i int, p *fakes.Proxy)) *simulatedFleet {
 	t.Helper()
 	sim := newSimulatedFleet(t)
@@ -94,11 +96,11 @@
 	dir := t.TempDir()
 	l := fleet.EndpointList{Scope: fleet.ListFull}
 	for _, e := range testEndpoints(servers) {
-		id, _ := sim.names.Listed(e.Name, e.Addr)
+		id, _ := sim.names.SetAddress(e.Name, e.Addr)
 		l.Endpoints = append(l.Endpoints, fleet.Endpoint{Server: id})
 	}
 	sim.reconciler.SetEndpoints(1, l)
-	var to []transport.Proxy
+	var addresses []transport.Proxy
 	for i := range proxies {
 		p := newProxy(t, dir, fmt.Sprintf("p%d", i), sim.watch, min(3, servers))
 		if prepare != nil {
@@ -109,12 +111,12 @@
 		}
 		t.Cleanup(p.Down)
 		sim.proxies = append(sim.proxies, p)
-		to = append(to, transport.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Addr: p.Runtime})
+		addresses = append(addresses, transport.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Addr: p.Runtime})
 	}
 	sim.dir = dir
-	sim.addresses = to
+	sim.addresses = addresses
 	sim.startTransport(haproxy.New(haproxy.Options{
-		Proxies:   to,
+		Proxies:   addresses,
 		Classes:   []transport.Class{{Name: backend, Backend: backend}},
 		Map:       "cressknot",
 		Table:     "nodes",
@@ -124,24 +126,24 @@
 	return sim
 }
 
-// startTransport starts a transport and stops it with the test.
-func (sim *simulatedFleet) startTransport(f transport.Transport) {
-	sim.transport = f
-	events := sim.events // a later transport of this fleet has a channel of its own
-	if err := f.Start(context.Background(), func(e transport.Event) { events <- e }); err != nil {
+// startTransport starts a transport and stops it when the test ends.
+func (sim *simulatedFleet) startTransport(started transport.Transport) {
+	sim.transport = started
+	events := sim.events // restartController gives the next transport a new channel
+	if err := started.Start(context.Background(), func(e transport.Event) { events <- e }); err != nil {
 		sim.t.Fatal(err)
 	}
 	sim.t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
-		_ = f.Stop(ctx)
+		_ = started.Stop(ctx)
 	})
 }
 
 func (sim *simulatedFleet) now() fleet.Time { return fleet.Second + fleet.Time(time.Since(sim.start)) }
 
-// waitUntil handles events and sends messages until the condition holds.
-func (sim *simulatedFleet) waitUntil(what string, holds func() bool) {
+// waitUntil handles events and sends messages until met returns true. It fails the test after waitTimeout.
+func (sim *simulatedFleet) waitUntil(condition string, met func() bool) {
 	sim.t.Helper()
 	deadline := time.After(waitTimeout)
 	tick := time.NewTicker(2 * time.Millisecond)
@@ -154,7 +156,7 @@
 		for _, id := range drops {
 			sim.transport.Drop(id)
 		}
-		if holds() {
+		if met() {
 			return
 		}
 		select {
@@ -162,12 +164,12 @@
 			sim.handleEvent(e)
 		case <-tick.C:
 		case <-deadline:
-			for _, to := range sim.addresses {
-				ack, _ := os.ReadFile(filepath.Join(to.Addr, "ack.json"))
-				sim.t.Logf("proxy %s acknowledges %s", to.Name, ack)
+			for _, proxy := range sim.addresses {
+				ack, _ := os.ReadFile(filepath.Join(proxy.Addr, "ack.json"))
+				sim.t.Logf("proxy %s acknowledges %s", proxy.Name, ack)
 			}
-			sim.t.Fatalf("%s: not within 30 s; refusals %v; joins %v; proxies %+v", what, sim.lastErrors, sim.joins,
-				sim.reconciler.Proxies())
+			sim.t.Fatalf("%s: condition not met within 30 s; last errors %v; connections %v; proxies %+v",
+				condition, sim.lastErrors, sim.joins, sim.reconciler.Proxies())
 		}
 	}
 }
@@ -194,7 +196,8 @@
 	}
 }
 
-// applyTable orders a table of the first servers for all proxies, with an admission limit and a withdrawal.
+// applyTable orders a table of the given number of servers for all proxies, an admission limit of 0.75 and the
+// withdrawal of server 1.
 func (sim *simulatedFleet) applyTable(servers int) {
 	var orders []fleet.Order
 	for i := range servers {
@@ -207,8 +210,8 @@
 		fleet.SetAdmission{Table: fleet.AllTables, Limit: 0.75}))
 }
 
-// holdsTable reports whether a proxy holds what applyTable has ordered.
-func (sim *simulatedFleet) holdsTable(p *fakes.Proxy, servers int) bool {
+// hasTable reports whether a proxy holds the entries and the admission limit that applyTable ordered.
+func (sim *simulatedFleet) hasTable(p *fakes.Proxy, servers int) bool {
 	for _, l := range sim.reconciler.Entries() {
 		state := "ready"
 		if l.Withdrawn {
@@ -224,8 +227,8 @@
 
 func (sim *simulatedFleet) allConnected() bool { return len(sim.streams) == len(sim.proxies) }
 
-// holdsNewestVersion reports whether a proxy holds the newest version, by its version stamp and by its entries.
-func (sim *simulatedFleet) holdsNewestVersion(p *fakes.Proxy, servers int) bool {
+// hasNewestVersion reports whether a proxy holds the newest version, by its version stamp and by its entries.
+func (sim *simulatedFleet) hasNewestVersion(p *fakes.Proxy, servers int) bool {
 	table := sim.reconciler.TableVersions(0)
 	digest := tableversion.Digest(0)
 	for i := range servers {
@@ -237,8 +240,8 @@
 	return digest == table.Digest() && p.MapEntry(backend+".version") == stamp
 }
 
-// newMemoryDir gives a folder in memory where the machine has one: syncing a file may take seconds on a disk that
-// builds write to, and these tests are not about that.
+// newMemoryDir returns a folder in memory if /dev/shm exists, else one on disk. Syncing a file may take seconds on a
+// disk that builds write to, which would dominate these tests.
 func newMemoryDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("/dev/shm", "files")
@@ -249,7 +252,7 @@
 	return dir
 }
 
-// newFileFleet is a fleet whose proxies read files.
+// newFileFleet returns a fleet whose proxies read files. It has no transport before restartController.
 func newFileFleet(t *testing.T, proxies, servers int) *simulatedFleet {
 	t.Helper()
 	sim := newSimulatedFleet(t)
@@ -272,7 +275,8 @@
 	return sim
 }
 
-// restartController starts over with a new reconciler and transport, as a new process does.
+// restartController replaces the reconciler and the transport by new ones, as a restarted process does. fault, if not
+// nil, is called at each step of a file swap, which fails if it returns an error.
 func (sim *simulatedFleet) restartController(servers int, fault func(string, int) error) {
 	sim.t.Helper()
 	sim.reconciler = reconcile.New(testSite())
@@ -284,7 +288,7 @@
 		func(id fleet.ServerID) string { name, _ := sim.names.Lookup(id); return name })
 	l := fleet.EndpointList{Scope: fleet.ListFull}
 	for _, e := range testEndpoints(servers) {
-		id, _ := sim.names.Listed(e.Name, e.Addr)
+		id, _ := sim.names.SetAddress(e.Name, e.Addr)
 		l.Endpoints = append(l.Endpoints, fleet.Endpoint{Server: id})
 	}
 	sim.reconciler.SetEndpoints(1, l)
--- a/internal/controller/storeddata_test.go
+++ b/internal/controller/storeddata_test.go
@@ -18,17 +18,17 @@
 	"cressknot/internal/store"
 )
 
-var writeFixtures = flag.Bool("write-fixtures", false, "write the stored data in testdata anew")
+var writeFixtures = flag.Bool("write-fixtures", false, "regenerate the stored data in testdata")
 
 const (
 	goldenFolder  = "testdata/store"
-	goldenState   = "testdata/store-state.golden"   // what is restored from the folder
+	goldenState   = "testdata/store-state.golden"   // the state that is restored from the folder
 	goldenRecords = "testdata/store-records.golden" // keys and payloads of all records
-	storedNow     = 5000 * fleet.Second             // the time of its last record
+	storedNow     = 5000 * fleet.Second             // the time of the folder's last record
 )
 
-// playStoredController runs a controller that leaves versions, pins, manual weights, two lists and an epoch.
-func playStoredController(t *testing.T, fs vfs.FS) *storedController {
+// runStoredController runs a controller that persists versions, pins, manual weights, two lists and an epoch.
+func runStoredController(t *testing.T, fs vfs.FS) *storedController {
 	t.Helper()
 	stored := startController(t, fs, 4000*fleet.Second)
 	list := discovery.EndpointList{Revision: 41}
@@ -72,7 +72,7 @@
 	return stored
 }
 
-// formatRecords prints all records of a store, by key.
+// formatRecords formats all records of a store, sorted by key.
 func formatRecords(t *testing.T, s *store.Store) string {
 	t.Helper()
 	var lines []string
@@ -87,13 +87,13 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// formatRestored prints what a controller has restored.
-func formatRestored(l *storedController) string {
+// formatRestored formats the state that a controller has restored.
+func formatRestored(stored *storedController) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "epoch %d at %d, %d tables, %d pins, %d weights by hand, lost %v\n", l.restored.Epoch.Epoch,
-		l.restored.Epoch.At, l.restored.Tables,
-		l.restored.Pins, l.restored.ManualWeights, l.restored.Unreadable)
-	for _, g := range l.restored.Lists {
+	fmt.Fprintf(&b, "epoch %d at %d, %d tables, %d pins, %d weights by hand, lost %v\n", stored.restored.Epoch.Epoch,
+		stored.restored.Epoch.At, stored.restored.Tables,
+		stored.restored.Pins, stored.restored.ManualWeights, stored.restored.Unreadable)
+	for _, g := range stored.restored.Lists {
 		fmt.Fprintf(&b, "list rev %d at %d, %d entries stated, whole %v\n", g.Revision, g.ConfirmedAt, g.DeclaredSize,
 			g.Complete)
 		var names []string
@@ -107,9 +107,11 @@
 				e.Weight)
 		}
 	}
-	return b.String() + l.persistentState()
+	return b.String() + stored.persistentState()
 }
 
+// TestStoreOfEarlierVersionIsRestored guards against changes of the record format that make an existing store
+// unreadable: it restores the folder in testdata, which earlier code has written, and compares the state.
 func TestStoreOfEarlierVersionIsRestored(t *testing.T) {
 	if *writeFixtures {
 		writeGoldenFolder(t)
@@ -129,17 +131,17 @@
 	}
 	if changes := stored.core.Step(storedNow+2*fleet.Second, nil).Persist; len(changes) > 0 {
 		for _, c := range changes {
-			if !strings.HasPrefix(c.Key, "table/") { // the new epoch begins its own versions
-				t.Errorf("an unchanged record is persisted again: %s", c.Key)
+			if !strings.HasPrefix(c.Key, "table/") { // tables get new versions in the new epoch
+				t.Errorf("unchanged record persisted again: %s", c.Key)
 			}
 		}
 	}
 }
 
-// TestStoredRecordsAreStable repeats the run that the folder in testdata was written by: all records are the same to
-// the byte.
+// TestStoredRecordsAreStable repeats the run that wrote the folder in testdata. All records must be equal byte for
+// byte.
 func TestStoredRecordsAreStable(t *testing.T) {
-	stored := playStoredController(t, vfs.NewCrashableMem())
+	stored := runStoredController(t, vfs.NewCrashableMem())
 	defer func() { _ = stored.store.Close() }()
 	want, err := os.ReadFile(goldenRecords)
 	if err != nil {
@@ -162,12 +164,12 @@
 		EntriesPerSecond: 1e6,
 		MaxBacklog:       1e6,
 	}
-	l := &storedController{store: s, core: NewCore(CoreOptions{Site: site, Seed: 1, Names: NewNames()})}
-	l.restored, err = l.core.Restore(storedNow+fleet.Second, s)
+	stored := &storedController{store: s, core: NewCore(CoreOptions{Site: site, Seed: 1, Names: NewNames()})}
+	stored.restored, err = stored.core.Restore(storedNow+fleet.Second, s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return stored
 }
 
 func writeGoldenFolder(t *testing.T) {
@@ -179,7 +181,7 @@
 	if err := os.MkdirAll(filepath.Dir(folder), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	stored := playStoredController(t, vfs.NewCrashableMem())
+	stored := runStoredController(t, vfs.NewCrashableMem())
 	text := formatRecords(t, stored.store)
 	s, err := store.Open(store.Options{Directory: filepath.Join(t.TempDir(), "store")})
 	if err != nil {
@@ -213,10 +215,10 @@
 	}
 }
 
-// rawPayload is a payload that is written without encoding it again.
+// rawPayload is an encoded payload that is written as it is.
 type rawPayload []byte
 
-// MarshalJSON gives the payload itself.
+// MarshalJSON returns the payload unchanged.
 func (p rawPayload) MarshalJSON() ([]byte, error) { return p, nil }
 
 func wallTime(t fleet.Time) time.Time { return time.Unix(0, int64(t)).UTC() }
--- a/internal/controller/verification.go
+++ b/internal/controller/verification.go
@@ -9,23 +9,23 @@
 	"cressknot/internal/reconcile"
 )
 
-// verifyByOutcomesOnly verifies servers of a cached list by what proxies meet there alone: they aren't asked
-// themselves.
+// verifyByOutcomesOnly makes the outcomes of proxies' requests the only way to verify servers of a cached list: the
+// controller does not contact the servers.
 func (c *Core) verifyByOutcomesOnly() {
 	c.endpoints.verifier = verification.NewVerifier(c.site, false)
 }
 
-// startFromCache takes a cached list over, unless the source itself was quicker.
+// startFromCache applies a cached list, unless the source itself has already delivered one.
 func (c *Core) startFromCache(now fleet.Time, update discovery.Update, out *Output) {
 	if c.endpoints.live {
 		return
 	}
-	if len(update.List.Endpoints) == 0 { // taken over, it would take every server out
-		text := "the kept list is empty: proxies go on by what they hold until the list's source is heard"
+	if len(update.List.Endpoints) == 0 { // applying it would remove all servers
+		text := "the cached endpoint list is empty and ignored: proxies keep their tables until the source delivers a list"
 		c.log(out, LogEntry{now, LevelWarn, "list", text})
 		return
 	}
-	c.takeList(now, update, out)
+	c.applyList(now, update, out)
 	age, known := verification.Age(now, update.ConfirmedAt)
 	var named []verification.NamedEndpoint
 	for id, e := range c.endpoints.listed {
@@ -33,15 +33,16 @@
 		named = append(named, verification.NamedEndpoint{Endpoint: e, Addr: addr, Unverified: update.Unverified[name]})
 	}
 	c.endpoints.verifier.Begin(now, age, named)
-	text := fmt.Sprintf("starts from a list of %d servers that is %.0f s old", len(named), age.Seconds())
+	text := fmt.Sprintf("starting from a cached endpoint list of %d servers, confirmed %.0f s ago",
+		len(named), age.Seconds())
 	if !known {
-		text = fmt.Sprintf("starts from a list of %d servers whose age can't be told", len(named))
+		text = fmt.Sprintf("starting from a cached endpoint list of %d servers of unknown age", len(named))
 	}
-	text = fmt.Sprintf("%s; a name is worth %.2f", text, verification.Trust(age))
+	text = fmt.Sprintf("%s; weight factor of unverified servers: %.2f", text, verification.Trust(age))
 	c.log(out, LogEntry{now, LevelInfo, "list", text})
 }
 
-// verifyEndpoints carries out what the verifier decides of servers of a cached list.
+// verifyEndpoints executes the verifier's plan for servers of a cached list: probes, ejections and weight fractions.
 func (c *Core) verifyEndpoints(now fleet.Time, out *Output) (due fleet.Time) {
 	plan := c.endpoints.verifier.NextPlan(now)
 	out.Verifications = plan.Probes
@@ -52,15 +53,16 @@
 			Endpoints: changed,
 		}
 		for _, e := range list.Endpoints {
-			c.endpoints.put(e)
+			c.endpoints.updateListed(e)
 		}
-		c.applyEndpoints(now, list)
+		c.distributeEndpoints(now, list)
 	}
 	if len(plan.WeightFractions) > 0 {
 		var parts []reconcile.WeightFraction
 		for _, part := range plan.WeightFractions {
 			parts = append(parts, reconcile.WeightFraction(part))
 		}
+		// The reason is persisted with the new versions.
 		c.reconciler.ScaleWeights(now, parts, "a kept list's names")
 	}
 	for _, notice := range plan.Notices {
