--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -175,15 +175,15 @@
 		{"table show 0\n", "n1 128"},
 		{"table show 0 " + history[1] + "\n", "# table 0 version " + history[1]},
 		{"table diff 0 " + history[1] + "\n", "server before after"},
-		{"table show 0 x.y\n", "is no version"},
-		{"table show 0 zz.9\n", "is not kept"},
+		{"table show 0 x.y\n", `invalid version "x.y"`},
+		{"table show 0 zz.9\n", "is not in the history"},
 		{"table pin 0 nonsense\n", "is no time"},
 		{"table pin 0 1m\n", "is pinned at"},
 		{"table history 0\n", "# pinned until"},
 		{"table unpin 0\n", "goes by the module again"},
 		{"table unpin 0\n", "is not pinned"},
-		{"table rollback 0 " + history[1] + "\n", "Refused: that is what stands already"},
-		{"table rollback 0 zz.9\n", "Refused: version zz.9 is not kept"},
+		{"table rollback 0 " + history[1] + "\n", "Refused: the table already has this content"},
+		{"table rollback 0 zz.9\n", "Refused: version zz.9 is not in the history"},
 		{"table history 9\n", "Table 9 is not there"},
 		{"table\n", "'table' expects"},
 		{"table pin 0 1m 2m\n", "'table' expects"},
@@ -309,9 +309,9 @@
 	for bad, want := range map[string]string{
 		changed:                     "the module gives Share",
 		recorded[:len(recorded)-20]: "unexpected end of JSON",
-		strings.Join(lines[:1], "") + `{"Now":1,"Events":[{"Is":"Odd","V":{}}]}`: `r:2: event 0: "Odd" is no event`,
-		strings.Replace(recorded, `"Format":1`, `"Format":9`, 1):                 "r:1: format 9 is not known",
-		"": "r: is empty",
+		strings.Join(lines[:1], "") + `{"Now":1,"Events":[{"Is":"Odd","V":{}}]}`: `r:2: event 0: unknown event kind "Odd"`,
+		strings.Replace(recorded, `"Format":1`, `"Format":9`, 1):                 "r:1: unsupported event log format 9",
+		"": "r: event log is empty",
 	} {
 		if _, _, err := eventlog.Replay("r", strings.NewReader(bad)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
--- a/internal/controller/version_convergence_test.go
+++ b/internal/controller/version_convergence_test.go
@@ -68,7 +68,7 @@
 				}
 				if round == 6 || round == 9 { // the last change may be in flight or not yet sent
 					if _, err := sim.reconciler.Rollback(sim.now(), 0, good, sim.now()+fleet.Second/2); err != nil &&
-						!strings.Contains(err.Error(), "stands already") {
+						!strings.Contains(err.Error(), "already has this content") {
 						t.Fatal(err)
 					}
 				}
--- a/internal/eventlog/format.go
+++ b/internal/eventlog/format.go
@@ -44,7 +44,9 @@
 // UnknownKindError says that an event or an order has no kind on disk.
 type UnknownKindError struct{ Value any }
 
-func (e *UnknownKindError) Error() string { return fmt.Sprintf("records: %T has no kind", e.Value) }
+func (e *UnknownKindError) Error() string {
+	return fmt.Sprintf("event log: type %T has no kind", e.Value)
+}
 
 // Kinds of events.
 const (
@@ -175,7 +177,7 @@
 	}
 	text, err := json.Marshal(value)
 	if err != nil {
-		return Item{}, fmt.Errorf("records: %T: %w", value, err)
+		return Item{}, fmt.Errorf("event log: encode %T: %w", value, err)
 	}
 	return Item{Kind: kind, Value: text}, nil
 }
--- a/internal/eventlog/reader.go
+++ b/internal/eventlog/reader.go
@@ -24,12 +24,12 @@
 	r.in.Buffer(make([]byte, bufferBytes), maxLineBytes)
 	if err := r.readLine(&r.Header); err != nil {
 		if errors.Is(err, io.EOF) {
-			err = fmt.Errorf("%s: is empty", name)
+			err = fmt.Errorf("%s: event log is empty", name)
 		}
 		return nil, err
 	}
 	if r.Header.Format != Format {
-		return nil, fmt.Errorf("%s:1: format %d is not known, only %d is", name, r.Header.Format, Format)
+		return nil, fmt.Errorf("%s:1: unsupported event log format %d, want %d", name, r.Header.Format, Format)
 	}
 	return r, nil
 }
@@ -59,7 +59,7 @@
 	for i, item := range step.Events {
 		decode, ok := eventDecoders[item.Kind]
 		if !ok {
-			return step, nil, fmt.Errorf("%s:%d: event %d: %q is no event", r.name, r.line, i, item.Kind)
+			return step, nil, fmt.Errorf("%s:%d: event %d: unknown event kind %q", r.name, r.line, i, item.Kind)
 		}
 		event, err := decode(item.Value)
 		if err != nil {
--- a/internal/reconcile/pins_test.go
+++ b/internal/reconcile/pins_test.go
@@ -68,7 +68,7 @@
 		t.Errorf("notices %+v", notices)
 	}
 	_, err = p.r.Rollback(p.now, 0, first, p.now+60*fleet.Second)
-	if err == nil || !strings.Contains(err.Error(), "nothing of version") {
+	if err == nil || !strings.Contains(err.Error(), "servers of version") {
 		t.Errorf("rollback to servers that are all gone: %v", err)
 	}
 }
--- a/internal/safety/file.go
+++ b/internal/safety/file.go
@@ -54,7 +54,7 @@
 		return fmt.Errorf("%s: byte %d: %w", name, decoder.InputOffset(), err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return fmt.Errorf("%s: byte %d: more after its end", name, decoder.InputOffset())
+		return fmt.Errorf("%s: byte %d: unexpected data after the JSON object", name, decoder.InputOffset())
 	}
 	return nil
 }
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	if stateFile.Now.IsZero() {
-		return nil, fmt.Errorf("%s: now: is missing", stateName)
+		return nil, fmt.Errorf("%s: now: required field is missing", stateName)
 	}
 	now := fleet.Time(stateFile.Now.UnixNano())
 	guard, names, err := stateFile.newGuard(now, stateName)
@@ -134,7 +134,7 @@
 	for i, server := range f.Servers {
 		state, known := fleet.ParseServerState(server.State)
 		if !known {
-			return nil, nil, fmt.Errorf("%s: servers[%d].state: %q is none of ready, draining, gone",
+			return nil, nil, fmt.Errorf("%s: servers[%d].state: unknown state %q; want ready, draining or gone",
 				fileName, i, server.State)
 		}
 		endpoint := fleet.Endpoint{Server: names.add(server.Name), State: state}
--- a/internal/safety/guard.go
+++ b/internal/safety/guard.go
@@ -17,11 +17,11 @@
 
 // Reasons of refusals, as shown to operators.
 const (
-	ReasonServerNotReady       = "its server is draining or gone"
-	ReasonNoEndpoints          = "the class would have no ready server"
-	ReasonWarmingOverload      = "a cold server would get more than it can bear"
-	ReasonDuplicateExecution   = "a visit could run twice"
-	ReasonInsufficientCapacity = "the other servers could not carry it"
+	ReasonServerNotReady       = "the server is draining, gone or not listed"
+	ReasonNoEndpoints          = "the class would be left without a ready server"
+	ReasonWarmingOverload      = "a server in slow start would be overloaded"
+	ReasonDuplicateExecution   = "a request could be executed twice"
+	ReasonInsufficientCapacity = "the table's servers lack the capacity"
 )
 
 const (
@@ -243,7 +243,7 @@
 // FormatRefusal describes a refusal to operators.
 func FormatRefusal(refusal reconcile.Refusal, server string) string {
 	if refusal.Admission {
-		return fmt.Sprintf("class %d: further tries: %s", refusal.Class, refusal.Reason)
+		return fmt.Sprintf("class %d: retry mode lowered: %s", refusal.Class, refusal.Reason)
 	}
 	return fmt.Sprintf("server %s: %s", cmp.Or(server, fmt.Sprint(refusal.Server)), refusal.Reason)
 }
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -74,7 +74,7 @@
 			harms = append(harms, Violation{
 				Reason: ReasonServerNotReady,
 				Server: line.Server,
-				Text:   "visits would go to a server that is draining, gone or not listed",
+				Text:   fmt.Sprintf("a weight of %.4g would send it requests", line.Weight),
 			})
 		} else if server.State == fleet.ServerReady {
 			ready = append(ready, line)
@@ -85,7 +85,7 @@
 	}
 	all := g.readyCapacity(now)
 	if len(ready) == 0 {
-		text := fmt.Sprintf("no ready server would have a line; %d ready and warm ones are listed", all.warm)
+		text := fmt.Sprintf("no ready server has a usable entry; %d ready servers past slow start are listed", all.warm)
 		return append(harms, Violation{Reason: ReasonNoEndpoints, NoServer: true, Text: text})
 	}
 	for _, line := range ready {
@@ -95,7 +95,7 @@
 	}
 	if all.known && demand > maxTableUtilization*capacity && all.total > capacity {
 		harms = append(harms, Violation{Reason: ReasonInsufficientCapacity, NoServer: true, Forcible: true, Text: fmt.Sprintf(
-			"%.1f visits a second would come to servers that can do %.1f; all that are ready can do %.1f",
+			"demand is %.1f requests/s, capacity of the table's servers %.1f requests/s, of all ready servers %.1f requests/s",
 			demand, capacity, all.total)})
 	}
 	return harms
@@ -110,6 +110,6 @@
 	}
 	bearableWeight := max(0, bearable/max(epsilon, demand-bearable)*(weightSum-line.Weight))
 	return Violation{Reason: ReasonWarmingOverload, Server: line.Server, Text: fmt.Sprintf(
-		"it is cold and would get %.1f visits a second; it bears %.1f now, which is a weight of %.4g here",
+		"it would get %.1f requests/s, above its present limit of %.1f requests/s, a weight of %.4g in this table",
 		rate, bearable, bearableWeight)}, true
 }
--- a/internal/tableversion/history.go
+++ b/internal/tableversion/history.go
@@ -27,7 +27,7 @@
 type VersionNotFoundError struct{ Version, Oldest, Newest Version }
 
 func (e *VersionNotFoundError) Error() string {
-	return fmt.Sprintf("version %s is not kept; from %s to %s are", e.Version, e.Oldest, e.Newest)
+	return fmt.Sprintf("version %s is not in the history (%s to %s)", e.Version, e.Oldest, e.Newest)
 }
 
 // History returns the deltas of the history, oldest first. They must not be changed.
@@ -139,7 +139,9 @@
 		entries = append(entries, entry)
 	}
 	if len(entries) == 0 && len(old) > 0 {
-		err := fmt.Errorf("nothing of version %s may stand today: %s", to, differences[0].Reason)
+		first := differences[0]
+		err := fmt.Errorf("none of the %d servers of version %s may get requests: server %s is %s",
+			len(old), to, t.name(first.Server), first.Reason)
 		return Delta{}, differences, err
 	}
 	for id := range t.weights {
@@ -149,7 +151,7 @@
 	}
 	delta, changed := t.Change(now, entries, "back to "+to.String())
 	if !changed {
-		return delta, differences, fmt.Errorf("that is what stands already, as version %s", t.version)
+		return delta, differences, fmt.Errorf("the table already has this content, as version %s", t.version)
 	}
 	return delta, differences, nil
 }
--- a/internal/tableversion/replica.go
+++ b/internal/tableversion/replica.go
@@ -41,7 +41,7 @@
 	next := Replica{version: delta.To, weights: map[string]int{}}
 	if delta.From != NoVersion {
 		if delta.From != r.version || delta.FromDigest != r.digest {
-			return &MismatchError{fmt.Sprintf("a delta from %s (%s), but %s (%s) is held",
+			return &MismatchError{fmt.Sprintf("delta starts at version %s (digest %s), the copy is at version %s (digest %s)",
 				delta.From, delta.FromDigest, r.version, r.digest)}
 		}
 		next.digest = r.digest
@@ -56,7 +56,7 @@
 		}
 	}
 	if next.digest != delta.ToDigest {
-		return &MismatchError{fmt.Sprintf("version %s should have digest %s, what came gives %s",
+		return &MismatchError{fmt.Sprintf("digest mismatch at version %s: want %s, the received entries give %s",
 			delta.To, delta.ToDigest, next.digest)}
 	}
 	*r = next
--- a/internal/tableversion/table.go
+++ b/internal/tableversion/table.go
@@ -81,7 +81,8 @@
 // replay applies a stored delta that leads on from the present version.
 func (t *Table) replay(delta Delta) error {
 	if delta.From != t.version || delta.FromDigest != t.digest {
-		return &MismatchError{fmt.Sprintf("a delta from %s does not go on from version %s", delta.From, t.version)}
+		return &MismatchError{fmt.Sprintf("stored delta starts at version %s (digest %s), want version %s (digest %s)",
+			delta.From, delta.FromDigest, t.version, t.digest)}
 	}
 	for _, entry := range delta.Entries {
 		t.put(entry)
@@ -94,7 +95,7 @@
 }
 
 func storedMismatch(version Version, want, got Digest) error {
-	return &MismatchError{fmt.Sprintf("version %s should have digest %s, what was kept gives %s", version, want, got)}
+	return &MismatchError{fmt.Sprintf("digest mismatch at version %s: want %s, the stored entries give %s", version, want, got)}
 }
 
 // dropHistoryUnlessAt drops the history if it does not end at a version.
--- a/internal/tableversion/table_test.go
+++ b/internal/tableversion/table_test.go
@@ -79,7 +79,7 @@
 func TestUnavailableVersionIsReported(t *testing.T) {
 	table := newLargeTable(10_000)
 	var gone *VersionNotFoundError
-	if _, err := table.At(Version{3, 3}); !errors.As(err, &gone) || !strings.Contains(err.Error(), "is not kept") {
+	if _, err := table.At(Version{3, 3}); !errors.As(err, &gone) || !strings.Contains(err.Error(), "is not in the history") {
 		t.Error(err)
 	}
 }
--- a/internal/tableversion/version.go
+++ b/internal/tableversion/version.go
@@ -48,7 +48,7 @@
 	epoch, epochErr := strconv.ParseUint(epochText, epochBase, 64)
 	count, countErr := strconv.ParseUint(countText, 10, 64)
 	if !found || epochErr != nil || countErr != nil || len(text) > maxVersionText {
-		return NoVersion, fmt.Errorf("%.40q is no version: it reads as EPOCH.COUNT", text)
+		return NoVersion, fmt.Errorf("invalid version %.40q: want EPOCH.COUNT", text)
 	}
 	return Version{epoch, count}, nil
 }
