--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -267,8 +267,8 @@
 // TestRecordedTypesHaveTags: a field without a tag would change its name on disk when it is renamed.
 func TestRecordedTypesHaveTags(t *testing.T) {
 	seen := map[reflect.Type]bool{}
-	var look func(of reflect.Type)
-	look = func(of reflect.Type) {
+	var checkTags func(of reflect.Type)
+	checkTags = func(of reflect.Type) {
 		for of.Kind() == reflect.Slice || of.Kind() == reflect.Pointer || of.Kind() == reflect.Map {
 			of = of.Elem()
 		}
@@ -281,7 +281,7 @@
 			if f.Tag.Get("json") == "" && !f.Anonymous {
 				t.Errorf("%s.%s has no tag", of, f.Name)
 			}
-			look(f.Type)
+			checkTags(f.Type)
 		}
 	}
 	for _, v := range []any{
@@ -313,7 +313,7 @@
 		fleet.SetAdmission{},
 		fleet.Barrier{},
 	} {
-		look(reflect.TypeOf(v))
+		checkTags(reflect.TypeOf(v))
 	}
 }
 
--- a/internal/eventlog/writer.go
+++ b/internal/eventlog/writer.go
@@ -11,9 +11,9 @@
 
 // Writer writes a log. After an error, which Flush gives, it writes no more.
 type Writer struct {
-	out        *bufio.Writer
-	namedCount fleet.ServerID // servers whose names are written
-	err        error
+	out          *bufio.Writer
+	namesWritten fleet.ServerID // servers whose names are written
+	err          error
 }
 
 // NewWriter writes the header.
@@ -40,11 +40,11 @@
 	now fleet.Time, events []fleet.Event, orders []fleet.Order, count int, nameOf func(fleet.ServerID) string,
 ) {
 	step := Step{Now: now}
-	for ; int(w.namedCount) < count; w.namedCount++ {
+	for ; int(w.namesWritten) < count; w.namesWritten++ {
 		if step.Names == nil {
 			step.Names = map[fleet.ServerID]string{}
 		}
-		step.Names[w.namedCount] = nameOf(w.namedCount)
+		step.Names[w.namesWritten] = nameOf(w.namesWritten)
 	}
 	for _, event := range events {
 		item, err := eventItem(event)
--- a/internal/safety/file.go
+++ b/internal/safety/file.go
@@ -13,10 +13,10 @@
 
 // StateFile is the file that a table is checked against offline: the servers and the demand of a class.
 type StateFile struct {
-	Now     time.Time     `json:"now"`
-	Demand  float64       `json:"demand"` // requests per second that would go by the table
-	Cold    SlowStartFile `json:"cold"`
-	Servers []ServerFile  `json:"servers"`
+	Now       time.Time     `json:"now"`
+	Demand    float64       `json:"demand"` // requests per second that would go by the table
+	SlowStart SlowStartFile `json:"cold"`
+	Servers   []ServerFile  `json:"servers"`
 }
 
 // ServerFile is a server in a state file.
@@ -37,11 +37,11 @@
 
 // TableFile is a table to be checked.
 type TableFile struct {
-	Lines []TableFileLine `json:"lines"`
+	Entries []TableFileEntry `json:"lines"`
 }
 
-// TableFileLine is an entry of a table file.
-type TableFileLine struct {
+// TableFileEntry is an entry of a table file.
+type TableFileEntry struct {
 	Server    string  `json:"server"`
 	Weight    float64 `json:"weight"`
 	Withdrawn bool    `json:"withdrawn,omitempty"`
@@ -72,19 +72,19 @@
 		return nil, fmt.Errorf("%s: now: required field is missing", stateName)
 	}
 	now := fleet.Time(stateFile.Now.UnixNano())
-	guard, names, err := stateFile.newGuard(now, stateName)
+	checker, names, err := stateFile.newChecker(now, stateName)
 	if err != nil {
 		return nil, err
 	}
-	lines, err := tableFile.lines(names, tableName)
+	entries, err := tableFile.entries(names, tableName)
 	if err != nil {
 		return nil, err
 	}
 	var texts []string
-	for _, harm := range guard.CheckTable(now, lines, stateFile.Demand) {
-		text := harm.Reason + ": " + harm.Text
-		if !harm.NoServer {
-			text = "server " + names.name(harm.Server) + ": " + text
+	for _, violation := range checker.CheckTable(now, entries, stateFile.Demand) {
+		text := violation.Reason + ": " + violation.Text
+		if !violation.NoServer {
+			text = "server " + names.name(violation.Server) + ": " + text
 		}
 		texts = append(texts, text)
 	}
@@ -115,18 +115,18 @@
 
 func (n *serverNames) name(id fleet.ServerID) string { return n.names[id] }
 
-// newGuard returns a guard that knows the servers of the file.
-func (f *StateFile) newGuard(now fleet.Time, fileName string) (*Checker, *serverNames, error) {
-	guard := New(fleet.Site{
+// newChecker returns a guard that knows the servers of the file.
+func (f *StateFile) newChecker(now fleet.Time, fileName string) (*Checker, *serverNames, error) {
+	checker := New(fleet.Site{
 		Zones:   []string{""},
 		Classes: make([]fleet.RequestClass, 1),
 		SlowStart: fleet.SlowStart{
-			InitialFraction: f.Cold.InitialFraction,
-			Duration:        fleet.Second.Scale(f.Cold.DurationSeconds),
+			InitialFraction: f.SlowStart.InitialFraction,
+			Duration:        fleet.Second.Scale(f.SlowStart.DurationSeconds),
 		},
 		RecoveryRamp: fleet.RecoveryRamp{
-			OverloadFactor: f.Cold.OverloadFactor,
-			Duration:       fleet.Second.Scale(f.Cold.OverloadDurationSeconds),
+			OverloadFactor: f.SlowStart.OverloadFactor,
+			Duration:       fleet.Second.Scale(f.SlowStart.OverloadDurationSeconds),
 		},
 	})
 	names := &serverNames{ids: map[string]fleet.ServerID{}}
@@ -143,27 +143,27 @@
 		}
 		list.Endpoints = append(list.Endpoints, endpoint)
 	}
-	guard.Observe(now, list)
+	checker.Observe(now, list)
 	for i, server := range f.Servers {
 		if server.Capacity > 0 {
-			known := guard.servers[fleet.ServerID(i)]
+			known := checker.servers[fleet.ServerID(i)]
 			known.handledRate = server.Capacity
 			known.capacity = server.Capacity
 			known.measuredAt = now
 		}
 	}
-	return guard, names, nil
+	return checker, names, nil
 }
 
 // lines returns the entries of the file. Servers that are not listed get ids of their own.
-func (f *TableFile) lines(names *serverNames, fileName string) ([]TableLine, error) {
-	var lines []TableLine
-	for i, line := range f.Lines {
-		id := names.id(line.Server)
-		if line.Weight < 0 {
-			return nil, fmt.Errorf("%s: lines[%d].weight: %v is negative", fileName, i, line.Weight)
+func (f *TableFile) entries(names *serverNames, fileName string) ([]TableLine, error) {
+	var entries []TableLine
+	for i, entry := range f.Entries {
+		id := names.id(entry.Server)
+		if entry.Weight < 0 {
+			return nil, fmt.Errorf("%s: lines[%d].weight: %v is negative", fileName, i, entry.Weight)
 		}
-		lines = append(lines, TableLine{id, line.Weight, line.Withdrawn})
+		entries = append(entries, TableLine{id, entry.Weight, entry.Withdrawn})
 	}
-	return lines, nil
+	return entries, nil
 }
--- a/internal/safety/guard.go
+++ b/internal/safety/guard.go
@@ -48,10 +48,10 @@
 	measuredAt  fleet.Time
 
 	// While it warms up: the rates that proxies may send, and the rate that it bears.
-	proxyRates   []float64 // by proxy, the largest that each may send
-	totalRate    float64   // sum of proxyRates
-	bearable     float64
-	bearableFrom fleet.Time // time for which bearable was worked out
+	proxyRates []float64 // by proxy, the largest that each may send
+	totalRate  float64   // sum of proxyRates
+	limit      float64
+	limitAt    fleet.Time // time for which limit was worked out
 }
 
 // rateOf returns the rate that a proxy may send to a warming server.
@@ -89,8 +89,8 @@
 	kindCapacities   map[fleet.KindID]float64 // low quartile of the warm servers of a kind
 	kindCapacitiesAt fleet.Time               // time for which they were worked out; negative: outdated
 
-	weightSums []int     // reused to avoid allocations
-	unitRates  []float64 // the same
+	weightSums     []int     // reused to avoid allocations
+	ratesPerWeight []float64 // the same
 
 	passed, stopped uint64
 }
@@ -109,28 +109,28 @@
 }
 
 // Observe takes an event that the balancer gets as well.
-func (g *Checker) Observe(now fleet.Time, event fleet.Event) {
+func (c *Checker) Observe(now fleet.Time, event fleet.Event) {
 	switch event := event.(type) {
 	case fleet.EndpointList:
-		g.setEndpoints(now, event)
+		c.setEndpoints(now, event)
 	case fleet.ProxyJoined:
-		g.proxies[event.Proxy] = &proxy{
+		c.proxies[event.Proxy] = &proxy{
 			usualRate:   event.RequestRate,
-			demandRates: make([][]float64, len(g.site.Classes)),
+			demandRates: make([][]float64, len(c.site.Classes)),
 		}
 	case fleet.ProxyLeft:
-		if proxy := g.proxies[event.Proxy]; proxy != nil {
+		if proxy := c.proxies[event.Proxy]; proxy != nil {
 			proxy.leftAt = now
 		}
 	case fleet.DemandReport:
-		g.addDemand(event)
+		c.addDemand(event)
 	case fleet.OutcomeReport:
-		g.addOutcome(now, event)
+		c.addOutcome(now, event)
 	}
 }
 
-func (g *Checker) addDemand(report fleet.DemandReport) {
-	proxy := g.proxies[report.Proxy]
+func (c *Checker) addDemand(report fleet.DemandReport) {
+	proxy := c.proxies[report.Proxy]
 	if proxy == nil || int(report.Class) >= len(proxy.demandRates) || report.Interval <= 0 {
 		return
 	}
@@ -139,14 +139,14 @@
 	proxy.demandRates[report.Class] = append(rates, float64(report.Requests)/report.Interval.Seconds())
 }
 
-func (g *Checker) addOutcome(now fleet.Time, report fleet.OutcomeReport) {
-	server := g.servers[report.Server]
+func (c *Checker) addOutcome(now fleet.Time, report fleet.OutcomeReport) {
+	server := c.servers[report.Server]
 	if server == nil || report.Attempts < report.Failures {
 		return
 	}
 	utilization := -1.0
-	if g.utilizationIndex >= 0 && g.utilizationIndex < len(report.Load) {
-		utilization = float64(report.Load[g.utilizationIndex])
+	if c.utilizationIndex >= 0 && c.utilizationIndex < len(report.Load) {
+		utilization = float64(report.Load[c.utilizationIndex])
 	}
 	recent := server.outcomes[max(0, len(server.outcomes)+1-maxOutcomes):]
 	server.outcomes = append(recent, outcome{
@@ -156,47 +156,47 @@
 		successes:   float64(report.Attempts - report.Failures),
 		utilization: utilization,
 	})
-	g.measure(now, server)
+	c.measure(now, server)
 }
 
-func (g *Checker) setEndpoints(now fleet.Time, list fleet.EndpointList) {
+func (c *Checker) setEndpoints(now fleet.Time, list fleet.EndpointList) {
 	if list.Scope == fleet.ListFailed {
 		return
 	}
 	listed := map[fleet.ServerID]bool{}
 	for _, endpoint := range list.Endpoints {
 		listed[endpoint.Server] = true
-		known := g.servers[endpoint.Server]
+		known := c.servers[endpoint.Server]
 		if known == nil {
 			known = &server{}
-			g.servers[endpoint.Server] = known
+			c.servers[endpoint.Server] = known
 		}
 		if endpoint.Started != known.Started {
-			g.restart(now, known)
+			c.restart(now, known)
 		}
 		known.Endpoint = endpoint
 	}
-	g.readyServers = 0
-	g.kindCapacitiesAt = -1
-	for id, server := range g.servers {
+	c.readyServers = 0
+	c.kindCapacitiesAt = -1
+	for id, server := range c.servers {
 		if list.Scope != fleet.ListDelta && !listed[id] {
 			server.State = fleet.ServerGone
 		}
 		if server.State == fleet.ServerReady {
-			g.readyServers++
+			c.readyServers++
 		}
 	}
 }
 
 // restart takes a new start of a server, perhaps while it was still warming up. The rates that proxies may send it
 // stay, as proxies have the same entries, but for those of proxies that left before a warm-up ago.
-func (g *Checker) restart(now fleet.Time, server *server) {
+func (c *Checker) restart(now fleet.Time, server *server) {
 	server.outcomes = nil
-	server.bearableFrom = 0
+	server.limitAt = 0
 	for i := range server.proxyRates {
 		id := fleet.ProxyID(i)
-		proxy := g.proxies[id]
-		if proxy != nil && proxy.leftAt > 0 && now > proxy.leftAt+g.site.SlowStart.Duration {
+		proxy := c.proxies[id]
+		if proxy != nil && proxy.leftAt > 0 && now > proxy.leftAt+c.site.SlowStart.Duration {
 			server.setRate(id, 0)
 		}
 	}
@@ -204,8 +204,8 @@
 
 // Demand returns the rate of a class's requests that may come to a proxy: the largest of its latest reports, or an
 // even part of what is usual.
-func (g *Checker) Demand(id fleet.ProxyID, class fleet.ClassID) float64 {
-	proxy := g.proxies[id]
+func (c *Checker) Demand(id fleet.ProxyID, class fleet.ClassID) float64 {
+	proxy := c.proxies[id]
 	if proxy == nil {
 		return 0
 	}
@@ -216,26 +216,26 @@
 }
 
 // Counts returns how many proposals passed and how many were refused or lowered.
-func (g *Checker) Counts() (passed, stopped uint64) { return g.passed, g.stopped }
+func (c *Checker) Counts() (passed, stopped uint64) { return c.passed, c.stopped }
 
 // CheckPlan checks one message. Draining binds even where it takes the last server; then no class may be left
 // without endpoints; then no warming server may be overloaded.
-func (g *Checker) CheckPlan(now fleet.Time, plan *reconcile.UpdatePlan) {
+func (c *Checker) CheckPlan(now fleet.Time, plan *reconcile.UpdatePlan) {
 	for i := range plan.Proposals {
 		proposal := &plan.Proposals[i]
 		if proposal.Kind == reconcile.UpdateAdmission {
-			g.limitRetries(proposal)
+			c.limitRetries(proposal)
 		} else {
-			g.keepFromUnready(proposal)
+			c.refuseUnready(proposal)
 		}
 	}
-	keepLastEndpoints(plan)
-	g.limitWarming(now, plan)
+	refuseEmptyClasses(plan)
+	c.limitWarming(now, plan)
 	for i := range plan.Proposals {
 		if plan.Proposals[i].HoldReason != "" || plan.Proposals[i].LowerReason != "" {
-			g.stopped++
+			c.stopped++
 		} else {
-			g.passed++
+			c.passed++
 		}
 	}
 }
--- a/internal/safety/helpers_test.go
+++ b/internal/safety/helpers_test.go
@@ -69,27 +69,27 @@
 	site.Classes = site.Classes[:1]
 	site.EntriesPerSecond = 1e6
 	site.MaxBacklog = 1e6
-	guard := New(site)
+	checker := New(site)
 	reconciler := reconcile.New(site)
-	reconciler.UseSafetyCheck(guard)
+	reconciler.UseSafetyCheck(checker)
 	list := fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2}, {Server: 3}}}
-	guard.Observe(now, list)
+	checker.Observe(now, list)
 	reconciler.SetEndpoints(now, list)
 	var orders []fleet.Order
 	for id := range fleet.ServerID(3) {
-		guard.Observe(now, outcomeReport(id+1, 100, 0.5))
+		checker.Observe(now, outcomeReport(id+1, 100, 0.5))
 		orders = append(orders, fleet.SetWeight{Server: id + 1, Weight: 1})
 	}
 	for i := range proxies {
 		id := fleet.ProxyID(i)
 		reconciler.Join(now, id, reconcile.Snapshot{})
-		guard.Observe(now, fleet.ProxyJoined{Proxy: id})
-		guard.Observe(now, fleet.DemandReport{Proxy: id, Requests: uint32(2400 / proxies), Interval: 100 * fleet.Second})
+		checker.Observe(now, fleet.ProxyJoined{Proxy: id})
+		checker.Observe(now, fleet.DemandReport{Proxy: id, Requests: uint32(2400 / proxies), Interval: 100 * fleet.Second})
 		orders = append(orders, fleet.AssignTable{Proxy: id})
 	}
 	reconciler.Apply(now, orders)
 	acknowledgeAll(reconciler, now)
-	return guard, reconciler
+	return checker, reconciler
 }
 
 // acknowledgeAll acknowledges all messages that leave within 400 ms and returns their changes.
--- a/internal/safety/oracle_test.go
+++ b/internal/safety/oracle_test.go
@@ -22,13 +22,13 @@
 
 // oracle is a small fleet of which everything is known.
 type oracle struct {
-	guard      *Checker
+	checker    *Checker
 	states     [oracleServers]fleet.ServerState
 	startedAt  [oracleServers]fleet.Time
 	capacities [oracleServers]float64
 	demand     [oracleProxies][oracleClasses]float64
 	// moments of each proxy: what it has for certain, then what it may have after each change that is in flight.
-	moments [oracleProxies][]entryTable
+	possible [oracleProxies][]entryTable
 }
 
 func (o *oracle) isWarmingUp(server int) bool {
@@ -39,12 +39,12 @@
 
 // latest returns what a proxy has once all that is in flight has arrived.
 func (o *oracle) latest(proxy int) entryTable {
-	return o.moments[proxy][len(o.moments[proxy])-1]
+	return o.possible[proxy][len(o.possible[proxy])-1]
 }
 
 // drawOracle draws a fleet and reports it to a guard.
 func drawOracle(t *rapid.T) *oracle {
-	o := &oracle{guard: New(testSite())}
+	o := &oracle{checker: New(testSite())}
 	list := fleet.EndpointList{Scope: fleet.ListFull}
 	for server := range oracleServers {
 		o.states[server] = fleet.ServerState(max(0, rapid.IntRange(-4, 2).Draw(t, "state")))
@@ -57,11 +57,11 @@
 			Started: o.startedAt[server],
 		})
 	}
-	o.guard.Observe(now, list)
+	o.checker.Observe(now, list)
 	for server := range oracleServers {
 		o.capacities[server] = float64(rapid.IntRange(2, 40).Draw(t, "capacity"))
 		if !o.isWarmingUp(server) { // it handles half of its capacity at a utilization of a half
-			o.guard.Observe(now, fleet.OutcomeReport{
+			o.checker.Observe(now, fleet.OutcomeReport{
 				Server:   fleet.ServerID(server),
 				Attempts: uint32(10 * o.capacities[server]),
 				Interval: 20 * fleet.Second,
@@ -70,11 +70,11 @@
 		}
 	}
 	for proxy := range oracleProxies {
-		o.guard.Observe(now, fleet.ProxyJoined{Proxy: fleet.ProxyID(proxy)})
+		o.checker.Observe(now, fleet.ProxyJoined{Proxy: fleet.ProxyID(proxy)})
 		for class := range oracleClasses {
 			requests := rapid.IntRange(0, 30).Draw(t, "requests")
 			o.demand[proxy][class] = float64(requests) / 2
-			o.guard.Observe(now, fleet.DemandReport{
+			o.checker.Observe(now, fleet.DemandReport{
 				Proxy:    fleet.ProxyID(proxy),
 				Class:    fleet.ClassID(class),
 				Requests: uint32(requests),
@@ -103,7 +103,7 @@
 				initial[class][server] = drawEntry(t)
 			}
 		}
-		o.moments[proxy] = []entryTable{initial}
+		o.possible[proxy] = []entryTable{initial}
 	}
 }
 
@@ -114,7 +114,7 @@
 		Proxy:           fleet.ProxyID(proxy),
 		EntryCounts:     make([]int, oracleClasses),
 		WeightSums:      make([]int, oracleClasses),
-		NothingInFlight: len(o.moments[proxy]) == 1,
+		NothingInFlight: len(o.possible[proxy]) == 1,
 		Proposals:       proposals,
 	}
 	for server := range oracleServers {
@@ -169,15 +169,15 @@
 	return proposals
 }
 
-// momentsAfter returns what a proxy may have after each of the proposals in their order.
-func momentsAfter(table entryTable, proposals []reconcile.Proposal) (moments []entryTable) {
+// tablesAfter returns what a proxy may have after each of the proposals in their order.
+func tablesAfter(table entryTable, proposals []reconcile.Proposal) (tables []entryTable) {
 	for _, proposal := range proposals {
 		if proposal.HoldReason == "" {
 			table[proposal.Class][proposal.Server] = proposal.Want
-			moments = append(moments, table)
+			tables = append(tables, table)
 		}
 	}
-	return moments
+	return tables
 }
 
 // usable returns number and sum of weights of a class's usable entries of ready servers.
@@ -193,7 +193,7 @@
 
 // violation returns which rule a message violates, "" for none: it plays out every order of arrival, from first
 // principles.
-func (o *oracle) violation(proxy int, proposals []reconcile.Proposal, moments []entryTable) string {
+func (o *oracle) violation(proxy int, proposals []reconcile.Proposal, tables []entryTable) string {
 	for _, proposal := range proposals {
 		becomesUsable := proposal.Want.Usable() && !proposal.Have.Usable()
 		if proposal.HoldReason == "" && !o.isReady(int(proposal.Server)) && becomesUsable {
@@ -203,14 +203,14 @@
 	before := o.latest(proxy)
 	for class := range oracleClasses {
 		countBefore, _ := o.usable(before, class)
-		for _, moment := range moments {
-			if count, _ := o.usable(moment, class); countBefore > 0 && count == 0 {
+		for _, table := range tables {
+			if count, _ := o.usable(table, class); countBefore > 0 && count == 0 {
 				return ReasonNoEndpoints
 			}
 		}
 	}
-	all := o.moments
-	all[proxy] = append(slices.Clone(all[proxy]), moments...)
+	all := o.possible
+	all[proxy] = append(slices.Clone(all[proxy]), tables...)
 	for server := range oracleServers {
 		if o.isWarmingUp(server) && o.isReady(server) && o.isOverloaded(server, all) {
 			return ReasonWarmingOverload
@@ -220,10 +220,10 @@
 }
 
 // isOverloaded reports whether a warming server gets more than it bears at any pair of moments of the proxies.
-func (o *oracle) isOverloaded(server int, moments [oracleProxies][]entryTable) bool {
-	bearable := o.bearableRate(server)
-	for _, first := range moments[0] {
-		for _, second := range moments[1] {
+func (o *oracle) isOverloaded(server int, tables [oracleProxies][]entryTable) bool {
+	limit := o.rateLimit(server)
+	for _, first := range tables[0] {
+		for _, second := range tables[1] {
 			rate := 0.0
 			for proxy, table := range []entryTable{first, second} {
 				for class := range oracleClasses {
@@ -233,7 +233,7 @@
 					}
 				}
 			}
-			if rate > bearable+1e-9 {
+			if rate > limit+1e-9 {
 				return true
 			}
 		}
@@ -241,8 +241,8 @@
 	return false
 }
 
-// bearableRate finds by bisection the rate that a warming server bears.
-func (o *oracle) bearableRate(server int) float64 {
+// rateLimit finds by bisection the rate that a warming server bears.
+func (o *oracle) rateLimit(server int) float64 {
 	var known []float64
 	for other := range oracleServers {
 		if !o.isWarmingUp(other) && o.isReady(other) {
@@ -312,14 +312,14 @@
 	checked := o.newPlan(proxy, slices.Clone(original.Proposals))
 	latest := o.latest(proxy)
 	reconcile.Arrange(original)
-	moments := momentsAfter(latest, original.Proposals)
-	violation := o.violation(proxy, original.Proposals, moments)
-	if violation == ReasonWarmingOverload && slices.ContainsFunc(moments, func(moment entryTable) bool {
-		return o.fillsEmptyClassWithWarming(latest, moment)
+	tables := tablesAfter(latest, original.Proposals)
+	violation := o.violation(proxy, original.Proposals, tables)
+	if violation == ReasonWarmingOverload && slices.ContainsFunc(tables, func(table entryTable) bool {
+		return o.fillsEmptyClassWithWarming(latest, table)
 	}) {
 		return false // having endpoints takes precedence
 	}
-	o.guard.CheckPlan(now, checked)
+	o.checker.CheckPlan(now, checked)
 	isStopped := slices.ContainsFunc(checked.Proposals, func(proposal reconcile.Proposal) bool {
 		return proposal.HoldReason != "" || proposal.LowerReason != ""
 	})
@@ -337,15 +337,15 @@
 		t.Errorf("passed, though %s: %+v", violation, checked.Proposals)
 	}
 	reconcile.Arrange(checked)
-	moments = momentsAfter(latest, checked.Proposals)
-	if left := o.violation(proxy, checked.Proposals, moments); left != "" {
-		if left == ReasonWarmingOverload && slices.ContainsFunc(append(moments, latest), o.hasWarmingOnly) {
+	tables = tablesAfter(latest, checked.Proposals)
+	if left := o.violation(proxy, checked.Proposals, tables); left != "" {
+		if left == ReasonWarmingOverload && slices.ContainsFunc(append(tables, latest), o.hasWarmingOnly) {
 			return false // having endpoints takes precedence
 		}
 		counts.stillViolating++
 		t.Errorf("what passed: %s: %+v", left, checked.Proposals)
 	}
-	o.moments[proxy] = append(o.moments[proxy], moments...)
+	o.possible[proxy] = append(o.possible[proxy], tables...)
 	return true
 }
 
@@ -361,13 +361,13 @@
 			return // violated from the beginning, by no message
 		}
 		for proxy := range oracleProxies {
-			o.guard.ProxyJoined(now, o.newPlan(proxy, nil))
+			o.checker.ProxyJoined(now, o.newPlan(proxy, nil))
 		}
 		for range rapid.IntRange(1, 4).Draw(t, "messages") {
 			proxy := rapid.IntRange(0, oracleProxies-1).Draw(t, "proxy")
 			if rapid.IntRange(0, 3).Draw(t, "acknowledged") == 0 { // all that was in flight has arrived
-				o.moments[proxy] = o.moments[proxy][len(o.moments[proxy])-1:]
-				o.guard.ProxyAcknowledged(now, o.newPlan(proxy, nil))
+				o.possible[proxy] = o.possible[proxy][len(o.possible[proxy])-1:]
+				o.checker.ProxyAcknowledged(now, o.newPlan(proxy, nil))
 			}
 			if !o.checkMessage(t, proxy, counts) {
 				return
--- a/internal/safety/rates.go
+++ b/internal/safety/rates.go
@@ -70,12 +70,12 @@
 
 // ratesAt returns the rates that a proxy sends by the entries of warming servers, with the sums of weights by
 // class.
-func (g *Checker) ratesAt(plan *reconcile.UpdatePlan, entries []warmingEntry, weightSums []int) serverRates {
+func (c *Checker) ratesAt(plan *reconcile.UpdatePlan, entries []warmingEntry, weightSums []int) serverRates {
 	rates := serverRates{}
 	for _, entry := range entries {
 		if entry.weight > 0 {
 			fraction := float64(entry.weight) / float64(max(1, weightSums[entry.Class]))
-			rates[entry.Server] += g.Demand(plan.Proxy, entry.Class) * fraction
+			rates[entry.Server] += c.Demand(plan.Proxy, entry.Class) * fraction
 		}
 	}
 	return rates
@@ -83,13 +83,13 @@
 
 // peakRates returns the largest rates that a proxy sends to each warming server at any moment while it applies a
 // message, and the largest ones from the last decrease of the server's own weight on.
-func (g *Checker) peakRates(plan *reconcile.UpdatePlan) (peaks, afterDecrease serverRates) {
+func (c *Checker) peakRates(plan *reconcile.UpdatePlan) (peaks, afterDecrease serverRates) {
 	arranged := *plan
 	arranged.Proposals = slices.Clone(plan.Proposals)
 	reconcile.Arrange(&arranged)
 	entries := entriesBefore(plan)
 	weightSums := slices.Clone(plan.WeightSums)
-	peaks = g.ratesAt(plan, entries, weightSums)
+	peaks = c.ratesAt(plan, entries, weightSums)
 	afterDecrease = serverRates{}
 	for i := range arranged.Proposals {
 		proposal := &arranged.Proposals[i]
@@ -112,7 +112,7 @@
 		if proposal.Warming && delta < 0 {
 			afterDecrease[proposal.Server] = 0
 		}
-		for id, rate := range g.ratesAt(plan, entries, weightSums) {
+		for id, rate := range c.ratesAt(plan, entries, weightSums) {
 			peaks[id] = max(peaks[id], rate)
 			afterDecrease[id] = max(afterDecrease[id], rate)
 		}
--- a/internal/safety/rules.go
+++ b/internal/safety/rules.go
@@ -8,26 +8,26 @@
 // maxProxyStall is how long a proxy may be stalled between two attempts of a request.
 const maxProxyStall = 2 * fleet.Second
 
-// keepFromUnready refuses to make the entry of a draining or gone server usable.
-func (g *Checker) keepFromUnready(proposal *reconcile.Proposal) {
+// refuseUnready refuses to make the entry of a draining or gone server usable.
+func (c *Checker) refuseUnready(proposal *reconcile.Proposal) {
 	becomesUsable := proposal.Want.Usable() && !proposal.Have.Usable()
-	if !proposal.Ready && becomesUsable && g.mustNotGetRequests(proposal.Server) {
+	if !proposal.Ready && becomesUsable && c.isExcluded(proposal.Server) {
 		proposal.HoldReason = ReasonServerNotReady
 	}
 }
 
-// mustNotGetRequests reports whether the list forbids to send requests to a server.
-func (g *Checker) mustNotGetRequests(id fleet.ServerID) bool {
-	server := g.servers[id]
+// isExcluded reports whether the list forbids to send requests to a server.
+func (c *Checker) isExcluded(id fleet.ServerID) bool {
+	server := c.servers[id]
 	if server == nil {
 		return false
 	}
-	return server.State == fleet.ServerDraining || server.State == fleet.ServerGone && !g.site.RemovalNotBinding
+	return server.State == fleet.ServerDraining || server.State == fleet.ServerGone && !c.site.RemovalNotBinding
 }
 
-// keepLastEndpoints refuses changes that would take the last ready server of a class. Of the entries that the
+// refuseEmptyClasses refuses changes that would take the last ready server of a class. Of the entries that the
 // message takes, the one with the largest weight stays, a warm one before a warming one.
-func keepLastEndpoints(plan *reconcile.UpdatePlan) {
+func refuseEmptyClasses(plan *reconcile.UpdatePlan) {
 	for class, count := range plan.EntryCounts {
 		if count == 0 {
 			continue // already without endpoints, by no change of this message
@@ -60,16 +60,16 @@
 }
 
 // limitRetries lowers the retry mode of a class to what cannot execute a request twice.
-func (g *Checker) limitRetries(proposal *reconcile.Proposal) {
-	if limit := g.maxRetry(proposal.Class); proposal.Admission.Retry > limit {
+func (c *Checker) limitRetries(proposal *reconcile.Proposal) {
+	if limit := c.maxRetry(proposal.Class); proposal.Admission.Retry > limit {
 		proposal.Admission.Retry = limit
 		proposal.LowerReason = ReasonDuplicateExecution
 	}
 }
 
 // maxRetry returns the largest retry mode by which no request of a class is executed twice.
-func (g *Checker) maxRetry(class fleet.ClassID) fleet.RetryMode {
-	settings := &g.site.Classes[class]
+func (c *Checker) maxRetry(class fleet.ClassID) fleet.RetryMode {
+	settings := &c.site.Classes[class]
 	switch settings.Idempotency {
 	case fleet.Idempotent:
 		return fleet.RetryTwice
@@ -85,7 +85,7 @@
 		}
 	}
 	// A retry begins at most this long after the attempt before it.
-	retryDelay := settings.LatencyObjective.Scale(g.site.AttemptTimeoutFactor) + maxProxyStall
+	retryDelay := settings.LatencyObjective.Scale(c.site.AttemptTimeoutFactor) + maxProxyStall
 	switch {
 	case 2*retryDelay < settings.DeduplicationWindow:
 		return fleet.RetryTwice
--- a/internal/safety/rules_test.go
+++ b/internal/safety/rules_test.go
@@ -20,7 +20,7 @@
 	zoneScope := keyed
 	zoneScope.DeduplicationScope = fleet.DeduplicationZone
 	site.Classes = append(site.Classes, keyed, shortWindow, zoneScope)
-	guard := New(site)
+	checker := New(site)
 	limits := []fleet.RetryMode{
 		fleet.RetryTwice, fleet.RetryIfNotExecuted, fleet.RetryTwice, fleet.RetryOnce, fleet.RetryIfNotExecuted,
 	}
@@ -36,7 +36,7 @@
 					Admission: reconcile.Admission{Known: true, Retry: wanted},
 				}}},
 			}
-			guard.CheckPlan(now, plan)
+			checker.CheckPlan(now, plan)
 			proposal := plan.Proposals[0]
 			lowered := proposal.LowerReason != ""
 			if proposal.Admission.Retry != min(wanted, limit) || lowered != (wanted > limit) {
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -42,18 +42,18 @@
 	warm  int  // servers that are not warming up
 }
 
-func (g *Checker) readyCapacity(now fleet.Time) readyCapacity {
+func (c *Checker) readyCapacity(now fleet.Time) readyCapacity {
 	sum := readyCapacity{known: true}
-	for _, server := range g.servers {
+	for _, server := range c.servers {
 		if server.State != fleet.ServerReady {
 			continue
 		}
-		capacity, known := server.trustedCapacity(now)
+		capacity, known := server.effectiveCapacity(now)
 		sum.total += capacity
 		if !known {
 			sum.known = false
 		}
-		if !g.isWarmingUp(now, server) {
+		if !c.isWarmingUp(now, server) {
 			sum.warm++
 		}
 	}
@@ -62,54 +62,59 @@
 
 // CheckTable checks a complete table for classes whose requests come at a rate of demand per second in all. It informs
 // operators in advance; messages are checked one by one all the same.
-func (g *Checker) CheckTable(now fleet.Time, lines []TableLine, demand float64) (harms []Violation) {
+func (c *Checker) CheckTable(now fleet.Time, entries []TableLine, demand float64) (violations []Violation) {
 	var ready []TableLine
 	weightSum, capacity := 0.0, 0.0
-	for _, line := range lines {
-		if !line.usable() {
+	for _, entry := range entries {
+		if !entry.usable() {
 			continue
 		}
-		server := g.servers[line.Server]
-		if server == nil || g.mustNotGetRequests(line.Server) {
-			harms = append(harms, Violation{
+		server := c.servers[entry.Server]
+		if server == nil || c.isExcluded(entry.Server) {
+			violations = append(violations, Violation{
 				Reason: ReasonServerNotReady,
-				Server: line.Server,
-				Text:   fmt.Sprintf("a weight of %.4g would send it requests", line.Weight),
+				Server: entry.Server,
+				Text:   fmt.Sprintf("a weight of %.4g would send it requests", entry.Weight),
 			})
 		} else if server.State == fleet.ServerReady {
-			ready = append(ready, line)
-			weightSum += line.Weight
-			trusted, _ := server.trustedCapacity(now)
-			capacity += trusted
+			ready = append(ready, entry)
+			weightSum += entry.Weight
+			serverCapacity, _ := server.effectiveCapacity(now)
+			capacity += serverCapacity
 		}
 	}
-	all := g.readyCapacity(now)
+	all := c.readyCapacity(now)
 	if len(ready) == 0 {
 		text := fmt.Sprintf("no ready server has a usable entry; %d ready servers past slow start are listed", all.warm)
-		return append(harms, Violation{Reason: ReasonNoEndpoints, NoServer: true, Text: text})
+		return append(violations, Violation{Reason: ReasonNoEndpoints, NoServer: true, Text: text})
 	}
-	for _, line := range ready {
-		if harm, overloaded := g.checkWarming(now, line, demand, weightSum); overloaded {
-			harms = append(harms, harm)
+	for _, entry := range ready {
+		if violation, overloaded := c.checkWarming(now, entry, demand, weightSum); overloaded {
+			violations = append(violations, violation)
 		}
 	}
 	if all.known && demand > maxTableUtilization*capacity && all.total > capacity {
-		harms = append(harms, Violation{Reason: ReasonInsufficientCapacity, NoServer: true, Forcible: true, Text: fmt.Sprintf(
-			"demand is %.1f requests/s, capacity of the table's servers %.1f requests/s, of all ready servers %.1f requests/s",
-			demand, capacity, all.total)})
+		violations = append(violations, Violation{
+			Reason:   ReasonInsufficientCapacity,
+			NoServer: true,
+			Forcible: true,
+			Text: fmt.Sprintf(
+				"demand is %.1f requests/s, capacity is %.1f requests/s in this table and %.1f requests/s on all ready servers",
+				demand, capacity, all.total),
+		})
 	}
-	return harms
+	return violations
 }
 
 // checkWarming checks whether an entry would overload a server that is warming up.
-func (g *Checker) checkWarming(now fleet.Time, line TableLine, demand, weightSum float64) (Violation, bool) {
-	rate := demand * line.Weight / weightSum
-	bearable := g.bearableRate(now, line.Server)
-	if rate <= bearable {
+func (c *Checker) checkWarming(now fleet.Time, entry TableLine, demand, weightSum float64) (Violation, bool) {
+	rate := demand * entry.Weight / weightSum
+	limit := c.rateLimit(now, entry.Server)
+	if rate <= limit {
 		return Violation{}, false
 	}
-	bearableWeight := max(0, bearable/max(epsilon, demand-bearable)*(weightSum-line.Weight))
-	return Violation{Reason: ReasonWarmingOverload, Server: line.Server, Text: fmt.Sprintf(
+	limitWeight := max(0, limit/max(epsilon, demand-limit)*(weightSum-entry.Weight))
+	return Violation{Reason: ReasonWarmingOverload, Server: entry.Server, Text: fmt.Sprintf(
 		"it would get %.1f requests/s, above its present limit of %.1f requests/s, a weight of %.4g in this table",
-		rate, bearable, bearableWeight)}, true
+		rate, limit, limitWeight)}, true
 }
--- a/internal/safety/table_test.go
+++ b/internal/safety/table_test.go
@@ -11,18 +11,18 @@
 
 // TestTableReportsViolations checks complete tables as operators push them.
 func TestTableReportsViolations(t *testing.T) {
-	guard := New(testSite())
-	guard.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{
+	checker := New(testSite())
+	checker.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{
 		{Server: 1},
 		{Server: 2},
 		{Server: 3, State: fleet.ServerDraining},
 		{Server: 4, Started: now - fleet.Second},
 	}})
 	for id := range fleet.ServerID(2) {
-		guard.Observe(now, outcomeReport(id+1, 100, 0.5))
+		checker.Observe(now, outcomeReport(id+1, 100, 0.5))
 	}
-	guard.Observe(now, fleet.OutcomeReport{Server: 4, Attempts: 10, Interval: 10 * fleet.Second})
-	guard.servers[4].measuredAt = now // there were reports, though it is warming up
+	checker.Observe(now, fleet.OutcomeReport{Server: 4, Attempts: 10, Interval: 10 * fleet.Second})
+	checker.servers[4].measuredAt = now // there were reports, though it is warming up
 	for _, test := range []struct {
 		weights map[fleet.ServerID]float64
 		demand  float64
@@ -42,8 +42,8 @@
 			}
 		}
 		var got []string
-		for _, harm := range guard.CheckTable(now, lines, test.demand) {
-			got = append(got, harm.Reason)
+		for _, violation := range checker.CheckTable(now, lines, test.demand) {
+			got = append(got, violation.Reason)
 		}
 		if !slices.Equal(got, test.want) {
 			t.Errorf("%v at %v per second: %q, not %q", test.weights, test.demand, got, test.want)
--- a/internal/safety/warming.go
+++ b/internal/safety/warming.go
@@ -12,32 +12,32 @@
 const maxLowerAttempts = 3
 
 // ProxyJoined notes what a proxy has at its join.
-func (g *Checker) ProxyJoined(now fleet.Time, plan *reconcile.UpdatePlan) {
-	g.ProxyAcknowledged(now, plan)
+func (c *Checker) ProxyJoined(now fleet.Time, plan *reconcile.UpdatePlan) {
+	c.ProxyAcknowledged(now, plan)
 }
 
 // ProxyAcknowledged notes that a proxy has what it was sent, and nothing else if no message is in flight.
-func (g *Checker) ProxyAcknowledged(now fleet.Time, plan *reconcile.UpdatePlan) {
-	rates := g.ratesAt(plan, entriesBefore(plan), plan.WeightSums)
+func (c *Checker) ProxyAcknowledged(now fleet.Time, plan *reconcile.UpdatePlan) {
+	rates := c.ratesAt(plan, entriesBefore(plan), plan.WeightSums)
 	if plan.NothingInFlight {
-		for id, server := range g.servers {
+		for id, server := range c.servers {
 			if server.rateOf(plan.Proxy) > 0 {
 				rates[id] = max(rates[id], 0) // 0 where the proxy has no entry any more
 			}
 		}
 	}
-	g.commitRates(plan, rates)
+	c.commitRates(plan, rates)
 }
 
 // ProxyLeft changes nothing: a proxy without a session may go on sending, so its rates count until the servers are
 // warm.
-func (g *Checker) ProxyLeft(fleet.ProxyID) {}
+func (c *Checker) ProxyLeft(fleet.ProxyID) {}
 
 // commitRates notes the rates that a proxy may send to warming servers. While other messages are in flight, the
 // larger one of the old and the new rate counts.
-func (g *Checker) commitRates(plan *reconcile.UpdatePlan, rates serverRates) {
+func (c *Checker) commitRates(plan *reconcile.UpdatePlan, rates serverRates) {
 	for id, rate := range rates {
-		server := g.servers[id]
+		server := c.servers[id]
 		if server != nil && (plan.NothingInFlight || rate > server.rateOf(plan.Proxy)) {
 			server.setRate(plan.Proxy, rate)
 		}
@@ -45,8 +45,8 @@
 }
 
 // otherProxiesRate returns the rate that other proxies may send to a server.
-func (g *Checker) otherProxiesRate(id fleet.ServerID, except fleet.ProxyID) float64 {
-	server := g.servers[id]
+func (c *Checker) otherProxiesRate(id fleet.ServerID, except fleet.ProxyID) float64 {
+	server := c.servers[id]
 	if server == nil {
 		return 0
 	}
@@ -56,25 +56,25 @@
 // limitWarming lowers entries of warming servers until each bears what all proxies may send it: this one at each
 // moment while it applies the message, the others as much as they have or as is in flight to them, whichever is
 // more. What lowering does not mend is refused.
-func (g *Checker) limitWarming(now fleet.Time, plan *reconcile.UpdatePlan) {
-	if g.isHarmless(now, plan) {
+func (c *Checker) limitWarming(now fleet.Time, plan *reconcile.UpdatePlan) {
+	if c.passesFastCheck(now, plan) {
 		return
 	}
 	entries := entriesAfter(plan)
 	attempts := map[fleet.ServerID]int{}
-	load := warmingLoad{before: g.ratesAt(plan, entriesBefore(plan), plan.WeightSums)}
-	load.peaks, load.afterDecrease = g.peakRates(plan)
+	load := warmingLoad{before: c.ratesAt(plan, entriesBefore(plan), plan.WeightSums)}
+	load.peaks, load.afterDecrease = c.peakRates(plan)
 	for range maxLowerAttempts * (len(entries) + 1) {
-		worst, found := g.worstOverload(now, plan.Proxy, entries, load, attempts)
+		worst, found := c.worstOverload(now, plan.Proxy, entries, load, attempts)
 		if !found {
 			break
 		}
 		attempts[worst.server]++
-		g.lowerServer(plan, entries, worst, attempts[worst.server] >= maxLowerAttempts)
+		c.lowerServer(plan, entries, worst, attempts[worst.server] >= maxLowerAttempts)
 		entries = entriesAfter(plan)
-		load.peaks, load.afterDecrease = g.peakRates(plan)
+		load.peaks, load.afterDecrease = c.peakRates(plan)
 	}
-	g.commitRates(plan, load.peaks)
+	c.commitRates(plan, load.peaks)
 }
 
 // warmingLoad is what a proxy sends to warming servers before a message, and at most while it applies it.
@@ -91,18 +91,18 @@
 
 // worstOverload returns the server with the largest excess. It goes by the order of the entries, so that the same
 // plan is always decided in the same way.
-func (g *Checker) worstOverload(
+func (c *Checker) worstOverload(
 	now fleet.Time, proxy fleet.ProxyID, entries []warmingEntry, load warmingLoad, attempts map[fleet.ServerID]int,
 ) (worst overload, found bool) {
 	for _, entry := range entries {
-		available := max(0, g.bearableRate(now, entry.Server)-g.otherProxiesRate(entry.Server, proxy))
+		available := max(0, c.rateLimit(now, entry.Server)-c.otherProxiesRate(entry.Server, proxy))
 		rate := load.peaks[entry.Server]
 		if before := load.before[entry.Server]; before > available { // too high already: what a decrease leaves counts
 			rate = load.afterDecrease[entry.Server]
-			if server := g.servers[entry.Server]; server != nil && server.totalRate > 0 {
+			if server := c.servers[entry.Server]; server != nil && server.totalRate > 0 {
 				// The other proxies are lowered as well: each keeps its part.
-				part := min(1, before/server.totalRate)
-				available = max(available, part*g.bearableRate(now, entry.Server))
+				proxyFraction := min(1, before/server.totalRate)
+				available = max(available, proxyFraction*c.rateLimit(now, entry.Server))
 			}
 		}
 		excess := rate - available
@@ -115,15 +115,15 @@
 }
 
 // lowerServer lowers the entries of an overloaded server, or refuses what changes their classes.
-func (g *Checker) lowerServer(plan *reconcile.UpdatePlan, entries []warmingEntry, worst overload, refuse bool) {
-	part := worst.available / (worst.available + worst.excess)
+func (c *Checker) lowerServer(plan *reconcile.UpdatePlan, entries []warmingEntry, worst overload, refuse bool) {
+	factor := worst.available / (worst.available + worst.excess)
 	weightSums := weightSumsAfter(plan, entries)
 	for i := range entries {
 		entry := &entries[i]
 		if entry.Server != worst.server {
 			continue
 		}
-		if refuse || entry.weight > 0 && !lowerEntry(plan, entry, entries, weightSums, part) {
+		if refuse || entry.weight > 0 && !lowerEntry(plan, entry, entries, weightSums, factor) {
 			refuseClass(plan, entry.Class)
 		}
 	}
@@ -150,7 +150,7 @@
 // would be, whatever becomes of other warming servers. It returns false where the class would have warming servers
 // only.
 func lowerEntry(
-	plan *reconcile.UpdatePlan, entry *warmingEntry, entries []warmingEntry, weightSums []int, part float64,
+	plan *reconcile.UpdatePlan, entry *warmingEntry, entries []warmingEntry, weightSums []int, factor float64,
 ) bool {
 	warmSum := weightSums[entry.Class]
 	for _, other := range entries {
@@ -161,7 +161,7 @@
 	if warmSum == 0 {
 		return false
 	}
-	fraction := part * float64(entry.weight) / float64(max(1, weightSums[entry.Class]))
+	fraction := factor * float64(entry.weight) / float64(max(1, weightSums[entry.Class]))
 	weight := int(fraction / max(epsilon, 1-fraction) * float64(warmSum))
 	if weight >= entry.weight {
 		return true
@@ -192,10 +192,10 @@
 	}
 }
 
-// isHarmless passes most messages at low cost: nothing raises an entry of a warming server, and after the message
+// passesFastCheck passes most messages at low cost: nothing raises an entry of a warming server, and after the message
 // none brings its server more than it bears. As reconcile.Arrange keeps every fraction within what it was before
 // and will be after, no moment in between is worse.
-func (g *Checker) isHarmless(now fleet.Time, plan *reconcile.UpdatePlan) bool {
+func (c *Checker) passesFastCheck(now fleet.Time, plan *reconcile.UpdatePlan) bool {
 	for i := range plan.Proposals {
 		if changesWarmingEntry(&plan.Proposals[i]) {
 			return false
@@ -204,19 +204,19 @@
 	if len(plan.Warming) == 0 {
 		return true
 	}
-	g.updateUnitRates(plan)
+	c.updateRatesPerWeight(plan)
 	for i := 0; i < len(plan.Warming); {
 		id := plan.Warming[i].Server
 		rate := 0.0
 		for ; i < len(plan.Warming) && plan.Warming[i].Server == id; i++ { // a server's entries are adjacent
-			rate += g.unitRates[plan.Warming[i].Class] * float64(plan.Warming[i].State.Weight)
+			rate += c.ratesPerWeight[plan.Warming[i].Class] * float64(plan.Warming[i].State.Weight)
 		}
-		server := g.servers[id]
+		server := c.servers[id]
 		if server == nil {
 			continue
 		}
 		before := server.rateOf(plan.Proxy)
-		if max(0, rate-before)+server.totalRate > g.bearableRateOf(now, server) {
+		if max(0, rate-before)+server.totalRate > c.rateLimitOf(now, server) {
 			return false // the complete check decides
 		}
 		if rate > before {
@@ -226,17 +226,17 @@
 	return true
 }
 
-// updateUnitRates works out the rate by class that a weight of one brings after a message.
-func (g *Checker) updateUnitRates(plan *reconcile.UpdatePlan) {
-	g.weightSums = append(g.weightSums[:0], plan.WeightSums...)
+// updateRatesPerWeight works out the rate by class that a weight of one brings after a message.
+func (c *Checker) updateRatesPerWeight(plan *reconcile.UpdatePlan) {
+	c.weightSums = append(c.weightSums[:0], plan.WeightSums...)
 	for i := range plan.Proposals {
 		if proposal := &plan.Proposals[i]; proposal.Kind != reconcile.UpdateAdmission {
-			g.weightSums[proposal.Class] += proposal.WeightDelta()
+			c.weightSums[proposal.Class] += proposal.WeightDelta()
 		}
 	}
-	g.unitRates = g.unitRates[:0]
-	for class, sum := range g.weightSums {
-		rate := g.Demand(plan.Proxy, fleet.ClassID(class)) / float64(max(1, sum))
-		g.unitRates = append(g.unitRates, rate)
+	c.ratesPerWeight = c.ratesPerWeight[:0]
+	for class, sum := range c.weightSums {
+		rate := c.Demand(plan.Proxy, fleet.ClassID(class)) / float64(max(1, sum))
+		c.ratesPerWeight = append(c.ratesPerWeight, rate)
 	}
 }
--- a/internal/safety/warming_test.go
+++ b/internal/safety/warming_test.go
@@ -12,19 +12,19 @@
 // TestEntriesOfRestartedServerAreLowered checks that a server that restarts while proxies have entries of it bears
 // no more, and is lowered by the next message to each; after those it gets as much as it bears.
 func TestEntriesOfRestartedServerAreLowered(t *testing.T) {
-	guard, reconciler := newCheckedReconciler(t, 3)
+	checker, reconciler := newCheckedReconciler(t, 3)
 	list := startedList(2, now)
-	guard.Observe(now, list)
+	checker.Observe(now, list)
 	reconciler.SetEndpoints(now, list)
-	if got := guard.otherProxiesRate(2, 99); math.Abs(got-8) > 0.2 {
+	if got := checker.otherProxiesRate(2, 99); math.Abs(got-8) > 0.2 {
 		t.Errorf("its present entries count as %v requests per second, not 8", got)
 	}
-	bearable := guard.bearableRate(now, 2)
+	limit := checker.rateLimit(now, 2)
 	// That alone would lower its part of the requests, but not enough.
 	reconciler.Apply(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 1.1}})
 	acknowledgeAll(reconciler, now)
-	if got := guard.otherProxiesRate(2, 99); got > bearable || got < bearable/2 {
-		t.Errorf("%v requests per second after it was lowered, it bears %v", got, bearable)
+	if got := checker.otherProxiesRate(2, 99); got > limit || got < limit/2 {
+		t.Errorf("%v requests per second after it was lowered, it bears %v", got, limit)
 	}
 	refusals := reconciler.Refusals()
 	if len(refusals) != 1 || refusals[0].Server != 2 || refusals[0].Reason != ReasonWarmingOverload ||
@@ -39,9 +39,9 @@
 // TestWarmingServerDoesNotBlockRemoval checks that the entry of a warming server that the removal of another one
 // would overload is lowered, and that the removal passes.
 func TestWarmingServerDoesNotBlockRemoval(t *testing.T) {
-	guard, reconciler := newCheckedReconciler(t, 1)
+	checker, reconciler := newCheckedReconciler(t, 1)
 	list := startedList(2, now)
-	guard.Observe(now, list)
+	checker.Observe(now, list)
 	reconciler.SetEndpoints(now, list)
 	reconciler.Apply(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 0.05}})
 	acknowledgeAll(reconciler, now)
@@ -59,9 +59,9 @@
 // TestAcknowledgedDecreaseFreesCapacity checks that a proxy that acknowledged the removal of an entry leaves its
 // part of what the server bears to the others, and that one that left counts until the server would have warmed up.
 func TestAcknowledgedDecreaseFreesCapacity(t *testing.T) {
-	guard := New(testSite())
-	guard.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2, Started: now}}})
-	guard.Observe(now, fleet.ProxyJoined{Proxy: 1, RequestRate: 20})
+	checker := New(testSite())
+	checker.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2, Started: now}}})
+	checker.Observe(now, fleet.ProxyJoined{Proxy: 1, RequestRate: 20})
 	plan := &reconcile.UpdatePlan{
 		Proxy:           1,
 		NothingInFlight: true,
@@ -69,23 +69,23 @@
 		WeightSums:      []int{200, 200},
 		Warming:         []reconcile.WarmingEntry{{Server: 2, State: readyEntry(100)}},
 	}
-	guard.ProxyJoined(now, plan)
-	if got := guard.otherProxiesRate(2, 9); math.Abs(got-5) > 1e-9 {
+	checker.ProxyJoined(now, plan)
+	if got := checker.otherProxiesRate(2, 9); math.Abs(got-5) > 1e-9 {
 		t.Errorf("%v counted, not 5", got)
 	}
-	guard.Observe(now, fleet.ProxyLeft{Proxy: 1})
-	restart := func(at fleet.Time) { guard.Observe(at, startedList(2, at)) }
-	if restart(now + 5*fleet.Second); guard.otherProxiesRate(2, 9) == 0 {
+	checker.Observe(now, fleet.ProxyLeft{Proxy: 1})
+	restart := func(at fleet.Time) { checker.Observe(at, startedList(2, at)) }
+	if restart(now + 5*fleet.Second); checker.otherProxiesRate(2, 9) == 0 {
 		t.Error("a proxy that just left goes on with what it has, but is not counted")
 	}
-	if restart(now + 11*fleet.Second); guard.otherProxiesRate(2, 9) != 0 {
+	if restart(now + 11*fleet.Second); checker.otherProxiesRate(2, 9) != 0 {
 		t.Error("a proxy that left long ago is counted")
 	}
-	guard.ProxyJoined(now, plan)
+	checker.ProxyJoined(now, plan)
 	plan.Warming = nil
 	plan.WeightSums = []int{100, 100}
-	guard.ProxyAcknowledged(now, plan)
-	if got := guard.otherProxiesRate(2, 9); got != 0 {
+	checker.ProxyAcknowledged(now, plan)
+	if got := checker.otherProxiesRate(2, 9); got != 0 {
 		t.Errorf("%v counted after the entry is gone", got)
 	}
 }
@@ -95,7 +95,7 @@
 func BenchmarkMessages(b *testing.B) {
 	for _, warming := range []int{0, 20, 200} {
 		b.Run(fmt.Sprint("cold=", warming), func(b *testing.B) {
-			guard, plan := newBenchmarkGuard(warming)
+			checker, plan := newBenchmarkChecker(warming)
 			have := readyEntry(100)
 			want := readyEntry(90)
 			b.ReportAllocs()
@@ -111,18 +111,18 @@
 							Ready:  true,
 						})
 					}
-					guard.CheckPlan(now, plan)
+					checker.CheckPlan(now, plan)
 				}
 			}
 		})
 	}
 }
 
-// newBenchmarkGuard returns a guard of 700 servers and 930 proxies, and the plan of a message to them.
-func newBenchmarkGuard(warming int) (*Checker, *reconcile.UpdatePlan) {
+// newBenchmarkChecker returns a guard of 700 servers and 930 proxies, and the plan of a message to them.
+func newBenchmarkChecker(warming int) (*Checker, *reconcile.UpdatePlan) {
 	site := testSite()
 	site.Classes = append(site.Classes, fleet.RequestClass{})
-	guard := New(site)
+	checker := New(site)
 	list := fleet.EndpointList{}
 	for i := range 700 {
 		endpoint := fleet.Endpoint{Server: fleet.ServerID(i)}
@@ -131,7 +131,7 @@
 		}
 		list.Endpoints = append(list.Endpoints, endpoint)
 	}
-	guard.Observe(now, list)
+	checker.Observe(now, list)
 	plan := &reconcile.UpdatePlan{EntryCounts: []int{700, 700, 700}, WeightSums: []int{70000, 70000, 70000}}
 	for i := range warming {
 		for class := range 3 {
@@ -143,10 +143,10 @@
 		}
 	}
 	for proxy := range 930 {
-		guard.Observe(now, fleet.ProxyJoined{Proxy: fleet.ProxyID(proxy), RequestRate: 3})
+		checker.Observe(now, fleet.ProxyJoined{Proxy: fleet.ProxyID(proxy), RequestRate: 3})
 	}
 	for i := 699; i > 600; i-- {
-		guard.Observe(now, outcomeReport(fleet.ServerID(i), 1000, 0.5))
+		checker.Observe(now, outcomeReport(fleet.ServerID(i), 1000, 0.5))
 	}
-	return guard, plan
+	return checker, plan
 }
--- a/internal/tableversion/followers_test.go
+++ b/internal/tableversion/followers_test.go
@@ -237,12 +237,12 @@
 	return replica
 }
 
-func (p *interleavings) play(state interleavingState) {
+func (p *interleavings) explore(state interleavingState) {
 	state.now += fleet.Second
 	complete := true
 	if state.changes < 4 {
 		complete = false
-		p.play(p.changed(state))
+		p.explore(p.changed(state))
 	}
 	for i := range state.replicas {
 		if len(state.inFlight[i]) == 0 {
@@ -252,12 +252,12 @@
 		delivered := state
 		delivered.replicas[i] = applied(state.replicas[i], state.inFlight[i][0])
 		delivered.inFlight[i] = state.inFlight[i][1:]
-		p.play(delivered)
+		p.explore(delivered)
 		if state.losses < 1 { // all that is in flight to it is lost
 			lost := state
 			lost.inFlight[i] = nil
 			lost.losses++
-			p.play(lost)
+			p.explore(lost)
 		}
 	}
 	if complete {
@@ -270,7 +270,7 @@
 func (p *interleavings) changed(state interleavingState) interleavingState {
 	state.table = cloneTable(state.table)
 	if state.changes == 2 {
-		if _, _, err := state.table.Rollback(state.now, state.table.History()[0].From, noObstacle); err != nil {
+		if _, _, err := state.table.Rollback(state.now, state.table.History()[0].From, excludeNone); err != nil {
 			p.t.Fatal(err)
 		}
 	} else {
@@ -313,7 +313,7 @@
 		state.replicas[i] = applied(Replica{}, first)
 	}
 	p := &interleavings{t: t}
-	p.play(state)
+	p.explore(state)
 	t.Logf("%d interleavings, none broken", p.runs)
 	if p.runs < 1000 {
 		t.Errorf("only %d interleavings", p.runs)
--- a/internal/tableversion/helpers_test.go
+++ b/internal/tableversion/helpers_test.go
@@ -39,7 +39,7 @@
 	return weights
 }
 
-// noObstacle lets every server be in a table that is rolled back.
-func noObstacle(fleet.ServerID) string { return "" }
+// excludeNone lets every server be in a table that is rolled back.
+func excludeNone(fleet.ServerID) string { return "" }
 
 func everyServerGone(fleet.ServerID) string { return "gone" }
--- a/internal/tableversion/history.go
+++ b/internal/tableversion/history.go
@@ -118,10 +118,10 @@
 	Reason string
 }
 
-// Rollback makes a new version with the content of an earlier one. The function obstacle returns why a server must
+// Rollback makes a new version with the content of an earlier one. The function excludeReason returns why a server must
 // not be in it, "" if it may. It fails if no server may.
 func (t *Table) Rollback(
-	now fleet.Time, to Version, obstacle func(fleet.ServerID) string,
+	now fleet.Time, to Version, excludeReason func(fleet.ServerID) string,
 ) (Delta, []Difference, error) {
 	old, err := t.At(to)
 	if err != nil {
@@ -129,13 +129,13 @@
 	}
 	var entries []Entry
 	var differences []Difference
-	wanted := map[fleet.ServerID]bool{}
+	kept := map[fleet.ServerID]bool{}
 	for _, entry := range old {
-		if reason := obstacle(entry.Server); reason != "" {
+		if reason := excludeReason(entry.Server); reason != "" {
 			differences = append(differences, Difference{entry, reason})
 			continue
 		}
-		wanted[entry.Server] = true
+		kept[entry.Server] = true
 		entries = append(entries, entry)
 	}
 	if len(entries) == 0 && len(old) > 0 {
@@ -145,7 +145,7 @@
 		return Delta{}, differences, err
 	}
 	for id := range t.weights {
-		if !wanted[id] {
+		if !kept[id] {
 			entries = append(entries, Entry{Server: id})
 		}
 	}
--- a/internal/tableversion/replica.go
+++ b/internal/tableversion/replica.go
@@ -19,9 +19,9 @@
 }
 
 // MismatchError reports a delta that does not fit. What the copy had stays; the complete table has to be requested.
-type MismatchError struct{ What string }
+type MismatchError struct{ Detail string }
 
-func (e *MismatchError) Error() string { return e.What }
+func (e *MismatchError) Error() string { return e.Detail }
 
 // Version returns version and digest of the copy.
 func (r *Replica) Version() (Version, Digest) { return r.version, r.digest }
@@ -34,8 +34,8 @@
 // from NoVersion is the complete table.
 func (r *Replica) Apply(delta Delta, entries []NamedEntry) error {
 	newer := delta.To.Compare(r.version) > 0
-	contradicts := delta.To == r.version && delta.ToDigest != r.digest
-	if !newer && !contradicts {
+	digestDiffers := delta.To == r.version && delta.ToDigest != r.digest
+	if !newer && !digestDiffers {
 		return nil
 	}
 	next := Replica{version: delta.To, weights: map[string]int{}}
--- a/internal/tableversion/table.go
+++ b/internal/tableversion/table.go
@@ -59,14 +59,14 @@
 	t.version = at
 	t.epoch = epoch
 	for _, entry := range entries {
-		t.put(entry)
+		t.setEntry(entry)
 	}
 	if t.digest != digest {
-		return nil, storedMismatch(at, digest, t.digest)
+		return nil, storedDigestMismatch(at, digest, t.digest)
 	}
 	for _, delta := range deltas {
 		if delta.To.Compare(at) > 0 {
-			if err := t.replay(delta); err != nil {
+			if err := t.applyStored(delta); err != nil {
 				return nil, err
 			}
 		}
@@ -78,23 +78,23 @@
 	return t, nil
 }
 
-// replay applies a stored delta that leads on from the present version.
-func (t *Table) replay(delta Delta) error {
+// applyStored applies a stored delta that leads on from the present version.
+func (t *Table) applyStored(delta Delta) error {
 	if delta.From != t.version || delta.FromDigest != t.digest {
 		return &MismatchError{fmt.Sprintf("stored delta starts at version %s (digest %s), want version %s (digest %s)",
 			delta.From, delta.FromDigest, t.version, t.digest)}
 	}
 	for _, entry := range delta.Entries {
-		t.put(entry)
+		t.setEntry(entry)
 	}
 	t.version = delta.To
 	if t.digest != delta.ToDigest {
-		return storedMismatch(delta.To, delta.ToDigest, t.digest)
+		return storedDigestMismatch(delta.To, delta.ToDigest, t.digest)
 	}
 	return nil
 }
 
-func storedMismatch(version Version, want, got Digest) error {
+func storedDigestMismatch(version Version, want, got Digest) error {
 	return &MismatchError{fmt.Sprintf("digest mismatch at version %s: want %s, the stored entries give %s", version, want, got)}
 }
 
@@ -172,7 +172,7 @@
 		return delta, false
 	}
 	for _, entry := range delta.Entries {
-		t.put(entry)
+		t.setEntry(entry)
 	}
 	clear(t.updates)
 	t.version = t.version.Next()
@@ -186,7 +186,7 @@
 }
 
 // put sets one entry and updates the digest.
-func (t *Table) put(entry Entry) {
+func (t *Table) setEntry(entry Entry) {
 	name := t.name(entry.Server)
 	t.digest += EntryDigest(name, entry.Weight) - EntryDigest(name, t.weights[entry.Server])
 	if entry.Weight == 0 {
