--- a/internal/safety/capacity.go
+++ b/internal/safety/capacity.go
@@ -8,30 +8,35 @@
 )
 
 const (
-	// outcomeWindow is the age of the oldest reports that a measured capacity is made of: some 30 attempts at a low
-	// rate.
+	// outcomeWindow is the maximum age of the reports in a capacity measurement. At a low request rate it holds some
+	// 30 attempts.
 	outcomeWindow = 10 * fleet.Second
-	// fullConfidenceAge is the age up to which a measured capacity counts in full: two report intervals and their delay.
+	// fullConfidenceAge is the age up to which a measured capacity counts in full: two report intervals plus their
+	// delay.
 	fullConfidenceAge = 5 * fleet.Second
-	// zeroConfidenceAge is the age from which only the rate counts that the server was seen to handle.
+	// zeroConfidenceAge is the age from which a measured capacity is no longer extrapolated: only the rate that the
+	// server handled at the measurement counts.
 	zeroConfidenceAge = 60 * fleet.Second
-	// minUtilization is the least utilization that says something about the capacity.
+	// minUtilization is the lower bound of the utilization by which a rate is divided: a lower utilization says little
+	// about the capacity.
 	minUtilization = 0.05
-	// lowQuantile of the warm servers have less capacity than a warming server is assumed to reach.
+	// lowQuantile is the quantile of the warm servers' capacities that a warming server is assumed to reach.
 	lowQuantile = 0.25
-	// allowedDeviations is how many standard deviations of the number of requests in an interval are allowed for.
+	// allowedDeviations is the number of standard deviations by which the request count of an interval may exceed its
+	// mean.
 	allowedDeviations = 2.0
-	// slackRequests may come on top in an interval: single requests weigh much for a small server.
+	// slackRequests is added to the budget of an interval, because for a small server a single request is a large part
+	// of the budget.
 	slackRequests = 2.0
-	// anyKind means the servers of all kinds. No site has as many kinds.
+	// anyKind is the key for servers of all kinds together. No site has so many kinds that it is a real one.
 	anyKind fleet.KindID = math.MaxUint8
 )
 
-// measure works out a server's capacity from its latest reports: the rate that it handled, divided by its
-// utilization. It is at least the rate that was handled.
+// measure updates a server's capacity from its latest reports: the rate that it handled divided by its mean
+// utilization, and at least the rate that it handled. Warming servers are skipped.
 func (c *Checker) measure(now fleet.Time, server *server) {
 	if c.isWarmingUp(now, server) {
-		return // its capacity is not yet the full one
+		return // it has not reached its full capacity yet
 	}
 	successes := map[fleet.ZoneID]float64{}
 	seconds := map[fleet.ZoneID]float64{}
@@ -48,7 +53,7 @@
 		}
 	}
 	handledRate := 0.0
-	for zone, count := range successes { // the order of the sum changes its last bits only
+	for zone, count := range successes { // the iteration order only affects rounding
 		handledRate += count / max(epsilon, seconds[zone])
 	}
 	server.handledRate = handledRate
@@ -64,22 +69,22 @@
 	return server.Started > 0 && now < server.Started+c.site.SlowStart.Duration
 }
 
-// trust returns how much a measured capacity counts at its age, 0 to 1.
+// confidence returns the weight, 0 to 1, of a capacity measurement of the given age.
 func confidence(age fleet.Time) float64 {
 	return max(0, min(1, float64(zeroConfidenceAge-age)/float64(zeroConfidenceAge-fullConfidenceAge)))
 }
 
-// effectiveCapacity returns the capacity that a warm server has for certain: the measured one while that is fresh,
-// which falls with its age to the rate that was seen to be handled. Known is false if there was never a report. A
-// clock that went back does not raise it.
+// effectiveCapacity returns the capacity to assume for a warm server in requests per second: the measured one while
+// the measurement is fresh, falling with its age to the rate that the server handled. Known is false if there was
+// never a report. A clock that is set back does not raise the result.
 func (s *server) effectiveCapacity(now fleet.Time) (capacity float64, known bool) {
 	age := max(0, now-s.measuredAt)
 	return s.handledRate + (s.capacity-s.handledRate)*confidence(age), s.measuredAt > 0
 }
 
-// fullCapacity returns the capacity that a warming server has for certain once it is warm: the low quartile of the
-// warm servers of its kind, or of all kinds if its own is not known, or an even part of the usual rate if nothing
-// is known.
+// fullCapacity returns the capacity to assume for a warming server after its slow start: the lower quartile of the
+// warm servers of its kind, or of all kinds if none of its own kind was measured. Without any measurement it is the
+// usual request rate divided evenly among the ready servers.
 func (c *Checker) fullCapacity(now fleet.Time, server *server) float64 {
 	if c.kindCapacitiesAt != now {
 		c.updateKindCapacities(now)
@@ -122,9 +127,9 @@
 	return values[int(lowQuantile*float64(len(values)))]
 }
 
-// rateLimit returns the rate that a server bears: infinite for a warm one. For a warming one, the number of
-// requests in any interval that matters, with random deviations, stays below the stated multiple of its present
-// capacity.
+// rateLimit returns the maximum rate in requests per second that may be sent to a server. It is infinite for a warm
+// one. For a warming one, the requests in an interval of RecoveryRamp.Duration, including random deviations, stay
+// within OverloadFactor times the capacity that the server has reached.
 func (c *Checker) rateLimit(now fleet.Time, id fleet.ServerID) float64 {
 	return c.rateLimitOf(now, c.servers[id])
 }
@@ -146,8 +151,8 @@
 	return server.limit
 }
 
-// rateWithinBudget solves n + allowedDeviations * sqrt(n) = budget + slackRequests for the number n of requests in
-// an interval of some seconds, and returns n per second.
+// rateWithinBudget solves n + allowedDeviations * sqrt(n) = budget + slackRequests for the mean number n of requests
+// in an interval of the given seconds, and returns n per second.
 func rateWithinBudget(budget, seconds float64) float64 {
 	root := math.Sqrt(allowedDeviations*allowedDeviations/4+budget+slackRequests) - allowedDeviations/2
 	return root * root / seconds
--- a/internal/safety/capacity_test.go
+++ b/internal/safety/capacity_test.go
@@ -7,8 +7,8 @@
 	"cressknot/internal/fleet"
 )
 
-// TestTrustedCapacityFallsWithAge checks that a capacity counts in full while fresh, as the handled rate when old,
-// evenly in between, and that a clock that goes back does not raise it.
+// TestTrustedCapacityFallsWithAge checks that a fresh measurement counts in full, that an old one counts as the
+// handled rate, that the capacity falls linearly in between, and that a clock set back does not raise it.
 func TestTrustedCapacityFallsWithAge(t *testing.T) {
 	checker := New(testSite())
 	checker.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}}})
@@ -22,13 +22,13 @@
 		10 * zeroConfidenceAge: 10,
 	} {
 		if got, known := checker.servers[1].effectiveCapacity(now + age); math.Abs(got-want) > 1e-6 || !known {
-			t.Errorf("at an age of %v s: %v, not %v", age.Seconds(), got, want)
+			t.Errorf("effective capacity at age %v s: %v requests/s, want %v", age.Seconds(), got, want)
 		}
 	}
 }
 
-// TestRestartWhileWarmingBeginsAnew checks that a second start makes a server bear as little as the first one did,
-// whatever was measured in between.
+// TestRestartWhileWarmingBeginsAnew checks that a restart during slow start resets the rate limit to its initial
+// value, whatever was measured in between, and that a clock set back to before the restart does not raise it.
 func TestRestartWhileWarmingBeginsAnew(t *testing.T) {
 	checker := New(testSite())
 	checker.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{
@@ -39,20 +39,20 @@
 	before := checker.rateLimit(now, 2)
 	checker.Observe(now, startedList(2, now))
 	if after := checker.rateLimit(now, 2); after > before/2 {
-		t.Errorf("it bears %v after its second start, %v before", after, before)
+		t.Errorf("rate limit %v requests/s after the restart, %v before", after, before)
 	}
 	if back := checker.rateLimit(now-fleet.Second, 2); back > before/2 || back <= 0 {
-		t.Errorf("with the clock gone back over the start it bears %v", back)
+		t.Errorf("rate limit %v requests/s with the clock set back to before the restart", back)
 	}
 }
 
-// TestReportsWhileWarmingAreNoCapacity checks that what a server handles while it warms up is not taken as its
-// capacity.
+// TestReportsWhileWarmingAreNoCapacity checks that reports from a server in slow start do not count as a
+// measurement of its capacity, which would be too low.
 func TestReportsWhileWarmingAreNoCapacity(t *testing.T) {
 	checker := New(testSite())
 	checker.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1, Started: now}}})
 	checker.Observe(now, outcomeReport(1, 100, 0.5))
 	if _, known := checker.servers[1].effectiveCapacity(now); known {
-		t.Error("a warming server's reports were taken as its capacity")
+		t.Error("capacity measured from reports of a warming server")
 	}
 }
--- a/internal/safety/file.go
+++ b/internal/safety/file.go
@@ -11,10 +11,10 @@
 	"cressknot/internal/fleet"
 )
 
-// StateFile is the file that a table is checked against offline: the servers and the demand of a class.
+// StateFile describes the servers and the demand of a class, against which Check checks a table offline.
 type StateFile struct {
 	Now       time.Time     `json:"now"`
-	Demand    float64       `json:"demand"` // requests per second that would go by the table
+	Demand    float64       `json:"demand"` // requests per second that are distributed by the table
 	SlowStart SlowStartFile `json:"cold"`
 	Servers   []ServerFile  `json:"servers"`
 }
@@ -27,7 +27,7 @@
 	Capacity float64   `json:"capacity,omitempty"` // requests per second, as measured; 0: not known
 }
 
-// SlowStartFile states how servers warm up, in the form of the settings.
+// SlowStartFile holds the slow start and overload limits of a state file. Its keys are those of the settings file.
 type SlowStartFile struct {
 	InitialFraction         float64 `json:"from"`
 	DurationSeconds         float64 `json:"for_s"`
@@ -35,7 +35,7 @@
 	OverloadDurationSeconds float64 `json:"fall_for_s"`
 }
 
-// TableFile is a table to be checked.
+// TableFile is the table that Check checks.
 type TableFile struct {
 	Entries []TableFileEntry `json:"lines"`
 }
@@ -47,6 +47,7 @@
 	Withdrawn bool    `json:"withdrawn,omitempty"`
 }
 
+// decodeFile decodes a JSON file strictly: unknown fields and data after the JSON object are errors.
 func decodeFile(name string, text []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// Check checks a table file against a state file and describes each violation. The names of the files are for
-// errors.
+// Check checks a table file against a state file and returns a description of each violation, none if the table is
+// safe. The file names only appear in errors.
 func Check(tableName string, table []byte, stateName string, state []byte) ([]string, error) {
 	var tableFile TableFile
 	var stateFile StateFile
@@ -91,13 +92,13 @@
 	return texts, nil
 }
 
-// serverNames gives servers ids in the order in which their names are added.
+// serverNames assigns ids to server names, in the order in which they are added.
 type serverNames struct {
 	names []string
 	ids   map[string]fleet.ServerID
 }
 
-// add gives a name the next id, in place of an earlier one.
+// add assigns the next id to a name and replaces an earlier id of that name.
 func (n *serverNames) add(name string) fleet.ServerID {
 	id := fleet.ServerID(len(n.names))
 	n.names = append(n.names, name)
@@ -115,7 +116,7 @@
 
 func (n *serverNames) name(id fleet.ServerID) string { return n.names[id] }
 
-// newChecker returns a guard that knows the servers of the file.
+// newChecker returns a checker with the servers of the file, and their names.
 func (f *StateFile) newChecker(now fleet.Time, fileName string) (*Checker, *serverNames, error) {
 	checker := New(fleet.Site{
 		Zones:   []string{""},
@@ -155,7 +156,8 @@
 	return checker, names, nil
 }
 
-// lines returns the entries of the file. Servers that are not listed get ids of their own.
+// entries returns the entries of the file. Servers that are not in the state file get new ids, which the checker
+// does not know.
 func (f *TableFile) entries(names *serverNames, fileName string) ([]TableLine, error) {
 	var entries []TableLine
 	for i, entry := range f.Entries {
--- a/internal/safety/guard.go
+++ b/internal/safety/guard.go
@@ -1,9 +1,10 @@
-// Package safety checks every message before it leaves for a proxy. It refuses or lowers changes that would leave a
-// class without a ready server, overload a server that is warming up, bring back a draining or gone server, or let
-// a request be executed twice. It also checks complete tables that operators push or ask about.
+// Package safety checks every message before it is sent to a proxy. It refuses a change, or lowers the weight or
+// retry mode in it, where the change would leave a class without a ready server, overload a server in slow start (a
+// warming server), make a draining or gone server usable again, or let a request be executed twice. It also checks
+// complete tables that operators set by hand or submit for a check.
 //
-// The package is pure: a Guard gets the events that the balancer gets, and is asked by package reconcile.
-// docs/design/safety.md defines each violation and the precedence of the rules.
+// The package has no I/O and no clock: a Checker observes the same events as the balancer, and package reconcile calls
+// it for each message. docs/design/safety.md defines each violation and the precedence of the rules.
 package safety
 
 import (
@@ -15,7 +16,7 @@
 	"cressknot/internal/reconcile"
 )
 
-// Reasons of refusals, as shown to operators.
+// Reasons of refusals, as shown to operators. Refusals with the same subject and reason are counted as one.
 const (
 	ReasonServerNotReady       = "the server is draining, gone or not listed"
 	ReasonNoEndpoints          = "the class would be left without a ready server"
@@ -25,13 +26,16 @@
 )
 
 const (
-	maxDemandSamples = 3  // reports of a proxy's demand that count; the largest one does
-	maxOutcomes      = 64 // reports of a server: more than outcomeWindow of several zones at a report per second
-	// epsilon keeps divisors from zero and absorbs rounding errors.
+	// maxDemandSamples is the number of latest demand reports kept per proxy and class, of which the largest counts.
+	maxDemandSamples = 3
+	// maxOutcomes bounds the reports kept per server: at one report per second and zone, it covers outcomeWindow for
+	// several zones.
+	maxOutcomes = 64
+	// epsilon prevents divisions by zero and absorbs rounding errors.
 	epsilon = 1e-9
 )
 
-// outcome is a report of one zone's proxies about a server.
+// outcome is the report of one zone's proxies on the attempts at a server.
 type outcome struct {
 	at, interval fleet.Time
 	zone         fleet.ZoneID
@@ -39,22 +43,22 @@
 	utilization  float64 // negative: not reported
 }
 
-// server is what is known of a server. Rates are requests per second of this controller's proxies.
+// server is the state of a server. Rates are requests per second from this controller's proxies.
 type server struct {
 	fleet.Endpoint
 	outcomes    []outcome
-	capacity    float64 // rate at full utilization, as last measured
-	handledRate float64 // rate that it was seen to handle at that measurement
+	capacity    float64 // estimated rate at full utilization
+	handledRate float64 // rate handled at that measurement
 	measuredAt  fleet.Time
 
-	// While it warms up: the rates that proxies may send, and the rate that it bears.
-	proxyRates []float64 // by proxy, the largest that each may send
+	// Set during slow start only.
+	proxyRates []float64 // by proxy, the maximum that it may send
 	totalRate  float64   // sum of proxyRates
 	limit      float64
-	limitAt    fleet.Time // time for which limit was worked out
+	limitAt    fleet.Time // time for which limit was computed
 }
 
-// rateOf returns the rate that a proxy may send to a warming server.
+// rateOf returns the maximum rate that a proxy may send to a warming server.
 func (s *server) rateOf(proxy fleet.ProxyID) float64 {
 	if int(proxy) >= len(s.proxyRates) {
 		return 0
@@ -62,7 +66,7 @@
 	return s.proxyRates[proxy]
 }
 
-// setRate notes the rate that a proxy may send to a warming server.
+// setRate sets the maximum rate that a proxy may send to a warming server.
 func (s *server) setRate(proxy fleet.ProxyID, rate float64) {
 	if int(proxy) >= len(s.proxyRates) {
 		s.proxyRates = append(s.proxyRates, make([]float64, int(proxy)+1-len(s.proxyRates))...)
@@ -73,7 +77,7 @@
 
 type proxy struct {
 	usualRate   float64
-	demandRates [][]float64 // by class: the latest reports
+	demandRates [][]float64 // by class: rates of the latest reports, oldest first
 	leftAt      fleet.Time  // 0: connected
 }
 
@@ -83,21 +87,21 @@
 	site             fleet.Site
 	servers          map[fleet.ServerID]*server
 	proxies          map[fleet.ProxyID]*proxy
-	utilizationIndex int // of the utilization in load reports; negative: none
-	readyServers     int // listed as ready
+	utilizationIndex int // index of the utilization in load reports; negative: not reported
+	readyServers     int // servers that are listed as ready
 
-	kindCapacities   map[fleet.KindID]float64 // low quartile of the warm servers of a kind
-	kindCapacitiesAt fleet.Time               // time for which they were worked out; negative: outdated
+	kindCapacities   map[fleet.KindID]float64 // lower quartile of the warm servers of a kind
+	kindCapacitiesAt fleet.Time               // time for which kindCapacities was computed; negative: outdated
 
 	weightSums     []int     // reused to avoid allocations
-	ratesPerWeight []float64 // the same
+	ratesPerWeight []float64 // requests per second by class at a weight of 1; reused
 
 	passed, stopped uint64
 }
 
 var _ reconcile.SafetyCheck = (*Checker)(nil)
 
-// New returns a guard that knows no servers and proxies.
+// New returns a checker without servers and proxies. Observe adds them.
 func New(site fleet.Site) *Checker {
 	return &Checker{
 		site:             site,
@@ -108,7 +112,8 @@
 	}
 }
 
-// Observe takes an event that the balancer gets as well.
+// Observe updates the state of servers and proxies from an event of the balancer. Events of other kinds, and reports
+// on unknown servers or proxies, are ignored.
 func (c *Checker) Observe(now fleet.Time, event fleet.Event) {
 	switch event := event.(type) {
 	case fleet.EndpointList:
@@ -188,8 +193,9 @@
 	}
 }
 
-// restart takes a new start of a server, perhaps while it was still warming up. The rates that proxies may send it
-// stay, as proxies have the same entries, but for those of proxies that left before a warm-up ago.
+// restart resets a server's measurements after it started again, possibly during its slow start. The rates that
+// proxies may send it are kept, because proxies still have the same entries. Only the rates of proxies that left more
+// than a slow start ago are cleared.
 func (c *Checker) restart(now fleet.Time, server *server) {
 	server.outcomes = nil
 	server.limitAt = 0
@@ -202,8 +208,8 @@
 	}
 }
 
-// Demand returns the rate of a class's requests that may come to a proxy: the largest of its latest reports, or an
-// even part of what is usual.
+// Demand returns the rate in requests per second of a class to assume for a proxy: the largest of its latest reports,
+// or before the first report the proxy's usual rate divided evenly among the classes. It is 0 for an unknown proxy.
 func (c *Checker) Demand(id fleet.ProxyID, class fleet.ClassID) float64 {
 	proxy := c.proxies[id]
 	if proxy == nil {
@@ -215,11 +221,12 @@
 	return proxy.usualRate / float64(len(proxy.demandRates))
 }
 
-// Counts returns how many proposals passed and how many were refused or lowered.
+// Counts returns how many proposals passed unchanged and how many were refused or lowered since New.
 func (c *Checker) Counts() (passed, stopped uint64) { return c.passed, c.stopped }
 
-// CheckPlan checks one message. Draining binds even where it takes the last server; then no class may be left
-// without endpoints; then no warming server may be overloaded.
+// CheckPlan checks one message and refuses or lowers its proposals. The rules have this precedence: draining and gone
+// servers are not made usable, even if a class has no other server; then no class loses its last endpoint; then no
+// warming server is overloaded.
 func (c *Checker) CheckPlan(now fleet.Time, plan *reconcile.UpdatePlan) {
 	for i := range plan.Proposals {
 		proposal := &plan.Proposals[i]
@@ -240,7 +247,7 @@
 	}
 }
 
-// FormatRefusal describes a refusal to operators.
+// FormatRefusal describes a refusal to operators. Without the server's name, it prints the server's id.
 func FormatRefusal(refusal reconcile.Refusal, server string) string {
 	if refusal.Admission {
 		return fmt.Sprintf("class %d: retry mode lowered: %s", refusal.Class, refusal.Reason)
--- a/internal/safety/helpers_test.go
+++ b/internal/safety/helpers_test.go
@@ -9,7 +9,8 @@
 	"cressknot/internal/reconcile"
 )
 
-// TestMain fixes the seed, so that CI gives the same verdict each time; -rapid.seed and -rapid.checks play more.
+// TestMain fixes the seed and number of checks, so that each CI run has the same result. The flags -rapid.seed and
+// -rapid.checks override them.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set := map[string]bool{}
@@ -43,7 +44,7 @@
 	return reconcile.EntryState{Present: true, State: reconcile.StateReady, Weight: weight}
 }
 
-// outcomeReport returns a report of attempts over ten seconds, without failures, at a utilization.
+// outcomeReport returns a report on ten seconds of attempts without failures, at the given utilization.
 func outcomeReport(server fleet.ServerID, attempts uint32, utilization float32) fleet.OutcomeReport {
 	return fleet.OutcomeReport{
 		Server:   server,
@@ -53,7 +54,7 @@
 	}
 }
 
-// startedList returns a list that changes the start of a server.
+// startedList returns an endpoint list delta that changes the start time of a server.
 func startedList(server fleet.ServerID, at fleet.Time) fleet.EndpointList {
 	return fleet.EndpointList{
 		Scope:     fleet.ListDelta,
@@ -61,8 +62,8 @@
 	}
 }
 
-// newCheckedReconciler returns a guard and a reconciler that asks it, with proxies that have one table with three
-// servers. Each server has a capacity of 20 requests per second; 24 come in all.
+// newCheckedReconciler returns a checker and the reconciler that uses it. The proxies have one table with three
+// servers of a capacity of 20 requests per second each, and a total demand of 24 requests per second.
 func newCheckedReconciler(t *testing.T, proxies int) (*Checker, *reconcile.Reconciler) {
 	t.Helper()
 	site := testSite()
@@ -92,7 +93,7 @@
 	return checker, reconciler
 }
 
-// acknowledgeAll acknowledges all messages that leave within 400 ms and returns their changes.
+// acknowledgeAll acknowledges all messages that are sent within 400 ms and returns their changes.
 func acknowledgeAll(reconciler *reconcile.Reconciler, from fleet.Time) (changes []reconcile.Change) {
 	for at := from; at < from+400*fleet.Millisecond; at += 50 * fleet.Millisecond {
 		messages, _, _, _ := reconciler.Next(at)
--- a/internal/safety/oracle_test.go
+++ b/internal/safety/oracle_test.go
@@ -17,17 +17,18 @@
 	oracleClasses = 2
 )
 
-// entryTable is what a proxy has, by class and server.
+// entryTable holds the entries of a proxy by class and server.
 type entryTable [oracleClasses][oracleServers]reconcile.EntryState
 
-// oracle is a small fleet of which everything is known.
+// oracle is a small fleet with a complete known state, by which the verdicts of the checker are verified.
 type oracle struct {
 	checker    *Checker
 	states     [oracleServers]fleet.ServerState
 	startedAt  [oracleServers]fleet.Time
 	capacities [oracleServers]float64
 	demand     [oracleProxies][oracleClasses]float64
-	// moments of each proxy: what it has for certain, then what it may have after each change that is in flight.
+	// possible holds the tables that each proxy may have: first the acknowledged one, then the one after each change in
+	// flight.
 	possible [oracleProxies][]entryTable
 }
 
@@ -37,12 +38,12 @@
 
 func (o *oracle) isReady(server int) bool { return o.states[server] == fleet.ServerReady }
 
-// latest returns what a proxy has once all that is in flight has arrived.
+// latest returns the table of a proxy after all changes in flight have arrived.
 func (o *oracle) latest(proxy int) entryTable {
 	return o.possible[proxy][len(o.possible[proxy])-1]
 }
 
-// drawOracle draws a fleet and reports it to a guard.
+// drawOracle draws a fleet and reports it to a checker.
 func drawOracle(t *rapid.T) *oracle {
 	o := &oracle{checker: New(testSite())}
 	list := fleet.EndpointList{Scope: fleet.ListFull}
@@ -60,7 +61,7 @@
 	o.checker.Observe(now, list)
 	for server := range oracleServers {
 		o.capacities[server] = float64(rapid.IntRange(2, 40).Draw(t, "capacity"))
-		if !o.isWarmingUp(server) { // it handles half of its capacity at a utilization of a half
+		if !o.isWarmingUp(server) { // it handles half of its capacity at a utilization of 0.5
 			o.checker.Observe(now, fleet.OutcomeReport{
 				Server:   fleet.ServerID(server),
 				Attempts: uint32(10 * o.capacities[server]),
@@ -94,7 +95,7 @@
 	return entry
 }
 
-// drawInitialTables draws what each proxy has at its join.
+// drawInitialTables draws the table that each proxy has when it joins.
 func (o *oracle) drawInitialTables(t *rapid.T) {
 	for proxy := range oracleProxies {
 		var initial entryTable
@@ -169,7 +170,7 @@
 	return proposals
 }
 
-// tablesAfter returns what a proxy may have after each of the proposals in their order.
+// tablesAfter returns the table of a proxy after each of the accepted proposals in their order.
 func tablesAfter(table entryTable, proposals []reconcile.Proposal) (tables []entryTable) {
 	for _, proposal := range proposals {
 		if proposal.HoldReason == "" {
@@ -180,7 +181,7 @@
 	return tables
 }
 
-// usable returns number and sum of weights of a class's usable entries of ready servers.
+// usable returns the number and the weight sum of a class's usable entries of ready servers.
 func (o *oracle) usable(table entryTable, class int) (count, weightSum int) {
 	for server, entry := range table[class] {
 		if entry.Usable() && o.isReady(server) {
@@ -191,8 +192,8 @@
 	return count, weightSum
 }
 
-// violation returns which rule a message violates, "" for none: it plays out every order of arrival, from first
-// principles.
+// violation returns the rule that a message violates, "" for none. It checks each combination of tables that the
+// proxies may have while messages arrive, without the code of the checker.
 func (o *oracle) violation(proxy int, proposals []reconcile.Proposal, tables []entryTable) string {
 	for _, proposal := range proposals {
 		becomesUsable := proposal.Want.Usable() && !proposal.Have.Usable()
@@ -219,7 +220,7 @@
 	return ""
 }
 
-// isOverloaded reports whether a warming server gets more than it bears at any pair of moments of the proxies.
+// isOverloaded reports whether any combination of the proxies' possible tables exceeds a warming server's rate limit.
 func (o *oracle) isOverloaded(server int, tables [oracleProxies][]entryTable) bool {
 	limit := o.rateLimit(server)
 	for _, first := range tables[0] {
@@ -241,7 +242,7 @@
 	return false
 }
 
-// rateLimit finds by bisection the rate that a warming server bears.
+// rateLimit computes the rate limit of a warming server by bisection.
 func (o *oracle) rateLimit(server int) float64 {
 	var known []float64
 	for other := range oracleServers {
@@ -267,7 +268,7 @@
 	return low
 }
 
-// fillsEmptyClassWithWarming reports whether a class that was without endpoints has warming servers only.
+// fillsEmptyClassWithWarming reports whether a class that had no endpoints gets warming servers only.
 func (o *oracle) fillsEmptyClassWithWarming(before, after entryTable) bool {
 	for class := range oracleClasses {
 		countBefore, _ := o.usable(before, class)
@@ -280,7 +281,8 @@
 	return false
 }
 
-// hasWarmingOnly reports whether some class has warming servers only. Then having endpoints takes precedence.
+// hasWarmingOnly reports whether some class has warming servers only. Then keeping endpoints takes precedence over rate
+// limits.
 func (o *oracle) hasWarmingOnly(table entryTable) bool {
 	for class := range oracleClasses {
 		usable, warm := 0, 0
@@ -299,14 +301,15 @@
 	return false
 }
 
-// oracleCounts count the verdicts over all draws.
+// oracleCounts holds the numbers of verdicts over all draws.
 type oracleCounts struct {
 	checked, stopped                              int
 	wronglyStopped, wronglyPassed, stillViolating int
 	byReason                                      map[string]int
 }
 
-// checkMessage lets the guard check a drawn message. It returns false where the fleet must not be used further.
+// checkMessage compares the verdicts of checker and oracle on a drawn message. It returns false if the fleet is in a
+// state that the oracle can't judge further.
 func (o *oracle) checkMessage(t *rapid.T, proxy int, counts *oracleCounts) bool {
 	original := o.newPlan(proxy, o.drawProposals(t, proxy))
 	checked := o.newPlan(proxy, slices.Clone(original.Proposals))
@@ -331,10 +334,10 @@
 	switch {
 	case isStopped && violation == "":
 		counts.wronglyStopped++
-		t.Errorf("stopped, though safe: %+v", checked.Proposals)
+		t.Errorf("safe message was stopped: %+v", checked.Proposals)
 	case !isStopped && violation != "":
 		counts.wronglyPassed++
-		t.Errorf("passed, though %s: %+v", violation, checked.Proposals)
+		t.Errorf("message passed, but it violates %q: %+v", violation, checked.Proposals)
 	}
 	reconcile.Arrange(checked)
 	tables = tablesAfter(latest, checked.Proposals)
@@ -343,29 +346,29 @@
 			return false // having endpoints takes precedence
 		}
 		counts.stillViolating++
-		t.Errorf("what passed: %s: %+v", left, checked.Proposals)
+		t.Errorf("the changes left by the checker violate %q: %+v", left, checked.Proposals)
 	}
 	o.possible[proxy] = append(o.possible[proxy], tables...)
 	return true
 }
 
-// TestGuardAgreesWithOracle checks for thousands of drawn messages, with others in flight, that each one that is
-// stopped violates a rule, that each safe one passes unchanged, and that what passes of one that is stopped
-// violates none.
+// TestGuardAgreesWithOracle checks with thousands of drawn messages, while others are in flight, that each stopped
+// message violates a rule, that each safe one passes unchanged, and that the changes left of a stopped one violate no
+// rule.
 func TestGuardAgreesWithOracle(t *testing.T) {
 	counts := &oracleCounts{byReason: map[string]int{}}
 	rapid.Check(t, func(t *rapid.T) {
 		o := drawOracle(t)
 		o.drawInitialTables(t)
 		if o.violation(0, nil, nil) != "" {
-			return // violated from the beginning, by no message
+			return // the drawn tables violate a rule before any message
 		}
 		for proxy := range oracleProxies {
 			o.checker.ProxyJoined(now, o.newPlan(proxy, nil))
 		}
 		for range rapid.IntRange(1, 4).Draw(t, "messages") {
 			proxy := rapid.IntRange(0, oracleProxies-1).Draw(t, "proxy")
-			if rapid.IntRange(0, 3).Draw(t, "acknowledged") == 0 { // all that was in flight has arrived
+			if rapid.IntRange(0, 3).Draw(t, "acknowledged") == 0 { // all messages in flight have arrived
 				o.possible[proxy] = o.possible[proxy][len(o.possible[proxy])-1:]
 				o.checker.ProxyAcknowledged(now, o.newPlan(proxy, nil))
 			}
@@ -374,12 +377,12 @@
 			}
 		}
 	})
-	t.Logf("%d messages checked, %d stopped; stopped though safe %d, passed though harmful %d, "+
-		"violations in what passed %d; by the oracle %v", counts.checked, counts.stopped, counts.wronglyStopped,
-		counts.wronglyPassed, counts.stillViolating, counts.byReason)
+	t.Logf("%d messages checked, %d stopped; %d safe ones stopped, %d violating ones passed, "+
+		"%d violations left in stopped ones; verdicts of the oracle: %v", counts.checked, counts.stopped,
+		counts.wronglyStopped, counts.wronglyPassed, counts.stillViolating, counts.byReason)
 	for _, reason := range []string{"", ReasonServerNotReady, ReasonNoEndpoints, ReasonWarmingOverload} {
 		if counts.byReason[reason] < counts.checked/100 {
-			t.Errorf("%q was drawn %d times of %d only", reason, counts.byReason[reason], counts.checked)
+			t.Errorf("%q was drawn in only %d of %d messages", reason, counts.byReason[reason], counts.checked)
 		}
 	}
 }
--- a/internal/safety/rates.go
+++ b/internal/safety/rates.go
@@ -7,14 +7,14 @@
 	"cressknot/internal/reconcile"
 )
 
-// warmingEntry is the entry of a warming server at some moment of a message.
+// warmingEntry is the entry of a warming server at some point while a message is applied.
 type warmingEntry struct {
 	reconcile.WarmingEntry
 	weight   int
-	proposal int // index of the proposal that changes it; negative: none does
+	proposal int // index of the proposal that changes it; negative: none
 }
 
-// serverRates are requests per second by server.
+// serverRates maps servers to requests per second.
 type serverRates map[fleet.ServerID]float64
 
 // entriesBefore returns the entries of warming servers before a message.
@@ -26,7 +26,7 @@
 	return entries
 }
 
-// entriesAfter returns the entries of warming servers after a message.
+// entriesAfter returns the entries of warming servers after a message, of which refused proposals change nothing.
 func entriesAfter(plan *reconcile.UpdatePlan) []warmingEntry {
 	entries := entriesBefore(plan)
 	for i := range plan.Proposals {
@@ -53,6 +53,7 @@
 	return entries
 }
 
+// changesWarmingEntry reports whether a proposal changes the entry of a ready warming server.
 func changesWarmingEntry(proposal *reconcile.Proposal) bool {
 	return proposal.Warming && proposal.Ready && proposal.Kind != reconcile.UpdateAdmission
 }
@@ -68,7 +69,7 @@
 	})
 }
 
-// ratesAt returns the rates that a proxy sends by the entries of warming servers, with the sums of weights by
+// ratesAt returns the rates that a proxy sends to warming servers, given their entries and the weight sum of each
 // class.
 func (c *Checker) ratesAt(plan *reconcile.UpdatePlan, entries []warmingEntry, weightSums []int) serverRates {
 	rates := serverRates{}
@@ -81,8 +82,8 @@
 	return rates
 }
 
-// peakRates returns the largest rates that a proxy sends to each warming server at any moment while it applies a
-// message, and the largest ones from the last decrease of the server's own weight on.
+// peakRates returns the maximum rates that a proxy sends to each warming server while it applies a message, and the
+// maximum rates from the last decrease of the server's own weight on.
 func (c *Checker) peakRates(plan *reconcile.UpdatePlan) (peaks, afterDecrease serverRates) {
 	arranged := *plan
 	arranged.Proposals = slices.Clone(plan.Proposals)
@@ -107,7 +108,7 @@
 			entries[at].weight += delta
 		}
 		if raisesWarmOnly(arranged.Proposals, i) && raisesWarmOnly(arranged.Proposals, i+1) {
-			continue // the rates of warming servers fall further
+			continue // the next raise lowers the rates of warming servers further
 		}
 		if proposal.Warming && delta < 0 {
 			afterDecrease[proposal.Server] = 0
@@ -120,7 +121,7 @@
 	return peaks, afterDecrease
 }
 
-// raisesWarmOnly reports whether there is a proposal i that raises the weight of a warm server.
+// raisesWarmOnly reports whether proposal i exists and raises the weight of a warm server.
 func raisesWarmOnly(proposals []reconcile.Proposal, i int) bool {
 	return i < len(proposals) && !proposals[i].Warming && proposals[i].WeightDelta() > 0
 }
--- a/internal/safety/rules.go
+++ b/internal/safety/rules.go
@@ -5,10 +5,10 @@
 	"cressknot/internal/reconcile"
 )
 
-// maxProxyStall is how long a proxy may be stalled between two attempts of a request.
+// maxProxyStall is the assumed maximum stall of a proxy between two attempts of a request.
 const maxProxyStall = 2 * fleet.Second
 
-// refuseUnready refuses to make the entry of a draining or gone server usable.
+// refuseUnready refuses a proposal that would make the entry of a draining or gone server usable.
 func (c *Checker) refuseUnready(proposal *reconcile.Proposal) {
 	becomesUsable := proposal.Want.Usable() && !proposal.Have.Usable()
 	if !proposal.Ready && becomesUsable && c.isExcluded(proposal.Server) {
@@ -16,7 +16,8 @@
 	}
 }
 
-// isExcluded reports whether the list forbids to send requests to a server.
+// isExcluded reports whether the endpoint list forbids requests to a server: it is draining, or it is gone and the
+// site treats removal from the list as binding.
 func (c *Checker) isExcluded(id fleet.ServerID) bool {
 	server := c.servers[id]
 	if server == nil {
@@ -25,15 +26,15 @@
 	return server.State == fleet.ServerDraining || server.State == fleet.ServerGone && !c.site.RemovalNotBinding
 }
 
-// refuseEmptyClasses refuses changes that would take the last ready server of a class. Of the entries that the
-// message takes, the one with the largest weight stays, a warm one before a warming one.
+// refuseEmptyClasses refuses one removal in each class that would lose its last ready server. Of the entries that the
+// message removes, it keeps the warm one with the largest weight, or the warming one if there is no warm one.
 func refuseEmptyClasses(plan *reconcile.UpdatePlan) {
 	for class, count := range plan.EntryCounts {
 		if count == 0 {
-			continue // already without endpoints, by no change of this message
+			continue // the class had no endpoints before this message
 		}
 		remaining := count
-		best := -1 // proposal to be refused
+		best := -1 // index of the removal to refuse
 		for i := range plan.Proposals {
 			proposal := &plan.Proposals[i]
 			if int(proposal.Class) != class || proposal.Kind == reconcile.UpdateAdmission {
@@ -51,7 +52,7 @@
 	}
 }
 
-// isBetterEndpoint reports whether the server of a should rather stay than that of b.
+// isBetterEndpoint reports whether the server of a is to be kept in preference to that of b.
 func isBetterEndpoint(a, b *reconcile.Proposal) bool {
 	if a.Warming != b.Warming {
 		return !a.Warming
@@ -59,7 +60,7 @@
 	return a.Have.Weight > b.Have.Weight
 }
 
-// limitRetries lowers the retry mode of a class to what cannot execute a request twice.
+// limitRetries lowers the retry mode of a class to the maximum that cannot execute a request twice.
 func (c *Checker) limitRetries(proposal *reconcile.Proposal) {
 	if limit := c.maxRetry(proposal.Class); proposal.Admission.Retry > limit {
 		proposal.Admission.Retry = limit
@@ -67,7 +68,8 @@
 	}
 }
 
-// maxRetry returns the largest retry mode by which no request of a class is executed twice.
+// maxRetry returns the largest retry mode under which no request of a class can be executed twice. For classes with
+// idempotency keys, all attempts have to fall into the deduplication window and scope.
 func (c *Checker) maxRetry(class fleet.ClassID) fleet.RetryMode {
 	settings := &c.site.Classes[class]
 	switch settings.Idempotency {
@@ -84,7 +86,7 @@
 			return fleet.RetryIfNotExecuted
 		}
 	}
-	// A retry begins at most this long after the attempt before it.
+	// A retry starts at most this long after the previous attempt.
 	retryDelay := settings.LatencyObjective.Scale(c.site.AttemptTimeoutFactor) + maxProxyStall
 	switch {
 	case 2*retryDelay < settings.DeduplicationWindow:
--- a/internal/safety/rules_test.go
+++ b/internal/safety/rules_test.go
@@ -7,7 +7,8 @@
 	"cressknot/internal/reconcile"
 )
 
-// TestRetriesNeverExecuteTwice checks that no class is retried where that could execute a request twice.
+// TestRetriesNeverExecuteTwice checks that the retry mode of each class is lowered to what cannot execute a request
+// twice, and that lower modes pass unchanged.
 func TestRetriesNeverExecuteTwice(t *testing.T) {
 	site := testSite()
 	keyed := fleet.RequestClass{
@@ -40,14 +41,14 @@
 			proposal := plan.Proposals[0]
 			lowered := proposal.LowerReason != ""
 			if proposal.Admission.Retry != min(wanted, limit) || lowered != (wanted > limit) {
-				t.Errorf("class %d, wanted %d: %+v, the limit is %d", class, wanted, proposal, limit)
+				t.Errorf("class %d, retry mode %d: %+v, limit %d", class, wanted, proposal, limit)
 			}
 		}
 	}
 }
 
-// TestLastEndpointStays checks that of several entries that a message takes the largest warm one stays, and that
-// what the balancer wants is done by itself once it is safe.
+// TestLastEndpointStays checks that a message that removes all entries of a class keeps the warm one with the largest
+// weight, and that the refused removal is applied without a further order once it is safe.
 func TestLastEndpointStays(t *testing.T) {
 	_, reconciler := newCheckedReconciler(t, 1)
 	for _, orders := range [][]fleet.Order{
@@ -65,13 +66,13 @@
 	entries := reconciler.Proxies()[0].Entries
 	refusals := reconciler.Refusals()
 	if entries != 1 || len(refusals) != 1 || refusals[0].Server != 3 || refusals[0].Reason != ReasonNoEndpoints {
-		t.Errorf("%d entries, refusals %+v", entries, refusals)
+		t.Errorf("%d entries, refusals %+v; want one entry and the refusal to remove server 3", entries, refusals)
 	}
 	reconciler.Apply(now, []fleet.Order{fleet.SetWeight{Server: 2, Weight: 1}})
 	acknowledgeAll(reconciler, now)
 	acknowledgeAll(reconciler, now+2*fleet.Second) // refused changes are proposed again
 	entries = reconciler.Proxies()[0].Entries
 	if entries != 1 || len(reconciler.Refusals()) != 0 {
-		t.Errorf("once another entry is there: %d entries, refusals %+v", entries, reconciler.Refusals())
+		t.Errorf("after another entry was added: %d entries, refusals %+v; want 1 and none", entries, reconciler.Refusals())
 	}
 }
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -6,18 +6,20 @@
 	"cressknot/internal/fleet"
 )
 
-// Operators may force what was refused, within bounds.
+// Limits for operators who force a refused change.
 const (
-	// ForceTimeout is how long a refusal may be forced: it was decided by what was known then.
+	// ForceTimeout is the time after a refusal in which it may be forced. Later the state that the refusal was based on
+	// may have changed.
 	ForceTimeout = 30 * fleet.Second
-	// MaxForces bounds the refusals that may be forced at a time.
+	// MaxForces is the maximum number of refusals that can wait to be forced at a time.
 	MaxForces = 64
 )
 
-// maxTableUtilization is the fraction of their capacity that the servers of a table may be asked for.
+// maxTableUtilization is the maximum demand on a table, as a fraction of the capacity of its servers.
 const maxTableUtilization = 1.0
 
-// TableLine is an entry of a complete table to be checked.
+// TableLine is an entry of a complete table for Checker.CheckTable. Entries of weight 0 and withdrawn ones get no
+// requests.
 type TableLine struct {
 	Server    fleet.ServerID
 	Weight    float64
@@ -26,20 +28,20 @@
 
 func (l TableLine) usable() bool { return l.Weight > 0 && !l.Withdrawn }
 
-// Violation is a rule that a table would violate.
+// Violation is a rule that a table violates.
 type Violation struct {
-	Reason   string
+	Reason   string // one of the Reason constants
 	Server   fleet.ServerID
-	NoServer bool // it is about no single server
-	Text     string
-	Forcible bool // operators may force it, in two steps
+	NoServer bool   // it concerns the whole table; Server is not set
+	Text     string // details with the values met
+	Forcible bool   // operators may force the table after confirmation
 }
 
-// readyCapacity sums up the servers that are listed as ready.
+// readyCapacity is the capacity of all servers that are listed as ready.
 type readyCapacity struct {
-	total float64
-	known bool // of all
-	warm  int  // servers that are not warming up
+	total float64 // requests per second
+	known bool    // the capacity of every server is known
+	warm  int     // number of servers that are not warming up
 }
 
 func (c *Checker) readyCapacity(now fleet.Time) readyCapacity {
@@ -60,8 +62,8 @@
 	return sum
 }
 
-// CheckTable checks a complete table for classes whose requests come at a rate of demand per second in all. It informs
-// operators in advance; messages are checked one by one all the same.
+// CheckTable checks a complete table for classes with a total demand in requests per second, and returns the rules that
+// it violates. It informs operators in advance; each message is checked by CheckPlan nevertheless.
 func (c *Checker) CheckTable(now fleet.Time, entries []TableLine, demand float64) (violations []Violation) {
 	var ready []TableLine
 	weightSum, capacity := 0.0, 0.0
@@ -106,7 +108,7 @@
 	return violations
 }
 
-// checkWarming checks whether an entry would overload a server that is warming up.
+// checkWarming returns the violation if an entry would overload a warming server.
 func (c *Checker) checkWarming(now fleet.Time, entry TableLine, demand, weightSum float64) (Violation, bool) {
 	rate := demand * entry.Weight / weightSum
 	limit := c.rateLimit(now, entry.Server)
--- a/internal/safety/table_test.go
+++ b/internal/safety/table_test.go
@@ -9,7 +9,8 @@
 	"cressknot/internal/fleet"
 )
 
-// TestTableReportsViolations checks complete tables as operators push them.
+// TestTableReportsViolations checks the reasons that complete tables are refused for, such as an operator's weight for
+// a draining server.
 func TestTableReportsViolations(t *testing.T) {
 	checker := New(testSite())
 	checker.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{
@@ -22,7 +23,7 @@
 		checker.Observe(now, outcomeReport(id+1, 100, 0.5))
 	}
 	checker.Observe(now, fleet.OutcomeReport{Server: 4, Attempts: 10, Interval: 10 * fleet.Second})
-	checker.servers[4].measuredAt = now // there were reports, though it is warming up
+	checker.servers[4].measuredAt = now // it has reports, but is warming up
 	for _, test := range []struct {
 		weights map[fleet.ServerID]float64
 		demand  float64
@@ -46,12 +47,13 @@
 			got = append(got, violation.Reason)
 		}
 		if !slices.Equal(got, test.want) {
-			t.Errorf("%v at %v per second: %q, not %q", test.weights, test.demand, got, test.want)
+			t.Errorf("weights %v at %v requests/s: %q, want %q", test.weights, test.demand, got, test.want)
 		}
 	}
 }
 
-// TestCheckDescribesViolationsOfFiles checks a table offline. Errors name the place in the file.
+// TestCheckDescribesViolationsOfFiles checks table files offline: violations name the server, and errors name the
+// place in the file.
 func TestCheckDescribesViolationsOfFiles(t *testing.T) {
 	state := `{"now": "2026-12-01T12:00:10Z", "demand": 40,
 		"cold": {"from": 0.2, "for_s": 15, "fall_factor": 3, "fall_for_s": 2},
--- a/internal/safety/warming.go
+++ b/internal/safety/warming.go
@@ -11,30 +11,31 @@
 // overload it are refused.
 const maxLowerAttempts = 3
 
-// ProxyJoined notes what a proxy has at its join.
+// ProxyJoined records the rates that a proxy sends to warming servers by the entries that it has when it joins.
 func (c *Checker) ProxyJoined(now fleet.Time, plan *reconcile.UpdatePlan) {
 	c.ProxyAcknowledged(now, plan)
 }
 
-// ProxyAcknowledged notes that a proxy has what it was sent, and nothing else if no message is in flight.
+// ProxyAcknowledged records that a proxy has the entries of the plan. If no message is in flight it has no others, and
+// the rates by its earlier entries are cleared.
 func (c *Checker) ProxyAcknowledged(now fleet.Time, plan *reconcile.UpdatePlan) {
 	rates := c.ratesAt(plan, entriesBefore(plan), plan.WeightSums)
 	if plan.NothingInFlight {
 		for id, server := range c.servers {
 			if server.rateOf(plan.Proxy) > 0 {
-				rates[id] = max(rates[id], 0) // 0 where the proxy has no entry any more
+				rates[id] = max(rates[id], 0) // 0 if the proxy no longer has an entry
 			}
 		}
 	}
 	c.commitRates(plan, rates)
 }
 
-// ProxyLeft changes nothing: a proxy without a session may go on sending, so its rates count until the servers are
-// warm.
+// ProxyLeft does nothing: a proxy without a session may continue to send requests, so its rates count until the servers
+// have finished their slow start.
 func (c *Checker) ProxyLeft(fleet.ProxyID) {}
 
-// commitRates notes the rates that a proxy may send to warming servers. While other messages are in flight, the
-// larger one of the old and the new rate counts.
+// commitRates records the rates that a proxy may send to warming servers. While other messages are in flight, the
+// larger of the old and the new rate counts.
 func (c *Checker) commitRates(plan *reconcile.UpdatePlan, rates serverRates) {
 	for id, rate := range rates {
 		server := c.servers[id]
@@ -44,7 +45,7 @@
 	}
 }
 
-// otherProxiesRate returns the rate that other proxies may send to a server.
+// otherProxiesRate returns the rate that all proxies but one may send to a server.
 func (c *Checker) otherProxiesRate(id fleet.ServerID, except fleet.ProxyID) float64 {
 	server := c.servers[id]
 	if server == nil {
@@ -53,9 +54,9 @@
 	return max(0, server.totalRate-server.rateOf(except))
 }
 
-// limitWarming lowers entries of warming servers until each bears what all proxies may send it: this one at each
-// moment while it applies the message, the others as much as they have or as is in flight to them, whichever is
-// more. What lowering does not mend is refused.
+// limitWarming lowers entries of warming servers until each server's rate limit covers what all proxies may send it:
+// this proxy at any point while it applies the message, and the others by the entries that they have or that are in
+// flight to them, whichever gives the higher rate. Where lowering is not enough, the changes are refused.
 func (c *Checker) limitWarming(now fleet.Time, plan *reconcile.UpdatePlan) {
 	if c.passesFastCheck(now, plan) {
 		return
@@ -77,30 +78,31 @@
 	c.commitRates(plan, load.peaks)
 }
 
-// warmingLoad is what a proxy sends to warming servers before a message, and at most while it applies it.
+// warmingLoad holds the rates that a proxy sends to warming servers before a message, and the maximum rates while it
+// applies the message, as peakRates returns them.
 type warmingLoad struct {
 	before, peaks, afterDecrease serverRates
 }
 
-// overload is a warming server that would get more than it bears from a proxy.
+// overload is a warming server that would get more requests from a proxy than its rate limit leaves for that proxy.
 type overload struct {
 	server    fleet.ServerID
-	excess    float64 // rate that is too much
+	excess    float64 // rate above available
 	available float64 // rate that the proxy may send
 }
 
-// worstOverload returns the server with the largest excess. It goes by the order of the entries, so that the same
-// plan is always decided in the same way.
+// worstOverload returns the server with the largest excess. It iterates in the order of the entries, so that the result
+// for a plan is deterministic.
 func (c *Checker) worstOverload(
 	now fleet.Time, proxy fleet.ProxyID, entries []warmingEntry, load warmingLoad, attempts map[fleet.ServerID]int,
 ) (worst overload, found bool) {
 	for _, entry := range entries {
 		available := max(0, c.rateLimit(now, entry.Server)-c.otherProxiesRate(entry.Server, proxy))
 		rate := load.peaks[entry.Server]
-		if before := load.before[entry.Server]; before > available { // too high already: what a decrease leaves counts
+		if before := load.before[entry.Server]; before > available { // overloaded already: the rate after the decrease counts
 			rate = load.afterDecrease[entry.Server]
 			if server := c.servers[entry.Server]; server != nil && server.totalRate > 0 {
-				// The other proxies are lowered as well: each keeps its part.
+				// The other proxies are lowered too, so each proxy keeps its share of the limit.
 				proxyFraction := min(1, before/server.totalRate)
 				available = max(available, proxyFraction*c.rateLimit(now, entry.Server))
 			}
@@ -114,7 +116,8 @@
 	return worst, worst.excess > 0
 }
 
-// lowerServer lowers the entries of an overloaded server, or refuses what changes their classes.
+// lowerServer lowers the entries of an overloaded server. If refuse is set, or an entry can't be lowered, it refuses
+// the weight changes of the entry's class instead.
 func (c *Checker) lowerServer(plan *reconcile.UpdatePlan, entries []warmingEntry, worst overload, refuse bool) {
 	factor := worst.available / (worst.available + worst.excess)
 	weightSums := weightSumsAfter(plan, entries)
@@ -129,7 +132,7 @@
 	}
 }
 
-// weightSumsAfter returns the sums of weights of each class's usable entries of ready servers after a message.
+// weightSumsAfter returns, for each class, the weight sum of the usable entries of ready servers after a message.
 func weightSumsAfter(plan *reconcile.UpdatePlan, entries []warmingEntry) []int {
 	sums := slices.Clone(plan.WeightSums)
 	for i := range plan.Proposals {
@@ -146,9 +149,9 @@
 	return sums
 }
 
-// lowerEntry gives a warming server so little weight that its fraction of the requests is at most a part of what it
-// would be, whatever becomes of other warming servers. It returns false where the class would have warming servers
-// only.
+// lowerEntry lowers the weight of a warming server's entry until its fraction of the class's requests is at most factor
+// times the present one, even if all other warming servers lose their weight. It returns false if the class would have
+// warming servers only.
 func lowerEntry(
 	plan *reconcile.UpdatePlan, entry *warmingEntry, entries []warmingEntry, weightSums []int, factor float64,
 ) bool {
@@ -181,8 +184,8 @@
 	return true
 }
 
-// refuseClass refuses all that a message changes for a class's ready servers. Where that leaves nothing to refuse,
-// the class has warming servers only, and having endpoints takes precedence.
+// refuseClass refuses all weight changes of a message for a class. If there are none, the class has warming servers
+// only, and keeping endpoints takes precedence over their rate limits.
 func refuseClass(plan *reconcile.UpdatePlan, class fleet.ClassID) {
 	for i := range plan.Proposals {
 		proposal := &plan.Proposals[i]
@@ -192,9 +195,9 @@
 	}
 }
 
-// passesFastCheck passes most messages at low cost: nothing raises an entry of a warming server, and after the message
-// none brings its server more than it bears. As reconcile.Arrange keeps every fraction within what it was before
-// and will be after, no moment in between is worse.
+// passesFastCheck accepts most messages at low cost: those that change no entry of a warming server and after which no
+// warming server is above its rate limit. The states in between need no check: reconcile.Arrange keeps a warming
+// server's fraction of the requests from exceeding both its values before and after the message.
 func (c *Checker) passesFastCheck(now fleet.Time, plan *reconcile.UpdatePlan) bool {
 	for i := range plan.Proposals {
 		if changesWarmingEntry(&plan.Proposals[i]) {
@@ -208,7 +211,7 @@
 	for i := 0; i < len(plan.Warming); {
 		id := plan.Warming[i].Server
 		rate := 0.0
-		for ; i < len(plan.Warming) && plan.Warming[i].Server == id; i++ { // a server's entries are adjacent
+		for ; i < len(plan.Warming) && plan.Warming[i].Server == id; i++ { // the entries of a server are adjacent
 			rate += c.ratesPerWeight[plan.Warming[i].Class] * float64(plan.Warming[i].State.Weight)
 		}
 		server := c.servers[id]
@@ -217,7 +220,7 @@
 		}
 		before := server.rateOf(plan.Proxy)
 		if max(0, rate-before)+server.totalRate > c.rateLimitOf(now, server) {
-			return false // the complete check decides
+			return false // left to the complete check
 		}
 		if rate > before {
 			server.setRate(plan.Proxy, rate)
@@ -226,7 +229,7 @@
 	return true
 }
 
-// updateRatesPerWeight works out the rate by class that a weight of one brings after a message.
+// updateRatesPerWeight computes, for each class, the rate that a weight of 1 gets after a message.
 func (c *Checker) updateRatesPerWeight(plan *reconcile.UpdatePlan) {
 	c.weightSums = append(c.weightSums[:0], plan.WeightSums...)
 	for i := range plan.Proposals {
--- a/internal/safety/warming_test.go
+++ b/internal/safety/warming_test.go
@@ -9,35 +9,36 @@
 	"cressknot/internal/reconcile"
 )
 
-// TestEntriesOfRestartedServerAreLowered checks that a server that restarts while proxies have entries of it bears
-// no more, and is lowered by the next message to each; after those it gets as much as it bears.
+// TestEntriesOfRestartedServerAreLowered checks that the entries of a server that restarts while proxies send to it are
+// lowered by the next message to each proxy, to no more than its new rate limit and no less than half of it. The
+// refusal is reported once for all proxies.
 func TestEntriesOfRestartedServerAreLowered(t *testing.T) {
 	checker, reconciler := newCheckedReconciler(t, 3)
 	list := startedList(2, now)
 	checker.Observe(now, list)
 	reconciler.SetEndpoints(now, list)
 	if got := checker.otherProxiesRate(2, 99); math.Abs(got-8) > 0.2 {
-		t.Errorf("its present entries count as %v requests per second, not 8", got)
+		t.Errorf("its present entries count as %v requests/s, want 8", got)
 	}
 	limit := checker.rateLimit(now, 2)
-	// That alone would lower its part of the requests, but not enough.
+	// This change alone lowers its fraction of the requests, but not enough.
 	reconciler.Apply(now, []fleet.Order{fleet.SetWeight{Server: 1, Weight: 1.1}})
 	acknowledgeAll(reconciler, now)
 	if got := checker.otherProxiesRate(2, 99); got > limit || got < limit/2 {
-		t.Errorf("%v requests per second after it was lowered, it bears %v", got, limit)
+		t.Errorf("%v requests/s after it was lowered, the limit is %v", got, limit)
 	}
 	refusals := reconciler.Refusals()
 	if len(refusals) != 1 || refusals[0].Server != 2 || refusals[0].Reason != ReasonWarmingOverload ||
 		refusals[0].Proxies != 3 {
-		t.Errorf("refusals %+v", refusals)
+		t.Errorf("refusals %+v; want one of server 2 for 3 proxies", refusals)
 	}
 	if notices := reconciler.Notices(); len(notices) != 1 {
-		t.Errorf("%d notices for one refusal: %+v", len(notices), notices)
+		t.Errorf("%d notices of one refusal, want 1: %+v", len(notices), notices)
 	}
 }
 
-// TestWarmingServerDoesNotBlockRemoval checks that the entry of a warming server that the removal of another one
-// would overload is lowered, and that the removal passes.
+// TestWarmingServerDoesNotBlockRemoval checks that the removal of a server passes though it would overload a warming
+// one, whose entry is lowered instead.
 func TestWarmingServerDoesNotBlockRemoval(t *testing.T) {
 	checker, reconciler := newCheckedReconciler(t, 1)
 	list := startedList(2, now)
@@ -52,12 +53,12 @@
 		removed = removed || change.Server == 1 && change.Weight == 0
 	}
 	if !removed {
-		t.Errorf("lowered %v, removed %v", lowered, removed)
+		t.Errorf("warming server lowered: %v; other server removed: %v, want true", lowered, removed)
 	}
 }
 
-// TestAcknowledgedDecreaseFreesCapacity checks that a proxy that acknowledged the removal of an entry leaves its
-// part of what the server bears to the others, and that one that left counts until the server would have warmed up.
+// TestAcknowledgedDecreaseFreesCapacity checks that a proxy that acknowledged the removal of an entry leaves its part
+// of the server's rate limit to the other proxies, and that a proxy that left counts for the duration of a slow start.
 func TestAcknowledgedDecreaseFreesCapacity(t *testing.T) {
 	checker := New(testSite())
 	checker.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2, Started: now}}})
@@ -71,27 +72,27 @@
 	}
 	checker.ProxyJoined(now, plan)
 	if got := checker.otherProxiesRate(2, 9); math.Abs(got-5) > 1e-9 {
-		t.Errorf("%v counted, not 5", got)
+		t.Errorf("the proxy counts as %v requests/s, want 5", got)
 	}
 	checker.Observe(now, fleet.ProxyLeft{Proxy: 1})
 	restart := func(at fleet.Time) { checker.Observe(at, startedList(2, at)) }
 	if restart(now + 5*fleet.Second); checker.otherProxiesRate(2, 9) == 0 {
-		t.Error("a proxy that just left goes on with what it has, but is not counted")
+		t.Error("a proxy that just left may still send requests, but is not counted")
 	}
 	if restart(now + 11*fleet.Second); checker.otherProxiesRate(2, 9) != 0 {
-		t.Error("a proxy that left long ago is counted")
+		t.Error("a proxy that left more than a slow start ago is counted")
 	}
 	checker.ProxyJoined(now, plan)
 	plan.Warming = nil
 	plan.WeightSums = []int{100, 100}
 	checker.ProxyAcknowledged(now, plan)
 	if got := checker.otherProxiesRate(2, 9); got != 0 {
-		t.Errorf("%v counted after the entry is gone", got)
+		t.Errorf("the proxy counts as %v requests/s after the removal of its entry, want 0", got)
 	}
 }
 
-// BenchmarkMessages checks the messages of a step to 930 proxies, with one entry of three classes changed and some
-// servers warming up.
+// BenchmarkMessages checks the messages of one step to 930 proxies. Each changes one entry in each of three classes
+// while some servers are warming up.
 func BenchmarkMessages(b *testing.B) {
 	for _, warming := range []int{0, 20, 200} {
 		b.Run(fmt.Sprint("cold=", warming), func(b *testing.B) {
@@ -118,7 +119,7 @@
 	}
 }
 
-// newBenchmarkChecker returns a guard of 700 servers and 930 proxies, and the plan of a message to them.
+// newBenchmarkChecker returns a checker with 700 servers and 930 proxies, and the plan of a message to them.
 func newBenchmarkChecker(warming int) (*Checker, *reconcile.UpdatePlan) {
 	site := testSite()
 	site.Classes = append(site.Classes, fleet.RequestClass{})
