--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -15,7 +15,7 @@
 	"cressknot/internal/fleet"
 )
 
-var writeFixtures = flag.Bool("write-fixtures", false, "write the stored data in testdata anew")
+var writeFixtures = flag.Bool("write-fixtures", false, "rewrite the recorded log in testdata")
 
 const goldenLog = "testdata/records.jsonl"
 
@@ -95,7 +95,7 @@
 	}
 }
 
-// storedEvents gives events of all kinds that a log may hold.
+// storedEvents returns the events of a step. All steps together have every kind of event that a log may hold.
 func storedEvents(rng *rand.Rand, step int) []fleet.Event {
 	var events []fleet.Event
 	if step == 0 {
@@ -164,6 +164,7 @@
 	return events
 }
 
+// recordRun returns the log of a run of the balancer with the events of storedEvents.
 func recordRun(t *testing.T) []byte {
 	t.Helper()
 	rng := rand.New(rand.NewSource(11))
@@ -185,7 +186,8 @@
 	return out.Bytes()
 }
 
-// TestLogOfEarlierVersionReplays replays a stored log to the same orders, and writes the same run to the same bytes.
+// TestLogOfEarlierVersionReplays checks that a log in testdata, which may be from an earlier version, replays to the
+// same orders, and that the same run is still written to the same bytes.
 func TestLogOfEarlierVersionReplays(t *testing.T) {
 	written := recordRun(t)
 	if *writeFixtures {
@@ -205,7 +207,7 @@
 		t.Errorf("%d steps, %d orders: %v", steps, orders, err)
 	}
 	if !bytes.Equal(written, stored) {
-		t.Error("the same run is written to other bytes")
+		t.Error("the log of the same run differs from the recorded one")
 	}
 	for _, kind := range []string{
 		"List",
@@ -231,12 +233,13 @@
 		"Mark",
 	} {
 		if !bytes.Contains(stored, []byte(`{"Is":"`+kind+`","V":{`)) {
-			t.Errorf("no %s in the log", kind)
+			t.Errorf("no event or order of kind %s in the log", kind)
 		}
 	}
 }
 
-// TestOrderFormIsStable checks the text of orders that the balancer gives seldom or never.
+// TestOrderFormIsStable checks the JSON of orders, among them those that the balancer returns seldom or never and that
+// the recorded log may lack.
 func TestOrderFormIsStable(t *testing.T) {
 	for want, order := range map[string]fleet.Order{
 		`{"After":5,"ID":6}`:                  fleet.SetTimer{Delay: 5, ID: 6},
@@ -264,7 +267,8 @@
 	}
 }
 
-// TestRecordedTypesHaveTags: a field without a tag would change its name on disk when it is renamed.
+// TestRecordedTypesHaveTags checks that every recorded field has a JSON tag. Without one, renaming the field would
+// change its name in the log, and earlier logs could no longer be read.
 func TestRecordedTypesHaveTags(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	var checkTags func(of reflect.Type)
@@ -279,7 +283,7 @@
 		for i := range of.NumField() {
 			f := of.Field(i)
 			if f.Tag.Get("json") == "" && !f.Anonymous {
-				t.Errorf("%s.%s has no tag", of, f.Name)
+				t.Errorf("%s.%s has no JSON tag", of, f.Name)
 			}
 			checkTags(f.Type)
 		}
@@ -317,7 +321,8 @@
 	}
 }
 
-// TestReaderReportsLineOfError: the end is io.EOF; what can't be read is reported with file and line.
+// TestReaderReportsLineOfError checks that the end of a log is io.EOF, and that a truncated line is reported with file
+// and line.
 func TestReaderReportsLineOfError(t *testing.T) {
 	recorded := recordRun(t)
 	r, err := NewReader("day", bytes.NewReader(recorded))
@@ -336,20 +341,21 @@
 		events += len(read)
 	}
 	if r.Line() != 91 || events < 1000 {
-		t.Errorf("%d lines, %d events", r.Line(), events)
+		t.Errorf("read %d lines and %d events, want 91 and at least 1000", r.Line(), events)
 	}
 	if _, _, err := Replay("day", bytes.NewReader(recorded[:len(recorded)-9])); err == nil ||
 		!strings.HasPrefix(err.Error(), "day:91: ") {
-		t.Errorf("a truncated last line: %v", err)
+		t.Errorf("truncated last line: error %v, want prefix day:91", err)
 	}
 }
 
+// brokenPipe fails every write.
 type brokenPipe struct{}
 
 func (brokenPipe) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
 func TestWriterReturnsFirstError(t *testing.T) {
 	if _, err := NewWriter(brokenPipe{}, Header{}); !errors.Is(err, io.ErrClosedPipe) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want %v", err, io.ErrClosedPipe)
 	}
 }
--- a/internal/eventlog/format.go
+++ b/internal/eventlog/format.go
@@ -1,6 +1,6 @@
-// Package eventlog records what a balancer was given and ordered, one step a line, and replays it: the balancer must
-// then give the same orders to the byte. The first line holds what the balancer was made with. Operators read the same
-// lines after an incident.
+// Package eventlog records the events that a balancer received and the orders that it returned, as JSON lines with one
+// step each. A replay of the log must return orders that are byte for byte the same. The first line is a Header with
+// the parameters of the balancer. Operators read the same lines after an incident.
 package eventlog
 
 import (
@@ -10,16 +10,16 @@
 	"cressknot/internal/fleet"
 )
 
-// Format is the version of the lines' form. A reader takes no other one.
+// Format is the version of the log format. Readers reject logs of any other version.
 const Format = 1
 
-// maxLineBytes bounds one step: a list of 100,000 servers takes some 15 MB.
+// maxLineBytes is the maximum length of a line. An endpoint list of 100,000 servers takes some 15 MB.
 const maxLineBytes = 256 << 20
 
-// bufferBytes is the size at which buffers of readers and writers start.
+// bufferBytes is the size of the write buffer and the initial size of the read buffer.
 const bufferBytes = 1 << 16
 
-// Header is the first line.
+// Header is the first line of a log: the parameters of the balancer.
 type Header struct {
 	Format     int        `json:"Format"`
 	Controller string     `json:"Governor"`
@@ -27,7 +27,8 @@
 	Seed       uint64     `json:"Seed"`
 }
 
-// Step is each further line. Names gives the servers that became known since the step before.
+// Step is a line after the header: the events of one balancer step and the orders that it returned. Names has the names
+// of the servers that became known since the previous step.
 type Step struct {
 	Now    fleet.Time                `json:"Now"`
 	Names  map[fleet.ServerID]string `json:"Names,omitempty"`
@@ -35,13 +36,13 @@
 	Orders []Item                    `json:"Orders,omitempty"`
 }
 
-// Item is an event or an order with its kind. Kinds never change, as files outlast programs.
+// Item is an event or an order with its kind. Kinds never change, because logs are read by later program versions.
 type Item struct {
 	Kind  string          `json:"Is"`
 	Value json.RawMessage `json:"V"`
 }
 
-// UnknownKindError says that an event or an order has no kind on disk.
+// UnknownKindError reports an event or an order of a Go type that has no kind in the log format.
 type UnknownKindError struct{ Value any }
 
 func (e *UnknownKindError) Error() string {
@@ -81,7 +82,7 @@
 	kindBarrier        = "Mark"
 )
 
-// eventDecoders read the events that a log may hold, by kind.
+// eventDecoders has a decoder for each kind of event that can be read from a log.
 var eventDecoders = map[string]func([]byte) (fleet.Event, error){
 	kindEndpointList:      decodeEvent[fleet.EndpointList],
 	kindTimerFired:        decodeEvent[fleet.TimerFired],
@@ -103,7 +104,7 @@
 	return event, err
 }
 
-// eventKind gives the kind of an event, "" for none.
+// eventKind returns the kind of an event, "" if its type has none.
 func eventKind(event fleet.Event) string {
 	switch event.(type) {
 	case fleet.EndpointList:
@@ -136,7 +137,7 @@
 	return ""
 }
 
-// orderKind gives the kind of an order, "" for none.
+// orderKind returns the kind of an order, "" if its type has none.
 func orderKind(order fleet.Order) string {
 	switch order.(type) {
 	case fleet.SetTimer:
--- a/internal/eventlog/reader.go
+++ b/internal/eventlog/reader.go
@@ -10,7 +10,7 @@
 	"cressknot/internal/fleet"
 )
 
-// Reader reads a log. Its errors name file and line.
+// Reader reads a log. Its errors contain the file name and the line.
 type Reader struct {
 	Header Header
 	in     *bufio.Scanner
@@ -18,7 +18,8 @@
 	name   string
 }
 
-// NewReader reads the header; name is the file's, for errors.
+// NewReader returns a reader after it has read and checked the header. The file name is for errors only. An empty log
+// and one of an unknown format are errors.
 func NewReader(name string, in io.Reader) (*Reader, error) {
 	r := &Reader{in: bufio.NewScanner(in), name: name}
 	r.in.Buffer(make([]byte, bufferBytes), maxLineBytes)
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// Next reads a step, with its events as the balancer takes them; io.EOF after the last. A truncated last line is an
-// error that names it.
+// Next returns the next step and its decoded events. It returns io.EOF after the last step. A truncated last line is an
+// error with its line number.
 func (r *Reader) Next() (Step, []fleet.Event, error) {
 	var step Step
 	if err := r.readLine(&step); err != nil {
@@ -70,5 +71,5 @@
 	return step, events, nil
 }
 
-// Line is the number of the line read last.
+// Line returns the number of the line that was read last, from 1 for the header.
 func (r *Reader) Line() int { return r.line }
--- a/internal/eventlog/writer.go
+++ b/internal/eventlog/writer.go
@@ -9,14 +9,15 @@
 	"cressknot/internal/fleet"
 )
 
-// Writer writes a log. After an error, which Flush gives, it writes no more.
+// Writer writes a log through a buffer. After the first error it writes nothing more; Flush returns that error. It is
+// not safe for concurrent use.
 type Writer struct {
 	out          *bufio.Writer
-	namesWritten fleet.ServerID // servers whose names are written
+	namesWritten fleet.ServerID // number of servers whose names were written
 	err          error
 }
 
-// NewWriter writes the header.
+// NewWriter returns a writer after it has written the header, whose Format it sets.
 func NewWriter(out io.Writer, start Header) (*Writer, error) {
 	w := &Writer{out: bufio.NewWriterSize(out, bufferBytes)}
 	start.Format = Format
@@ -35,7 +36,8 @@
 	w.err = err
 }
 
-// Step writes one step. There are count servers, whose names nameOf gives.
+// Step writes one step. There are count known servers, with ids from 0; nameOf returns their names, each of which is
+// written once. An event or order without a kind is an error that Flush returns.
 func (w *Writer) Step(
 	now fleet.Time, events []fleet.Event, orders []fleet.Order, count int, nameOf func(fleet.ServerID) string,
 ) {
@@ -59,7 +61,7 @@
 	w.writeLine(step)
 }
 
-// Flush hands what was written to the file. It gives the first error of all writes.
+// Flush writes the buffer to the underlying writer and returns the first error of all writes.
 func (w *Writer) Flush() error {
 	if err := w.out.Flush(); w.err == nil {
 		w.err = err
--- a/internal/tableversion/bench_test.go
+++ b/internal/tableversion/bench_test.go
@@ -9,7 +9,7 @@
 	"cressknot/internal/fleet"
 )
 
-// newLargeTable returns a table with one version.
+// newLargeTable returns a table of the given number of entries at its first version.
 func newLargeTable(size int) *Table {
 	table := New(1, serverName, HistoryLimits{MaxEntries: 1 << 20, MaxAge: math.MaxInt64})
 	var entries []Entry
@@ -20,7 +20,7 @@
 	return table
 }
 
-// BenchmarkChangedLine changes one entry of tables of different sizes, which takes the same time.
+// BenchmarkChangedLine changes one entry of tables of different sizes. The time must not depend on the size.
 func BenchmarkChangedLine(b *testing.B) {
 	for _, size := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// BenchmarkFold100 folds 100 versions of 100 entries each, of a table of 10,000 entries.
+// BenchmarkFold100 folds 100 deltas of 100 entries each, of a table of 10,000 entries.
 func BenchmarkFold100(b *testing.B) {
 	table := newLargeTable(10_000)
 	from := table.Version()
@@ -66,8 +66,8 @@
 	}
 }
 
-// BenchmarkPlans930 makes a new version of 10,000 entries, and the paths of 930 followers that have some of the 300
-// versions before it.
+// BenchmarkPlans930 makes a new version of a table of 10,000 entries and plans the updates of 930 followers, which have
+// different earlier versions.
 func BenchmarkPlans930(b *testing.B) {
 	for _, distinct := range []int{1, 10, 100, 300} {
 		b.Run(fmt.Sprint("versions=", distinct), func(b *testing.B) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// BenchmarkMemoryOfAVersion changes 10 entries of a table of 700.
+// BenchmarkMemoryOfAVersion measures the memory per version when 10 entries of a table of 700 change.
 func BenchmarkMemoryOfAVersion(b *testing.B) {
 	table := newLargeTable(700)
 	var before, after runtime.MemStats
--- a/internal/tableversion/followers_test.go
+++ b/internal/tableversion/followers_test.go
@@ -14,17 +14,17 @@
 const (
 	simulatedFollowers = 3
 	simulatedServers   = 5
-	messageOverhead    = 6 // of a delta, in entries
+	messageOverhead    = 6 // cost of a message, in entries
 )
 
-// followerSimulation changes a table at random, with followers whose deltas are lost, repeated, reordered and
+// followerSimulation changes a table at random, while deltas to its followers are lost, repeated, reordered and
 // damaged.
 type followerSimulation struct {
 	t        *rapid.T
 	now      fleet.Time
 	epoch    uint64
 	table    *Table
-	contents map[Version]map[string]int // of every version that was made
+	contents map[Version]map[string]int // of every version so far
 	digests  map[Version]Digest
 	replicas [simulatedFollowers]Replica
 	inFlight [simulatedFollowers][]Delta
@@ -43,7 +43,7 @@
 	}
 }
 
-// record notes the present version and verifies its digest.
+// record stores the content of the current version and verifies its digest.
 func (s *followerSimulation) record() {
 	s.contents[s.table.Version()] = weightsByName(s.table.Entries())
 	s.digests[s.table.Version()] = s.table.Digest()
@@ -52,19 +52,19 @@
 		want += EntryDigest(serverName(entry.Server), entry.Weight)
 	}
 	if want != s.table.Digest() {
-		s.t.Fatalf("digest %v kept up to date, %v worked out", s.table.Digest(), want)
+		s.t.Fatalf("incremental digest %v, computed from the entries %v", s.table.Digest(), want)
 	}
 }
 
-// send sends a follower what leads to the present version.
+// send puts the planned deltas to the current version in flight to a follower.
 func (s *followerSimulation) send(i int) {
 	version, digest := s.replicas[i].Version()
 	_, deltas := s.table.Plan(version, digest, messageOverhead)
 	s.inFlight[i] = append(s.inFlight[i], deltas...)
 }
 
-// deliver applies a delta in flight and checks that the replica has a complete version that is not older than
-// before.
+// deliver applies a delta in flight and checks that the replica then has a complete version that existed and is not
+// older than the one before.
 func (s *followerSimulation) deliver(i, at int) {
 	delta := s.inFlight[i][at]
 	replica := &s.replicas[i]
@@ -76,12 +76,12 @@
 	}
 	version, digest := replica.Version()
 	if version.Compare(before) < 0 {
-		s.t.Fatalf("went from %v back to %v", before, version)
+		s.t.Fatalf("replica went back from version %v to %v", before, version)
 	}
 	want, known := s.contents[version]
 	differs := !maps.Equal(want, replica.Weights()) && len(want)+len(replica.Weights()) > 0
 	if !known || differs || s.digests[version] != digest {
-		s.t.Fatalf("has %v as %v, which was %v", replica.Weights(), version, want)
+		s.t.Fatalf("replica has %v as version %v, want %v", replica.Weights(), version, want)
 	}
 }
 
@@ -111,15 +111,15 @@
 	s.record()
 	want := maps.Clone(s.contents[to])
 	if _, had := want[serverName(gone)]; had != (len(differences) == 1) {
-		s.t.Fatalf("gone %v, differences %v", gone, differences)
+		s.t.Fatalf("excluded server %v, differences %v", gone, differences)
 	}
 	delete(want, serverName(gone))
 	if got := weightsByName(s.table.Entries()); err == nil && !maps.Equal(want, got) {
-		s.t.Fatalf("rollback to %v yields %v, not %v", to, got, want)
+		s.t.Fatalf("rollback to %v: got %v, want %v", to, got, want)
 	}
 }
 
-// damage checks that a follower refuses a delta that was damaged in flight, and loses all others.
+// damage checks that a follower refuses a delta that was damaged in flight, and drops all deltas in flight to it.
 func (s *followerSimulation) damage(i int) {
 	if len(s.inFlight[i]) > 0 && len(s.inFlight[i][0].Entries) > 0 {
 		delta := s.inFlight[i][0]
@@ -134,7 +134,7 @@
 	s.inFlight[i] = nil
 }
 
-// takeOver lets a controller that starts later continue with the present entries.
+// takeOver replaces the controller by one of a later epoch that continues with the same entries.
 func (s *followerSimulation) takeOver() {
 	entries := s.table.Entries()
 	s.epoch += uint64(rapid.IntRange(1, 3).Draw(s.t, "epoch"))
@@ -155,7 +155,7 @@
 	case 4:
 		s.send(i)
 	case 5, 6:
-		if len(s.inFlight[i]) > 0 { // in any order
+		if len(s.inFlight[i]) > 0 { // deltas arrive in any order
 			at := rapid.IntRange(0, len(s.inFlight[i])-1).Draw(s.t, "at")
 			s.deliver(i, at)
 			if rapid.Bool().Draw(s.t, "once") {
@@ -174,7 +174,7 @@
 	}
 }
 
-// catchUp lets a follower get to the present version.
+// catchUp sends a follower the current version and checks that it gets there.
 func (s *followerSimulation) catchUp(i int) {
 	s.inFlight[i] = nil
 	s.send(i)
@@ -184,13 +184,13 @@
 	}
 	version, digest := s.replicas[i].Version()
 	if version != s.table.Version() || digest != s.table.Digest() {
-		s.t.Fatalf("ends at %v, not %v", version, s.table.Version())
+		s.t.Fatalf("follower ends at version %v, want %v", version, s.table.Version())
 	}
 }
 
-// TestFollowersReachNewestVersion checks that with deltas lost, repeated, reordered and damaged, rollbacks,
-// takeovers by other controllers and followers set back in time, after each step every follower has a complete
-// version that was once made and never goes to an older one, and in the end all have the newest.
+// TestFollowersReachNewestVersion checks that every follower always has a complete version that existed and never goes
+// back to an older one, and that all reach the newest version in the end. Deltas are lost, repeated, reordered and
+// damaged, tables are rolled back, other controllers take over and followers restart without their table.
 func TestFollowersReachNewestVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newFollowerSimulation(t)
@@ -202,12 +202,12 @@
 		}
 		limit := s.table.limits.MaxEntries
 		if s.table.historyEntries > limit && len(s.table.history) > 1 {
-			t.Fatalf("%d entries in the history, %d may be", s.table.historyEntries, limit)
+			t.Fatalf("%d entries in the history, limit %d", s.table.historyEntries, limit)
 		}
 	})
 }
 
-// interleavings plays all orders of changes, deliveries and one loss.
+// interleavings explores all orders of changes, deliveries and one loss.
 type interleavings struct {
 	t    *testing.T
 	runs int
@@ -218,7 +218,7 @@
 	table    *Table
 	replicas [2]Replica
 	inFlight [2][]Delta
-	changes  int // made so far
+	changes  int // so far
 	losses   int
 	now      fleet.Time
 }
@@ -230,13 +230,14 @@
 	return &clone
 }
 
-// applied returns a replica after a delta. A delta that does not fit leaves it unchanged.
+// applied returns a copy of a replica after a delta, unchanged if the replica refuses the delta.
 func applied(replica Replica, delta Delta) Replica {
 	replica.weights = maps.Clone(replica.weights)
 	_ = replica.Apply(delta, namedEntries(delta.Entries))
 	return replica
 }
 
+// explore continues a state in all possible ways and checks each final one.
 func (p *interleavings) explore(state interleavingState) {
 	state.now += fleet.Second
 	complete := true
@@ -253,7 +254,7 @@
 		delivered.replicas[i] = applied(state.replicas[i], state.inFlight[i][0])
 		delivered.inFlight[i] = state.inFlight[i][1:]
 		p.explore(delivered)
-		if state.losses < 1 { // all that is in flight to it is lost
+		if state.losses < 1 { // all deltas in flight to this follower are lost
 			lost := state
 			lost.inFlight[i] = nil
 			lost.losses++
@@ -266,7 +267,8 @@
 	}
 }
 
-// changed returns the state after the next change, the third of which is a rollback, sent to all followers.
+// changed returns the state after the next change, with its delta in flight to all followers. The third change is a
+// rollback.
 func (p *interleavings) changed(state interleavingState) interleavingState {
 	state.table = cloneTable(state.table)
 	if state.changes == 2 {
@@ -285,7 +287,7 @@
 	return state
 }
 
-// checkCatchUp checks that every follower can get to the present version.
+// checkCatchUp checks that the planned deltas lead every follower to the current version.
 func (p *interleavings) checkCatchUp(state interleavingState) {
 	table := state.table
 	for i, replica := range state.replicas {
@@ -297,13 +299,13 @@
 		version, digest = replica.Version()
 		want := weightsByName(table.Entries())
 		if version != table.Version() || digest != table.Digest() || !maps.Equal(replica.weights, want) {
-			p.t.Fatalf("follower %d ends at %v %v, not %v %v", i, version, replica.weights, table.Version(), want)
+			p.t.Fatalf("follower %d ends at version %v %v, want %v %v", i, version, replica.weights, table.Version(), want)
 		}
 	}
 }
 
-// TestEveryInterleavingReachesNewestVersion plays all orders of three deltas, one rollback, two followers and one
-// loss.
+// TestEveryInterleavingReachesNewestVersion checks that two followers reach the newest version after every order of
+// three changes, one rollback, the deliveries of their deltas and at most one loss.
 func TestEveryInterleavingReachesNewestVersion(t *testing.T) {
 	table := New(1, serverName, HistoryLimits{MaxEntries: 100, MaxAge: 1000 * fleet.Second})
 	table.Change(0, []Entry{{Server: 9, Weight: 9}}, "")
@@ -314,8 +316,8 @@
 	}
 	p := &interleavings{t: t}
 	p.explore(state)
-	t.Logf("%d interleavings, none broken", p.runs)
+	t.Logf("%d interleavings reached the newest version", p.runs)
 	if p.runs < 1000 {
-		t.Errorf("only %d interleavings", p.runs)
+		t.Errorf("explored only %d interleavings, want at least 1000", p.runs)
 	}
 }
--- a/internal/tableversion/helpers_test.go
+++ b/internal/tableversion/helpers_test.go
@@ -9,7 +9,8 @@
 	"cressknot/internal/fleet"
 )
 
-// TestMain fixes the seed, so that CI gives the same verdict each time; -rapid.seed and -rapid.checks play more.
+// TestMain fixes the seed and number of checks, so that each CI run has the same result. The flags -rapid.seed and
+// -rapid.checks override them.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set := map[string]bool{}
@@ -39,7 +40,8 @@
 	return weights
 }
 
-// excludeNone lets every server be in a table that is rolled back.
+// excludeNone allows every server in a rollback.
 func excludeNone(fleet.ServerID) string { return "" }
 
+// everyServerGone allows no server in a rollback.
 func everyServerGone(fleet.ServerID) string { return "gone" }
--- a/internal/tableversion/history.go
+++ b/internal/tableversion/history.go
@@ -8,32 +8,33 @@
 	"cressknot/internal/fleet"
 )
 
-// Delta leads from one version to another. Entries are by server, at most one for each.
+// Delta is the change from one version of a table to another. Entries are sorted by server, at most one for each.
 type Delta struct {
 	From, To             Version
 	FromDigest, ToDigest Digest
 	Entries              []Entry
 	CreatedAt            fleet.Time
-	Reason               string // "" for changes by the balancer
+	Reason               string // shown to operators; "" for changes by the balancer
 }
 
-// HistoryLimits bound the history of a table.
+// HistoryLimits bounds the history of a table. The newest delta is kept even if it exceeds them.
 type HistoryLimits struct {
-	MaxEntries int        // in all deltas
-	MaxAge     fleet.Time // of the oldest delta
+	MaxEntries int        // total number of entries in all deltas
+	MaxAge     fleet.Time // age of the oldest delta
 }
 
-// VersionNotFoundError reports that a version is no longer in the history, or never was.
+// VersionNotFoundError reports that a version is no longer in the history or never existed. Oldest and Newest are the
+// bounds of the history.
 type VersionNotFoundError struct{ Version, Oldest, Newest Version }
 
 func (e *VersionNotFoundError) Error() string {
 	return fmt.Sprintf("version %s is not in the history (%s to %s)", e.Version, e.Oldest, e.Newest)
 }
 
-// History returns the deltas of the history, oldest first. They must not be changed.
+// History returns the deltas of the history, oldest first. Callers must not change them.
 func (t *Table) History() []Delta { return t.history }
 
-// addHistory adds the newest delta and drops the oldest ones past the limits. The newest always stays.
+// addHistory appends the newest delta and drops the oldest ones beyond the limits, but never the newest.
 func (t *Table) addHistory(now fleet.Time, delta Delta) {
 	t.history = append(t.history, delta)
 	t.historyEntries += len(delta.Entries)
@@ -43,7 +44,7 @@
 		dropped++
 	}
 	if dropped > 0 {
-		clear(t.history[:dropped]) // so that their memory is released
+		clear(t.history[:dropped]) // releases the memory of their entries
 		t.history = t.history[dropped:]
 	}
 }
@@ -52,7 +53,7 @@
 	return t.historyEntries > t.limits.MaxEntries || oldest.CreatedAt < now-t.limits.MaxAge
 }
 
-// deltasAfter returns the deltas that lead from an earlier version to the present one.
+// deltasAfter returns the deltas from an earlier version to the current one, oldest first.
 func (t *Table) deltasAfter(version Version) ([]Delta, error) {
 	for i := len(t.history); i > 0; i-- {
 		if t.history[i-1].To == version {
@@ -69,7 +70,8 @@
 	return nil, &VersionNotFoundError{version, oldest, t.version}
 }
 
-// Fold returns one delta from an earlier version to the present one, with each entry that differs.
+// Fold returns a single delta from an earlier version to the current one, with only the entries that differ between the
+// two. The error is a VersionNotFoundError.
 func (t *Table) Fold(from Version) (Delta, error) {
 	deltas, err := t.deltasAfter(from)
 	if err != nil {
@@ -82,7 +84,7 @@
 	folded.FromDigest = deltas[0].FromDigest
 	folded.CreatedAt = deltas[len(deltas)-1].CreatedAt
 	previous := map[fleet.ServerID]int{}
-	for _, delta := range slices.Backward(deltas) { // the oldest delta of an entry has its weight at from
+	for _, delta := range slices.Backward(deltas) { // the oldest delta of an entry, applied last, has its weight at from
 		for _, entry := range delta.Entries {
 			previous[entry.Server] = entry.Previous
 		}
@@ -95,7 +97,7 @@
 	return folded, nil
 }
 
-// At returns the entries of an earlier version by server.
+// At returns the entries of an earlier version, sorted by server. The error is a VersionNotFoundError.
 func (t *Table) At(version Version) ([]Entry, error) {
 	delta, err := t.Fold(version)
 	if err != nil {
@@ -112,14 +114,15 @@
 	return sortedEntries(weights), nil
 }
 
-// Difference is an entry in which a rollback differs from the version that it goes back to.
+// Difference is an entry that a rollback leaves out of the version that it restores.
 type Difference struct {
 	Entry
-	Reason string
+	Reason string // as excludeReason returned it, such as "draining"
 }
 
-// Rollback makes a new version with the content of an earlier one. The function excludeReason returns why a server must
-// not be in it, "" if it may. It fails if no server may.
+// Rollback makes a new version with the content of an earlier one. The function excludeReason returns why a server
+// must be left out, "" if it may be included; the entries left out are returned. It is an error if the earlier version
+// is not in the history, if all of its servers must be left out, or if the table already has the resulting content.
 func (t *Table) Rollback(
 	now fleet.Time, to Version, excludeReason func(fleet.ServerID) string,
 ) (Delta, []Difference, error) {
--- a/internal/tableversion/replica.go
+++ b/internal/tableversion/replica.go
@@ -5,33 +5,36 @@
 	"maps"
 )
 
-// Replica is a follower's copy of a table: that of a proxy or of a client library. The zero value is an empty copy.
+// Replica is a follower's copy of a table, for example in a proxy or a client library. The zero value is an empty copy
+// at NoVersion.
 type Replica struct {
 	version Version
 	digest  Digest
 	weights map[string]int
 }
 
-// NamedEntry is an entry as it is transmitted, with the name of the server.
+// NamedEntry is an entry as it is transmitted, with the server's name instead of its id.
 type NamedEntry struct {
 	Server string
 	Weight int
 }
 
-// MismatchError reports a delta that does not fit. What the copy had stays; the complete table has to be requested.
+// MismatchError reports a delta that does not apply to a copy, or content that does not match its digest. A Replica
+// stays unchanged; its owner has to request the complete table.
 type MismatchError struct{ Detail string }
 
 func (e *MismatchError) Error() string { return e.Detail }
 
-// Version returns version and digest of the copy.
+// Version returns the version and the digest of the copy.
 func (r *Replica) Version() (Version, Digest) { return r.version, r.digest }
 
-// Weights returns the weights of the copy by server. They must not be changed.
+// Weights returns the weights of the copy by server name. Callers must not change the map.
 func (r *Replica) Weights() map[string]int { return r.weights }
 
-// Apply takes a delta completely or not at all. A delta to the version of the copy or an older one changes nothing.
-// One that begins at another version, or does not lead to the digest that it states, is a MismatchError. A delta
-// from NoVersion is the complete table.
+// Apply applies a delta completely or not at all. The entries given are those of the delta with the servers' names. A
+// delta to the version of the copy or an older one changes nothing and is no error; only one to the same version with
+// another digest is treated like a newer one. A delta that starts at another version or digest than the copy's, or does
+// not lead to its ToDigest, returns a MismatchError. A delta from NoVersion is the complete table.
 func (r *Replica) Apply(delta Delta, entries []NamedEntry) error {
 	newer := delta.To.Compare(r.version) > 0
 	digestDiffers := delta.To == r.version && delta.ToDigest != r.digest
--- a/internal/tableversion/table.go
+++ b/internal/tableversion/table.go
@@ -1,5 +1,5 @@
-// Package tableversion gives weight tables versions: what changed from one to the next, a digest of the content by
-// which anyone can verify a copy, a bounded history, and rollback. It is pure: it has no I/O and no clock.
+// Package tableversion implements versioned weight tables: deltas between versions, a digest of the content by which
+// followers verify their copies, a bounded history, and rollback. It has no I/O and no clock.
 // docs/design/table-versions.md states the canonical form of a digest.
 package tableversion
 
@@ -15,30 +15,31 @@
 type Entry struct {
 	Server fleet.ServerID
 	Weight int // as sent to proxies, 0 to 256; 0 in a delta removes the entry
-	// Previous is the weight before a delta.
+	// Previous is the weight before a delta, 0 if there was no entry. It is set in deltas only.
 	Previous int
 }
 
-// NameFunc returns the name of a server, which digests are made of.
+// NameFunc returns the name of a server, from which digests are computed. It must not change for a server.
 type NameFunc func(fleet.ServerID) string
 
-// Table is a weight table with its versions. New returns one; the zero value is not usable.
+// Table is a weight table with its versions. Use New or Restore; the zero value is not usable. It is not safe for
+// concurrent use.
 type Table struct {
 	version Version
 	digest  Digest
 	weights map[fleet.ServerID]int
-	epoch   uint64 // of later versions, if above that of version
+	epoch   uint64 // epoch of the next version, if larger than that of version
 	name    NameFunc
 
-	history        []Delta // oldest first, without gaps up to version
-	historyEntries int     // entries in history
+	history        []Delta // oldest first, contiguous up to version
+	historyEntries int     // total number of entries in history
 	limits         HistoryLimits
 
-	// updates of followers to version: followers with the same version share the work.
+	// updates holds the planned updates to version, shared by followers with the same state.
 	updates map[followerState]update
 }
 
-// New returns an empty table in an epoch.
+// New returns an empty table in an epoch. Its first change makes version EPOCH.1.
 func New(epoch uint64, name NameFunc, limits HistoryLimits) *Table {
 	return &Table{
 		version: Version{Epoch: epoch},
@@ -48,9 +49,9 @@
 	}
 }
 
-// Restore returns a table made from what was stored: its content at some version, and deltas in order, of which
-// some lead there and some on. Later versions are in the new epoch. Deltas before a gap are left out. Anything that
-// contradicts the digests is a MismatchError.
+// Restore returns a table from stored data: its content at a version, and deltas in order that lead up to that version
+// or on from it. Deltas after the version are applied; deltas before a gap are left out of the history. New versions
+// are in the given epoch. Data that does not match the digests returns a MismatchError.
 func Restore(
 	epoch uint64, name NameFunc, limits HistoryLimits,
 	at Version, digest Digest, entries []Entry, deltas []Delta,
@@ -78,7 +79,7 @@
 	return t, nil
 }
 
-// applyStored applies a stored delta that leads on from the present version.
+// applyStored applies a stored delta that must start at the current version.
 func (t *Table) applyStored(delta Delta) error {
 	if delta.From != t.version || delta.FromDigest != t.digest {
 		return &MismatchError{fmt.Sprintf("stored delta starts at version %s (digest %s), want version %s (digest %s)",
@@ -95,7 +96,8 @@
 }
 
 func storedDigestMismatch(version Version, want, got Digest) error {
-	return &MismatchError{fmt.Sprintf("digest mismatch at version %s: want %s, the stored entries give %s", version, want, got)}
+	return &MismatchError{fmt.Sprintf("digest mismatch at version %s: want %s, the stored entries give %s",
+		version, want, got)}
 }
 
 // dropHistoryUnlessAt drops the history if it does not end at a version.
@@ -106,8 +108,8 @@
 	}
 }
 
-// BeginEpoch makes a version with the same entries in a later epoch, so that it comes after all of earlier epochs.
-// An epoch that is not later changes nothing.
+// BeginEpoch makes a version with the same entries in a later epoch, so that it is newer than all versions of earlier
+// epochs. An epoch that is not later is ignored. An empty table without versions only takes over the epoch.
 func (t *Table) BeginEpoch(now fleet.Time, epoch uint64, reason string) {
 	if epoch <= max(t.epoch, t.version.Epoch) {
 		return
@@ -116,7 +118,7 @@
 	from := t.version
 	t.epoch = epoch
 	t.version = Version{Epoch: epoch}
-	if from.Count == 0 { // a table that was never changed has no version yet
+	if from.Count == 0 { // a table without changes has no version yet
 		return
 	}
 	t.version.Count = 1
@@ -130,19 +132,19 @@
 	})
 }
 
-// Version returns the present version.
+// Version returns the current version. Its Count is 0 before the first change.
 func (t *Table) Version() Version { return t.version }
 
-// Digest returns the digest of the present content.
+// Digest returns the digest of the current content, 0 for an empty table.
 func (t *Table) Digest() Digest { return t.digest }
 
 // Len returns the number of entries.
 func (t *Table) Len() int { return len(t.weights) }
 
-// Weight returns the weight of a server, 0 if it has no entry.
+// Weight returns the current weight of a server, 0 if it has no entry.
 func (t *Table) Weight(id fleet.ServerID) int { return t.weights[id] }
 
-// Entries returns all entries by server.
+// Entries returns all entries, sorted by server.
 func (t *Table) Entries() []Entry { return sortedEntries(t.weights) }
 
 func sortedEntries(weights map[fleet.ServerID]int) []Entry {
@@ -154,8 +156,8 @@
 	return entries
 }
 
-// Change makes the next version from the entries given and returns the delta to it. If all entries are as given
-// already, there is no new version, and changed is false.
+// Change makes the next version by setting the given entries, and returns the delta to it. Other entries are kept; a
+// weight of 0 removes an entry. If nothing differs there is no new version, and changed is false.
 func (t *Table) Change(now fleet.Time, entries []Entry, reason string) (delta Delta, changed bool) {
 	delta = Delta{From: t.version, FromDigest: t.digest, CreatedAt: now, Reason: reason}
 	weights := map[fleet.ServerID]int{}
--- a/internal/tableversion/table_test.go
+++ b/internal/tableversion/table_test.go
@@ -12,7 +12,7 @@
 func TestParseVersionReadsOnlyWhatStringPrints(t *testing.T) {
 	for _, text := range []string{"", "7", "7.", ".1", "7.x", "zz_.1", strings.Repeat("1", 50)} {
 		if _, err := ParseVersion(text); err == nil {
-			t.Errorf("%q is parsed as a version", text)
+			t.Errorf("%q was accepted as a version", text)
 		}
 	}
 	want := Version{123456789, 42}
@@ -24,12 +24,12 @@
 func TestEmptyTableNeedsNoUpdate(t *testing.T) {
 	table := New(7, serverName, HistoryLimits{MaxEntries: 30_000, MaxAge: 100 * fleet.Second})
 	if path, _ := table.Plan(table.Version(), 0, messageOverhead); path != PathNone {
-		t.Errorf("an empty table: %v", path)
+		t.Errorf("path %v for a follower of an empty table, want PathNone", path)
 	}
 }
 
-// TestDigestMismatchIsRefused checks that a follower with a wrong digest gets the complete table, and that a delta
-// that states the digest of other content is refused.
+// TestDigestMismatchIsRefused checks that a follower that reports a wrong digest gets the complete table, and that a
+// replica refuses a delta whose ToDigest does not match the resulting content.
 func TestDigestMismatchIsRefused(t *testing.T) {
 	table := newLargeTable(10_000)
 	delta := table.History()[0]
@@ -39,18 +39,18 @@
 		t.Fatal(err)
 	}
 	if path, _ := table.Plan(delta.To, delta.ToDigest+1, messageOverhead); path != PathFull {
-		t.Errorf("a version with a wrong digest gets %v, not the complete table", path)
+		t.Errorf("path %v for a follower with a wrong digest, want PathFull", path)
 	}
 	version, digest := replica.Version()
 	forged := Delta{From: version, FromDigest: digest, To: version.Next(), ToDigest: digest}
 	err = replica.Apply(forged, []NamedEntry{{"n1", 77}})
 	if after, _ := replica.Version(); err == nil || after != version {
-		t.Errorf("content changed under an unchanged digest: %v, %v", err, after)
+		t.Errorf("delta with an unchanged digest was applied: error %v, version %v", err, after)
 	}
 }
 
-// TestReplicaRefusesDeltaAfterMissedVersion checks that a follower that missed a version does not take the next
-// one, though the content would come out the same.
+// TestReplicaRefusesDeltaAfterMissedVersion checks that a replica that missed a version refuses the delta after it,
+// even if the resulting content would be the same.
 func TestReplicaRefusesDeltaAfterMissedVersion(t *testing.T) {
 	table := New(1, serverName, HistoryLimits{MaxEntries: 10, MaxAge: 100 * fleet.Second})
 	first, _ := table.Change(1, []Entry{{Server: 1, Weight: 1}}, "")
@@ -62,7 +62,7 @@
 	table.Change(2, []Entry{{Server: 1, Weight: 2}}, "")
 	third, _ := table.Change(3, []Entry{{Server: 1, Weight: 3}}, "")
 	if err := replica.Apply(third, namedEntries(third.Entries)); err == nil {
-		t.Error("a follower applied a delta after a version that it had missed")
+		t.Error("a delta that starts at a missed version was applied")
 	}
 }
 
@@ -72,14 +72,15 @@
 	table.version.Count = math.MaxUint64
 	next, _ := table.Change(2, []Entry{{Server: 1, Weight: 99}}, "")
 	if next.To.Compare(Version{epoch, math.MaxUint64}) <= 0 || next.To.Count != 1 {
-		t.Errorf("after the last counter comes %v", next.To)
+		t.Errorf("version %v after the largest count, want count 1 in a later epoch", next.To)
 	}
 }
 
 func TestUnavailableVersionIsReported(t *testing.T) {
 	table := newLargeTable(10_000)
 	var gone *VersionNotFoundError
-	if _, err := table.At(Version{3, 3}); !errors.As(err, &gone) || !strings.Contains(err.Error(), "is not in the history") {
+	_, err := table.At(Version{3, 3})
+	if !errors.As(err, &gone) || !strings.Contains(err.Error(), "is not in the history") {
 		t.Error(err)
 	}
 }
@@ -89,12 +90,12 @@
 	first := table.Version()
 	table.Change(2, []Entry{{Server: 1, Weight: 99}}, "")
 	if _, differences, err := table.Rollback(3, first, everyServerGone); err == nil || len(differences) == 0 {
-		t.Errorf("rollback to servers that are all gone: %v", err)
+		t.Errorf("rollback to a version whose servers are all gone: %v", err)
 	}
 }
 
-// TestPlansAreShared checks that followers with the same version share the work, and that all paths lead to the
-// present version.
+// TestPlansAreShared checks that followers with the same version share one planned update, also when many report
+// different wrong digests, and that all updates lead to the current version.
 func TestPlansAreShared(t *testing.T) {
 	table := newLargeTable(1000)
 	var versions []Delta
@@ -106,35 +107,35 @@
 		for i := range 930 {
 			version := versions[i%10]
 			digest := version.ToDigest
-			if i%5 == 4 { // reports a digest of nothing that ever was: each another one
+			if i%5 == 4 { // a wrong digest, different for each follower
 				digest += Digest(i + 1)
 			}
 			path, deltas := table.Plan(version.To, digest, messageOverhead)
 			last := deltas[len(deltas)-1]
 			arrives := last.To == table.Version() && last.ToDigest == table.Digest()
 			if !arrives || (path == PathFull) != (digest != version.ToDigest) {
-				t.Fatalf("round %d, follower %d: path %d to %s", round, i, path, last.To)
+				t.Fatalf("round %d, follower %d: path %d leads to version %s", round, i, path, last.To)
 			}
 		}
 		if len(table.updates) > 11 {
-			t.Errorf("%d paths worked out for 10 versions", len(table.updates))
+			t.Errorf("%d updates planned for 10 versions, want at most 11", len(table.updates))
 		}
 		table.Change(3, []Entry{{Server: 9, Weight: 10 + round}}, "")
 	}
 }
 
-// TestLaterEpochKeepsEntriesAndHistory checks that a table that goes on in a later epoch has the same entries under
-// a newer version, that paths lead there from earlier versions, and that what was stored of it can be restored.
+// TestLaterEpochKeepsEntriesAndHistory checks that a table in a later epoch has the same entries under a newer version,
+// that its history reaches back to versions of the earlier epoch, and that it can be restored from its stored state.
 func TestLaterEpochKeepsEntriesAndHistory(t *testing.T) {
 	limits := HistoryLimits{1000, 1 << 60}
 	table := New(5, serverName, limits)
 	if table.BeginEpoch(1, 7, "later"); table.Version() != (Version{Epoch: 7}) {
-		t.Errorf("an empty table has version %s", table.Version())
+		t.Errorf("version %s of an empty table, want 7.0", table.Version())
 	}
 	table.Change(2, []Entry{{Server: 1, Weight: 9}, {Server: 2, Weight: 4}}, "")
 	first, digest := table.Version(), table.Digest()
 	if table.BeginEpoch(3, 6, "earlier"); table.Version() != first {
-		t.Errorf("an earlier epoch: %s", table.Version())
+		t.Errorf("version %s after an earlier epoch, want it unchanged", table.Version())
 	}
 	table.BeginEpoch(3, 20, "later")
 	if table.Version() != (Version{20, 1}) || table.Digest() != digest {
--- a/internal/tableversion/update.go
+++ b/internal/tableversion/update.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// DeltaPath is how a follower gets to the present version.
+// DeltaPath is the way by which a follower is updated to the current version.
 type DeltaPath uint8
 
-// The paths, in the order of preference at the same cost.
+// The paths, in the order of preference at equal cost.
 const (
-	PathNone   DeltaPath = iota // it has the present version
+	PathNone   DeltaPath = iota // the follower has the current version
 	PathDeltas                  // all deltas, one after the other
-	PathFolded                  // one delta for all of them
+	PathFolded                  // one delta that combines all of them
 	PathFull                    // the complete table
 )
 
-// followerState is what a follower reports to have, with the overhead of a message to it.
+// followerState is the version and digest that a follower reports, and the overhead of a message to it in entries.
 type followerState struct {
 	version  Version
 	digest   Digest
@@ -25,19 +25,19 @@
 	deltas []Delta
 }
 
-// Plan returns the cheapest safe path for a follower that reports its version and digest. Costs are counted in
-// entries, each delta costing overhead entries more. A follower with an unknown version, or with a digest that its
-// version never had, gets the complete table.
+// Plan returns the cheapest update, with its deltas, for a follower that reports its version and digest. Costs are
+// counted in entries, with overhead entries added for each delta. A follower whose version is not in the history, or
+// whose digest does not match that version, gets the complete table.
 //
-// Paths are worked out once for each version, so that a thousand followers cost what their distinct versions do.
-// The deltas must not be changed.
+// Updates are planned once for each distinct version, so the cost for a thousand followers depends on the number of
+// distinct versions among them. Callers must not change the deltas.
 func (t *Table) Plan(version Version, digest Digest, overhead int) (DeltaPath, []Delta) {
 	if version == t.version && digest == t.digest {
 		return PathNone, nil
 	}
 	state := followerState{version, digest, overhead}
 	deltas, err := t.deltasAfter(version)
-	if err != nil { // one complete table for all unknown versions
+	if err != nil { // all unknown versions share one complete table
 		state = followerState{overhead: overhead}
 	}
 	planned, known := t.updates[state]
@@ -47,7 +47,7 @@
 		} else {
 			planned = t.planUpdate(state, deltas)
 		}
-		if planned.path == PathFull { // not stored by digest, as a wrong one may be any number
+		if planned.path == PathFull { // not stored by digest, because wrong digests can be any number
 			state = followerState{overhead: overhead}
 		}
 		if t.updates == nil {
@@ -67,7 +67,7 @@
 	return update{PathFull, []Delta{complete}}
 }
 
-// planUpdate chooses the path of a follower to which these deltas lead on.
+// planUpdate chooses the update of a follower whose version is in the history; deltas are those after its version.
 func (t *Table) planUpdate(state followerState, deltas []Delta) update {
 	knownDigest := t.digest
 	if len(deltas) > 0 {
--- a/internal/tableversion/version.go
+++ b/internal/tableversion/version.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	epochBase = 36
-	// maxVersionText bounds the text of a version, in bytes.
+	epochBase = 36 // number base of the epoch in text
+	// maxVersionText is the maximum length of a version in text, in bytes.
 	maxVersionText = 40
 )
 
-// Version orders tables: by the epoch of the controller that made them, then by a counter. A controller that starts
-// or takes over later has the larger epoch, so that its versions come after all earlier ones.
+// Version identifies a state of a table. Versions are ordered by the epoch of the controller that made them, then by a
+// counter. A controller that starts or takes over later has a larger epoch, so its versions are newer than all earlier
+// ones.
 type Version struct {
-	Epoch uint64 `json:"Epoch"` // start of the controller, in nanoseconds of the wall clock
+	Epoch uint64 `json:"Epoch"` // wall clock time at the start of the controller, in nanoseconds
 	Count uint64 `json:"Count"` // from 1
 }
 
-// NoVersion is the version of a proxy that has no table of any controller.
+// NoVersion is the version of a follower that has no table yet. A delta from it is a complete table.
 var NoVersion Version
 
-// Compare returns -1, 0 or 1 as v is older than, equal to or newer than other.
+// Compare returns -1 if v is older than other, 0 if they are equal and 1 if v is newer.
 func (v Version) Compare(other Version) int {
 	return cmp.Or(cmp.Compare(v.Epoch, other.Epoch), cmp.Compare(v.Count, other.Count))
 }
 
-// Next returns the version after v. Where the counter is used up, it begins a new epoch.
+// Next returns the version after v. At the maximum count it starts the next epoch at count 1.
 func (v Version) Next() Version {
 	if v.Count == math.MaxUint64 {
 		return Version{v.Epoch + 1, 1}
@@ -42,7 +43,7 @@
 	return strconv.FormatUint(v.Epoch, epochBase) + "." + strconv.FormatUint(v.Count, 10)
 }
 
-// ParseVersion parses what String returns.
+// ParseVersion parses a version in the form of String, EPOCH.COUNT. A text of more than 40 bytes is an error.
 func ParseVersion(text string) (Version, error) {
 	epochText, countText, found := strings.Cut(text, ".")
 	epoch, epochErr := strconv.ParseUint(epochText, epochBase, 64)
