--- a/internal/safety/table_test.go
+++ b/internal/safety/table_test.go
@@ -36,14 +36,14 @@
 		{map[fleet.ServerID]float64{1: 1, 2: 1, 4: 2}, 35, []string{ReasonWarmingOverload}},
 		{map[fleet.ServerID]float64{1: 1, 9: 1}, 35, []string{ReasonServerNotReady, ReasonInsufficientCapacity}},
 	} {
-		var lines []TableLine
+		var entries []TableLine
 		for id := range fleet.ServerID(10) {
 			if weight, listed := test.weights[id]; listed {
-				lines = append(lines, TableLine{Server: id, Weight: weight})
+				entries = append(entries, TableLine{Server: id, Weight: weight})
 			}
 		}
 		var got []string
-		for _, violation := range checker.CheckTable(now, lines, test.demand) {
+		for _, violation := range checker.CheckTable(now, entries, test.demand) {
 			got = append(got, violation.Reason)
 		}
 		if !slices.Equal(got, test.want) {
--- a/internal/safety/warming_test.go
+++ b/internal/safety/warming_test.go
@@ -95,7 +95,7 @@
 // while some servers are warming up.
 func BenchmarkMessages(b *testing.B) {
 	for _, warming := range []int{0, 20, 200} {
-		b.Run(fmt.Sprint("cold=", warming), func(b *testing.B) {
+		b.Run(fmt.Sprint("warming=", warming), func(b *testing.B) {
 			checker, plan := newBenchmarkChecker(warming)
 			have := readyEntry(100)
 			want := readyEntry(90)
