--- a/internal/safety/file.go
+++ b/internal/safety/file.go
@@ -11,12 +11,12 @@
 	"cressknot/internal/fleet"
 )
 
-// StateFile is the file that a table is checked against offline: the servers and the demand of a class.
+// StateFile describes the servers and the demand of a class, against which Check checks a table offline.
 type StateFile struct {
-	Now     time.Time     `json:"now"`
-	Demand  float64       `json:"demand"` // requests per second that would go by the table
-	Cold    SlowStartFile `json:"cold"`
-	Servers []ServerFile  `json:"servers"`
+	Now       time.Time     `json:"now"`
+	Demand    float64       `json:"demand"` // requests per second that are distributed by the table
+	SlowStart SlowStartFile `json:"cold"`
+	Servers   []ServerFile  `json:"servers"`
 }
 
 // ServerFile is a server in a state file.
@@ -27,7 +27,7 @@
 	Capacity float64   `json:"capacity,omitempty"` // requests per second, as measured; 0: not known
 }
 
-// SlowStartFile states how servers warm up, in the form of the settings.
+// SlowStartFile holds the slow start and overload limits of a state file. Its keys are those of the settings file.
 type SlowStartFile struct {
 	InitialFraction         float64 `json:"from"`
 	DurationSeconds         float64 `json:"for_s"`
@@ -35,18 +35,19 @@
 	OverloadDurationSeconds float64 `json:"fall_for_s"`
 }
 
-// TableFile is a table to be checked.
+// TableFile is the table that Check checks.
 type TableFile struct {
-	Lines []TableFileLine `json:"lines"`
+	Entries []TableFileEntry `json:"lines"`
 }
 
-// TableFileLine is an entry of a table file.
-type TableFileLine struct {
+// TableFileEntry is an entry of a table file.
+type TableFileEntry struct {
 	Server    string  `json:"server"`
 	Weight    float64 `json:"weight"`
 	Withdrawn bool    `json:"withdrawn,omitempty"`
 }
 
+// decodeFile decodes a JSON file strictly: unknown fields and data after the JSON object are errors.
 func decodeFile(name string, text []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -54,13 +55,13 @@
 		return fmt.Errorf("%s: byte %d: %w", name, decoder.InputOffset(), err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return fmt.Errorf("%s: byte %d: more after its end", name, decoder.InputOffset())
+		return fmt.Errorf("%s: byte %d: unexpected data after the JSON object", name, decoder.InputOffset())
 	}
 	return nil
 }
 
-// Check checks a table file against a state file and describes each violation. The names of the files are for
-// errors.
+// Check checks a table file against a state file and returns a description of each violation, none if the table is
+// safe. The file names only appear in errors.
 func Check(tableName string, table []byte, stateName string, state []byte) ([]string, error) {
 	var tableFile TableFile
 	var stateFile StateFile
@@ -69,35 +70,35 @@
 		return nil, err
 	}
 	if stateFile.Now.IsZero() {
-		return nil, fmt.Errorf("%s: now: is missing", stateName)
+		return nil, fmt.Errorf("%s: now: required field is missing", stateName)
 	}
 	now := fleet.Time(stateFile.Now.UnixNano())
-	guard, names, err := stateFile.newGuard(now, stateName)
+	checker, names, err := stateFile.newChecker(now, stateName)
 	if err != nil {
 		return nil, err
 	}
-	lines, err := tableFile.lines(names, tableName)
+	entries, err := tableFile.entries(names, tableName)
 	if err != nil {
 		return nil, err
 	}
 	var texts []string
-	for _, harm := range guard.CheckTable(now, lines, stateFile.Demand) {
-		text := harm.Reason + ": " + harm.Text
-		if !harm.NoServer {
-			text = "server " + names.name(harm.Server) + ": " + text
+	for _, violation := range checker.CheckTable(now, entries, stateFile.Demand) {
+		text := violation.Reason + ": " + violation.Text
+		if !violation.NoServer {
+			text = "server " + names.name(violation.Server) + ": " + text
 		}
 		texts = append(texts, text)
 	}
 	return texts, nil
 }
 
-// serverNames gives servers ids in the order in which their names are added.
+// serverNames assigns ids to server names, in the order in which they are added.
 type serverNames struct {
 	names []string
 	ids   map[string]fleet.ServerID
 }
 
-// add gives a name the next id, in place of an earlier one.
+// add assigns the next id to a name and replaces an earlier id of that name.
 func (n *serverNames) add(name string) fleet.ServerID {
 	id := fleet.ServerID(len(n.names))
 	n.names = append(n.names, name)
@@ -115,18 +116,18 @@
 
 func (n *serverNames) name(id fleet.ServerID) string { return n.names[id] }
 
-// newGuard returns a guard that knows the servers of the file.
-func (f *StateFile) newGuard(now fleet.Time, fileName string) (*Checker, *serverNames, error) {
-	guard := New(fleet.Site{
+// newChecker returns a checker with the servers of the file, and their names.
+func (f *StateFile) newChecker(now fleet.Time, fileName string) (*Checker, *serverNames, error) {
+	checker := New(fleet.Site{
 		Zones:   []string{""},
 		Classes: make([]fleet.RequestClass, 1),
 		SlowStart: fleet.SlowStart{
-			InitialFraction: f.Cold.InitialFraction,
-			Duration:        fleet.Second.Scale(f.Cold.DurationSeconds),
+			InitialFraction: f.SlowStart.InitialFraction,
+			Duration:        fleet.Second.Scale(f.SlowStart.DurationSeconds),
 		},
 		RecoveryRamp: fleet.RecoveryRamp{
-			OverloadFactor: f.Cold.OverloadFactor,
-			Duration:       fleet.Second.Scale(f.Cold.OverloadDurationSeconds),
+			OverloadFactor: f.SlowStart.OverloadFactor,
+			Duration:       fleet.Second.Scale(f.SlowStart.OverloadDurationSeconds),
 		},
 	})
 	names := &serverNames{ids: map[string]fleet.ServerID{}}
@@ -134,7 +135,7 @@
 	for i, server := range f.Servers {
 		state, known := fleet.ParseServerState(server.State)
 		if !known {
-			return nil, nil, fmt.Errorf("%s: servers[%d].state: %q is none of ready, draining, gone",
+			return nil, nil, fmt.Errorf("%s: servers[%d].state: unknown state %q; want ready, draining or gone",
 				fileName, i, server.State)
 		}
 		endpoint := fleet.Endpoint{Server: names.add(server.Name), State: state}
@@ -143,27 +144,28 @@
 		}
 		list.Endpoints = append(list.Endpoints, endpoint)
 	}
-	guard.Observe(now, list)
+	checker.Observe(now, list)
 	for i, server := range f.Servers {
 		if server.Capacity > 0 {
-			known := guard.servers[fleet.ServerID(i)]
+			known := checker.servers[fleet.ServerID(i)]
 			known.handledRate = server.Capacity
 			known.capacity = server.Capacity
 			known.measuredAt = now
 		}
 	}
-	return guard, names, nil
+	return checker, names, nil
 }
 
-// lines returns the entries of the file. Servers that are not listed get ids of their own.
-func (f *TableFile) lines(names *serverNames, fileName string) ([]TableLine, error) {
-	var lines []TableLine
-	for i, line := range f.Lines {
-		id := names.id(line.Server)
-		if line.Weight < 0 {
-			return nil, fmt.Errorf("%s: lines[%d].weight: %v is negative", fileName, i, line.Weight)
+// entries returns the entries of the file. Servers that are not in the state file get new ids, which the checker
+// does not know.
+func (f *TableFile) entries(names *serverNames, fileName string) ([]TableLine, error) {
+	var entries []TableLine
+	for i, entry := range f.Entries {
+		id := names.id(entry.Server)
+		if entry.Weight < 0 {
+			return nil, fmt.Errorf("%s: lines[%d].weight: %v is negative", fileName, i, entry.Weight)
 		}
-		lines = append(lines, TableLine{id, line.Weight, line.Withdrawn})
+		entries = append(entries, TableLine{id, entry.Weight, entry.Withdrawn})
 	}
-	return lines, nil
+	return entries, nil
 }
--- a/internal/safety/oracle_test.go
+++ b/internal/safety/oracle_test.go
@@ -17,18 +17,19 @@
 	oracleClasses = 2
 )
 
-// entryTable is what a proxy has, by class and server.
+// entryTable holds the entries of a proxy by class and server.
 type entryTable [oracleClasses][oracleServers]reconcile.EntryState
 
-// oracle is a small fleet of which everything is known.
+// oracle is a small fleet with a complete known state, by which the verdicts of the checker are verified.
 type oracle struct {
-	guard      *Checker
+	checker    *Checker
 	states     [oracleServers]fleet.ServerState
 	startedAt  [oracleServers]fleet.Time
 	capacities [oracleServers]float64
 	demand     [oracleProxies][oracleClasses]float64
-	// moments of each proxy: what it has for certain, then what it may have after each change that is in flight.
-	moments [oracleProxies][]entryTable
+	// possible holds the tables that each proxy may have: first the acknowledged one, then the one after each change in
+	// flight.
+	possible [oracleProxies][]entryTable
 }
 
 func (o *oracle) isWarmingUp(server int) bool {
@@ -37,14 +38,14 @@
 
 func (o *oracle) isReady(server int) bool { return o.states[server] == fleet.ServerReady }
 
-// latest returns what a proxy has once all that is in flight has arrived.
+// latest returns the table of a proxy after all changes in flight have arrived.
 func (o *oracle) latest(proxy int) entryTable {
-	return o.moments[proxy][len(o.moments[proxy])-1]
+	return o.possible[proxy][len(o.possible[proxy])-1]
 }
 
-// drawOracle draws a fleet and reports it to a guard.
+// drawOracle draws a fleet and reports it to a checker.
 func drawOracle(t *rapid.T) *oracle {
-	o := &oracle{guard: New(testSite())}
+	o := &oracle{checker: New(testSite())}
 	list := fleet.EndpointList{Scope: fleet.ListFull}
 	for server := range oracleServers {
 		o.states[server] = fleet.ServerState(max(0, rapid.IntRange(-4, 2).Draw(t, "state")))
@@ -57,11 +58,11 @@
 			Started: o.startedAt[server],
 		})
 	}
-	o.guard.Observe(now, list)
+	o.checker.Observe(now, list)
 	for server := range oracleServers {
 		o.capacities[server] = float64(rapid.IntRange(2, 40).Draw(t, "capacity"))
-		if !o.isWarmingUp(server) { // it handles half of its capacity at a utilization of a half
-			o.guard.Observe(now, fleet.OutcomeReport{
+		if !o.isWarmingUp(server) { // it handles half of its capacity at a utilization of 0.5
+			o.checker.Observe(now, fleet.OutcomeReport{
 				Server:   fleet.ServerID(server),
 				Attempts: uint32(10 * o.capacities[server]),
 				Interval: 20 * fleet.Second,
@@ -70,11 +71,11 @@
 		}
 	}
 	for proxy := range oracleProxies {
-		o.guard.Observe(now, fleet.ProxyJoined{Proxy: fleet.ProxyID(proxy)})
+		o.checker.Observe(now, fleet.ProxyJoined{Proxy: fleet.ProxyID(proxy)})
 		for class := range oracleClasses {
 			requests := rapid.IntRange(0, 30).Draw(t, "requests")
 			o.demand[proxy][class] = float64(requests) / 2
-			o.guard.Observe(now, fleet.DemandReport{
+			o.checker.Observe(now, fleet.DemandReport{
 				Proxy:    fleet.ProxyID(proxy),
 				Class:    fleet.ClassID(class),
 				Requests: uint32(requests),
@@ -94,7 +95,7 @@
 	return entry
 }
 
-// drawInitialTables draws what each proxy has at its join.
+// drawInitialTables draws the table that each proxy has when it joins.
 func (o *oracle) drawInitialTables(t *rapid.T) {
 	for proxy := range oracleProxies {
 		var initial entryTable
@@ -103,7 +104,7 @@
 				initial[class][server] = drawEntry(t)
 			}
 		}
-		o.moments[proxy] = []entryTable{initial}
+		o.possible[proxy] = []entryTable{initial}
 	}
 }
 
@@ -114,7 +115,7 @@
 		Proxy:           fleet.ProxyID(proxy),
 		EntryCounts:     make([]int, oracleClasses),
 		WeightSums:      make([]int, oracleClasses),
-		NothingInFlight: len(o.moments[proxy]) == 1,
+		NothingInFlight: len(o.possible[proxy]) == 1,
 		Proposals:       proposals,
 	}
 	for server := range oracleServers {
@@ -169,18 +170,18 @@
 	return proposals
 }
 
-// momentsAfter returns what a proxy may have after each of the proposals in their order.
-func momentsAfter(table entryTable, proposals []reconcile.Proposal) (moments []entryTable) {
+// tablesAfter returns the table of a proxy after each of the accepted proposals in their order.
+func tablesAfter(table entryTable, proposals []reconcile.Proposal) (tables []entryTable) {
 	for _, proposal := range proposals {
 		if proposal.HoldReason == "" {
 			table[proposal.Class][proposal.Server] = proposal.Want
-			moments = append(moments, table)
+			tables = append(tables, table)
 		}
 	}
-	return moments
+	return tables
 }
 
-// usable returns number and sum of weights of a class's usable entries of ready servers.
+// usable returns the number and the weight sum of a class's usable entries of ready servers.
 func (o *oracle) usable(table entryTable, class int) (count, weightSum int) {
 	for server, entry := range table[class] {
 		if entry.Usable() && o.isReady(server) {
@@ -191,9 +192,9 @@
 	return count, weightSum
 }
 
-// violation returns which rule a message violates, "" for none: it plays out every order of arrival, from first
-// principles.
-func (o *oracle) violation(proxy int, proposals []reconcile.Proposal, moments []entryTable) string {
+// violation returns the rule that a message violates, "" for none. It checks each combination of tables that the
+// proxies may have while messages arrive, without the code of the checker.
+func (o *oracle) violation(proxy int, proposals []reconcile.Proposal, tables []entryTable) string {
 	for _, proposal := range proposals {
 		becomesUsable := proposal.Want.Usable() && !proposal.Have.Usable()
 		if proposal.HoldReason == "" && !o.isReady(int(proposal.Server)) && becomesUsable {
@@ -203,14 +204,14 @@
 	before := o.latest(proxy)
 	for class := range oracleClasses {
 		countBefore, _ := o.usable(before, class)
-		for _, moment := range moments {
-			if count, _ := o.usable(moment, class); countBefore > 0 && count == 0 {
+		for _, table := range tables {
+			if count, _ := o.usable(table, class); countBefore > 0 && count == 0 {
 				return ReasonNoEndpoints
 			}
 		}
 	}
-	all := o.moments
-	all[proxy] = append(slices.Clone(all[proxy]), moments...)
+	all := o.possible
+	all[proxy] = append(slices.Clone(all[proxy]), tables...)
 	for server := range oracleServers {
 		if o.isWarmingUp(server) && o.isReady(server) && o.isOverloaded(server, all) {
 			return ReasonWarmingOverload
@@ -219,11 +220,11 @@
 	return ""
 }
 
-// isOverloaded reports whether a warming server gets more than it bears at any pair of moments of the proxies.
-func (o *oracle) isOverloaded(server int, moments [oracleProxies][]entryTable) bool {
-	bearable := o.bearableRate(server)
-	for _, first := range moments[0] {
-		for _, second := range moments[1] {
+// isOverloaded reports whether any combination of the proxies' possible tables exceeds a warming server's rate limit.
+func (o *oracle) isOverloaded(server int, tables [oracleProxies][]entryTable) bool {
+	limit := o.rateLimit(server)
+	for _, first := range tables[0] {
+		for _, second := range tables[1] {
 			rate := 0.0
 			for proxy, table := range []entryTable{first, second} {
 				for class := range oracleClasses {
@@ -233,7 +234,7 @@
 					}
 				}
 			}
-			if rate > bearable+1e-9 {
+			if rate > limit+1e-9 {
 				return true
 			}
 		}
@@ -241,8 +242,8 @@
 	return false
 }
 
-// bearableRate finds by bisection the rate that a warming server bears.
-func (o *oracle) bearableRate(server int) float64 {
+// rateLimit computes the rate limit of a warming server by bisection.
+func (o *oracle) rateLimit(server int) float64 {
 	var known []float64
 	for other := range oracleServers {
 		if !o.isWarmingUp(other) && o.isReady(other) {
@@ -267,7 +268,7 @@
 	return low
 }
 
-// fillsEmptyClassWithWarming reports whether a class that was without endpoints has warming servers only.
+// fillsEmptyClassWithWarming reports whether a class that had no endpoints gets warming servers only.
 func (o *oracle) fillsEmptyClassWithWarming(before, after entryTable) bool {
 	for class := range oracleClasses {
 		countBefore, _ := o.usable(before, class)
@@ -280,7 +281,8 @@
 	return false
 }
 
-// hasWarmingOnly reports whether some class has warming servers only. Then having endpoints takes precedence.
+// hasWarmingOnly reports whether some class has warming servers only. Then keeping endpoints takes precedence over rate
+// limits.
 func (o *oracle) hasWarmingOnly(table entryTable) bool {
 	for class := range oracleClasses {
 		usable, warm := 0, 0
@@ -299,27 +301,28 @@
 	return false
 }
 
-// oracleCounts count the verdicts over all draws.
+// oracleCounts holds the numbers of verdicts over all draws.
 type oracleCounts struct {
 	checked, stopped                              int
 	wronglyStopped, wronglyPassed, stillViolating int
 	byReason                                      map[string]int
 }
 
-// checkMessage lets the guard check a drawn message. It returns false where the fleet must not be used further.
+// checkMessage compares the verdicts of checker and oracle on a drawn message. It returns false if the fleet is in a
+// state that the oracle can't judge further.
 func (o *oracle) checkMessage(t *rapid.T, proxy int, counts *oracleCounts) bool {
 	original := o.newPlan(proxy, o.drawProposals(t, proxy))
 	checked := o.newPlan(proxy, slices.Clone(original.Proposals))
 	latest := o.latest(proxy)
 	reconcile.Arrange(original)
-	moments := momentsAfter(latest, original.Proposals)
-	violation := o.violation(proxy, original.Proposals, moments)
-	if violation == ReasonWarmingOverload && slices.ContainsFunc(moments, func(moment entryTable) bool {
-		return o.fillsEmptyClassWithWarming(latest, moment)
+	tables := tablesAfter(latest, original.Proposals)
+	violation := o.violation(proxy, original.Proposals, tables)
+	if violation == ReasonWarmingOverload && slices.ContainsFunc(tables, func(table entryTable) bool {
+		return o.fillsEmptyClassWithWarming(latest, table)
 	}) {
 		return false // having endpoints takes precedence
 	}
-	o.guard.CheckPlan(now, checked)
+	o.checker.CheckPlan(now, checked)
 	isStopped := slices.ContainsFunc(checked.Proposals, func(proposal reconcile.Proposal) bool {
 		return proposal.HoldReason != "" || proposal.LowerReason != ""
 	})
@@ -331,55 +334,55 @@
 	switch {
 	case isStopped && violation == "":
 		counts.wronglyStopped++
-		t.Errorf("stopped, though safe: %+v", checked.Proposals)
+		t.Errorf("safe message was stopped: %+v", checked.Proposals)
 	case !isStopped && violation != "":
 		counts.wronglyPassed++
-		t.Errorf("passed, though %s: %+v", violation, checked.Proposals)
+		t.Errorf("message passed, but it violates %q: %+v", violation, checked.Proposals)
 	}
 	reconcile.Arrange(checked)
-	moments = momentsAfter(latest, checked.Proposals)
-	if left := o.violation(proxy, checked.Proposals, moments); left != "" {
-		if left == ReasonWarmingOverload && slices.ContainsFunc(append(moments, latest), o.hasWarmingOnly) {
+	tables = tablesAfter(latest, checked.Proposals)
+	if left := o.violation(proxy, checked.Proposals, tables); left != "" {
+		if left == ReasonWarmingOverload && slices.ContainsFunc(append(tables, latest), o.hasWarmingOnly) {
 			return false // having endpoints takes precedence
 		}
 		counts.stillViolating++
-		t.Errorf("what passed: %s: %+v", left, checked.Proposals)
+		t.Errorf("the changes left by the checker violate %q: %+v", left, checked.Proposals)
 	}
-	o.moments[proxy] = append(o.moments[proxy], moments...)
+	o.possible[proxy] = append(o.possible[proxy], tables...)
 	return true
 }
 
-// TestGuardAgreesWithOracle checks for thousands of drawn messages, with others in flight, that each one that is
-// stopped violates a rule, that each safe one passes unchanged, and that what passes of one that is stopped
-// violates none.
+// TestGuardAgreesWithOracle checks with thousands of drawn messages, while others are in flight, that each stopped
+// message violates a rule, that each safe one passes unchanged, and that the changes left of a stopped one violate no
+// rule.
 func TestGuardAgreesWithOracle(t *testing.T) {
 	counts := &oracleCounts{byReason: map[string]int{}}
 	rapid.Check(t, func(t *rapid.T) {
 		o := drawOracle(t)
 		o.drawInitialTables(t)
 		if o.violation(0, nil, nil) != "" {
-			return // violated from the beginning, by no message
+			return // the drawn tables violate a rule before any message
 		}
 		for proxy := range oracleProxies {
-			o.guard.ProxyJoined(now, o.newPlan(proxy, nil))
+			o.checker.ProxyJoined(now, o.newPlan(proxy, nil))
 		}
 		for range rapid.IntRange(1, 4).Draw(t, "messages") {
 			proxy := rapid.IntRange(0, oracleProxies-1).Draw(t, "proxy")
-			if rapid.IntRange(0, 3).Draw(t, "acknowledged") == 0 { // all that was in flight has arrived
-				o.moments[proxy] = o.moments[proxy][len(o.moments[proxy])-1:]
-				o.guard.ProxyAcknowledged(now, o.newPlan(proxy, nil))
+			if rapid.IntRange(0, 3).Draw(t, "acknowledged") == 0 { // all messages in flight have arrived
+				o.possible[proxy] = o.possible[proxy][len(o.possible[proxy])-1:]
+				o.checker.ProxyAcknowledged(now, o.newPlan(proxy, nil))
 			}
 			if !o.checkMessage(t, proxy, counts) {
 				return
 			}
 		}
 	})
-	t.Logf("%d messages checked, %d stopped; stopped though safe %d, passed though harmful %d, "+
-		"violations in what passed %d; by the oracle %v", counts.checked, counts.stopped, counts.wronglyStopped,
-		counts.wronglyPassed, counts.stillViolating, counts.byReason)
+	t.Logf("%d messages checked, %d stopped; %d safe ones stopped, %d violating ones passed, "+
+		"%d violations left in stopped ones; verdicts of the oracle: %v", counts.checked, counts.stopped,
+		counts.wronglyStopped, counts.wronglyPassed, counts.stillViolating, counts.byReason)
 	for _, reason := range []string{"", ReasonServerNotReady, ReasonNoEndpoints, ReasonWarmingOverload} {
 		if counts.byReason[reason] < counts.checked/100 {
-			t.Errorf("%q was drawn %d times of %d only", reason, counts.byReason[reason], counts.checked)
+			t.Errorf("%q was drawn in only %d of %d messages", reason, counts.byReason[reason], counts.checked)
 		}
 	}
 }
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -6,18 +6,20 @@
 	"cressknot/internal/fleet"
 )
 
-// Operators may force what was refused, within bounds.
+// Limits for operators who force a refused change.
 const (
-	// ForceTimeout is how long a refusal may be forced: it was decided by what was known then.
+	// ForceTimeout is the time after a refusal in which it may be forced. Later the state that the refusal was based on
+	// may have changed.
 	ForceTimeout = 30 * fleet.Second
-	// MaxForces bounds the refusals that may be forced at a time.
+	// MaxForces is the maximum number of refusals that can wait to be forced at a time.
 	MaxForces = 64
 )
 
-// maxTableUtilization is the fraction of their capacity that the servers of a table may be asked for.
+// maxTableUtilization is the maximum demand on a table, as a fraction of the capacity of its servers.
 const maxTableUtilization = 1.0
 
-// TableLine is an entry of a complete table to be checked.
+// TableLine is an entry of a complete table for Checker.CheckTable. Entries of weight 0 and withdrawn ones get no
+// requests.
 type TableLine struct {
 	Server    fleet.ServerID
 	Weight    float64
@@ -26,90 +28,95 @@
 
 func (l TableLine) usable() bool { return l.Weight > 0 && !l.Withdrawn }
 
-// Violation is a rule that a table would violate.
+// Violation is a rule that a table violates.
 type Violation struct {
-	Reason   string
+	Reason   string // one of the Reason constants
 	Server   fleet.ServerID
-	NoServer bool // it is about no single server
-	Text     string
-	Forcible bool // operators may force it, in two steps
+	NoServer bool   // it concerns the whole table; Server is not set
+	Text     string // details with the values met
+	Forcible bool   // operators may force the table after confirmation
 }
 
-// readyCapacity sums up the servers that are listed as ready.
+// readyCapacity is the capacity of all servers that are listed as ready.
 type readyCapacity struct {
-	total float64
-	known bool // of all
-	warm  int  // servers that are not warming up
+	total float64 // requests per second
+	known bool    // the capacity of every server is known
+	warm  int     // number of servers that are not warming up
 }
 
-func (g *Checker) readyCapacity(now fleet.Time) readyCapacity {
+func (c *Checker) readyCapacity(now fleet.Time) readyCapacity {
 	sum := readyCapacity{known: true}
-	for _, server := range g.servers {
+	for _, server := range c.servers {
 		if server.State != fleet.ServerReady {
 			continue
 		}
-		capacity, known := server.trustedCapacity(now)
+		capacity, known := server.effectiveCapacity(now)
 		sum.total += capacity
 		if !known {
 			sum.known = false
 		}
-		if !g.isWarmingUp(now, server) {
+		if !c.isWarmingUp(now, server) {
 			sum.warm++
 		}
 	}
 	return sum
 }
 
-// CheckTable checks a complete table for classes whose requests come at a rate of demand per second in all. It informs
-// operators in advance; messages are checked one by one all the same.
-func (g *Checker) CheckTable(now fleet.Time, lines []TableLine, demand float64) (harms []Violation) {
+// CheckTable checks a complete table for classes with a total demand in requests per second, and returns the rules that
+// it violates. It informs operators in advance; each message is checked by CheckPlan nevertheless.
+func (c *Checker) CheckTable(now fleet.Time, entries []TableLine, demand float64) (violations []Violation) {
 	var ready []TableLine
 	weightSum, capacity := 0.0, 0.0
-	for _, line := range lines {
-		if !line.usable() {
+	for _, entry := range entries {
+		if !entry.usable() {
 			continue
 		}
-		server := g.servers[line.Server]
-		if server == nil || g.mustNotGetRequests(line.Server) {
-			harms = append(harms, Violation{
+		server := c.servers[entry.Server]
+		if server == nil || c.isExcluded(entry.Server) {
+			violations = append(violations, Violation{
 				Reason: ReasonServerNotReady,
-				Server: line.Server,
-				Text:   "visits would go to a server that is draining, gone or not listed",
+				Server: entry.Server,
+				Text:   fmt.Sprintf("a weight of %.4g would send it requests", entry.Weight),
 			})
 		} else if server.State == fleet.ServerReady {
-			ready = append(ready, line)
-			weightSum += line.Weight
-			trusted, _ := server.trustedCapacity(now)
-			capacity += trusted
+			ready = append(ready, entry)
+			weightSum += entry.Weight
+			serverCapacity, _ := server.effectiveCapacity(now)
+			capacity += serverCapacity
 		}
 	}
-	all := g.readyCapacity(now)
+	all := c.readyCapacity(now)
 	if len(ready) == 0 {
-		text := fmt.Sprintf("no ready server would have a line; %d ready and warm ones are listed", all.warm)
-		return append(harms, Violation{Reason: ReasonNoEndpoints, NoServer: true, Text: text})
+		text := fmt.Sprintf("no ready server has a usable entry; %d ready servers past slow start are listed", all.warm)
+		return append(violations, Violation{Reason: ReasonNoEndpoints, NoServer: true, Text: text})
 	}
-	for _, line := range ready {
-		if harm, overloaded := g.checkWarming(now, line, demand, weightSum); overloaded {
-			harms = append(harms, harm)
+	for _, entry := range ready {
+		if violation, overloaded := c.checkWarming(now, entry, demand, weightSum); overloaded {
+			violations = append(violations, violation)
 		}
 	}
 	if all.known && demand > maxTableUtilization*capacity && all.total > capacity {
-		harms = append(harms, Violation{Reason: ReasonInsufficientCapacity, NoServer: true, Forcible: true, Text: fmt.Sprintf(
-			"%.1f visits a second would come to servers that can do %.1f; all that are ready can do %.1f",
-			demand, capacity, all.total)})
+		violations = append(violations, Violation{
+			Reason:   ReasonInsufficientCapacity,
+			NoServer: true,
+			Forcible: true,
+			Text: fmt.Sprintf(
+				"demand is %.1f requests/s, capacity is %.1f requests/s in this table and %.1f requests/s on all ready servers",
+				demand, capacity, all.total),
+		})
 	}
-	return harms
+	return violations
 }
 
-// checkWarming checks whether an entry would overload a server that is warming up.
-func (g *Checker) checkWarming(now fleet.Time, line TableLine, demand, weightSum float64) (Violation, bool) {
-	rate := demand * line.Weight / weightSum
-	bearable := g.bearableRate(now, line.Server)
-	if rate <= bearable {
+// checkWarming returns the violation if an entry would overload a warming server.
+func (c *Checker) checkWarming(now fleet.Time, entry TableLine, demand, weightSum float64) (Violation, bool) {
+	rate := demand * entry.Weight / weightSum
+	limit := c.rateLimit(now, entry.Server)
+	if rate <= limit {
 		return Violation{}, false
 	}
-	bearableWeight := max(0, bearable/max(epsilon, demand-bearable)*(weightSum-line.Weight))
-	return Violation{Reason: ReasonWarmingOverload, Server: line.Server, Text: fmt.Sprintf(
-		"it is cold and would get %.1f visits a second; it bears %.1f now, which is a weight of %.4g here",
-		rate, bearable, bearableWeight)}, true
+	limitWeight := max(0, limit/max(epsilon, demand-limit)*(weightSum-entry.Weight))
+	return Violation{Reason: ReasonWarmingOverload, Server: entry.Server, Text: fmt.Sprintf(
+		"it would get %.1f requests/s, above its present limit of %.1f requests/s, a weight of %.4g in this table",
+		rate, limit, limitWeight)}, true
 }
--- a/internal/safety/table_test.go
+++ b/internal/safety/table_test.go
@@ -9,20 +9,21 @@
 	"cressknot/internal/fleet"
 )
 
-// TestTableReportsViolations checks complete tables as operators push them.
+// TestTableReportsViolations checks the reasons that complete tables are refused for, such as an operator's weight for
+// a draining server.
 func TestTableReportsViolations(t *testing.T) {
-	guard := New(testSite())
-	guard.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{
+	checker := New(testSite())
+	checker.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{
 		{Server: 1},
 		{Server: 2},
 		{Server: 3, State: fleet.ServerDraining},
 		{Server: 4, Started: now - fleet.Second},
 	}})
 	for id := range fleet.ServerID(2) {
-		guard.Observe(now, outcomeReport(id+1, 100, 0.5))
+		checker.Observe(now, outcomeReport(id+1, 100, 0.5))
 	}
-	guard.Observe(now, fleet.OutcomeReport{Server: 4, Attempts: 10, Interval: 10 * fleet.Second})
-	guard.servers[4].measuredAt = now // there were reports, though it is warming up
+	checker.Observe(now, fleet.OutcomeReport{Server: 4, Attempts: 10, Interval: 10 * fleet.Second})
+	checker.servers[4].measuredAt = now // it has reports, but is warming up
 	for _, test := range []struct {
 		weights map[fleet.ServerID]float64
 		demand  float64
@@ -35,30 +36,31 @@
 		{map[fleet.ServerID]float64{1: 1, 2: 1, 4: 2}, 35, []string{ReasonWarmingOverload}},
 		{map[fleet.ServerID]float64{1: 1, 9: 1}, 35, []string{ReasonServerNotReady, ReasonInsufficientCapacity}},
 	} {
-		var lines []TableLine
+		var entries []TableLine
 		for id := range fleet.ServerID(10) {
 			if weight, listed := test.weights[id]; listed {
-				lines = append(lines, TableLine{Server: id, Weight: weight})
+				entries = append(entries, TableLine{Server: id, Weight: weight})
 			}
 		}
 		var got []string
-		for _, harm := range guard.CheckTable(now, lines, test.demand) {
-			got = append(got, harm.Reason)
+		for _, violation := range checker.CheckTable(now, entries, test.demand) {
+			got = append(got, violation.Reason)
 		}
 		if !slices.Equal(got, test.want) {
-			t.Errorf("%v at %v per second: %q, not %q", test.weights, test.demand, got, test.want)
+			t.Errorf("weights %v at %v requests/s: %q, want %q", test.weights, test.demand, got, test.want)
 		}
 	}
 }
 
-// TestCheckDescribesViolationsOfFiles checks a table offline. Errors name the place in the file.
+// TestCheckDescribesViolationsOfFiles checks table files offline: violations name the server, and errors name the
+// place in the file.
 func TestCheckDescribesViolationsOfFiles(t *testing.T) {
 	state := `{"now": "2026-12-01T12:00:10Z", "demand": 40,
 		"cold": {"from": 0.2, "for_s": 15, "fall_factor": 3, "fall_for_s": 2},
 		"servers": [{"name": "a", "capacity": 30}, {"name": "b", "capacity": 30, "state": "draining"},
 		{"name": "c", "started": "2026-12-01T12:00:08Z"}, {"name": "d", "capacity": 30}]}`
 	drainingAndWarming := "[server b: " + ReasonServerNotReady +
-		": visits would go to a server that is draining, gone or not listed server c: " + ReasonWarmingOverload
+		": a weight of 1 would send it requests server c: " + ReasonWarmingOverload
 	for table, want := range map[string]string{
 		`{"lines": [{"server": "a", "weight": 1}, {"server": "d", "weight": 1}]}`: "[]",
 		`{"lines": [{"server": "a", "weight": 1}, {"server": "b", "weight": 1},
