--- a/internal/config/faults.go
+++ b/internal/config/faults.go
@@ -87,6 +87,13 @@
 	return fieldErr
 }
 
+// typeDescriptions replaces the names of the schema's types in error messages.
+var typeDescriptions = strings.NewReplacer(
+	"#Time", `a duration such as "2s" or "500ms"`,
+	"#Name", `a name of 1 to 64 letters, digits, ".", "_" or "-"`,
+	"#Share", "a number from 0 to 1",
+)
+
 // schemaOf prints what the schema asks of a field, "" where it has none or that takes more than a line.
 func schemaOf(rules cue.Value, field string) string {
 	if field == "" || !rules.Exists() {
@@ -111,7 +118,7 @@
 	if err != nil || strings.Contains(string(text), "\n") {
 		return ""
 	}
-	return strings.ReplaceAll(string(text), "#Time", `a time as "2s" or "500ms"`)
+	return typeDescriptions.Replace(string(text))
 }
 
 // lineOf gives the line of a field, or of the nearest struct around it that the file has; 0 for none.
--- a/internal/server/controller.go
+++ b/internal/server/controller.go
@@ -147,10 +147,10 @@
 func (p *controllerProcess) buildCore() {
 	s := p.settings
 	if !s.SafetyChecks {
-		p.log.Warn().Msg("safety checks are off: for fault drills only")
+		p.log.Warn().Msg("safety checks are disabled; use this only in fault drills")
 	}
 	for _, fault := range s.Faults {
-		p.log.Warn().Str("fault", fault).Msg("fault injected on purpose: for fault drills only")
+		p.log.Warn().Str("fault", fault).Msg("fault injection is enabled; use this only in fault drills")
 	}
 	p.core = controller.NewCore(controller.CoreOptions{
 		Site:         p.site,
@@ -192,13 +192,13 @@
 	}
 	series, err := timeseries.Open(p.settings.Reports.SeriesPath, nameOf)
 	if err != nil {
-		p.log.Error().Err(err).Msg("time series of reports could not be opened; continuing without")
+		p.log.Error().Err(err).Msg("could not open the time series of load reports; continuing without it")
 		return
 	}
 	p.options.Series = series
 	p.onClose(func() {
 		if err := series.Close(); err != nil {
-			p.log.Error().Err(err).Msg("time series of reports were not closed")
+			p.log.Error().Err(err).Msg("could not close the time series of load reports")
 		}
 	})
 }
--- a/internal/server/controller_restore.go
+++ b/internal/server/controller_restore.go
@@ -26,18 +26,18 @@
 	case errors.As(err, &newer), errors.As(err, &busy):
 		return nil, err
 	case err != nil:
-		p.log.Error().Err(err).Msg("store could not be opened; nothing is restored or persisted")
+		p.log.Error().Err(err).Msg("could not open the store; continuing without restoring or persisting state")
 		return nil, nil
 	}
 	p.options.Store = opened
 	p.onClose(func() {
 		if err := opened.Close(); err != nil {
-			p.log.Error().Err(err).Msg("state was not persisted completely")
+			p.log.Error().Err(err).Msg("could not close the store; some state may not be persisted")
 		}
 	})
 	restored, err := p.core.Restore(fleet.Time(time.Now().UnixNano()), opened)
 	if err != nil {
-		p.log.Error().Err(err).Msg("state was not restored completely")
+		p.log.Error().Err(err).Msg("could not restore all state from the store")
 	}
 	for _, record := range restored.Unreadable {
 		p.log.Warn().Str("lost", record).Msg("stored record is damaged")
@@ -52,16 +52,16 @@
 		err = <-done
 	}
 	if err != nil {
-		p.log.Error().Err(err).Msg("epoch was not persisted")
+		p.log.Error().Err(err).Msg("could not persist the epoch")
 	}
 	return restored.Lists, nil
 }
 
 func (p *controllerProcess) logStoreHealth(failing bool, err error) {
 	if failing {
-		p.log.Error().Err(err).Msg("state can't be persisted; continuing, and retrying until it can be")
+		p.log.Error().Err(err).Msg("could not write to the store; retrying until it succeeds")
 	} else {
-		p.log.Info().Msg("state is persisted again")
+		p.log.Info().Msg("store has recovered; state is persisted again")
 	}
 }
 
--- a/internal/server/controller_signals.go
+++ b/internal/server/controller_signals.go
@@ -31,7 +31,7 @@
 					continue
 				}
 				if ctx.Err() != nil {
-					p.log.Warn().Stringer("signal", signal).Msg("second signal to stop; exiting at once")
+					p.log.Warn().Stringer("signal", signal).Msg("second shutdown signal received; exiting immediately")
 					os.Exit(1)
 				}
 				p.log.Info().Stringer("signal", signal).Msg("shutdown started")
@@ -59,7 +59,7 @@
 		fixed = []string{"log.format", "log.file"}
 	}
 	if len(fixed) > 0 {
-		p.log.Error().Strs("fields", fixed).Msg("settings not reloaded: these fields need a restart")
+		p.log.Error().Strs("fields", fixed).Msg("settings not reloaded: changes to these fields require a restart")
 		return current
 	}
 	if fresh.EventLog != current.EventLog {
@@ -67,7 +67,7 @@
 		if err := loop.RecordTo(fresh.EventLog, p.eventLogStart()); err != nil {
 			p.log.Error().Err(err).Msg("settings not reloaded")
 			if err := loop.RecordTo(current.EventLog, p.eventLogStart()); err != nil {
-				p.log.Error().Err(err).Msg("event log could not be opened again")
+				p.log.Error().Err(err).Msg("could not reopen the previous event log")
 			}
 			return current
 		}
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -263,7 +263,7 @@
 		Interface("relay", s.relay.Statistics()).
 		Interface("collector", s.collector.Statistics()).
 		Int("goroutines", runtime.NumGoroutine()).
-		Msg("statistics gathered")
+		Msg("statistics")
 }
 
 // reload applies the configuration as it is now. A file that cannot be read may be half written: it is read again a
@@ -327,7 +327,7 @@
 	select {
 	case <-relayDone:
 	case <-time.After(platformShutdownTimeout):
-		s.log.Warn().Msg("relay call in flight abandoned")
+		s.log.Warn().Msgf("relay calls in flight did not end within %v; abandoning them", platformShutdownTimeout)
 	}
 	<-s.loopDone
 }
