--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,7 +16,7 @@
 )
 
 //go:embed schema.cue
-var schema string
+var schemaSource string
 
 // maxFileBytes bounds a settings file, in bytes: 10,000 proxies take some 1.5 MB.
 const maxFileBytes = 8 << 20
@@ -41,24 +41,24 @@
 		return nil, FieldErrors{{File: path, Message: fmt.Sprintf("file is larger than the limit of %d bytes", maxFileBytes)}}
 	}
 	ctx := cuecontext.New()
-	rules := ctx.CompileString(schema, cue.Filename("schema.cue")).LookupPath(cue.ParsePath("#Settings"))
-	if err := rules.Err(); err != nil {
+	schema := ctx.CompileString(schemaSource, cue.Filename("schema.cue")).LookupPath(cue.ParsePath("#Settings"))
+	if err := schema.Err(); err != nil {
 		return nil, fmt.Errorf("embedded schema.cue: %w", err)
 	}
-	own, err := compile(ctx, path, text)
+	document, err := compile(ctx, path, text)
 	if err != nil {
-		return nil, newFaults(path, rules, own, err)
+		return nil, convertErrors(path, schema, document, err)
 	}
-	unified := rules.Unify(own)
+	unified := schema.Unify(document)
 	if err := unified.Validate(cue.Concrete(true), cue.Final()); err != nil {
-		return nil, newFaults(path, rules, own, err)
+		return nil, convertErrors(path, schema, document, err)
 	}
 	settings := &Settings{}
 	if err := unified.Decode(settings); err != nil {
-		return nil, newFaults(path, rules, own, err)
+		return nil, convertErrors(path, schema, document, err)
 	}
-	if faults := validate(settings, path, own); len(faults) > 0 {
-		return nil, faults
+	if errs := validate(settings, path, document); len(errs) > 0 {
+		return nil, errs
 	}
 	return settings, nil
 }
@@ -67,48 +67,48 @@
 func compile(ctx *cue.Context, path string, text []byte) (cue.Value, error) {
 	extension := filepath.Ext(path)
 	if extension != ".yaml" && extension != ".yml" {
-		own := ctx.CompileBytes(text, cue.Filename(path))
-		return own, own.Err()
+		document := ctx.CompileBytes(text, cue.Filename(path))
+		return document, document.Err()
 	}
 	file, err := yaml.Extract(path, text)
 	if err != nil {
 		return cue.Value{}, err
 	}
-	own := ctx.BuildFile(file)
-	return own, own.Err()
+	document := ctx.BuildFile(file)
+	return document, document.Err()
 }
 
-// Unchangeable names the top-level fields in which two settings differ though a running controller can't follow. What
-// may change while it runs: log and records.
-func Unchangeable(old, fresh *Settings) (fields []string) {
+// FieldsRequiringRestart returns the top-level keys whose values differ between two settings and that a running
+// controller cannot apply. All keys but log and records require a restart; which fields of log do, the caller decides.
+func FieldsRequiringRestart(old, updated *Settings) (fields []string) {
 	for _, field := range []struct {
-		name       string
-		old, fresh any
+		name         string
+		old, updated any
 	}{
-		{"name", old.Name, fresh.Name},
-		{"seed", old.Seed, fresh.Seed},
-		{"me", old.ControllerIndex, fresh.ControllerIndex},
-		{"governors", old.Controllers, fresh.Controllers},
-		{"zones", old.Zones, fresh.Zones},
-		{"zone", old.Zone, fresh.Zone},
-		{"kinds", old.Kinds, fresh.Kinds},
-		{"classes", old.Classes, fresh.Classes},
-		{"proxies", old.Proxies, fresh.Proxies},
-		{"list", old.List, fresh.List},
-		{"front", old.Transport, fresh.Transport},
-		{"channel", old.Channel, fresh.Channel},
-		{"reports", old.Reports, fresh.Reports},
-		{"servers", old.Servers, fresh.Servers},
-		{"goal", old.Goal, fresh.Goal},
-		{"guard", old.SafetyChecks, fresh.SafetyChecks},
-		{"faults", old.Faults, fresh.Faults},
-		{"operators", old.Operators, fresh.Operators},
-		{"store", old.Store, fresh.Store},
-		{"service", old.Service, fresh.Service},
-		{"sharing", old.Sharing, fresh.Sharing},
-		{"peers", old.Peers, fresh.Peers},
+		{"name", old.Name, updated.Name},
+		{"seed", old.Seed, updated.Seed},
+		{"me", old.ControllerIndex, updated.ControllerIndex},
+		{"governors", old.Controllers, updated.Controllers},
+		{"zones", old.Zones, updated.Zones},
+		{"zone", old.Zone, updated.Zone},
+		{"kinds", old.Kinds, updated.Kinds},
+		{"classes", old.Classes, updated.Classes},
+		{"proxies", old.Proxies, updated.Proxies},
+		{"list", old.List, updated.List},
+		{"front", old.Transport, updated.Transport},
+		{"channel", old.Channel, updated.Channel},
+		{"reports", old.Reports, updated.Reports},
+		{"servers", old.Servers, updated.Servers},
+		{"goal", old.Goal, updated.Goal},
+		{"guard", old.SafetyChecks, updated.SafetyChecks},
+		{"faults", old.Faults, updated.Faults},
+		{"operators", old.Operators, updated.Operators},
+		{"store", old.Store, updated.Store},
+		{"service", old.Service, updated.Service},
+		{"sharing", old.Sharing, updated.Sharing},
+		{"peers", old.Peers, updated.Peers},
 	} {
-		if fmt.Sprint(field.old) != fmt.Sprint(field.fresh) {
+		if fmt.Sprint(field.old) != fmt.Sprint(field.updated) {
 			fields = append(fields, field.name)
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,8 +8,8 @@
 	"cressknot/internal/fleet"
 )
 
-// smallSettings is a settings file without optional fields.
-const smallSettings = `name: "g1"
+// minimalSettings is a settings file without optional fields.
+const minimalSettings = `name: "g1"
 zones: ["a", "b"]
 classes: [{name: "look", expected: "1s", hardStop: "4s"}, ` +
 	`{name: "issue", effect: "unsafe", expected: "2s", hardStop: "6s"}]
@@ -25,7 +25,7 @@
 		"- {name: issue, effect: unsafe, expected: 2s, hardStop: 6s}\nproxies:\n" +
 		"- {name: p1, zone: a, addr: \"127.0.0.1:9001\"}\nlist: {path: servers.json}\n"
 	var first *Settings
-	for name, text := range map[string]string{"g.cue": smallSettings, "g.json": json, "g.yaml": yaml} {
+	for name, text := range map[string]string{"g.cue": minimalSettings, "g.json": json, "g.yaml": yaml} {
 		settings, err := Parse(name, []byte(text))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
@@ -33,7 +33,7 @@
 		if first == nil {
 			first = settings
 		}
-		if fields := Unchangeable(first, settings); len(fields) > 0 {
+		if fields := FieldsRequiringRestart(first, settings); len(fields) > 0 {
 			t.Errorf("%s differs in %v", name, fields)
 		}
 	}
@@ -49,13 +49,13 @@
 }
 
 func TestAllErrorsOfFileAreReported(t *testing.T) {
-	text := strings.Replace(smallSettings, `zone: "a"`, `zone: "x"`, 1) + `channel: {linesPerS: -1, travel: "fast"}
+	text := strings.Replace(minimalSettings, `zone: "a"`, `zone: "x"`, 1) + `channel: {linesPerS: -1, travel: "fast"}
 servers: coldFrom: 1.5
 reports: evry: "2s"
 `
 	_, err := Parse("g.cue", []byte(text))
-	var faults FieldErrors
-	if !errors.As(err, &faults) {
+	var fieldErrors FieldErrors
+	if !errors.As(err, &fieldErrors) {
 		t.Fatalf("%v", err)
 	}
 	for _, want := range []string{
@@ -72,21 +72,25 @@
 
 func TestErrorNamesFileLineAndField(t *testing.T) {
 	for _, c := range []struct {
-		old, fresh string // of the small settings
-		add        string
-		want       string
+		old, replacement string // of the minimal settings
+		add              string
+		want             string
 	}{
 		{
-			old:   `zone: "a"`,
-			fresh: `zone: "x"`,
-			want:  `g.cue:4: proxies.0.zone: is "x"; expected one of the zones a, b`,
+			old:         `zone: "a"`,
+			replacement: `zone: "x"`,
+			want:        `g.cue:4: proxies.0.zone: is "x"; expected one of the zones a, b`,
 		},
 		{
-			old:   `name: "issue"`,
-			fresh: `name: "look"`,
-			want:  `g.cue:3: classes.1.name: duplicate class name "look"; expected a unique name`,
+			old:         `name: "issue"`,
+			replacement: `name: "look"`,
+			want:        `g.cue:3: classes.1.name: duplicate class name "look"; expected a unique name`,
+		},
+		{
+			old:         `path: "servers.json"`,
+			replacement: `wait: "1s"`,
+			want:        `list.path: is empty; expected the path of the list file`,
 		},
-		{old: `path: "servers.json"`, fresh: `wait: "1s"`, want: `list.path: is empty; expected the path of the list file`},
 		{old: `expected: "1s", `, want: `classes.0.expected`},
 		{
 			add:  `front: retryDefault: 2`,
@@ -95,7 +99,7 @@
 		{add: "name: {", want: `g.cue:6`},
 		{add: strings.Repeat("// much\n", maxFileBytes/8+1), want: `g.cue: file is larger than the limit of 8388608 bytes`},
 	} {
-		text := strings.Replace(smallSettings, c.old, c.fresh, 1) + c.add
+		text := strings.Replace(minimalSettings, c.old, c.replacement, 1) + c.add
 		if _, err := Parse("g.cue", []byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("no %q in\n%v", c.want, err)
 		}
--- a/internal/config/faults.go
+++ b/internal/config/faults.go
@@ -20,14 +20,14 @@
 }
 
 func (f FieldError) Error() string {
-	at := f.File
+	location := f.File
 	if f.Line > 0 {
-		at += ":" + strconv.Itoa(f.Line)
+		location += ":" + strconv.Itoa(f.Line)
 	}
 	if f.Field != "" {
-		at += ": " + f.Field
+		location += ": " + f.Field
 	}
-	return at + ": " + f.Message
+	return location + ": " + f.Message
 }
 
 // FieldErrors are all that is wrong in a file.
@@ -35,51 +35,51 @@
 
 func (f FieldErrors) Error() string {
 	lines := make([]string, len(f))
-	for i, fault := range f {
-		lines[i] = fault.Error()
+	for i, fieldErr := range f {
+		lines[i] = fieldErr.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// newFaults turns the library's errors into Faults by line, one a field.
-func newFaults(path string, rules, own cue.Value, err error) FieldErrors {
-	var faults FieldErrors
+// convertErrors turns the library's errors into Faults by line, one a field.
+func convertErrors(path string, schema, document cue.Value, err error) FieldErrors {
+	var fieldErrors FieldErrors
 	for _, e := range cueerrors.Errors(err) {
-		fault := newFieldError(path, rules, own, e)
-		isSame := func(other FieldError) bool { return other.Field == fault.Field && fault.Field != "" }
-		if !slices.ContainsFunc(faults, isSame) {
-			faults = append(faults, fault)
+		fieldErr := convertError(path, schema, document, e)
+		hasSameField := func(other FieldError) bool { return other.Field == fieldErr.Field && fieldErr.Field != "" }
+		if !slices.ContainsFunc(fieldErrors, hasSameField) {
+			fieldErrors = append(fieldErrors, fieldErr)
 		}
 	}
-	if len(faults) == 0 {
-		faults = FieldErrors{{File: path, Message: err.Error()}}
+	if len(fieldErrors) == 0 {
+		fieldErrors = FieldErrors{{File: path, Message: err.Error()}}
 	}
-	slices.SortStableFunc(faults, func(a, b FieldError) int { return a.Line - b.Line })
-	return faults
+	slices.SortStableFunc(fieldErrors, func(a, b FieldError) int { return a.Line - b.Line })
+	return fieldErrors
 }
 
-// newFieldError says, for a value that the schema doesn't take, what it is and what the schema asks for.
-func newFieldError(path string, rules, own cue.Value, err cueerrors.Error) FieldError {
+// convertError says, for a value that the schema doesn't take, what it is and what the schema asks for.
+func convertError(path string, schema, document cue.Value, err cueerrors.Error) FieldError {
 	format, args := err.Msg()
 	fieldErr := FieldError{
 		File:    path,
 		Field:   strings.TrimPrefix(strings.Join(err.Path(), "."), "#Settings."),
 		Message: fmt.Sprintf(format, args...),
 	}
-	for _, at := range append(cueerrors.Positions(err), err.InputPositions()...) {
-		if at.Filename() == path && at.Line() > 0 {
-			fieldErr.Line = at.Line()
+	for _, position := range append(cueerrors.Positions(err), err.InputPositions()...) {
+		if position.Filename() == path && position.Line() > 0 {
+			fieldErr.Line = position.Line()
 			break
 		}
 	}
-	if line := lineOf(own, fieldErr.Field); line > 0 {
+	if line := findLine(document, fieldErr.Field); line > 0 {
 		fieldErr.Line = line
 	}
-	expected := schemaOf(rules, fieldErr.Field)
+	expected := describeSchema(schema, fieldErr.Field)
 	if expected == "" {
 		return fieldErr
 	}
-	if value := own.LookupPath(cue.ParsePath(indexedPath(fieldErr.Field))); value.Exists() {
+	if value := document.LookupPath(cue.ParsePath(cuePath(fieldErr.Field))); value.Exists() {
 		fieldErr.Message = fmt.Sprintf("is %v; expected %s", value, expected)
 	} else {
 		fieldErr.Message = "is missing; expected " + expected
@@ -94,12 +94,12 @@
 	"#Share", "a number from 0 to 1",
 )
 
-// schemaOf prints what the schema asks of a field, "" where it has none or that takes more than a line.
-func schemaOf(rules cue.Value, field string) string {
-	if field == "" || !rules.Exists() {
+// describeSchema prints what the schema asks of a field, "" where it has none or that takes more than a line.
+func describeSchema(schema cue.Value, field string) string {
+	if field == "" || !schema.Exists() {
 		return ""
 	}
-	value := rules
+	value := schema
 	for _, part := range strings.Split(field, ".") {
 		selector := cue.Str(part).Optional()
 		if _, err := strconv.Atoi(part); err == nil {
@@ -121,10 +121,10 @@
 	return typeDescriptions.Replace(string(text))
 }
 
-// lineOf gives the line of a field, or of the nearest struct around it that the file has; 0 for none.
-func lineOf(own cue.Value, field string) int {
-	for field != "" && own.Exists() {
-		value := own.LookupPath(cue.ParsePath(indexedPath(field)))
+// findLine gives the line of a field, or of the nearest struct around it that the file has; 0 for none.
+func findLine(document cue.Value, field string) int {
+	for field != "" && document.Exists() {
+		value := document.LookupPath(cue.ParsePath(cuePath(field)))
 		if value.Exists() && value.Pos().Line() > 0 {
 			return value.Pos().Line()
 		}
@@ -133,18 +133,18 @@
 	return 0
 }
 
-// indexedPath writes a path "proxies.0.zone" as the library reads it, "proxies[0].zone".
-func indexedPath(field string) string {
-	var b strings.Builder
+// cuePath writes a path "proxies.0.zone" as the library reads it, "proxies[0].zone".
+func cuePath(field string) string {
+	var path strings.Builder
 	for i, part := range strings.Split(field, ".") {
 		if _, err := strconv.Atoi(part); err == nil {
-			b.WriteString("[" + part + "]")
+			path.WriteString("[" + part + "]")
 			continue
 		}
 		if i > 0 {
-			b.WriteByte('.')
+			path.WriteByte('.')
 		}
-		b.WriteString(part)
+		path.WriteString(part)
 	}
-	return b.String()
+	return path.String()
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -31,9 +31,9 @@
 	minMemoryMB      = 16
 	minSockets       = 64
 	maxSockets       = 1 << 20
-	// maxChannelFigure bounds rates and backlogs of the update channel.
-	maxChannelFigure = 1e9
-	seedBase         = 16
+	// maxChannelValue bounds rates and backlogs of the update channel.
+	maxChannelValue = 1e9
+	seedBase        = 16
 )
 
 // Platform is the configuration of a controller on the users' platform. RELAY_CONFIG names a JSON file. RELAY_NAME,
@@ -210,8 +210,8 @@
 		{"kinds", float64(len(site.Kinds)), "kinds", 0, math.MaxUint8},
 		{"familyInfo.agents", float64(site.ProxyCount), "proxies", 1, math.MaxUint16 + 1},
 		{"familyInfo.shards", float64(site.SliceCount), "slices", 0, 0},
-		{"familyInfo.egressPerS", site.EntriesPerSecond, "entries per second", 1, maxChannelFigure},
-		{"familyInfo.mostWaiting", site.MaxBacklog, "entries", 1, maxChannelFigure},
+		{"familyInfo.egressPerS", site.EntriesPerSecond, "entries per second", 1, maxChannelValue},
+		{"familyInfo.mostWaiting", site.MaxBacklog, "entries", 1, maxChannelValue},
 	} {
 		if !isBetween(bound.value, bound.min, bound.max) {
 			return fmt.Errorf("key %s: is %g %s; expected %g to %g", bound.key, bound.value, bound.unit, bound.min, bound.max)
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const platformFileText = `{"name":"n3","listen":"127.0.0.4:7070","discovery":"127.0.0.1:8500",
+const platformConfiguration = `{"name":"n3","listen":"127.0.0.4:7070","discovery":"127.0.0.1:8500",
  "seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"store":{"address":"127.0.0.2:6400"},
  "known":{"rev":41,"all":true,"targets":[{"uid":"s-5","endpoint":"10.1.0.18:7070","az":"a","model":"m2",
@@ -21,7 +21,7 @@
 
 func TestLoadPlatformFillsMissingKeysFromEnvironment(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	text := strings.Replace(platformFileText, `"name":"n3",`, "", 1)
+	text := strings.Replace(platformConfiguration, `"name":"n3",`, "", 1)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -63,8 +63,8 @@
 		{`"rev":41,`, ``, "known: key rev"},
 		{`"cores":1.0`, `"cores":`, "byte "},
 	} {
-		text := strings.Replace(platformFileText, test.old, test.replacement, 1)
-		if text == platformFileText {
+		text := strings.Replace(platformConfiguration, test.old, test.replacement, 1)
+		if text == platformConfiguration {
 			t.Fatalf("%s: not found", test.old)
 		}
 		_, err := ParsePlatform([]byte(text), emptyEnvironment)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -28,13 +28,13 @@
 // validator finds what a schema can't say.
 type validator struct {
 	*Settings
-	path   string
-	own    cue.Value // of the file, for lines
-	faults FieldErrors
+	path     string
+	document cue.Value // of the file, for lines
+	errors   FieldErrors
 }
 
-func validate(settings *Settings, path string, own cue.Value) FieldErrors {
-	v := &validator{Settings: settings, path: path, own: own}
+func validate(settings *Settings, path string, document cue.Value) FieldErrors {
+	v := &validator{Settings: settings, path: path, document: document}
 	v.checkZone("zone", settings.Zone)
 	v.checkClasses()
 	v.checkProxies()
@@ -43,16 +43,16 @@
 	v.checkSharing()
 	v.checkService()
 	if v.ControllerIndex >= v.Controllers {
-		v.reject("me", "is %d; expected an index from 0 to %d, as governors is %d",
+		v.addError("me", "is %d; expected an index from 0 to %d, as governors is %d",
 			v.ControllerIndex, v.Controllers-1, v.Controllers)
 	}
-	return v.faults
+	return v.errors
 }
 
-func (v *validator) reject(field, format string, args ...any) {
-	v.faults = append(v.faults, FieldError{
+func (v *validator) addError(field, format string, args ...any) {
+	v.errors = append(v.errors, FieldError{
 		File:    v.path,
-		Line:    lineOf(v.own, field),
+		Line:    findLine(v.document, field),
 		Field:   field,
 		Message: fmt.Sprintf(format, args...),
 	})
@@ -60,31 +60,31 @@
 
 func (v *validator) checkZone(field, name string) {
 	if !slices.Contains(v.Zones, name) {
-		v.reject(field, "is %q; expected one of the zones %s", name, strings.Join(v.Zones, ", "))
+		v.addError(field, "is %q; expected one of the zones %s", name, strings.Join(v.Zones, ", "))
 	}
 }
 
 func (v *validator) checkClasses() {
 	if len(v.Classes) > maxClasses {
-		v.reject("classes", "has %d classes; expected at most %d", len(v.Classes), maxClasses)
+		v.addError("classes", "has %d classes; expected at most %d", len(v.Classes), maxClasses)
 	}
 	names := map[string]bool{}
 	backends := map[string]bool{}
 	for i, class := range v.Classes {
 		if names[class.Name] {
-			v.reject(fmt.Sprintf("classes.%d.name", i), "duplicate class name %q; expected a unique name", class.Name)
+			v.addError(fmt.Sprintf("classes.%d.name", i), "duplicate class name %q; expected a unique name", class.Name)
 		}
 		if backends[class.Backend] {
-			v.reject(fmt.Sprintf("classes.%d.backend", i), "duplicate backend %q; expected a unique backend", class.Backend)
+			v.addError(fmt.Sprintf("classes.%d.backend", i), "duplicate backend %q; expected a unique backend", class.Backend)
 		}
 		names[class.Name] = true
 		backends[class.Backend] = true
 		if class.LatencyObjective > class.Deadline {
-			v.reject(fmt.Sprintf("classes.%d.expected", i), "is %v; expected at most hardStop, %v",
+			v.addError(fmt.Sprintf("classes.%d.expected", i), "is %v; expected at most hardStop, %v",
 				time.Duration(class.LatencyObjective), time.Duration(class.Deadline))
 		}
 		if class.Idempotency != effectSafe && v.Transport.DefaultRetry > 1 {
-			v.reject("front.retryDefault", "is %d; expected 0 or 1: class %s has effect %q, "+
+			v.addError("front.retryDefault", "is %d; expected 0 or 1: class %s has effect %q, "+
 				"and a retry after any failure may execute its requests twice",
 				v.Transport.DefaultRetry, class.Name, class.Idempotency)
 		}
@@ -98,34 +98,34 @@
 		field := fmt.Sprintf("proxies.%d.", i)
 		v.checkZone(field+"zone", proxy.Zone)
 		if names[proxy.Name] {
-			v.reject(field+"name", "duplicate proxy name %q; expected a unique name", proxy.Name)
+			v.addError(field+"name", "duplicate proxy name %q; expected a unique name", proxy.Name)
 		}
 		if addrs[proxy.Addr] {
-			v.reject(field+"addr", "duplicate proxy address %q; expected a unique address", proxy.Addr)
+			v.addError(field+"addr", "duplicate proxy address %q; expected a unique address", proxy.Addr)
 		}
 		names[proxy.Name] = true
 		addrs[proxy.Addr] = true
 	}
 	if len(v.Proxies) > maxProxies {
-		v.reject("proxies", "has %d proxies; expected at most %d", len(v.Proxies), maxProxies)
+		v.addError("proxies", "has %d proxies; expected at most %d", len(v.Proxies), maxProxies)
 	}
 }
 
 func (v *validator) checkList() {
 	if v.List.Source == sourceFile && v.List.Path == "" {
-		v.reject("list.path", "is empty; expected the path of the list file, as list.source is \"file\"")
+		v.addError("list.path", "is empty; expected the path of the list file, as list.source is \"file\"")
 	}
 	if v.List.Source == sourceHTTP && v.List.URL == "" {
-		v.reject("list.url", "is empty; expected the URL of the list, as list.source is \"http\"")
+		v.addError("list.url", "is empty; expected the URL of the list, as list.source is \"http\"")
 	}
 }
 
 func (v *validator) checkReports() {
 	if len(v.Reports.LoadFields) > maxLoadFields {
-		v.reject("reports.fields", "has %d load fields; expected at most %d", len(v.Reports.LoadFields), maxLoadFields)
+		v.addError("reports.fields", "has %d load fields; expected at most %d", len(v.Reports.LoadFields), maxLoadFields)
 	}
 	if v.PushedLoads() && v.Reports.Listen == "" {
-		v.reject("reports.listen", "is empty; expected host:port, as reports.load is \"pushed\"")
+		v.addError("reports.listen", "is empty; expected host:port, as reports.load is \"pushed\"")
 	}
 }
 
@@ -135,15 +135,15 @@
 		return
 	}
 	if !slices.Contains(controllers, v.Name) {
-		v.reject("sharing.governors", "is %s; expected a list that includes this controller's name, %q",
+		v.addError("sharing.governors", "is %s; expected a list that includes this controller's name, %q",
 			strings.Join(controllers, ", "), v.Name)
 	}
 	if v.Transport.Kind != transportRuntime {
-		v.reject("sharing.governors", "front.kind is %q; expected %q, as controllers coordinate through the proxies' runtime sockets",
-			v.Transport.Kind, transportRuntime)
+		v.addError("sharing.governors", "front.kind is %q; expected %q, "+
+			"as controllers coordinate through the proxies' runtime sockets", v.Transport.Kind, transportRuntime)
 	}
 	if len(slices.Compact(slices.Sorted(slices.Values(controllers)))) < len(controllers) {
-		v.reject("sharing.governors", "is %s; expected each name once", strings.Join(controllers, ", "))
+		v.addError("sharing.governors", "is %s; expected each name once", strings.Join(controllers, ", "))
 	}
 }
 
@@ -152,11 +152,12 @@
 		return
 	}
 	if v.Transport.Admission == admissionRate {
-		v.reject("front.admission", "is %q; expected \"share\" or \"all\" while the service is enabled: "+
+		v.addError("front.admission", "is %q; expected \"share\" or \"all\" while the service is enabled: "+
 			"a rate limits each proxy, but one proxy stands for all service clients of a zone", v.Transport.Admission)
 	}
 	if len(v.Proxies)+len(v.Zones) > maxProxies {
-		v.reject("proxies", "has %d proxies; expected at most %d: while the service is enabled, each of the %d zones counts as one more",
+		v.addError("proxies", "has %d proxies; expected at most %d: "+
+			"while the service is enabled, each of the %d zones counts as one more",
 			len(v.Proxies), maxProxies-len(v.Zones), len(v.Zones))
 	}
 }
--- a/internal/server/controller.go
+++ b/internal/server/controller.go
@@ -68,31 +68,31 @@
 
 // controllerProcess is one controller with all that it has opened.
 type controllerProcess struct {
-	path     string
-	settings *config.Settings // as of the start
-	log      zerolog.Logger
-	site     fleet.Site
-	names    *controller.Names
-	proxies  []transport.Proxy
-	callers  []transport.Proxy // each stands for the programs of a zone that ask the service
-	core     *controller.Core
-	options  controller.Options
-	hub      *service.Hub // nil where nobody may ask the service
-	loop     atomic.Pointer[controller.Loop]
-	closers  []func() // in the order of opening
-	signals  signalHandler
+	path          string
+	settings      *config.Settings // as of the start
+	log           zerolog.Logger
+	site          fleet.Site
+	names         *controller.Names
+	proxies       []transport.Proxy
+	clientProxies []transport.Proxy // each stands for the programs of a zone that ask the service
+	core          *controller.Core
+	options       controller.Options
+	hub           *service.Hub // nil where nobody may ask the service
+	loop          atomic.Pointer[controller.Loop]
+	closeFuncs    []func() // in the order of opening
+	signals       signalHandler
 }
 
 func newControllerProcess(path string, settings *config.Settings, log zerolog.Logger) *controllerProcess {
 	return &controllerProcess{
-		path:     path,
-		settings: settings,
-		log:      log,
-		site:     settings.Site(),
-		names:    controller.NewNames(),
-		proxies:  settings.TransportProxies(),
-		callers:  settings.ClientProxies(),
-		signals:  newSignalHandler(),
+		path:          path,
+		settings:      settings,
+		log:           log,
+		site:          settings.Site(),
+		names:         controller.NewNames(),
+		proxies:       settings.TransportProxies(),
+		clientProxies: settings.ClientProxies(),
+		signals:       newSignalHandler(),
 	}
 }
 
@@ -105,12 +105,12 @@
 }
 
 // onClose has close call a function, before those of earlier calls.
-func (p *controllerProcess) onClose(closer func()) { p.closers = append(p.closers, closer) }
+func (p *controllerProcess) onClose(closeFunc func()) { p.closeFuncs = append(p.closeFuncs, closeFunc) }
 
 // close closes all that build has opened, the last first.
 func (p *controllerProcess) close() {
-	for _, closer := range slices.Backward(p.closers) {
-		closer()
+	for _, closeFunc := range slices.Backward(p.closeFuncs) {
+		closeFunc()
 	}
 }
 
@@ -155,7 +155,7 @@
 	p.core = controller.NewCore(controller.CoreOptions{
 		Site:         p.site,
 		Seed:         s.Seed,
-		Proxies:      append(slices.Clone(p.proxies), p.callers...),
+		Proxies:      append(slices.Clone(p.proxies), p.clientProxies...),
 		Names:        p.names,
 		SafetyChecks: s.SafetyChecks,
 		PushedLoads:  s.PushedLoads(),
--- a/internal/server/controller_restore.go
+++ b/internal/server/controller_restore.go
@@ -15,27 +15,28 @@
 	"cressknot/internal/store"
 )
 
-// openStore opens the store and has the core restore what is in it; it gives the endpoint lists. A store that another
-// process has open, or that a newer program wrote, prevents the start: going on would run one controller twice, or lose
-// what the newer one persisted. Any other fault costs the store only.
+// openStore opens the store, restores the state of the core from it and returns the stored endpoint lists. It returns
+// an error, which prevents the start, if another process has the store open or a newer program version wrote it:
+// continuing would run the same controller twice, or lose what the newer version persisted. After any other failure
+// the controller runs without a store.
 func (p *controllerProcess) openStore() ([]verification.Generation[discovery.Endpoint], error) {
-	opened, err := store.Open(store.Options{Directory: p.settings.Store.Directory, OnHealthChange: p.logStoreHealth})
-	var newer *store.NewerError
-	var busy *store.BusyError
+	stateStore, err := store.Open(store.Options{Directory: p.settings.Store.Directory, OnHealthChange: p.logStoreHealth})
+	var newerErr *store.NewerError
+	var busyErr *store.BusyError
 	switch {
-	case errors.As(err, &newer), errors.As(err, &busy):
+	case errors.As(err, &newerErr), errors.As(err, &busyErr):
 		return nil, err
 	case err != nil:
 		p.log.Error().Err(err).Msg("could not open the store; continuing without restoring or persisting state")
 		return nil, nil
 	}
-	p.options.Store = opened
+	p.options.Store = stateStore
 	p.onClose(func() {
-		if err := opened.Close(); err != nil {
+		if err := stateStore.Close(); err != nil {
 			p.log.Error().Err(err).Msg("could not close the store; some state may not be persisted")
 		}
 	})
-	restored, err := p.core.Restore(fleet.Time(time.Now().UnixNano()), opened)
+	restored, err := p.core.Restore(fleet.Time(time.Now().UnixNano()), stateStore)
 	if err != nil {
 		p.log.Error().Err(err).Msg("could not restore all state from the store")
 	}
@@ -47,7 +48,7 @@
 	// No version of this epoch may leave before the epoch is on disk.
 	done := make(chan error, 1)
 	change := store.Change{Key: controller.EpochKey, Value: restored.Epoch}
-	err = opened.Put([]store.Change{change}, func(err error) { done <- err })
+	err = stateStore.Put([]store.Change{change}, func(err error) { done <- err })
 	if err == nil {
 		err = <-done
 	}
--- a/internal/server/controller_signals.go
+++ b/internal/server/controller_signals.go
@@ -49,22 +49,22 @@
 
 // reload takes over what may change of the settings file, and refuses the file where it changes anything else.
 func (p *controllerProcess) reload(current *config.Settings) *config.Settings {
-	fresh, err := config.Load(p.path)
+	updated, err := config.Load(p.path)
 	if err != nil {
 		p.log.Error().Err(err).Msg("settings not reloaded")
 		return current
 	}
-	fixed := config.Unchangeable(current, fresh)
-	if len(fixed) == 0 && (fresh.Log.Format != current.Log.Format || fresh.Log.File != current.Log.File) {
-		fixed = []string{"log.format", "log.file"}
+	restartFields := config.FieldsRequiringRestart(current, updated)
+	if len(restartFields) == 0 && (updated.Log.Format != current.Log.Format || updated.Log.File != current.Log.File) {
+		restartFields = []string{"log.format", "log.file"}
 	}
-	if len(fixed) > 0 {
-		p.log.Error().Strs("fields", fixed).Msg("settings not reloaded: changes to these fields require a restart")
+	if len(restartFields) > 0 {
+		p.log.Error().Strs("fields", restartFields).Msg("settings not reloaded: changes to these fields require a restart")
 		return current
 	}
-	if fresh.EventLog != current.EventLog {
+	if updated.EventLog != current.EventLog {
 		loop := p.currentLoop()
-		if err := loop.RecordTo(fresh.EventLog, p.eventLogStart()); err != nil {
+		if err := loop.RecordTo(updated.EventLog, p.eventLogStart()); err != nil {
 			p.log.Error().Err(err).Msg("settings not reloaded")
 			if err := loop.RecordTo(current.EventLog, p.eventLogStart()); err != nil {
 				p.log.Error().Err(err).Msg("could not reopen the previous event log")
@@ -72,7 +72,7 @@
 			return current
 		}
 	}
-	setLogLevel(fresh)
+	setLogLevel(updated)
 	p.log.Info().Msg("settings reloaded")
-	return fresh
+	return updated
 }
--- a/internal/server/controller_sockets.go
+++ b/internal/server/controller_sockets.go
@@ -79,7 +79,7 @@
 
 // buildServiceHub makes the clients of each zone a proxy of the controller, where the service is configured.
 func (p *controllerProcess) buildServiceHub() {
-	if len(p.callers) == 0 {
+	if len(p.clientProxies) == 0 {
 		return
 	}
 	wallClock := clock.New()
@@ -89,12 +89,12 @@
 		Classes:    p.site.Classes,
 		Now:        wallClock.Now,
 	}
-	for _, caller := range p.callers {
+	for _, proxy := range p.clientProxies {
 		options.Zones = append(options.Zones, service.Zone{
-			Name:        p.settings.Zones[caller.Zone],
-			ID:          caller.Zone,
-			Proxy:       caller.ID,
-			RequestRate: caller.RequestRate,
+			Name:        p.settings.Zones[proxy.Zone],
+			ID:          proxy.Zone,
+			Proxy:       proxy.ID,
+			RequestRate: proxy.RequestRate,
 		})
 	}
 	p.core.ServeZones(options.Zones)
@@ -102,8 +102,8 @@
 	options.Epoch = p.core.Epoch()
 	p.hub = service.NewHub(options)
 	mux := &transport.Mux{Default: p.options.Transport, ByProxy: map[fleet.ProxyID]transport.Transport{}}
-	for _, caller := range p.callers {
-		mux.ByProxy[caller.ID] = p.hub
+	for _, proxy := range p.clientProxies {
+		mux.ByProxy[proxy.ID] = p.hub
 	}
 	p.options.Transport = mux
 	p.options.OnPublishedState = p.hub.PublishState
@@ -114,7 +114,7 @@
 	if p.hub == nil {
 		return nil
 	}
-	core := service.New(p.hub, controller.QueryHandler{Loop: p.currentLoop(), Program: Version})
+	clientService := service.New(p.hub, controller.QueryHandler{Loop: p.currentLoop(), Program: Version})
 	var servers []interface{ Close(context.Context) error }
 	p.onClose(func() {
 		ctx, cancel := p.stopContext()
@@ -125,7 +125,7 @@
 		}
 	})
 	if addr := p.settings.Service.RPC; addr != "" {
-		server, err := rpc.Listen(addr, core)
+		server, err := rpc.Listen(addr, clientService)
 		if err != nil {
 			return err
 		}
@@ -133,7 +133,7 @@
 		p.log.Info().Str("addr", server.Addr()).Msg("gRPC service listening")
 	}
 	if addr := p.settings.Service.Text; addr != "" {
-		server, err := text.Listen(addr, core)
+		server, err := text.Listen(addr, clientService)
 		if err != nil {
 			return err
 		}
--- a/internal/server/controller_test.go
+++ b/internal/server/controller_test.go
@@ -12,8 +12,8 @@
 	"cressknot/internal/config"
 )
 
-// settingsForm is a minimal settings file, with the paths of the endpoint list and of the log.
-const settingsForm = `name: "g", zones: ["a"], classes: [{name: "look", expected: "1s", hardStop: "2s"}]
+// settingsTemplate is a minimal settings file, with the paths of the endpoint list and of the log.
+const settingsTemplate = `name: "g", zones: ["a"], classes: [{name: "look", expected: "1s", hardStop: "2s"}]
 list: path: %q
 log: file: %q
 `
@@ -46,13 +46,13 @@
 func TestControllerReloadsSettingsAndStops(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "g.cue")
-	log := filepath.Join(dir, "log")
-	list := filepath.Join(dir, "servers.json")
-	writeSettings := func(more string) {
+	logPath := filepath.Join(dir, "log")
+	listPath := filepath.Join(dir, "servers.json")
+	writeSettings := func(extra string) {
 		t.Helper()
-		writeFile(t, path, fmt.Sprintf(settingsForm, list, log)+more)
+		writeFile(t, path, fmt.Sprintf(settingsTemplate, listPath, logPath)+extra)
 	}
-	writeFile(t, list, `{"rev": 1, "servers": []}`)
+	writeFile(t, listPath, `{"rev": 1, "servers": []}`)
 	writeSettings("")
 	settings, err := config.Load(path)
 	if err != nil {
@@ -61,20 +61,20 @@
 	signals := make(chan os.Signal, signalCapacity)
 	done := make(chan error, 1)
 	go func() { done <- run(path, settings, signals) }()
-	waitForLog(t, log, "controller started")
-	records := filepath.Join(dir, "records")
-	writeSettings(fmt.Sprintf("records: %q", records))
+	waitForLog(t, logPath, "controller started")
+	eventLogPath := filepath.Join(dir, "records")
+	writeSettings(fmt.Sprintf("records: %q", eventLogPath))
 	signals <- syscall.SIGHUP
-	waitForLog(t, log, "settings reloaded")
-	if _, err := os.Stat(records); err != nil {
+	waitForLog(t, logPath, "settings reloaded")
+	if _, err := os.Stat(eventLogPath); err != nil {
 		t.Error("recording did not begin:", err)
 	}
 	writeSettings(`channel: linesPerS: 10, log: level: "debug"`)
 	signals <- syscall.SIGHUP
-	waitForLog(t, log, `"fields":["channel"]`)
+	waitForLog(t, logPath, `"fields":["channel"]`)
 	writeSettings(`channel: linesPerS: -10`)
 	signals <- syscall.SIGHUP
-	waitForLog(t, log, "channel.linesPerS: is -10")
+	waitForLog(t, logPath, "channel.linesPerS: is -10")
 	signals <- syscall.SIGTERM
 	select {
 	case err := <-done:
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -270,9 +270,9 @@
 // bounded number of times.
 func (s *platformServer) reload() {
 	s.reloadRetry = nil
-	fresh, err := config.LoadPlatform(s.getenv)
+	updated, err := config.LoadPlatform(s.getenv)
 	if err == nil {
-		s.apply(fresh)
+		s.apply(updated)
 		return
 	}
 	s.reloadAttempts++
@@ -285,29 +285,29 @@
 
 // apply goes over to the addresses of a new configuration. One that also changes a key that needs a restart is
 // rejected, its addresses included.
-func (s *platformServer) apply(fresh *config.Platform) {
-	if key := restartKey(s.settings, fresh); key != "" {
+func (s *platformServer) apply(updated *config.Platform) {
+	if key := restartKey(s.settings, updated); key != "" {
 		s.log.Error().Str("key", key).Msg("configuration rejected: the change needs a restart")
 		return
 	}
-	if fresh.RelayAddr != s.settings.RelayAddr {
-		s.relay.SetAddress(fresh.RelayAddr)
+	if updated.RelayAddr != s.settings.RelayAddr {
+		s.relay.SetAddress(updated.RelayAddr)
 	}
-	if fresh.DiscoveryAddr != s.settings.DiscoveryAddr {
-		s.endpoints.SetAddress(fresh.DiscoveryAddr)
+	if updated.DiscoveryAddr != s.settings.DiscoveryAddr {
+		s.endpoints.SetAddress(updated.DiscoveryAddr)
 	}
-	s.settings = fresh
-	s.log.Info().Str("relay", fresh.RelayAddr).Str("discovery", fresh.DiscoveryAddr).Msg("configuration reloaded")
+	s.settings = updated
+	s.log.Info().Str("relay", updated.RelayAddr).Str("discovery", updated.DiscoveryAddr).Msg("configuration reloaded")
 }
 
 // restartKey returns the first settings key whose change needs a restart, or "" if there is none.
-func restartKey(current, fresh *config.Platform) string {
+func restartKey(current, updated *config.Platform) string {
 	switch {
-	case fresh.Name != current.Name:
+	case updated.Name != current.Name:
 		return "name"
-	case fresh.ListenAddr != current.ListenAddr:
+	case updated.ListenAddr != current.ListenAddr:
 		return "listen"
-	case !reflect.DeepEqual(fresh.Site, current.Site):
+	case !reflect.DeepEqual(updated.Site, current.Site):
 		return "settings"
 	}
 	return ""
--- a/internal/server/platform_harness_test.go
+++ b/internal/server/platform_harness_test.go
@@ -39,9 +39,9 @@
 // fakePlatform is a fake of relay and discovery at one address.
 type fakePlatform struct {
 	*httptest.Server
-	received chan string   // "stream", "watch", "call" and the operations of each call that was answered
-	gate     chan struct{} // unless nil, calls are answered once it is closed
-	lists    chan string   // unless nil, its first element is sent to each watch
+	received     chan string   // "stream", "watch", "call" and the operations of each call that was answered
+	releaseCalls chan struct{} // unless nil, calls are answered once it is closed
+	lists        chan string   // unless nil, its first element is sent to each watch
 }
 
 func newFakePlatform(t *testing.T) *fakePlatform {
@@ -88,9 +88,9 @@
 
 func (f *fakePlatform) serveCall(w http.ResponseWriter, r *http.Request) {
 	_ = r.ParseForm() // a malformed form has no operations
-	if f.gate != nil {
+	if f.releaseCalls != nil {
 		f.received <- "call"
-		<-f.gate
+		<-f.releaseCalls
 	}
 	operations := r.Form.Get("ops")
 	accepted := 1 + strings.Count(operations, ";")
@@ -139,7 +139,7 @@
 func unusedAddr(t *testing.T) string {
 	t.Helper()
 	listener := listenAt(t, "127.0.0.1:0")
-	defer closeQuietly(listener)
+	defer closeIgnoringError(listener)
 	return listener.Addr().String()
 }
 
@@ -152,8 +152,8 @@
 	return listener
 }
 
-// closeQuietly closes what the test needs no more.
-func closeQuietly(c io.Closer) { _ = c.Close() }
+// closeIgnoringError closes what the test needs no more.
+func closeIgnoringError(c io.Closer) { _ = c.Close() }
 
 func newProcess(t *testing.T) *process {
 	t.Helper()
@@ -172,8 +172,8 @@
 	}
 }
 
-// halfWritten returns a configuration without its end.
-func halfWritten(configuration string) string { return configuration[:len(configuration)-40] }
+// truncated returns a configuration without its end.
+func truncated(configuration string) string { return configuration[:len(configuration)-40] }
 
 func (p *process) start(t *testing.T) {
 	t.Helper()
@@ -250,7 +250,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { closeQuietly(connection) })
+	t.Cleanup(func() { closeIgnoringError(connection) })
 	return connection
 }
 
@@ -266,7 +266,7 @@
 func (p *process) expectPong(t *testing.T) {
 	t.Helper()
 	connection := p.dial(t)
-	defer closeQuietly(connection)
+	defer closeIgnoringError(connection)
 	if err := connection.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/platform_test.go
+++ b/internal/server/platform_test.go
@@ -17,7 +17,7 @@
 	first.expect(t, "bind,1,")
 
 	moved := p.configuration(second.addr())
-	p.writeConfiguration(t, halfWritten(moved))
+	p.writeConfiguration(t, truncated(moved))
 	p.signal(t, syscall.SIGHUP)
 	p.expectLog(t, "configuration reload failed")
 
@@ -28,7 +28,7 @@
 		t.Error(line)
 	}
 
-	p.writeConfiguration(t, halfWritten(moved))
+	p.writeConfiguration(t, truncated(moved))
 	p.signal(t, syscall.SIGHUP)
 	p.writeConfiguration(t, moved) // completed after the signal
 	second.expect(t, "stream")
@@ -44,9 +44,9 @@
 // The call is never answered, others wait behind it, and a collector is in the middle of a line.
 func TestPlatformControllerStopsWithCallInFlight(t *testing.T) {
 	fake := newFakePlatform(t)
-	unanswered := make(chan struct{})
-	fake.gate = unanswered
-	t.Cleanup(func() { close(unanswered) })
+	release := make(chan struct{})
+	fake.releaseCalls = release
+	t.Cleanup(func() { close(release) })
 	p := newProcess(t)
 	p.writeConfiguration(t, p.configuration(fake.addr()))
 	p.start(t)
@@ -61,7 +61,7 @@
 // Relay and discovery accept connections and send nothing.
 func TestPlatformControllerStopsBeforeItIsReady(t *testing.T) {
 	silent := listenAt(t, "127.0.0.1:0")
-	defer closeQuietly(silent)
+	defer closeIgnoringError(silent)
 	p := newProcess(t)
 	p.writeConfiguration(t, p.configuration(silent.Addr().String()))
 	p.start(t)
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeQuietly(connection)
+	defer closeIgnoringError(connection)
 	p.signal(t, syscall.SIGTERM)
 	p.expectLog(t, "shutdown started")
 	p.expectExit(t)
@@ -84,7 +84,7 @@
 	p.start(t)
 	fake.expect(t, "watch")
 	if connection, err := net.Dial("tcp", p.listenAddr); err == nil {
-		closeQuietly(connection)
+		closeIgnoringError(connection)
 		t.Error("listens, and no server is listed")
 	}
 	fake.lists <- `{"rev":2,"all":true,"targets":[` + strings.ReplaceAll(testEndpoint, "\n", "") + "]}\n"
@@ -127,7 +127,7 @@
 	p.start(t)
 	p.expectLog(t, "controller started")
 	fake.expect(t, "bind,1,") // it has its proxies, and its address is in use
-	closeQuietly(occupied)
+	closeIgnoringError(occupied)
 	p.expectLog(t, "collector server listening")
 	p.expectPong(t)
 }
