--- a/internal/config/schema.cue
+++ b/internal/config/schema.cue
@@ -113,7 +113,7 @@
 	peers: {
 		listen:  string | *""                   // host:port (UDP and TCP) for gossip with other controllers; "": none
 		join:    [...string] | *[]              // host:port of some other controllers
-		keyFile: string | *""                   // file with a key of 16, 24 or 32 bytes in hexadecimal that encrypts gossip; "": none
+		keyFile: string | *""                   // file with the gossip key, 16, 24 or 32 bytes in hexadecimal; "": none
 	}
 
 	// Names of the controllers that share the proxies, including this one; empty: no sharing.
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -43,7 +43,7 @@
 	v.checkSharing()
 	v.checkService()
 	if v.ControllerIndex >= v.Controllers {
-		v.addError("me", "is %d; expected an index from 0 to %d, as governors is %d",
+		v.addError("me", "is %d; expected an index from 0 to %d because governors is %d",
 			v.ControllerIndex, v.Controllers-1, v.Controllers)
 	}
 	return v.errors
@@ -113,10 +113,10 @@
 
 func (v *validator) checkList() {
 	if v.List.Source == sourceFile && v.List.Path == "" {
-		v.addError("list.path", "is empty; expected the path of the list file, as list.source is \"file\"")
+		v.addError("list.path", "is empty; expected the path of the list file because list.source is \"file\"")
 	}
 	if v.List.Source == sourceHTTP && v.List.URL == "" {
-		v.addError("list.url", "is empty; expected the URL of the list, as list.source is \"http\"")
+		v.addError("list.url", "is empty; expected the URL of the list because list.source is \"http\"")
 	}
 }
 
@@ -125,7 +125,7 @@
 		v.addError("reports.fields", "has %d load fields; expected at most %d", len(v.Reports.LoadFields), maxLoadFields)
 	}
 	if v.PushedLoads() && v.Reports.Listen == "" {
-		v.addError("reports.listen", "is empty; expected host:port, as reports.load is \"pushed\"")
+		v.addError("reports.listen", "is empty; expected host:port because reports.load is \"pushed\"")
 	}
 }
 
@@ -139,8 +139,8 @@
 			strings.Join(controllers, ", "), v.Name)
 	}
 	if v.Transport.Kind != transportRuntime {
-		v.addError("sharing.governors", "front.kind is %q; expected %q, "+
-			"as controllers coordinate through the proxies' runtime sockets", v.Transport.Kind, transportRuntime)
+		v.addError("sharing.governors", "front.kind is %q; expected %q "+
+			"because controllers coordinate through the proxies' runtime sockets", v.Transport.Kind, transportRuntime)
 	}
 	if len(slices.Compact(slices.Sorted(slices.Values(controllers)))) < len(controllers) {
 		v.addError("sharing.governors", "is %s; expected each name once", strings.Join(controllers, ", "))
@@ -153,7 +153,7 @@
 	}
 	if v.Transport.Admission == admissionRate {
 		v.addError("front.admission", "is %q; expected \"share\" or \"all\" while the service is enabled: "+
-			"a rate limits each proxy, but one proxy stands for all service clients of a zone", v.Transport.Admission)
+			"a rate limits each proxy, but one proxy represents all service clients of a zone", v.Transport.Admission)
 	}
 	if len(v.Proxies)+len(v.Zones) > maxProxies {
 		v.addError("proxies", "has %d proxies; expected at most %d: "+
