--- a/internal/server/controller_restore.go
+++ b/internal/server/controller_restore.go
@@ -15,57 +15,60 @@
 	"cressknot/internal/store"
 )
 
-// openStore opens the store and has the core restore what is in it; it gives the endpoint lists. A store that another
-// process has open, or that a newer program wrote, prevents the start: going on would run one controller twice, or lose
-// what the newer one persisted. Any other fault costs the store only.
+// openStore opens the store, restores the state of the core from it and returns the stored endpoint lists. It returns
+// an error, which prevents the start, if another process has the store open or a newer program version wrote it:
+// continuing would run the same controller twice, or lose what the newer version persisted. After any other failure
+// to open it, the controller runs without a store.
 func (p *controllerProcess) openStore() ([]verification.Generation[discovery.Endpoint], error) {
-	opened, err := store.Open(store.Options{Directory: p.settings.Store.Directory, OnHealthChange: p.logStoreHealth})
-	var newer *store.NewerError
-	var busy *store.BusyError
+	stateStore, err := store.Open(store.Options{Directory: p.settings.Store.Directory, OnHealthChange: p.logStoreHealth})
+	var newerErr *store.NewerError
+	var busyErr *store.BusyError
 	switch {
-	case errors.As(err, &newer), errors.As(err, &busy):
+	case errors.As(err, &newerErr), errors.As(err, &busyErr):
 		return nil, err
 	case err != nil:
-		p.log.Error().Err(err).Msg("store could not be opened; nothing is restored or persisted")
+		p.log.Error().Err(err).Msg("could not open the store; continuing without restoring or persisting state")
 		return nil, nil
 	}
-	p.options.Store = opened
+	p.options.Store = stateStore
 	p.onClose(func() {
-		if err := opened.Close(); err != nil {
-			p.log.Error().Err(err).Msg("state was not persisted completely")
+		if err := stateStore.Close(); err != nil {
+			p.log.Error().Err(err).Msg("could not close the store; some state may not be persisted")
 		}
 	})
-	restored, err := p.core.Restore(fleet.Time(time.Now().UnixNano()), opened)
+	restored, err := p.core.Restore(fleet.Time(time.Now().UnixNano()), stateStore)
 	if err != nil {
-		p.log.Error().Err(err).Msg("state was not restored completely")
+		p.log.Error().Err(err).Msg("could not restore all state from the store")
 	}
 	for _, record := range restored.Unreadable {
 		p.log.Warn().Str("lost", record).Msg("stored record is damaged")
 	}
 	p.log.Info().Int("tables", restored.Tables).Int("pins", restored.Pins).Int("weights", restored.ManualWeights).
 		Bool("list", len(restored.Lists) > 0).Msg("state restored")
-	// No version of this epoch may leave before the epoch is on disk.
+	// The epoch must be on disk before any table version of it is sent.
 	done := make(chan error, 1)
 	change := store.Change{Key: controller.EpochKey, Value: restored.Epoch}
-	err = opened.Put([]store.Change{change}, func(err error) { done <- err })
+	err = stateStore.Put([]store.Change{change}, func(err error) { done <- err })
 	if err == nil {
 		err = <-done
 	}
 	if err != nil {
-		p.log.Error().Err(err).Msg("epoch was not persisted")
+		p.log.Error().Err(err).Msg("could not persist the epoch")
 	}
 	return restored.Lists, nil
 }
 
+// logStoreHealth logs when writes to the store start to fail and when they succeed again.
 func (p *controllerProcess) logStoreHealth(failing bool, err error) {
 	if failing {
-		p.log.Error().Err(err).Msg("state can't be persisted; continuing, and retrying until it can be")
+		p.log.Error().Err(err).Msg("could not write to the store; retrying until it succeeds")
 	} else {
-		p.log.Info().Msg("state is persisted again")
+		p.log.Info().Msg("store has recovered; state is persisted again")
 	}
 }
 
-// chooseCachedList makes one list of those that were cached and persisted, nil for none.
+// chooseCachedList selects the endpoint list to start from among those in the cache and the store. It returns nil if
+// there is none.
 func chooseCachedList(lists []verification.Generation[discovery.Endpoint], log zerolog.Logger) *discovery.Update {
 	chosen, ok := verification.Choose(fleet.Time(time.Now().UnixNano()), lists)
 	for _, notice := range chosen.Notices {
--- a/internal/server/controller_signals.go
+++ b/internal/server/controller_signals.go
@@ -9,7 +9,7 @@
 	"cressknot/internal/config"
 )
 
-// signalHandler is the goroutine that takes signals until the process is closed.
+// signalHandler controls the goroutine that handles signals until done is closed.
 type signalHandler struct {
 	done    chan struct{}
 	running sync.WaitGroup
@@ -17,7 +17,8 @@
 
 func newSignalHandler() signalHandler { return signalHandler{done: make(chan struct{})} }
 
-// handleSignals reloads settings at SIGHUP and calls stop at the first other signal; a second one ends the program.
+// handleSignals starts a goroutine that reloads settings on SIGHUP and calls stop on the first other signal. A further
+// one ends the program.
 func (p *controllerProcess) handleSignals(ctx context.Context, stop context.CancelFunc, signals <-chan os.Signal) {
 	current := p.settings
 	p.signals.running.Go(func() {
@@ -31,7 +32,7 @@
 					continue
 				}
 				if ctx.Err() != nil {
-					p.log.Warn().Stringer("signal", signal).Msg("second signal to stop; exiting at once")
+					p.log.Warn().Stringer("signal", signal).Msg("second shutdown signal received; exiting immediately")
 					os.Exit(1)
 				}
 				p.log.Info().Stringer("signal", signal).Msg("shutdown started")
@@ -41,38 +42,40 @@
 	})
 }
 
-// stopSignals ends handleSignals. It comes last, so that a second signal ends the program also while it is closing.
+// stopSignals ends the goroutine of handleSignals. It runs after close, so that a second signal ends the program even
+// while resources are being closed.
 func (p *controllerProcess) stopSignals() {
 	close(p.signals.done)
 	p.signals.running.Wait()
 }
 
-// reload takes over what may change of the settings file, and refuses the file where it changes anything else.
+// reload reads the settings file again and applies changes of the log level and the event log. If any other field has
+// changed, it rejects the whole file. It returns the settings in effect.
 func (p *controllerProcess) reload(current *config.Settings) *config.Settings {
-	fresh, err := config.Load(p.path)
+	updated, err := config.Load(p.path)
 	if err != nil {
 		p.log.Error().Err(err).Msg("settings not reloaded")
 		return current
 	}
-	fixed := config.Unchangeable(current, fresh)
-	if len(fixed) == 0 && (fresh.Log.Format != current.Log.Format || fresh.Log.File != current.Log.File) {
-		fixed = []string{"log.format", "log.file"}
+	restartFields := config.FieldsRequiringRestart(current, updated)
+	if len(restartFields) == 0 && (updated.Log.Format != current.Log.Format || updated.Log.File != current.Log.File) {
+		restartFields = []string{"log.format", "log.file"}
 	}
-	if len(fixed) > 0 {
-		p.log.Error().Strs("fields", fixed).Msg("settings not reloaded: these fields need a restart")
+	if len(restartFields) > 0 {
+		p.log.Error().Strs("fields", restartFields).Msg("settings not reloaded: changes to these fields require a restart")
 		return current
 	}
-	if fresh.EventLog != current.EventLog {
+	if updated.EventLog != current.EventLog {
 		loop := p.currentLoop()
-		if err := loop.RecordTo(fresh.EventLog, p.eventLogStart()); err != nil {
+		if err := loop.RecordTo(updated.EventLog, p.eventLogStart()); err != nil {
 			p.log.Error().Err(err).Msg("settings not reloaded")
 			if err := loop.RecordTo(current.EventLog, p.eventLogStart()); err != nil {
-				p.log.Error().Err(err).Msg("event log could not be opened again")
+				p.log.Error().Err(err).Msg("could not reopen the previous event log")
 			}
 			return current
 		}
 	}
-	setLogLevel(fresh)
+	setLogLevel(updated)
 	p.log.Info().Msg("settings reloaded")
-	return fresh
+	return updated
 }
--- a/internal/server/controller_sockets.go
+++ b/internal/server/controller_sockets.go
@@ -20,7 +20,7 @@
 	"cressknot/internal/transport"
 )
 
-// joinPeers starts gossip with other controllers, where it is configured.
+// joinPeers starts gossip with other controllers if it is configured.
 func (p *controllerProcess) joinPeers() error {
 	if p.settings.Peers.Listen == "" {
 		return nil
@@ -35,14 +35,15 @@
 	if err != nil {
 		return err
 	}
-	p.onClose(func() { _ = members.Close() }) // peers detect a member that is gone
+	p.onClose(func() { _ = members.Close() }) // peers detect a member that has stopped
 	p.options.SendGossip = members.Send
 	p.log.Info().Str("addr", p.settings.Peers.Listen).Bool("encrypted", p.settings.Peers.KeyFile != "").
 		Msg("gossip started")
 	return nil
 }
 
-// membershipOptions routes messages, changes of members and errors to the loop, once there is one.
+// membershipOptions returns options that pass messages, membership changes and errors to the control loop. Those that
+// arrive before the loop exists are dropped.
 func (p *controllerProcess) membershipOptions() (membership.Options, error) {
 	s := p.settings
 	options := membership.Options{Name: s.Name, Listen: s.Peers.Listen, Join: s.Peers.Join}
@@ -53,7 +54,7 @@
 		}
 		options.Key, err = hex.DecodeString(strings.TrimSpace(string(encoded)))
 		if err != nil {
-			return options, fmt.Errorf("peers.keyFile: %s: %w", s.Peers.KeyFile, err)
+			return options, fmt.Errorf("peers.keyFile: %s: expected a key in hexadecimal: %w", s.Peers.KeyFile, err)
 		}
 	}
 	notice := func(level controller.Level, text string) {
@@ -69,17 +70,18 @@
 	options.OnError = func(err error) { notice(controller.LevelWarn, err.Error()) }
 	options.OnChange = func(name string, joined bool) {
 		if joined {
-			notice(controller.LevelInfo, fmt.Sprintf("governor %s is here", name))
+			notice(controller.LevelInfo, fmt.Sprintf("controller %s joined", name))
 		} else {
-			notice(controller.LevelInfo, fmt.Sprintf("governor %s left", name))
+			notice(controller.LevelInfo, fmt.Sprintf("controller %s left", name))
 		}
 	}
 	return options, nil
 }
 
-// buildServiceHub makes the clients of each zone a proxy of the controller, where the service is configured.
+// buildServiceHub creates the hub if the service is configured. The controller treats the clients of each zone as one
+// proxy, whose transport is the hub.
 func (p *controllerProcess) buildServiceHub() {
-	if len(p.callers) == 0 {
+	if len(p.clientProxies) == 0 {
 		return
 	}
 	wallClock := clock.New()
@@ -89,12 +91,12 @@
 		Classes:    p.site.Classes,
 		Now:        wallClock.Now,
 	}
-	for _, caller := range p.callers {
+	for _, proxy := range p.clientProxies {
 		options.Zones = append(options.Zones, service.Zone{
-			Name:        p.settings.Zones[caller.Zone],
-			ID:          caller.Zone,
-			Proxy:       caller.ID,
-			RequestRate: caller.RequestRate,
+			Name:        p.settings.Zones[proxy.Zone],
+			ID:          proxy.Zone,
+			Proxy:       proxy.ID,
+			RequestRate: proxy.RequestRate,
 		})
 	}
 	p.core.ServeZones(options.Zones)
@@ -102,48 +104,48 @@
 	options.Epoch = p.core.Epoch()
 	p.hub = service.NewHub(options)
 	mux := &transport.Mux{Default: p.options.Transport, ByProxy: map[fleet.ProxyID]transport.Transport{}}
-	for _, caller := range p.callers {
-		mux.ByProxy[caller.ID] = p.hub
+	for _, proxy := range p.clientProxies {
+		mux.ByProxy[proxy.ID] = p.hub
 	}
 	p.options.Transport = mux
 	p.options.OnPublishedState = p.hub.PublishState
 }
 
-// listenForClients opens the service's sockets.
+// listenForClients opens the sockets of the service, if it is configured.
 func (p *controllerProcess) listenForClients() error {
 	if p.hub == nil {
 		return nil
 	}
-	core := service.New(p.hub, controller.QueryHandler{Loop: p.currentLoop(), Program: Version})
+	clientService := service.New(p.hub, controller.QueryHandler{Loop: p.currentLoop(), Program: Version})
 	var servers []interface{ Close(context.Context) error }
 	p.onClose(func() {
 		ctx, cancel := p.stopContext()
 		defer cancel()
-		_ = p.hub.Stop(ctx) // watches end first, so that their callers go elsewhere
+		_ = p.hub.Stop(ctx) // watches end first, so that their clients reconnect to another controller
 		for _, server := range servers {
-			_ = server.Close(ctx) // requests that outlast the timeout are cut
+			_ = server.Close(ctx) // requests still running at the timeout are aborted
 		}
 	})
 	if addr := p.settings.Service.RPC; addr != "" {
-		server, err := rpc.Listen(addr, core)
+		server, err := rpc.Listen(addr, clientService)
 		if err != nil {
 			return err
 		}
 		servers = append(servers, server)
-		p.log.Info().Str("addr", server.Addr()).Msg("service listening for gRPC")
+		p.log.Info().Str("addr", server.Addr()).Msg("gRPC service listening")
 	}
 	if addr := p.settings.Service.Text; addr != "" {
-		server, err := text.Listen(addr, core)
+		server, err := text.Listen(addr, clientService)
 		if err != nil {
 			return err
 		}
 		servers = append(servers, server)
-		p.log.Info().Str("addr", server.Addr()).Msg("service listening for the text protocol")
+		p.log.Info().Str("addr", server.Addr()).Msg("text protocol service listening")
 	}
 	return nil
 }
 
-// listenForReports opens the socket where servers push their reports.
+// listenForReports opens the socket to which servers push load reports, if it is configured.
 func (p *controllerProcess) listenForReports() error {
 	addr := p.settings.Reports.Listen
 	if addr == "" {
@@ -158,7 +160,7 @@
 	p.onClose(func() {
 		ctx, cancel := p.stopContext()
 		defer cancel()
-		_ = server.Close(ctx) // requests that outlast the timeout are cut
+		_ = server.Close(ctx) // requests still running at the timeout are aborted
 	})
 	return nil
 }
