--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -72,22 +72,25 @@
 // Check returns what is invalid in a message, nil for nothing. Operators see the texts in "show log".
 func (m *Message) Check() error {
 	if m.Controller == "" || len(m.Controller) > maxNameSize {
-		return fmt.Errorf("news of nobody: a name of %d bytes", len(m.Controller))
+		return fmt.Errorf("gossip message: controller name of %d bytes, want 1 to %d", len(m.Controller), maxNameSize)
 	}
 	if len(m.Servers) > maxServersPerMessage || len(m.Observations) > maxServersPerMessage {
-		return fmt.Errorf("news of governor %q: %d servers and %d views, %d are the most",
+		return fmt.Errorf("gossip from controller %q: %d servers and %d observations, at most %d of each allowed",
 			m.Controller, len(m.Servers), len(m.Observations), maxServersPerMessage)
 	}
 	for i, server := range m.Servers {
 		if server.Name == "" || len(server.Name) > maxNameSize || server.State > fleet.ServerGone {
-			return fmt.Errorf("news of governor %q: servers[%d]: %.40q, state %d",
-				m.Controller, i, server.Name, server.State)
+			return fmt.Errorf("gossip from controller %q: servers[%d] is invalid: "+
+				"name %.40q of %d bytes (want 1 to %d), state %d (want at most %d)",
+				m.Controller, i, server.Name, len(server.Name), maxNameSize, server.State, fleet.ServerGone)
 		}
 	}
 	for i, observation := range m.Observations {
 		if observation.Name == "" || len(observation.Name) > maxNameSize || observation.Failures > observation.Attempts {
-			return fmt.Errorf("news of governor %q: views[%d]: %.40q, %d of %d failed",
-				m.Controller, i, observation.Name, observation.Failures, observation.Attempts)
+			return fmt.Errorf("gossip from controller %q: observations[%d] is invalid: "+
+				"name %.40q of %d bytes (want 1 to %d), %d failures in %d attempts",
+				m.Controller, i, observation.Name, len(observation.Name), maxNameSize,
+				observation.Failures, observation.Attempts)
 		}
 	}
 	return nil
--- a/internal/gossip/override.go
+++ b/internal/gossip/override.go
@@ -45,7 +45,9 @@
 	ignored := unready > alwaysAllowedOverrides && float64(unready) > maxOverrideFraction*float64(ready)
 	if ignored {
 		if !p.ignored {
-			text := fmt.Sprintf("peers would keep visits from %d of %d servers: that is not followed", unready, ready)
+			text := fmt.Sprintf("ignoring newer endpoint lists of peers: "+
+				"they would stop requests to %d of %d ready servers (limit %.0f%%)",
+				unready, ready, 100*maxOverrideFraction)
 			notices = append(notices, Notice{Text: text})
 		}
 		clear(wanted.servers)
@@ -59,7 +61,7 @@
 		}
 		p.overrides[name] = server
 		changes = append(changes, Change{Name: name, Server: server, FromPeer: true})
-		text := fmt.Sprintf("counts as %s: governor %s goes by a newer list than ours",
+		text := fmt.Sprintf("is treated as %s: controller %s has a newer endpoint list",
 			describeOverride(server, p.servers[name]), wanted.sources[name])
 		notices = append(notices, Notice{name, text})
 	}
@@ -131,7 +133,7 @@
 
 func describeOverride(server, ours LocalServer) string {
 	if server.State == fleet.ServerReady && server.Started != ours.Started {
-		return "started anew"
+		return "restarted"
 	}
 	return server.State.Name()
 }
@@ -153,9 +155,9 @@
 			continue
 		}
 		p.noticeSent[name] = now
-		text := "bad for " + strings.Join(unhealthy, ", ") + ", too: the server's own trouble"
+		text := "is unhealthy here and for " + strings.Join(unhealthy, ", ") + ": the server itself is faulty"
 		if len(healthy) > 0 {
-			text = "bad here, but not for " + strings.Join(healthy, ", ") + ": trouble on the way to it"
+			text = "is unhealthy here but healthy for " + strings.Join(healthy, ", ") + ": fault on the network path"
 		}
 		notices = append(notices, Notice{name, text})
 	}
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -144,8 +144,8 @@
 	if sender == nil {
 		if len(p.peers) >= MaxControllers {
 			p.Invalid++
-			return fmt.Errorf("news of governor %q: %d others are heard, which is the most",
-				message.Controller, len(p.peers))
+			return fmt.Errorf("gossip from controller %q: dropped, already at the limit of %d peers",
+				message.Controller, MaxControllers)
 		}
 		p.peers[message.Controller] = &peer{message: message, receivedAt: now}
 		return nil
--- a/internal/gossip/state_test.go
+++ b/internal/gossip/state_test.go
@@ -94,7 +94,7 @@
 func (n *newerListTest) expect(when, want string) {
 	n.Helper()
 	if got := n.changes(); got != want {
-		n.Errorf("%s: %q, not %q", when, got, want)
+		n.Errorf("%s: changes %q, want %q", when, got, want)
 	}
 }
 
@@ -108,28 +108,28 @@
 func TestNewerListOfPeerCountsAfterDelay(t *testing.T) {
 	n := newNewerListTest(t)
 	n.send()
-	n.expect("at once", "")
+	n.expect("before the delay", "")
 	repeated := Message{Controller: "a", Epoch: 5, Sequence: 1, ListRevision: 99}
 	err := n.second.Merge(n.now, repeated)
 	if err != nil || n.second.Outdated != 1 || n.second.peers["a"].message.ListRevision != 9 {
-		t.Errorf("a repeated message: %v, %d old", err, n.second.Outdated)
+		t.Errorf("repeated message: error %v, %d outdated messages, want 1", err, n.second.Outdated)
 	}
 	for range 3 {
 		n.now += fleet.Second
 		n.send()
 	}
-	n.expect("from a newer list", overridesOfNewerList)
-	n.expect("again", "")
+	n.expect("newer list after the delay", overridesOfNewerList)
+	n.expect("same list again", "")
 	n.second.SetLocalList(n.now, 7, true, n.list) // the same list, as after a reconnect
-	n.expect("after our list", overridesOfNewerList)
+	n.expect("local list replaced", overridesOfNewerList)
 	n.now += messageLifetime
-	n.expect("when the peer is silent", overridesEnded)
+	n.expect("peer messages expired", overridesEnded)
 	n.send()
 	n.now += 3 * fleet.Second
 	n.send()
-	n.expect("when the peer is heard again", overridesOfNewerList)
+	n.expect("peer sends again", overridesOfNewerList)
 	n.second.SetLocalList(n.now, 9, true, n.newer)
-	n.expect("caught up after the silence", "")
+	n.expect("local list caught up", "")
 }
 
 // TestNewerListOfPeerEndsWithOurOwn checks that a peer's list no longer counts once ours has caught up, and that an
@@ -137,18 +137,18 @@
 func TestNewerListOfPeerEndsWithOurOwn(t *testing.T) {
 	n := newNewerListTest(t)
 	n.sendUntilNewerListCounts()
-	n.expect("from a newer list", overridesOfNewerList)
+	n.expect("newer list after the delay", overridesOfNewerList)
 	n.second.SetLocalList(n.now, 9, true, n.newer)
-	n.expect("caught up", "")
+	n.expect("local list caught up", "")
 	if n.second.OverrideCount() != 0 {
-		t.Errorf("%d servers count otherwise than in our list", n.second.OverrideCount())
+		t.Errorf("%d servers are overridden after the list caught up", n.second.OverrideCount())
 	}
 	n.second.SetLocalList(n.now, 12, true, n.list)
 	gone := map[string]LocalServer{"s5": {State: fleet.ServerGone}}
 	n.second.SetLocalList(n.now, 12, true, withChanges(n.list, gone))
 	n.now += 3 * fleet.Second
 	n.send()
-	n.expect("from an older list", "")
+	n.expect("older list of the peer", "")
 }
 
 // TestTooManyOverridesAreIgnored checks that a peer that would keep requests from more than half of the servers is
@@ -166,13 +166,13 @@
 		sendIfDue(t, now, 0, first, second)
 		changes, notices := second.Next(now)
 		if len(changes) > 0 {
-			t.Fatalf("%+v", changes)
+			t.Fatalf("changes despite too many overrides: %+v", changes)
 		}
 		noticeCount += len(notices)
 		now += fleet.Second
 	}
 	if noticeCount != 1 {
-		t.Errorf("%d notices", noticeCount)
+		t.Errorf("%d notices, want 1", noticeCount)
 	}
 }
 
@@ -196,10 +196,10 @@
 		}
 		now += fleet.Second
 	}
-	onPath := strings.Count(texts, "s0 bad here, but not for a")
-	ofServer := strings.Count(texts, "s1 bad for a, too")
+	onPath := strings.Count(texts, "s0 is unhealthy here but healthy for a: fault on the network path")
+	ofServer := strings.Count(texts, "s1 is unhealthy here and for a: the server itself is faulty")
 	if onPath != 1 || ofServer != 1 || strings.Count(texts, ";") != 2 {
-		t.Error(texts)
+		t.Errorf("notices: %s", texts)
 	}
 }
 
@@ -208,17 +208,17 @@
 func TestInvalidMessagesAreRefused(t *testing.T) {
 	_, state, _ := newPeerStates(4)
 	for want, message := range map[string]Message{
-		"nobody":       {},
-		"are the most": {Controller: "a", Servers: make([]ServerStatus, maxServersPerMessage+1)},
-		"servers[1]":   {Controller: "a", Servers: []ServerStatus{{Name: "s0"}, {Name: "s1", State: 7}}},
-		"views[0]":     {Controller: "a", Observations: []Observation{{"s0", 1, 2}}},
+		"controller name of 0 bytes":                    {},
+		"2001 servers and 0 observations, at most 2000": {Controller: "a", Servers: make([]ServerStatus, maxServersPerMessage+1)},
+		"servers[1]":      {Controller: "a", Servers: []ServerStatus{{Name: "s0"}, {Name: "s1", State: 7}}},
+		"observations[0]": {Controller: "a", Observations: []Observation{{"s0", 1, 2}}},
 	} {
 		if err := state.Merge(startTime, message); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %q", err, want)
+			t.Errorf("error %v, want one with %q", err, want)
 		}
 	}
 	if len(state.peers) != 0 || state.Invalid != 4 {
-		t.Errorf("%d peers, %d refused", len(state.peers), state.Invalid)
+		t.Errorf("%d peers, want none; %d invalid messages, want 4", len(state.peers), state.Invalid)
 	}
 }
 
@@ -233,7 +233,7 @@
 		}
 	}
 	if len(state.peers) != MaxControllers || failures != 1000-MaxControllers {
-		t.Errorf("%d peers, %d errors", len(state.peers), failures)
+		t.Errorf("%d peers and %d errors for 1000 senders", len(state.peers), failures)
 	}
 }
 
@@ -321,7 +321,7 @@
 	unready, ready := 0, 0
 	for name, server := range m.ours {
 		if m.counts[name].State < server.State {
-			m.t.Fatalf("%s is made ready by peers", name)
+			m.t.Fatalf("peers made server %s ready", name)
 		}
 		if server.State == fleet.ServerReady {
 			ready++
@@ -331,7 +331,7 @@
 		}
 	}
 	if unready > alwaysAllowedOverrides && 2*unready > ready {
-		m.t.Fatalf("peers keep requests from %d of %d", unready, ready)
+		m.t.Fatalf("peers stop requests to %d of %d ready servers", unready, ready)
 	}
 }
 
@@ -349,7 +349,7 @@
 		m.applyChanges()
 		for name, server := range m.ours {
 			if m.counts[name] != server {
-				t.Fatalf("%s counts as %+v when all are silent, our list has %+v", name, m.counts[name], server)
+				t.Fatalf("%s is treated as %+v after all messages expired, the local list has %+v", name, m.counts[name], server)
 			}
 		}
 	})
--- a/internal/gossip/transcript_test.go
+++ b/internal/gossip/transcript_test.go
@@ -29,7 +29,7 @@
 		}
 		var decoded Message
 		if err := json.Unmarshal([]byte(text), &decoded); err != nil || !reflect.DeepEqual(decoded, message) {
-			t.Errorf("decoded as %+v, %v", decoded, err)
+			t.Errorf("decoded as %+v, %v; want %+v", decoded, err, message)
 		}
 	}
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -151,7 +151,7 @@
 	t.Helper()
 	for i := 0; p.holder() != want; i++ {
 		if i >= seconds {
-			t.Fatalf("%q holds the lease after %d s, not %s", p.holder(), seconds, want)
+			t.Fatalf("%q holds the lease after %d s, want %s", p.holder(), seconds, want)
 		}
 		p.tick()
 	}
@@ -164,7 +164,7 @@
 		p.tick()
 	}
 	if p.holder() != want {
-		t.Errorf("%q holds the lease, not %s", p.holder(), want)
+		t.Errorf("%q holds the lease, want %s", p.holder(), want)
 	}
 }
 
@@ -173,7 +173,7 @@
 	t.Helper()
 	for range seconds {
 		if p.tick(); p.holder() != want {
-			t.Fatalf("%q holds the lease, not %s", p.holder(), want)
+			t.Fatalf("%q holds the lease, want %s", p.holder(), want)
 		}
 	}
 }
@@ -200,11 +200,12 @@
 	p.leases[ranked[1]].Drop() // its session broke
 	p.runUntil(t, ranked[1], 9)
 	if after := p.now - diedAt; after < leaseDuration || after > leaseDuration+2*fleet.Second {
-		t.Errorf("taken over after %.0f s", after.Seconds())
+		t.Errorf("taken over after %.0f s, want %.0f to %.0f s", after.Seconds(),
+			leaseDuration.Seconds(), (leaseDuration + 2*fleet.Second).Seconds())
 	}
 	p.restart(ranked[1])
 	if p.tick(); p.holder() != ranked[1] {
-		t.Errorf("%q holds the lease after the holder's restart", p.holder())
+		t.Errorf("%q holds the lease after the holder restarted, want %s", p.holder(), ranked[1])
 	}
 }
 
@@ -221,10 +222,11 @@
 	backAt, changes := p.now, p.changes
 	p.runUntil(t, ranked[0], 20)
 	if p.changes != changes+1 {
-		t.Errorf("%d handovers", p.changes-changes)
+		t.Errorf("%d handovers, want 1", p.changes-changes)
 	}
 	if p.now-backAt < minHoldDuration-fleet.Second {
-		t.Errorf("handed over after %.0f s", (p.now - backAt).Seconds())
+		t.Errorf("handed over after %.0f s, want at least %.0f s", (p.now - backAt).Seconds(),
+			(minHoldDuration - fleet.Second).Seconds())
 	}
 	p.dead[ranked[0]] = true
 	p.dead[ranked[1]] = true
@@ -237,10 +239,10 @@
 func TestProcessOfSameNameIsAnotherHolder(t *testing.T) {
 	lease := NewLease("a", []string{"a"})
 	if epoch := lease.BeginTakeover(0, nil).Epoch; epoch != 1 {
-		t.Errorf("the first epoch is %d", epoch)
+		t.Errorf("first epoch %d, want 1", epoch)
 	}
 	if act := lease.Renew(0, []Entry{{Controller: "a", Epoch: 2}}, &Moves{}); act != ActionYield {
-		t.Errorf("act %d, not Lost", act)
+		t.Errorf("action %d, want ActionYield", act)
 	}
 }
 
@@ -265,7 +267,7 @@
 			p.order = rapid.Permutation(testControllers).Draw(t, "order")
 			p.tick()
 			if len(p.holder()) > 1 {
-				t.Fatalf("%s hold the lease", p.holder())
+				t.Fatalf("several controllers hold the lease: %s", p.holder())
 			}
 		}
 		for controller := range p.dead {
@@ -299,7 +301,7 @@
 	p.run(t, 8, ranked[1])
 	holder, changedAt := p.leases[ranked[2]].LastHolder()
 	if holder.Controller != ranked[1] || changedAt < p.now-2*fleet.Second-2*3600*fleet.Second {
-		t.Errorf("%+v is seen to hold the lease", holder)
+		t.Errorf("last holder %+v, changed at %d", holder, changedAt)
 	}
 	p.dead[ranked[1]] = true
 	p.dead[ranked[2]] = true
@@ -311,7 +313,7 @@
 		p.tick()
 	}
 	if holder := p.holder(); holder == ranked[0] || holder == "" {
-		t.Errorf("%q holds the lease", holder)
+		t.Errorf("%q holds the lease, want another controller than %s", holder, ranked[0])
 	}
 	p.leases[ranked[0]].Retire(false)
 	p.run(t, 20, ranked[0])
@@ -358,12 +360,12 @@
 		{Controller: "g", Epoch: 7, Manual: true},
 	} {
 		if got := ParseEntry("g", entry.String()); got != entry {
-			t.Errorf("%+v", got)
+			t.Errorf("parsed as %+v, want %+v", got, entry)
 		}
 	}
 	for _, value := range []string{"", "1", "x.y", "-1.2", "zzzzzzzzzzzzzzzzz.1"} {
 		if got := ParseEntry("g", value); got.Epoch != 0 {
-			t.Errorf("%q: %+v", value, got)
+			t.Errorf("%q: parsed as %+v, want no lease", value, got)
 		}
 	}
 }
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -18,7 +18,7 @@
 
 // maxModelClaims bounds the takeovers of a run, so that the search ends: 4 go through six million states in 17 s, 3
 // through some hundred thousand.
-var maxModelClaims = flag.Int("claims", 3, "takeovers of a run of the model")
+var maxModelClaims = flag.Int("claims", 3, "most takeovers in one run of the model")
 
 // modelPhase is how far a controller has got with a takeover.
 type modelPhase uint8
@@ -222,12 +222,12 @@
 	result := search(modelVariant{})
 	t.Logf("%d states", result.states)
 	if result.violated || !result.served || result.states < 10_000 {
-		t.Errorf("%+v", result)
+		t.Errorf("search found %+v", result)
 	}
 	if !search(modelVariant{keepSessions: true}).violated {
-		t.Error("the search does not find that sessions must be ended")
+		t.Error("no violation found without ending other sessions")
 	}
 	if !search(modelVariant{skipReread: true}).violated {
-		t.Error("the search does not find that entries must be read again")
+		t.Error("no violation found without rereading the entries")
 	}
 }
--- a/internal/lease/plan_test.go
+++ b/internal/lease/plan_test.go
@@ -36,16 +36,16 @@
 		}
 		moved++
 		if controller != "g9" {
-			t.Fatalf("%s moved from %s, which is there", proxy, controller)
+			t.Fatalf("%s moved from %s, which did not leave", proxy, controller)
 		}
 	}
 	for controller, count := range counts {
 		if count < proxies/10*8/10 || count > proxies/10*12/10 {
-			t.Errorf("%s has %d of %d", controller, count, proxies)
+			t.Errorf("%s has %d of %d proxies", controller, count, proxies)
 		}
 	}
 	if moved != counts["g9"] {
-		t.Errorf("%d moved, %d were g9's", moved, counts["g9"])
+		t.Errorf("%d proxies moved, %d belonged to the controller that left", moved, counts["g9"])
 	}
 }
 
@@ -80,12 +80,12 @@
 		even := total / float64(count)
 		limit := max(maxOverload*even, even+largest/2) + largest/2 + 1e-9
 		if got := largestRate(proxies, plan); got > limit {
-			t.Fatalf("%.1f requests per second at one controller, %.1f are even, the largest proxy has %.1f",
+			t.Fatalf("one controller has %.1f requests per second; an even part is %.1f, the largest proxy has %.1f",
 				got, even, largest)
 		}
 		slices.Reverse(proxies)
 		if reversed := Plan(proxies, planControllers[:count]); !reflect.DeepEqual(plan, reversed) {
-			t.Fatal("the order of the proxies counts")
+			t.Fatal("the plan depends on the order of the proxies")
 		}
 	})
 }
@@ -107,9 +107,9 @@
 			taken++
 		}
 	}
-	t.Logf("a fifth controller takes %d of 2,000 proxies; %d move in all", taken, moved)
+	t.Logf("fifth controller takes %d of 2,000 proxies, %d move in all", taken, moved)
 	if moved > taken*3/2 || taken < 300 {
-		t.Errorf("%d move, %d had to", moved, taken)
+		t.Errorf("%d proxies move, %d of them to the new controller", moved, taken)
 	}
 }
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -61,11 +61,11 @@
 func Start(options Options) (*Membership, error) {
 	host, portText, err := net.SplitHostPort(options.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("members: %w", err)
+		return nil, fmt.Errorf("membership: listen address: %w", err)
 	}
 	port, err := strconv.ParseUint(portText, 10, 16)
 	if err != nil {
-		return nil, fmt.Errorf("members: port of %q: %w", options.Listen, err)
+		return nil, fmt.Errorf("membership: port of listen address %q: %w", options.Listen, err)
 	}
 	if options.major == 0 {
 		options.major = Major
@@ -73,7 +73,7 @@
 	m := &Membership{options: options}
 	m.list, err = memberlist.Create(m.listConfig(host, int(port)))
 	if err != nil {
-		return nil, fmt.Errorf("members: %w", err)
+		return nil, fmt.Errorf("membership: start on %s: %w", options.Listen, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
@@ -174,7 +174,7 @@
 func (m *Membership) receive(text []byte) {
 	message, err := decodeMessage(text)
 	if err != nil {
-		m.options.OnError(fmt.Errorf("members: %w", err))
+		m.options.OnError(fmt.Errorf("membership: %w", err))
 		return
 	}
 	m.options.OnMessage(message)
@@ -182,10 +182,10 @@
 
 func decodeMessage(text []byte) (message gossip.Message, err error) {
 	if len(text) > gossip.MaxMessageSize {
-		return message, fmt.Errorf("news of %d bytes, %d are the most", len(text), gossip.MaxMessageSize)
+		return message, fmt.Errorf("gossip message of %d bytes, at most %d allowed", len(text), gossip.MaxMessageSize)
 	}
 	if err := json.Unmarshal(text, &message); err != nil {
-		return message, err
+		return message, fmt.Errorf("decode gossip message of %d bytes: %w", len(text), err)
 	}
 	return message, message.Check()
 }
@@ -229,8 +229,9 @@
 	}
 	e.m.options.OnChange(node.Name, true)
 	if !e.m.isCompatible(node) {
-		e.m.options.OnError(fmt.Errorf("members: governor %q speaks another version: %.60q; it is told nothing",
-			node.Name, node.Meta))
+		e.m.options.OnError(fmt.Errorf("membership: controller %q has an incompatible protocol version: "+
+			"%.60q, want major version %d; sending it no messages",
+			node.Name, node.Meta, e.m.options.major))
 	}
 }
 
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -102,7 +102,7 @@
 	defer closeNode(a)
 	defer closeNode(c)
 	defer closeNode(other)
-	waitUntil(t, "they do not find each other", func() bool {
+	waitUntil(t, "the controllers do not find each other", func() bool {
 		return len(a.Names()) == 3 && len(b.Names()) == 3 && len(c.Names()) == 3
 	})
 	large := gossip.Message{Controller: "c", Epoch: 1, Sequence: 2}
@@ -110,21 +110,21 @@
 		name := fmt.Sprint("server-", i)
 		large.Servers = append(large.Servers, gossip.ServerStatus{Name: name, State: fleet.ServerDraining})
 	}
-	waitUntil(t, "messages do not come", func() bool {
+	waitUntil(t, "small messages do not arrive", func() bool {
 		c.Send(gossip.Message{Controller: "c", Epoch: 1, Sequence: 1, Servers: large.Servers[:2]})
 		return a.received("c", 2) && b.received("c", 2)
 	})
 	c.Send(large)
-	waitUntil(t, "large messages do not come", func() bool { return a.received("c", 1500) && b.received("c", 1500) })
+	waitUntil(t, "large messages do not arrive", func() bool { return a.received("c", 1500) && b.received("c", 1500) })
 	if errs := c.receivedErrors(); len(errs) != 0 {
-		t.Errorf("%v", errs)
+		t.Errorf("errors without an invalid message: %v", errs)
 	}
 	if err := b.Close(); err != nil {
 		t.Error(err)
 	}
-	waitUntil(t, "one that left is still there", func() bool { return len(a.Names()) == 2 && len(c.Names()) == 2 })
+	waitUntil(t, "the controller that left is still listed", func() bool { return len(a.Names()) == 2 && len(c.Names()) == 2 })
 	if len(other.Names()) != 1 || other.received("c", 2) {
-		t.Errorf("with another key: %v", other.Names())
+		t.Errorf("a controller with another key sees %v or received a message", other.Names())
 	}
 }
 
@@ -135,8 +135,8 @@
 	node.receive([]byte(`{"g": 5}`))
 	node.receive([]byte(`{"g": "x", "v": [{"n": ""}]}`))
 	errs := node.receivedErrors()
-	if len(errs) != 2 || !strings.Contains(errs[1].Error(), "views[0]") {
-		t.Errorf("%v", errs)
+	if len(errs) != 2 || !strings.Contains(errs[1].Error(), "observations[0]") {
+		t.Errorf("errors %v, want two, the second naming observations[0]", errs)
 	}
 }
 
@@ -147,14 +147,14 @@
 	b := startNodeOfVersion(t, 2, "b", nil, a.address)
 	defer closeNode(a)
 	defer closeNode(b)
-	waitUntil(t, "they do not find each other", func() bool { return len(a.Names()) == 2 && len(b.Names()) == 2 })
-	waitUntil(t, "the version is not reported", func() bool {
+	waitUntil(t, "the controllers do not find each other", func() bool { return len(a.Names()) == 2 && len(b.Names()) == 2 })
+	waitUntil(t, "the incompatible version is not reported", func() bool {
 		errs := a.receivedErrors()
-		return len(errs) == 1 && strings.Contains(errs[0].Error(), `"b" speaks another version`)
+		return len(errs) == 1 && strings.Contains(errs[0].Error(), `controller "b" has an incompatible protocol version`)
 	})
 	a.Send(gossip.Message{Controller: "a", Epoch: 1, Sequence: 1})
 	if a.Sent() != 0 {
-		t.Error("it is sent messages that it does not understand")
+		t.Error("messages were sent to a controller of another major version")
 	}
 }
 
--- a/internal/rollingrestart/ask.go
+++ b/internal/rollingrestart/ask.go
@@ -21,14 +21,14 @@
 )
 
 // errAnswerComplete ends the reading of a connection.
-var errAnswerComplete = errors.New("the answer is complete")
+var errAnswerComplete = errors.New("answer complete")
 
 // Ask sends a controller one command at its operators' socket, a path or host:port, and returns the answer. An
 // answer that refuses the command is an error.
 func Ask(address string, words ...string) (string, error) {
 	connection, err := net.DialTimeout(networkOf(address), address, askTimeout)
 	if err != nil {
-		return "", fmt.Errorf("no governor answers: %w", err)
+		return "", fmt.Errorf("connect to controller: %w", err)
 	}
 	defer func() { _ = connection.Close() }()
 	if err := connection.SetDeadline(time.Now().Add(askTimeout)); err != nil {
@@ -36,11 +36,11 @@
 	}
 	command := append(haproxyapi.AppendCommand(nil, words...), '\n')
 	if _, err := connection.Write(command); err != nil {
-		return "", fmt.Errorf("asking the governor: %w", err)
+		return "", fmt.Errorf("send command to controller: %w", err)
 	}
 	answer, err := readAnswer(connection)
 	if err != nil {
-		return "", fmt.Errorf("the governor's answer: %w", err)
+		return "", fmt.Errorf("read answer from controller: %w", err)
 	}
 	if isRefusal(answer) {
 		return "", errors.New(strings.TrimSpace(answer))
--- a/internal/rollingrestart/members.go
+++ b/internal/rollingrestart/members.go
@@ -25,7 +25,7 @@
 // Attended returns an error unless every proxy has a controller.
 func (m Members) Attended() error {
 	if m.Unserved > 0 {
-		return fmt.Errorf("%d proxies have no governor", m.Unserved)
+		return fmt.Errorf("%d proxies have no controller", m.Unserved)
 	}
 	return nil
 }
@@ -33,7 +33,7 @@
 // HandedOver returns an error unless the controller serves no proxy, or there is no other one that could.
 func (m Members) HandedOver() error {
 	if m.Own > 0 && len(m.Others) > 0 {
-		return fmt.Errorf("it holds %d proxies still", m.Own)
+		return fmt.Errorf("controller still serves %d proxies", m.Own)
 	}
 	return nil
 }
@@ -48,11 +48,12 @@
 			continue
 		}
 		if len(fields) != membersFields {
-			return members, fmt.Errorf("line %d: %.80q", i+1, line)
+			return members, fmt.Errorf("show members: line %d has %d fields, want %d: %.80q",
+				i+1, len(fields), membersFields, line)
 		}
 		proxies, err := strconv.Atoi(fields[1])
 		if err != nil {
-			return members, fmt.Errorf("line %d: %.20q is no number", i+1, fields[1])
+			return members, fmt.Errorf("show members: line %d: proxy count %.20q is not a number", i+1, fields[1])
 		}
 		rows++
 		switch controller := fields[0]; {
@@ -65,7 +66,7 @@
 		}
 	}
 	if rows == 0 {
-		return members, errors.New("no line of a governor")
+		return members, errors.New("show members: answer lists no controller")
 	}
 	return members, nil
 }
--- a/internal/rollingrestart/restart.go
+++ b/internal/rollingrestart/restart.go
@@ -25,7 +25,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s: after %s: %w", address, timeout, err)
+			return fmt.Errorf("%s: timed out after %s: %w", address, timeout, err)
 		}
 		select {
 		case <-ctx.Done():
@@ -53,20 +53,20 @@
 	ctx context.Context, address string, timeout time.Duration, restart func(ctx context.Context, socket string) error,
 ) error {
 	if err := WaitFor(ctx, address, timeout, Members.Attended); err != nil {
-		return fmt.Errorf("before its turn: %w", err)
+		return fmt.Errorf("before the restart: %w", err)
 	}
 	if _, err := Ask(address, "retire", "on"); err != nil {
 		return fmt.Errorf("%s: %w", address, err)
 	}
 	if err := WaitFor(ctx, address, timeout, Members.HandedOver); err != nil {
 		_, undoErr := Ask(address, "retire", "off")
-		return errors.Join(fmt.Errorf("handing on: %w", err), undoErr)
+		return errors.Join(fmt.Errorf("hand over proxies: %w", err), undoErr)
 	}
 	if err := restart(ctx, address); err != nil {
 		return fmt.Errorf("%s: %w", address, err)
 	}
 	if err := WaitFor(ctx, address, timeout, Members.Attended); err != nil {
-		return fmt.Errorf("after its restart: %w", err)
+		return fmt.Errorf("after the restart: %w", err)
 	}
 	return nil
 }
--- a/internal/rollingrestart/restart_test.go
+++ b/internal/rollingrestart/restart_test.go
@@ -98,28 +98,28 @@
 	members, err := ParseMembers("# governor proxies beat\ng-1(this) 5 3\ng-2 4 7\n(nobody) 1 -\n")
 	want := Members{Own: 5, Unserved: 1, Others: map[string]int{"g-2": 4}}
 	if err != nil || !reflect.DeepEqual(members, want) {
-		t.Errorf("%+v, %v", members, err)
+		t.Errorf("members %+v, error %v; want %+v", members, err, want)
 	}
 	if members.Attended() == nil {
-		t.Error("proxies without a controller count as attended")
+		t.Error("no error for a proxy without a controller")
 	}
 	if members.HandedOver() == nil {
-		t.Error("a controller that serves proxies counts as handed over")
+		t.Error("no error for a controller that still serves proxies")
 	}
 	if (Members{Own: 1}).HandedOver() != nil {
-		t.Error("a controller without others does not count as handed over")
+		t.Error("error for a controller without others to hand over to")
 	}
 }
 
 func TestParseMembersNamesBadLine(t *testing.T) {
 	for text, want := range map[string]string{
-		"":              "line 1",
-		"# only a head": "no line of a governor",
-		"g-1 x 3":       `line 1: "x" is no number`,
-		"# a\ng-1 1":    "line 2",
+		"":              "line 1 has 0 fields, want 3",
+		"# only a head": "answer lists no controller",
+		"g-1 x 3":       `line 1: proxy count "x" is not a number`,
+		"# a\ng-1 1":    "line 2 has 2 fields, want 3",
 	} {
 		if _, err := ParseMembers(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: error %v, want one with %q", text, err, want)
 		}
 	}
 }
@@ -127,15 +127,15 @@
 func TestAskReturnsRefusalsAsErrors(t *testing.T) {
 	controller := (&fakeController{}).start(t)
 	if text, err := Ask(controller.address, "show", "members"); err != nil || !strings.Contains(text, "g-2 4 7") {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("answer %q, error %v", text, err)
 	}
 	_, err := Ask(controller.address, "odd words")
 	if err == nil || !strings.HasPrefix(err.Error(), strings.TrimSpace(haproxyapi.UnknownPrefix)) {
-		t.Errorf("%v", err)
+		t.Errorf("unknown command: error %v", err)
 	}
 	_, err = Ask(filepath.Join(t.TempDir(), "none.sock"), "show", "members")
-	if err == nil || !strings.Contains(err.Error(), "no governor answers") {
-		t.Errorf("%v", err)
+	if err == nil || !strings.Contains(err.Error(), "connect to controller: ") {
+		t.Errorf("socket that does not exist: error %v", err)
 	}
 }
 
@@ -151,12 +151,12 @@
 		return nil
 	})
 	if err != nil || !reflect.DeepEqual(restarted, sockets) {
-		t.Errorf("%v, %v", restarted, err)
+		t.Errorf("restarted %v, error %v; want %v", restarted, err, sockets)
 	}
 	commands, _ := first.recorded()
 	want := []string{"show members", "retire on", "show members", "show members"}
 	if !reflect.DeepEqual(commands, want) {
-		t.Errorf("asked %q, want %q", commands, want)
+		t.Errorf("commands %q, want %q", commands, want)
 	}
 }
 
@@ -166,17 +166,17 @@
 	failingRestart := func(context.Context, string) error { return errRestart }
 	stuck := (&fakeController{stuck: true}).start(t)
 	for want, controller := range map[string]*fakeController{
-		"before its turn": (&fakeController{unserved: 2}).start(t),
-		"handing on":      stuck,
-		"no such unit":    (&fakeController{}).start(t),
+		"before the restart: ": (&fakeController{unserved: 2}).start(t),
+		"hand over proxies: ":  stuck,
+		"no such unit":         (&fakeController{}).start(t),
 	} {
 		err := Restart(context.Background(), []string{controller.address}, 50*time.Millisecond, failingRestart)
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %q", err, want)
+			t.Errorf("error %v, want one with %q", err, want)
 		}
 	}
 	if commands, retired := stuck.recorded(); retired || commands[len(commands)-1] != "retire off" {
-		t.Errorf("a controller that could not hand over stays retired: %q", commands)
+		t.Errorf("a controller that could not hand over stays retired; commands %q", commands)
 	}
 }
 
@@ -185,6 +185,6 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := WaitFor(ctx, unattended.address, time.Minute, Members.Attended); !errors.Is(err, context.Canceled) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want context.Canceled", err)
 	}
 }
