--- a/internal/gossip/override.go
+++ b/internal/gossip/override.go
@@ -44,7 +44,7 @@
 	unready, ready := p.countUnready(wanted)
 	ignored := unready > alwaysAllowedOverrides && float64(unready) > maxOverrideFraction*float64(ready)
 	if ignored {
-		if !p.ignored {
+		if !p.overridesIgnored {
 			text := fmt.Sprintf("ignoring newer endpoint lists of peers: "+
 				"they would stop requests to %d of %d ready servers (limit %.0f%%)",
 				unready, ready, 100*maxOverrideFraction)
@@ -52,7 +52,7 @@
 		}
 		clear(wanted.servers)
 	}
-	p.ignored = ignored
+	p.overridesIgnored = ignored
 	changes = p.endOverrides(wanted)
 	for _, name := range slices.Sorted(maps.Keys(wanted.servers)) {
 		server := wanted.servers[name]
@@ -146,7 +146,7 @@
 func (p *PeerState) healthNotices(now fleet.Time) (notices []Notice) {
 	active := p.activePeers(now)
 	for _, name := range slices.Sorted(maps.Keys(p.outcomes)) {
-		last := p.noticeSent[name]
+		last := p.noticedAt[name]
 		if !p.observation(now, name).isUnhealthy() || last > 0 && now < last+noticeInterval {
 			continue
 		}
@@ -154,7 +154,7 @@
 		if len(healthy)+len(unhealthy) == 0 {
 			continue
 		}
-		p.noticeSent[name] = now
+		p.noticedAt[name] = now
 		text := "is unhealthy here and for " + strings.Join(unhealthy, ", ") + ": the server itself is faulty"
 		if len(healthy) > 0 {
 			text = "is unhealthy here but healthy for " + strings.Join(healthy, ", ") + ": fault on the network path"
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -50,7 +50,7 @@
 
 // PeerState merges the messages of peers. It is not safe for concurrent use.
 type PeerState struct {
-	me    string
+	self  string
 	epoch uint64
 
 	// The own list.
@@ -67,23 +67,23 @@
 	Outdated uint64 // messages that were not newer
 
 	// Results.
-	overrides  map[string]LocalServer // in place of the own list
-	ignored    bool                   // overrides are not followed, as they are too many
-	outcomes   map[string][]outcome
-	noticeSent map[string]fleet.Time // by server
+	overrides        map[string]LocalServer // in place of the own list
+	overridesIgnored bool                   // overrides are not followed, as they are too many
+	outcomes         map[string][]outcome
+	noticedAt        map[string]fleet.Time // by server
 }
 
 // NewPeerState returns the state of a controller without peers, in the epoch of its start.
-func NewPeerState(me string, epoch uint64) *PeerState {
+func NewPeerState(self string, epoch uint64) *PeerState {
 	return &PeerState{
-		me:         me,
-		epoch:      epoch,
-		servers:    map[string]LocalServer{},
-		goneAt:     map[string]fleet.Time{},
-		peers:      map[string]*peer{},
-		overrides:  map[string]LocalServer{},
-		outcomes:   map[string][]outcome{},
-		noticeSent: map[string]fleet.Time{},
+		self:      self,
+		epoch:     epoch,
+		servers:   map[string]LocalServer{},
+		goneAt:    map[string]fleet.Time{},
+		peers:     map[string]*peer{},
+		overrides: map[string]LocalServer{},
+		outcomes:  map[string][]outcome{},
+		noticedAt: map[string]fleet.Time{},
 	}
 }
 
@@ -137,7 +137,7 @@
 		p.Invalid++
 		return err
 	}
-	if message.Controller == p.me {
+	if message.Controller == p.self {
 		return nil
 	}
 	sender := p.peers[message.Controller]
@@ -167,7 +167,7 @@
 	p.sentAt = now
 	p.sequence++
 	message = Message{
-		Controller:   p.me,
+		Controller:   p.self,
 		Epoch:        p.epoch,
 		Sequence:     p.sequence,
 		ListRevision: p.revision,
@@ -231,7 +231,7 @@
 }
 
 // PeerView is what operators see of a peer.
-type PeerView struct {
+type PeerStatus struct {
 	Controller   string
 	Age          fleet.Time // of its message
 	ListRevision uint64
@@ -241,10 +241,10 @@
 }
 
 // Peers returns what operators see of all peers, by name.
-func (p *PeerState) Peers(now fleet.Time) (views []PeerView) {
+func (p *PeerState) Peers(now fleet.Time) (statuses []PeerStatus) {
 	for _, name := range slices.Sorted(maps.Keys(p.peers)) {
 		peer := p.peers[name]
-		views = append(views, PeerView{
+		statuses = append(statuses, PeerStatus{
 			Controller:   name,
 			Age:          now - peer.receivedAt,
 			ListRevision: peer.message.ListRevision,
@@ -253,5 +253,5 @@
 			Ahead:        peer.newerSince > 0,
 		})
 	}
-	return views
+	return statuses
 }
--- a/internal/gossip/state_test.go
+++ b/internal/gossip/state_test.go
@@ -239,32 +239,32 @@
 
 // messageSimulation sends messages of two peers with drawn lists late, twice or not at all.
 type messageSimulation struct {
-	t       *rapid.T
-	now     fleet.Time
-	state   *PeerState
-	senders [2]*PeerState
-	all     map[string]LocalServer // every server
-	ours    map[string]LocalServer // our list
-	counts  map[string]LocalServer // as the controller takes the servers
-	sent    []Message
+	t          *rapid.T
+	now        fleet.Time
+	state      *PeerState
+	senders    [2]*PeerState
+	allServers map[string]LocalServer // every server
+	localList  map[string]LocalServer // our list
+	effective  map[string]LocalServer // as the controller takes the servers
+	sent       []Message
 }
 
 func newMessageSimulation(t *rapid.T) *messageSimulation {
 	_, state, list := newPeerStates(8)
 	return &messageSimulation{
-		t:       t,
-		now:     startTime,
-		state:   state,
-		senders: [2]*PeerState{NewPeerState("a", 1), NewPeerState("c", 2)},
-		all:     list,
-		ours:    list,
-		counts:  maps.Clone(list),
+		t:          t,
+		now:        startTime,
+		state:      state,
+		senders:    [2]*PeerState{NewPeerState("a", 1), NewPeerState("c", 2)},
+		allServers: list,
+		localList:  list,
+		effective:  maps.Clone(list),
 	}
 }
 
 func (m *messageSimulation) drawList() map[string]LocalServer {
 	list := map[string]LocalServer{}
-	for name := range m.all {
+	for name := range m.allServers {
 		if rapid.IntRange(0, 7).Draw(m.t, "gone") > 0 {
 			state := fleet.ServerState(rapid.IntRange(0, 5).Draw(m.t, "state") / 5)
 			started := fleet.Time(rapid.IntRange(0, 1).Draw(m.t, "started")) * 999 * fleet.Second
@@ -285,9 +285,9 @@
 	case 0:
 		sender.SetLocalList(m.now, m.drawRevision(), rapid.Bool().Draw(m.t, "live"), m.drawList())
 	case 1:
-		m.ours = m.drawList()
-		m.state.SetLocalList(m.now, m.drawRevision(), true, m.ours)
-		m.counts = maps.Clone(m.ours)
+		m.localList = m.drawList()
+		m.state.SetLocalList(m.now, m.drawRevision(), true, m.localList)
+		m.effective = maps.Clone(m.localList)
 	case 2:
 		if len(m.sent) > 0 {
 			m.merge(m.sent[rapid.IntRange(0, len(m.sent)-1).Draw(m.t, "late")])
@@ -312,20 +312,20 @@
 func (m *messageSimulation) applyChanges() {
 	changes, _ := m.state.Next(m.now)
 	for _, change := range changes {
-		m.counts[change.Name] = change.Server
+		m.effective[change.Name] = change.Server
 	}
 }
 
 // check checks that peers make no server ready, and keep requests from at most half of the servers.
 func (m *messageSimulation) check() {
 	unready, ready := 0, 0
-	for name, server := range m.ours {
-		if m.counts[name].State < server.State {
+	for name, server := range m.localList {
+		if m.effective[name].State < server.State {
 			m.t.Fatalf("peers made server %s ready", name)
 		}
 		if server.State == fleet.ServerReady {
 			ready++
-			if m.counts[name].State != fleet.ServerReady {
+			if m.effective[name].State != fleet.ServerReady {
 				unready++
 			}
 		}
@@ -347,9 +347,9 @@
 		}
 		m.now += messageLifetime + noticeInterval
 		m.applyChanges()
-		for name, server := range m.ours {
-			if m.counts[name] != server {
-				t.Fatalf("%s is treated as %+v after all messages expired, the local list has %+v", name, m.counts[name], server)
+		for name, server := range m.localList {
+			if m.effective[name] != server {
+				t.Fatalf("%s is treated as %+v after all messages expired, the local list has %+v", name, m.effective[name], server)
 			}
 		}
 	})
--- a/internal/lease/entry.go
+++ b/internal/lease/entry.go
@@ -19,7 +19,7 @@
 type Entry struct {
 	Controller string
 	Epoch      uint64 // of its takeover; 0: it has no lease
-	Beat       uint64 // counts its heartbeats
+	Heartbeat  uint64 // counts its heartbeats
 	Want       uint64 // counts its requests for the lease; 0: none
 	Retired    bool   // it holds the lease only because no other controller does
 	Manual     bool   // operators gave it the lease: no other controller requests it
@@ -29,7 +29,7 @@
 // String returns the stored value of an entry: EPOCH.BEAT, the epoch in base 36, with suffixes for a retired
 // controller and for one that operators gave the lease.
 func (e Entry) String() string {
-	text := strconv.FormatUint(e.Epoch, epochBase) + "." + strconv.FormatUint(e.Beat, 10)
+	text := strconv.FormatUint(e.Epoch, epochBase) + "." + strconv.FormatUint(e.Heartbeat, 10)
 	if e.Retired {
 		text += retiredSuffix
 	}
@@ -43,23 +43,23 @@
 func ParseEntry(controller, value string) Entry {
 	value, manual := strings.CutSuffix(value, manualSuffix)
 	value, retired := strings.CutSuffix(value, retiredSuffix)
-	epochText, beatText, found := strings.Cut(value, ".")
+	epochText, heartbeatText, found := strings.Cut(value, ".")
 	epoch, epochErr := strconv.ParseUint(epochText, epochBase, 64)
-	beat, beatErr := strconv.ParseUint(beatText, 10, 64)
-	if !found || epochErr != nil || beatErr != nil {
+	heartbeat, heartbeatErr := strconv.ParseUint(heartbeatText, 10, 64)
+	if !found || epochErr != nil || heartbeatErr != nil {
 		return Entry{Controller: controller}
 	}
-	return Entry{Controller: controller, Epoch: epoch, Beat: beat, Retired: retired, Manual: manual}
+	return Entry{Controller: controller, Epoch: epoch, Heartbeat: heartbeat, Retired: retired, Manual: manual}
 }
 
 // ParseWant parses the stored value that requests a lease. An invalid value requests nothing.
-func ParseWant(value string) (beat uint64, manual bool) {
+func ParseWant(value string) (count uint64, manual bool) {
 	value, manual = strings.CutSuffix(value, manualSuffix)
-	beat, err := strconv.ParseUint(value, 10, 64)
+	count, err := strconv.ParseUint(value, 10, 64)
 	if err != nil {
 		return 0, false
 	}
-	return beat, manual
+	return count, manual
 }
 
 // Holder returns the entry that holds the lease, with epoch 0 for none.
@@ -78,7 +78,7 @@
 }
 
 // Wins reports, from the entries read after all other sessions were ended, whether a takeover succeeded.
-func Wins(controller string, epoch uint64, entries []Entry) bool {
+func HoldsLease(controller string, epoch uint64, entries []Entry) bool {
 	holder := Holder(entries)
 	return holder.Controller == controller && holder.Epoch == epoch
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -41,7 +41,7 @@
 
 // Lease is one controller's part of the protocol at one proxy. It is not safe for concurrent use.
 type Lease struct {
-	me     string
+	self   string
 	ranked []string // controllers that may serve the proxy, the preferred one first
 
 	// Set by operators.
@@ -49,17 +49,17 @@
 	manual  bool // this controller is to have the lease
 
 	// While another controller holds the lease.
-	freeSince fleet.Time           // since when no holder is known; 0: there is one
-	holders   map[uint64]heartbeat // by epoch: the latest heartbeat of the holder
-	wantBeat  uint64
-	requested bool // the lease, since it was held last
+	freeSince        fleet.Time           // since when no holder is known; 0: there is one
+	holderHeartbeats map[uint64]heartbeat // by epoch: the latest heartbeat of the holder
+	requestCount     uint64
+	hasRequested     bool // the lease, since it was held last
 
 	// While this controller holds the lease or takes it over.
-	epoch       uint64 // of the takeover; 0: none
-	heldSince   fleet.Time
-	beat        uint64
-	requests    map[string]uint64 // by controller: its latest request
-	handingOver bool              // hand over without a request
+	epoch        uint64 // of the takeover; 0: none
+	heldSince    fleet.Time
+	heartbeats   uint64
+	lastRequests map[string]uint64 // by controller: its latest request
+	handingOver  bool              // hand over without a request
 
 	lastHolder   Entry
 	lastHolderAt fleet.Time // when the last holder's entry changed
@@ -67,8 +67,8 @@
 
 // NewLease returns the part of a controller at a proxy. All controllers that may serve the proxy are ranked, the
 // preferred one first.
-func NewLease(me string, ranked []string) *Lease {
-	return &Lease{me: me, ranked: ranked, holders: map[uint64]heartbeat{}, requests: map[string]uint64{}}
+func NewLease(self string, ranked []string) *Lease {
+	return &Lease{self: self, ranked: ranked, holderHeartbeats: map[uint64]heartbeat{}, lastRequests: map[string]uint64{}}
 }
 
 // Retire lets a controller hand over what it holds and take only what no other one does, until that is requested;
@@ -89,7 +89,7 @@
 // Epoch returns the epoch of the takeover that is in progress or succeeded, 0 for none.
 func (l *Lease) Epoch() uint64 { return l.epoch }
 
-func (l *Lease) observe(now fleet.Time, entries []Entry) {
+func (l *Lease) recordHolder(now fleet.Time, entries []Entry) {
 	if holder := Holder(entries); holder != l.lastHolder {
 		l.lastHolder = holder
 		l.lastHolderAt = now
@@ -98,7 +98,7 @@
 
 // rank returns the rank of a controller, 0 for the preferred one. A retired controller comes last.
 func (l *Lease) rank(controller string) int {
-	if l.retired && controller == l.me {
+	if l.retired && controller == l.self {
 		return len(l.ranked)
 	}
 	if at := slices.Index(l.ranked, controller); at >= 0 {
@@ -108,17 +108,17 @@
 }
 
 // Check decides from the entries what to do about a proxy that is not held, and when to check again.
-func (l *Lease) Check(now fleet.Time, entries []Entry) (act Action, checkAt fleet.Time) {
-	l.observe(now, entries)
+func (l *Lease) Check(now fleet.Time, entries []Entry) (action Action, checkAt fleet.Time) {
+	l.recordHolder(now, entries)
 	holder := Holder(entries)
-	if holder.Epoch == 0 || holder.Controller == l.me { // free, or held by this controller before a restart
-		return l.lookAtFree(now, holder, entries)
+	if holder.Epoch == 0 || holder.Controller == l.self { // free, or held by this controller before a restart
+		return l.checkFree(now, holder, entries)
 	}
 	l.freeSince = 0
 	if now >= l.expiry(now, holder) {
 		return ActionClaim, now
 	}
-	preferred := l.rank(l.me) < l.rank(holder.Controller) || holder.Retired && !l.retired
+	preferred := l.rank(l.self) < l.rank(holder.Controller) || holder.Retired && !l.retired
 	if l.manual || !holder.Manual && preferred {
 		return ActionRequest, now + CheckInterval
 	}
@@ -126,17 +126,17 @@
 }
 
 // lookAtFree decides about a proxy without a living holder. Controllers with a better rank come first.
-func (l *Lease) lookAtFree(now fleet.Time, holder Entry, entries []Entry) (act Action, checkAt fleet.Time) {
+func (l *Lease) checkFree(now fleet.Time, holder Entry, entries []Entry) (action Action, checkAt fleet.Time) {
 	l.freeSince = cmp.Or(l.freeSince, now)
-	delay := rankDelay * fleet.Time(l.controllersBefore(entries))
+	delay := rankDelay * fleet.Time(l.controllersAhead(entries))
 	if l.manual {
 		delay = 0
 	} else if slices.ContainsFunc(entries, func(entry Entry) bool {
-		return entry.WantManual && entry.Controller != l.me
+		return entry.WantManual && entry.Controller != l.self
 	}) {
 		delay += rankDelay // it is handed over to that one
 	}
-	if holder.Controller == l.me && !l.retired || now >= l.freeSince+delay {
+	if holder.Controller == l.self && !l.retired || now >= l.freeSince+delay {
 		return ActionClaim, now
 	}
 	return ActionWait, min(now+CheckInterval, l.freeSince+delay)
@@ -144,13 +144,13 @@
 
 // expiry returns when the lease of another controller may be taken over.
 func (l *Lease) expiry(now fleet.Time, holder Entry) fleet.Time {
-	last, known := l.holders[holder.Epoch]
-	if !known || last.count != holder.Beat {
-		clear(l.holders)
-		last = heartbeat{holder.Beat, now}
-		l.holders[holder.Epoch] = last
+	last, known := l.holderHeartbeats[holder.Epoch]
+	if !known || last.count != holder.Heartbeat {
+		clear(l.holderHeartbeats)
+		last = heartbeat{holder.Heartbeat, now}
+		l.holderHeartbeats[holder.Epoch] = last
 	}
-	before := l.rank(l.me)
+	before := l.rank(l.self)
 	if l.rank(holder.Controller) < before {
 		before-- // the holder itself will be gone
 	}
@@ -159,21 +159,21 @@
 
 // controllersBefore counts the controllers that may take a free proxy before this one: those with a better rank
 // that have not announced to leave. It returns 0 where this one has requested the lease and no better one does.
-func (l *Lease) controllersBefore(entries []Entry) (count int) {
-	rank := l.rank(l.me)
-	betterRequests := false
+func (l *Lease) controllersAhead(entries []Entry) (count int) {
+	rank := l.rank(l.self)
+	preferredRequests := false
 	leaving := map[string]bool{}
 	for _, entry := range entries {
 		leaving[entry.Controller] = entry.Retired && entry.Epoch == 0
 		if entry.Want > 0 && l.rank(entry.Controller) < rank {
-			betterRequests = true
+			preferredRequests = true
 		}
 	}
-	if l.requested && !betterRequests {
+	if l.hasRequested && !preferredRequests {
 		return 0
 	}
 	for i, controller := range l.ranked {
-		if i < rank && controller != l.me && !leaving[controller] {
+		if i < rank && controller != l.self && !leaving[controller] {
 			count++
 		}
 	}
@@ -182,9 +182,9 @@
 
 // Request returns the value to store as a request for the lease.
 func (l *Lease) Request() string {
-	l.wantBeat++
-	l.requested = true
-	value := strconv.FormatUint(l.wantBeat, 10)
+	l.requestCount++
+	l.hasRequested = true
+	value := strconv.FormatUint(l.requestCount, 10)
 	if l.manual {
 		value += manualSuffix
 	}
@@ -194,48 +194,48 @@
 // BeginTakeover begins a takeover and returns the entry to store.
 func (l *Lease) BeginTakeover(now fleet.Time, entries []Entry) Entry {
 	l.epoch = NextEpoch(now, entries)
-	l.beat = 1
+	l.heartbeats = 1
 	return l.entry()
 }
 
 // ConfirmTakeover decides, from the entries read after all other sessions were ended, whether the lease is held from
 // now on.
 func (l *Lease) ConfirmTakeover(now fleet.Time, entries []Entry) bool {
-	if !Wins(l.me, l.epoch, entries) {
+	if !HoldsLease(l.self, l.epoch, entries) {
 		l.Drop()
 		return false
 	}
 	l.heldSince = now
-	l.requested = false
-	clear(l.requests)
+	l.hasRequested = false
+	clear(l.lastRequests)
 	return true
 }
 
 // Next returns the entry of the next heartbeat.
 func (l *Lease) Next() Entry {
-	l.beat++
+	l.heartbeats++
 	return l.entry()
 }
 
 func (l *Lease) entry() Entry {
-	return Entry{Controller: l.me, Epoch: l.epoch, Beat: l.beat, Retired: l.retired, Manual: l.manual}
+	return Entry{Controller: l.self, Epoch: l.epoch, Heartbeat: l.heartbeats, Retired: l.retired, Manual: l.manual}
 }
 
 // Renew decides, from the entries read with a heartbeat, whether the lease continues. It is handed over only
 // where moves allows it.
 func (l *Lease) Renew(now fleet.Time, entries []Entry, moves *Moves) Action {
-	l.observe(now, entries)
-	if !Wins(l.me, l.epoch, entries) {
+	l.recordHolder(now, entries)
+	if !HoldsLease(l.self, l.epoch, entries) {
 		return ActionYield
 	}
-	if l.handingOver && moves.Take(now) {
+	if l.handingOver && moves.Allow(now) {
 		return ActionRelease
 	}
 	for _, entry := range entries {
 		if !l.isLiveRequest(entry) {
 			continue
 		}
-		if (entry.WantManual || now >= l.heldSince+minHoldDuration) && moves.Take(now) {
+		if (entry.WantManual || now >= l.heldSince+minHoldDuration) && moves.Allow(now) {
 			return ActionRelease
 		}
 	}
@@ -245,19 +245,19 @@
 // isLiveRequest reports whether a controller that should have the lease requests it. A request that does not change
 // may be left from long ago.
 func (l *Lease) isLiveRequest(entry Entry) bool {
-	preferred := !l.manual && l.rank(entry.Controller) < l.rank(l.me)
+	preferred := !l.manual && l.rank(entry.Controller) < l.rank(l.self)
 	if entry.Want == 0 || !entry.WantManual && !preferred {
 		return false
 	}
-	last, known := l.requests[entry.Controller]
-	l.requests[entry.Controller] = entry.Want
+	last, known := l.lastRequests[entry.Controller]
+	l.lastRequests[entry.Controller] = entry.Want
 	return known && last != entry.Want
 }
 
 // ReleaseEntry returns the entry that a controller leaves when it hands a proxy over. One that retires or stops says
 // so, so that no controller waits for it.
 func (l *Lease) ReleaseEntry(stopping bool) Entry {
-	return Entry{Controller: l.me, Retired: l.retired || stopping}
+	return Entry{Controller: l.self, Retired: l.retired || stopping}
 }
 
 // Drop forgets a takeover that is over, or a session that was lost. The heartbeats of another holder stay: a holder
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -15,16 +15,16 @@
 // simulatedProxy has the entries of one proxy and the leases of some controllers, on a time of its own. Sessions
 // and takeovers go as the transport makes them, at once.
 type simulatedProxy struct {
-	entries     map[string]Entry
-	leases      map[string]*Lease
-	holds       map[string]bool
-	dead        map[string]bool
-	clockOffset map[string]fleet.Time // of a controller's own clock
-	now         fleet.Time
-	moves       Moves
-	order       []string // in which controllers check
-	changes     int      // of the holder
-	lastHolder  string
+	entries       map[string]Entry
+	leases        map[string]*Lease
+	holds         map[string]bool
+	dead          map[string]bool
+	clockOffset   map[string]fleet.Time // of a controller's own clock
+	now           fleet.Time
+	moves         Moves
+	checkOrder    []string // in which controllers check
+	holderChanges int      // of the holder
+	lastHolder    string
 }
 
 func newSimulatedProxy() *simulatedProxy {
@@ -36,7 +36,7 @@
 		dead:        map[string]bool{},
 		clockOffset: map[string]fleet.Time{},
 		now:         1000 * fleet.Second,
-		order:       []string{ranked[1], ranked[2], ranked[0]}, // the preferred one must not need luck
+		checkOrder:  []string{ranked[1], ranked[2], ranked[0]}, // the preferred one must not need luck
 	}
 	for _, controller := range testControllers {
 		p.leases[controller] = NewLease(controller, ranked)
@@ -56,18 +56,18 @@
 // tick lets a second pass for all living controllers.
 func (p *simulatedProxy) tick() {
 	p.now += fleet.Second
-	for _, controller := range p.order {
+	for _, controller := range p.checkOrder {
 		if p.dead[controller] {
 			continue
 		}
 		if p.holds[controller] {
-			p.beat(controller)
+			p.renew(controller)
 		} else {
 			p.check(controller)
 		}
 	}
 	if holder := p.holder(); holder != "" && holder != p.lastHolder {
-		p.changes++
+		p.holderChanges++
 		p.lastHolder = holder
 	}
 }
@@ -84,7 +84,7 @@
 }
 
 // beat lets the holder of the lease go on.
-func (p *simulatedProxy) beat(controller string) {
+func (p *simulatedProxy) renew(controller string) {
 	lease := p.leases[controller]
 	p.store(controller, lease.Next())
 	switch lease.Renew(p.clock(controller), p.read(), &p.moves) {
@@ -102,7 +102,7 @@
 func (p *simulatedProxy) check(controller string) {
 	lease := p.leases[controller]
 	now := p.clock(controller)
-	switch act, _ := lease.Check(now, p.read()); act {
+	switch action, _ := lease.Check(now, p.read()); action {
 	case ActionClaim:
 		entry := lease.BeginTakeover(now, p.read())
 		entry.Want = p.entries[controller].Want
@@ -169,7 +169,7 @@
 }
 
 // runSteadily lets time pass in which the holder must not change.
-func (p *simulatedProxy) runSteadily(t *testing.T, seconds int, want string) {
+func (p *simulatedProxy) runStable(t *testing.T, seconds int, want string) {
 	t.Helper()
 	for range seconds {
 		if p.tick(); p.holder() != want {
@@ -186,7 +186,7 @@
 	p.clockOffset[ranked[1]] = 3600 * fleet.Second
 	p.clockOffset[ranked[2]] = -3600 * fleet.Second
 	p.runUntil(t, ranked[0], 3)
-	p.runSteadily(t, 30, ranked[0])
+	p.runStable(t, 30, ranked[0])
 	return p, ranked
 }
 
@@ -219,10 +219,10 @@
 	p.tick()
 	p.restart(ranked[0])
 	delete(p.entries, ranked[0]) // as after an orderly stop
-	backAt, changes := p.now, p.changes
+	backAt, changes := p.now, p.holderChanges
 	p.runUntil(t, ranked[0], 20)
-	if p.changes != changes+1 {
-		t.Errorf("%d handovers, want 1", p.changes-changes)
+	if p.holderChanges != changes+1 {
+		t.Errorf("%d handovers, want 1", p.holderChanges-changes)
 	}
 	if p.now-backAt < minHoldDuration-fleet.Second {
 		t.Errorf("handed over after %.0f s, want at least %.0f s", (p.now - backAt).Seconds(),
@@ -232,7 +232,7 @@
 	p.dead[ranked[1]] = true
 	p.runUntil(t, ranked[2], 12)
 	p.entries[ranked[0]] = Entry{Controller: ranked[0], Want: 77}
-	p.runSteadily(t, 30, ranked[2])
+	p.runStable(t, 30, ranked[2])
 }
 
 // TestProcessOfSameNameIsAnotherHolder checks that a later takeover under the same name ends the lease.
@@ -241,8 +241,8 @@
 	if epoch := lease.BeginTakeover(0, nil).Epoch; epoch != 1 {
 		t.Errorf("first epoch %d, want 1", epoch)
 	}
-	if act := lease.Renew(0, []Entry{{Controller: "a", Epoch: 2}}, &Moves{}); act != ActionYield {
-		t.Errorf("action %d, want ActionYield", act)
+	if action := lease.Renew(0, []Entry{{Controller: "a", Epoch: 2}}, &Moves{}); action != ActionYield {
+		t.Errorf("action %d, want ActionYield", action)
 	}
 }
 
@@ -264,7 +264,7 @@
 				p.entries = map[string]Entry{} // the proxy restarted
 				p.endAllSessions()
 			}
-			p.order = rapid.Permutation(testControllers).Draw(t, "order")
+			p.checkOrder = rapid.Permutation(testControllers).Draw(t, "order")
 			p.tick()
 			if len(p.holder()) > 1 {
 				t.Fatalf("several controllers hold the lease: %s", p.holder())
@@ -343,19 +343,19 @@
 	now := 10 * fleet.Second
 	for range 10 {
 		for range 1000 {
-			moves.Take(now)
+			moves.Allow(now)
 		}
 		now += fleet.Second
 	}
-	if moves.Made > maxMovesBurst+9*movesPerSecond+1 || moves.Made < 9*movesPerSecond {
-		t.Errorf("%d moves in ten seconds", moves.Made)
+	if moves.Allowed > maxMovesBurst+9*movesPerSecond+1 || moves.Allowed < 9*movesPerSecond {
+		t.Errorf("%d moves in ten seconds", moves.Allowed)
 	}
 }
 
 // TestParseEntryReadsWhatStringPrints checks also that an invalid value holds no lease.
 func TestParseEntryReadsWhatStringPrints(t *testing.T) {
 	for _, entry := range []Entry{
-		{Controller: "g", Epoch: 1 << 60, Beat: 9},
+		{Controller: "g", Epoch: 1 << 60, Heartbeat: 9},
 		{Controller: "g", Epoch: 7, Retired: true},
 		{Controller: "g", Epoch: 7, Manual: true},
 	} {
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -24,7 +24,7 @@
 type modelPhase uint8
 
 const (
-	phaseAway    modelPhase = iota
+	phaseIdle    modelPhase = iota
 	phaseRead               // the first session is open and the entries were read
 	phaseStored             // the own entry is stored
 	phaseListed             // the sessions of the proxy at that time are known
@@ -83,15 +83,15 @@
 func (s modelState) next(variant modelVariant) (states []modelState) {
 	for i := range s.controllers {
 		states = append(states, s.nextOf(i, variant)...)
-		if s.controllers[i].phase != phaseAway {
-			states = append(states, s.afterGivingUp(i))
+		if s.controllers[i].phase != phaseIdle {
+			states = append(states, s.abort(i))
 		}
 	}
 	return states
 }
 
 // afterGivingUp returns the state after a controller gave up or lost its connections.
-func (s modelState) afterGivingUp(i int) modelState {
+func (s modelState) abort(i int) modelState {
 	controller := &s.controllers[i]
 	s.openSessions &^= 1<<controller.firstSession | 1<<controller.secondSession
 	*controller = modelController{}
@@ -101,7 +101,7 @@
 // nextOf returns the states after the next step of a controller.
 func (s modelState) nextOf(i int, variant modelVariant) []modelState {
 	switch controller := s.controllers[i]; controller.phase {
-	case phaseAway:
+	case phaseIdle:
 		if int(s.claims) < *maxModelClaims && s.lastSession+2 <= maxModelSessions {
 			return []modelState{s.read(i)}
 		}
@@ -123,7 +123,7 @@
 		}
 	case phaseServing:
 		if s.isOpen(controller.secondSession) {
-			return []modelState{s.order(i)}
+			return []modelState{s.sendOrDeliver(i)}
 		}
 	}
 	return nil
@@ -158,7 +158,7 @@
 
 func (s modelState) reread(i int, variant modelVariant) modelState {
 	controller := &s.controllers[i]
-	if !variant.skipReread && !Wins(controllerName(i), uint64(controller.epoch), s.entries()) {
+	if !variant.skipReread && !HoldsLease(controllerName(i), uint64(controller.epoch), s.entries()) {
 		s.openSessions &^= 1 << controller.secondSession
 		*controller = modelController{}
 		return s
@@ -169,7 +169,7 @@
 }
 
 // order sends an order, or lets the one in flight arrive, however late.
-func (s modelState) order(i int) modelState {
+func (s modelState) sendOrDeliver(i int) modelState {
 	controller := &s.controllers[i]
 	if !controller.orderInFlight {
 		controller.orderInFlight = true
--- a/internal/lease/moves.go
+++ b/internal/lease/moves.go
@@ -13,11 +13,11 @@
 type Moves struct {
 	tokens    float64
 	updatedAt fleet.Time
-	Made      uint64 // moves that were allowed
+	Allowed   uint64 // moves that were allowed
 }
 
 // Take allows one move if the rate permits it.
-func (m *Moves) Take(now fleet.Time) bool {
+func (m *Moves) Allow(now fleet.Time) bool {
 	if m.updatedAt == 0 {
 		m.tokens = maxMovesBurst
 	}
@@ -27,6 +27,6 @@
 		return false
 	}
 	m.tokens--
-	m.Made++
+	m.Allowed++
 	return true
 }
--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -72,8 +72,8 @@
 		total += proxy.rate()
 		largest = max(largest, proxy.RequestRate)
 	}
-	even := total / float64(max(1, controllers))
-	return max(maxOverload*even, even+largest/2)
+	evenRate := total / float64(max(1, controllers))
+	return max(maxOverload*evenRate, evenRate+largest/2)
 }
 
 // inPlanOrder returns proxies in an order that is the same for all controllers, and that stays the same for the
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -22,8 +22,8 @@
 
 // The version of the messages between controllers. Controllers of another major version are not listened to.
 const (
-	Major = 1
-	Minor = 0
+	MajorVersion = 1
+	MinorVersion = 0
 )
 
 // Options configure the membership of a controller.
@@ -35,8 +35,8 @@
 	OnMessage func(gossip.Message) // called for each valid message
 	OnError   func(error)          // called for what cannot be understood
 	// OnChange is called when a controller is there or has left.
-	OnChange func(name string, here bool)
-	major    int // of the protocol, for tests; 0: that of this program
+	OnChange     func(name string, joined bool)
+	majorVersion int // of the protocol, for tests; 0: that of this program
 }
 
 // protocolVersion is what a controller announces to others.
@@ -47,10 +47,10 @@
 
 // Membership is the membership of one controller. Its methods may be called from any goroutine.
 type Membership struct {
-	options Options
-	list    *memberlist.Memberlist
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
+	options  Options
+	list     *memberlist.Memberlist
+	cancel   context.CancelFunc
+	joinLoop sync.WaitGroup
 
 	mu        sync.Mutex
 	latest    []byte // our latest message, for those that join
@@ -67,8 +67,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("membership: port of listen address %q: %w", options.Listen, err)
 	}
-	if options.major == 0 {
-		options.major = Major
+	if options.majorVersion == 0 {
+		options.majorVersion = MajorVersion
 	}
 	m := &Membership{options: options}
 	m.list, err = memberlist.Create(m.listConfig(host, int(port)))
@@ -77,7 +77,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
-	m.done.Add(1)
+	m.joinLoop.Add(1)
 	go m.join(ctx)
 	return m, nil
 }
@@ -99,7 +99,7 @@
 
 // join contacts the configured controllers until one is there, and again whenever none is.
 func (m *Membership) join(ctx context.Context) {
-	defer m.done.Done()
+	defer m.joinLoop.Done()
 	for {
 		if len(m.options.Join) > 0 && m.list.NumMembers() < 2 {
 			_, _ = m.list.Join(m.options.Join) // the next attempt follows
@@ -145,11 +145,11 @@
 func (m *Membership) isCompatible(node *memberlist.Node) bool {
 	var version protocolVersion
 	err := json.Unmarshal(node.Meta, &version)
-	return err == nil && version.Major == m.options.major
+	return err == nil && version.Major == m.options.majorVersion
 }
 
 // Sent returns how many bytes of messages were sent.
-func (m *Membership) Sent() uint64 {
+func (m *Membership) SentBytes() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.sentBytes
@@ -166,7 +166,7 @@
 // Close leaves gracefully, so that no controller suspects a crash.
 func (m *Membership) Close() error {
 	m.cancel()
-	m.done.Wait()
+	m.joinLoop.Wait()
 	return errors.Join(m.list.Leave(time.Duration(gossip.LeaveTimeout)), m.list.Shutdown())
 }
 
@@ -195,7 +195,7 @@
 
 // NodeMeta returns what is announced with our name.
 func (d *delegate) NodeMeta(int) []byte {
-	text, _ := json.Marshal(protocolVersion{d.m.options.major, Minor}) // two numbers always encode
+	text, _ := json.Marshal(protocolVersion{d.m.options.majorVersion, MinorVersion}) // two numbers always encode
 	return text
 }
 
@@ -231,7 +231,7 @@
 	if !e.m.isCompatible(node) {
 		e.m.options.OnError(fmt.Errorf("membership: controller %q has an incompatible protocol version: "+
 			"%.60q, want major version %d; sending it no messages",
-			node.Name, node.Meta, e.m.options.major))
+			node.Name, node.Meta, e.m.options.majorVersion))
 	}
 }
 
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -16,7 +16,7 @@
 const waitTimeout = 30 * time.Second
 
 // testNode is a controller's membership and what it received.
-type testNode struct {
+type testMember struct {
 	*Membership
 	address string
 
@@ -25,47 +25,47 @@
 	errors   []error
 }
 
-func startNode(t testing.TB, name string, key []byte, join ...string) *testNode {
+func startMember(t testing.TB, name string, key []byte, join ...string) *testMember {
 	t.Helper()
-	return startNodeOfVersion(t, 0, name, key, join...)
+	return startMemberOfVersion(t, 0, name, key, join...)
 }
 
-func startNodeOfVersion(t testing.TB, major int, name string, key []byte, join ...string) *testNode {
+func startMemberOfVersion(t testing.TB, major int, name string, key []byte, join ...string) *testMember {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	node := &testNode{address: listener.Addr().String()}
+	member := &testMember{address: listener.Addr().String()}
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	node.Membership, err = Start(Options{
-		Name:     name,
-		Listen:   node.address,
-		Join:     join,
-		Key:      key,
-		major:    major,
-		OnChange: func(string, bool) {},
+	member.Membership, err = Start(Options{
+		Name:         name,
+		Listen:       member.address,
+		Join:         join,
+		Key:          key,
+		majorVersion: major,
+		OnChange:     func(string, bool) {},
 		OnMessage: func(message gossip.Message) {
-			node.mu.Lock()
-			defer node.mu.Unlock()
-			node.messages = append(node.messages, message)
+			member.mu.Lock()
+			defer member.mu.Unlock()
+			member.messages = append(member.messages, message)
 		},
 		OnError: func(err error) {
-			node.mu.Lock()
-			defer node.mu.Unlock()
-			node.errors = append(node.errors, err)
+			member.mu.Lock()
+			defer member.mu.Unlock()
+			member.errors = append(member.errors, err)
 		},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return node
+	return member
 }
 
 // closeNode ends a node after a test. Others may have ended before, so that its leave may time out.
-func closeNode(node *testNode) { _ = node.Close() }
+func closeMember(member *testMember) { _ = member.Close() }
 
 func waitUntil(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
@@ -77,31 +77,31 @@
 }
 
 // received reports whether a message of a controller with so many servers came.
-func (n *testNode) received(controller string, servers int) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return slices.ContainsFunc(n.messages, func(message gossip.Message) bool {
+func (m *testMember) received(controller string, servers int) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return slices.ContainsFunc(m.messages, func(message gossip.Message) bool {
 		return message.Controller == controller && len(message.Servers) == servers
 	})
 }
 
-func (n *testNode) receivedErrors() []error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return slices.Clone(n.errors)
+func (m *testMember) receivedErrors() []error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return slices.Clone(m.errors)
 }
 
 // TestControllersFindEachOther checks that three controllers that know one address each find all, receive small and
 // large messages, and notice one that leaves; and that one with another key neither sends nor receives.
 func TestControllersFindEachOther(t *testing.T) {
 	key := []byte("sixteen bytes of")
-	a := startNode(t, "a", key)
-	b := startNode(t, "b", key, a.address)
-	c := startNode(t, "c", key, b.address)
-	other := startNode(t, "other", []byte("another sixteen."), a.address)
-	defer closeNode(a)
-	defer closeNode(c)
-	defer closeNode(other)
+	a := startMember(t, "a", key)
+	b := startMember(t, "b", key, a.address)
+	c := startMember(t, "c", key, b.address)
+	other := startMember(t, "other", []byte("another sixteen."), a.address)
+	defer closeMember(a)
+	defer closeMember(c)
+	defer closeMember(other)
 	waitUntil(t, "the controllers do not find each other", func() bool {
 		return len(a.Names()) == 3 && len(b.Names()) == 3 && len(c.Names()) == 3
 	})
@@ -130,11 +130,11 @@
 
 // TestInvalidMessagesAreReported checks that what cannot be understood is an error that names the place.
 func TestInvalidMessagesAreReported(t *testing.T) {
-	node := startNode(t, "a", nil)
-	defer closeNode(node)
-	node.receive([]byte(`{"g": 5}`))
-	node.receive([]byte(`{"g": "x", "v": [{"n": ""}]}`))
-	errs := node.receivedErrors()
+	member := startMember(t, "a", nil)
+	defer closeMember(member)
+	member.receive([]byte(`{"g": 5}`))
+	member.receive([]byte(`{"g": "x", "v": [{"n": ""}]}`))
+	errs := member.receivedErrors()
 	if len(errs) != 2 || !strings.Contains(errs[1].Error(), "observations[0]") {
 		t.Errorf("errors %v, want two, the second naming observations[0]", errs)
 	}
@@ -143,17 +143,17 @@
 // TestOtherMajorVersionGetsNoMessages checks that a controller of another version is seen and reported, but sent
 // nothing.
 func TestOtherMajorVersionGetsNoMessages(t *testing.T) {
-	a := startNode(t, "a", nil)
-	b := startNodeOfVersion(t, 2, "b", nil, a.address)
-	defer closeNode(a)
-	defer closeNode(b)
+	a := startMember(t, "a", nil)
+	b := startMemberOfVersion(t, 2, "b", nil, a.address)
+	defer closeMember(a)
+	defer closeMember(b)
 	waitUntil(t, "the controllers do not find each other", func() bool { return len(a.Names()) == 2 && len(b.Names()) == 2 })
 	waitUntil(t, "the incompatible version is not reported", func() bool {
 		errs := a.receivedErrors()
 		return len(errs) == 1 && strings.Contains(errs[0].Error(), `controller "b" has an incompatible protocol version`)
 	})
 	a.Send(gossip.Message{Controller: "a", Epoch: 1, Sequence: 1})
-	if a.Sent() != 0 {
+	if a.SentBytes() != 0 {
 		t.Error("messages were sent to a controller of another major version")
 	}
 }
@@ -177,27 +177,27 @@
 		b.Run(fmt.Sprint("governors=", count), func(b *testing.B) {
 			for b.Loop() {
 				startedAt := time.Now()
-				nodes := []*testNode{startNode(b, "g0", nil)}
+				members := []*testMember{startMember(b, "g0", nil)}
 				for i := 1; i < count; i++ {
-					nodes = append(nodes, startNode(b, fmt.Sprint("g", i), nil, nodes[0].address))
+					members = append(members, startMember(b, fmt.Sprint("g", i), nil, members[0].address))
 				}
-				for _, node := range nodes {
-					for len(node.Names()) < count {
+				for _, member := range members {
+					for len(member.Names()) < count {
 						time.Sleep(5 * time.Millisecond)
 					}
 				}
 				duration := time.Since(startedAt)
 				sentBytes := uint64(0)
-				for i, node := range nodes {
-					node.Send(benchmarkMessage(fmt.Sprint("g", i)))
-					sentBytes += node.Sent()
+				for i, member := range members {
+					member.Send(benchmarkMessage(fmt.Sprint("g", i)))
+					sentBytes += member.SentBytes()
 				}
 				b.ReportMetric(duration.Seconds(), "s_until_all_know_all")
 				b.ReportMetric(float64(sentBytes)/1000, "kB/s")
-				for _, node := range nodes { // without the announcement of a graceful leave
-					node.cancel()
-					node.done.Wait()
-					if err := node.list.Shutdown(); err != nil {
+				for _, member := range members { // without the announcement of a graceful leave
+					member.cancel()
+					member.joinLoop.Wait()
+					if err := member.list.Shutdown(); err != nil {
 						b.Error(err)
 					}
 				}
--- a/internal/rollingrestart/ask.go
+++ b/internal/rollingrestart/ask.go
@@ -57,11 +57,11 @@
 
 // readAnswer reads the answer to one command.
 func readAnswer(connection net.Conn) (answer string, err error) {
-	var answers haproxyapi.AnswerParser
+	var parser haproxyapi.AnswerParser
 	buffer := make([]byte, readBufferSize)
 	for {
 		n, readErr := connection.Read(buffer)
-		feedErr := answers.Feed(buffer[:n], func(text []byte) error {
+		feedErr := parser.Feed(buffer[:n], func(text []byte) error {
 			answer = string(text)
 			return errAnswerComplete
 		})
--- a/internal/rollingrestart/members.go
+++ b/internal/rollingrestart/members.go
@@ -23,7 +23,7 @@
 }
 
 // Attended returns an error unless every proxy has a controller.
-func (m Members) Attended() error {
+func (m Members) AllServed() error {
 	if m.Unserved > 0 {
 		return fmt.Errorf("%d proxies have no controller", m.Unserved)
 	}
@@ -72,7 +72,7 @@
 }
 
 // askMembers asks a controller for its members.
-func askMembers(address string) (Members, error) {
+func fetchMembers(address string) (Members, error) {
 	text, err := Ask(address, "show", "members")
 	if err != nil {
 		return Members{}, err
--- a/internal/rollingrestart/restart.go
+++ b/internal/rollingrestart/restart.go
@@ -17,7 +17,7 @@
 // WaitFor polls a controller until what it sees of its members meets a condition, for a limited time.
 func WaitFor(ctx context.Context, address string, timeout time.Duration, condition func(Members) error) error {
 	for deadline := time.Now().Add(timeout); ; {
-		members, err := askMembers(address)
+		members, err := fetchMembers(address)
 		if err == nil {
 			err = condition(members)
 		}
@@ -52,7 +52,7 @@
 func restartOne(
 	ctx context.Context, address string, timeout time.Duration, restart func(ctx context.Context, socket string) error,
 ) error {
-	if err := WaitFor(ctx, address, timeout, Members.Attended); err != nil {
+	if err := WaitFor(ctx, address, timeout, Members.AllServed); err != nil {
 		return fmt.Errorf("before the restart: %w", err)
 	}
 	if _, err := Ask(address, "retire", "on"); err != nil {
@@ -65,7 +65,7 @@
 	if err := restart(ctx, address); err != nil {
 		return fmt.Errorf("%s: %w", address, err)
 	}
-	if err := WaitFor(ctx, address, timeout, Members.Attended); err != nil {
+	if err := WaitFor(ctx, address, timeout, Members.AllServed); err != nil {
 		return fmt.Errorf("after the restart: %w", err)
 	}
 	return nil
--- a/internal/rollingrestart/restart_test.go
+++ b/internal/rollingrestart/restart_test.go
@@ -100,7 +100,7 @@
 	if err != nil || !reflect.DeepEqual(members, want) {
 		t.Errorf("members %+v, error %v; want %+v", members, err, want)
 	}
-	if members.Attended() == nil {
+	if members.AllServed() == nil {
 		t.Error("no error for a proxy without a controller")
 	}
 	if members.HandedOver() == nil {
@@ -181,10 +181,10 @@
 }
 
 func TestUntilEndsWithContext(t *testing.T) {
-	unattended := (&fakeController{unserved: 2}).start(t)
+	controller := (&fakeController{unserved: 2}).start(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := WaitFor(ctx, unattended.address, time.Minute, Members.Attended); !errors.Is(err, context.Canceled) {
+	if err := WaitFor(ctx, controller.address, time.Minute, Members.AllServed); !errors.Is(err, context.Canceled) {
 		t.Errorf("error %v, want context.Canceled", err)
 	}
 }
