--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -6,37 +6,38 @@
 	"cressknot/internal/fleet"
 )
 
-// Bounds of a message.
+// Limits of a message.
 const (
-	maxServersPerMessage = 2000 // what is beyond is not sent
+	maxServersPerMessage = 2000 // of each kind; further ones are not sent
 	maxNameSize          = 256  // bytes
 )
 
-// Parameters of the transport of messages, which package membership uses.
+// Parameters of package membership, which transports messages.
 const (
-	// MaxMessageSize bounds a message, in bytes.
+	// MaxMessageSize is the largest encoded message, in bytes.
 	MaxMessageSize = 1 << 20
-	// MaxDatagramSize bounds messages that are sent as one datagram, in bytes. Larger ones go over streams.
+	// MaxDatagramSize is the largest encoded message that is sent as a datagram, in bytes. Larger ones are sent over
+	// streams.
 	MaxDatagramSize = 1200
-	// MaxConcurrentSends bounds the streams for one message.
+	// MaxConcurrentSends bounds the streams over which one message is sent at a time.
 	MaxConcurrentSends = 16
-	// JoinInterval is the delay between attempts to join while no other controller is there.
+	// JoinInterval is the time between attempts to join while no other controller is a member.
 	JoinInterval = 2 * fleet.Second
-	// LeaveTimeout bounds the announcement of a graceful leave.
+	// LeaveTimeout bounds the time for announcing a graceful leave.
 	LeaveTimeout = 2 * fleet.Second
-	// DeadNodeReclaimTime is when the name of a dead controller may be taken by a new process at another address.
+	// DeadNodeReclaimTime is how long after the death of a controller a process at another address may use its name.
 	DeadNodeReclaimTime = 30 * fleet.Second
 )
 
-// ServerStatus is what a controller's endpoint list says of a server. Only those are sent that are draining, gone
-// or warming up.
+// ServerStatus is the state of a server in the sender's endpoint list. Only servers that are draining, gone or warming
+// up are sent.
 type ServerStatus struct {
 	Name    string            `json:"n"`
 	State   fleet.ServerState `json:"s,omitempty"`
-	Started fleet.Time        `json:"t,omitempty"` // on the wall clock, as in the list
+	Started fleet.Time        `json:"t,omitempty"` // start time on the wall clock, as in the list; 0: unknown
 }
 
-// Observation sums up the recent attempts of a controller's proxies at a server.
+// Observation counts the recent attempts of a controller's proxies at a server.
 type Observation struct {
 	Name     string `json:"n"`
 	Attempts uint32 `json:"t"`
@@ -44,9 +45,10 @@
 }
 
 const (
-	// minObservedAttempts is the fewest attempts that say something about a server.
+	// minObservedAttempts is the fewest attempts from which the health of a server is judged.
 	minObservedAttempts = 8
-	// unhealthyFraction of failed attempts is exceeded by an unhealthy server. A healthy one has at most half of it.
+	// unhealthyFraction is the fraction of failed attempts above which a server is unhealthy. It is healthy up to half
+	// of this fraction, and in between it is neither.
 	unhealthyFraction = 0.5
 )
 
@@ -58,18 +60,18 @@
 	return o.Attempts >= minObservedAttempts && float64(o.Failures) <= unhealthyFraction/2*float64(o.Attempts)
 }
 
-// Message is all that a controller sends to its peers at one time. The newest one replaces all earlier ones.
+// Message is the complete gossip state of a controller. The newest message replaces all earlier ones of its sender.
 type Message struct {
 	Controller   string         `json:"g"`
-	Epoch        uint64         `json:"e"` // of its start
+	Epoch        uint64         `json:"e"` // of the start of the sender; a restart makes it higher
 	Sequence     uint64         `json:"q"`
 	ListRevision uint64         `json:"r"`
-	Live         bool           `json:"l"` // its list came from the source since its start
+	Live         bool           `json:"l"` // the source has delivered the list since the sender started
 	Servers      []ServerStatus `json:"s,omitempty"`
-	Observations []Observation  `json:"v,omitempty"` // of servers that are unhealthy for it or for a peer
+	Observations []Observation  `json:"v,omitempty"` // of servers that are unhealthy for the sender or a peer
 }
 
-// Check returns what is invalid in a message, nil for nothing. Operators see the texts in "show log".
+// Check returns an error for the first invalid field of a message. Its text appears in "show log".
 func (m *Message) Check() error {
 	if m.Controller == "" || len(m.Controller) > maxNameSize {
 		return fmt.Errorf("gossip message: controller name of %d bytes, want 1 to %d", len(m.Controller), maxNameSize)
@@ -96,7 +98,7 @@
 	return nil
 }
 
-// isNewer reports whether a message replaces another one of the same controller.
+// isNewer reports whether a message replaces another one of the same sender.
 func (m *Message) isNewer(than *Message) bool {
 	if m.Epoch != than.Epoch {
 		return m.Epoch > than.Epoch
--- a/internal/gossip/override.go
+++ b/internal/gossip/override.go
@@ -11,34 +11,37 @@
 )
 
 const (
-	// newerListDelay is how long a peer's list has to be newer before it counts. Our own mostly catches up by then.
+	// newerListDelay is how long a peer's list must be newer before it is applied. Usually the local list has caught up
+	// by then.
 	newerListDelay = 2 * fleet.Second
-	// maxOverrideFraction bounds the servers that peers may keep without requests. More is a fault of the peers.
+	// maxOverrideFraction bounds the fraction of ready servers to which peers may stop requests. More indicates a fault
+	// of the peers.
 	maxOverrideFraction = 0.5
-	// alwaysAllowedOverrides is how many servers peers may keep without requests whatever fraction that is.
+	// alwaysAllowedOverrides is the number of servers to which peers may stop requests whatever fraction that is.
 	alwaysAllowedOverrides = 3
 )
 
-// Change is what a server counts as from now on: as in a peer's newer list, or as in our own again.
+// Change is a new state of a server, from a peer's newer list or from the local list again.
 type Change struct {
 	Name     string
 	Server   LocalServer
-	FromPeer bool // as in a peer's list
+	FromPeer bool // the state comes from a peer's list
 }
 
-// Notice is an event that operators should be notified of.
+// Notice is an event to report to operators.
 type Notice struct {
-	Server string // "" for none
-	Text   string
+	Server string // the server that Text is about; "": none
+	Text   string // continues "server NAME" if there is a server
 }
 
-// overrideSet is what peers with newer lists make of our list.
+// overrideSet holds the servers whose state in newer lists of peers replaces that of the local list.
 type overrideSet struct {
 	servers map[string]LocalServer
-	sources map[string]string // by server: the controller
+	sources map[string]string // by server: the controller with the newer list
 }
 
-// Next works out what the messages of peers make of our list, and returns the changes since the last call.
+// Next merges the valid messages of peers with the local list. It returns the changes since the last call or since the
+// list was replaced, and notices for operators.
 func (p *PeerState) Next(now fleet.Time) (changes []Change, notices []Notice) {
 	wanted := p.wantedOverrides(now)
 	unready, ready := p.countUnready(wanted)
@@ -68,8 +71,8 @@
 	return changes, append(notices, p.healthNotices(now)...)
 }
 
-// wantedOverrides merges the newer lists of peers: each can only make a server count as less ready or as started
-// later.
+// wantedOverrides merges the newer lists of peers. Each of them can only make the state of a server less ready or its
+// start later.
 func (p *PeerState) wantedOverrides(now fleet.Time) overrideSet {
 	wanted := overrideSet{servers: map[string]LocalServer{}, sources: map[string]string{}}
 	for _, peer := range p.activePeers(now) {
@@ -103,7 +106,7 @@
 	return wanted
 }
 
-// countUnready counts our ready servers, and those of them that overrides would keep without requests.
+// countUnready counts the ready servers of the local list, and those of them to which overrides would stop requests.
 func (p *PeerState) countUnready(wanted overrideSet) (unready, ready int) {
 	for name, server := range p.servers {
 		if server.State != fleet.ServerReady {
@@ -117,7 +120,7 @@
 	return unready, ready
 }
 
-// endOverrides lets servers that are not overridden any more count as in our list.
+// endOverrides removes overrides that are no longer wanted and returns the changes back to the local list.
 func (p *PeerState) endOverrides(wanted overrideSet) (changes []Change) {
 	for _, name := range slices.Sorted(maps.Keys(p.overrides)) {
 		if _, overridden := wanted.servers[name]; overridden {
@@ -131,6 +134,7 @@
 	return changes
 }
 
+// describeOverride returns the state of an overridden server for a notice.
 func describeOverride(server, ours LocalServer) string {
 	if server.State == fleet.ServerReady && server.Started != ours.Started {
 		return "restarted"
@@ -138,11 +142,11 @@
 	return server.State.Name()
 }
 
-// OverrideCount returns how many servers count otherwise than in our list.
+// OverrideCount returns the number of servers whose state differs from the local list because of peers.
 func (p *PeerState) OverrideCount() int { return len(p.overrides) }
 
-// healthNotices reports for servers that are unhealthy for our proxies whether peers agree: if not, the fault is on
-// the network path and not of the server.
+// healthNotices reports for servers that are unhealthy for this controller's proxies whether they are for peers, too.
+// A server that is healthy for a peer indicates a fault on the network path rather than in the server.
 func (p *PeerState) healthNotices(now fleet.Time) (notices []Notice) {
 	active := p.activePeers(now)
 	for _, name := range slices.Sorted(maps.Keys(p.outcomes)) {
@@ -164,7 +168,7 @@
 	return notices
 }
 
-// healthForPeers returns the controllers for which a server is healthy, and those for which it is not.
+// healthForPeers returns the controllers for which a server is healthy, and those for which it is unhealthy.
 func healthForPeers(peers []*peer, server string) (healthy, unhealthy []string) {
 	for _, peer := range peers {
 		for _, observation := range peer.message.Observations {
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -1,10 +1,10 @@
-// Package gossip decides what a controller makes of the messages of other controllers: draining, gone and restarted
-// servers of a newer endpoint list than its own, and whether a server that is unhealthy for this controller is so
-// for all.
+// Package gossip merges the messages of other controllers, the peers. It applies draining, gone and restarted servers
+// from endpoint lists newer than the local one, and tells whether a server that is unhealthy for this controller is
+// unhealthy for its peers, too.
 //
-// Messages may be lost, late or repeated; older ones are dropped. Peers can only keep requests away from servers or
-// make this controller careful, never send requests to any: a peer that is wrong costs capacity, within a bound.
-// The package is pure. docs/design/gossip.md describes the alternatives considered.
+// Messages may be lost, late or repeated; outdated ones are dropped. Peers can only stop requests to servers or put
+// them into slow start; they never direct requests to a server. A faulty peer therefore costs capacity, within a
+// bound. The package does no I/O and reads no clock. docs/design/gossip.md describes the alternatives considered.
 package gossip
 
 import (
@@ -16,64 +16,68 @@
 )
 
 const (
-	// MaxControllers bounds the peers whose messages are taken: twice as many as are meant to be.
+	// MaxControllers bounds the peers whose messages are accepted: twice the supported number of controllers.
 	MaxControllers = 64
-	// SendInterval is the time between two messages. The timeout of a draining server covers several.
+	// SendInterval is the time between two messages. The drain timeout of a server covers several of them.
 	SendInterval = fleet.Second
-	// messageLifetime is how long a message counts: five lost ones are tolerated.
+	// messageLifetime is how long a message is valid: five lost ones are tolerated.
 	messageLifetime = 5 * fleet.Second
-	// goneRetention is how long a server that left the own list is sent as gone. Lists lag by seconds.
+	// goneRetention is how long a server that was removed from the local list is sent as gone. The lists of peers lag
+	// by seconds.
 	goneRetention = 600 * fleet.Second
-	// observationWindow is the age of the oldest attempts of an observation.
+	// observationWindow is the greatest age of attempts that an observation counts.
 	observationWindow = 10 * fleet.Second
-	// noticeInterval is the time between two notices about a server. Peers are forgotten after two of them.
+	// noticeInterval is the shortest time between two health notices about a server. Peers without a message for twice
+	// this time are removed.
 	noticeInterval = 60 * fleet.Second
 )
 
-// LocalServer is what this controller's endpoint list says of a server.
+// LocalServer is the state of a server in this controller's endpoint list.
 type LocalServer struct {
 	State   fleet.ServerState
-	Started fleet.Time
+	Started fleet.Time // 0: unknown
 }
 
+// peer is the latest message of another controller.
 type peer struct {
 	message    Message
 	receivedAt fleet.Time
-	newerSince fleet.Time // since when its list is newer than ours; 0: it is not
+	newerSince fleet.Time // since when its list is newer than the local one; 0: it is not
 }
 
-// outcome sums up attempts at a server.
+// outcome counts attempts at a server that were reported at one time.
 type outcome struct {
 	at                 fleet.Time
 	attempts, failures uint32
 }
 
-// PeerState merges the messages of peers. It is not safe for concurrent use.
+// PeerState merges the messages of peers with the local endpoint list. It is not safe for concurrent use.
 type PeerState struct {
 	self  string
 	epoch uint64
 
-	// The own list.
+	// The local endpoint list.
 	servers  map[string]LocalServer
 	revision uint64
 	live     bool
-	goneAt   map[string]fleet.Time // servers that left it
+	goneAt   map[string]fleet.Time // when servers were removed from the list
 
-	// Messages.
+	// Messages sent and received.
 	peers    map[string]*peer
 	sequence uint64
 	sentAt   fleet.Time
-	Invalid  uint64 // invalid messages
-	Outdated uint64 // messages that were not newer
+	Invalid  uint64 // number of invalid messages received, and of those beyond MaxControllers
+	Outdated uint64 // number of messages received that were not newer than the previous one
 
-	// Results.
-	overrides        map[string]LocalServer // in place of the own list
-	overridesIgnored bool                   // overrides are not followed, as they are too many
-	outcomes         map[string][]outcome
-	noticedAt        map[string]fleet.Time // by server
+	// Results of merging.
+	overrides        map[string]LocalServer // replace entries of the local list
+	overridesIgnored bool                   // too many overrides; none is applied
+	outcomes         map[string][]outcome   // recent ones, by server
+	noticedAt        map[string]fleet.Time  // last health notice, by server
 }
 
-// NewPeerState returns the state of a controller without peers, in the epoch of its start.
+// NewPeerState returns the state of controller self without peers and with an empty list. The epoch must be higher at
+// each start of the controller: peers drop messages of lower epochs.
 func NewPeerState(self string, epoch uint64) *PeerState {
 	return &PeerState{
 		self:      self,
@@ -87,7 +91,8 @@
 	}
 }
 
-// SetLocalList replaces the own list. Overrides of the list before are to be made again.
+// SetLocalList replaces the local list; live tells whether it came from its source since this controller started. It
+// removes all overrides: Next returns those that still apply as changes again.
 func (p *PeerState) SetLocalList(now fleet.Time, revision uint64, live bool, servers map[string]LocalServer) {
 	for name := range p.servers {
 		if _, listed := servers[name]; !listed {
@@ -110,7 +115,7 @@
 	clear(p.overrides)
 }
 
-// ObserveOutcome adds attempts of our proxies at a server.
+// ObserveOutcome adds attempts of this controller's proxies at a server.
 func (p *PeerState) ObserveOutcome(now fleet.Time, name string, attempts, failures uint32) {
 	recent := p.outcomes[name]
 	for len(recent) > 0 && recent[0].at < now-observationWindow {
@@ -119,7 +124,7 @@
 	p.outcomes[name] = append(recent, outcome{now, attempts, failures})
 }
 
-// observation sums up the recent attempts of our proxies at a server.
+// observation counts the recent attempts of this controller's proxies at a server.
 func (p *PeerState) observation(now fleet.Time, name string) Observation {
 	sum := Observation{Name: name}
 	for _, outcome := range p.outcomes[name] {
@@ -131,7 +136,9 @@
 	return sum
 }
 
-// Merge takes a peer's message. An invalid one is an error and changes nothing; an older one is dropped.
+// Merge stores the message of a peer for the next call of Next. It returns an error for an invalid message and for one
+// of a peer beyond MaxControllers, and stores neither. Outdated messages are dropped without an error, as are
+// this controller's own.
 func (p *PeerState) Merge(now fleet.Time, message Message) error {
 	if err := message.Check(); err != nil {
 		p.Invalid++
@@ -159,7 +166,8 @@
 	return nil
 }
 
-// NextMessage returns our message to all peers, if it is due. Servers that started less than warmUp ago are in it.
+// NextMessage returns the message to send to all peers, if one is due since SendInterval has passed. It includes
+// servers that started less than warmUp ago.
 func (p *PeerState) NextMessage(now fleet.Time, warmUp fleet.Time) (message Message, due bool) {
 	if p.sentAt > 0 && now < p.sentAt+SendInterval {
 		return Message{}, false
@@ -216,7 +224,8 @@
 	return unhealthy
 }
 
-// activePeers returns the peers whose messages count, by name, and forgets those that were silent for long.
+// activePeers returns the peers whose messages are valid, sorted by name. It removes peers that sent nothing for twice
+// noticeInterval.
 func (p *PeerState) activePeers(now fleet.Time) (active []*peer) {
 	for _, name := range slices.Sorted(maps.Keys(p.peers)) {
 		peer := p.peers[name]
@@ -230,17 +239,17 @@
 	return active
 }
 
-// PeerView is what operators see of a peer.
+// PeerStatus is the state of a peer as shown to operators.
 type PeerStatus struct {
 	Controller   string
-	Age          fleet.Time // of its message
+	Age          fleet.Time // of its latest message
 	ListRevision uint64
 	Live         bool
-	Servers      int
-	Ahead        bool // its list is newer than ours
+	Servers      int  // number of servers in its latest message
+	Ahead        bool // its list is newer than the local one
 }
 
-// Peers returns what operators see of all peers, by name.
+// Peers returns the status of all peers, sorted by name.
 func (p *PeerState) Peers(now fleet.Time) (statuses []PeerStatus) {
 	for _, name := range slices.Sorted(maps.Keys(p.peers)) {
 		peer := p.peers[name]
--- a/internal/gossip/state_test.go
+++ b/internal/gossip/state_test.go
@@ -13,7 +13,7 @@
 
 const startTime = 1000 * fleet.Second
 
-// newPeerStates returns two peers, of which the second has a list of some ready servers in revision 7.
+// newPeerStates returns two peers. The second one has a list of ready servers, which is returned, at revision 7.
 func newPeerStates(servers int) (first, second *PeerState, list map[string]LocalServer) {
 	first = NewPeerState("a", 5)
 	second = NewPeerState("b", 6)
@@ -25,14 +25,14 @@
 	return first, second, list
 }
 
-// withChanges returns a copy of a list in which some servers are changed.
+// withChanges returns a copy of a list with some servers changed.
 func withChanges(list, changed map[string]LocalServer) map[string]LocalServer {
 	merged := maps.Clone(list)
 	maps.Copy(merged, changed)
 	return merged
 }
 
-// sendIfDue lets one peer send its message to another if it is due.
+// sendIfDue delivers the message of one peer to another if one is due.
 func sendIfDue(t *testing.T, now, warmUp fleet.Time, from, to *PeerState) {
 	t.Helper()
 	message, due := from.NextMessage(now, warmUp)
@@ -44,7 +44,7 @@
 	}
 }
 
-// newerListTest has two peers, of which the first one has a newer list.
+// newerListTest holds two peers, of which the first one has a newer list.
 type newerListTest struct {
 	*testing.T
 	first, second *PeerState
@@ -70,7 +70,7 @@
 	sendIfDue(n.T, n.now, 15*fleet.Second, n.first, n.second)
 }
 
-// sendUntilNewerListCounts lets time pass until the newer list counts.
+// sendUntilNewerListCounts sends messages until newerListDelay has passed.
 func (n *newerListTest) sendUntilNewerListCounts() {
 	n.Helper()
 	n.send()
@@ -81,7 +81,7 @@
 	}
 }
 
-// changes returns what the second peer changes, as name=state,start,whether by a peer.
+// changes returns the changes at the second peer, each as "name=state,start in seconds,FromPeer ".
 func (n *newerListTest) changes() (text string) {
 	changes, _ := n.second.Next(n.now)
 	for _, change := range changes {
@@ -103,8 +103,9 @@
 	overridesEnded       = "s1=0,0,false s2=0,0,false s3=0,0,false "
 )
 
-// TestNewerListOfPeerCountsAfterDelay checks that draining, gone and restarted servers of a peer's newer list count
-// after a while, again after our list was replaced, and until the peer is silent.
+// TestNewerListOfPeerCountsAfterDelay checks that draining, gone and restarted servers of a peer's newer list are
+// applied after newerListDelay, applied again after the local list was replaced, and reverted when the peer's
+// messages expire.
 func TestNewerListOfPeerCountsAfterDelay(t *testing.T) {
 	n := newNewerListTest(t)
 	n.send()
@@ -120,7 +121,7 @@
 	}
 	n.expect("newer list after the delay", overridesOfNewerList)
 	n.expect("same list again", "")
-	n.second.SetLocalList(n.now, 7, true, n.list) // the same list, as after a reconnect
+	n.second.SetLocalList(n.now, 7, true, n.list) // the same list again, as after a reconnect
 	n.expect("local list replaced", overridesOfNewerList)
 	n.now += messageLifetime
 	n.expect("peer messages expired", overridesEnded)
@@ -132,8 +133,8 @@
 	n.expect("local list caught up", "")
 }
 
-// TestNewerListOfPeerEndsWithOurOwn checks that a peer's list no longer counts once ours has caught up, and that an
-// older one counts nothing.
+// TestNewerListOfPeerEndsWithOurOwn checks that overrides end once the local list has caught up, and that an older
+// list of a peer changes nothing.
 func TestNewerListOfPeerEndsWithOurOwn(t *testing.T) {
 	n := newNewerListTest(t)
 	n.sendUntilNewerListCounts()
@@ -151,8 +152,8 @@
 	n.expect("older list of the peer", "")
 }
 
-// TestTooManyOverridesAreIgnored checks that a peer that would keep requests from more than half of the servers is
-// not followed, with one notice.
+// TestTooManyOverridesAreIgnored checks that a peer's list is ignored, with one notice, if it would stop requests to
+// more than half of the servers.
 func TestTooManyOverridesAreIgnored(t *testing.T) {
 	first, second, list := newPeerStates(10)
 	now := startTime
@@ -176,8 +177,9 @@
 	}
 }
 
-// TestUnhealthyServerIsComparedWithPeers checks that a server that is unhealthy here and healthy for a peer is
-// reported as a fault on the path, and one that is unhealthy for both as its own, once per minute.
+// TestUnhealthyServerIsComparedWithPeers checks that a server that is unhealthy here but healthy for a peer is
+// reported as a fault on the network path, and one that is unhealthy for both as a fault of the server, once per
+// minute each.
 func TestUnhealthyServerIsComparedWithPeers(t *testing.T) {
 	first, second, list := newPeerStates(4)
 	now := startTime
@@ -203,8 +205,8 @@
 	}
 }
 
-// TestInvalidMessagesAreRefused checks that nothing of an invalid message is taken, and that the error names the
-// place.
+// TestInvalidMessagesAreRefused checks that an invalid message is not stored and that the error names the invalid
+// field.
 func TestInvalidMessagesAreRefused(t *testing.T) {
 	_, state, _ := newPeerStates(4)
 	for want, message := range map[string]Message{
@@ -222,7 +224,7 @@
 	}
 }
 
-// TestNumberOfPeersIsBounded sends messages of a flood of names.
+// TestNumberOfPeersIsBounded checks that messages from 1,000 different names create at most MaxControllers peers.
 func TestNumberOfPeersIsBounded(t *testing.T) {
 	_, state, _ := newPeerStates(4)
 	failures := 0
@@ -237,15 +239,15 @@
 	}
 }
 
-// messageSimulation sends messages of two peers with drawn lists late, twice or not at all.
+// messageSimulation delivers messages of two peers with random lists late, repeatedly or not at all.
 type messageSimulation struct {
 	t          *rapid.T
 	now        fleet.Time
 	state      *PeerState
 	senders    [2]*PeerState
-	allServers map[string]LocalServer // every server
-	localList  map[string]LocalServer // our list
-	effective  map[string]LocalServer // as the controller takes the servers
+	allServers map[string]LocalServer // list of all servers, from which lists are drawn
+	localList  map[string]LocalServer // list of the receiving controller
+	effective  map[string]LocalServer // localList with all changes applied
 	sent       []Message
 }
 
@@ -316,7 +318,7 @@
 	}
 }
 
-// check checks that peers make no server ready, and keep requests from at most half of the servers.
+// check fails if peers made a server ready, or stop requests to more than half of the ready servers.
 func (m *messageSimulation) check() {
 	unready, ready := 0, 0
 	for name, server := range m.localList {
@@ -335,9 +337,9 @@
 	}
 }
 
-// TestPeersOnlyKeepRequestsAway checks that, whatever messages come late, twice or not at all, of whichever peers
-// and lists, peers keep requests from no more than half of the servers and make none ready, and that nothing is
-// left when all are silent.
+// TestPeersOnlyKeepRequestsAway checks for random lists, and messages that are late, repeated or lost, that peers stop
+// requests to at most half of the ready servers and make none ready, and that no override is left after all messages
+// have expired.
 func TestPeersOnlyKeepRequestsAway(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMessageSimulation(t)
@@ -349,7 +351,8 @@
 		m.applyChanges()
 		for name, server := range m.localList {
 			if m.effective[name] != server {
-				t.Fatalf("%s is treated as %+v after all messages expired, the local list has %+v", name, m.effective[name], server)
+				t.Fatalf("%s is treated as %+v after all messages expired, the local list has %+v",
+					name, m.effective[name], server)
 			}
 		}
 	})
--- a/internal/gossip/transcript_test.go
+++ b/internal/gossip/transcript_test.go
@@ -8,7 +8,7 @@
 	"cressknot/internal/fleet"
 )
 
-// TestMessageEncodingIsStable holds the text that controllers send each other.
+// TestMessageEncodingIsStable checks the JSON encoding of messages, which controllers of different versions exchange.
 func TestMessageEncodingIsStable(t *testing.T) {
 	for text, message := range map[string]Message{
 		`{"g":"g-1","e":9,"q":3,"r":41,"l":true,` +
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -9,84 +9,93 @@
 )
 
 const (
-	// CheckInterval is the time between two readings of the entries of a proxy. Heartbeats are as frequent.
+	// CheckInterval is the time between two reads of a proxy's entries, and between two heartbeats.
 	CheckInterval = fleet.Second
-	// leaseDuration is how long a holder may miss heartbeats: five, as many as a restart may cost.
+	// leaseDuration is how long a lease stays valid without a heartbeat: five missed ones, as many as a restart may
+	// cost.
 	leaseDuration = 5 * fleet.Second
-	// rankDelay is added for each controller with a better rank, which should take over first.
+	// rankDelay is the additional delay before a takeover per controller of a better rank, which should take over
+	// first.
 	rankDelay = 2 * fleet.Second
-	// minHoldDuration is how long a proxy is held before it is handed over, so that controllers that come and go move
-	// nothing back and forth.
+	// minHoldDuration is how long a lease is held before it is handed over to a preferred controller, so that
+	// controllers that restart repeatedly do not move proxies back and forth.
 	minHoldDuration = 10 * fleet.Second
 )
 
-// Action is what a controller has to do about a proxy.
+// Action is what a controller must do next about the lease of a proxy.
 type Action uint8
 
-// The acts.
+// The actions. Check returns the first three, Renew the others.
 const (
-	ActionWait    Action = iota // another controller holds the lease: check again
-	ActionRequest               // the same, and request the lease
-	ActionClaim                 // take the lease over
-	ActionKeep                  // continue to hold the lease
-	ActionRelease               // hand the lease over: end what is in flight and remove the entry
-	ActionYield                 // another controller holds the lease: send nothing more
+	ActionWait    Action = iota // do not take the lease: check again
+	ActionRequest               // as ActionWait, and store a request for the lease
+	ActionClaim                 // begin a takeover
+	ActionKeep                  // keep the lease
+	ActionRelease               // hand the lease over: end what is in flight and store ReleaseEntry
+	ActionYield                 // another controller took the lease over: send nothing more
 )
 
-// heartbeat is a count of a holder's heartbeats, and when it was read first on this controller's clock.
+// heartbeat is the heartbeat count of a holder, and when it was first read on this controller's clock.
 type heartbeat struct {
 	count uint64
 	at    fleet.Time
 }
 
-// Lease is one controller's part of the protocol at one proxy. It is not safe for concurrent use.
+// Lease runs one controller's side of the lease protocol at one proxy. It is not safe for concurrent use.
 type Lease struct {
 	self   string
-	ranked []string // controllers that may serve the proxy, the preferred one first
+	ranked []string // controllers that may serve the proxy, in order of preference
 
 	// Set by operators.
 	retired bool
-	manual  bool // this controller is to have the lease
+	manual  bool // this controller should hold the lease whatever its rank
 
 	// While another controller holds the lease.
-	freeSince        fleet.Time           // since when no holder is known; 0: there is one
-	holderHeartbeats map[uint64]heartbeat // by epoch: the latest heartbeat of the holder
+	freeSince        fleet.Time           // since when the proxy has no holder; 0: it has one
+	holderHeartbeats map[uint64]heartbeat // latest heartbeat of the holder, by epoch
 	requestCount     uint64
-	hasRequested     bool // the lease, since it was held last
+	hasRequested     bool // requested the lease since it last held it
 
 	// While this controller holds the lease or takes it over.
-	epoch        uint64 // of the takeover; 0: none
+	epoch        uint64 // epoch of the takeover; 0: none
 	heldSince    fleet.Time
 	heartbeats   uint64
-	lastRequests map[string]uint64 // by controller: its latest request
-	handingOver  bool              // hand over without a request
+	lastRequests map[string]uint64 // latest request count, by controller
+	handingOver  bool              // hand over without waiting for a request
 
 	lastHolder   Entry
-	lastHolderAt fleet.Time // when the last holder's entry changed
+	lastHolderAt fleet.Time // when a change of lastHolder was last read
 }
 
-// NewLease returns the part of a controller at a proxy. All controllers that may serve the proxy are ranked, the
-// preferred one first.
+// NewLease returns the lease state of controller self at a proxy, without a lease. ranked lists all controllers that
+// may serve the proxy in order of preference, as Plan returns them.
 func NewLease(self string, ranked []string) *Lease {
-	return &Lease{self: self, ranked: ranked, holderHeartbeats: map[uint64]heartbeat{}, lastRequests: map[string]uint64{}}
+	return &Lease{
+		self:             self,
+		ranked:           ranked,
+		holderHeartbeats: map[uint64]heartbeat{},
+		lastRequests:     map[string]uint64{},
+	}
 }
 
-// Retire lets a controller hand over what it holds and take only what no other one does, until that is requested;
-// or ends that.
+// Retire makes the controller hand the lease over and take it only while no other controller does, until one requests
+// it. Retire(false) ends that.
 func (l *Lease) Retire(on bool) {
 	l.retired = on
 	l.handingOver = on && l.heldSince > 0
 }
 
-// SetManual lets a controller have the lease whatever its rank, as operators want, or ends that.
+// SetManual makes the controller request and keep the lease whatever its rank, on behalf of operators.
+// SetManual(false) ends that.
 func (l *Lease) SetManual(on bool) { l.manual = on }
 
-// LastHolder returns the holder when the entries were read last, and when its entry was seen to change.
+// LastHolder returns the entry of the holder as of the last read, and when a change of it was last read. The entry has
+// epoch 0 if there is no holder.
 func (l *Lease) LastHolder() (holder Entry, changedAt fleet.Time) {
 	return l.lastHolder, l.lastHolderAt
 }
 
-// Epoch returns the epoch of the takeover that is in progress or succeeded, 0 for none.
+// Epoch returns the epoch of the takeover that is in progress or has succeeded, 0 if there is none.
 func (l *Lease) Epoch() uint64 { return l.epoch }
 
 func (l *Lease) recordHolder(now fleet.Time, entries []Entry) {
@@ -96,7 +105,8 @@
 	}
 }
 
-// rank returns the rank of a controller, 0 for the preferred one. A retired controller comes last.
+// rank returns the rank of a controller, 0 for the preferred one. This controller ranks last while it is retired, and
+// so do unknown ones.
 func (l *Lease) rank(controller string) int {
 	if l.retired && controller == l.self {
 		return len(l.ranked)
@@ -107,11 +117,12 @@
 	return len(l.ranked)
 }
 
-// Check decides from the entries what to do about a proxy that is not held, and when to check again.
+// Check decides from the entries what to do about a proxy whose lease this controller does not hold, and when to check
+// again.
 func (l *Lease) Check(now fleet.Time, entries []Entry) (action Action, checkAt fleet.Time) {
 	l.recordHolder(now, entries)
 	holder := Holder(entries)
-	if holder.Epoch == 0 || holder.Controller == l.self { // free, or held by this controller before a restart
+	if holder.Epoch == 0 || holder.Controller == l.self { // free, or held by this controller before it restarted
 		return l.checkFree(now, holder, entries)
 	}
 	l.freeSince = 0
@@ -125,7 +136,8 @@
 	return ActionWait, now + CheckInterval
 }
 
-// lookAtFree decides about a proxy without a living holder. Controllers with a better rank come first.
+// checkFree decides about a proxy that has no holder, or whose holder is an earlier process of this controller.
+// Controllers of a better rank get the chance to take over first.
 func (l *Lease) checkFree(now fleet.Time, holder Entry, entries []Entry) (action Action, checkAt fleet.Time) {
 	l.freeSince = cmp.Or(l.freeSince, now)
 	delay := rankDelay * fleet.Time(l.controllersAhead(entries))
@@ -134,7 +146,7 @@
 	} else if slices.ContainsFunc(entries, func(entry Entry) bool {
 		return entry.WantManual && entry.Controller != l.self
 	}) {
-		delay += rankDelay // it is handed over to that one
+		delay += rankDelay // the proxy is being handed over to that controller
 	}
 	if holder.Controller == l.self && !l.retired || now >= l.freeSince+delay {
 		return ActionClaim, now
@@ -142,7 +154,8 @@
 	return ActionWait, min(now+CheckInterval, l.freeSince+delay)
 }
 
-// expiry returns when the lease of another controller may be taken over.
+// expiry returns when this controller may take the lease over from another one: leaseDuration after its last
+// heartbeat, and later for each controller of a better rank.
 func (l *Lease) expiry(now fleet.Time, holder Entry) fleet.Time {
 	last, known := l.holderHeartbeats[holder.Epoch]
 	if !known || last.count != holder.Heartbeat {
@@ -152,13 +165,14 @@
 	}
 	before := l.rank(l.self)
 	if l.rank(holder.Controller) < before {
-		before-- // the holder itself will be gone
+		before-- // the holder is presumed dead and takes nothing over
 	}
 	return last.at + leaseDuration + rankDelay*fleet.Time(before)
 }
 
-// controllersBefore counts the controllers that may take a free proxy before this one: those with a better rank
-// that have not announced to leave. It returns 0 where this one has requested the lease and no better one does.
+// controllersAhead counts the controllers that may take a free proxy before this one: those of a better rank that have
+// not announced that they stop or retire. It is 0 if this controller has requested the lease and none of a better rank
+// has.
 func (l *Lease) controllersAhead(entries []Entry) (count int) {
 	rank := l.rank(l.self)
 	preferredRequests := false
@@ -180,7 +194,7 @@
 	return count
 }
 
-// Request returns the value to store as a request for the lease.
+// Request returns the value to store as the next request for the lease.
 func (l *Lease) Request() string {
 	l.requestCount++
 	l.hasRequested = true
@@ -191,15 +205,15 @@
 	return value
 }
 
-// BeginTakeover begins a takeover and returns the entry to store.
+// BeginTakeover starts a takeover with a new epoch and returns the entry to store.
 func (l *Lease) BeginTakeover(now fleet.Time, entries []Entry) Entry {
 	l.epoch = NextEpoch(now, entries)
 	l.heartbeats = 1
 	return l.entry()
 }
 
-// ConfirmTakeover decides, from the entries read after all other sessions were ended, whether the lease is held from
-// now on.
+// ConfirmTakeover reports whether the takeover succeeded. The entries must have been read after all other sessions at
+// the proxy were ended. A takeover that lost to another one is dropped.
 func (l *Lease) ConfirmTakeover(now fleet.Time, entries []Entry) bool {
 	if !HoldsLease(l.self, l.epoch, entries) {
 		l.Drop()
@@ -211,7 +225,7 @@
 	return true
 }
 
-// Next returns the entry of the next heartbeat.
+// Next counts one more heartbeat and returns the entry to store for it.
 func (l *Lease) Next() Entry {
 	l.heartbeats++
 	return l.entry()
@@ -221,8 +235,8 @@
 	return Entry{Controller: l.self, Epoch: l.epoch, Heartbeat: l.heartbeats, Retired: l.retired, Manual: l.manual}
 }
 
-// Renew decides, from the entries read with a heartbeat, whether the lease continues. It is handed over only
-// where moves allows it.
+// Renew decides, from the entries read with a heartbeat, whether to keep the lease, to hand it over or to yield it to
+// another controller. It is handed over only as fast as moves allows.
 func (l *Lease) Renew(now fleet.Time, entries []Entry, moves *Moves) Action {
 	l.recordHolder(now, entries)
 	if !HoldsLease(l.self, l.epoch, entries) {
@@ -242,8 +256,8 @@
 	return ActionKeep
 }
 
-// isLiveRequest reports whether a controller that should have the lease requests it. A request that does not change
-// may be left from long ago.
+// isLiveRequest reports whether an entry is a current request of a controller that should hold the lease instead. The
+// request must have changed since the last read: a constant one may be left over from a controller that is gone.
 func (l *Lease) isLiveRequest(entry Entry) bool {
 	preferred := !l.manual && l.rank(entry.Controller) < l.rank(l.self)
 	if entry.Want == 0 || !entry.WantManual && !preferred {
@@ -254,14 +268,14 @@
 	return known && last != entry.Want
 }
 
-// ReleaseEntry returns the entry that a controller leaves when it hands a proxy over. One that retires or stops says
-// so, so that no controller waits for it.
+// ReleaseEntry returns the entry to store when the lease is handed over. It has no epoch. A controller that retires,
+// or is stopping, is marked as retired, so that no other one waits for it to take over.
 func (l *Lease) ReleaseEntry(stopping bool) Entry {
 	return Entry{Controller: l.self, Retired: l.retired || stopping}
 }
 
-// Drop forgets a takeover that is over, or a session that was lost. The heartbeats of another holder stay: a holder
-// that is gone must not gain time by sessions that break.
+// Drop resets the state of a takeover or lease after it ended or its session was lost. The last heartbeat of another
+// holder is kept: otherwise each broken session would extend the lease of a dead holder.
 func (l *Lease) Drop() {
 	l.epoch = 0
 	l.heldSince = 0
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -12,18 +12,18 @@
 
 func testRanked() []string { return Rank("p", testControllers) }
 
-// simulatedProxy has the entries of one proxy and the leases of some controllers, on a time of its own. Sessions
-// and takeovers go as the transport makes them, at once.
+// simulatedProxy holds the entries of one proxy and the leases of some controllers, on a simulated clock. Takeovers
+// run the steps of the transport, without delay.
 type simulatedProxy struct {
 	entries       map[string]Entry
 	leases        map[string]*Lease
 	holds         map[string]bool
 	dead          map[string]bool
-	clockOffset   map[string]fleet.Time // of a controller's own clock
+	clockOffset   map[string]fleet.Time // of a controller's clock from now
 	now           fleet.Time
 	moves         Moves
-	checkOrder    []string // in which controllers check
-	holderChanges int      // of the holder
+	checkOrder    []string // in which controllers check within a second
+	holderChanges int
 	lastHolder    string
 }
 
@@ -36,7 +36,7 @@
 		dead:        map[string]bool{},
 		clockOffset: map[string]fleet.Time{},
 		now:         1000 * fleet.Second,
-		checkOrder:  []string{ranked[1], ranked[2], ranked[0]}, // the preferred one must not need luck
+		checkOrder:  []string{ranked[1], ranked[2], ranked[0]}, // the preferred one checks last and must still get the lease
 	}
 	for _, controller := range testControllers {
 		p.leases[controller] = NewLease(controller, ranked)
@@ -53,7 +53,7 @@
 	return entries
 }
 
-// tick lets a second pass for all living controllers.
+// tick advances the clock by a second and runs all live controllers once.
 func (p *simulatedProxy) tick() {
 	p.now += fleet.Second
 	for _, controller := range p.checkOrder {
@@ -76,14 +76,14 @@
 	return p.now + p.clockOffset[controller]
 }
 
-// store replaces the entry of a controller. Its request is stored apart and stays.
+// store replaces the entry of a controller. Its request is stored under another key and is kept.
 func (p *simulatedProxy) store(controller string, entry Entry) {
 	entry.Want = p.entries[controller].Want
 	entry.WantManual = p.entries[controller].WantManual
 	p.entries[controller] = entry
 }
 
-// beat lets the holder of the lease go on.
+// renew sends a heartbeat of a controller that holds the lease and carries out the resulting action.
 func (p *simulatedProxy) renew(controller string) {
 	lease := p.leases[controller]
 	p.store(controller, lease.Next())
@@ -98,7 +98,7 @@
 	}
 }
 
-// check lets a controller without the lease go on.
+// check runs the check of a controller without the lease and carries out the resulting action.
 func (p *simulatedProxy) check(controller string) {
 	lease := p.leases[controller]
 	now := p.clock(controller)
@@ -129,14 +129,14 @@
 	}
 }
 
-// restart begins a new life of a controller.
+// restart replaces a controller by a new process that knows nothing of the earlier one.
 func (p *simulatedProxy) restart(controller string) {
 	p.dead[controller] = false
 	p.holds[controller] = false
 	p.leases[controller] = NewLease(controller, testRanked())
 }
 
-// holder returns the living controllers that hold the lease, joined where there are several.
+// holder returns the live controllers that hold the lease, concatenated if there are several.
 func (p *simulatedProxy) holder() (holder string) {
 	for controller, holds := range p.holds {
 		if holds && !p.dead[controller] {
@@ -146,7 +146,7 @@
 	return holder
 }
 
-// runUntil lets time pass until a controller holds the lease.
+// runUntil advances the clock until a controller holds the lease, for a limited number of seconds.
 func (p *simulatedProxy) runUntil(t *testing.T, want string, seconds int) {
 	t.Helper()
 	for i := 0; p.holder() != want; i++ {
@@ -157,7 +157,7 @@
 	}
 }
 
-// run lets time pass and checks who holds the lease in the end.
+// run advances the clock and checks which controller holds the lease in the end.
 func (p *simulatedProxy) run(t *testing.T, seconds int, want string) {
 	t.Helper()
 	for range seconds {
@@ -168,7 +168,7 @@
 	}
 }
 
-// runSteadily lets time pass in which the holder must not change.
+// runStable advances the clock and checks each second that the holder does not change.
 func (p *simulatedProxy) runStable(t *testing.T, seconds int, want string) {
 	t.Helper()
 	for range seconds {
@@ -178,7 +178,8 @@
 	}
 }
 
-// newHeldProxy returns a proxy whose lease the preferred controller holds, with clocks that differ by an hour.
+// newHeldProxy returns a proxy whose lease the preferred controller holds, and the ranked controllers. Their clocks
+// differ by an hour.
 func newHeldProxy(t *testing.T) (*simulatedProxy, []string) {
 	t.Helper()
 	ranked := testRanked()
@@ -190,14 +191,14 @@
 	return p, ranked
 }
 
-// TestNextControllerTakesOverFromDeadHolder checks that the next controller takes over within its time though its
-// session breaks meanwhile, and that the lease survives a restart of the new holder.
+// TestNextControllerTakesOverFromDeadHolder checks that the next controller takes over when the lease of a dead holder
+// expires, even if its own session breaks in the meantime, and that it regains the lease at once after a restart.
 func TestNextControllerTakesOverFromDeadHolder(t *testing.T) {
 	p, ranked := newHeldProxy(t)
 	p.dead[ranked[0]] = true
 	diedAt := p.now
 	p.tick()
-	p.leases[ranked[1]].Drop() // its session broke
+	p.leases[ranked[1]].Drop() // its session breaks
 	p.runUntil(t, ranked[1], 9)
 	if after := p.now - diedAt; after < leaseDuration || after > leaseDuration+2*fleet.Second {
 		t.Errorf("taken over after %.0f s, want %.0f to %.0f s", after.Seconds(),
@@ -209,8 +210,8 @@
 	}
 }
 
-// TestPreferredControllerGetsLeaseBack checks that a preferred controller that is back gets the lease by one
-// handover, but not before it was held for a while, and that a single request left from long ago has no effect.
+// TestPreferredControllerGetsLeaseBack checks that a preferred controller that returns gets the lease in one handover,
+// but not before the other one has held it for minHoldDuration, and that a stale request has no effect.
 func TestPreferredControllerGetsLeaseBack(t *testing.T) {
 	p, ranked := newHeldProxy(t)
 	p.dead[ranked[0]] = true
@@ -218,7 +219,7 @@
 	p.restart(ranked[1])
 	p.tick()
 	p.restart(ranked[0])
-	delete(p.entries, ranked[0]) // as after an orderly stop
+	delete(p.entries, ranked[0]) // as after a graceful stop
 	backAt, changes := p.now, p.holderChanges
 	p.runUntil(t, ranked[0], 20)
 	if p.holderChanges != changes+1 {
@@ -235,7 +236,8 @@
 	p.runStable(t, 30, ranked[2])
 }
 
-// TestProcessOfSameNameIsAnotherHolder checks that a later takeover under the same name ends the lease.
+// TestProcessOfSameNameIsAnotherHolder checks that a controller yields the lease to a later takeover by another
+// process of the same name.
 func TestProcessOfSameNameIsAnotherHolder(t *testing.T) {
 	lease := NewLease("a", []string{"a"})
 	if epoch := lease.BeginTakeover(0, nil).Epoch; epoch != 1 {
@@ -246,8 +248,8 @@
 	}
 }
 
-// TestAtMostOneControllerHolds checks that, whoever dies, stalls and comes back when, two controllers never hold
-// the lease, and that one holds it within a bound when all live.
+// TestAtMostOneControllerHolds injects random controller crashes, stalls and restarts and proxy restarts. It checks
+// that two controllers never hold the lease at the same time, and that one holds it within a bound once all are live.
 func TestAtMostOneControllerHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newSimulatedProxy()
@@ -256,7 +258,7 @@
 			switch rapid.IntRange(0, 8).Draw(t, "fault") {
 			case 0:
 				p.dead[controller] = true
-			case 1: // it stalled and goes on as it was
+			case 1: // it had stalled and resumes with its old state
 				p.dead[controller] = false
 			case 2:
 				p.restart(controller)
@@ -290,14 +292,14 @@
 	}
 }
 
-// TestRetiredControllerHandsOver checks that a controller that retires hands over at once and takes only what no
-// other one does.
+// TestRetiredControllerHandsOver checks that a controller that retires hands the lease over at once and takes it back
+// only while no other controller is live.
 func TestRetiredControllerHandsOver(t *testing.T) {
 	ranked := testRanked()
 	p := newSimulatedProxy()
 	p.tick()
 	p.leases[ranked[0]].Retire(true)
-	p.run(t, 2, ranked[1]) // none waits for one that announced to retire
+	p.run(t, 2, ranked[1]) // others do not wait for a retired controller
 	p.run(t, 8, ranked[1])
 	holder, changedAt := p.leases[ranked[2]].LastHolder()
 	if holder.Controller != ranked[1] || changedAt < p.now-2*fleet.Second-2*3600*fleet.Second {
@@ -305,7 +307,7 @@
 	}
 	p.dead[ranked[1]] = true
 	p.dead[ranked[2]] = true
-	p.run(t, 14, ranked[0]) // no other one lives
+	p.run(t, 14, ranked[0]) // no other controller is live
 	p.dead[ranked[1]] = false
 	p.dead[ranked[2]] = false
 	p.holds[ranked[1]] = false
@@ -319,8 +321,8 @@
 	p.run(t, 20, ranked[0])
 }
 
-// TestManualHolderKeepsLease checks that a controller that operators gave the lease holds it though others are
-// preferred, until operators end that, and that others take it over as any when it dies.
+// TestManualHolderKeepsLease checks that a controller to which operators assigned the lease holds it although others
+// are preferred, until operators end the assignment, and that others take the lease over as usual if it dies.
 func TestManualHolderKeepsLease(t *testing.T) {
 	ranked := testRanked()
 	p := newSimulatedProxy()
@@ -337,7 +339,8 @@
 	p.run(t, 16, ranked[0])
 }
 
-// TestMovesAreLimited checks that no more proxies are handed over than the update channel can take.
+// TestMovesAreLimited checks that moves are allowed at movesPerSecond after the initial burst, however often they are
+// requested.
 func TestMovesAreLimited(t *testing.T) {
 	moves := Moves{}
 	now := 10 * fleet.Second
@@ -352,7 +355,8 @@
 	}
 }
 
-// TestParseEntryReadsWhatStringPrints checks also that an invalid value holds no lease.
+// TestParseEntryReadsWhatStringPrints checks that entries survive encoding and decoding, and that an invalid value
+// holds no lease.
 func TestParseEntryReadsWhatStringPrints(t *testing.T) {
 	for _, entry := range []Entry{
 		{Controller: "g", Epoch: 1 << 60, Heartbeat: 9},
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -7,51 +7,51 @@
 	"cressknot/internal/fleet"
 )
 
-// The model has three controllers at one proxy. Each may begin a takeover at any time, so that nothing depends on
-// clocks, may be paused between any two steps, lose any connection, and have an order in flight that arrives late
-// or never. The steps are those of the transport; what is stored and decided comes from this package.
+// The model has three controllers at one proxy. Each of them may begin a takeover at any time, so that the result does
+// not depend on clocks, may pause between any two steps, lose any connection, and have an order in flight that arrives
+// late or never. The steps are those of the transport; the stored values and decisions are made by this package.
 
 const (
 	modelControllers = 3
 	maxModelSessions = 14
 )
 
-// maxModelClaims bounds the takeovers of a run, so that the search ends: 4 go through six million states in 17 s, 3
-// through some hundred thousand.
+// maxModelClaims bounds the takeovers of a run, so that the search terminates: 4 give six million states in 17 s, 3
+// some hundred thousand.
 var maxModelClaims = flag.Int("claims", 3, "most takeovers in one run of the model")
 
-// modelPhase is how far a controller has got with a takeover.
+// modelPhase is the progress of a controller's takeover.
 type modelPhase uint8
 
 const (
 	phaseIdle    modelPhase = iota
-	phaseRead               // the first session is open and the entries were read
-	phaseStored             // the own entry is stored
-	phaseListed             // the sessions of the proxy at that time are known
-	phaseFenced             // the second session is open, all that were listed are ended
-	phaseServing            // the own entry was read as the highest
+	phaseRead               // its first session is open, the entries were read
+	phaseStored             // its entry is stored
+	phaseListed             // it knows the sessions that the proxy had then
+	phaseFenced             // its second session is open, all listed ones are ended
+	phaseServing            // it has read its own entry as the highest one
 )
 
 type modelController struct {
 	phase         modelPhase
-	firstSession  uint8 // numbers of its sessions, 0 for none
+	firstSession  uint8 // number of its session; 0: none
 	secondSession uint8
-	epochRead     uint8  // the highest one
-	epoch         uint8  // of its takeover
-	listed        uint16 // sessions that it will end
-	orderInFlight bool   // in the second session
+	epochRead     uint8  // highest epoch when the entries were read
+	epoch         uint8  // epoch of its takeover
+	listed        uint16 // bit mask of the sessions that it will end
+	orderInFlight bool   // an order was sent in the second session and has not arrived
 }
 
-// modelState is a state of the model.
+// modelState is a state of the model. It is comparable, so that the search can recognize states.
 type modelState struct {
 	controllers  [modelControllers]modelController
-	epochs       [modelControllers]uint8 // stored
-	openSessions uint16                  // bit mask by number
+	epochs       [modelControllers]uint8 // stored, by controller
+	openSessions uint16                  // bit mask by session number
 	lastSession  uint8
-	servedEpoch  uint8 // the highest whose takeover succeeded
-	appliedEpoch uint8 // the highest of an order that took effect
-	claims       uint8
-	violated     bool // an order took effect after a later takeover or a later order
+	servedEpoch  uint8 // highest epoch whose takeover succeeded
+	appliedEpoch uint8 // highest epoch of an order that took effect
+	claims       uint8 // takeovers so far
+	violated     bool  // an order took effect after a later takeover or a later order
 }
 
 func (s modelState) entries() (entries []Entry) {
@@ -73,13 +73,13 @@
 	return session > 0 && s.openSessions&(1<<session) != 0
 }
 
-// modelVariant leaves out a part of the protocol, which the search must find to be wrong.
+// modelVariant omits a part of the protocol, so that the search must find a violation.
 type modelVariant struct {
 	keepSessions bool // other sessions are not ended
 	skipReread   bool // the entries are not read again
 }
 
-// next returns all states that may follow.
+// next returns all possible successors of a state.
 func (s modelState) next(variant modelVariant) (states []modelState) {
 	for i := range s.controllers {
 		states = append(states, s.nextOf(i, variant)...)
@@ -90,7 +90,7 @@
 	return states
 }
 
-// afterGivingUp returns the state after a controller gave up or lost its connections.
+// abort returns the state after a controller aborted its takeover, or lost its connections.
 func (s modelState) abort(i int) modelState {
 	controller := &s.controllers[i]
 	s.openSessions &^= 1<<controller.firstSession | 1<<controller.secondSession
@@ -98,7 +98,7 @@
 	return s
 }
 
-// nextOf returns the states after the next step of a controller.
+// nextOf returns the states after the next step of one controller, none if it cannot proceed.
 func (s modelState) nextOf(i int, variant modelVariant) []modelState {
 	switch controller := s.controllers[i]; controller.phase {
 	case phaseIdle:
@@ -139,7 +139,7 @@
 func (s modelState) store(i int) modelState {
 	controller := &s.controllers[i]
 	known := []Entry{{Controller: controllerName(i), Epoch: uint64(controller.epochRead)}}
-	// Clocks make the epochs of controllers distinct. The model has no clocks.
+	// Real epochs of controllers are distinct because of their clocks. The model has none and adds the index instead.
 	controller.epoch = uint8(NextEpoch(fleet.Time(0), known))*modelControllers + uint8(i)
 	controller.phase = phaseStored
 	s.epochs[i] = controller.epoch
@@ -168,7 +168,7 @@
 	return s
 }
 
-// order sends an order, or lets the one in flight arrive, however late.
+// sendOrDeliver sends an order, or delivers the one in flight, which may be arbitrarily late.
 func (s modelState) sendOrDeliver(i int) modelState {
 	controller := &s.controllers[i]
 	if !controller.orderInFlight {
@@ -183,14 +183,14 @@
 	return s
 }
 
-// searchResult is what a search found.
+// searchResult is the result of a search.
 type searchResult struct {
-	states   int
+	states   int // states visited
 	violated bool
-	served   bool // some controller served
+	served   bool // a takeover succeeded in some state
 }
 
-// search visits all states that can be reached, up to the first violation.
+// search visits all reachable states, up to the first violation.
 func search(variant modelVariant) (result searchResult) {
 	seen := map[modelState]bool{{}: true}
 	stack := []modelState{{}}
@@ -215,9 +215,9 @@
 	return result
 }
 
-// TestNoOrderTakesEffectAfterLaterTakeover searches all that can happen: no order takes effect after a later
-// takeover succeeded, or after an order of a later one. Without ending sessions, and without reading the entries
-// again, the search finds a violation.
+// TestNoOrderTakesEffectAfterLaterTakeover searches all states of the model: no order may take effect after a later
+// takeover succeeded, or after an order of a later takeover. If other sessions are not ended, or the entries are not
+// read again, the search must find a violation.
 func TestNoOrderTakesEffectAfterLaterTakeover(t *testing.T) {
 	result := search(modelVariant{})
 	t.Logf("%d states", result.states)
--- a/internal/lease/moves.go
+++ b/internal/lease/moves.go
@@ -3,20 +3,21 @@
 import "cressknot/internal/fleet"
 
 const (
-	// movesPerSecond bounds the proxies that a controller hands over: each needs a complete table, which must not
-	// flood the update channel.
+	// movesPerSecond bounds the proxies that a controller hands over per second: each needs a complete weight table,
+	// and the update channel must not be flooded.
 	movesPerSecond = 20.0
-	maxMovesBurst  = 20.0
+	maxMovesBurst  = 20.0 // most proxies handed over at once
 )
 
-// Moves limits the rate at which a controller hands proxies over. The zero value is ready.
+// Moves limits the rate at which a controller hands proxies over, by a token bucket. The zero value starts with a full
+// burst. It is not safe for concurrent use.
 type Moves struct {
 	tokens    float64
 	updatedAt fleet.Time
-	Allowed   uint64 // moves that were allowed
+	Allowed   uint64 // number of moves allowed so far
 }
 
-// Take allows one move if the rate permits it.
+// Allow reports whether one more proxy may be handed over now, and counts it if so.
 func (m *Moves) Allow(now fleet.Time) bool {
 	if m.updatedAt == 0 {
 		m.tokens = maxMovesBurst
--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -1,12 +1,13 @@
-// Package lease decides which controller serves which proxy when several could. The proxies themselves store the
-// leases: each controller has an entry of its own in the proxy's map, with the epoch of its last takeover and a
-// heartbeat, and the highest epoch holds the lease.
+// Package lease decides which controller serves which proxy when several controllers share proxies. Leases are stored
+// in the proxies: each controller has its own entry in the map of a proxy, with the epoch of its last takeover and a
+// heartbeat count. The entry with the highest epoch holds the lease.
 //
-// A controller takes over by writing its entry, then ending all other sessions at the proxy, then reading the
-// entries again. What an earlier holder had in flight ends with its session, and a session that began later sees
-// the entry. So two controllers never steer one proxy, whatever they know of each other.
+// To take over, a controller writes its entry, ends all other sessions at the proxy, and reads the entries again.
+// Ending a session discards what an earlier holder had in flight, and a session opened later reads the new entry.
+// Therefore two controllers never control one proxy at the same time, even if they cannot reach each other.
 //
-// The package is pure. docs/design/leases.md describes the alternatives and the exhaustive search of the protocol.
+// The package does no I/O and reads no clock. docs/design/leases.md describes the alternatives and the exhaustive
+// search of the protocol.
 package lease
 
 import (
@@ -18,14 +19,16 @@
 )
 
 const (
-	// maxOverload bounds the demand of a controller, relative to an even part. A smaller bound moves more proxies.
+	// maxOverload bounds the request rate of a controller, relative to an even part. A smaller bound moves more proxies
+	// when controllers join or leave.
 	maxOverload = 1.1
-	// minRequestRate is assumed of proxies without known demand, in requests per second.
+	// minRequestRate is the least rate that a proxy is planned with, in requests per second, so that a proxy of
+	// unknown rate counts.
 	minRequestRate = 0.001
 )
 
-// Rank orders controllers for a proxy by rendezvous hashing, the preferred one first. A controller that comes or
-// goes moves only its own proxies.
+// Rank orders controllers for a proxy by rendezvous hashing, the preferred one first. A controller that joins or
+// leaves moves only its own proxies.
 func Rank(proxy string, controllers []string) []string {
 	score := func(controller string) uint64 { return xxhash.Sum64String(controller + "\x00" + proxy) }
 	ranked := slices.Clone(controllers)
@@ -35,17 +38,18 @@
 	return ranked
 }
 
-// ProxyLoad is a proxy with the requests per second that it usually receives.
+// ProxyLoad is a proxy and its usual request rate.
 type ProxyLoad struct {
 	Proxy       string
-	RequestRate float64
+	RequestRate float64 // requests per second; 0: unknown
 }
 
 func (l ProxyLoad) rate() float64 { return max(minRequestRate, l.RequestRate) }
 
-// Plan orders controllers for each proxy, the preferred one first, so that each serves about the same demand: by
-// Rank, but a controller with more than maxOverload of an even part comes after those with room. The result depends
-// on the names and rates alone.
+// Plan returns the controllers of each proxy in order of preference, so that the preferred ones have about equal
+// request rates. The order is that of Rank, except that the preferred controller is the first one with room below the
+// limit, or the least loaded one if none has room. The result depends on the names and rates alone, not on the order
+// of proxies, so that all controllers compute the same plan.
 func Plan(proxies []ProxyLoad, controllers []string) map[string][]string {
 	limit := maxControllerRate(proxies, len(controllers))
 	rates := map[string]float64{} // by controller
@@ -55,7 +59,7 @@
 		preferred := slices.IndexFunc(ranked, func(controller string) bool {
 			return rates[controller]+proxy.rate() <= limit
 		})
-		if preferred < 0 { // none has room for all of it
+		if preferred < 0 { // no controller has room for this proxy
 			least := slices.MinFunc(ranked, func(a, b string) int { return cmp.Compare(rates[a], rates[b]) })
 			preferred = slices.Index(ranked, least)
 		}
@@ -66,6 +70,8 @@
 	return plan
 }
 
+// maxControllerRate returns the request rate up to which a controller is preferred: maxOverload times an even part,
+// or an even part and half of the largest proxy where that is more.
 func maxControllerRate(proxies []ProxyLoad, controllers int) float64 {
 	total, largest := 0.0, 0.0
 	for _, proxy := range proxies {
@@ -76,8 +82,8 @@
 	return max(maxOverload*evenRate, evenRate+largest/2)
 }
 
-// inPlanOrder returns proxies in an order that is the same for all controllers, and that stays the same for the
-// others when one comes or goes.
+// inPlanOrder returns proxies in an order that is the same at all controllers and does not change for the other
+// proxies when one is added or removed.
 func inPlanOrder(proxies []ProxyLoad) []ProxyLoad {
 	ordered := slices.Clone(proxies)
 	slices.SortFunc(ordered, func(a, b ProxyLoad) int {
--- a/internal/lease/plan_test.go
+++ b/internal/lease/plan_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRankMovesOnlyWhatMustMove checks that each controller gets a fair part of the proxies, and that one that
-// leaves moves its own proxies only.
+// TestRankMovesOnlyWhatMustMove checks that each controller is preferred by 80 to 120 percent of an even part of the
+// proxies, and that only the proxies of a controller that leaves move.
 func TestRankMovesOnlyWhatMustMove(t *testing.T) {
 	const proxies = 5000
 	var controllers []string
@@ -51,7 +51,7 @@
 
 var planControllers = []string{"governor-1", "governor-2", "governor-3", "governor-4", "governor-5"}
 
-// largestRate returns the rate of the controller with the largest one.
+// largestRate returns the request rate of the busiest controller.
 func largestRate(proxies []ProxyLoad, plan map[string][]string) (largest float64) {
 	rates := map[string]float64{}
 	for _, proxy := range proxies {
@@ -62,9 +62,9 @@
 	return largest
 }
 
-// TestPlanIsEven checks that, whatever the rates of proxies and however small they are, no controller has more than
-// maxOverload of an even part, or half of the largest proxy above it, and that the order of the proxies changes
-// nothing.
+// TestPlanIsEven checks for random request rates that no controller exceeds maxOverload of an even part, or half of
+// the largest proxy above an even part, by more than half of the largest proxy, and that the plan does not depend on
+// the order of the proxies.
 func TestPlanIsEven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var proxies []ProxyLoad
@@ -90,7 +90,7 @@
 	})
 }
 
-// TestPlanMovesLittle checks that a controller that joins moves little more than has to move.
+// TestPlanMovesLittle checks that a joining controller moves at most half again as many proxies as it takes.
 func TestPlanMovesLittle(t *testing.T) {
 	var proxies []ProxyLoad
 	for i := range 2000 {
@@ -113,7 +113,7 @@
 	}
 }
 
-// BenchmarkPlan plans 10,000 proxies over 30 controllers.
+// BenchmarkPlan plans 10,000 proxies for 30 controllers.
 func BenchmarkPlan(b *testing.B) {
 	var controllers []string
 	var proxies []ProxyLoad
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership lets controllers find each other and carries messages among them, on hashicorp/memberlist:
-// membership, failure detection, graceful leaves, and encryption where a key is set. What messages mean is decided
-// in package gossip.
+// Package membership discovers the other controllers and transports gossip messages among them. It is based on
+// hashicorp/memberlist, which provides failure detection, graceful leaves, and encryption if a key is set. Package
+// gossip defines and interprets the messages.
 package membership
 
 import (
@@ -20,7 +20,7 @@
 	"cressknot/internal/gossip"
 )
 
-// The version of the messages between controllers. Controllers of another major version are not listened to.
+// Version of the protocol between controllers. No messages are sent to controllers of another major version.
 const (
 	MajorVersion = 1
 	MinorVersion = 0
@@ -30,22 +30,22 @@
 type Options struct {
 	Name      string
 	Listen    string               // host:port
-	Join      []string             // host:port of others; any one that is up is enough
+	Join      []string             // host:port of other controllers; one that is reachable suffices
 	Key       []byte               // 16, 24 or 32 bytes; nil: not encrypted
 	OnMessage func(gossip.Message) // called for each valid message
-	OnError   func(error)          // called for what cannot be understood
-	// OnChange is called when a controller is there or has left.
+	OnError   func(error)          // called for invalid messages and members of another major version
+	// OnChange is called when another controller has joined, or has left or died.
 	OnChange     func(name string, joined bool)
-	majorVersion int // of the protocol, for tests; 0: that of this program
+	majorVersion int // of the protocol; 0: MajorVersion. Only tests set it.
 }
 
-// protocolVersion is what a controller announces to others.
+// protocolVersion is the metadata that a controller announces with its name.
 type protocolVersion struct {
 	Major int `json:"major"`
 	Minor int `json:"minor"`
 }
 
-// Membership is the membership of one controller. Its methods may be called from any goroutine.
+// Membership is the membership of one controller. Its methods are safe for concurrent use.
 type Membership struct {
 	options  Options
 	list     *memberlist.Memberlist
@@ -53,11 +53,12 @@
 	joinLoop sync.WaitGroup
 
 	mu        sync.Mutex
-	latest    []byte // our latest message, for those that join
+	latest    []byte // latest message that was sent, encoded; for controllers that join
 	sentBytes uint64
 }
 
-// Start listens and begins to look for the other controllers.
+// Start listens at the configured address and joins the other controllers in the background. The callbacks of the
+// options may be called, from other goroutines, before it returns. The caller must call Close.
 func Start(options Options) (*Membership, error) {
 	host, portText, err := net.SplitHostPort(options.Listen)
 	if err != nil {
@@ -93,16 +94,16 @@
 	config.Events = &events{m}
 	config.SecretKey = m.options.Key
 	config.DeadNodeReclaimTime = time.Duration(gossip.DeadNodeReclaimTime)
-	config.Logger = log.New(io.Discard, "", 0) // what matters is reported by OnError and OnChange
+	config.Logger = log.New(io.Discard, "", 0) // relevant events are reported by OnError and OnChange
 	return config
 }
 
-// join contacts the configured controllers until one is there, and again whenever none is.
+// join contacts the configured controllers as long as there is no other member, until the context ends.
 func (m *Membership) join(ctx context.Context) {
 	defer m.joinLoop.Done()
 	for {
 		if len(m.options.Join) > 0 && m.list.NumMembers() < 2 {
-			_, _ = m.list.Join(m.options.Join) // the next attempt follows
+			_, _ = m.list.Join(m.options.Join) // retried after JoinInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -112,7 +113,8 @@
 	}
 }
 
-// Send sends our message to all controllers that are there. It waits for none of them.
+// Send sends a message to all other members of the same major version. It does not wait for streams to finish, and
+// messages may be lost: the next one replaces them.
 func (m *Membership) Send(message gossip.Message) {
 	text, err := json.Marshal(message)
 	if err != nil || len(text) > gossip.MaxMessageSize {
@@ -130,32 +132,32 @@
 		m.sentBytes += uint64(len(text))
 		m.mu.Unlock()
 		if len(text) <= gossip.MaxDatagramSize {
-			_ = m.list.SendBestEffort(node, text) // the next message makes up for a lost one
+			_ = m.list.SendBestEffort(node, text) // the next message replaces a lost one
 			continue
 		}
 		go func() {
 			streams <- struct{}{}
 			defer func() { <-streams }()
-			_ = m.list.SendReliable(node, text) // the same
+			_ = m.list.SendReliable(node, text) // as above
 		}()
 	}
 }
 
-// isCompatible reports whether a controller has our major version.
+// isCompatible reports whether a member announces the major version of this controller.
 func (m *Membership) isCompatible(node *memberlist.Node) bool {
 	var version protocolVersion
 	err := json.Unmarshal(node.Meta, &version)
 	return err == nil && version.Major == m.options.majorVersion
 }
 
-// Sent returns how many bytes of messages were sent.
+// SentBytes returns the total size of the messages sent, in bytes, once for each receiver. Failed sends count, too.
 func (m *Membership) SentBytes() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.sentBytes
 }
 
-// Names returns the controllers that are there, this one included.
+// Names returns the names of all live members, including this controller.
 func (m *Membership) Names() (names []string) {
 	for _, node := range m.list.Members() {
 		names = append(names, node.Name)
@@ -163,14 +165,15 @@
 	return names
 }
 
-// Close leaves gracefully, so that no controller suspects a crash.
+// Close announces that this controller leaves, so that others do not take it for crashed, and stops listening.
+// The announcement is bounded by gossip.LeaveTimeout.
 func (m *Membership) Close() error {
 	m.cancel()
 	m.joinLoop.Wait()
 	return errors.Join(m.list.Leave(time.Duration(gossip.LeaveTimeout)), m.list.Shutdown())
 }
 
-// receive takes an encoded message.
+// receive decodes a message and passes it, or the error, to a callback.
 func (m *Membership) receive(text []byte) {
 	message, err := decodeMessage(text)
 	if err != nil {
@@ -193,26 +196,26 @@
 // delegate implements memberlist.Delegate.
 type delegate struct{ m *Membership }
 
-// NodeMeta returns what is announced with our name.
+// NodeMeta returns the metadata announced with the name of this controller.
 func (d *delegate) NodeMeta(int) []byte {
-	text, _ := json.Marshal(protocolVersion{d.m.options.majorVersion, MinorVersion}) // two numbers always encode
+	text, _ := json.Marshal(protocolVersion{d.m.options.majorVersion, MinorVersion}) // encoding two numbers cannot fail
 	return text
 }
 
-// NotifyMsg takes a message.
+// NotifyMsg receives a message from another controller.
 func (d *delegate) NotifyMsg(text []byte) { d.m.receive(text) }
 
-// GetBroadcasts returns nothing: messages are sent one by one.
+// GetBroadcasts returns nothing: Send addresses each controller itself.
 func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState returns our latest message to a controller that joins, which so need not wait for the next one.
+// LocalState returns the latest message sent, so that a controller that joins need not wait for the next one.
 func (d *delegate) LocalState(bool) []byte {
 	d.m.mu.Lock()
 	defer d.m.mu.Unlock()
 	return d.m.latest
 }
 
-// MergeRemoteState takes the latest message of a controller.
+// MergeRemoteState receives the latest message of another controller; it is empty if there was none.
 func (d *delegate) MergeRemoteState(text []byte, _ bool) {
 	if len(text) > 0 {
 		d.m.receive(text)
@@ -222,7 +225,7 @@
 // events implements memberlist.EventDelegate.
 type events struct{ m *Membership }
 
-// NotifyJoin reports a controller that is there.
+// NotifyJoin reports a controller that joined, and an error if its major version is another one.
 func (e *events) NotifyJoin(node *memberlist.Node) {
 	if node.Name == e.m.options.Name {
 		return
@@ -235,12 +238,12 @@
 	}
 }
 
-// NotifyLeave reports a controller that has left.
+// NotifyLeave reports a controller that left or died.
 func (e *events) NotifyLeave(node *memberlist.Node) {
 	if node.Name != e.m.options.Name {
 		e.m.options.OnChange(node.Name, false)
 	}
 }
 
-// NotifyUpdate does nothing, as what is announced never changes.
+// NotifyUpdate does nothing: the announced metadata of a controller never changes.
 func (e *events) NotifyUpdate(*memberlist.Node) {}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -15,7 +15,7 @@
 
 const waitTimeout = 30 * time.Second
 
-// testNode is a controller's membership and what it received.
+// testMember is the membership of a controller and the messages and errors that it received.
 type testMember struct {
 	*Membership
 	address string
@@ -64,7 +64,7 @@
 	return member
 }
 
-// closeNode ends a node after a test. Others may have ended before, so that its leave may time out.
+// closeMember closes a member after a test. Its leave may time out, as other members may be closed already.
 func closeMember(member *testMember) { _ = member.Close() }
 
 func waitUntil(t *testing.T, failure string, condition func() bool) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// received reports whether a message of a controller with so many servers came.
+// received reports whether a message of a controller with the given number of servers has arrived.
 func (m *testMember) received(controller string, servers int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -91,8 +91,9 @@
 	return slices.Clone(m.errors)
 }
 
-// TestControllersFindEachOther checks that three controllers that know one address each find all, receive small and
-// large messages, and notice one that leaves; and that one with another key neither sends nor receives.
+// TestControllersFindEachOther checks that three controllers, of which each is configured with at most one address,
+// find each other, receive small and large messages, and notice when one leaves. A controller with another key must
+// not become a member nor receive messages.
 func TestControllersFindEachOther(t *testing.T) {
 	key := []byte("sixteen bytes of")
 	a := startMember(t, "a", key)
@@ -115,20 +116,24 @@
 		return a.received("c", 2) && b.received("c", 2)
 	})
 	c.Send(large)
-	waitUntil(t, "large messages do not arrive", func() bool { return a.received("c", 1500) && b.received("c", 1500) })
+	waitUntil(t, "large messages do not arrive", func() bool {
+		return a.received("c", 1500) && b.received("c", 1500)
+	})
 	if errs := c.receivedErrors(); len(errs) != 0 {
 		t.Errorf("errors without an invalid message: %v", errs)
 	}
 	if err := b.Close(); err != nil {
 		t.Error(err)
 	}
-	waitUntil(t, "the controller that left is still listed", func() bool { return len(a.Names()) == 2 && len(c.Names()) == 2 })
+	waitUntil(t, "the controller that left is still listed", func() bool {
+		return len(a.Names()) == 2 && len(c.Names()) == 2
+	})
 	if len(other.Names()) != 1 || other.received("c", 2) {
 		t.Errorf("a controller with another key sees %v or received a message", other.Names())
 	}
 }
 
-// TestInvalidMessagesAreReported checks that what cannot be understood is an error that names the place.
+// TestInvalidMessagesAreReported checks that each invalid message is reported, with the name of the invalid field.
 func TestInvalidMessagesAreReported(t *testing.T) {
 	member := startMember(t, "a", nil)
 	defer closeMember(member)
@@ -140,14 +145,16 @@
 	}
 }
 
-// TestOtherMajorVersionGetsNoMessages checks that a controller of another version is seen and reported, but sent
-// nothing.
+// TestOtherMajorVersionGetsNoMessages checks that a controller of another major version becomes a member and is
+// reported, but is sent no messages.
 func TestOtherMajorVersionGetsNoMessages(t *testing.T) {
 	a := startMember(t, "a", nil)
 	b := startMemberOfVersion(t, 2, "b", nil, a.address)
 	defer closeMember(a)
 	defer closeMember(b)
-	waitUntil(t, "the controllers do not find each other", func() bool { return len(a.Names()) == 2 && len(b.Names()) == 2 })
+	waitUntil(t, "the controllers do not find each other", func() bool {
+		return len(a.Names()) == 2 && len(b.Names()) == 2
+	})
 	waitUntil(t, "the incompatible version is not reported", func() bool {
 		errs := a.receivedErrors()
 		return len(errs) == 1 && strings.Contains(errs[0].Error(), `controller "b" has an incompatible protocol version`)
@@ -170,8 +177,8 @@
 	return message
 }
 
-// BenchmarkMembers lets controllers join one at once, then sends a message of each: how long it takes until all
-// know all, and how many bytes of messages per second that is for all of them together.
+// BenchmarkMembers has controllers join the first one all at once, then sends one message of each. It reports the time
+// until each knows all others, and the size of messages per second of all controllers together.
 func BenchmarkMembers(b *testing.B) {
 	for _, count := range []int{2, 4, 8, 16, 30} {
 		b.Run(fmt.Sprint("governors=", count), func(b *testing.B) {
@@ -194,7 +201,7 @@
 				}
 				b.ReportMetric(duration.Seconds(), "s_until_all_know_all")
 				b.ReportMetric(float64(sentBytes)/1000, "kB/s")
-				for _, member := range members { // without the announcement of a graceful leave
+				for _, member := range members { // skips the announcement of Close
 					member.cancel()
 					member.joinLoop.Wait()
 					if err := member.list.Shutdown(); err != nil {
--- a/internal/rollingrestart/ask.go
+++ b/internal/rollingrestart/ask.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// askTimeout bounds one command to a running controller.
+	// askTimeout bounds the time to connect to a controller, and the time for a command and its answer.
 	askTimeout = 5 * time.Second
 	// readBufferSize is the size of one read of an answer, in bytes.
 	readBufferSize = 1 << 16
-	// refusedPrefix begins the answer to a command that was refused.
+	// refusedPrefix marks the answer to a command that the controller refuses.
 	refusedPrefix = "Refused: "
 )
 
-// errAnswerComplete ends the reading of a connection.
+// errAnswerComplete stops the parser after the first answer.
 var errAnswerComplete = errors.New("answer complete")
 
-// Ask sends a controller one command at its operators' socket, a path or host:port, and returns the answer. An
-// answer that refuses the command is an error.
+// Ask sends one command to a controller at its operators' socket and returns the answer. The address is the path of a
+// Unix socket or host:port. An answer that refuses the command is returned as the error.
 func Ask(address string, words ...string) (string, error) {
 	connection, err := net.DialTimeout(networkOf(address), address, askTimeout)
 	if err != nil {
@@ -48,6 +48,7 @@
 	return answer, nil
 }
 
+// networkOf returns the network of a socket address: a path contains a slash or ends in ".sock".
 func networkOf(address string) string {
 	if strings.Contains(address, "/") || filepath.Ext(address) == ".sock" {
 		return "unix"
@@ -55,7 +56,7 @@
 	return "tcp"
 }
 
-// readAnswer reads the answer to one command.
+// readAnswer reads up to the end of the answer to one command.
 func readAnswer(connection net.Conn) (answer string, err error) {
 	var parser haproxyapi.AnswerParser
 	buffer := make([]byte, readBufferSize)
--- a/internal/rollingrestart/members.go
+++ b/internal/rollingrestart/members.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// The form of the answer to "show members".
+// Format of the answer to "show members": rows of a controller's name, its number of proxies and the age of its
+// heartbeat. Controllers of other versions use the same format.
 const (
 	commentPrefix = "#"
 	membersFields = 3
@@ -15,14 +16,14 @@
 	ownRowSuffix  = "(this)"
 )
 
-// Members is how many proxies each controller serves, as one controller sees it.
+// Members is the number of proxies that each controller serves, as reported by one of them.
 type Members struct {
-	Own      int            // that controller
+	Own      int            // of the reporting controller
 	Unserved int            // proxies without a controller
-	Others   map[string]int // by controller
+	Others   map[string]int // of the other controllers, by name
 }
 
-// Attended returns an error unless every proxy has a controller.
+// AllServed returns an error unless every proxy has a controller.
 func (m Members) AllServed() error {
 	if m.Unserved > 0 {
 		return fmt.Errorf("%d proxies have no controller", m.Unserved)
@@ -30,7 +31,8 @@
 	return nil
 }
 
-// HandedOver returns an error unless the controller serves no proxy, or there is no other one that could.
+// HandedOver returns an error unless the reporting controller serves no proxy, or there is no other controller to
+// serve its proxies.
 func (m Members) HandedOver() error {
 	if m.Own > 0 && len(m.Others) > 0 {
 		return fmt.Errorf("controller still serves %d proxies", m.Own)
@@ -38,7 +40,7 @@
 	return nil
 }
 
-// ParseMembers parses the answer to "show members". Errors name the line.
+// ParseMembers parses the answer to "show members". Errors name the invalid line, counted from 1.
 func ParseMembers(text string) (Members, error) {
 	members := Members{Others: map[string]int{}}
 	rows := 0
@@ -71,7 +73,7 @@
 	return members, nil
 }
 
-// askMembers asks a controller for its members.
+// fetchMembers sends "show members" to a controller and parses the answer.
 func fetchMembers(address string) (Members, error) {
 	text, err := Ask(address, "show", "members")
 	if err != nil {
--- a/internal/rollingrestart/restart.go
+++ b/internal/rollingrestart/restart.go
@@ -1,5 +1,5 @@
-// Package rollingrestart sends commands to the operators' sockets of running controllers, and restarts controllers
-// that share proxies one after the other.
+// Package rollingrestart restarts controllers that share proxies one after the other, by commands to their operators'
+// sockets.
 package rollingrestart
 
 import (
@@ -11,10 +11,11 @@
 	"cressknot/internal/lease"
 )
 
-// pollInterval is the time between two commands while a condition is awaited: half a heartbeat.
+// pollInterval is the time between two polls of a controller: half a heartbeat interval.
 const pollInterval = time.Duration(lease.CheckInterval) / 2
 
-// WaitFor polls a controller until what it sees of its members meets a condition, for a limited time.
+// WaitFor polls a controller until condition returns nil for its members. After the timeout it returns the last error
+// of the condition or the poll, and ctx.Err() if the context ends first.
 func WaitFor(ctx context.Context, address string, timeout time.Duration, condition func(Members) error) error {
 	for deadline := time.Now().Add(timeout); ; {
 		members, err := fetchMembers(address)
@@ -35,9 +36,10 @@
 	}
 }
 
-// Restart restarts controllers one after the other. Each hands its proxies over before, and the next one follows
-// when every proxy has a controller again. It ends with the first step that fails or takes longer than the timeout;
-// a controller that was not restarted then serves proxies again.
+// Restart restarts the controllers at the given operators' sockets one after the other with the callback restart.
+// Each controller first hands its proxies over; the next one follows once every proxy has a controller again. Restart
+// stops at the first step that fails or exceeds the timeout. If a controller could not hand over, it is told to serve
+// proxies again.
 func Restart(
 	ctx context.Context, sockets []string, timeout time.Duration, restart func(ctx context.Context, socket string) error,
 ) error {
@@ -49,6 +51,7 @@
 	return nil
 }
 
+// restartOne hands over the proxies of one controller, restarts it, and waits until every proxy has a controller.
 func restartOne(
 	ctx context.Context, address string, timeout time.Duration, restart func(ctx context.Context, socket string) error,
 ) error {
--- a/internal/rollingrestart/restart_test.go
+++ b/internal/rollingrestart/restart_test.go
@@ -15,11 +15,11 @@
 	"cressknot/internal/haproxyapi"
 )
 
-// fakeController answers at a socket, with one other controller beside it, and records what it was asked.
+// fakeController answers commands at a socket as a controller with one peer does, and records them.
 type fakeController struct {
 	address  string
 	unserved int
-	stuck    bool // hands nothing over
+	stuck    bool // never hands its proxies over
 
 	mu       sync.Mutex
 	commands []string
@@ -45,14 +45,14 @@
 	return []byte(haproxyapi.UnknownPrefix + text + "'.\n")
 }
 
-// recorded returns the commands so far, and whether the controller is retired.
+// recorded returns the commands received so far, and whether the controller is retired.
 func (c *fakeController) recorded() (commands []string, retired bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.commands...), c.retired
 }
 
-// start lets a fake controller answer at a socket until the test ends.
+// start serves a fake controller at a socket until the test ends.
 func (c *fakeController) start(t *testing.T) *fakeController {
 	t.Helper()
 	c.address = filepath.Join(t.TempDir(), "g.sock")
@@ -62,7 +62,7 @@
 	}
 	var connections sync.WaitGroup
 	t.Cleanup(func() {
-		_ = listener.Close() // ends the loop below
+		_ = listener.Close() // ends the accept loop below
 		connections.Wait()
 	})
 	connections.Go(func() {
@@ -77,7 +77,7 @@
 	return c
 }
 
-// serve answers at one connection until the client closes it.
+// serve answers the commands of one connection until the client closes it.
 func (c *fakeController) serve(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	session := haproxyapi.Session{Answer: c.answer}
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestRestartGoesStepByStep checks that each controller hands over and is restarted, and that the next one follows
-// when all proxies have a controller.
+// TestRestartGoesStepByStep checks that each controller hands its proxies over before it is restarted, and that the
+// next one is restarted only after all proxies were reported to have a controller.
 func TestRestartGoesStepByStep(t *testing.T) {
 	first := (&fakeController{}).start(t)
 	second := (&fakeController{}).start(t)
@@ -160,7 +160,8 @@
 	}
 }
 
-// TestRestartEndsWithFailedStep checks also that a controller that could not hand over serves proxies again.
+// TestRestartEndsWithFailedStep checks that each failing step ends the restart with its own error, and that a
+// controller that could not hand over is told to serve proxies again.
 func TestRestartEndsWithFailedStep(t *testing.T) {
 	errRestart := errors.New("no such unit")
 	failingRestart := func(context.Context, string) error { return errRestart }
