--- a/internal/gossip/state_test.go
+++ b/internal/gossip/state_test.go
@@ -210,8 +210,10 @@
 func TestInvalidMessagesAreRefused(t *testing.T) {
 	_, state, _ := newPeerStates(4)
 	for want, message := range map[string]Message{
-		"controller name of 0 bytes":                    {},
-		"2001 servers and 0 observations, at most 2000": {Controller: "a", Servers: make([]ServerStatus, maxServersPerMessage+1)},
+		"controller name of 0 bytes": {},
+		"2001 servers and 0 observations, at most 2000": {
+			Controller: "a", Servers: make([]ServerStatus, maxServersPerMessage+1),
+		},
 		"servers[1]":      {Controller: "a", Servers: []ServerStatus{{Name: "s0"}, {Name: "s1", State: 7}}},
 		"observations[0]": {Controller: "a", Observations: []Observation{{"s0", 1, 2}}},
 	} {
