--- a/internal/gossip/state_test.go
+++ b/internal/gossip/state_test.go
@@ -13,7 +13,7 @@
 
 const startTime = 1000 * fleet.Second
 
-// newPeerStates returns two peers, of which the second has a list of some ready servers in revision 7.
+// newPeerStates returns two peers. The second one has a list of ready servers, which is returned, at revision 7.
 func newPeerStates(servers int) (first, second *PeerState, list map[string]LocalServer) {
 	first = NewPeerState("a", 5)
 	second = NewPeerState("b", 6)
@@ -25,14 +25,14 @@
 	return first, second, list
 }
 
-// withChanges returns a copy of a list in which some servers are changed.
+// withChanges returns a copy of a list with some servers changed.
 func withChanges(list, changed map[string]LocalServer) map[string]LocalServer {
 	merged := maps.Clone(list)
 	maps.Copy(merged, changed)
 	return merged
 }
 
-// sendIfDue lets one peer send its message to another if it is due.
+// sendIfDue delivers the message of one peer to another if one is due.
 func sendIfDue(t *testing.T, now, warmUp fleet.Time, from, to *PeerState) {
 	t.Helper()
 	message, due := from.NextMessage(now, warmUp)
@@ -44,7 +44,7 @@
 	}
 }
 
-// newerListTest has two peers, of which the first one has a newer list.
+// newerListTest holds two peers, of which the first one has a newer list.
 type newerListTest struct {
 	*testing.T
 	first, second *PeerState
@@ -70,7 +70,7 @@
 	sendIfDue(n.T, n.now, 15*fleet.Second, n.first, n.second)
 }
 
-// sendUntilNewerListCounts lets time pass until the newer list counts.
+// sendUntilNewerListCounts sends messages until newerListDelay has passed.
 func (n *newerListTest) sendUntilNewerListCounts() {
 	n.Helper()
 	n.send()
@@ -81,7 +81,7 @@
 	}
 }
 
-// changes returns what the second peer changes, as name=state,start,whether by a peer.
+// changes returns the changes at the second peer, each as "name=state,start in seconds,FromPeer ".
 func (n *newerListTest) changes() (text string) {
 	changes, _ := n.second.Next(n.now)
 	for _, change := range changes {
@@ -94,7 +94,7 @@
 func (n *newerListTest) expect(when, want string) {
 	n.Helper()
 	if got := n.changes(); got != want {
-		n.Errorf("%s: %q, not %q", when, got, want)
+		n.Errorf("%s: changes %q, want %q", when, got, want)
 	}
 }
 
@@ -103,56 +103,57 @@
 	overridesEnded       = "s1=0,0,false s2=0,0,false s3=0,0,false "
 )
 
-// TestNewerListOfPeerCountsAfterDelay checks that draining, gone and restarted servers of a peer's newer list count
-// after a while, again after our list was replaced, and until the peer is silent.
+// TestNewerListOfPeerCountsAfterDelay checks that draining, gone and restarted servers of a peer's newer list are
+// applied after newerListDelay, applied again after the local list was replaced, and reverted when the peer's
+// messages expire.
 func TestNewerListOfPeerCountsAfterDelay(t *testing.T) {
 	n := newNewerListTest(t)
 	n.send()
-	n.expect("at once", "")
+	n.expect("before the delay", "")
 	repeated := Message{Controller: "a", Epoch: 5, Sequence: 1, ListRevision: 99}
 	err := n.second.Merge(n.now, repeated)
 	if err != nil || n.second.Outdated != 1 || n.second.peers["a"].message.ListRevision != 9 {
-		t.Errorf("a repeated message: %v, %d old", err, n.second.Outdated)
+		t.Errorf("repeated message: error %v, %d outdated messages, want 1", err, n.second.Outdated)
 	}
 	for range 3 {
 		n.now += fleet.Second
 		n.send()
 	}
-	n.expect("from a newer list", overridesOfNewerList)
-	n.expect("again", "")
-	n.second.SetLocalList(n.now, 7, true, n.list) // the same list, as after a reconnect
-	n.expect("after our list", overridesOfNewerList)
+	n.expect("newer list after the delay", overridesOfNewerList)
+	n.expect("same list again", "")
+	n.second.SetLocalList(n.now, 7, true, n.list) // the same list again, as after a reconnect
+	n.expect("local list replaced", overridesOfNewerList)
 	n.now += messageLifetime
-	n.expect("when the peer is silent", overridesEnded)
+	n.expect("peer messages expired", overridesEnded)
 	n.send()
 	n.now += 3 * fleet.Second
 	n.send()
-	n.expect("when the peer is heard again", overridesOfNewerList)
+	n.expect("peer sends again", overridesOfNewerList)
 	n.second.SetLocalList(n.now, 9, true, n.newer)
-	n.expect("caught up after the silence", "")
+	n.expect("local list caught up", "")
 }
 
-// TestNewerListOfPeerEndsWithOurOwn checks that a peer's list no longer counts once ours has caught up, and that an
-// older one counts nothing.
+// TestNewerListOfPeerEndsWithOurOwn checks that overrides end once the local list has caught up, and that an older
+// list of a peer changes nothing.
 func TestNewerListOfPeerEndsWithOurOwn(t *testing.T) {
 	n := newNewerListTest(t)
 	n.sendUntilNewerListCounts()
-	n.expect("from a newer list", overridesOfNewerList)
+	n.expect("newer list after the delay", overridesOfNewerList)
 	n.second.SetLocalList(n.now, 9, true, n.newer)
-	n.expect("caught up", "")
+	n.expect("local list caught up", "")
 	if n.second.OverrideCount() != 0 {
-		t.Errorf("%d servers count otherwise than in our list", n.second.OverrideCount())
+		t.Errorf("%d servers are overridden after the list caught up", n.second.OverrideCount())
 	}
 	n.second.SetLocalList(n.now, 12, true, n.list)
 	gone := map[string]LocalServer{"s5": {State: fleet.ServerGone}}
 	n.second.SetLocalList(n.now, 12, true, withChanges(n.list, gone))
 	n.now += 3 * fleet.Second
 	n.send()
-	n.expect("from an older list", "")
+	n.expect("older list of the peer", "")
 }
 
-// TestTooManyOverridesAreIgnored checks that a peer that would keep requests from more than half of the servers is
-// not followed, with one notice.
+// TestTooManyOverridesAreIgnored checks that a peer's list is ignored, with one notice, if it would stop requests to
+// more than half of the servers.
 func TestTooManyOverridesAreIgnored(t *testing.T) {
 	first, second, list := newPeerStates(10)
 	now := startTime
@@ -166,18 +167,19 @@
 		sendIfDue(t, now, 0, first, second)
 		changes, notices := second.Next(now)
 		if len(changes) > 0 {
-			t.Fatalf("%+v", changes)
+			t.Fatalf("changes despite too many overrides: %+v", changes)
 		}
 		noticeCount += len(notices)
 		now += fleet.Second
 	}
 	if noticeCount != 1 {
-		t.Errorf("%d notices", noticeCount)
+		t.Errorf("%d notices, want 1", noticeCount)
 	}
 }
 
-// TestUnhealthyServerIsComparedWithPeers checks that a server that is unhealthy here and healthy for a peer is
-// reported as a fault on the path, and one that is unhealthy for both as its own, once per minute.
+// TestUnhealthyServerIsComparedWithPeers checks that a server that is unhealthy here but healthy for a peer is
+// reported as a fault on the network path, and one that is unhealthy for both as a fault of the server, once per
+// minute each.
 func TestUnhealthyServerIsComparedWithPeers(t *testing.T) {
 	first, second, list := newPeerStates(4)
 	now := startTime
@@ -196,33 +198,35 @@
 		}
 		now += fleet.Second
 	}
-	onPath := strings.Count(texts, "s0 bad here, but not for a")
-	ofServer := strings.Count(texts, "s1 bad for a, too")
+	onPath := strings.Count(texts, "s0 is unhealthy here but healthy for a: fault on the network path")
+	ofServer := strings.Count(texts, "s1 is unhealthy here and for a: the server itself is faulty")
 	if onPath != 1 || ofServer != 1 || strings.Count(texts, ";") != 2 {
-		t.Error(texts)
+		t.Errorf("notices: %s", texts)
 	}
 }
 
-// TestInvalidMessagesAreRefused checks that nothing of an invalid message is taken, and that the error names the
-// place.
+// TestInvalidMessagesAreRefused checks that an invalid message is not stored and that the error names the invalid
+// field.
 func TestInvalidMessagesAreRefused(t *testing.T) {
 	_, state, _ := newPeerStates(4)
 	for want, message := range map[string]Message{
-		"nobody":       {},
-		"are the most": {Controller: "a", Servers: make([]ServerStatus, maxServersPerMessage+1)},
-		"servers[1]":   {Controller: "a", Servers: []ServerStatus{{Name: "s0"}, {Name: "s1", State: 7}}},
-		"views[0]":     {Controller: "a", Observations: []Observation{{"s0", 1, 2}}},
+		"controller name of 0 bytes": {},
+		"2001 servers and 0 observations, at most 2000": {
+			Controller: "a", Servers: make([]ServerStatus, maxServersPerMessage+1),
+		},
+		"servers[1]":      {Controller: "a", Servers: []ServerStatus{{Name: "s0"}, {Name: "s1", State: 7}}},
+		"observations[0]": {Controller: "a", Observations: []Observation{{"s0", 1, 2}}},
 	} {
 		if err := state.Merge(startTime, message); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %q", err, want)
+			t.Errorf("error %v, want one with %q", err, want)
 		}
 	}
 	if len(state.peers) != 0 || state.Invalid != 4 {
-		t.Errorf("%d peers, %d refused", len(state.peers), state.Invalid)
+		t.Errorf("%d peers, want none; %d invalid messages, want 4", len(state.peers), state.Invalid)
 	}
 }
 
-// TestNumberOfPeersIsBounded sends messages of a flood of names.
+// TestNumberOfPeersIsBounded checks that messages from 1,000 different names create at most MaxControllers peers.
 func TestNumberOfPeersIsBounded(t *testing.T) {
 	_, state, _ := newPeerStates(4)
 	failures := 0
@@ -233,38 +237,38 @@
 		}
 	}
 	if len(state.peers) != MaxControllers || failures != 1000-MaxControllers {
-		t.Errorf("%d peers, %d errors", len(state.peers), failures)
+		t.Errorf("%d peers and %d errors for 1000 senders", len(state.peers), failures)
 	}
 }
 
-// messageSimulation sends messages of two peers with drawn lists late, twice or not at all.
+// messageSimulation delivers messages of two peers with random lists late, repeatedly or not at all.
 type messageSimulation struct {
-	t       *rapid.T
-	now     fleet.Time
-	state   *PeerState
-	senders [2]*PeerState
-	all     map[string]LocalServer // every server
-	ours    map[string]LocalServer // our list
-	counts  map[string]LocalServer // as the controller takes the servers
-	sent    []Message
+	t          *rapid.T
+	now        fleet.Time
+	state      *PeerState
+	senders    [2]*PeerState
+	allServers map[string]LocalServer // list of all servers, from which lists are drawn
+	localList  map[string]LocalServer // list of the receiving controller
+	effective  map[string]LocalServer // localList with all changes applied
+	sent       []Message
 }
 
 func newMessageSimulation(t *rapid.T) *messageSimulation {
 	_, state, list := newPeerStates(8)
 	return &messageSimulation{
-		t:       t,
-		now:     startTime,
-		state:   state,
-		senders: [2]*PeerState{NewPeerState("a", 1), NewPeerState("c", 2)},
-		all:     list,
-		ours:    list,
-		counts:  maps.Clone(list),
+		t:          t,
+		now:        startTime,
+		state:      state,
+		senders:    [2]*PeerState{NewPeerState("a", 1), NewPeerState("c", 2)},
+		allServers: list,
+		localList:  list,
+		effective:  maps.Clone(list),
 	}
 }
 
 func (m *messageSimulation) drawList() map[string]LocalServer {
 	list := map[string]LocalServer{}
-	for name := range m.all {
+	for name := range m.allServers {
 		if rapid.IntRange(0, 7).Draw(m.t, "gone") > 0 {
 			state := fleet.ServerState(rapid.IntRange(0, 5).Draw(m.t, "state") / 5)
 			started := fleet.Time(rapid.IntRange(0, 1).Draw(m.t, "started")) * 999 * fleet.Second
@@ -285,9 +289,9 @@
 	case 0:
 		sender.SetLocalList(m.now, m.drawRevision(), rapid.Bool().Draw(m.t, "live"), m.drawList())
 	case 1:
-		m.ours = m.drawList()
-		m.state.SetLocalList(m.now, m.drawRevision(), true, m.ours)
-		m.counts = maps.Clone(m.ours)
+		m.localList = m.drawList()
+		m.state.SetLocalList(m.now, m.drawRevision(), true, m.localList)
+		m.effective = maps.Clone(m.localList)
 	case 2:
 		if len(m.sent) > 0 {
 			m.merge(m.sent[rapid.IntRange(0, len(m.sent)-1).Draw(m.t, "late")])
@@ -312,32 +316,32 @@
 func (m *messageSimulation) applyChanges() {
 	changes, _ := m.state.Next(m.now)
 	for _, change := range changes {
-		m.counts[change.Name] = change.Server
+		m.effective[change.Name] = change.Server
 	}
 }
 
-// check checks that peers make no server ready, and keep requests from at most half of the servers.
+// check fails if peers made a server ready, or stop requests to more than half of the ready servers.
 func (m *messageSimulation) check() {
 	unready, ready := 0, 0
-	for name, server := range m.ours {
-		if m.counts[name].State < server.State {
-			m.t.Fatalf("%s is made ready by peers", name)
+	for name, server := range m.localList {
+		if m.effective[name].State < server.State {
+			m.t.Fatalf("peers made server %s ready", name)
 		}
 		if server.State == fleet.ServerReady {
 			ready++
-			if m.counts[name].State != fleet.ServerReady {
+			if m.effective[name].State != fleet.ServerReady {
 				unready++
 			}
 		}
 	}
 	if unready > alwaysAllowedOverrides && 2*unready > ready {
-		m.t.Fatalf("peers keep requests from %d of %d", unready, ready)
+		m.t.Fatalf("peers stop requests to %d of %d ready servers", unready, ready)
 	}
 }
 
-// TestPeersOnlyKeepRequestsAway checks that, whatever messages come late, twice or not at all, of whichever peers
-// and lists, peers keep requests from no more than half of the servers and make none ready, and that nothing is
-// left when all are silent.
+// TestPeersOnlyKeepRequestsAway checks for random lists, and messages that are late, repeated or lost, that peers stop
+// requests to at most half of the ready servers and make none ready, and that no override is left after all messages
+// have expired.
 func TestPeersOnlyKeepRequestsAway(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMessageSimulation(t)
@@ -347,9 +351,10 @@
 		}
 		m.now += messageLifetime + noticeInterval
 		m.applyChanges()
-		for name, server := range m.ours {
-			if m.counts[name] != server {
-				t.Fatalf("%s counts as %+v when all are silent, our list has %+v", name, m.counts[name], server)
+		for name, server := range m.localList {
+			if m.effective[name] != server {
+				t.Fatalf("%s is treated as %+v after all messages expired, the local list has %+v",
+					name, m.effective[name], server)
 			}
 		}
 	})
--- a/internal/lease/plan_test.go
+++ b/internal/lease/plan_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRankMovesOnlyWhatMustMove checks that each controller gets a fair part of the proxies, and that one that
-// leaves moves its own proxies only.
+// TestRankMovesOnlyWhatMustMove checks that each controller is preferred by 80 to 120 percent of an even part of the
+// proxies, and that only the proxies of a controller that leaves move.
 func TestRankMovesOnlyWhatMustMove(t *testing.T) {
 	const proxies = 5000
 	var controllers []string
@@ -36,22 +36,22 @@
 		}
 		moved++
 		if controller != "g9" {
-			t.Fatalf("%s moved from %s, which is there", proxy, controller)
+			t.Fatalf("%s moved from %s, which did not leave", proxy, controller)
 		}
 	}
 	for controller, count := range counts {
 		if count < proxies/10*8/10 || count > proxies/10*12/10 {
-			t.Errorf("%s has %d of %d", controller, count, proxies)
+			t.Errorf("%s has %d of %d proxies", controller, count, proxies)
 		}
 	}
 	if moved != counts["g9"] {
-		t.Errorf("%d moved, %d were g9's", moved, counts["g9"])
+		t.Errorf("%d proxies moved, %d belonged to the controller that left", moved, counts["g9"])
 	}
 }
 
 var planControllers = []string{"governor-1", "governor-2", "governor-3", "governor-4", "governor-5"}
 
-// largestRate returns the rate of the controller with the largest one.
+// largestRate returns the request rate of the busiest controller.
 func largestRate(proxies []ProxyLoad, plan map[string][]string) (largest float64) {
 	rates := map[string]float64{}
 	for _, proxy := range proxies {
@@ -62,9 +62,9 @@
 	return largest
 }
 
-// TestPlanIsEven checks that, whatever the rates of proxies and however small they are, no controller has more than
-// maxOverload of an even part, or half of the largest proxy above it, and that the order of the proxies changes
-// nothing.
+// TestPlanIsEven checks for random request rates that no controller exceeds maxOverload of an even part, or half of
+// the largest proxy above an even part, by more than half of the largest proxy, and that the plan does not depend on
+// the order of the proxies.
 func TestPlanIsEven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var proxies []ProxyLoad
@@ -80,17 +80,17 @@
 		even := total / float64(count)
 		limit := max(maxOverload*even, even+largest/2) + largest/2 + 1e-9
 		if got := largestRate(proxies, plan); got > limit {
-			t.Fatalf("%.1f requests per second at one controller, %.1f are even, the largest proxy has %.1f",
+			t.Fatalf("one controller has %.1f requests per second; an even part is %.1f, the largest proxy has %.1f",
 				got, even, largest)
 		}
 		slices.Reverse(proxies)
 		if reversed := Plan(proxies, planControllers[:count]); !reflect.DeepEqual(plan, reversed) {
-			t.Fatal("the order of the proxies counts")
+			t.Fatal("the plan depends on the order of the proxies")
 		}
 	})
 }
 
-// TestPlanMovesLittle checks that a controller that joins moves little more than has to move.
+// TestPlanMovesLittle checks that a joining controller moves at most half again as many proxies as it takes.
 func TestPlanMovesLittle(t *testing.T) {
 	var proxies []ProxyLoad
 	for i := range 2000 {
@@ -107,13 +107,13 @@
 			taken++
 		}
 	}
-	t.Logf("a fifth controller takes %d of 2,000 proxies; %d move in all", taken, moved)
+	t.Logf("fifth controller takes %d of 2,000 proxies, %d move in all", taken, moved)
 	if moved > taken*3/2 || taken < 300 {
-		t.Errorf("%d move, %d had to", moved, taken)
+		t.Errorf("%d proxies move, %d of them to the new controller", moved, taken)
 	}
 }
 
-// BenchmarkPlan plans 10,000 proxies over 30 controllers.
+// BenchmarkPlan plans 10,000 proxies for 30 controllers.
 func BenchmarkPlan(b *testing.B) {
 	var controllers []string
 	var proxies []ProxyLoad
--- a/internal/rollingrestart/ask.go
+++ b/internal/rollingrestart/ask.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// askTimeout bounds one command to a running controller.
+	// askTimeout bounds the time to connect to a controller, and the time for a command and its answer.
 	askTimeout = 5 * time.Second
 	// readBufferSize is the size of one read of an answer, in bytes.
 	readBufferSize = 1 << 16
-	// refusedPrefix begins the answer to a command that was refused.
+	// refusedPrefix marks the answer to a command that the controller refuses.
 	refusedPrefix = "Refused: "
 )
 
-// errAnswerComplete ends the reading of a connection.
-var errAnswerComplete = errors.New("the answer is complete")
+// errAnswerComplete stops the parser after the first answer.
+var errAnswerComplete = errors.New("answer complete")
 
-// Ask sends a controller one command at its operators' socket, a path or host:port, and returns the answer. An
-// answer that refuses the command is an error.
+// Ask sends one command to a controller at its operators' socket and returns the answer. The address is the path of a
+// Unix socket or host:port. An answer that refuses the command is returned as the error.
 func Ask(address string, words ...string) (string, error) {
 	connection, err := net.DialTimeout(networkOf(address), address, askTimeout)
 	if err != nil {
-		return "", fmt.Errorf("no governor answers: %w", err)
+		return "", fmt.Errorf("connect to controller: %w", err)
 	}
 	defer func() { _ = connection.Close() }()
 	if err := connection.SetDeadline(time.Now().Add(askTimeout)); err != nil {
@@ -36,11 +36,11 @@
 	}
 	command := append(haproxyapi.AppendCommand(nil, words...), '\n')
 	if _, err := connection.Write(command); err != nil {
-		return "", fmt.Errorf("asking the governor: %w", err)
+		return "", fmt.Errorf("send command to controller: %w", err)
 	}
 	answer, err := readAnswer(connection)
 	if err != nil {
-		return "", fmt.Errorf("the governor's answer: %w", err)
+		return "", fmt.Errorf("read answer from controller: %w", err)
 	}
 	if isRefusal(answer) {
 		return "", errors.New(strings.TrimSpace(answer))
@@ -48,6 +48,7 @@
 	return answer, nil
 }
 
+// networkOf returns the network of a socket address: a path contains a slash or ends in ".sock".
 func networkOf(address string) string {
 	if strings.Contains(address, "/") || filepath.Ext(address) == ".sock" {
 		return "unix"
@@ -55,13 +56,13 @@
 	return "tcp"
 }
 
-// readAnswer reads the answer to one command.
+// readAnswer reads up to the end of the answer to one command.
 func readAnswer(connection net.Conn) (answer string, err error) {
-	var answers haproxyapi.AnswerParser
+	var parser haproxyapi.AnswerParser
 	buffer := make([]byte, readBufferSize)
 	for {
 		n, readErr := connection.Read(buffer)
-		feedErr := answers.Feed(buffer[:n], func(text []byte) error {
+		feedErr := parser.Feed(buffer[:n], func(text []byte) error {
 			answer = string(text)
 			return errAnswerComplete
 		})
--- a/internal/rollingrestart/restart.go
+++ b/internal/rollingrestart/restart.go
@@ -1,5 +1,5 @@
-// Package rollingrestart sends commands to the operators' sockets of running controllers, and restarts controllers
-// that share proxies one after the other.
+// Package rollingrestart restarts controllers that share proxies one after the other, by commands to their operators'
+// sockets.
 package rollingrestart
 
 import (
@@ -11,13 +11,14 @@
 	"cressknot/internal/lease"
 )
 
-// pollInterval is the time between two commands while a condition is awaited: half a heartbeat.
+// pollInterval is the time between two polls of a controller: half a heartbeat interval.
 const pollInterval = time.Duration(lease.CheckInterval) / 2
 
-// WaitFor polls a controller until what it sees of its members meets a condition, for a limited time.
+// WaitFor polls a controller until condition returns nil for its members. After the timeout it returns the last error
+// of the condition or the poll, and ctx.Err() if the context ends first.
 func WaitFor(ctx context.Context, address string, timeout time.Duration, condition func(Members) error) error {
 	for deadline := time.Now().Add(timeout); ; {
-		members, err := askMembers(address)
+		members, err := fetchMembers(address)
 		if err == nil {
 			err = condition(members)
 		}
@@ -25,7 +26,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s: after %s: %w", address, timeout, err)
+			return fmt.Errorf("%s: timed out after %s: %w", address, timeout, err)
 		}
 		select {
 		case <-ctx.Done():
@@ -35,9 +36,10 @@
 	}
 }
 
-// Restart restarts controllers one after the other. Each hands its proxies over before, and the next one follows
-// when every proxy has a controller again. It ends with the first step that fails or takes longer than the timeout;
-// a controller that was not restarted then serves proxies again.
+// Restart restarts the controllers at the given operators' sockets one after the other with the callback restart.
+// Each controller first hands its proxies over; the next one follows once every proxy has a controller again. Restart
+// stops at the first step that fails or exceeds the timeout. If a controller could not hand over, it is told to serve
+// proxies again.
 func Restart(
 	ctx context.Context, sockets []string, timeout time.Duration, restart func(ctx context.Context, socket string) error,
 ) error {
@@ -49,24 +51,25 @@
 	return nil
 }
 
+// restartOne hands over the proxies of one controller, restarts it, and waits until every proxy has a controller.
 func restartOne(
 	ctx context.Context, address string, timeout time.Duration, restart func(ctx context.Context, socket string) error,
 ) error {
-	if err := WaitFor(ctx, address, timeout, Members.Attended); err != nil {
-		return fmt.Errorf("before its turn: %w", err)
+	if err := WaitFor(ctx, address, timeout, Members.AllServed); err != nil {
+		return fmt.Errorf("before the restart: %w", err)
 	}
 	if _, err := Ask(address, "retire", "on"); err != nil {
 		return fmt.Errorf("%s: %w", address, err)
 	}
 	if err := WaitFor(ctx, address, timeout, Members.HandedOver); err != nil {
 		_, undoErr := Ask(address, "retire", "off")
-		return errors.Join(fmt.Errorf("handing on: %w", err), undoErr)
+		return errors.Join(fmt.Errorf("hand over proxies: %w", err), undoErr)
 	}
 	if err := restart(ctx, address); err != nil {
 		return fmt.Errorf("%s: %w", address, err)
 	}
-	if err := WaitFor(ctx, address, timeout, Members.Attended); err != nil {
-		return fmt.Errorf("after its restart: %w", err)
+	if err := WaitFor(ctx, address, timeout, Members.AllServed); err != nil {
+		return fmt.Errorf("after the restart: %w", err)
 	}
 	return nil
 }
--- a/internal/rollingrestart/restart_test.go
+++ b/internal/rollingrestart/restart_test.go
@@ -15,11 +15,11 @@
 	"cressknot/internal/haproxyapi"
 )
 
-// fakeController answers at a socket, with one other controller beside it, and records what it was asked.
+// fakeController answers commands at a socket as a controller with one peer does, and records them.
 type fakeController struct {
 	address  string
 	unserved int
-	stuck    bool // hands nothing over
+	stuck    bool // never hands its proxies over
 
 	mu       sync.Mutex
 	commands []string
@@ -45,14 +45,14 @@
 	return []byte(haproxyapi.UnknownPrefix + text + "'.\n")
 }
 
-// recorded returns the commands so far, and whether the controller is retired.
+// recorded returns the commands received so far, and whether the controller is retired.
 func (c *fakeController) recorded() (commands []string, retired bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.commands...), c.retired
 }
 
-// start lets a fake controller answer at a socket until the test ends.
+// start serves a fake controller at a socket until the test ends.
 func (c *fakeController) start(t *testing.T) *fakeController {
 	t.Helper()
 	c.address = filepath.Join(t.TempDir(), "g.sock")
@@ -62,7 +62,7 @@
 	}
 	var connections sync.WaitGroup
 	t.Cleanup(func() {
-		_ = listener.Close() // ends the loop below
+		_ = listener.Close() // ends the accept loop below
 		connections.Wait()
 	})
 	connections.Go(func() {
@@ -77,7 +77,7 @@
 	return c
 }
 
-// serve answers at one connection until the client closes it.
+// serve answers the commands of one connection until the client closes it.
 func (c *fakeController) serve(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	session := haproxyapi.Session{Answer: c.answer}
@@ -98,28 +98,28 @@
 	members, err := ParseMembers("# governor proxies beat\ng-1(this) 5 3\ng-2 4 7\n(nobody) 1 -\n")
 	want := Members{Own: 5, Unserved: 1, Others: map[string]int{"g-2": 4}}
 	if err != nil || !reflect.DeepEqual(members, want) {
-		t.Errorf("%+v, %v", members, err)
+		t.Errorf("members %+v, error %v; want %+v", members, err, want)
 	}
-	if members.Attended() == nil {
-		t.Error("proxies without a controller count as attended")
+	if members.AllServed() == nil {
+		t.Error("no error for a proxy without a controller")
 	}
 	if members.HandedOver() == nil {
-		t.Error("a controller that serves proxies counts as handed over")
+		t.Error("no error for a controller that still serves proxies")
 	}
 	if (Members{Own: 1}).HandedOver() != nil {
-		t.Error("a controller without others does not count as handed over")
+		t.Error("error for a controller without others to hand over to")
 	}
 }
 
 func TestParseMembersNamesBadLine(t *testing.T) {
 	for text, want := range map[string]string{
-		"":              "line 1",
-		"# only a head": "no line of a governor",
-		"g-1 x 3":       `line 1: "x" is no number`,
-		"# a\ng-1 1":    "line 2",
+		"":              "line 1 has 0 fields, want 3",
+		"# only a head": "answer lists no controller",
+		"g-1 x 3":       `line 1: proxy count "x" is not a number`,
+		"# a\ng-1 1":    "line 2 has 2 fields, want 3",
 	} {
 		if _, err := ParseMembers(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: error %v, want one with %q", text, err, want)
 		}
 	}
 }
@@ -127,20 +127,20 @@
 func TestAskReturnsRefusalsAsErrors(t *testing.T) {
 	controller := (&fakeController{}).start(t)
 	if text, err := Ask(controller.address, "show", "members"); err != nil || !strings.Contains(text, "g-2 4 7") {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("answer %q, error %v", text, err)
 	}
 	_, err := Ask(controller.address, "odd words")
 	if err == nil || !strings.HasPrefix(err.Error(), strings.TrimSpace(haproxyapi.UnknownPrefix)) {
-		t.Errorf("%v", err)
+		t.Errorf("unknown command: error %v", err)
 	}
 	_, err = Ask(filepath.Join(t.TempDir(), "none.sock"), "show", "members")
-	if err == nil || !strings.Contains(err.Error(), "no governor answers") {
-		t.Errorf("%v", err)
+	if err == nil || !strings.Contains(err.Error(), "connect to controller: ") {
+		t.Errorf("socket that does not exist: error %v", err)
 	}
 }
 
-// TestRestartGoesStepByStep checks that each controller hands over and is restarted, and that the next one follows
-// when all proxies have a controller.
+// TestRestartGoesStepByStep checks that each controller hands its proxies over before it is restarted, and that the
+// next one is restarted only after all proxies were reported to have a controller.
 func TestRestartGoesStepByStep(t *testing.T) {
 	first := (&fakeController{}).start(t)
 	second := (&fakeController{}).start(t)
@@ -151,40 +151,41 @@
 		return nil
 	})
 	if err != nil || !reflect.DeepEqual(restarted, sockets) {
-		t.Errorf("%v, %v", restarted, err)
+		t.Errorf("restarted %v, error %v; want %v", restarted, err, sockets)
 	}
 	commands, _ := first.recorded()
 	want := []string{"show members", "retire on", "show members", "show members"}
 	if !reflect.DeepEqual(commands, want) {
-		t.Errorf("asked %q, want %q", commands, want)
+		t.Errorf("commands %q, want %q", commands, want)
 	}
 }
 
-// TestRestartEndsWithFailedStep checks also that a controller that could not hand over serves proxies again.
+// TestRestartEndsWithFailedStep checks that each failing step ends the restart with its own error, and that a
+// controller that could not hand over is told to serve proxies again.
 func TestRestartEndsWithFailedStep(t *testing.T) {
 	errRestart := errors.New("no such unit")
 	failingRestart := func(context.Context, string) error { return errRestart }
 	stuck := (&fakeController{stuck: true}).start(t)
 	for want, controller := range map[string]*fakeController{
-		"before its turn": (&fakeController{unserved: 2}).start(t),
-		"handing on":      stuck,
-		"no such unit":    (&fakeController{}).start(t),
+		"before the restart: ": (&fakeController{unserved: 2}).start(t),
+		"hand over proxies: ":  stuck,
+		"no such unit":         (&fakeController{}).start(t),
 	} {
 		err := Restart(context.Background(), []string{controller.address}, 50*time.Millisecond, failingRestart)
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %q", err, want)
+			t.Errorf("error %v, want one with %q", err, want)
 		}
 	}
 	if commands, retired := stuck.recorded(); retired || commands[len(commands)-1] != "retire off" {
-		t.Errorf("a controller that could not hand over stays retired: %q", commands)
+		t.Errorf("a controller that could not hand over stays retired; commands %q", commands)
 	}
 }
 
 func TestUntilEndsWithContext(t *testing.T) {
-	unattended := (&fakeController{unserved: 2}).start(t)
+	controller := (&fakeController{unserved: 2}).start(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := WaitFor(ctx, unattended.address, time.Minute, Members.Attended); !errors.Is(err, context.Canceled) {
-		t.Errorf("%v", err)
+	if err := WaitFor(ctx, controller.address, time.Minute, Members.AllServed); !errors.Is(err, context.Canceled) {
+		t.Errorf("error %v, want context.Canceled", err)
 	}
 }
