--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -8,7 +8,7 @@
 	"io"
 )
 
-var errNoName = errors.New("no name")
+var errMissingName = errors.New("no name")
 
 // decodeList reads a list in the form of files and the list service. Errors state the byte or the entry.
 func decodeList(text []byte) (EndpointList, error) {
@@ -40,7 +40,7 @@
 // validate returns what is wrong with an endpoint.
 func validate(endpoint Endpoint) error {
 	if endpoint.Name == "" {
-		return errNoName
+		return errMissingName
 	}
 	switch endpoint.State {
 	case "", stateReady, stateDraining, stateGone:
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -79,7 +79,7 @@
 	return Update{Scope: fleet.ListDelta, List: EndpointList{Revision: revision, Delta: true}}
 }
 
-func failure(err error) Update { return Update{Scope: fleet.ListFailed, Err: err} }
+func failedUpdate(err error) Update { return Update{Scope: fleet.ListFailed, Err: err} }
 
 // sizeError reports a list that is too long.
 type sizeError struct{ limit int }
--- a/internal/discovery/filesource.go
+++ b/internal/discovery/filesource.go
@@ -58,7 +58,7 @@
 		case <-resync.C:
 			f.resync()
 		case event := <-watcher.Events:
-			if f.concerns(event) {
+			if f.affectsFile(event) {
 				f.readWatched()
 			}
 		case err := <-watcher.Errors:
@@ -69,8 +69,8 @@
 	}
 }
 
-// concerns reports whether the event may mean new content of the file.
-func (f *FileSource) concerns(event fsnotify.Event) bool {
+// affectsFile reports whether the event may mean new content of the file.
+func (f *FileSource) affectsFile(event fsnotify.Event) bool {
 	sameFile := filepath.Base(event.Name) == filepath.Base(f.Path)
 	return sameFile && !event.Has(fsnotify.Remove) && !event.Has(fsnotify.Chmod)
 }
@@ -110,7 +110,7 @@
 	list, text, err := readListFile(f.Path)
 	f.checksum = xxhash.Sum64(text)
 	if err != nil {
-		f.sink(failure(err))
+		f.sink(failedUpdate(err))
 		return
 	}
 	f.sink(Update{Scope: fleet.ListFull, List: list})
--- a/internal/discovery/filesource_test.go
+++ b/internal/discovery/filesource_test.go
@@ -28,19 +28,19 @@
 func TestFileSourceDeliversChangesAndFailures(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "servers.json")
 	replaceListFile(t, path, 1)
-	updates := start(t, &FileSource{Path: path})
-	if update := next(t, updates); update.List.Revision != 1 || update.Scope != fleet.ListFull {
+	updates := startSource(t, &FileSource{Path: path})
+	if update := receive(t, updates); update.List.Revision != 1 || update.Scope != fleet.ListFull {
 		t.Fatalf("%+v", update)
 	}
 	replaceListFile(t, path, 2)
-	for next(t, updates).List.Revision != 2 {
+	for receive(t, updates).List.Revision != 2 {
 	}
 	if err := os.WriteFile(path, []byte(`{"rev": 3, "serv`), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	update := next(t, updates)
+	update := receive(t, updates)
 	for update.Err == nil {
-		update = next(t, updates)
+		update = receive(t, updates)
 	}
 	if update.Scope != fleet.ListFailed || !strings.Contains(update.Err.Error(), "servers.json") {
 		t.Errorf("%+v", update)
--- a/internal/discovery/httpsource.go
+++ b/internal/discovery/httpsource.go
@@ -75,7 +75,7 @@
 func (h *HTTPSource) Fetch() {
 	go func() {
 		if err := h.fetch(h.ctx); err != nil && h.ctx.Err() == nil {
-			h.sink(failure(err))
+			h.sink(failedUpdate(err))
 		}
 	}()
 }
@@ -103,7 +103,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		h.sink(failure(err))
+		h.sink(failedUpdate(err))
 		if h.OnRequest {
 			return
 		}
--- a/internal/discovery/httpsource_test.go
+++ b/internal/discovery/httpsource_test.go
@@ -54,7 +54,7 @@
 func expectChange(t *testing.T, service *fakeListService, updates chan Update) {
 	t.Helper()
 	service.changed <- struct{}{}
-	if update := next(t, updates); update.Scope != fleet.ListDelta || update.List.Endpoints[0].State != "gone" {
+	if update := receive(t, updates); update.Scope != fleet.ListDelta || update.List.Endpoints[0].State != "gone" {
 		t.Fatalf("%+v, want the change", update)
 	}
 }
@@ -63,14 +63,14 @@
 	service := newFakeListService(t)
 	service.down.Store(true)
 	source := service.source(false)
-	updates := start(t, source)
-	update := next(t, updates)
+	updates := startSource(t, source)
+	update := receive(t, updates)
 	if update.Scope != fleet.ListFailed {
 		t.Fatalf("%+v, want a failure", update)
 	}
 	service.down.Store(false)
 	for update.Scope == fleet.ListFailed {
-		update = next(t, updates)
+		update = receive(t, updates)
 	}
 	if update.Scope != fleet.ListFull || len(update.List.Endpoints) != 2 {
 		t.Fatalf("%+v, want the complete list", update)
@@ -83,15 +83,15 @@
 	service := newFakeListService(t)
 	service.down.Store(true)
 	source := service.source(true)
-	updates := start(t, source)
+	updates := startSource(t, source)
 	source.Watch(true)
-	if update := next(t, updates); update.Scope != fleet.ListFailed {
+	if update := receive(t, updates); update.Scope != fleet.ListFailed {
 		t.Fatalf("%+v, want a failure", update)
 	}
 	service.down.Store(false)
 	before := service.requests.Load()
 	source.Watch(true)
-	update := next(t, updates)
+	update := receive(t, updates)
 	requests := service.requests.Load() - before // the next poll may have begun
 	if update.Scope != fleet.ListFull || requests != 1 && requests != 2 {
 		t.Fatalf("%+v after %d requests", update, requests)
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -49,11 +49,11 @@
 	Kinds    []string    // the kinds that an endpoint may name
 	OnError  func(error) // receives failures without an update, such as that of a move; may be nil
 
-	lineTimeout time.Duration // 0: platformLineTimeout
-	sink        func(Update)
-	client      http.Client
-	requested   chan struct{} // has an element after a change of pending
-	messages    chan platformMessage
+	lineTimeout    time.Duration // 0: platformLineTimeout
+	sink           func(Update)
+	client         http.Client
+	pendingChanged chan struct{} // has an element after a change of pending
+	messages       chan platformMessage
 
 	mu      sync.Mutex
 	pending platformRequests
@@ -109,7 +109,7 @@
 // Start makes the source ready until the context ends. It connects once Watch or Fetch is called.
 func (p *PlatformSource) Start(ctx context.Context, sink func(Update)) error {
 	p.sink = sink
-	p.requested = make(chan struct{}, 1)
+	p.pendingChanged = make(chan struct{}, 1)
 	p.messages = make(chan platformMessage)
 	p.pending.addr = p.Addr
 	p.currentAddr = p.Addr
@@ -128,7 +128,7 @@
 
 // Watch starts a watch in place of the one that runs, or ends it.
 func (p *PlatformSource) Watch(enabled bool) {
-	p.request(func(pending *platformRequests) {
+	p.updatePending(func(pending *platformRequests) {
 		pending.watch = enabled
 		pending.stop = !enabled
 	})
@@ -136,22 +136,22 @@
 
 // Fetch requests the complete list once.
 func (p *PlatformSource) Fetch() {
-	p.request(func(pending *platformRequests) {
+	p.updatePending(func(pending *platformRequests) {
 		pending.fetches = min(pending.fetches+1, maxPendingFetches)
 	})
 }
 
 // SetAddress moves to another address. A watch continues at the old one until the new one answers.
 func (p *PlatformSource) SetAddress(addr string) {
-	p.request(func(pending *platformRequests) { pending.addr = addr })
+	p.updatePending(func(pending *platformRequests) { pending.addr = addr })
 }
 
-func (p *PlatformSource) request(change func(*platformRequests)) {
+func (p *PlatformSource) updatePending(change func(*platformRequests)) {
 	p.mu.Lock()
 	change(&p.pending)
 	p.mu.Unlock()
 	select {
-	case p.requested <- struct{}{}:
+	case p.pendingChanged <- struct{}{}:
 	default:
 	}
 }
@@ -172,7 +172,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.requested:
+		case <-p.pendingChanged:
 			p.handleRequests(ctx, p.takeRequests())
 		case message := <-p.messages:
 			switch message := message.(type) {
@@ -218,12 +218,12 @@
 // handleFetch delivers a fetched list. It is stale where a watch delivered newer changes while it was on its way.
 func (p *PlatformSource) handleFetch(message fetchMessage) {
 	if message.err != nil {
-		p.sink(failure(message.err))
+		p.sink(failedUpdate(message.err))
 		return
 	}
 	list := message.list
 	stale := list.Revision < p.Revision && list.Revision >= message.knownRevision
-	if stale || p.isKnown(list) {
+	if stale || p.alreadyDelivered(list) {
 		p.sink(emptyDelta(p.Revision))
 		return
 	}
@@ -255,7 +255,7 @@
 		p.standby.unanswered = true
 		return
 	}
-	p.sink(failure(err))
+	p.sink(failedUpdate(err))
 }
 
 // standbyFailed ends a move. The active watch stays at the old address; where it has ended in the meantime, its
@@ -266,7 +266,7 @@
 		p.OnError(fmt.Errorf("at the new address: %w", err))
 	}
 	if p.active == nil {
-		p.sink(failure(err))
+		p.sink(failedUpdate(err))
 	}
 }
 
@@ -283,9 +283,9 @@
 	unanswered := message.watch.unanswered
 	message.watch.unanswered = false
 	list := message.list
-	behind := moved && list != nil && list.Revision < p.Revision
+	outdated := moved && list != nil && list.Revision < p.Revision
 	switch {
-	case list != nil && !behind && !p.isKnown(list):
+	case list != nil && !outdated && !p.alreadyDelivered(list):
 		p.deliver(list)
 	case unanswered:
 		p.sink(emptyDelta(p.Revision))
@@ -294,8 +294,8 @@
 	}
 }
 
-// isKnown reports whether the list holds only changes up to the revision that was delivered last.
-func (p *PlatformSource) isKnown(list *EndpointList) bool {
+// alreadyDelivered reports whether the list holds only changes up to the revision that was delivered last.
+func (p *PlatformSource) alreadyDelivered(list *EndpointList) bool {
 	return list.Delta && list.Revision <= p.Revision
 }
 
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -12,7 +12,7 @@
 // expectUpdate expects an update with a list, or a failure.
 func expectUpdate(t *testing.T, updates chan Update, scope fleet.ListScope, revision uint64) {
 	t.Helper()
-	update := next(t, updates)
+	update := receive(t, updates)
 	failed := scope == fleet.ListFailed
 	if update.Unchanged || update.Scope != scope || update.List.Revision != revision || (update.Err != nil) != failed {
 		t.Fatalf("%+v, want scope %v and revision %d", update, scope, revision)
@@ -22,14 +22,14 @@
 func TestPlatformSourceAnswersEachWatchOnce(t *testing.T) {
 	service := newFakePlatform(t)
 	source := service.source()
-	updates := start(t, source)
+	updates := startSource(t, source)
 
 	source.Watch(true)
-	next(t, service.watches).lines <- rejectWatch
+	receive(t, service.watches).lines <- rejectWatch
 	expectUpdate(t, updates, fleet.ListFailed, 0)
 
 	source.Watch(true)
-	watch := next(t, service.watches)
+	watch := receive(t, service.watches)
 	if watch.query != "watch=1&after=40" {
 		t.Errorf("query %s", watch.query)
 	}
@@ -44,7 +44,7 @@
 	expectUpdate(t, updates, fleet.ListFailed, 0)
 
 	source.Watch(true)
-	next(t, service.watches).lines <- listText(42, true) + "\n"
+	receive(t, service.watches).lines <- listText(42, true) + "\n"
 	expectUpdate(t, updates, fleet.ListFull, 42)
 	source.Fetch()
 	expectUpdate(t, updates, fleet.ListFull, 50)
@@ -53,21 +53,21 @@
 func TestPlatformSourceLosesAndRepeatsNothingInAMove(t *testing.T) {
 	service, moved := newFakePlatform(t), newFakePlatform(t)
 	source := service.source()
-	updates := start(t, source)
+	updates := startSource(t, source)
 	source.Watch(true)
-	watch := next(t, service.watches)
+	watch := receive(t, service.watches)
 	watch.lines <- listText(42, true) + "\n"
 	expectUpdate(t, updates, fleet.ListFull, 42)
 
 	source.SetAddress(moved.addr())
-	newWatch := next(t, moved.watches)
+	newWatch := receive(t, moved.watches)
 	if newWatch.query != "watch=1&after=42" {
 		t.Errorf("query %s", newWatch.query)
 	}
 	watch.lines <- listText(43, false) + "\n"
 	expectUpdate(t, updates, fleet.ListDelta, 43)
 	newWatch.lines <- listText(43, false) + "\n" // known already
-	if update := next(t, updates); !update.Unchanged {
+	if update := receive(t, updates); !update.Unchanged {
 		t.Errorf("delivered twice: %+v", update)
 	}
 	newWatch.lines <- listText(44, false) + "\n"
@@ -80,12 +80,12 @@
 func TestPlatformSourceEndsAWatchWithoutAnEndOfLine(t *testing.T) {
 	service := newFakePlatform(t)
 	source := &PlatformSource{Addr: service.addr(), lineTimeout: 300 * time.Millisecond}
-	updates := start(t, source)
+	updates := startSource(t, source)
 	source.Watch(true)
-	sendUntilUpdate(t, next(t, service.watches), updates)
+	sendUntilUpdate(t, receive(t, service.watches), updates)
 	source.Watch(true)
-	next(t, service.watches).lines <- heartbeatLine
-	if update := next(t, updates); update.Scope != fleet.ListDelta || len(updates) > 0 {
+	receive(t, service.watches).lines <- heartbeatLine
+	if update := receive(t, updates); update.Scope != fleet.ListDelta || len(updates) > 0 {
 		t.Errorf("%+v, and %d more", update, len(updates))
 	}
 }
@@ -113,17 +113,17 @@
 	service := newFakePlatform(t)
 	service.holdFetches()
 	source := service.source()
-	updates := start(t, source)
+	updates := startSource(t, source)
 	source.Watch(true)
-	watch := next(t, service.watches)
+	watch := receive(t, service.watches)
 	watch.lines <- listText(41, true) + "\n"
 	expectUpdate(t, updates, fleet.ListFull, 41)
 	source.Fetch()
-	next(t, service.fetched)
+	receive(t, service.fetched)
 	watch.lines <- listText(42, false) + "\n"
 	expectUpdate(t, updates, fleet.ListDelta, 42)
 	service.fetches <- listText(41, true, targetText("s-1", "in_service", 0))
-	update := next(t, updates)
+	update := receive(t, updates)
 	if update.Scope != fleet.ListDelta || update.List.Revision != 42 || len(update.List.Endpoints) > 0 {
 		t.Errorf("%+v, want an empty delta", update)
 	}
@@ -133,13 +133,13 @@
 	service := newFakePlatform(t)
 	failures := make(chan error, 10)
 	source := &PlatformSource{Addr: service.addr(), OnError: func(err error) { failures <- err }}
-	updates := start(t, source)
+	updates := startSource(t, source)
 	source.Watch(true)
-	watch := next(t, service.watches)
+	watch := receive(t, service.watches)
 	watch.lines <- listText(1, true) + "\n"
-	next(t, updates)
+	receive(t, updates)
 	source.SetAddress("127.0.0.1:1")
-	if err := next(t, failures); err == nil || errors.Is(err, context.Canceled) {
+	if err := receive(t, failures); err == nil || errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
 	watch.lines <- listText(2, false) + "\n"
--- a/internal/discovery/platformclient.go
+++ b/internal/discovery/platformclient.go
@@ -22,8 +22,8 @@
 
 // Causes of the end of a watch.
 var (
-	errWatchSilent = errors.New("no heartbeat")
-	errLineTimeout = errors.New("no line ended")
+	errHeartbeatTimeout = errors.New("no heartbeat")
+	errLineTimeout      = errors.New("no line ended")
 )
 
 // openWatch starts a watch at the current address.
@@ -105,7 +105,7 @@
 	}
 	defer func() { _ = body.Close() }()
 	heartbeat := time.AfterFunc(platformHeartbeatTimeout, func() {
-		cancel(fmt.Errorf("%w within %v", errWatchSilent, platformHeartbeatTimeout))
+		cancel(fmt.Errorf("%w within %v", errHeartbeatTimeout, platformHeartbeatTimeout))
 	})
 	defer heartbeat.Stop()
 	line := time.AfterFunc(p.lineTimeout, func() {
--- a/internal/discovery/platformdecode.go
+++ b/internal/discovery/platformdecode.go
@@ -19,9 +19,9 @@
 )
 
 var (
-	errMissingRevision = errors.New("key rev is missing")
-	errMissingAll      = errors.New("key all is missing")
-	errTargetName      = errors.New("uid or endpoint is empty or too long")
+	errMissingRevision   = errors.New("key rev is missing")
+	errMissingAll        = errors.New("key all is missing")
+	errInvalidTargetName = errors.New("uid or endpoint is empty or too long")
 )
 
 // platformStates maps the states of the platform to those of an Endpoint.
@@ -79,7 +79,7 @@
 // validateTarget returns what is wrong with a target, given the names of those before it.
 func (p *PlatformSource) validateTarget(target platformTarget, names map[string]bool) error {
 	if target.UID == "" || len(target.UID) > maxPlatformNameSize || len(target.Endpoint) > maxPlatformNameSize {
-		return errTargetName
+		return errInvalidTargetName
 	}
 	state, known := platformStates[target.State]
 	inRange := target.StartTime >= 0 && target.StartTime < maxStartTime // false for NaN
--- a/internal/discovery/transcript_test.go
+++ b/internal/discovery/transcript_test.go
@@ -33,7 +33,7 @@
 		Zones:    []string{"a", "b"},
 		Kinds:    []string{"m1", "m2"},
 	}
-	updates := start(t, source)
+	updates := startSource(t, source)
 	want := Update{Scope: fleet.ListFull, List: EndpointList{Revision: 41, Endpoints: []Endpoint{{
 		Name:    "s-1",
 		Addr:    "10.1.0.18:7070",
@@ -45,17 +45,17 @@
 		Weight:  1.5,
 	}}}}
 	source.Watch(true)
-	if got := next(t, requests); got != "GET /v1/endpoints?watch=1&after=40 HTTP/1.1" {
+	if got := receive(t, requests); got != "GET /v1/endpoints?watch=1&after=40 HTTP/1.1" {
 		t.Errorf("a watch is requested by %q", got)
 	}
-	if got := next(t, updates); !reflect.DeepEqual(got, want) {
+	if got := receive(t, updates); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	source.Fetch()
-	if got := next(t, requests); got != "GET /v1/endpoints HTTP/1.1" {
+	if got := receive(t, requests); got != "GET /v1/endpoints HTTP/1.1" {
 		t.Errorf("a complete list is requested by %q", got)
 	}
-	if got := next(t, updates); !reflect.DeepEqual(got, want) {
+	if got := receive(t, updates); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
--- a/internal/discovery/updates_test.go
+++ b/internal/discovery/updates_test.go
@@ -7,7 +7,7 @@
 )
 
 // start starts a source and returns its updates. The source runs until the end of the test.
-func start(t *testing.T, source EndpointSource) chan Update {
+func startSource(t *testing.T, source EndpointSource) chan Update {
 	t.Helper()
 	updates := make(chan Update, 1024)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -19,7 +19,7 @@
 }
 
 // next receives one element, or ends the test when none comes.
-func next[T any](t *testing.T, from <-chan T) T {
+func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case element := <-from:
--- a/internal/discovery/verification/evidence.go
+++ b/internal/discovery/verification/evidence.go
@@ -56,10 +56,10 @@
 	switch evidence {
 	case EvidenceConfirmed:
 		c.failedProbes = 0
-		c.raise(VerdictProven)
+		c.setUsableVerdict(VerdictProven)
 	case EvidenceConnection:
 		c.failedProbes = 0
-		v.connected(now, c)
+		v.probeConnected(now, c)
 	case EvidenceOtherServer:
 		v.refute(now, c, reasonOtherServer)
 	case EvidenceNone:
@@ -69,12 +69,12 @@
 
 // connected takes in that something accepts connections at the server's address. Failures of a server that is there are
 // left to the balancer's outlier ejection.
-func (v *Verifier) connected(now fleet.Time, c *candidate) {
+func (v *Verifier) probeConnected(now fleet.Time, c *candidate) {
 	switch {
 	case c.verdict == VerdictProven:
 		c.failures = 0
 	case c.failures < minRefutingFailures:
-		c.raise(VerdictReachable)
+		c.setUsableVerdict(VerdictReachable)
 	default:
 		v.refute(now, c, reasonOnlyConnects)
 	}
@@ -111,14 +111,14 @@
 	} else {
 		c.failures += failures
 	}
-	v.judgeOutcomes(now, c)
+	v.evaluateOutcomes(now, c)
 }
 
-func (v *Verifier) judgeOutcomes(now fleet.Time, c *candidate) {
+func (v *Verifier) evaluateOutcomes(now fleet.Time, c *candidate) {
 	switch {
 	case c.successes >= minProvingSuccesses && c.verdict != VerdictProven:
 		v.reachedAny = true
-		c.raise(VerdictProven)
+		c.setUsableVerdict(VerdictProven)
 	case c.failures < minRefutingFailures || c.verdict == VerdictRefuted || c.probing:
 	case v.outcomesOnly:
 		v.refute(now, c, reasonOnlyFailures)
@@ -141,7 +141,7 @@
 }
 
 // raise gives a server a verdict that lets it be used.
-func (c *candidate) raise(verdict HealthVerdict) {
+func (c *candidate) setUsableVerdict(verdict HealthVerdict) {
 	if verdict != c.verdict {
 		c.verdict = verdict
 		c.reason = ""
--- a/internal/discovery/verification/plan.go
+++ b/internal/discovery/verification/plan.go
@@ -53,8 +53,8 @@
 	v.changed = false
 	plan := Plan{WeightFractions: v.restored}
 	v.restored = nil
-	v.forgetAfterTotalFailure(now)
-	v.spareLastServers()
+	v.resetAfterTotalFailure(now)
+	v.retainLastServers()
 	if v.outcomesOnly {
 		v.readmitDue(now)
 	} else {
@@ -75,9 +75,9 @@
 	}
 }
 
-// forgetAfterTotalFailure takes back all refutations when no request succeeds: the servers in use handle nothing, so
+// resetAfterTotalFailure takes back all refutations when no request succeeds: the servers in use handle nothing, so
 // that the others can't be judged either.
-func (v *Verifier) forgetAfterTotalFailure(now fleet.Time) {
+func (v *Verifier) resetAfterTotalFailure(now fleet.Time) {
 	if v.failuresSinceSuccess < minRefutingFailures || now < v.lastSuccess+totalFailureTimeout {
 		return
 	}
@@ -94,9 +94,9 @@
 	v.reachedAny = false
 }
 
-// spareLastServers spares one refuted server where no other is left: of all, or of each zone if a class is confined to
+// retainLastServers spares one refuted server where no other is left: of all, or of each zone if a class is confined to
 // its zone. It prefers the one with the fewest failed probes.
-func (v *Verifier) spareLastServers() {
+func (v *Verifier) retainLastServers() {
 	zoneLocal := slices.ContainsFunc(v.site.Classes, func(c fleet.RequestClass) bool { return c.ZoneLocal })
 	usable := map[fleet.ZoneID]bool{}
 	best := map[fleet.ZoneID]*candidate{}
@@ -105,7 +105,7 @@
 		if zoneLocal {
 			zone = c.Endpoint.Zone
 		}
-		c.spared = false
+		c.retained = false
 		if c.verdict != VerdictRefuted {
 			usable[zone] = true
 			continue
@@ -115,7 +115,7 @@
 		}
 	}
 	for zone, c := range best {
-		c.spared = !usable[zone]
+		c.retained = !usable[zone]
 	}
 }
 
@@ -123,7 +123,7 @@
 func (v *Verifier) readmitDue(now fleet.Time) {
 	for _, c := range v.candidates {
 		if c.verdict == VerdictRefuted && c.probeAt > 0 && now >= c.probeAt {
-			c.raise(VerdictUnknown)
+			c.setUsableVerdict(VerdictUnknown)
 			c.probeAt = 0
 		}
 	}
@@ -147,18 +147,18 @@
 
 // planServers plans ejections and weight factors, and forgets the confirmed servers that have their full weight.
 func (v *Verifier) planServers(now fleet.Time, plan *Plan) {
-	weights := v.newWeightRule()
+	weights := v.newUnknownWeightBounds()
 	highest := minTrust
 	for _, c := range v.candidates {
 		if c.usable() {
-			highest = max(highest, v.worth(c, weights))
+			highest = max(highest, v.targetFactor(c, weights))
 		}
 	}
 	remaining := v.candidates[:0]
 	for _, c := range v.candidates {
 		v.planEjection(c, plan)
 		if !c.ejected {
-			c.planFactor(now, v.worth(c, weights)/highest, plan)
+			c.planFactor(now, v.targetFactor(c, weights)/highest, plan)
 		}
 		if c.verdict == VerdictConfirmed && c.factor == 1 {
 			delete(v.byServer, c.Endpoint.Server)
@@ -170,7 +170,7 @@
 	v.candidates = remaining
 }
 
-func (c *candidate) usable() bool { return c.verdict != VerdictRefuted || c.spared }
+func (c *candidate) usable() bool { return c.verdict != VerdictRefuted || c.retained }
 
 // planEjection ejects the server or lets it be used again. Operators learn of its first ejection only, as it may be
 // ejected again and again for hours.
--- a/internal/discovery/verification/shrinkgate.go
+++ b/internal/discovery/verification/shrinkgate.go
@@ -31,13 +31,13 @@
 // list is held back and requested again. It is accepted when it is repeated, or when nothing better comes within a
 // part of the drain timeout, since the servers that it doesn't name may really be gone.
 type ShrinkGate struct {
-	drainTimeout fleet.Time
-	holding      bool
-	requested    bool // the list was requested again
-	since        fleet.Time
-	digest       uint64
-	Held         uint64 // count of lists that were held back
-	Better       uint64 // count of those that a complete one replaced
+	drainTimeout   fleet.Time
+	holding        bool
+	fetchRequested bool // the list was requested again
+	heldSince      fleet.Time
+	digest         uint64
+	Held           uint64 // count of lists that were held back
+	Superseded     uint64 // count of those that a complete one replaced
 }
 
 // NewShrinkGate returns a gate for servers with the given drain timeout.
@@ -49,12 +49,12 @@
 func (g *ShrinkGate) Check(now fleet.Time, known, remaining int, digest uint64) GateDecision {
 	if known < minGatedServers || float64(remaining) >= minRemainingFraction*float64(known) {
 		if g.holding {
-			g.Better++
+			g.Superseded++
 		}
 		g.holding = false
 		return AcceptList
 	}
-	held := now - g.since
+	held := now - g.heldSince
 	repeated := digest == g.digest && held >= g.repeatDelay()
 	if g.holding && (repeated || held >= g.acceptDelay()) {
 		g.holding = false
@@ -62,8 +62,8 @@
 	}
 	if !g.holding { // another short list does not extend the delay
 		g.holding = true
-		g.requested = false
-		g.since = now
+		g.fetchRequested = false
+		g.heldSince = now
 		g.Held++
 	}
 	g.digest = digest
@@ -75,23 +75,23 @@
 
 // Due reports whether the list that is held back is to be accepted now, whether it is to be requested again, and
 // when to call Due again (0: no list is held back).
-func (g *ShrinkGate) Due(now fleet.Time) (accept, request bool, wake fleet.Time) {
+func (g *ShrinkGate) Due(now fleet.Time) (accept, fetch bool, wake fleet.Time) {
 	if !g.holding {
 		return false, false, 0
 	}
-	requestAt := g.since + g.repeatDelay()
-	acceptAt := g.since + g.acceptDelay()
+	fetchAt := g.heldSince + g.repeatDelay()
+	acceptAt := g.heldSince + g.acceptDelay()
 	switch {
 	case now >= acceptAt:
 		g.holding = false
 		return true, false, 0
-	case g.requested:
+	case g.fetchRequested:
 		return false, false, acceptAt
-	case now >= requestAt:
-		g.requested = true
+	case now >= fetchAt:
+		g.fetchRequested = true
 		return false, true, acceptAt
 	}
-	return false, false, requestAt
+	return false, false, fetchAt
 }
 
 // Reset forgets the list that is held back, as it was accepted.
--- a/internal/discovery/verification/shrinkgate_test.go
+++ b/internal/discovery/verification/shrinkgate_test.go
@@ -37,39 +37,39 @@
 			t.Errorf("at %.1f s: %d of %d: decision %d", list.at.Seconds(), list.remaining, list.known, got)
 		}
 	}
-	accept, request, wake := gate.Due(20 * second)
-	if accept || request || wake != 0 || gate.Held != 3 || gate.Better != 1 {
-		t.Errorf("%v %v %d, %d held, %d better", accept, request, wake, gate.Held, gate.Better)
+	accept, fetch, wake := gate.Due(20 * second)
+	if accept || fetch || wake != 0 || gate.Held != 3 || gate.Superseded != 1 {
+		t.Errorf("%v %v %d, %d held, %d superseded", accept, fetch, wake, gate.Held, gate.Superseded)
 	}
 }
 
 // gateRun checks a gate against the times of what it holds back.
 type gateRun struct {
-	gate     *ShrinkGate
-	now      fleet.Time
-	since    fleet.Time // of the list that is held back; 0: none
-	requests int
+	gate      *ShrinkGate
+	now       fleet.Time
+	heldSince fleet.Time // of the list that is held back; 0: none
+	fetches   int
 }
 
 const maxHold = drainTimeout / 2
 
 func (r *gateRun) checkDue(t *rapid.T) {
-	accept, request, wake := r.gate.Due(r.now)
-	if request {
-		r.requests++
+	accept, fetch, wake := r.gate.Due(r.now)
+	if fetch {
+		r.fetches++
 	}
-	if r.requests > int(r.gate.Held) {
-		t.Fatalf("%d requests for %d lists", r.requests, r.gate.Held)
+	if r.fetches > int(r.gate.Held) {
+		t.Fatalf("%d requests for %d lists", r.fetches, r.gate.Held)
 	}
 	if accept {
-		if r.now < r.since+maxHold {
-			t.Fatalf("accepted after %d ms", (r.now-r.since)/fleet.Millisecond)
+		if r.now < r.heldSince+maxHold {
+			t.Fatalf("accepted after %d ms", (r.now-r.heldSince)/fleet.Millisecond)
 		}
-		r.since = 0
+		r.heldSince = 0
 		return
 	}
-	if r.since > 0 && (wake == 0 || wake > r.since+maxHold) {
-		t.Fatalf("held back since %d, due again at %d", r.since, wake)
+	if r.heldSince > 0 && (wake == 0 || wake > r.heldSince+maxHold) {
+		t.Fatalf("held back since %d, due again at %d", r.heldSince, wake)
 	}
 }
 
@@ -78,10 +78,10 @@
 	digest := rapid.Uint64Range(0, 3).Draw(t, "digest")
 	switch r.gate.Check(r.now, 20, remaining, digest) {
 	case AcceptList:
-		r.since = 0
+		r.heldSince = 0
 	case HoldList:
-		if r.since == 0 {
-			r.since = r.now
+		if r.heldSince == 0 {
+			r.heldSince = r.now
 		}
 	}
 }
@@ -97,8 +97,8 @@
 			if rapid.Bool().Draw(t, "list") {
 				run.offerList(t)
 			}
-			if run.since > 0 && run.now >= run.since+maxHold+maxStep {
-				t.Fatalf("held back for %d ms", (run.now-run.since)/fleet.Millisecond)
+			if run.heldSince > 0 && run.now >= run.heldSince+maxHold+maxStep {
+				t.Fatalf("held back for %d ms", (run.now-run.heldSince)/fleet.Millisecond)
 			}
 		}
 	})
--- a/internal/discovery/verification/simulation_test.go
+++ b/internal/discovery/verification/simulation_test.go
@@ -74,8 +74,8 @@
 	if len(again.Probes)+len(again.Ejected)+len(again.Readmitted)+len(again.WeightFractions) > 0 {
 		t.Fatalf("another plan at the same time: %+v", again)
 	}
-	s.eject(t, plan)
-	s.weigh(t, plan)
+	s.applyEjections(t, plan)
+	s.applyWeightFractions(t, plan)
 	for _, notice := range plan.Notices {
 		s.notices += notice.Text + "\n"
 	}
@@ -89,7 +89,7 @@
 	return plan
 }
 
-func (s *simulation) eject(t fataler, plan Plan) {
+func (s *simulation) applyEjections(t fataler, plan Plan) {
 	t.Helper()
 	for _, endpoint := range plan.Ejected {
 		if s.ejected[endpoint.Server] || endpoint.State != fleet.ServerGone {
@@ -105,7 +105,7 @@
 	}
 }
 
-func (s *simulation) weigh(t fataler, plan Plan) {
+func (s *simulation) applyWeightFractions(t fataler, plan Plan) {
 	t.Helper()
 	const tolerance = 1e-9
 	for _, part := range plan.WeightFractions {
@@ -128,7 +128,7 @@
 }
 
 // request sends some requests to each server that is not ejected.
-func (s *simulation) request() {
+func (s *simulation) sendRequests() {
 	for server, up := range s.up {
 		switch {
 		case s.ejected[server]:
@@ -141,7 +141,7 @@
 }
 
 // confirm lets the list's source name the servers but one; -1 is none.
-func (s *simulation) confirm(except int) {
+func (s *simulation) confirmAllExcept(except int) {
 	var list fleet.EndpointList
 	for server := range s.up {
 		if int(server) == except {
--- a/internal/discovery/verification/verifier.go
+++ b/internal/discovery/verification/verifier.go
@@ -64,7 +64,7 @@
 	factor   float64 // of its weight
 	raisedAt fleet.Time
 	ejected  bool
-	spared   bool // refuted, but the last server that some class could use
+	retained bool // refuted, but the last server that some class could use
 	reported bool // operators know of its ejection
 }
 
@@ -182,7 +182,7 @@
 			return false
 		}
 		if !named || state != fleet.ServerReady {
-			v.drop(c)
+			v.remove(c)
 			return true
 		}
 		confirmed++
@@ -203,12 +203,12 @@
 func (c *candidate) confirm() {
 	c.verdict = VerdictConfirmed
 	c.ejected = false
-	c.spared = false
+	c.retained = false
 	c.probeAt = 0
 }
 
 // drop forgets a server, and restores its weight.
-func (v *Verifier) drop(c *candidate) {
+func (v *Verifier) remove(c *candidate) {
 	if c.probing {
 		v.probesInFlight--
 	}
--- a/internal/discovery/verification/verifier_test.go
+++ b/internal/discovery/verification/verifier_test.go
@@ -35,7 +35,7 @@
 	if s.ejected[1] {
 		t.Error("a server that is back remains ejected")
 	}
-	s.confirm(3)
+	s.confirmAllExcept(3)
 	s.run(t, 10*second, true, nil)
 	if s.verifier.Active() || !strings.Contains(s.notices, "names 7 of the 8 servers") {
 		t.Errorf("%+v\n%s", s.verifier.Views(), s.notices)
@@ -57,7 +57,7 @@
 		}
 	})
 	for range 40 {
-		s.request()
+		s.sendRequests()
 		s.step(t, false)
 	}
 	if s.ejectedCount() != 1 || !s.ejected[3] {
@@ -71,7 +71,7 @@
 	site := fleet.Site{Classes: []fleet.RequestClass{{ZoneLocal: true}}}
 	s := newSimulation(site, day, true, true, false, false, false, false, false)
 	for range 100 {
-		s.request()
+		s.sendRequests()
 		s.step(t, true)
 		if s.ejectedCount() == len(s.up) {
 			t.Fatal("all servers are ejected")
@@ -86,7 +86,7 @@
 	s.up[0] = false
 	readmitted := false
 	for range 200 {
-		s.request()
+		s.sendRequests()
 		s.step(t, false)
 		readmitted = readmitted || s.ejectedCount() == 0
 	}
@@ -230,7 +230,7 @@
 				probes++
 			}
 		}
-		s.request()
+		s.sendRequests()
 	}
 	if probes < 5 || probes > 12 || strings.Count(s.notices, "nobody answers") != 1 {
 		t.Errorf("%d probes in two minutes: %s", probes, s.notices)
@@ -238,7 +238,7 @@
 	for i := range 1600 {
 		s.up[1] = i/400%2 == 0
 		s.step(t, true)
-		s.request()
+		s.sendRequests()
 	}
 	if strings.Count(s.notices, "nobody answers") != 1 || !s.ejected[1] {
 		t.Errorf("ejected %v: %s", s.ejected[1], s.notices)
@@ -302,14 +302,14 @@
 				server := fleet.ServerID(rapid.IntRange(0, len(up)-1).Draw(t, "toggled"))
 				s.up[server] = !s.up[server]
 			case 1, 2, 3:
-				s.request()
+				s.sendRequests()
 			}
 			s.step(t, rapid.IntRange(0, 3).Draw(t, "reaches") > 0)
 			if s.ejectedCount() == len(up) {
 				t.Fatalf("all servers are ejected: %+v", s.verifier.Views())
 			}
 		}
-		s.confirm(-1)
+		s.confirmAllExcept(-1)
 		for range 80 {
 			s.step(t, true)
 		}
--- a/internal/discovery/verification/weights.go
+++ b/internal/discovery/verification/weights.go
@@ -11,16 +11,16 @@
 	maxOverload = 2
 )
 
-// weightRule gives the weight factors of servers of which nothing is known.
-type weightRule struct {
+// unknownWeightBounds gives the weight factors of servers of which nothing is known.
+type unknownWeightBounds struct {
 	bounded bool // lowest and highest apply, as other servers are known
 	lowest  float64
 	highest float64
 }
 
-// newWeightRule bounds the weight of unknown servers, all of them together, while others are known; but not so far that
+// newUnknownWeightBounds bounds the weight of unknown servers, all of them together, while others are known; but not so far that
 // the known ones are overloaded.
-func (v *Verifier) newWeightRule() weightRule {
+func (v *Verifier) newUnknownWeightBounds() unknownWeightBounds {
 	known := 0.0
 	unknown := 0.0
 	for _, c := range v.candidates {
@@ -33,16 +33,16 @@
 		}
 	}
 	if known == 0 || unknown == 0 {
-		return weightRule{}
+		return unknownWeightBounds{}
 	}
-	return weightRule{
+	return unknownWeightBounds{
 		bounded: true,
 		lowest:  ((known+unknown)/maxOverload - known) / unknown,
 		highest: maxUnknownShare / (1 - maxUnknownShare) * known / unknown,
 	}
 }
 
-func (r weightRule) factor(trust float64) float64 {
+func (r unknownWeightBounds) factor(trust float64) float64 {
 	if !r.bounded {
 		return trust
 	}
@@ -50,8 +50,8 @@
 }
 
 // worth returns the weight factor of a server by its verdict. Two servers that share an address share their weight.
-func (v *Verifier) worth(c *candidate, rule weightRule) float64 {
-	worth := c.worthAlone(rule)
+func (v *Verifier) targetFactor(c *candidate, rule unknownWeightBounds) float64 {
+	worth := c.verdictFactor(rule)
 	other := c.sharesAddress
 	if other == nil || c.verdict == VerdictConfirmed || other.verdict == VerdictRefuted {
 		return worth
@@ -62,7 +62,7 @@
 	return worth / 2
 }
 
-func (c *candidate) worthAlone(rule weightRule) float64 {
+func (c *candidate) verdictFactor(rule unknownWeightBounds) float64 {
 	switch c.verdict {
 	case VerdictRefuted:
 		return minTrust
