--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -16,40 +16,41 @@
 )
 
 const (
-	// previousSuffix follows the cache's name in that of the generation before it.
+	// previousSuffix is appended to the path of the cache for the file of the previous generation.
 	previousSuffix = ".before"
 
-	// cacheFormat is the version of the file's form.
+	// cacheFormat is the version of the file format.
 	cacheFormat = 1
 
 	// maxCacheHeaderSize is in bytes.
 	maxCacheHeaderSize = 1 << 16
 )
 
-// cacheHeader is the first line of a cache. Each line after it is a cacheEntry.
+// cacheHeader is the first line of a cache file. Every further line is a cacheEntry.
 type cacheHeader struct {
 	Format      int       `json:"cressknotList"`
 	Revision    uint64    `json:"rev"`
 	ConfirmedAt time.Time `json:"at"` // when the source last confirmed the list
 	Entries     int       `json:"entries"`
-	Checksum    string    `json:"sum"` // of the lines of all entries
+	Checksum    string    `json:"sum"` // of all entry lines together
 }
 
-// cacheEntry is one endpoint with the checksum of its JSON text.
+// cacheEntry is one endpoint and the checksum of its JSON text.
 type cacheEntry struct {
 	Checksum string          `json:"sum"`
 	Endpoint json.RawMessage `json:"server"`
 }
 
+// checksum returns the 64-bit xxHash of the text as 16 hexadecimal digits.
 func checksum(text []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(text)) }
 
-// WriteCache stores a complete list with the time when its source last confirmed it. Each entry and the list as a whole
-// have a checksum. A list that differs from the stored one replaces it, which becomes the previous generation; a crash
-// leaves the older list intact.
+// WriteCache stores a complete list and the time when its source last confirmed it. Each entry and the list as a whole
+// have a checksum. If the list differs from the stored one, the stored one becomes the previous generation. The write
+// is atomic: a crash leaves the older list intact.
 func WriteCache(path string, list EndpointList, confirmedAt fleet.Time) error {
 	entries, err := encodeEntries(list.Endpoints)
 	if err != nil {
-		return fmt.Errorf("list cache: %w", err)
+		return fmt.Errorf("endpoint list cache: %w", err)
 	}
 	header := cacheHeader{
 		Format:      cacheFormat,
@@ -60,16 +61,16 @@
 	}
 	first, err := json.Marshal(header)
 	if err != nil {
-		return fmt.Errorf("list cache: %w", err)
+		return fmt.Errorf("endpoint list cache: %w", err)
 	}
 	content := append(append(first, '\n'), entries...)
 	if err := replaceCache(path, content, header.Checksum); err != nil {
-		return fmt.Errorf("list cache: %w", err)
+		return fmt.Errorf("endpoint list cache: %w", err)
 	}
 	return nil
 }
 
-// encodeEntries returns the lines of the entries.
+// encodeEntries returns one cacheEntry line for each endpoint.
 func encodeEntries(endpoints []Endpoint) ([]byte, error) {
 	var lines bytes.Buffer
 	for _, endpoint := range endpoints {
@@ -86,8 +87,8 @@
 	return lines.Bytes(), nil
 }
 
-// replaceCache writes the content to a temporary file and renames it. The stored list becomes the previous generation
-// unless it has the same checksum.
+// replaceCache writes the content to a temporary file and renames it to path. The stored list becomes the previous
+// generation unless it has the same checksum.
 func replaceCache(path string, content []byte, checksum string) error {
 	temporary, err := writeTemporary(path, content)
 	if err == nil && readHeader(path).Checksum != checksum {
@@ -105,7 +106,7 @@
 	return err
 }
 
-// writeTemporary writes and syncs a file next to path. The name is empty where the file could not be created.
+// writeTemporary writes and syncs a file in the directory of path. The name is empty if the file was not created.
 func writeTemporary(path string, content []byte) (name string, err error) {
 	file, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
@@ -115,7 +116,7 @@
 	return file.Name(), errors.Join(err, file.Sync(), file.Close())
 }
 
-// readHeader returns the header of a cache, or an empty one where there is none.
+// readHeader returns the header of a cache file, or the zero header if the file has no readable header.
 func readHeader(path string) cacheHeader {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/discovery/cache_test.go
+++ b/internal/discovery/cache_test.go
@@ -13,7 +13,7 @@
 	"cressknot/internal/fleet"
 )
 
-// listOf returns a list of n endpoints.
+// listOf returns a list of n ready endpoints.
 func listOf(revision uint64, n int) EndpointList {
 	list := EndpointList{Revision: revision}
 	for i := range n {
@@ -42,12 +42,12 @@
 	}
 }
 
-// damagedCache checks what is read of a cache of two generations whose newer file is damaged.
+// damagedCache is a cache of two generations whose newer file the test replaces by damaged versions.
 type damagedCache struct {
 	path       string
-	intact     []byte // the newer file as it was written
+	intact     []byte // content of the newer file before any damage
 	headerSize int
-	want       map[string]Endpoint // of the newer generation
+	want       map[string]Endpoint // entries of the newer generation, by name
 	cases      int
 	lost       int // cases in which entries were lost
 }
@@ -58,7 +58,7 @@
 	if err := WriteCache(path, listOf(1, 6), 5*fleet.Second); err != nil {
 		t.Fatal(err)
 	}
-	for range 3 { // confirmed repeatedly: the previous generation stays
+	for range 3 { // repeated confirmations of a list keep the previous generation
 		if err := WriteCache(path, listOf(2, 5), 9*fleet.Second); err != nil {
 			t.Fatal(err)
 		}
@@ -75,7 +75,7 @@
 	}
 }
 
-// check reads the cache with the text, which is damaged at a byte, in place of its newer file.
+// check replaces the newer file by the text, which is damaged from byte at on, and reads the cache.
 func (d *damagedCache) check(t *testing.T, text []byte, at int) {
 	t.Helper()
 	d.cases++
@@ -83,7 +83,7 @@
 	generations, errs := ReadCache(d.path)
 	for _, err := range errs {
 		if !strings.Contains(err.Error(), d.path+":") {
-			t.Fatalf("byte %d: %v names no line", at, err)
+			t.Fatalf("byte %d: the error does not state file and line: %v", at, err)
 		}
 	}
 	previous := generations[len(generations)-1]
@@ -93,14 +93,14 @@
 	}
 	if len(generations) == 1 {
 		if at >= d.headerSize {
-			t.Fatalf("byte %d is not in the header, and the list is lost: %v", at, errs)
+			t.Fatalf("byte %d is outside the header, but the whole list is lost: %v", at, errs)
 		}
 		return
 	}
 	d.checkNewer(t, generations[0], len(text), at)
 	chosen, ok := verification.Choose(10*fleet.Second, generations)
 	if !ok || len(chosen.Entries) < 5 {
-		t.Fatalf("byte %d: starts from %+v", at, chosen)
+		t.Fatalf("byte %d: chosen %+v, want 5 or more entries", at, chosen)
 	}
 }
 
@@ -108,7 +108,7 @@
 	t.Helper()
 	for name, endpoint := range newer.Entries {
 		if d.want[name] != endpoint {
-			t.Fatalf("byte %d: %+v", at, endpoint)
+			t.Fatalf("byte %d: entry %+v, want %+v", at, endpoint, d.want[name])
 		}
 	}
 	count := len(newer.Entries)
@@ -116,15 +116,15 @@
 		return
 	}
 	d.lost++
-	const maxLost = 2 // by a changed end of line
+	const maxLost = 2 // a changed newline joins two entries
 	cut := size < len(d.intact)
 	if newer.Complete || !cut && at >= d.headerSize && count < len(d.want)-maxLost {
 		t.Fatalf("byte %d: %d entries remain, complete %v", at, count, newer.Complete)
 	}
 }
 
-// A cache is cut at every byte, and every byte is changed: what is read are entries that were written, each loss is
-// reported with file and line, and the previous generation is complete.
+// The newer file is truncated at every byte, and every byte is changed in turn. Damage must never produce an entry that
+// was not written, each lost entry is reported with file and line, and the previous generation stays complete.
 func TestReadCacheOfDamagedFiles(t *testing.T) {
 	cache := newDamagedCache(t)
 	for at := range cache.intact {
@@ -139,7 +139,7 @@
 	cache.check(t, cache.intact, cache.headerSize)
 }
 
-// Earlier versions stored a list without checksums.
+// Earlier versions stored the list as plain JSON without checksums.
 func TestReadCacheOfAPlainList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	writeFile(t, path, []byte(`{"rev": 3, "servers": [{"name": "a", "addr": "x:1"}]}`))
--- a/internal/discovery/cacheread.go
+++ b/internal/discovery/cacheread.go
@@ -11,14 +11,14 @@
 	"cressknot/internal/fleet"
 )
 
-// maxCacheSize is in bytes; it allows for the checksums.
+// maxCacheSize is in bytes. It leaves room for the checksums.
 const maxCacheSize = 2 * maxListSize
 
-// errCorruptEntry reports an entry of a cache that is damaged.
-var errCorruptEntry = errors.New("corrupt entry")
+// errCorruptEntry reports an entry that can't be decoded, fails its checksum or is invalid.
+var errCorruptEntry = errors.New("corrupt entry, ignored")
 
-// ReadCache reads the generations that WriteCache stored, as far as they are intact, for a start without the list's
-// source. Errors name file and line; what else could be read is returned all the same.
+// ReadCache reads the intact entries of the generations that WriteCache stored at path, for a start while the endpoint
+// source is unavailable. Errors state the file and the line; the readable entries are returned in any case.
 func ReadCache(path string) (generations []verification.Generation[Endpoint], errs []error) {
 	for _, name := range []string{path, path + previousSuffix} {
 		generation, generationErrs := readGeneration(name)
@@ -30,7 +30,7 @@
 	return generations, errs
 }
 
-// readGeneration reads one file. A file that doesn't exist gives an empty generation and no error.
+// readGeneration reads one file. For a file that doesn't exist it returns an empty generation and no error.
 func readGeneration(path string) (verification.Generation[Endpoint], []error) {
 	empty := verification.Generation[Endpoint]{Source: path}
 	file, err := os.Open(path)
@@ -38,12 +38,12 @@
 		return empty, nil
 	}
 	if err != nil {
-		return empty, []error{fmt.Errorf("list cache: %w", err)}
+		return empty, []error{fmt.Errorf("endpoint list cache: %w", err)}
 	}
 	defer func() { _ = file.Close() }()
 	text, err := readAll(file, maxCacheSize)
 	if err != nil {
-		return empty, []error{fmt.Errorf("list cache: %s: %w", path, err)}
+		return empty, []error{fmt.Errorf("endpoint list cache: %s: %w", path, err)}
 	}
 	first, entries, _ := bytes.Cut(text, []byte{'\n'})
 	var header cacheHeader
@@ -53,13 +53,13 @@
 	info, statErr := file.Stat()
 	list, err := decodeList(text)
 	if err != nil || statErr != nil {
-		return empty, []error{fmt.Errorf("list cache: %s:1: no header of a list cache (format %d)", path, cacheFormat)}
+		return empty, []error{fmt.Errorf("endpoint list cache: %s:1: no cache header of format %d", path, cacheFormat)}
 	}
 	return plainGeneration(path, list, info), nil
 }
 
-// plainGeneration is a list as versions before the cache format stored it: without checksums, and confirmed when
-// the file was written.
+// plainGeneration returns a list that a version before the cache format stored. It has no checksums, and the file's
+// modification time counts as the time of its confirmation.
 func plainGeneration(path string, list EndpointList, info os.FileInfo) verification.Generation[Endpoint] {
 	generation := verification.Generation[Endpoint]{
 		Source:       path,
@@ -87,14 +87,14 @@
 		Complete:     checksum(text) == header.Checksum,
 		Entries:      map[string]Endpoint{},
 	}
-	const firstLine = 2 // after the header
+	const firstLine = 2 // the header is line 1
 	for i, line := range bytes.Split(bytes.TrimSuffix(text, []byte{'\n'}), []byte{'\n'}) {
 		if len(line) == 0 {
 			continue
 		}
 		endpoint, ok := decodeEntry(line)
 		if !ok {
-			errs = append(errs, fmt.Errorf("list cache: %s:%d: %w", path, i+firstLine, errCorruptEntry))
+			errs = append(errs, fmt.Errorf("endpoint list cache: %s:%d: %w", path, i+firstLine, errCorruptEntry))
 			continue
 		}
 		if len(generation.Entries) < maxEndpoints {
@@ -104,6 +104,7 @@
 	return generation, errs
 }
 
+// decodeEntry returns the endpoint of an entry line. It reports false for a corrupt entry.
 func decodeEntry(line []byte) (endpoint Endpoint, ok bool) {
 	var entry cacheEntry
 	if err := json.Unmarshal(line, &entry); err != nil || checksum(entry.Endpoint) != entry.Checksum {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package discovery provides the endpoint sources of a controller: a file that is watched, a list service over HTTP
-// that is long-polled, and the discovery service of the users' platform. Each source delivers complete lists and
-// deltas with a revision, and failures; it takes no decision. The package also caches the latest list on disk.
+// Package discovery implements the endpoint sources of a controller: a watched file, a long-polled HTTP list service
+// and the discovery service of the users' platform. A source delivers complete lists, deltas and failures, and leaves
+// every decision about them to the controller. The package also caches the latest list on disk.
 package discovery
 
 import (
@@ -13,21 +13,21 @@
 )
 
 const (
-	// maxListSize is in bytes. A list of 100,000 servers takes some 15 MB.
+	// maxListSize is in bytes. A list of 100,000 servers takes about 15 MB.
 	maxListSize = 64 << 20
 
-	// maxEndpoints of a list.
+	// maxEndpoints is the maximum number of endpoints in a list.
 	maxEndpoints = 200_000
 )
 
-// States of an Endpoint.
+// Values of Endpoint.State.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
 	stateGone     = "gone"
 )
 
-// Endpoint is one server of a list, in the form that files and the list service use.
+// Endpoint is one server of a list, in the JSON format of list files and of the list service.
 type Endpoint struct {
 	Name    string    `json:"name"`
 	Addr    string    `json:"addr"` // host:port
@@ -35,18 +35,18 @@
 	Kind    string    `json:"kind,omitempty"`
 	Cell    uint16    `json:"cell,omitempty"`
 	State   string    `json:"state,omitempty"`  // "ready" (also ""), "draining" or "gone"
-	Started time.Time `json:"started,omitzero"` // latest start; absent: long ago
+	Started time.Time `json:"started,omitzero"` // time of the latest start; zero: unknown, long ago
 	Weight  float64   `json:"weight,omitempty"`
 }
 
-// EndpointList is a complete list, or the changes since an earlier revision.
+// EndpointList is either a complete list or the changes since an earlier revision.
 type EndpointList struct {
 	Revision  uint64     `json:"rev"`
-	Delta     bool       `json:"changes,omitempty"` // only the endpoints that changed
+	Delta     bool       `json:"changes,omitempty"` // holds only the endpoints that changed
 	Endpoints []Endpoint `json:"servers"`
 }
 
-// scope returns the scope of an update that delivers the list.
+// scope returns the scope of an update that contains the list.
 func (l *EndpointList) scope() fleet.ListScope {
 	if l.Delta {
 		return fleet.ListDelta
@@ -54,44 +54,44 @@
 	return fleet.ListFull
 }
 
-// Update is what a source delivers.
+// Update is one delivery of a source: a list, a failure or a confirmation.
 type Update struct {
 	Scope     fleet.ListScope
 	List      EndpointList
-	Err       error // the failure of a ListFailed, or a remark on a ListCached
-	Unchanged bool  // the source confirmed what it delivered before; no other field is set
+	Err       error // the cause of a ListFailed; for a ListCached a warning
+	Unchanged bool  // the source confirmed its previous list; no other field is set
 
-	ConfirmedAt fleet.Time      // of a ListCached: when its source last confirmed it
-	Unverified  map[string]bool // of a ListCached: names of endpoints that come from an older list
+	ConfirmedAt fleet.Time      // ListCached only: when the source last confirmed the list
+	Unverified  map[string]bool // ListCached only: names of endpoints taken from an older list
 }
 
-// EndpointSource delivers endpoint lists. Watch starts or ends a watch and Fetch requests the complete list once;
-// neither blocks. A source may watch by itself from Start on.
+// EndpointSource delivers endpoint lists. Watch starts or ends a watch, and Fetch requests the complete list once;
+// both return at once and may be called only after Start. Some sources watch from Start on without a call of Watch.
 type EndpointSource interface {
-	// Start makes the source ready until the context ends. The sink receives the updates; it may block.
+	// Start makes the source usable until the context ends. It passes every update to sink, which may block.
 	Start(ctx context.Context, sink func(Update)) error
 	Watch(enabled bool)
 	Fetch()
 }
 
-// emptyDelta is the answer to a request after which nothing has changed.
+// emptyDelta returns the update that answers a request when nothing has changed since the revision.
 func emptyDelta(revision uint64) Update {
 	return Update{Scope: fleet.ListDelta, List: EndpointList{Revision: revision, Delta: true}}
 }
 
 func failedUpdate(err error) Update { return Update{Scope: fleet.ListFailed, Err: err} }
 
-// sizeError reports a list that is too long.
+// sizeError reports a list that exceeds the limit in bytes.
 type sizeError struct{ limit int }
 
-func (e *sizeError) Error() string { return fmt.Sprintf("over %d bytes", e.limit) }
+func (e *sizeError) Error() string { return fmt.Sprintf("larger than the limit of %d bytes", e.limit) }
 
-// statusError reports an unexpected HTTP status.
+// statusError reports an unexpected HTTP status, such as "503 Service Unavailable".
 type statusError struct{ status string }
 
-func (e *statusError) Error() string { return e.status }
+func (e *statusError) Error() string { return "unexpected HTTP status " + e.status }
 
-// readAll reads to the end. It returns a *sizeError where that is after more than limit bytes.
+// readAll reads up to EOF. It returns a *sizeError if there are more than limit bytes.
 func readAll(reader io.Reader, limit int) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(reader, int64(limit)+1))
 	if err != nil {
--- a/internal/discovery/fakeplatform_test.go
+++ b/internal/discovery/fakeplatform_test.go
@@ -7,22 +7,22 @@
 	"testing"
 )
 
-// rejectWatch, sent as the first line of a watch, lets the fake service answer it with status 503.
+// rejectWatch as the first line of a watch makes the fake service answer the watch with status 503.
 const rejectWatch = "503"
 
 const heartbeatLine = "\n"
 
-// fakePlatform is a discovery service whose watches send what the test hands to them.
+// fakePlatform is a discovery service whose watches send the lines that the test provides.
 type fakePlatform struct {
 	*httptest.Server
 	watches chan *fakeWatch
-	fetches chan string   // unless nil, the answers to fetches
-	fetched chan struct{} // has an element when a fetch waits for its answer
+	fetches chan string   // answers to fetches; nil: answer with revision 50 at once
+	fetched chan struct{} // receives an element when a fetch waits for its answer
 }
 
 type fakeWatch struct {
 	query string
-	lines chan string // closing it breaks the watch
+	lines chan string // closing it aborts the connection
 }
 
 func newFakePlatform(t *testing.T) *fakePlatform {
@@ -36,7 +36,7 @@
 	return p
 }
 
-// holdFetches lets fetches wait for their answers.
+// holdFetches makes fetches wait until the test provides their answers.
 func (p *fakePlatform) holdFetches() {
 	p.fetches = make(chan string)
 	p.fetched = make(chan struct{})
@@ -44,7 +44,7 @@
 
 func (p *fakePlatform) addr() string { return p.Listener.Addr().String() }
 
-// source returns a source for the fake service that knows revision 40.
+// source returns a source for the fake service that starts from revision 40.
 func (p *fakePlatform) source() *PlatformSource {
 	return &PlatformSource{Addr: p.addr(), Revision: 40, Zones: []string{"a"}, Kinds: []string{"m2"}}
 }
--- a/internal/discovery/filesource.go
+++ b/internal/discovery/filesource.go
@@ -14,11 +14,11 @@
 	"cressknot/internal/fleet"
 )
 
-// resyncInterval is the time between two reads of a file whose directory reports nothing: some file systems never do.
+// resyncInterval is the time between two reads without a change notification: some file systems send none.
 const resyncInterval = 20 * time.Second
 
-// FileSource watches a list in a file. It reads the file when the file's directory reports a change, and resyncs
-// now and then, as some file systems report nothing.
+// FileSource reads the list from a file. It watches the file's directory for changes, and also rereads the file every
+// resyncInterval, as some file systems send no change notifications. The exported fields are set before Start.
 type FileSource struct {
 	Path      string
 	OnRequest bool // watch only after Watch(true)
@@ -27,20 +27,21 @@
 
 	mu       sync.Mutex
 	watching bool
-	checksum uint64 // of the text that was read last, or of no text after a failure
+	checksum uint64 // of the text of the last read; of empty text if that read failed
 }
 
-// Start reads the file and watches it until the context ends.
+// Start watches the file's directory until the context ends, and reads the file unless OnRequest is set. It returns an
+// error if the directory can't be watched.
 func (f *FileSource) Start(ctx context.Context, sink func(Update)) error {
 	f.sink = sink
 	f.watching = !f.OnRequest
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
-		return fmt.Errorf("list: %w", err)
+		return fmt.Errorf("endpoint list: %w", err)
 	}
 	if err := watcher.Add(filepath.Dir(f.Path)); err != nil {
 		_ = watcher.Close()
-		return fmt.Errorf("list: %w", err)
+		return fmt.Errorf("endpoint list: %w", err)
 	}
 	go f.run(ctx, watcher)
 	return nil
@@ -69,13 +70,13 @@
 	}
 }
 
-// affectsFile reports whether the event may mean new content of the file.
+// affectsFile reports whether the file may have new content after the event.
 func (f *FileSource) affectsFile(event fsnotify.Event) bool {
 	sameFile := filepath.Base(event.Name) == filepath.Base(f.Path)
 	return sameFile && !event.Has(fsnotify.Remove) && !event.Has(fsnotify.Chmod)
 }
 
-// Watch starts or ends the delivery of changes. A start delivers the complete list.
+// Watch starts or ends the delivery of changes. When it starts it, the complete list is delivered first.
 func (f *FileSource) Watch(enabled bool) {
 	f.mu.Lock()
 	f.watching = enabled
@@ -85,10 +86,10 @@
 	}
 }
 
-// Fetch reads the file once.
+// Fetch reads the file once and delivers the complete list, or the failure.
 func (f *FileSource) Fetch() { go f.read() }
 
-// readWatched reads the file and delivers the list, if the file is watched.
+// readWatched reads the file and delivers the list if the watch is enabled.
 func (f *FileSource) readWatched() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,15 +98,15 @@
 	}
 }
 
-// read reads the file and delivers the list.
+// read reads the file and delivers the list, whether or not the watch is enabled.
 func (f *FileSource) read() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.readLocked()
 }
 
-// readLocked delivers a failure where the file can't be read. A file that is half written is read again when its
-// directory reports the next change.
+// readLocked reads the file and delivers the list, or the failure. A partly written file is read again after the next
+// change notification. The caller holds mu.
 func (f *FileSource) readLocked() {
 	list, text, err := readListFile(f.Path)
 	f.checksum = xxhash.Sum64(text)
@@ -116,8 +117,8 @@
 	f.sink(Update{Scope: fleet.ListFull, List: list})
 }
 
-// resync confirms the list, or reads it where it has changed without a report. A file that can't be read was
-// reported when it became so.
+// resync confirms the list, or delivers it if it has changed without a notification. A file that can't be read delivers
+// nothing: the failure was delivered when the file became unreadable.
 func (f *FileSource) resync() {
 	f.mu.Lock()
 	_, text, err := readListFile(f.Path)
@@ -132,16 +133,16 @@
 	}
 }
 
-// readListFile reads a list and returns its text, too.
+// readListFile returns the list in a file and the text that was decoded. The text is nil after an error.
 func readListFile(path string) (list EndpointList, text []byte, err error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return EndpointList{}, nil, fmt.Errorf("list: %w", err)
+		return EndpointList{}, nil, fmt.Errorf("endpoint list: %w", err)
 	}
 	defer func() { _ = file.Close() }()
 	text, err = readAll(file, maxListSize)
 	if err != nil {
-		return EndpointList{}, nil, fmt.Errorf("list: %s: %w", path, err)
+		return EndpointList{}, nil, fmt.Errorf("endpoint list: %s: %w", path, err)
 	}
 	list, err = decodeList(text)
 	if err != nil {
--- a/internal/discovery/filesource_test.go
+++ b/internal/discovery/filesource_test.go
@@ -10,7 +10,7 @@
 	"cressknot/internal/fleet"
 )
 
-// replaceListFile replaces the file by a list of one endpoint.
+// replaceListFile atomically replaces the file by a list of one endpoint.
 func replaceListFile(t *testing.T, path string, revision uint64) {
 	t.Helper()
 	text, err := json.Marshal(EndpointList{Revision: revision, Endpoints: []Endpoint{{Name: "a", Addr: "x:1"}}})
--- a/internal/discovery/httpsource.go
+++ b/internal/discovery/httpsource.go
@@ -13,26 +13,26 @@
 	"cressknot/internal/reconcile"
 )
 
-// HTTPSource long-polls a list service. GET URL?rev=N&wait=S answers with a list, or with status 304 where nothing has
-// changed since revision N within S seconds.
+// HTTPSource long-polls a list service. The service answers GET URL?rev=N&wait=S with a list, or with status 304 if
+// nothing has changed since revision N within S seconds. The exported fields are set before Start.
 type HTTPSource struct {
 	URL       string
-	Wait      fleet.Time // how long a poll waits for a change
-	OnRequest bool       // watch only after Watch(true), and until a poll fails
+	Wait      fleet.Time // how long the service may delay its answer until a change
+	OnRequest bool       // watch only from Watch(true) until a poll fails
 
-	ctx    context.Context // of Start: it ends what Watch and Fetch begin
+	ctx    context.Context // passed to Start; ends watches and fetches
 	sink   func(Update)
 	client http.Client
 
 	mu          sync.Mutex
 	revision    uint64
-	cancelWatch context.CancelFunc // nil: no watch runs
+	cancelWatch context.CancelFunc // nil if no watch is running
 }
 
-// Start begins to watch the service, unless OnRequest is set.
+// Start starts a watch unless OnRequest is set. It returns an error if URL is invalid.
 func (h *HTTPSource) Start(ctx context.Context, sink func(Update)) error {
 	if _, err := url.Parse(h.URL); err != nil {
-		return fmt.Errorf("list: %w", err)
+		return fmt.Errorf("endpoint list: %w", err)
 	}
 	h.ctx = ctx
 	h.sink = sink
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// Watch starts a watch in place of the one that runs, or ends it. After a failure a watch polls again with a backoff,
-// unless OnRequest is set: then the failure ends it.
+// Watch starts a watch, which replaces the running one, or ends the running one. After a failure a watch retries with a
+// backoff; if OnRequest is set, the failure ends the watch.
 func (h *HTTPSource) Watch(enabled bool) {
 	if enabled {
 		h.startWatch(h.ctx)
@@ -54,7 +54,7 @@
 	h.stopWatch()
 }
 
-// startWatch replaces the watch that runs, if any.
+// startWatch starts a watch, which replaces the running one, if any.
 func (h *HTTPSource) startWatch(ctx context.Context) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -63,7 +63,7 @@
 	go h.watch(ctx)
 }
 
-// stopWatch cancels the watch that runs, if any. The caller holds the lock.
+// stopWatch cancels the running watch, if any. The caller holds mu.
 func (h *HTTPSource) stopWatch() {
 	if h.cancelWatch != nil {
 		h.cancelWatch()
@@ -71,7 +71,7 @@
 	}
 }
 
-// Fetch requests the complete list once.
+// Fetch requests the complete list once and delivers it, or the failure.
 func (h *HTTPSource) Fetch() {
 	go func() {
 		if err := h.fetch(h.ctx); err != nil && h.ctx.Err() == nil {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// watch polls until the context ends. The first poll does not wait for a change.
+// watch polls until the context ends. The first poll returns at once, without waiting for a change.
 func (h *HTTPSource) watch(ctx context.Context) {
 	backoff := reconcile.NewDialBackoff(uint64(time.Now().UnixNano()))
 	first := true
@@ -114,7 +114,8 @@
 	}
 }
 
-// poll polls once. The first poll of a watch is answered by an update with a list even where nothing has changed.
+// poll sends one request and delivers its result. The first poll of a watch delivers a list in any case, an empty delta
+// if nothing has changed.
 func (h *HTTPSource) poll(ctx context.Context, first bool) error {
 	h.mu.Lock()
 	revision := h.revision
@@ -145,7 +146,8 @@
 	h.sink(Update{Scope: list.scope(), List: list})
 }
 
-// request asks the service for what has changed since the revision.
+// request requests the changes since the revision; revision 0 requests the complete list. changed is false for the
+// answer 304.
 func (h *HTTPSource) request(
 	ctx context.Context, revision uint64, wait fleet.Time,
 ) (list EndpointList, changed bool, err error) {
@@ -153,11 +155,11 @@
 	defer cancel()
 	request, err := h.newRequest(ctx, revision, wait)
 	if err != nil {
-		return EndpointList{}, false, fmt.Errorf("list: %w", err)
+		return EndpointList{}, false, fmt.Errorf("endpoint list: %w", err)
 	}
 	response, err := h.client.Do(request)
 	if err != nil {
-		return EndpointList{}, false, fmt.Errorf("list: %w", err)
+		return EndpointList{}, false, fmt.Errorf("endpoint list: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	switch response.StatusCode {
@@ -165,11 +167,11 @@
 		return EndpointList{}, false, nil
 	case http.StatusOK:
 	default:
-		return EndpointList{}, false, fmt.Errorf("list: %w", &statusError{status: response.Status})
+		return EndpointList{}, false, fmt.Errorf("endpoint list: %w", &statusError{status: response.Status})
 	}
 	text, err := readAll(response.Body, maxListSize)
 	if err != nil {
-		return EndpointList{}, false, fmt.Errorf("list: answer: %w", err)
+		return EndpointList{}, false, fmt.Errorf("endpoint list: response body: %w", err)
 	}
 	list, err = decodeList(text)
 	return list, true, err
--- a/internal/discovery/httpsource_test.go
+++ b/internal/discovery/httpsource_test.go
@@ -10,7 +10,7 @@
 	"cressknot/internal/fleet"
 )
 
-// fakeListService serves revision 1 of a list, and revision 2 once changed has an element.
+// fakeListService serves revision 1 of a list at once, and revision 2 after an element was sent to changed.
 type fakeListService struct {
 	*httptest.Server
 	down     atomic.Bool
@@ -55,7 +55,7 @@
 	t.Helper()
 	service.changed <- struct{}{}
 	if update := receive(t, updates); update.Scope != fleet.ListDelta || update.List.Endpoints[0].State != "gone" {
-		t.Fatalf("%+v, want the change", update)
+		t.Fatalf("%+v, want a delta in which b is gone", update)
 	}
 }
 
@@ -92,9 +92,9 @@
 	before := service.requests.Load()
 	source.Watch(true)
 	update := receive(t, updates)
-	requests := service.requests.Load() - before // the next poll may have begun
+	requests := service.requests.Load() - before // the next poll may have started
 	if update.Scope != fleet.ListFull || requests != 1 && requests != 2 {
-		t.Fatalf("%+v after %d requests", update, requests)
+		t.Fatalf("%+v after %d requests, want a complete list after 1 or 2", update, requests)
 	}
 	expectChange(t, service, updates)
 	source.Watch(false)
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -10,62 +10,63 @@
 	"time"
 )
 
-// Limits of the communication with the platform's discovery service.
+// Timeouts and limits of the connections to the platform's discovery service.
 const (
-	// platformDialTimeout suits a service on the same network: a machine that is partitioned away never answers.
+	// platformDialTimeout suits a service on the same network. A machine behind a network partition never answers.
 	platformDialTimeout = time.Second
 
-	// platformHeaderTimeout allows for a service that handles requests one after another and rejects those that have
-	// waited for some seconds.
+	// platformHeaderTimeout allows for a service that handles one request at a time and rejects requests that have been
+	// queued for some seconds.
 	platformHeaderTimeout = 3 * time.Second
 
-	// platformHeartbeatTimeout ends a watch that sends nothing. An empty line is due every 2 s, and what the service has
-	// to say counts as known after 6 s.
+	// platformHeartbeatTimeout ends a watch on which no data arrives. The service sends an empty line every 2 s, and its
+	// changes count as known 6 s after it made them.
 	platformHeartbeatTimeout = 3500 * time.Millisecond
 
-	// platformLineTimeout ends a watch on which no line ends: what takes longer counts as known before it is read.
+	// platformLineTimeout ends a watch on which no line is completed: a change counts as known after this time, even if
+	// its line has not been read.
 	platformLineTimeout = 6 * time.Second
 
-	// maxPlatformListSize, in bytes, takes some 50,000 servers.
+	// maxPlatformListSize is in bytes and suffices for about 50,000 servers.
 	maxPlatformListSize = 8 << 20
 
-	// maxPlatformNameSize, in bytes, holds for a name or an address: DNS allows 253, and some put a path before it.
+	// maxPlatformNameSize limits a name or an address, in bytes. DNS allows 253, and some names have a path in front.
 	maxPlatformNameSize = 512
 
 	// maxPlatformHeaderSize is in bytes.
 	maxPlatformHeaderSize = 16 << 10
 
-	// maxPendingFetches is how many fetches are sent at once, however many were requested.
+	// maxPendingFetches is the maximum number of fetches sent at once; further requests for a fetch are dropped.
 	maxPendingFetches = 4
 )
 
-// PlatformSource is the discovery service of the users' platform. It gives the complete list for each Fetch, and a
-// watch that lasts until its connection ends. Each Watch(true) and each Fetch is first answered by exactly one
-// update, which may be a failure; changes follow in order. The exported fields are set before Start.
+// PlatformSource is a client of the discovery service of the users' platform. A Fetch delivers the complete list; a
+// watch lasts until its connection ends. Each Watch(true) and each Fetch is first answered by exactly one update, which
+// may be a failure; changes follow in order. The exported fields are set before Start.
 type PlatformSource struct {
 	Addr     string      // host:port
-	Revision uint64      // of the list that is known at the start
-	Zones    []string    // the zones that an endpoint may name
-	Kinds    []string    // the kinds that an endpoint may name
-	OnError  func(error) // receives failures without an update, such as that of a move; may be nil
+	Revision uint64      // of the list known before Start; changes after it are watched
+	Zones    []string    // zones that a list may contain
+	Kinds    []string    // server kinds that a list may contain
+	OnError  func(error) // receives errors that no update reports, such as a failed change of address; may be nil
 
 	lineTimeout    time.Duration // 0: platformLineTimeout
 	sink           func(Update)
 	client         http.Client
-	pendingChanged chan struct{} // has an element after a change of pending
+	pendingChanged chan struct{} // has an element when pending has changed
 	messages       chan platformMessage
 
 	mu      sync.Mutex
 	pending platformRequests
 
-	// The goroutine of run owns these, and Revision from Start on.
+	// From Start on, the goroutine of run owns the fields below, and Revision.
 	currentAddr string
-	active      *platformWatch // its updates are delivered
-	standby     *platformWatch // connects to a new address; its first message makes it the active one
+	active      *platformWatch // the watch whose updates are delivered; nil: none
+	standby     *platformWatch // connects to a new address and replaces active once it receives a message; nil: none
 	workers     sync.WaitGroup
 }
 
-// platformRequests are what was requested since run last looked, and the address to use.
+// platformRequests holds the requests that run has not yet handled, and the address to use.
 type platformRequests struct {
 	watch   bool
 	stop    bool
@@ -73,20 +74,20 @@
 	addr    string
 }
 
-// platformMessage is what a connection delivers to run. The set of messages is closed.
+// platformMessage is a message from a connection to run: a watchMessage or a fetchMessage.
 type platformMessage interface{ platformMessage() }
 
-// watchMessage comes from a watch. It is a heartbeat where neither list nor err is set.
+// watchMessage is a message of a watch. It is a heartbeat if neither list nor err is set.
 type watchMessage struct {
 	watch *platformWatch
 	list  *EndpointList
-	err   error // ends the watch
+	err   error // why the watch ended
 }
 
 // fetchMessage is the result of a fetch: either a list or an error.
 type fetchMessage struct {
 	list          *EndpointList
-	knownRevision uint64 // when the fetch was sent
+	knownRevision uint64 // Revision of the source when the fetch was sent
 	err           error
 }
 
@@ -96,17 +97,18 @@
 // platformWatch is one connection that watches the list.
 type platformWatch struct {
 	cancel     context.CancelFunc
-	unanswered bool // the Watch(true) that it serves has not been answered
+	unanswered bool // the Watch(true) that started it has not been answered yet
 }
 
-// stop cancels the watch; nil is none.
+// stop cancels the watch. It does nothing for a nil watch.
 func (w *platformWatch) stop() {
 	if w != nil {
 		w.cancel()
 	}
 }
 
-// Start makes the source ready until the context ends. It connects once Watch or Fetch is called.
+// Start makes the source usable until the context ends. It connects only after Watch or Fetch is called. The returned
+// error is always nil.
 func (p *PlatformSource) Start(ctx context.Context, sink func(Update)) error {
 	p.sink = sink
 	p.pendingChanged = make(chan struct{}, 1)
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// Watch starts a watch in place of the one that runs, or ends it.
+// Watch starts a watch, which replaces the running one, or ends the running one.
 func (p *PlatformSource) Watch(enabled bool) {
 	p.updatePending(func(pending *platformRequests) {
 		pending.watch = enabled
@@ -134,18 +136,20 @@
 	})
 }
 
-// Fetch requests the complete list once.
+// Fetch requests the complete list once. At most maxPendingFetches requests are pending; further ones are dropped.
 func (p *PlatformSource) Fetch() {
 	p.updatePending(func(pending *platformRequests) {
 		pending.fetches = min(pending.fetches+1, maxPendingFetches)
 	})
 }
 
-// SetAddress moves to another address. A watch continues at the old one until the new one answers.
+// SetAddress changes the address (host:port) of the service. A running watch continues at the old address until the new
+// one answers.
 func (p *PlatformSource) SetAddress(addr string) {
 	p.updatePending(func(pending *platformRequests) { pending.addr = addr })
 }
 
+// updatePending changes the pending requests and wakes run.
 func (p *PlatformSource) updatePending(change func(*platformRequests)) {
 	p.mu.Lock()
 	change(&p.pending)
@@ -165,7 +169,7 @@
 	return requests
 }
 
-// run owns the watches until the context ends.
+// run handles requests and messages until the context ends, then waits for the connections to end.
 func (p *PlatformSource) run(ctx context.Context) {
 	defer p.workers.Wait()
 	for {
@@ -185,6 +189,7 @@
 	}
 }
 
+// handleRequests starts and ends watches, opens a standby watch after a change of address, and starts fetches.
 func (p *PlatformSource) handleRequests(ctx context.Context, requests platformRequests) {
 	moved := requests.addr != p.currentAddr
 	p.currentAddr = requests.addr
@@ -215,7 +220,8 @@
 	p.standby = nil
 }
 
-// handleFetch delivers a fetched list. It is stale where a watch delivered newer changes while it was on its way.
+// handleFetch delivers a fetched list, or an empty delta if the list is stale: a watch delivered newer changes while
+// the fetch was in progress.
 func (p *PlatformSource) handleFetch(message fetchMessage) {
 	if message.err != nil {
 		p.sink(failedUpdate(message.err))
@@ -230,7 +236,7 @@
 	p.deliver(list)
 }
 
-// handleWatch handles a message of the active or the standby watch; those of other watches come too late.
+// handleWatch handles a message of the active or the standby watch and ignores those of watches that were stopped.
 func (p *PlatformSource) handleWatch(message watchMessage) {
 	switch message.watch {
 	case p.active:
@@ -249,6 +255,8 @@
 	}
 }
 
+// activeFailed ends the active watch. Instead of delivering the failure it leaves the answer to the standby watch, if
+// there is one.
 func (p *PlatformSource) activeFailed(err error) {
 	p.stopActive()
 	if p.standby != nil {
@@ -258,18 +266,19 @@
 	p.sink(failedUpdate(err))
 }
 
-// standbyFailed ends a move. The active watch stays at the old address; where it has ended in the meantime, its
-// failure is delivered now.
+// standbyFailed ends a change of address that failed. The active watch continues at the old address. If it has ended in
+// the meantime, the failure is delivered.
 func (p *PlatformSource) standbyFailed(err error) {
 	p.stopStandby()
 	if p.OnError != nil {
-		p.OnError(fmt.Errorf("at the new address: %w", err))
+		p.OnError(fmt.Errorf("connecting to the new address: %w", err))
 	}
 	if p.active == nil {
 		p.sink(failedUpdate(err))
 	}
 }
 
+// activateStandby replaces the active watch by the standby watch.
 func (p *PlatformSource) activateStandby() {
 	p.standby.unanswered = p.active != nil && p.active.unanswered
 	p.stopActive()
@@ -277,8 +286,8 @@
 	p.standby = nil
 }
 
-// deliverWatched delivers what the active watch sent. After a move both addresses send what is known already; it is
-// delivered once.
+// deliverWatched delivers a message of the active watch. After a change of address (moved) the new address may repeat
+// changes that the old one already sent; these are not delivered again.
 func (p *PlatformSource) deliverWatched(message watchMessage, moved bool) {
 	unanswered := message.watch.unanswered
 	message.watch.unanswered = false
@@ -294,11 +303,12 @@
 	}
 }
 
-// alreadyDelivered reports whether the list holds only changes up to the revision that was delivered last.
+// alreadyDelivered reports whether the list is a delta up to a revision that has already been delivered.
 func (p *PlatformSource) alreadyDelivered(list *EndpointList) bool {
 	return list.Delta && list.Revision <= p.Revision
 }
 
+// deliver passes a list to the sink and records its revision.
 func (p *PlatformSource) deliver(list *EndpointList) {
 	p.Revision = list.Revision
 	p.sink(Update{Scope: list.scope(), List: *list})
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -9,7 +9,7 @@
 	"cressknot/internal/fleet"
 )
 
-// expectUpdate expects an update with a list, or a failure.
+// expectUpdate checks that the next update has the scope and the revision, and an error only if it is a failure.
 func expectUpdate(t *testing.T, updates chan Update, scope fleet.ListScope, revision uint64) {
 	t.Helper()
 	update := receive(t, updates)
@@ -36,7 +36,7 @@
 	watch.lines <- heartbeatLine
 	expectUpdate(t, updates, fleet.ListDelta, 40)
 	change := listText(41, false, targetText("s-1", "in_service", 0))
-	watch.lines <- change[:30] // in pieces
+	watch.lines <- change[:30] // a line may arrive in several parts
 	watch.lines <- change[30:] + "\n"
 	expectUpdate(t, updates, fleet.ListDelta, 41)
 	watch.lines <- "{\"rev\":42,"
@@ -66,7 +66,7 @@
 	}
 	watch.lines <- listText(43, false) + "\n"
 	expectUpdate(t, updates, fleet.ListDelta, 43)
-	newWatch.lines <- listText(43, false) + "\n" // known already
+	newWatch.lines <- listText(43, false) + "\n" // already delivered
 	if update := receive(t, updates); !update.Unchanged {
 		t.Errorf("delivered twice: %+v", update)
 	}
@@ -76,7 +76,8 @@
 	expectUpdate(t, updates, fleet.ListFull, 50)
 }
 
-// Bytes that keep coming while no line ends are no heartbeat: the watch ends, and its Watch is answered by one failure.
+// A service that keeps sending bytes without ever completing a line resets the heartbeat timeout each time. The line
+// timeout must end such a watch, and its Watch is answered by one failure.
 func TestPlatformSourceEndsAWatchWithoutAnEndOfLine(t *testing.T) {
 	service := newFakePlatform(t)
 	source := &PlatformSource{Addr: service.addr(), lineTimeout: 300 * time.Millisecond}
@@ -86,11 +87,11 @@
 	source.Watch(true)
 	receive(t, service.watches).lines <- heartbeatLine
 	if update := receive(t, updates); update.Scope != fleet.ListDelta || len(updates) > 0 {
-		t.Errorf("%+v, and %d more", update, len(updates))
+		t.Errorf("%+v and %d further updates, want one empty delta", update, len(updates))
 	}
 }
 
-// sendUntilUpdate sends bytes without an end of line until the source delivers an update, which must be a failure.
+// sendUntilUpdate sends bytes without a newline until the source delivers an update, which must be a failure.
 func sendUntilUpdate(t *testing.T, watch *fakeWatch, updates chan Update) {
 	t.Helper()
 	deadline := time.After(20 * time.Second)
@@ -103,12 +104,13 @@
 			}
 			return
 		case <-deadline:
-			t.Fatal("the watch continues")
+			t.Fatal("the watch has not ended within 20 s")
 		}
 	}
 }
 
-// A fetched list that is on its way while the watch delivers newer changes answers the Fetch but takes nothing back.
+// The watch delivers newer changes while a fetch is in progress, so the fetched list is stale: it answers the Fetch but
+// must not revert those changes.
 func TestPlatformSourceDropsAFetchedListThatIsStale(t *testing.T) {
 	service := newFakePlatform(t)
 	service.holdFetches()
--- a/internal/discovery/platformclient.go
+++ b/internal/discovery/platformclient.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// platformPath is the path of the list; watchQuery with a revision turns the request into a watch.
+// platformPath is the path of the endpoint list. With watchQuery and a known revision, the request is a watch.
 const (
 	platformPath = "/v1/endpoints"
 	watchQuery   = "?watch=1&after=%d"
 )
 
-// initialLineSize is the size of a watch's buffer at first, in bytes; it grows to maxPlatformListSize.
+// initialLineSize is the initial size of a watch's line buffer in bytes. The buffer grows up to maxPlatformListSize.
 const initialLineSize = 4 << 10
 
-// Causes of the end of a watch.
+// Timeouts that end a watch.
 var (
-	errHeartbeatTimeout = errors.New("no heartbeat")
-	errLineTimeout      = errors.New("no line ended")
+	errHeartbeatTimeout = errors.New("no data received")
+	errLineTimeout      = errors.New("no complete line received")
 )
 
 // openWatch starts a watch at the current address.
@@ -36,7 +36,7 @@
 		err := p.readWatch(ctx, url, func(list *EndpointList) {
 			p.send(ctx, watchMessage{watch: watch, list: list})
 		})
-		p.send(ctx, watchMessage{watch: watch, err: fmt.Errorf("list: watch at %s: %w", addr, err)})
+		p.send(ctx, watchMessage{watch: watch, err: fmt.Errorf("endpoint list: watch at %s: %w", addr, err)})
 	})
 	return watch
 }
@@ -48,13 +48,13 @@
 	p.workers.Go(func() {
 		list, err := p.fetch(ctx, "http://"+addr+platformPath)
 		if err != nil {
-			err = fmt.Errorf("list: %s: %w", addr, err)
+			err = fmt.Errorf("endpoint list: fetch from %s: %w", addr, err)
 		}
 		p.send(ctx, fetchMessage{list: list, knownRevision: knownRevision, err: err})
 	})
 }
 
-// send hands a message to run, unless the context ends first.
+// send passes a message to run unless the context ends first.
 func (p *PlatformSource) send(ctx context.Context, message platformMessage) {
 	select {
 	case p.messages <- message:
@@ -62,6 +62,7 @@
 	}
 }
 
+// fetch requests the complete list.
 func (p *PlatformSource) fetch(ctx context.Context, url string) (*EndpointList, error) {
 	ctx, cancel := context.WithTimeout(ctx, platformHeaderTimeout+platformHeartbeatTimeout)
 	defer cancel()
@@ -77,7 +78,7 @@
 	return p.Decode(text)
 }
 
-// get returns the body of an answer with status 200.
+// get returns the response body, which the caller closes. Any status other than 200 is a *statusError.
 func (p *PlatformSource) get(ctx context.Context, url string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -94,8 +95,8 @@
 	return response.Body, nil
 }
 
-// readWatch reads a watch until it ends, sends no heartbeat or can't be read, and never returns nil. It calls
-// receive for each list, and with nil for each heartbeat.
+// readWatch reads a watch until the connection ends, a timeout expires or a line can't be decoded. It calls receive
+// with each list, and with nil for each heartbeat. The returned error is never nil.
 func (p *PlatformSource) readWatch(ctx context.Context, url string, receive func(*EndpointList)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -133,7 +134,7 @@
 	return io.ErrUnexpectedEOF
 }
 
-// decodeLine reads one line of a watch. It returns nil for an empty line, which is a heartbeat.
+// decodeLine decodes one line of a watch. It returns nil for an empty line, which is a heartbeat.
 func (p *PlatformSource) decodeLine(line []byte) (*EndpointList, error) {
 	text := bytes.TrimSpace(line)
 	if len(text) == 0 {
@@ -142,21 +143,22 @@
 	return p.Decode(text)
 }
 
-// watchdogReader resets a watchdog after each read.
+// watchdogReader restarts a watchdog timer after each read.
 type watchdogReader struct {
 	reader   io.Reader
 	watchdog *time.Timer
 	timeout  time.Duration
 }
 
-// Read reads from the underlying reader.
+// Read reads from the underlying reader and restarts the watchdog timer, also after an error.
 func (r *watchdogReader) Read(buffer []byte) (int, error) {
 	n, err := r.reader.Read(buffer)
 	r.watchdog.Reset(r.timeout)
 	return n, err
 }
 
-// splitCompleteLines is a bufio.SplitFunc for lines with an end. A line that was cut short by a break is an error.
+// splitCompleteLines is a bufio.SplitFunc for lines that end with a newline. A last line without one is an error: the
+// connection broke off within it.
 func splitCompleteLines(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	if end := bytes.IndexByte(data, '\n'); end >= 0 {
 		return end + 1, data[:end], nil
--- a/internal/discovery/platformdecode_test.go
+++ b/internal/discovery/platformdecode_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// targetText formats a target as the platform writes it.
+// targetText returns a target in the platform's JSON format.
 func targetText(uid, state string, startTime int64) string {
 	return fmt.Sprintf(`{"uid":"%s","endpoint":"10.1.0.18:7070","az":"a","model":"m2","pod_group":3,"state":"%s",`+
 		`"capacity_hint":1.0,"boot_ms":%d}`, uid, state, startTime)
 }
 
-// listText formats a list as the platform writes it.
+// listText returns a list in the platform's JSON format.
 func listText(revision int, complete bool, targets ...string) string {
 	return fmt.Sprintf(`{"rev":%d,"all":%v,"targets":[%s]}`, revision, complete, strings.Join(targets, ","))
 }
@@ -53,7 +53,7 @@
 		`]}`:           ``,
 	} {
 		if list, err := newDecoder().Decode([]byte(strings.Replace(valid, from, to, 1))); err == nil {
-			t.Errorf("%s for %s: read as %+v", to, from, list)
+			t.Errorf("%s in place of %s is accepted as %+v", to, from, list)
 		}
 	}
 }
@@ -62,7 +62,7 @@
 	target := targetText("s-1", "in_service", 0)
 	_, err := newDecoder().Decode([]byte(listText(1, true, target, target)))
 	if err == nil || !strings.Contains(err.Error(), "targets[1]") {
-		t.Errorf("%v, want an error that names the entry", err)
+		t.Errorf("%v, want an error with the index of the repeated entry", err)
 	}
 }
 
--- a/internal/discovery/storeddata_test.go
+++ b/internal/discovery/storeddata_test.go
@@ -11,10 +11,11 @@
 	"cressknot/internal/fleet"
 )
 
-var writeFixtures = flag.Bool("write-fixtures", false, "rewrite the stored data in testdata")
+var writeFixtures = flag.Bool("write-fixtures", false, "rewrite the stored caches in testdata")
 
 const storedCache = "testdata/cache"
 
+// storedLists returns the lists of the caches in testdata.
 func storedLists() (before, now EndpointList) {
 	before, now = listOf(6, 5), listOf(7, 4)
 	now.Endpoints[1].State = "draining"
@@ -24,7 +25,8 @@
 	return before, now
 }
 
-// TestCacheOfAnEarlierProgramIsRead reads a cache and its previous generation, and writes both again to the same bytes.
+// A cache and its previous generation that an earlier version wrote must stay readable, and writing the same lists must
+// give the same bytes.
 func TestCacheOfAnEarlierProgramIsRead(t *testing.T) {
 	before, now := storedLists()
 	path := filepath.Join(t.TempDir(), "cache")
@@ -44,7 +46,7 @@
 			t.Fatal(err)
 		}
 		if got, err := os.ReadFile(path + suffix); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%q is written as\n%s (%v), not\n%s", suffix, got, err, want)
+			t.Errorf("file %q: written as\n%s (%v), want\n%s", suffix, got, err, want)
 		}
 	}
 	generations, errs := ReadCache(storedCache)
--- a/internal/discovery/transcript_test.go
+++ b/internal/discovery/transcript_test.go
@@ -11,7 +11,7 @@
 	"cressknot/internal/fleet"
 )
 
-// TestRequestsToDiscoveryKeepTheirBytes checks the requests for a watch and a complete list, and what a list becomes.
+// Guards the bytes of the requests for a watch and for the complete list, and the endpoints that a list is decoded to.
 func TestRequestsToDiscoveryKeepTheirBytes(t *testing.T) {
 	requests := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -46,14 +46,14 @@
 	}}}}
 	source.Watch(true)
 	if got := receive(t, requests); got != "GET /v1/endpoints?watch=1&after=40 HTTP/1.1" {
-		t.Errorf("a watch is requested by %q", got)
+		t.Errorf("request for a watch: %q", got)
 	}
 	if got := receive(t, updates); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	source.Fetch()
 	if got := receive(t, requests); got != "GET /v1/endpoints HTTP/1.1" {
-		t.Errorf("a complete list is requested by %q", got)
+		t.Errorf("request for the complete list: %q", got)
 	}
 	if got := receive(t, updates); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
--- a/internal/discovery/updates_test.go
+++ b/internal/discovery/updates_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// start starts a source and returns its updates. The source runs until the end of the test.
+// startSource starts a source, which runs until the end of the test, and returns a channel with its updates.
 func startSource(t *testing.T, source EndpointSource) chan Update {
 	t.Helper()
 	updates := make(chan Update, 1024)
@@ -18,14 +18,14 @@
 	return updates
 }
 
-// next receives one element, or ends the test when none comes.
+// receive returns the next element of the channel. It ends the test if none arrives within 20 s.
 func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case element := <-from:
 		return element
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came within 20 s")
+		t.Fatal("no element received within 20 s")
 		panic("unreachable")
 	}
 }
--- a/internal/discovery/verification/age.go
+++ b/internal/discovery/verification/age.go
@@ -10,24 +10,26 @@
 	// freshDuration is the age up to which a list counts as just confirmed: a restart takes seconds.
 	freshDuration = 60 * fleet.Second
 
-	// trustHalfLife halves the trust in an older list. Fleets are renewed within a day, after which the trust is least.
+	// trustHalfLife is the time in which the trust in an older list halves. Fleets are replaced within a day, by which
+	// time the trust has reached minTrust.
 	trustHalfLife = 3600 * fleet.Second
 
-	// minTrust is the trust in a server of a list of any age.
+	// minTrust is the minimum trust in a server, however old its list is.
 	minTrust = 0.05
 
-	// maxClockSkew is the difference allowed between clocks of one place.
+	// maxClockSkew is the difference allowed between the clocks of a site.
 	maxClockSkew = 60 * fleet.Second
 
-	// unknownAge is reported for a list from the future.
+	// unknownAge is the age reported for a list without a valid confirmation time.
 	unknownAge = 24 * 3600 * fleet.Second
 
-	// ConfirmInterval is the time between two records on disk that the list is confirmed; half of what counts as fresh.
+	// ConfirmInterval is the minimum time between two writes that record a confirmation of the list on disk. It is half
+	// of freshDuration.
 	ConfirmInterval = 30 * fleet.Second
 )
 
-// Age returns how long ago a list was confirmed, by a clock that may have been set since. The age of a list from
-// the future is not known; it counts as old.
+// Age returns the time since a list was confirmed. The clock may have been set since then: if the confirmation time is
+// missing or more than maxClockSkew in the future, Age returns unknownAge and false.
 func Age(now, confirmed fleet.Time) (age fleet.Time, known bool) {
 	if confirmed <= 0 || confirmed > now+maxClockSkew {
 		return unknownAge, false
@@ -35,8 +37,8 @@
 	return max(0, now-confirmed), true
 }
 
-// Trust returns the weight factor of a server of a list of the given age, before anything is known of the server.
-// It is 1 for a fresh list and falls by half in each trustHalfLife.
+// Trust returns the weight factor of an unverified server of a list of the given age. It is 1 up to freshDuration, then
+// halves in each trustHalfLife down to minTrust.
 func Trust(age fleet.Time) float64 {
 	if age <= freshDuration {
 		return 1
--- a/internal/discovery/verification/evidence.go
+++ b/internal/discovery/verification/evidence.go
@@ -3,28 +3,29 @@
 import "cressknot/internal/fleet"
 
 const (
-	// probeRetryDelay follows a probe without an answer. A process that restarts is back by then or seconds later.
+	// probeRetryDelay is the time from a probe without an answer to the next one. A process that restarts is back after
+	// this time or some seconds later.
 	probeRetryDelay = 500 * fleet.Millisecond
 
-	// maxFailedProbes in a row refute a server; a single one may be chance.
+	// maxFailedProbes is the number of consecutive probes without an answer that refute a server; one alone may be chance.
 	maxFailedProbes = 2
 
-	// minProvingSuccesses is the number of successful requests that prove a server. Fewer may have been answered by
-	// another one.
+	// minProvingSuccesses is the number of successful requests that prove a server. Fewer may have been handled by
+	// another server at its address.
 	minProvingSuccesses = 3
 
-	// minRefutingFailures is the number of failed requests without a success that speak against a server. By chance, so
-	// many fail once in 3000 cases.
+	// minRefutingFailures is the number of failed requests without a success that count against a server. That many fail
+	// by chance in 1 of 3000 cases.
 	minRefutingFailures = 8
 )
 
-// Reasons of VerdictRefuted, which operators see.
+// Reasons for VerdictRefuted, shown to operators.
 const (
-	reasonAddressTaken = "its address is another server's by the same list"
-	reasonOtherServer  = "another server answers at its address"
-	reasonNoAnswer     = "nobody answers at its address"
-	reasonOnlyConnects = "answers at its address, but handles no visit"
-	reasonOnlyFailures = "handles no visit"
+	reasonAddressTaken = "a server of the same list that started later has the same address"
+	reasonOtherServer  = "probe at its address answered by a different server"
+	reasonNoAnswer     = "probes at its address get no answer"
+	reasonOnlyConnects = "its address accepts connections, but its requests fail"
+	reasonOnlyFailures = "its requests fail"
 )
 
 // Evidence is the result of a probe.
@@ -35,10 +36,10 @@
 	EvidenceNone        Evidence = iota // no connection, or no answer
 	EvidenceConnection                  // something accepts connections at the address
 	EvidenceConfirmed                   // the server answered with its name
-	EvidenceOtherServer                 // another server answered
+	EvidenceOtherServer                 // a server with a different name answered
 )
 
-// ProbeFinished takes in the result of a probe that a plan requested.
+// ProbeFinished processes the result of a probe that a plan requested. Results of other probes are ignored.
 func (v *Verifier) ProbeFinished(now fleet.Time, server fleet.ServerID, evidence Evidence) {
 	c := v.byServer[server]
 	if c == nil || !c.probing {
@@ -67,8 +68,8 @@
 	}
 }
 
-// connected takes in that something accepts connections at the server's address. Failures of a server that is there are
-// left to the balancer's outlier ejection.
+// probeConnected processes a probe that established a connection. A proven server that accepts connections is not
+// refuted for failed requests: these are left to the balancer's outlier ejection.
 func (v *Verifier) probeConnected(now fleet.Time, c *candidate) {
 	switch {
 	case c.verdict == VerdictProven:
@@ -80,7 +81,8 @@
 	}
 }
 
-// probeFailed takes in a probe without an answer. It says nothing of a server that proxies reach.
+// probeFailed processes a probe without an answer. It has no effect on a proven server whose requests don't fail, as
+// the proxies reach that server.
 func (v *Verifier) probeFailed(now fleet.Time, c *candidate) {
 	if c.verdict == VerdictProven && c.failures < minRefutingFailures {
 		return
@@ -92,7 +94,7 @@
 	}
 }
 
-// RequestsFinished takes in the outcomes of requests to a server.
+// RequestsFinished processes the number of requests to a server that succeeded and failed since the last call.
 func (v *Verifier) RequestsFinished(now fleet.Time, server fleet.ServerID, successes, failures float64) {
 	if successes > 0 {
 		v.lastSuccess = now
@@ -114,6 +116,8 @@
 	v.evaluateOutcomes(now, c)
 }
 
+// evaluateOutcomes updates the verdict after outcomes of requests. Failures refute a server at once if it can't be
+// probed, and otherwise lead to a probe.
 func (v *Verifier) evaluateOutcomes(now fleet.Time, c *candidate) {
 	switch {
 	case c.successes >= minProvingSuccesses && c.verdict != VerdictProven:
@@ -123,11 +127,12 @@
 	case v.outcomesOnly:
 		v.refute(now, c, reasonOnlyFailures)
 	case c.probeAt == 0:
-		c.probeAt = now // it may be gone: it is probed before it is judged
+		c.probeAt = now // the server may be gone: probe it before refuting it
 	}
 }
 
-// refute gives a server the verdict that it can't be used, until its next probe.
+// refute sets VerdictRefuted for the ejection duration, after which the server is probed. Without probes, the server
+// is used again after the ejection duration and totalFailureTimeout.
 func (v *Verifier) refute(now fleet.Time, c *candidate, reason string) {
 	c.verdict = VerdictRefuted
 	c.reason = reason
@@ -140,7 +145,7 @@
 	c.ejectionDuration = min(maxEjectionDuration, 2*c.ejectionDuration)
 }
 
-// raise gives a server a verdict that lets it be used.
+// setUsableVerdict sets a verdict other than VerdictRefuted and resets the ejection duration.
 func (c *candidate) setUsableVerdict(verdict HealthVerdict) {
 	if verdict != c.verdict {
 		c.verdict = verdict
--- a/internal/discovery/verification/generation.go
+++ b/internal/discovery/verification/generation.go
@@ -9,28 +9,29 @@
 	"cressknot/internal/fleet"
 )
 
-// Generation is a stored list, with what its header states.
+// Generation is a stored list together with the data of its header.
 type Generation[T any] struct {
-	Source       string     // where it is stored, for operators
-	ConfirmedAt  fleet.Time // when the list's source last confirmed it
+	Source       string     // where the list is stored, such as a file path; shown to operators
+	ConfirmedAt  fleet.Time // when the endpoint source last confirmed the list
 	Revision     uint64
-	DeclaredSize int          // number of entries by the header
-	Complete     bool         // the checksum of all entries is right
-	Entries      map[string]T // the intact ones, by name
+	DeclaredSize int          // number of entries according to the header
+	Complete     bool         // the checksum over all entries matches
+	Entries      map[string]T // the intact entries, by name
 }
 
-// lost returns the number of entries that are missing.
+// lost returns the number of declared entries that are not intact. Negative: there are more entries than declared.
 func (g *Generation[T]) lost() int { return g.DeclaredSize - len(g.Entries) }
 
-// Chosen is the list to start from.
+// Chosen is the list to start from, as selected by Choose.
 type Chosen[T any] struct {
 	Generation[T]
-	Unverified map[string]bool // entries that come from an older list, in place of lost ones; their servers may be gone
-	Notices    []string        // for operators
+	Unverified map[string]bool // names of entries added from an older list; these servers may be gone
+	Notices    []string        // messages for operators
 }
 
-// Choose returns the list that was confirmed last, wherever it is stored. Where entries of it are lost, those of
-// the next older list are added, as they may be among the lost ones. A list without entries is not chosen.
+// Choose returns the list that was confirmed last. If some of its entries are lost, entries that only the next older
+// list contains are added, as the lost ones may be among them. A list without intact entries is never chosen; ok is
+// false if there is no other.
 func Choose[T any](now fleet.Time, generations []Generation[T]) (chosen Chosen[T], ok bool) {
 	for _, generation := range newestFirst(now, generations) {
 		switch {
@@ -51,8 +52,8 @@
 	return chosen, ok
 }
 
-// newestFirst sorts by the time of confirmation, then by revision. A list from the future comes last, as any other
-// is known better.
+// newestFirst sorts by the time of confirmation, then by revision, both descending. A list whose confirmation time is
+// unknown or in the future comes last, as the age of any other list is known.
 func newestFirst[T any](now fleet.Time, generations []Generation[T]) []Generation[T] {
 	confirmedAt := func(g Generation[T]) fleet.Time {
 		if _, known := Age(now, g.ConfirmedAt); !known {
@@ -67,31 +68,33 @@
 	return sorted
 }
 
+// notice adds a message for operators.
 func (c *Chosen[T]) notice(format string, args ...any) {
 	c.Notices = append(c.Notices, fmt.Sprintf(format, args...))
 }
 
+// skipEmpty reports that a stored list has no intact entry.
 func (c *Chosen[T]) skipEmpty(g Generation[T]) {
 	if g.DeclaredSize > 0 || g.Revision > 0 {
-		c.notice("%s: the list of revision %d has no entry that can be used", g.Source, g.Revision)
+		c.notice("%s: list revision %d has no intact entry", g.Source, g.Revision)
 	}
 }
 
-// start chooses a list.
+// start chooses a list, and reports lost entries and an unknown age.
 func (c *Chosen[T]) start(now fleet.Time, g Generation[T]) {
 	c.Generation = g
 	c.Unverified = map[string]bool{}
 	if !g.Complete || g.lost() != 0 {
-		c.notice("%s: %d of %d entries of the list of revision %d are damaged; the rest is used",
-			g.Source, max(0, g.lost()), g.DeclaredSize, g.Revision)
+		c.notice("%s: list revision %d: %d of %d entries are damaged; using the others",
+			g.Source, g.Revision, max(0, g.lost()), g.DeclaredSize)
 	}
 	if _, known := Age(now, g.ConfirmedAt); !known {
-		c.notice("%s: the list of revision %d is from the future: its age is not known, it counts as old",
+		c.notice("%s: list revision %d has no valid confirmation time, or one in the future; treating it as old",
 			g.Source, g.Revision)
 	}
 }
 
-// addMissing adds the entries of an older list that the chosen one does not hold.
+// addMissing adds the entries of an older list that the chosen list does not contain.
 func (c *Chosen[T]) addMissing(older Generation[T]) {
 	for name, entry := range older.Entries {
 		if _, present := c.Entries[name]; !present {
@@ -100,7 +103,7 @@
 		}
 	}
 	if count := len(c.Unverified); count > 0 {
-		c.notice("%s: %d entries are taken from the list of revision %d, as they may be among the damaged ones",
+		c.notice("%s: added %d entries of list revision %d, as the damaged entries may be among them",
 			older.Source, count, older.Revision)
 	}
 }
--- a/internal/discovery/verification/generation_test.go
+++ b/internal/discovery/verification/generation_test.go
@@ -7,7 +7,7 @@
 	"cressknot/internal/fleet"
 )
 
-// generation returns a stored list whose entries hold the name of its source.
+// generation returns a stored list with entries of the given names. The value of each entry is the source.
 func generation(source string, confirmedAt fleet.Time, revision uint64, size int, names ...string) Generation[string] {
 	g := Generation[string]{
 		Source:       source,
@@ -23,8 +23,8 @@
 	return g
 }
 
-// The list that was confirmed last is chosen. Lost entries are taken from the one before it; empty lists and those from
-// the future come last.
+// The list that was confirmed last is chosen, and lost entries are replaced from the one before it. A list with a
+// confirmation time in the future is chosen last, and one without entries never.
 func TestChoose(t *testing.T) {
 	const now = 100_000 * second
 	for name, test := range map[string]struct {
@@ -37,13 +37,13 @@
 		"nothing": {},
 		"empty": {
 			generations: []Generation[string]{generation("a", now, 4, 0)},
-			notice:      "no entry",
+			notice:      "no intact entry",
 		},
-		"empty and an older one": {
+		"empty, with an older list": {
 			generations: []Generation[string]{generation("a", now, 4, 0), generation("b", now-second, 3, 1, "x")},
 			source:      "b",
 			entries:     1,
-			notice:      "no entry",
+			notice:      "no intact entry",
 		},
 		"newest": {
 			generations: []Generation[string]{
@@ -64,29 +64,29 @@
 			unverified: "z",
 			notice:     "1 of 3 entries",
 		},
-		"damaged without another one": {
+		"last entry damaged, no older list": {
 			generations: []Generation[string]{generation("a", now, 4, 3, "x", "y")},
 			source:      "a",
 			entries:     2,
 			notice:      "1 of 3 entries",
 		},
-		"from the future": {
+		"in the future": {
 			generations: []Generation[string]{
 				generation("a", now+hour, 9, 1, "x"), generation("b", now-second, 3, 1, "y")},
 			source:  "b",
 			entries: 1,
 		},
-		"only from the future": {
+		"only one, in the future": {
 			generations: []Generation[string]{generation("a", now+hour, 9, 1, "x")},
 			source:      "a",
 			entries:     1,
-			notice:      "from the future",
+			notice:      "in the future",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, ok := Choose(now, test.generations)
 			if ok != (test.source != "") || got.Source != test.source || len(got.Entries) != test.entries {
-				t.Errorf("%v, %+v", ok, got)
+				t.Errorf("chosen: %v, %+v, want %d entries of %q", ok, got, test.entries, test.source)
 			}
 			if len(got.Unverified) != min(1, len(test.unverified)) ||
 				test.unverified != "" && !got.Unverified[test.unverified] {
@@ -105,7 +105,7 @@
 	for age := fleet.Time(0); age < 2*day; age += 10 * minute {
 		trust := Trust(age)
 		if trust > last || trust < minTrust {
-			t.Errorf("%.0f s: %v after %v", age.Seconds(), trust, last)
+			t.Errorf("age %.0f s: trust %v after %v", age.Seconds(), trust, last)
 			continue
 		}
 		last = trust
@@ -120,6 +120,6 @@
 		t.Error(age, known)
 	}
 	if _, known := Age(100*second, 200*second); known {
-		t.Error("a list from the future has an age")
+		t.Error("a list confirmed in the future has a known age")
 	}
 }
--- a/internal/discovery/verification/plan.go
+++ b/internal/discovery/verification/plan.go
@@ -8,44 +8,46 @@
 )
 
 const (
-	// maxProbesInFlight bounds the probes: one of a dead machine lasts until its timeout.
+	// maxProbesInFlight bounds the concurrent probes: a probe of a dead machine lasts until its timeout.
 	maxProbesInFlight = 128
 
-	// totalFailureTimeout is how long all requests may fail before the refuted servers are used again.
+	// totalFailureTimeout is how long all requests may fail until the refuted servers are used again.
 	totalFailureTimeout = 10 * fleet.Second
 
-	// A weight factor rises by rampFactor at most once in rampInterval, so that no load comes at once.
+	// A weight factor is multiplied by rampFactor at most once per rampInterval, so that the load of a server rises
+	// gradually.
 	rampInterval = fleet.Second
 	rampFactor   = 2
 
-	// minFactorChange is the relative change of a weight factor that is worth an update of all proxies.
+	// minFactorChange is the smallest relative change of a weight factor that justifies an update of all proxies.
 	minFactorChange = 0.1
 )
 
-// Plan is what is to be done now.
+// Plan lists the actions to take now.
 type Plan struct {
-	Probes          []fleet.ServerID // servers to probe; Asked is to be called with each result
-	Ejected         []fleet.Endpoint // ejected servers, with the state of a gone one
+	Probes          []fleet.ServerID // servers to probe; the caller passes each result to ProbeFinished
+	Ejected         []fleet.Endpoint // servers to stop using, with the state ServerGone
 	Readmitted      []fleet.Endpoint // servers to use again
 	WeightFractions []WeightFraction // weight factors that changed
 	Notices         []Notice
-	Wake            fleet.Time // when to call Next again; 0: when something is learned
+	Wake            fleet.Time // when to call NextPlan again; 0: after the next observation
 }
 
-// WeightFraction is the weight factor of a server.
+// WeightFraction is the factor by which the weight of a server is to be multiplied.
 type WeightFraction struct {
 	Server   fleet.ServerID
-	Fraction float64 // from 0 to 1
+	Fraction float64 // above 0, at most 1
 }
 
 // Notice is a message for operators.
 type Notice struct {
 	Server   fleet.ServerID // valid if OfServer
-	OfServer bool
+	OfServer bool           // the notice is about Server
 	Text     string
 }
 
-// NextPlan plans what is to be done. It returns the differences from the plans before.
+// NextPlan returns the actions that follow from the observations so far, apart from those of earlier plans. It returns
+// an empty plan if there are no new observations and the Wake of the last plan is not yet due.
 func (v *Verifier) NextPlan(now fleet.Time) Plan {
 	if !v.changed && (v.nextWake == 0 || now < v.nextWake) {
 		return Plan{Wake: v.nextWake}
@@ -75,8 +77,8 @@
 	}
 }
 
-// resetAfterTotalFailure takes back all refutations when no request succeeds: the servers in use handle nothing, so
-// that the others can't be judged either.
+// resetAfterTotalFailure revokes all refutations after requests to the servers in use have only failed for
+// totalFailureTimeout: that says nothing about the refuted servers, which may be the working ones.
 func (v *Verifier) resetAfterTotalFailure(now fleet.Time) {
 	if v.failuresSinceSuccess < minRefutingFailures || now < v.lastSuccess+totalFailureTimeout {
 		return
@@ -94,14 +96,14 @@
 	v.reachedAny = false
 }
 
-// retainLastServers spares one refuted server where no other is left: of all, or of each zone if a class is confined to
-// its zone. It prefers the one with the fewest failed probes.
+// retainLastServers keeps one refuted server in use if all are refuted: one in total, or one in each such zone if a
+// class is confined to its zone. It selects the server with the fewest failed probes.
 func (v *Verifier) retainLastServers() {
 	zoneLocal := slices.ContainsFunc(v.site.Classes, func(c fleet.RequestClass) bool { return c.ZoneLocal })
 	usable := map[fleet.ZoneID]bool{}
 	best := map[fleet.ZoneID]*candidate{}
 	for _, c := range v.candidates {
-		var zone fleet.ZoneID // all servers count as of one zone unless a class is confined
+		var zone fleet.ZoneID // all servers count as one zone unless a class is confined to its zone
 		if zoneLocal {
 			zone = c.Endpoint.Zone
 		}
@@ -119,7 +121,7 @@
 	}
 }
 
-// readmitDue lets servers be used again whose ejection has lasted long enough.
+// readmitDue makes servers usable again whose ejection duration has elapsed.
 func (v *Verifier) readmitDue(now fleet.Time) {
 	for _, c := range v.candidates {
 		if c.verdict == VerdictRefuted && c.probeAt > 0 && now >= c.probeAt {
@@ -129,7 +131,7 @@
 	}
 }
 
-// planProbes requests the probes that are due, as far as the limit allows.
+// planProbes adds the probes that are due, up to maxProbesInFlight.
 func (v *Verifier) planProbes(now fleet.Time, plan *Plan) {
 	for _, c := range v.candidates {
 		switch {
@@ -145,20 +147,20 @@
 	}
 }
 
-// planServers plans ejections and weight factors, and forgets the confirmed servers that have their full weight.
+// planServers plans ejections and weight factors. It ends the verification of confirmed servers at full weight.
 func (v *Verifier) planServers(now fleet.Time, plan *Plan) {
-	weights := v.newUnknownWeightBounds()
+	bounds := v.newUnknownWeightBounds()
 	highest := minTrust
 	for _, c := range v.candidates {
 		if c.usable() {
-			highest = max(highest, v.targetFactor(c, weights))
+			highest = max(highest, v.targetFactor(c, bounds))
 		}
 	}
 	remaining := v.candidates[:0]
 	for _, c := range v.candidates {
 		v.planEjection(c, plan)
 		if !c.ejected {
-			c.planFactor(now, v.targetFactor(c, weights)/highest, plan)
+			c.planFactor(now, v.targetFactor(c, bounds)/highest, plan)
 		}
 		if c.verdict == VerdictConfirmed && c.factor == 1 {
 			delete(v.byServer, c.Endpoint.Server)
@@ -170,10 +172,11 @@
 	v.candidates = remaining
 }
 
+// usable reports whether the server may be used: it is not refuted, or is the last one left.
 func (c *candidate) usable() bool { return c.verdict != VerdictRefuted || c.retained }
 
-// planEjection ejects the server or lets it be used again. Operators learn of its first ejection only, as it may be
-// ejected again and again for hours.
+// planEjection ejects or readmits the server if that has changed. Only the first ejection of a server is reported to
+// operators, as it may be ejected repeatedly for hours.
 func (v *Verifier) planEjection(c *candidate, plan *Plan) {
 	if c.ejected == !c.usable() {
 		return
@@ -192,7 +195,7 @@
 	}
 }
 
-// planFactor moves the weight factor towards the wanted one: up by steps, down at once.
+// planFactor moves the weight factor towards the wanted one: upwards in steps, downwards at once.
 func (c *candidate) planFactor(now fleet.Time, wanted float64, plan *Plan) {
 	switch {
 	case wanted > c.factor:
@@ -212,13 +215,14 @@
 	}
 }
 
+// setFactor changes the weight factor and adds the change to the plan.
 func (c *candidate) setFactor(now fleet.Time, factor float64, plan *Plan) {
 	c.factor = factor
 	c.raisedAt = now
 	plan.WeightFractions = append(plan.WeightFractions, WeightFraction{Server: c.Endpoint.Server, Fraction: factor})
 }
 
-// summarize tells operators once, when something is known of each server, how many have which verdict.
+// summarize reports the number of servers per verdict to operators, once, when no server is unknown any more.
 func (v *Verifier) summarize() {
 	var counts [VerdictConfirmed + 1]int
 	for _, c := range v.candidates {
@@ -229,20 +233,20 @@
 	}
 	v.summarized = true
 	v.notices = append(v.notices, Notice{Text: fmt.Sprintf(
-		"of the cached servers, %d handle requests or answer with their name, %d accept connections, %d are refuted",
+		"cached servers verified: %d handle requests or answer with their name, %d accept connections, %d are refuted",
 		counts[VerdictProven], counts[VerdictReachable], counts[VerdictRefuted])})
 }
 
-// View is what operators see of a server under verification.
+// View is the state of a server under verification, for operators.
 type View struct {
 	Server         fleet.ServerID
 	Verdict        HealthVerdict
-	WeightFraction float64 // weight factor
-	Ejected        bool    // ejected
-	Reason         string  // reason of VerdictRefuted
+	WeightFraction float64 // planned last; above 0, at most 1
+	Ejected        bool    // out of use
+	Reason         string  // why the verdict is VerdictRefuted; empty for other verdicts
 }
 
-// Views returns the servers under verification in the order of their numbers.
+// Views returns the servers under verification, sorted by server ID.
 func (v *Verifier) Views() []View {
 	var views []View
 	for _, c := range v.candidates {
--- a/internal/discovery/verification/shrinkgate.go
+++ b/internal/discovery/verification/shrinkgate.go
@@ -3,49 +3,51 @@
 import "cressknot/internal/fleet"
 
 const (
-	// minGatedServers is the size from which a list is checked. Half of a smaller one may well go.
+	// minGatedServers is the number of known servers from which lists are checked. In a smaller fleet, half of the servers
+	// may go at once in normal operation.
 	minGatedServers = 4
 
-	// minRemainingFraction of the servers must be named again.
+	// minRemainingFraction of the known servers must be in a list for it to be accepted at once.
 	minRemainingFraction = 0.5
 
-	// acceptDelayFraction of the drain timeout passes before a list is accepted anyway: it is binding once it is received.
+	// acceptDelayFraction of the drain timeout is the maximum time that a list is held back: a received list is binding.
 	acceptDelayFraction = 0.5
 
-	// repeatDelayFraction of the drain timeout passes before the source is asked again. A list that is repeated sooner
-	// doesn't count as repeated.
+	// repeatDelayFraction of the drain timeout is the time until the list is fetched again. The same list received earlier
+	// does not count as repeated.
 	repeatDelayFraction = 0.25
 )
 
-// GateDecision is what to do with a complete list.
+// GateDecision is the decision of a ShrinkGate about a complete list.
 type GateDecision uint8
 
 // The decisions of a ShrinkGate.
 const (
 	AcceptList GateDecision = iota // accept the list
-	HoldList                       // hold it back, and ask the source again
+	HoldList                       // hold the list back until Due or Check accepts one
 )
 
-// ShrinkGate checks complete lists before they are accepted. A source that recovers from a fault may give a part of
-// the list as if it were complete; accepted at once, that would put all requests on the remaining servers. Such a
-// list is held back and requested again. It is accepted when it is repeated, or when nothing better comes within a
-// part of the drain timeout, since the servers that it doesn't name may really be gone.
+// ShrinkGate checks complete lists before they are accepted. A source that recovers from a fault may deliver a part of
+// the list as if it were complete; accepting it at once would send all requests to the remaining servers. Such a list
+// is held back and fetched again. It is accepted when the source repeats it, or when no fuller list arrives within a
+// fraction of the drain timeout, since the missing servers may really be gone. A ShrinkGate is not safe for concurrent
+// use.
 type ShrinkGate struct {
 	drainTimeout   fleet.Time
 	holding        bool
-	fetchRequested bool // the list was requested again
+	fetchRequested bool // Due has requested the list again
 	heldSince      fleet.Time
 	digest         uint64
-	Held           uint64 // count of lists that were held back
-	Superseded     uint64 // count of those that a complete one replaced
+	Held           uint64 // number of times that a list was held back
+	Superseded     uint64 // number of times that a fuller list replaced the held one
 }
 
-// NewShrinkGate returns a gate for servers with the given drain timeout.
+// NewShrinkGate returns a gate whose delays are fractions of the given drain timeout.
 func NewShrinkGate(drainTimeout fleet.Time) *ShrinkGate {
 	return &ShrinkGate{drainTimeout: drainTimeout}
 }
 
-// Check checks a complete list. Of the known servers, so many remain; the digest tells lists apart.
+// Check decides about a complete list that contains remaining of the known servers. The digest identifies its content.
 func (g *ShrinkGate) Check(now fleet.Time, known, remaining int, digest uint64) GateDecision {
 	if known < minGatedServers || float64(remaining) >= minRemainingFraction*float64(known) {
 		if g.holding {
@@ -60,7 +62,7 @@
 		g.holding = false
 		return AcceptList
 	}
-	if !g.holding { // another short list does not extend the delay
+	if !g.holding { // a further short list does not extend the delay
 		g.holding = true
 		g.fetchRequested = false
 		g.heldSince = now
@@ -73,8 +75,8 @@
 func (g *ShrinkGate) acceptDelay() fleet.Time { return g.drainTimeout.Scale(acceptDelayFraction) }
 func (g *ShrinkGate) repeatDelay() fleet.Time { return g.drainTimeout.Scale(repeatDelayFraction) }
 
-// Due reports whether the list that is held back is to be accepted now, whether it is to be requested again, and
-// when to call Due again (0: no list is held back).
+// Due reports whether the caller must accept the held list now or fetch the list again, and when to call Due again
+// (0: no list is held back). After accept the gate holds no list.
 func (g *ShrinkGate) Due(now fleet.Time) (accept, fetch bool, wake fleet.Time) {
 	if !g.holding {
 		return false, false, 0
@@ -94,5 +96,5 @@
 	return false, false, fetchAt
 }
 
-// Reset forgets the list that is held back, as it was accepted.
+// Reset ends the holding of a list that the caller has accepted by itself.
 func (g *ShrinkGate) Reset() { g.holding = false }
--- a/internal/discovery/verification/shrinkgate_test.go
+++ b/internal/discovery/verification/shrinkgate_test.go
@@ -10,8 +10,9 @@
 
 const drainTimeout = 3 * second
 
-// A list of less than half is held back, and accepted when it is repeated or its time is over; a complete one in
-// between replaces it. Small fleets and ordinary changes pass.
+// A recovering source may deliver a part of the list as complete. A list with less than half of the servers is held
+// back until it is repeated or the delay is over, and a complete list in between replaces it. Lists of small fleets and
+// ordinary changes are accepted at once.
 func TestShrinkGateHoldsShortLists(t *testing.T) {
 	const half = second / 2
 	gate := NewShrinkGate(drainTimeout)
@@ -25,16 +26,17 @@
 		{at: 1 * second, known: 3, remaining: 0, digest: 1, want: AcceptList},
 		{at: 2 * second, known: 20, remaining: 10, digest: 2, want: AcceptList},
 		{at: 3 * second, known: 20, remaining: 9, digest: 3, want: HoldList},
-		{at: 3*second + half, known: 20, remaining: 20, digest: 4, want: AcceptList}, // the one before was a part
+		{at: 3*second + half, known: 20, remaining: 20, digest: 4, want: AcceptList}, // the list before was incomplete
 		{at: 5 * second, known: 20, remaining: 5, digest: 5, want: HoldList},
 		{at: 5*second + half, known: 20, remaining: 5, digest: 5, want: HoldList}, // repeated too soon
 		{at: 6 * second, known: 20, remaining: 5, digest: 5, want: AcceptList},
 		{at: 8 * second, known: 20, remaining: 5, digest: 6, want: HoldList},
-		{at: 8*second + half, known: 20, remaining: 6, digest: 7, want: HoldList}, // another one each time
+		{at: 8*second + half, known: 20, remaining: 6, digest: 7, want: HoldList}, // a different list each time
 		{at: 9*second + half, known: 20, remaining: 6, digest: 8, want: AcceptList},
 	} {
 		if got := gate.Check(list.at, list.known, list.remaining, list.digest); got != list.want {
-			t.Errorf("at %.1f s: %d of %d: decision %d", list.at.Seconds(), list.remaining, list.known, got)
+			t.Errorf("at %.1f s: %d of %d servers: decision %d, want %d",
+				list.at.Seconds(), list.remaining, list.known, got, list.want)
 		}
 	}
 	accept, fetch, wake := gate.Due(20 * second)
@@ -43,11 +45,11 @@
 	}
 }
 
-// gateRun checks a gate against the times of what it holds back.
+// gateRun is a random run of a gate that checks how long the gate holds lists back.
 type gateRun struct {
 	gate      *ShrinkGate
 	now       fleet.Time
-	heldSince fleet.Time // of the list that is held back; 0: none
+	heldSince fleet.Time // when the held list was first held back; 0: none
 	fetches   int
 }
 
@@ -59,7 +61,7 @@
 		r.fetches++
 	}
 	if r.fetches > int(r.gate.Held) {
-		t.Fatalf("%d requests for %d lists", r.fetches, r.gate.Held)
+		t.Fatalf("%d fetches requested for %d held lists", r.fetches, r.gate.Held)
 	}
 	if accept {
 		if r.now < r.heldSince+maxHold {
@@ -69,7 +71,7 @@
 		return
 	}
 	if r.heldSince > 0 && (wake == 0 || wake > r.heldSince+maxHold) {
-		t.Fatalf("held back since %d, due again at %d", r.heldSince, wake)
+		t.Fatalf("held back since %d, next call due at %d", r.heldSince, wake)
 	}
 }
 
@@ -86,7 +88,8 @@
 	}
 }
 
-// Whatever lists come when, each takes effect within half the drain timeout.
+// A gate must not keep the endpoint list outdated: whatever lists arrive at whatever times, each takes effect within
+// half of the drain timeout.
 func TestShrinkGateHoldsNothingForLong(t *testing.T) {
 	const maxStep = 900 * fleet.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/discovery/verification/simulation_test.go
+++ b/internal/discovery/verification/simulation_test.go
@@ -15,12 +15,11 @@
 	// stepDuration is the time between two plans of a simulation.
 	stepDuration = second / 10
 
-	// requestsPerStep of each server that is used.
+	// requestsPerStep is the number of requests per step to each server in use.
 	requestsPerStep = 2
 )
 
-// simulation is a fleet that a cached list names, of which some servers are gone. The address of each server is its
-// own.
+// simulation is the fleet of a cached list, some of whose servers are gone. Each server has an address of its own.
 type simulation struct {
 	verifier *Verifier
 	now      fleet.Time
@@ -47,7 +46,7 @@
 	return s
 }
 
-// namedEndpoints returns servers of two zones.
+// namedEndpoints returns ready servers, alternating between two zones.
 func namedEndpoints(count int) (endpoints []NamedEndpoint) {
 	for i := range count {
 		endpoints = append(endpoints, NamedEndpoint{
@@ -58,13 +57,13 @@
 	return endpoints
 }
 
-// fataler is a *testing.T or *rapid.T.
+// fataler is implemented by *testing.T and *rapid.T.
 type fataler interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// step advances the time and carries out a plan. Probes are answered at once if the prober reaches servers.
+// step advances the time and carries out a plan. Probes end at once; all fail unless proberReaches is set.
 func (s *simulation) step(t fataler, proberReaches bool) Plan {
 	t.Helper()
 	s.now += stepDuration
@@ -72,7 +71,7 @@
 	s.verifier.changed = true
 	again := s.verifier.NextPlan(s.now)
 	if len(again.Probes)+len(again.Ejected)+len(again.Readmitted)+len(again.WeightFractions) > 0 {
-		t.Fatalf("another plan at the same time: %+v", again)
+		t.Fatalf("a second plan at the same time is not empty: %+v", again)
 	}
 	s.applyEjections(t, plan)
 	s.applyWeightFractions(t, plan)
@@ -93,13 +92,13 @@
 	t.Helper()
 	for _, endpoint := range plan.Ejected {
 		if s.ejected[endpoint.Server] || endpoint.State != fleet.ServerGone {
-			t.Fatalf("%+v is ejected, ejected before: %v", endpoint, s.ejected[endpoint.Server])
+			t.Fatalf("plan ejects %+v, ejected before: %v", endpoint, s.ejected[endpoint.Server])
 		}
 		s.ejected[endpoint.Server] = true
 	}
 	for _, endpoint := range plan.Readmitted {
 		if !s.ejected[endpoint.Server] || endpoint.State != fleet.ServerReady {
-			t.Fatalf("%+v is readmitted, ejected before: %v", endpoint, s.ejected[endpoint.Server])
+			t.Fatalf("plan readmits %+v, ejected before: %v", endpoint, s.ejected[endpoint.Server])
 		}
 		s.ejected[endpoint.Server] = false
 	}
@@ -112,7 +111,7 @@
 		before := s.factors[part.Server]
 		tooSteep := before > 0 && part.Fraction > rampFactor*before+tolerance && !s.ejected[part.Server]
 		if part.Fraction <= 0 || part.Fraction > 1 || tooSteep {
-			t.Fatalf("factor of %d from %v to %v", part.Server, before, part.Fraction)
+			t.Fatalf("server %d: weight factor changes from %v to %v", part.Server, before, part.Fraction)
 		}
 		s.factors[part.Server] = part.Fraction
 	}
@@ -127,7 +126,7 @@
 	return count
 }
 
-// request sends some requests to each server that is not ejected.
+// sendRequests reports requestsPerStep requests to each server that is not ejected: successes if it is up.
 func (s *simulation) sendRequests() {
 	for server, up := range s.up {
 		switch {
@@ -140,7 +139,7 @@
 	}
 }
 
-// confirm lets the list's source name the servers but one; -1 is none.
+// confirmAllExcept delivers a complete list of the endpoint source without the given server; -1: with all servers.
 func (s *simulation) confirmAllExcept(except int) {
 	var list fleet.EndpointList
 	for server := range s.up {
@@ -153,7 +152,7 @@
 	s.verifier.ListReceived(s.now, list)
 }
 
-// run steps for the given time, calling each after each plan.
+// run repeats step for the given time and passes each plan to each, unless that is nil.
 func (s *simulation) run(t *testing.T, duration fleet.Time, proberReaches bool, each func(Plan)) {
 	t.Helper()
 	for range int(duration / stepDuration) {
--- a/internal/discovery/verification/verifier.go
+++ b/internal/discovery/verification/verifier.go
@@ -1,6 +1,6 @@
-// Package verification decides what to make of endpoint lists that can't be trusted yet: it chooses the cached list
-// to start from, verifies its servers until the list's source is heard, and holds back a complete list that names
-// far fewer servers than the one before. It is pure: it has no I/O and no clock.
+// Package verification handles endpoint lists that may be outdated or incomplete. It chooses the cached list to start
+// from, verifies the servers of that list until the endpoint source delivers one, and holds back a complete list that
+// contains far fewer servers than the one before. It performs no I/O and reads no clock.
 package verification
 
 import (
@@ -12,100 +12,102 @@
 )
 
 const (
-	// sourceGracePeriod is how long the list's source has to answer before servers are probed. After a restart it answers
-	// within that time.
+	// sourceGracePeriod is how long the endpoint source has to answer before servers are probed. After a restart it
+	// answers within this time.
 	sourceGracePeriod = 500 * fleet.Millisecond
 
-	// minEjectionDuration precedes the first probe of a server that was refuted. It doubles each time, up to
-	// maxEjectionDuration, which is what a server that comes up may lose.
+	// minEjectionDuration is the time from the first refutation of a server to its next probe. The time doubles with each
+	// further refutation up to maxEjectionDuration, which bounds how long a server that has started stays unused.
 	minEjectionDuration = 2 * fleet.Second
 	maxEjectionDuration = 30 * fleet.Second
 )
 
-// HealthVerdict is what is known of a server whose list is not confirmed.
+// HealthVerdict is the result of verifying a server from a list that its source has not confirmed.
 type HealthVerdict uint8
 
-// The verdicts. A server rises to the better ones by probes and by the outcome of requests.
+// The verdicts follow from probes and from the outcomes of requests.
 const (
-	VerdictUnknown   HealthVerdict = iota
-	VerdictReachable               // something accepts connections at its address
-	VerdictProven                  // it has handled requests, or answered with its name
-	VerdictRefuted                 // it isn't there, or handles nothing
-	VerdictConfirmed               // the list's source names it
+	VerdictUnknown   HealthVerdict = iota // not verified yet
+	VerdictReachable                      // its address accepts connections; the server there is not identified
+	VerdictProven                         // it has handled requests, or answered a probe with its name
+	VerdictRefuted                        // it is absent, or its requests fail
+	VerdictConfirmed                      // a list of the endpoint source contains it
 )
 
-// String returns the name of the verdict that operators see.
+// String returns the verdict as operators see it: untried, reached, proven, refuted or told.
 func (v HealthVerdict) String() string {
 	return [...]string{"untried", "reached", "proven", "refuted", "told"}[v]
 }
 
-// NamedEndpoint is one server of a cached list.
+// NamedEndpoint is one server of a cached list, with its address.
 type NamedEndpoint struct {
 	Endpoint   fleet.Endpoint
-	Addr       string
-	Unverified bool // it comes from an older list than the others
+	Addr       string // host:port; empty: unknown
+	Unverified bool   // taken from an older list than the others
 }
 
 // candidate is a server under verification.
 type candidate struct {
 	NamedEndpoint
 	verdict          HealthVerdict
-	reason           string  // of VerdictRefuted
-	trust            float64 // weight factor while nothing is known
-	sharesAddress    *candidate
-	successes        float64 // requests since the verdict changed
-	failures         float64 // the same, since the last success
-	probing          bool
-	probeAt          fleet.Time // 0: no probe is due
-	failedProbes     int        // in a row
-	ejectionDuration fleet.Time // of the next ejection
-
-	// What was planned last.
-	factor   float64 // of its weight
-	raisedAt fleet.Time
+	reason           string     // set with VerdictRefuted
+	trust            float64    // weight factor while the verdict is VerdictUnknown
+	sharesAddress    *candidate // another candidate with the same address and start time, or nil
+	successes        float64    // successful requests since the verdict changed
+	failures         float64    // failed requests since the verdict changed or a request succeeded
+	probing          bool       // a probe is in flight
+	probeAt          fleet.Time // when the next probe is due; 0: none
+	failedProbes     int        // consecutive probes without an answer
+	ejectionDuration fleet.Time // duration of the next ejection
+
+	// State of the last plan.
+	factor   float64    // weight factor
+	raisedAt fleet.Time // when factor last changed
 	ejected  bool
-	retained bool // refuted, but the last server that some class could use
-	reported bool // operators know of its ejection
+	retained bool // refuted, but kept in use as the last server that some class could use
+	reported bool // its ejection has been reported to operators
 }
 
-// Verifier decides which servers of a cached list are used until the list's source is heard, and with what part of
-// their weight. Servers of old lists get little; those that answer count, those that don't are ejected, and no
-// class is left without servers. It requests probes and changes by Next, and learns by Asked, Met and Live. It is
-// not safe for concurrent use.
+// Verifier decides which servers of a cached list are used, and with what fraction of their weight, until the endpoint
+// source delivers a list. Unverified servers of an old list get a small fraction, servers that respond get more,
+// servers that don't are ejected, and no class is left without servers. NextPlan returns probes and changes to carry
+// out; ProbeFinished, RequestsFinished and ListReceived take observations. A Verifier is not safe for concurrent use.
 type Verifier struct {
 	site         fleet.Site
 	outcomesOnly bool // servers are not probed
 	byServer     map[fleet.ServerID]*candidate
-	candidates   []*candidate // by server
+	candidates   []*candidate // sorted by server
 
 	probesInFlight int
-	// reachedAny reports that a server was reached, so that a failed probe speaks against its server and not against the
-	// prober.
+	// reachedAny is set once any server was reached. Before that, failed probes may be a fault of the prober itself and
+	// refute no server.
 	reachedAny           bool
-	lastSuccess          fleet.Time // of a request to any server
-	failuresSinceSuccess float64
-
-	changed    bool             // something was learned since the last plan
-	nextWake   fleet.Time       // that of the last plan
-	restored   []WeightFraction // weights of servers that are no longer candidates
-	notices    []Notice
-	summarized bool
+	lastSuccess          fleet.Time // time of the last successful request to any server
+	failuresSinceSuccess float64    // failed requests to all servers since then
+
+	changed    bool             // there were observations since the last plan
+	nextWake   fleet.Time       // Wake of the last plan
+	restored   []WeightFraction // full weights of servers that are no longer candidates, for the next plan
+	notices    []Notice         // for the next plan
+	summarized bool             // summarize has reported
 }
 
-// NewVerifier returns a verifier without servers. Unless probes is set, only the outcomes of requests count.
+// NewVerifier returns a verifier without servers. If probes is false, it requests no probes and judges servers by the
+// outcomes of their requests alone.
 func NewVerifier(site fleet.Site, probes bool) *Verifier {
 	return &Verifier{site: site, byServer: map[fleet.ServerID]*candidate{}, outcomesOnly: !probes}
 }
 
-// Begin starts the verification of the servers of a list of the given age. Of two servers at one address, the one that
-// started later holds it; where that isn't known, they count as one server and share its weight.
+// Begin starts the verification of the ready servers of a cached list that was confirmed age ago. If two servers have
+// the same address, the one that started earlier is refuted; if their start times are equal or unknown, they share the
+// weight of one server.
 func (v *Verifier) Begin(now, age fleet.Time, endpoints []NamedEndpoint) {
 	v.lastSuccess = now
 	v.changed = true
 	holders := map[string]*candidate{}
 	for _, endpoint := range endpoints {
 		if endpoint.Endpoint.State != fleet.ServerReady {
-			continue // a draining server is not used in any case
+			continue // a draining server is not used
 		}
 		c := newCandidate(now, age, endpoint)
 		v.byServer[endpoint.Endpoint.Server] = c
@@ -117,6 +119,7 @@
 	slices.SortFunc(v.candidates, func(a, b *candidate) int { return cmp.Compare(a.Endpoint.Server, b.Endpoint.Server) })
 }
 
+// newCandidate returns an unverified candidate of a list of the given age, with its full weight.
 func newCandidate(now, age fleet.Time, endpoint NamedEndpoint) *candidate {
 	c := &candidate{
 		NamedEndpoint:    endpoint,
@@ -131,7 +134,8 @@
 	return c
 }
 
-// resolveAddress decides between the candidate and the holder of its address, if any.
+// resolveAddress decides between the candidate and the earlier candidate with the same address, if any. holders maps an
+// address to the candidate that has it.
 func (v *Verifier) resolveAddress(now fleet.Time, holders map[string]*candidate, c *candidate) {
 	holder := holders[c.Addr]
 	if c.Addr == "" || holder == nil {
@@ -152,7 +156,7 @@
 	older.probeAt = 0
 }
 
-// Active reports whether servers are under verification.
+// Active reports whether any server is under verification.
 func (v *Verifier) Active() bool { return len(v.candidates) > 0 }
 
 // EjectedCount returns the number of ejected servers.
@@ -165,8 +169,8 @@
 	return count
 }
 
-// ListReceived takes in a list of the source itself. The servers that a complete list names are confirmed; the others
-// are gone.
+// ListReceived processes a list of the endpoint source. Ready servers of the list are confirmed. Other servers of the
+// list are removed, and so are servers that a complete list does not contain.
 func (v *Verifier) ListReceived(now fleet.Time, list fleet.EndpointList) {
 	states := make(map[fleet.ServerID]fleet.ServerState, len(list.Endpoints))
 	for _, endpoint := range list.Endpoints {
@@ -194,12 +198,12 @@
 	})
 	if list.Scope != fleet.ListDelta && before > 0 {
 		v.notices = append(v.notices, Notice{Text: fmt.Sprintf(
-			"the list's source is back: it names %d of the %d servers under verification; %d of these had been ejected",
+			"the endpoint source is back: its list confirms %d of the %d servers under verification, of which %d were ejected",
 			confirmed, before, readmitted)})
 	}
 }
 
-// confirm records that the list's source names the server.
+// confirm records that a list of the endpoint source contains the server as ready.
 func (c *candidate) confirm() {
 	c.verdict = VerdictConfirmed
 	c.ejected = false
@@ -207,7 +211,7 @@
 	c.probeAt = 0
 }
 
-// drop forgets a server, and restores its weight.
+// remove ends the verification of a server and restores its full weight with the next plan.
 func (v *Verifier) remove(c *candidate) {
 	if c.probing {
 		v.probesInFlight--
--- a/internal/discovery/verification/verifier_test.go
+++ b/internal/discovery/verification/verifier_test.go
@@ -10,14 +10,14 @@
 	"cressknot/internal/fleet"
 )
 
-// Half of the servers of a list that is a day old are gone. They are ejected within three seconds, and one that
-// comes back is used again. When the list's source is back, the weights rise by steps, and no server remains under
-// verification.
+// Half of the servers of a list that is a day old are gone. They are ejected within three seconds, and one that starts
+// again is readmitted. After the endpoint source delivers its list, the weights rise in steps, and no server remains
+// under verification.
 func TestVerifierOfADayOldList(t *testing.T) {
 	s := newSimulation(fleet.Site{}, day, true, true, false, true, false, true, false, true, false)
 	s.run(t, sourceGracePeriod, true, func(Plan) {
 		if s.ejectedCount() > 0 {
-			t.Fatal("ejected before any probe")
+			t.Fatal("a server is ejected before any probe")
 		}
 	})
 	s.run(t, 5*second/2, true, nil)
@@ -27,33 +27,33 @@
 		}
 	}
 	if !strings.Contains(s.notices, "4 accept connections, 4 are refuted") ||
-		strings.Count(s.notices, "nobody answers") != 4 {
-		t.Error(s.notices)
+		strings.Count(s.notices, "get no answer") != 4 {
+		t.Errorf("notices: %s", s.notices)
 	}
-	s.up[1] = true // it was only late
+	s.up[1] = true // it has started late
 	s.run(t, 6*second, true, nil)
 	if s.ejected[1] {
-		t.Error("a server that is back remains ejected")
+		t.Error("a server that is up again remains ejected")
 	}
 	s.confirmAllExcept(3)
 	s.run(t, 10*second, true, nil)
-	if s.verifier.Active() || !strings.Contains(s.notices, "names 7 of the 8 servers") {
+	if s.verifier.Active() || !strings.Contains(s.notices, "confirms 7 of the 8 servers") {
 		t.Errorf("%+v\n%s", s.verifier.Views(), s.notices)
 	}
 	for server, factor := range s.factors {
 		if factor != 1 {
-			t.Errorf("server %d ends with the factor %v", server, factor)
+			t.Errorf("server %d ends with the weight factor %v", server, factor)
 		}
 	}
 }
 
-// A controller that reaches no server ejects none for that. The outcomes of requests decide, so that the server
-// that handles nothing is ejected in the end.
+// A prober that reaches no server at all may be at fault itself, so its failed probes eject none. The outcomes of
+// requests decide instead: the server whose requests all fail is ejected.
 func TestVerifierWhoseProberReachesNothing(t *testing.T) {
 	s := newSimulation(fleet.Site{}, day, true, true, true, true, false)
 	s.run(t, 4*second, false, func(Plan) {
 		if s.ejectedCount() > 0 {
-			t.Fatal("ejected by a prober that reaches nothing")
+			t.Fatal("a server is ejected although the prober reaches none")
 		}
 	})
 	for range 40 {
@@ -61,12 +61,13 @@
 		s.step(t, false)
 	}
 	if s.ejectedCount() != 1 || !s.ejected[3] {
-		t.Errorf("%+v", s.verifier.Views())
+		t.Errorf("want only server 3 ejected: %+v", s.verifier.Views())
 	}
 }
 
-// All servers of a list are gone but one; each zone keeps one where a class is confined to its zone. When that one
-// is gone as well, the outcomes tell nothing any more, and the ejected servers are used again.
+// All servers of a list but two of one zone are gone. As a class is confined to its zone, each zone must keep a server
+// in use. When the requests to all servers fail, the outcomes no longer tell the servers apart, and the ejected servers
+// are used again.
 func TestVerifierLeavesServersInEachZone(t *testing.T) {
 	site := fleet.Site{Classes: []fleet.RequestClass{{ZoneLocal: true}}}
 	s := newSimulation(site, day, true, true, false, false, false, false, false)
@@ -77,11 +78,11 @@
 			t.Fatal("all servers are ejected")
 		}
 		if !s.usedInZone(1) {
-			t.Fatal("a zone is empty")
+			t.Fatal("zone 1 has no server in use")
 		}
 	}
 	if s.ejectedCount() != 4 {
-		t.Errorf("%d are ejected: %+v", s.ejectedCount(), s.verifier.Views())
+		t.Errorf("%d servers are ejected, want 4: %+v", s.ejectedCount(), s.verifier.Views())
 	}
 	s.up[0] = false
 	readmitted := false
@@ -91,11 +92,11 @@
 		readmitted = readmitted || s.ejectedCount() == 0
 	}
 	if !readmitted {
-		t.Errorf("no server was used again: %+v", s.verifier.Views())
+		t.Errorf("the ejected servers were not readmitted: %+v", s.verifier.Views())
 	}
 }
 
-// usedInZone reports whether a server of the zone is not ejected.
+// usedInZone reports whether the zone has a server that is not ejected.
 func (s *simulation) usedInZone(zone fleet.ServerID) bool {
 	for server := range s.up {
 		if server%2 == zone && !s.ejected[server] {
@@ -105,8 +106,9 @@
 	return false
 }
 
-// Of two servers at one address the one that started later holds it. A server whose address answers with another
-// name is ejected, and so is one that accepts connections and handles nothing.
+// A stale list may contain addresses that have passed to other servers. Of two servers with the same address, the one
+// that started earlier is ejected. So are a server whose address answers with another name, and one whose address
+// accepts connections while its requests fail.
 func TestVerifierEjectsServersOfOtherAddresses(t *testing.T) {
 	v := NewVerifier(fleet.Site{}, true)
 	v.Begin(0, day, []NamedEndpoint{
@@ -137,7 +139,7 @@
 		}
 	}
 	if len(ejected) != 3 || !ejected[1] || !ejected[3] || !ejected[4] {
-		t.Errorf("%v %+v", ejected, v.Views())
+		t.Errorf("ejected %v, want 1, 3 and 4: %+v", ejected, v.Views())
 	}
 }
 
@@ -151,11 +153,11 @@
 	plan := v.NextPlan(0)
 	fractions := plan.WeightFractions
 	if len(plan.Ejected) != 0 || len(fractions) != 2 || fractions[0].Fraction != 0.5 || fractions[1].Fraction != 0.5 {
-		t.Errorf("%+v", plan)
+		t.Errorf("want no ejection and two weight fractions of 0.5: %+v", plan)
 	}
 }
 
-// Of ten servers some are proven, some accept connections and the others are unknown.
+// Of ten servers, some are proven, some accept connections, and the others are unknown or from an older list.
 func TestWeightFactorsByVerdict(t *testing.T) {
 	const servers = 10
 	type factors struct{ proven, reachable, unknown float64 } // 0: not checked
@@ -166,14 +168,14 @@
 		age        fleet.Time
 		want       factors
 	}{
-		"nothing is known":                 {age: day, want: factors{unknown: 1}},
-		"least trust after a day":          {proven: 9, age: day, want: factors{proven: 1, unknown: 0.05}},
-		"half the trust after an hour":     {proven: 9, age: hour, want: factors{proven: 1, unknown: 0.506}},
-		"unknown ones get a quarter":       {proven: 5, age: hour, want: factors{proven: 1, unknown: 1.0 / 3}},
-		"two would be overloaded":          {proven: 2, age: day, want: factors{proven: 1, unknown: 3.0 / 8}},
-		"half for an address that answers": {proven: 5, reachable: 4, age: day, want: factors{1, 0.5, 0.05}},
-		"more where the list is young":     {proven: 5, reachable: 4, age: 10 * minute, want: factors{1, 0.901, 0.901}},
-		"least trust in an older list": {
+		"all servers are unknown":        {age: day, want: factors{unknown: 1}},
+		"minimum trust after a day":      {proven: 9, age: day, want: factors{proven: 1, unknown: 0.05}},
+		"half the trust after an hour":   {proven: 9, age: hour, want: factors{proven: 1, unknown: 0.506}},
+		"a quarter for unknown servers":  {proven: 5, age: hour, want: factors{proven: 1, unknown: 1.0 / 3}},
+		"bounded overload of known ones": {proven: 2, age: day, want: factors{proven: 1, unknown: 3.0 / 8}},
+		"half for an open address":       {proven: 5, reachable: 4, age: day, want: factors{1, 0.5, 0.05}},
+		"more in a recent list":          {proven: 5, reachable: 4, age: 10 * minute, want: factors{1, 0.901, 0.901}},
+		"minimum trust in an older list": {
 			proven: 9, unverified: 1, age: 40 * minute, want: factors{proven: 1, unknown: 0.05}},
 		"full trust in a list of 30 seconds": {proven: 9, age: 30 * second, want: factors{proven: 1, unknown: 1}},
 	} {
@@ -184,7 +186,7 @@
 				endpoints[i].Unverified = true
 			}
 			v.Begin(0, test.age, endpoints)
-			v.NextPlan(sourceGracePeriod) // all are probed
+			v.NextPlan(sourceGracePeriod) // requests a probe of every server
 			for i := range test.proven {
 				v.ProbeFinished(sourceGracePeriod, fleet.ServerID(i), EvidenceConfirmed)
 			}
@@ -206,7 +208,7 @@
 	t.Helper()
 	const tolerance = 0.12
 	if want > 0 && math.Abs(view.WeightFraction-want) > tolerance*want {
-		t.Errorf("server %d has the factor %.3f, want %.3f", view.Server, view.WeightFraction, want)
+		t.Errorf("server %d has the weight factor %.3f, want %.3f", view.Server, view.WeightFraction, want)
 	}
 }
 
@@ -215,11 +217,12 @@
 	s.up[0] = true
 	s.now += sourceGracePeriod
 	if n := len(s.verifier.NextPlan(s.now).Probes); n != maxProbesInFlight {
-		t.Errorf("%d probes at once", n)
+		t.Errorf("%d probes in flight, want %d", n, maxProbesInFlight)
 	}
 }
 
-// A server that stays away is probed less and less often, and its ejection is reported once, also if it comes and goes.
+// An absent server is probed at increasing intervals. Its ejection is reported only once, even if the server repeatedly
+// starts and stops: otherwise it would fill the log for hours.
 func TestAbsentServerIsProbedLessAndLess(t *testing.T) {
 	s := newSimulation(fleet.Site{}, day, true, true, false, true)
 	probes := 0
@@ -232,31 +235,31 @@
 		}
 		s.sendRequests()
 	}
-	if probes < 5 || probes > 12 || strings.Count(s.notices, "nobody answers") != 1 {
-		t.Errorf("%d probes in two minutes: %s", probes, s.notices)
+	if probes < 5 || probes > 12 || strings.Count(s.notices, "get no answer") != 1 {
+		t.Errorf("%d probes in two minutes, want 5 to 12; notices: %s", probes, s.notices)
 	}
 	for i := range 1600 {
 		s.up[1] = i/400%2 == 0
 		s.step(t, true)
 		s.sendRequests()
 	}
-	if strings.Count(s.notices, "nobody answers") != 1 || !s.ejected[1] {
-		t.Errorf("ejected %v: %s", s.ejected[1], s.notices)
+	if strings.Count(s.notices, "get no answer") != 1 || !s.ejected[1] {
+		t.Errorf("server 1 ejected: %v, notices: %s", s.ejected[1], s.notices)
 	}
 }
 
-// A server that handles requests is not ejected by probes without an answer. One whose requests fail is probed: it
-// remains in use if it is there, and is ejected if it is gone.
+// A server that handles requests must not be ejected because its probes get no answer. If its requests fail, it is
+// probed: it remains in use if its address accepts connections, and is ejected otherwise.
 func TestProvenServerIsProbedWhenItsRequestsFail(t *testing.T) {
 	v := NewVerifier(fleet.Site{}, true)
 	v.Begin(0, day, namedEndpoints(2))
 	v.NextPlan(sourceGracePeriod)
 	v.ProbeFinished(sourceGracePeriod, 1, EvidenceConfirmed)
-	v.RequestsFinished(sourceGracePeriod, 0, 5, 0) // while it is probed
+	v.RequestsFinished(sourceGracePeriod, 0, 5, 0) // while its probe is in flight
 	for at := sourceGracePeriod; at < 4*second; at += stepDuration {
 		v.ProbeFinished(at, 0, EvidenceNone)
 		if plan := v.NextPlan(at); len(plan.Ejected)+len(plan.Probes) > 0 {
-			t.Fatalf("it handles requests: %+v", plan)
+			t.Fatalf("a server that handles requests is ejected or probed: %+v", plan)
 		}
 	}
 	probes := 0
@@ -264,21 +267,21 @@
 		plan := failingStep(v, at, EvidenceConnection)
 		probes += len(plan.Probes)
 		if len(plan.Ejected) > 0 || v.Views()[0].Verdict != VerdictProven {
-			t.Fatalf("it is there, with a fault: %+v %+v", plan, v.Views())
+			t.Fatalf("a server that accepts connections is ejected or not proven: %+v %+v", plan, v.Views())
 		}
 	}
 	if probes < 2 || probes > 12 {
-		t.Errorf("%d probes while its requests fail", probes)
+		t.Errorf("%d probes while its requests fail, want 2 to 12", probes)
 	}
 	for at := 8 * second; at < 12*second; at += stepDuration {
 		failingStep(v, at, EvidenceNone)
 	}
 	if view := v.Views()[0]; view.Verdict != VerdictRefuted || !view.Ejected {
-		t.Errorf("it handled requests and is gone: %+v", view)
+		t.Errorf("a server that is gone is not ejected: %+v", view)
 	}
 }
 
-// failingStep lets requests to server 0 fail and to server 1 succeed, and answers a probe.
+// failingStep reports failed requests to server 0 and successful ones to server 1, and answers a probe of server 0.
 func failingStep(v *Verifier, at fleet.Time, answer Evidence) Plan {
 	v.RequestsFinished(at, 0, 0, requestsPerStep)
 	v.RequestsFinished(at, 1, requestsPerStep, 0)
@@ -289,8 +292,8 @@
 	return plan
 }
 
-// Whatever is reached, requested and named when, some server remains in use, factors rise by steps only, a plan never
-// repeats itself, and a list of the source ends the verification.
+// With random probes, requests and lists, some server remains in use, weight factors rise only in steps, a second plan
+// at the same time is empty, and a list of the endpoint source ends the verification.
 func TestVerifierInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		up := rapid.SliceOfN(rapid.Bool(), 1, 12).Draw(t, "up")
@@ -314,11 +317,11 @@
 			s.step(t, true)
 		}
 		if s.verifier.Active() || s.verifier.probesInFlight != 0 {
-			t.Fatalf("still under verification: %+v", s.verifier.Views())
+			t.Fatalf("servers are still under verification: %+v", s.verifier.Views())
 		}
 		for server, factor := range s.factors {
 			if math.Abs(factor-1) > 1e-9 {
-				t.Fatalf("server %d ends with the factor %v", server, factor)
+				t.Fatalf("server %d ends with the weight factor %v", server, factor)
 			}
 		}
 	})
--- a/internal/discovery/verification/weights.go
+++ b/internal/discovery/verification/weights.go
@@ -1,25 +1,26 @@
 package verification
 
 const (
-	// reachableTrust is the least weight factor of a server that accepts connections: another one may be at its address.
+	// reachableTrust is the minimum weight factor of a server whose address accepts connections. It is below 1 because a
+	// different server may have taken over the address.
 	reachableTrust = 0.5
 
-	// maxUnknownShare is the part of all requests that the servers may get of which nothing is known.
+	// maxUnknownShare is the maximum fraction of all requests for all unknown servers together.
 	maxUnknownShare = 0.25
 
-	// maxOverload is how many times its even share a known server may get for want of others.
+	// maxOverload is the maximum load of a known server, as a multiple of its load if all servers were used evenly.
 	maxOverload = 2
 )
 
-// unknownWeightBounds gives the weight factors of servers of which nothing is known.
+// unknownWeightBounds are the bounds of the weight factor of a server with VerdictUnknown.
 type unknownWeightBounds struct {
-	bounded bool // lowest and highest apply, as other servers are known
-	lowest  float64
+	bounded bool    // lowest and highest apply: there are known and unknown servers
+	lowest  float64 // takes precedence over highest
 	highest float64
 }
 
-// newUnknownWeightBounds bounds the weight of unknown servers, all of them together, while others are known; but not so far that
-// the known ones are overloaded.
+// newUnknownWeightBounds limits the total weight of the unknown servers while there are known ones, but not so far that
+// the known servers are overloaded.
 func (v *Verifier) newUnknownWeightBounds() unknownWeightBounds {
 	known := 0.0
 	unknown := 0.0
@@ -42,32 +43,35 @@
 	}
 }
 
-func (r unknownWeightBounds) factor(trust float64) float64 {
-	if !r.bounded {
+// factor returns the weight factor of an unknown server with the given trust.
+func (b unknownWeightBounds) factor(trust float64) float64 {
+	if !b.bounded {
 		return trust
 	}
-	return min(1, max(minTrust, r.lowest, min(trust, r.highest)))
+	return min(1, max(minTrust, b.lowest, min(trust, b.highest)))
 }
 
-// worth returns the weight factor of a server by its verdict. Two servers that share an address share their weight.
-func (v *Verifier) targetFactor(c *candidate, rule unknownWeightBounds) float64 {
-	worth := c.verdictFactor(rule)
+// targetFactor returns the weight factor that the server should have. It is halved while the server shares its address
+// with another candidate and it is not known which of them has it.
+func (v *Verifier) targetFactor(c *candidate, bounds unknownWeightBounds) float64 {
+	factor := c.verdictFactor(bounds)
 	other := c.sharesAddress
 	if other == nil || c.verdict == VerdictConfirmed || other.verdict == VerdictRefuted {
-		return worth
+		return factor
 	}
 	if v.byServer[other.Endpoint.Server] != other {
-		return worth
+		return factor
 	}
-	return worth / 2
+	return factor / 2
 }
 
-func (c *candidate) verdictFactor(rule unknownWeightBounds) float64 {
+// verdictFactor returns the weight factor for the verdict of the server, regardless of other servers at its address.
+func (c *candidate) verdictFactor(bounds unknownWeightBounds) float64 {
 	switch c.verdict {
 	case VerdictRefuted:
 		return minTrust
 	case VerdictUnknown:
-		return rule.factor(c.trust)
+		return bounds.factor(c.trust)
 	case VerdictReachable:
 		return max(reachableTrust, c.trust)
 	}
