--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -95,7 +95,7 @@
 				select {
 				case <-reached:
 				case <-time.After(20 * time.Second):
-					b.Fatalf("%d of %d have it", watchers-goal.Load()+got.Load(), watchers)
+					b.Fatalf("%d of %d watchers received the change within 20 s", watchers-goal.Load()+got.Load(), watchers)
 				}
 				took = append(took, time.Since(began))
 			}
--- a/client/cache.go
+++ b/client/cache.go
@@ -104,7 +104,9 @@
 	}
 	complete := u.From == tableversion.NoVersion
 	if !complete && (u.Controller != t.controller || u.From != t.version) {
-		return updateOutOfSync, fmt.Sprintf("a change from version %s, version %s is cached", u.From, t.version)
+		reason := fmt.Sprintf("update of controller %s starts at version %s, but version %s of controller %s is cached",
+			u.Controller, u.From, t.version, t.controller)
+		return updateOutOfSync, reason
 	}
 	classes := maps.Clone(t.classes)
 	for i := range u.Classes {
@@ -134,11 +136,11 @@
 		return ""
 	}
 	if last := t.newestVersions[u.Controller]; u.To.Compare(last) < 0 {
-		return fmt.Sprintf("controller %s sent version %s before %s", u.Controller, last, u.To)
+		return fmt.Sprintf("controller %s sent version %s after the newer version %s", u.Controller, u.To, last)
 	}
 	if u.ListRevision < t.revision {
 		return fmt.Sprintf(
-			"controller %s uses list %d, list %d was sent before",
+			"controller %s uses endpoint list revision %d, older than the applied revision %d",
 			u.Controller,
 			u.ListRevision,
 			t.revision,
@@ -149,7 +151,9 @@
 
 func (t *tableCache) applyHeartbeat(now fleet.Time, u *service.Update) (verdict updateVerdict, reason string) {
 	if u.Controller != t.controller || u.To != t.version {
-		return updateOutOfSync, "a heartbeat of a version that is not cached"
+		reason := fmt.Sprintf("heartbeat of controller %s is for version %s, but version %s of controller %s is cached",
+			u.Controller, u.To, t.version, t.controller)
+		return updateOutOfSync, reason
 	}
 	t.updatedAt = now
 	t.revision = u.ListRevision
@@ -163,7 +167,8 @@
 	complete bool,
 ) (*cachedClass, updateVerdict, string) {
 	if table.Class == "" || len(table.Endpoints) > maxEndpoints || table.Retry > fleet.RetryTwice {
-		reason := fmt.Sprintf("classes[%d]: %d endpoints, retry mode %d", i, len(table.Endpoints), table.Retry)
+		reason := fmt.Sprintf("classes[%d]: invalid class %q: %d endpoints (limit %d), retry mode %d (limit %d)",
+			i, table.Class, len(table.Endpoints), maxEndpoints, table.Retry, fleet.RetryTwice)
 		return nil, updateInvalid, reason
 	}
 	class := t.classes[table.Class]
@@ -182,8 +187,8 @@
 	}
 	for k, endpoint := range table.Endpoints {
 		if !validEndpoint(endpoint) {
-			reason := fmt.Sprintf("classes[%d].endpoints[%d]: server %q at %q, weight %d",
-				i, k, endpoint.Server, endpoint.Addr, endpoint.Weight)
+			reason := fmt.Sprintf("classes[%d].endpoints[%d]: invalid endpoint: server %q, address %q, weight %d (limit %d)",
+				i, k, endpoint.Server, endpoint.Addr, endpoint.Weight, maxWeight)
 			return nil, updateInvalid, reason
 		}
 		if endpoint.Weight == 0 {
@@ -195,13 +200,15 @@
 	if sum := class.digest(); sum != table.Digest {
 		if complete {
 			return nil, updateInvalid, fmt.Sprintf(
-				"classes[%d]: digest %s, its endpoints add up to %s",
+				"classes[%d]: digest is %s, but the digests of its endpoints sum to %s",
 				i,
 				table.Digest,
 				sum,
 			)
 		}
-		return nil, updateOutOfSync, fmt.Sprintf("class %s: digest %s, %s is cached", table.Class, table.Digest, sum)
+		reason := fmt.Sprintf("class %s: digest of the cached table is %s after the update, want %s",
+			table.Class, sum, table.Digest)
+		return nil, updateOutOfSync, reason
 	}
 	return class, updateApplied, ""
 }
--- a/client/cache_test.go
+++ b/client/cache_test.go
@@ -59,10 +59,10 @@
 	switch verdict {
 	case updateApplied:
 		if known && len(after.endpoints) > 0 && !c.sent[text] {
-			c.t.Fatalf("caches %v, which no controller sent", text)
+			c.t.Fatalf("cached %v, a state that no controller had", text)
 		}
 		if update.ListRevision < c.newestList && c.now < c.lastApplied+olderListDelay {
-			c.t.Fatalf("goes by list %d after %d", update.ListRevision, c.newestList)
+			c.t.Fatalf("applied endpoint list revision %d after %d", update.ListRevision, c.newestList)
 		}
 		c.newestList = update.ListRevision
 		c.lastApplied = c.now
@@ -70,10 +70,10 @@
 		c.newestList = update.ListRevision
 		c.lastApplied = c.now
 	case updateInvalid:
-		c.t.Fatalf("%s: %+v", reason, update)
+		c.t.Fatalf("update of a controller is invalid: %s: %+v", reason, update)
 	default:
 		if text != before || version != versionBefore {
-			c.t.Fatalf("not applied, and %s became %s", before, text)
+			c.t.Fatalf("verdict %d, but the cache changed from %s to %s", verdict, before, text)
 		}
 	}
 }
@@ -124,10 +124,10 @@
 		views[0].SetState(service.PublishedState{ListRevision: revisions[0]})
 		update := views[0].Since(tableversion.NoVersion)
 		if verdict, reason := check.cache.update(check.now, &update); verdict != updateApplied {
-			t.Fatalf("the complete state is not applied: %s", reason)
+			t.Fatalf("complete state not applied: %s", reason)
 		}
 		if cached := check.cache.text("look"); update.Classes[0].Published && cached != firstClass(views[0]) {
-			t.Fatalf("caches %v of %s", cached, firstClass(views[0]))
+			t.Fatalf("cached %s, the controller has %s", cached, firstClass(views[0]))
 		}
 	})
 }
@@ -139,42 +139,42 @@
 	cache := newTableCache()
 	good := view.Since(tableversion.NoVersion)
 	if verdict, reason := cache.update(sec, &good); verdict != updateApplied {
-		t.Fatal(reason)
+		t.Fatalf("valid update not applied: %s", reason)
 	}
 	otherVersion := tableversion.Version{Epoch: 4, Count: 1}
 	for name, c := range map[string]struct {
 		change func(*service.Update)
 		want   updateVerdict
 	}{
-		"a digest that is not its endpoints'": {
+		"digest does not match the endpoints": {
 			func(u *service.Update) { u.Classes[0].Digest++ }, updateInvalid,
 		},
-		"a weight over the largest": {
+		"weight over the limit": {
 			func(u *service.Update) { u.Classes[0].Endpoints[0].Weight = 300 }, updateInvalid,
 		},
-		"no address": {
+		"empty address": {
 			func(u *service.Update) { u.Classes[0].Endpoints[0].Addr = "" }, updateInvalid,
 		},
-		"no class": {
+		"empty class name": {
 			func(u *service.Update) { u.Classes[0].Class = "" }, updateInvalid,
 		},
 		"too many endpoints": {
 			func(u *service.Update) { u.Classes[0].Endpoints = make([]service.Endpoint, maxEndpoints+1) }, updateInvalid,
 		},
-		"a change from another version": {
+		"change from a version that is not cached": {
 			func(u *service.Update) { u.From = otherVersion }, updateOutOfSync,
 		},
-		"an older version": {
+		"older version": {
 			func(u *service.Update) { u.To = otherVersion }, updateOutdated,
 		},
 	} {
 		update := view.Since(tableversion.NoVersion)
 		c.change(&update)
 		if verdict, _ := cache.update(2*sec, &update); verdict != c.want {
-			t.Errorf("%s: verdict %d", name, verdict)
+			t.Errorf("%s: verdict %d, want %d", name, verdict, c.want)
 		}
 		if found, _ := cache.endpoints("look"); len(found.endpoints) != 1 || found.endpoints[0].Weight != 9 {
-			t.Errorf("%s: caches %v", name, found.endpoints)
+			t.Errorf("%s: cache changed to %v", name, found.endpoints)
 		}
 	}
 }
@@ -194,13 +194,13 @@
 	update := func(u service.Update, want updateVerdict) {
 		t.Helper()
 		if verdict, reason := cache.update(sec, &u); verdict != want {
-			t.Errorf("%d: %s", verdict, reason)
+			t.Errorf("verdict %d, want %d: %s", verdict, want, reason)
 		}
 	}
 	expect := func(want string) {
 		t.Helper()
 		if got := cached(); got != want {
-			t.Errorf("caches %s, want %s", got, want)
+			t.Errorf("cached %s, want %s", got, want)
 		}
 	}
 	update(view.Since(tableversion.NoVersion), updateApplied)
--- a/client/client.go
+++ b/client/client.go
@@ -75,13 +75,13 @@
 
 // Errors of picks and requests, beside those of attempts and contexts.
 var (
-	ErrNoTable  = errors.New("no table has been received yet")
-	ErrNoClass  = errors.New("no such class")
-	ErrNoServer = errors.New("the class has no server")
-	ErrRejected = errors.New("rejected: the fleet can't handle it now")
-	ErrStale    = errors.New("the table is older than allowed")
+	ErrNoTable  = errors.New("no weight table has been received yet")
+	ErrNoClass  = errors.New("unknown class")
+	ErrNoServer = errors.New("no server is available for the class")
+	ErrRejected = errors.New("request rejected by the admission limit of its class")
+	ErrStale    = errors.New("weight table is older than Config.Staleness allows")
 	ErrFailed   = errors.New("no attempt succeeded")
-	ErrClosed   = errors.New("the client is closed")
+	ErrClosed   = errors.New("client is closed")
 )
 
 // Client routes requests by the tables of controllers. All methods may be called from any goroutine.
@@ -123,7 +123,10 @@
 // New makes a client and begins to watch.
 func New(config Config, transport Transport) (*Client, error) {
 	if config.Zone == "" || len(config.Controllers) == 0 {
-		return nil, errors.New("client: a zone and at least one controller are required")
+		return nil, fmt.Errorf(
+			"client: Config.Zone and Config.Controllers are required: got zone %q and %d controllers",
+			config.Zone, len(config.Controllers),
+		)
 	}
 	config.setDefaults()
 	c := &Client{
@@ -135,7 +138,7 @@
 		cache:            newTableCache(),
 		servers:          map[string]*Server{},
 		ready:            make(chan struct{}),
-		disconnectReason: &service.Error{Code: service.Unreachable, Text: "no controller has been asked yet"},
+		disconnectReason: &service.Error{Code: service.Unreachable, Text: "no controller has been contacted yet"},
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.done.Add(2)
--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -18,7 +18,11 @@
 	"cressknot/internal/tableversion"
 )
 
-var update = flag.Bool("update", false, "write the golden files of this version, and those of one to come")
+var update = flag.Bool(
+	"update",
+	false,
+	"rewrite the golden files of version 1.0, and those of 1.9 with parts that are unknown to this version",
+)
 
 // messages are what both protocols carry, with how each is written and read.
 var messages = []struct {
@@ -188,7 +192,7 @@
 		}
 		files, _ := filepath.Glob("testdata/golden/*/" + f.name + ".pb")
 		if len(files) < 2 {
-			t.Fatalf("%d golden files of %s", len(files), f.name)
+			t.Fatalf("%d golden files of message %s, want at least 2", len(files), f.name)
 		}
 		for _, path := range files {
 			p, err := os.ReadFile(path)
@@ -206,7 +210,7 @@
 			one := f.of(m)
 			other, err := f.read(plain)
 			if err != nil || !reflect.DeepEqual(one, f.value) || !reflect.DeepEqual(other, f.value) {
-				t.Errorf("%s: %v\n%+v\n%+v\nwant %+v", path, err, one, other, f.value)
+				t.Errorf("%s: text parse error %v\nproto: %+v\ntext:  %+v\nwant:  %+v", path, err, one, other, f.value)
 			}
 		}
 	}
@@ -225,7 +229,7 @@
 		}
 		again, err := text.ParseUpdate(text.FormatUpdate(&u))
 		if err != nil || !reflect.DeepEqual(u, again) {
-			t.Errorf("%+v, then %+v (%v)", u, again, err)
+			t.Errorf("update %+v, after formatting and parsing %+v (error %v)", u, again, err)
 		}
 	})
 }
--- a/client/picker_test.go
+++ b/client/picker_test.go
@@ -16,30 +16,32 @@
 	other := 1 - first
 	picker.failed(now, first, nil)
 	if next, wait := picker.pick(now); next == first || wait != 0 {
-		t.Errorf("%d after %d, in %d", next, first, wait)
+		t.Errorf("after controller %d failed: picked controller %d with a wait of %d ns, want the other one at once",
+			first, next, wait)
 	}
 	picker.failed(now, other, &service.Error{RetryAfter: 60 * sec})
 	secondWait := fleet.Time(0)
 	for i := range 12 {
 		next, wait := picker.pick(now)
 		if next != first || wait > maxBackoff || i == 0 && wait > minBackoff {
-			t.Fatalf("controller %d in %d", next, wait)
+			t.Fatalf("failure %d: picked controller %d with a wait of %d ns, want controller %d within the backoff limits",
+				i+1, next, wait, first)
 		}
 		if i == 1 {
 			secondWait = wait
 		}
 		now += wait
 		if i == 11 && wait < 5*secondWait {
-			t.Errorf("waits %d, then %d", secondWait, wait)
+			t.Errorf("backoff of %d ns after %d ns, want at least 5 times as long", wait, secondWait)
 		}
 		picker.failed(now, next, nil)
 	}
 	if at := picker.candidates[other].notBefore; at < 160*sec || at > 191*sec {
-		t.Errorf("asked again after %.1f s, 60 were asked for", (at - 100*sec).Seconds())
+		t.Errorf("next attempt after %.1f s, want 60 s to 91 s", (at - 100*sec).Seconds())
 	}
 	picker.serving(first)
 	if next, wait := picker.pick(now); next != first || wait != 0 {
-		t.Error("one that served is not asked")
+		t.Errorf("after controller %d succeeded: picked controller %d with a wait of %d ns", first, next, wait)
 	}
 }
 
@@ -55,7 +57,7 @@
 	}
 	for at, clients := range waits {
 		if clients > 200 {
-			t.Errorf("%d of 1000 reconnect after %d ms", clients, at*5)
+			t.Errorf("%d of 1000 clients reconnect after %d ms, want at most 200", clients, at*5)
 		}
 	}
 }
--- a/client/request_test.go
+++ b/client/request_test.go
@@ -64,14 +64,14 @@
 	select {
 	case err := <-done:
 		if !errors.Is(err, context.Canceled) || !errors.Is(err, ErrFailed) {
-			t.Error(err)
+			t.Errorf("error %v, want ErrFailed and context.Canceled", err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("no answer while an attempt is in flight")
+		t.Fatal("Do did not return within 20 s after its context ended")
 	}
 	close(finish)
 	if len(sent) != 0 {
-		t.Error("retried after its context had ended")
+		t.Error("request retried after its context ended")
 	}
 }
 
@@ -96,7 +96,7 @@
 			return Result{}
 		})
 		if len(attempts) != want {
-			t.Errorf("class %d: %d attempts", class, len(attempts))
+			t.Errorf("class %d: %d attempts, want %d", class, len(attempts), want)
 		}
 	}
 }
--- a/client/retry_test.go
+++ b/client/retry_test.go
@@ -56,13 +56,13 @@
 		}
 		if outcome == Success || mode == fleet.RetryNever || retries >= 2 || retries == 1 && mode != fleet.RetryTwice ||
 			mode == fleet.RetryIfNotExecuted && outcome != NotExecuted {
-			t.Errorf("mode %d, outcomes %d: attempt %d after %d", mode, outcomes, retries+1, outcome)
+			t.Errorf("mode %d, outcomes %d: retry %d allowed after outcome %d", mode, outcomes, retries+1, outcome)
 		}
 		outsideWindow := now+class.Deadline/2 > firstExecuted+class.DeduplicationWindow
 		notRecognized := class.DeduplicationScope != fleet.DeduplicationFleet && target != sameServer
 		if executed && (class.Idempotency == fleet.NotIdempotent ||
 			class.Idempotency == fleet.IdempotentWithKey && (outsideWindow || notRecognized)) {
-			t.Errorf("idempotency %d, mode %d, outcomes %d: attempt %d may repeat an effect",
+			t.Errorf("idempotency %d, mode %d, outcomes %d: retry %d may repeat an effect",
 				class.Idempotency, mode, outcomes, retries+1)
 		}
 	}
@@ -75,7 +75,8 @@
 	unbounded := attemptsPerRequest(t, true)
 	t.Logf("%.2f attempts per request with the budget, %.2f without", bounded, unbounded)
 	if bounded > 1.2 || unbounded < 1.5 {
-		t.Errorf("%.2f attempts per request with the budget, %.2f without", bounded, unbounded)
+		t.Errorf("%.2f attempts per request with the budget, want at most 1.2; %.2f without, want at least 1.5",
+			bounded, unbounded)
 	}
 }
 
--- a/client/routing_test.go
+++ b/client/routing_test.go
@@ -47,14 +47,14 @@
 	fail("s1")
 	for range 1000 {
 		if server, _ := c.Pick(0); server.Name == "s1" {
-			t.Fatal("an ejected server is picked")
+			t.Fatal("picked an ejected server")
 		}
 	}
 	for i := range weights {
 		fail(fmt.Sprint("s", i))
 	}
 	if server, err := c.Pick(0); err != nil || server == nil {
-		t.Errorf("all are ejected: %v %v", server, err)
+		t.Errorf("pick with all servers ejected: server %v, error %v", server, err)
 	}
 }
 
@@ -62,11 +62,11 @@
 func TestPickFailsWithoutUsableTable(t *testing.T) {
 	c := newTestClient(t, 0, false, 1)
 	if _, err := c.Pick(7); !errors.Is(err, ErrNoClass) {
-		t.Error(err)
+		t.Errorf("error %v, want %v", err, ErrNoClass)
 	}
 	c.config.Staleness = time.Second
 	if _, err := c.Pick(0); !errors.Is(err, ErrStale) {
-		t.Error(err)
+		t.Errorf("error %v, want %v", err, ErrStale)
 	}
 }
 
--- a/client/rpc/rpc.go
+++ b/client/rpc/rpc.go
@@ -128,7 +128,7 @@
 	for {
 		received, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
-			return &service.Error{Code: service.Closing, Text: "the controller ended the watch"}
+			return &service.Error{Code: service.Closing, Text: "controller ended the watch"}
 		}
 		if err != nil {
 			return rpc.ErrorFromStatus(err)
--- a/client/runtime/stream.go
+++ b/client/runtime/stream.go
@@ -81,7 +81,7 @@
 	}
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		return &service.Error{Code: service.Busy, Text: "no answer in time"}
+		return &service.Error{Code: service.Busy, Text: "no answer from the controller before the deadline"}
 	}
 	return unreachable(err)
 }
--- a/client/suite_test.go
+++ b/client/suite_test.go
@@ -59,12 +59,13 @@
 		got, retryLater := errorCode(err)
 		wrongCode := err != nil && got != want || err == nil && want != ""
 		if wrongCode || retryLater != wantRetryLater {
-			a.t.Errorf("%s over %s: %v, want code %q", step, transports[i].name, err, want)
+			a.t.Errorf("%s, protocol %s: error %v, want code %q", step, transports[i].name, err, want)
 		}
 		answers[i] = answer
 	}
 	if !reflect.DeepEqual(answers[0], answers[1]) {
-		a.t.Errorf("%s: %+v and %+v", step, answers[0], answers[1])
+		a.t.Errorf("%s: answers differ: %+v over %s, %+v over %s",
+			step, answers[0], transports[0].name, answers[1], transports[1].name)
 	}
 }
 
@@ -72,31 +73,31 @@
 func (a *agreement) publishAndQuery() {
 	ctx := a.ctx
 	table := func(c *client.Client) (any, error) { return c.Table(ctx) }
-	a.pair.eventuallyAgree("greeted", connected)
-	a.same("nothing is published", service.Unready, table)
+	a.pair.eventuallyAgree("connected", connected)
+	a.same("table before the first publication", service.Unready, table)
 	a.controller.setOpen(5, 0, 1, 2, 3)
 	a.controller.publish(reconcile.AddEntry, reconcile.StateReady, 128, 0, 1, 2)
-	a.pair.eventuallyAgree("published", shows("s0=128 s1=128 s2=128 "))
+	a.pair.eventuallyAgree("first publication", shows("s0=128 s1=128 s2=128 "))
 	a.controller.publish(reconcile.UpdateEntry, reconcile.StateDrain, -1, 1)
 	a.controller.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, 64, 2)
-	a.pair.eventuallyAgree("one drains, one has less weight", shows("s0=128 s2=64 "))
-	a.same("the complete state", "", table)
-	a.same("a server", "", func(c *client.Client) (any, error) { return c.Server(ctx, "s1") })
-	a.same("an unknown server", service.NoServer, func(c *client.Client) (any, error) {
+	a.pair.eventuallyAgree("one server draining, one with a lower weight", shows("s0=128 s2=64 "))
+	a.same("complete state", "", table)
+	a.same("known server", "", func(c *client.Client) (any, error) { return c.Server(ctx, "s1") })
+	a.same("unknown server", service.NoServer, func(c *client.Client) (any, error) {
 		return c.Server(ctx, "nobody; quit")
 	})
-	a.same("a long name", service.TooLarge, func(c *client.Client) (any, error) {
+	a.same("overlong server name", service.TooLarge, func(c *client.Client) (any, error) {
 		return c.Server(ctx, fmt.Sprintf("%0300d", 1))
 	})
 	a.same("history", "", func(c *client.Client) (any, error) { return c.History(ctx, "look", 3) })
-	a.same("history of no class", service.NoClass, func(c *client.Client) (any, error) {
+	a.same("history of an unknown class", service.NoClass, func(c *client.Client) (any, error) {
 		return c.History(ctx, "none", 3)
 	})
-	a.same("too much history", service.BadRequest, func(c *client.Client) (any, error) {
+	a.same("history over the limit", service.BadRequest, func(c *client.Client) (any, error) {
 		return c.History(ctx, "look", 5000)
 	})
 	a.same("summary", "", func(c *client.Client) (any, error) { return c.Summary(ctx) })
-	a.same("asked too often", service.Overloaded, func(c *client.Client) (any, error) {
+	a.same("queries over the rate limit", service.Overloaded, func(c *client.Client) (any, error) {
 		var err error
 		for i := 0; err == nil && i < 100; i++ {
 			_, err = c.Summary(ctx)
@@ -116,10 +117,10 @@
 	})
 	for _, c := range a.pair.clients {
 		if server, err := c.Pick(0); err != nil || server.Name != "s0" && server.Name != "s2" {
-			a.t.Errorf("disconnected, it picks %v (%v)", server, err)
+			a.t.Errorf("Pick while disconnected: server %v, error %v; want s0 or s2", server, err)
 		}
 	}
-	a.same("no controller answers", service.Unreachable, func(c *client.Client) (any, error) {
+	a.same("query while disconnected", service.Unreachable, func(c *client.Client) (any, error) {
 		_, err := c.Summary(a.ctx)
 		return nil, err
 	})
@@ -137,7 +138,7 @@
 	for _, relay := range a.pair.relays {
 		relay.Hold(true)
 	}
-	a.pair.eventuallyAgree("noticed that it is silent", func(c *client.Client) bool { return !connected(c) })
+	a.pair.eventuallyAgree("silent connection detected", func(c *client.Client) bool { return !connected(c) })
 	for _, relay := range a.pair.relays {
 		relay.Hold(false)
 		relay.Cut()
@@ -155,15 +156,15 @@
 		relay.Cut()
 	}
 	a.controller.setOpen(6, 0, 2)
-	a.pair.eventuallyAgree("the cached table without servers that are not open", func(c *client.Client) bool {
+	a.pair.eventuallyAgree("cached table restricted to open servers", func(c *client.Client) bool {
 		return shows("s0=16 s2=32 ")(c) && c.State().NewerProtocol
 	})
 	a.controller.setOpen(7, 5)
-	a.pair.eventuallyAgree("no server open: the complete cached table", shows("s0=16 s1=128 s2=32 "))
+	a.pair.eventuallyAgree("complete cached table while none of its servers is open", shows("s0=16 s1=128 s2=32 "))
 	a.controller.publish(reconcile.AddEntry, reconcile.StateReady, 100, 5, 6)
-	a.pair.eventuallyAgree("published again", shows("s5=100 s6=100 "))
+	a.pair.eventuallyAgree("publication after the restart", shows("s5=100 s6=100 "))
 	if answered := a.controller.answered(); answered != 1 {
-		a.t.Errorf("%d messages are answered", answered)
+		a.t.Errorf("%d messages answered, want 1", answered)
 	}
 }
 
@@ -180,7 +181,7 @@
 				return client.Result{Outcome: outcomes[n%3], Load: []uint32{500}}
 			})
 			if (err == nil) != (n%3 < 2) {
-				a.t.Fatalf("request %d: %v", n, err)
+				a.t.Fatalf("request %d: error %v, want success: %t", n, err, n%3 < 2)
 			}
 		}
 	}
@@ -202,7 +203,7 @@
 	}
 	class := reading.Classes[2]
 	if attempts > requests || failures > failed || class.Requests > requests {
-		a.t.Fatalf("counted twice: %d attempts, %d failures, %d requests", attempts, failures, class.Requests)
+		a.t.Fatalf("more counted than sent: %d attempts, %d failures, %d requests", attempts, failures, class.Requests)
 	}
 	return attempts == requests && failures == failed && class.Requests == requests && class.Unanswered == failed
 }
@@ -218,21 +219,21 @@
 	one.publish(reconcile.AddEntry, reconcile.StateReady, 100, 0)
 	p := newClientPair(t, one)
 	defer p.close()
-	p.eventuallyAgree("follows", func(c *client.Client) bool { return c.State().ListRevision == 10 })
+	p.eventuallyAgree("watching g1", func(c *client.Client) bool { return c.State().ListRevision == 10 })
 	other.setOpen(9, 0, 1)
 	other.publish(reconcile.AddEntry, reconcile.StateReady, 100, 0, 1)
 	for i, r := range p.relays {
 		r.SetTarget(other.addrs[i])
 		r.Cut()
 	}
-	p.eventuallyAgree("outdated", func(c *client.Client) bool {
+	p.eventuallyAgree("g2 rejected as outdated", func(c *client.Client) bool {
 		s := c.State()
 		return s.Controller == "g1" && s.Err != nil && len(c.Endpoints("look")) == 1
 	})
 	other.setOpen(10, 0, 1)
 	other.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, 50, 1)
 	p.eventuallyAgree(
-		"caught up",
+		"g2 accepted after catching up",
 		func(c *client.Client) bool { return c.State().Controller == "g2" && len(c.Endpoints("look")) == 2 },
 	)
 }
@@ -247,7 +248,7 @@
 	g.publish(reconcile.AddEntry, reconcile.StateReady, 100, 0)
 	p := newClientPair(t, g)
 	defer p.close()
-	p.eventuallyAgree("follows", func(c *client.Client) bool { return weights(c) != "" })
+	p.eventuallyAgree("watching g1", func(c *client.Client) bool { return weights(c) != "" })
 	malformed := [][]string{
 		{
 			"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\x00\x00\x08\x06\x00\x00\x00\x00\x00\xff",
@@ -274,9 +275,9 @@
 				answer := make([]byte, 4096)
 				n, err := conn.Read(answer)
 				if _, fault := text.ParseHello(answer[:n]); err != nil {
-					t.Errorf("%q: %v", frame, err)
+					t.Errorf("input %q: reading the answer: %v", frame, err)
 				} else if is, _ := errorCode(fault); is != service.BadRequest && is != service.Malformed {
-					t.Errorf("%q: %s", frame, answer[:n])
+					t.Errorf("input %q: answer %q, want code %q or %q", frame, answer[:n], service.BadRequest, service.Malformed)
 				}
 			}
 			_ = conn.Close()
@@ -290,19 +291,20 @@
 		}
 		_, err = conn.Greet(ctx, service.Hello{Major: 2, Name: "x"})
 		if is, _ := errorCode(err); is != service.OtherMajor {
-			t.Errorf("%s: another major version: %v", via.name, err)
+			t.Errorf("%s: Greet with another major version: error %v, want code %q", via.name, err, service.OtherMajor)
 		}
 		tooLarge := make([]service.ServerOutcome, 5000)
 		_, err = conn.Report(ctx, &service.Report{Zone: "a", Session: 1, Sequence: 1, Outcomes: tooLarge})
 		if is, _ := errorCode(err); is != service.TooLarge && is != service.BadRequest && is != service.Unreachable {
-			t.Errorf("%s: a too large report: %v", via.name, err)
+			t.Errorf("%s: Report with %d outcomes: error %v, want code %q, %q or %q", via.name, len(tooLarge), err,
+				service.TooLarge, service.BadRequest, service.Unreachable)
 		}
 		_ = conn.Close()
 		cancel()
 	}
 	g.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, 50, 0)
 	p.eventuallyAgree(
-		"others go on",
+		"other connections continue",
 		func(c *client.Client) bool { return c.State().Connected && weights(c) == "s0=50 " },
 	)
 }
--- a/client/testcontroller_test.go
+++ b/client/testcontroller_test.go
@@ -61,7 +61,7 @@
 	if name != "s1" {
 		return service.ServerState{}, &service.Error{
 			Code: service.NoServer,
-			Text: fmt.Sprintf("%q was never heard of", name),
+			Text: fmt.Sprintf("no server %q is known to this controller", name),
 		}
 	}
 	return service.ServerState{
@@ -75,7 +75,7 @@
 		Weights: []service.ClassWeight{
 			{Zone: "a", Class: "look", Weight: 12},
 		},
-		Reasons: []string{"it drains; so says the list", "= \\ 100%"},
+		Reasons: []string{"draining; set by the endpoint list", "= \\ 100%"},
 	}, nil
 }
 
@@ -85,7 +85,7 @@
 	most int,
 ) (rows []service.VersionRow, err error) {
 	if class != "look" {
-		return nil, &service.Error{Code: service.NoClass, Text: "no class"}
+		return nil, &service.Error{Code: service.NoClass, Text: fmt.Sprintf("class %q is not configured", class)}
 	}
 	for i := range most {
 		rows = append(rows, service.VersionRow{
@@ -257,8 +257,9 @@
 		}
 		if time.Now().After(end) {
 			p.t.Fatalf(
-				"%s: the clients don't agree:\n%+v %v\n%+v %v",
+				"%s: condition not met by both clients, or their states differ, after %s:\n%+v %v\n%+v %v",
 				what,
+				eventuallyTimeout,
 				a,
 				p.clients[0].Endpoints("look"),
 				b,
--- a/client/watch.go
+++ b/client/watch.go
@@ -15,7 +15,7 @@
 const watchTimeout = 3 * fleet.Second
 
 // errOutdated ends the watch of a controller that knows less than another one has sent.
-var errOutdated = errors.New("outdated")
+var errOutdated = errors.New("outdated update")
 
 // asServiceError converts any error.
 func asServiceError(err error) *service.Error {
@@ -82,7 +82,7 @@
 	ctx, stop := context.WithCancelCause(c.ctx)
 	defer stop(nil)
 	timeout := time.AfterFunc(time.Duration(watchTimeout), func() {
-		reason := fmt.Sprintf("controller %s is silent", hello.Name)
+		reason := fmt.Sprintf("no update from controller %s within %.0f s", hello.Name, watchTimeout.Seconds())
 		stop(&service.Error{Code: service.Unreachable, Text: reason})
 	})
 	defer timeout.Stop()
@@ -112,7 +112,8 @@
 		return service.Hello{}, err
 	}
 	if hello.Major != service.Major {
-		reason := fmt.Sprintf("controller %s speaks version %d.%d", hello.Name, hello.Major, hello.Minor)
+		reason := fmt.Sprintf("controller %s uses protocol version %d.%d, this client supports version %d only",
+			hello.Name, hello.Major, hello.Minor, service.Major)
 		return service.Hello{}, &service.Error{Code: service.OtherMajor, Text: reason}
 	}
 	if !slices.Contains(hello.Zones, c.config.Zone) {
