--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -15,42 +15,42 @@
 	"cressknot/internal/fleet"
 	"cressknot/internal/reconcile"
 	"cressknot/internal/service"
-	overrpc "cressknot/internal/service/rpc"
+	servicerpc "cressknot/internal/service/rpc"
 	"cressknot/internal/service/text"
 	"cressknot/internal/tableversion"
 )
 
 // startBenchController starts a controller with 700 servers in three classes.
 func startBenchController(b *testing.B) *testController {
-	g := startController(&testing.T{}, "g1", 100, 0)
-	b.Cleanup(g.stop)
+	controller := startController(&testing.T{}, "g1", 100, 0)
+	b.Cleanup(controller.stop)
 	all := make([]int, 700)
 	for i := range all {
 		all[i] = i
 	}
-	g.setOpen(1, all...)
-	g.publish(reconcile.AddEntry, reconcile.StateReady, 128, all...)
-	return g
+	controller.setOpen(1, all...)
+	controller.publish(reconcile.AddEntry, reconcile.StateReady, 128, all...)
+	return controller
 }
 
 // BenchmarkFanOut changes 20 servers in three classes while 5,000 watchers follow, who run on the same cores; an op
 // lasts until the last of them has taken the change in.
 func BenchmarkFanOut(b *testing.B) {
 	const watchers = 5000
-	for i, via := range transports {
-		b.Run(via.name, func(b *testing.B) {
-			g := startBenchController(b)
+	for i, protocol := range protocols {
+		b.Run(protocol.name, func(b *testing.B) {
+			controller := startBenchController(b)
 			ctx, cancel := context.WithCancel(context.Background())
 			var done sync.WaitGroup
-			var got atomic.Int64
-			var goal atomic.Int64
+			var received atomic.Int64
+			var target atomic.Int64
 			reached := make(chan struct{}, 1)
 			for w := range watchers {
 				done.Add(1)
 				go func() {
 					defer done.Done()
 					time.Sleep(time.Duration(w) * time.Millisecond) // not all dials at once
-					conn, err := via.via.Dial(ctx, g.addrs[i], fmt.Sprint("w", w))
+					conn, err := protocol.transport.Dial(ctx, controller.addrs[i], fmt.Sprint("w", w))
 					if err == nil {
 						_, err = conn.Greet(ctx, service.Hello{Major: 1, Name: fmt.Sprint("w", w)})
 					}
@@ -59,18 +59,18 @@
 						return
 					}
 					defer func() { _ = conn.Close() }()
-					if via.name == "runtime" { // a watch has a connection of its own; sockets of one process are bounded
+					if protocol.name == "runtime" { // a watch has a connection of its own; sockets of one process are bounded
 						_ = conn.Close()
 					}
 					version := tableversion.NoVersion
 					for ctx.Err() == nil {
 						if err := conn.Watch(ctx, "a", version, func(u *service.Update) error {
-							if version = u.To; !u.Heartbeat && got.Add(1) == goal.Load() {
+							if version = u.To; !u.Heartbeat && received.Add(1) == target.Load() {
 								reached <- struct{}{}
 							}
 							return nil
 						}); ctx.Err() == nil {
-							if is, _ := errorCode(err); is != service.Overloaded {
+							if code, _ := errorCode(err); code != service.Overloaded {
 								b.Error(err)
 								return
 							}
@@ -79,29 +79,30 @@
 					}
 				}()
 			}
-			for g.hub.Watchers() < watchers && !b.Failed() {
+			for controller.hub.Watchers() < watchers && !b.Failed() {
 				time.Sleep(10 * time.Millisecond)
 			}
 			time.Sleep(2 * time.Second) // first updates are applied
-			var took []time.Duration
+			var latencies []time.Duration
 			for n := range b.N {
-				goal.Store(got.Load() + watchers)
-				began := time.Now()
+				target.Store(received.Load() + watchers)
+				start := time.Now()
 				servers := make([]int, 20)
 				for k := range servers {
 					servers[k] = (n*20 + k) % 700
 				}
-				g.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, int16(n%250+1), servers...)
+				controller.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, int16(n%250+1), servers...)
 				select {
 				case <-reached:
 				case <-time.After(20 * time.Second):
-					b.Fatalf("%d of %d watchers received the change within 20 s", watchers-goal.Load()+got.Load(), watchers)
+					b.Fatalf("%d of %d watchers received the change within 20 s",
+						watchers-target.Load()+received.Load(), watchers)
 				}
-				took = append(took, time.Since(began))
+				latencies = append(latencies, time.Since(start))
 			}
-			sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
-			b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "ms_to_last_p50")
-			b.ReportMetric(float64(took[len(took)-1].Microseconds())/1000, "ms_to_last_most")
+			sort.Slice(latencies, func(i, j int) bool { return latencies[i] < latencies[j] })
+			b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds())/1000, "ms_to_last_p50")
+			b.ReportMetric(float64(latencies[len(latencies)-1].Microseconds())/1000, "ms_to_last_most")
 			cancel()
 			done.Wait()
 		})
@@ -111,7 +112,7 @@
 // BenchmarkSizes prints what one change of 20 servers in three classes, and a complete state of 700, take over each
 // protocol.
 func BenchmarkSizes(b *testing.B) {
-	v := service.NewView("g1", "a", 1, []string{"look", "book", "issue"})
+	view := service.NewView("g1", "a", 1, []string{"look", "book", "issue"})
 	var all []reconcile.Change
 	for c := range 3 {
 		for s := range 700 {
@@ -124,22 +125,23 @@
 			})
 		}
 	}
-	v.Apply(all, names{1000}.Lookup)
-	from := v.Version()
+	view.Apply(all, serverNames{1000}.Lookup)
+	from := view.Version()
 	for c := range 3 {
 		for s := range 20 {
-			v.Apply(
+			view.Apply(
 				[]reconcile.Change{
 					{Kind: reconcile.UpdateEntry, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: 64},
 				},
-				names{1000}.Lookup,
+				serverNames{1000}.Lookup,
 			)
 		}
 	}
-	for name, u := range map[string]service.Update{"change": v.Since(from), "whole": v.Since(tableversion.NoVersion)} {
+	updates := map[string]service.Update{"change": view.Since(from), "whole": view.Since(tableversion.NoVersion)}
+	for name, u := range updates {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				b.ReportMetric(float64(proto.Size(overrpc.UpdateToProto(&u))), "rpc_bytes")
+				b.ReportMetric(float64(proto.Size(servicerpc.UpdateToProto(&u))), "rpc_bytes")
 				b.ReportMetric(float64(len(text.FormatUpdate(&u))), "text_bytes")
 			}
 		})
@@ -148,12 +150,12 @@
 
 // BenchmarkRequests asks a controller for its introduction from 16 connections at once.
 func BenchmarkRequests(b *testing.B) {
-	for i, via := range transports {
-		b.Run(via.name, func(b *testing.B) {
-			g := startBenchController(b)
+	for i, protocol := range protocols {
+		b.Run(protocol.name, func(b *testing.B) {
+			controller := startBenchController(b)
 			var conns []client.Conn
 			for k := range 16 {
-				conn, err := via.via.Dial(context.Background(), g.addrs[i], fmt.Sprint("c", k))
+				conn, err := protocol.transport.Dial(context.Background(), controller.addrs[i], fmt.Sprint("c", k))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -161,33 +163,33 @@
 				conns = append(conns, conn)
 			}
 			var mu sync.Mutex
-			var took []time.Duration
+			var latencies []time.Duration
 			var next atomic.Int64
-			var all sync.WaitGroup
-			began := time.Now()
+			var workers sync.WaitGroup
+			start := time.Now()
 			for _, conn := range conns {
-				all.Add(1)
+				workers.Add(1)
 				go func() {
-					defer all.Done()
+					defer workers.Done()
 					var own []time.Duration
 					for next.Add(1) <= int64(b.N) {
 						ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-						at := time.Now()
+						sentAt := time.Now()
 						if _, err := conn.Greet(ctx, service.Hello{Major: 1, Name: "c"}); err != nil {
 							b.Error(err)
 						}
-						own = append(own, time.Since(at))
+						own = append(own, time.Since(sentAt))
 						cancel()
 					}
 					mu.Lock()
-					took = append(took, own...)
+					latencies = append(latencies, own...)
 					mu.Unlock()
 				}()
 			}
-			all.Wait()
-			sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
-			b.ReportMetric(float64(b.N)/time.Since(began).Seconds(), "requests/s")
-			b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99_us")
+			workers.Wait()
+			sort.Slice(latencies, func(i, j int) bool { return latencies[i] < latencies[j] })
+			b.ReportMetric(float64(b.N)/time.Since(start).Seconds(), "requests/s")
+			b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99_us")
 		})
 	}
 }
--- a/client/cache.go
+++ b/client/cache.go
@@ -96,7 +96,7 @@
 // update applies an update. The reason says what was wrong with one that was not applied.
 func (t *tableCache) update(now fleet.Time, u *service.Update) (verdict updateVerdict, reason string) {
 	t.sawNewerProtocol = t.sawNewerProtocol || u.Minor > service.Minor
-	if reason := t.outdated(now, u); reason != "" {
+	if reason := t.outdatedReason(now, u); reason != "" {
 		return updateOutdated, reason
 	}
 	if u.Heartbeat {
@@ -117,7 +117,7 @@
 		classes[u.Classes[i].Class] = class
 	}
 	if complete {
-		deleteUnnamed(classes, u.Classes)
+		deleteMissing(classes, u.Classes)
 	}
 	t.classes = classes
 	t.controller = u.Controller
@@ -129,9 +129,9 @@
 	return updateApplied, ""
 }
 
-// outdated returns why an update is older than what was applied before, "" if it is not. After a time without updates
-// older state is accepted.
-func (t *tableCache) outdated(now fleet.Time, u *service.Update) string {
+// outdatedReason returns why an update is older than the state applied before, or "" if it is not. Older state is
+// accepted once no update has been applied for olderListDelay.
+func (t *tableCache) outdatedReason(now fleet.Time, u *service.Update) string {
 	if t.updatedAt == 0 || now >= t.updatedAt+olderListDelay {
 		return ""
 	}
@@ -223,8 +223,8 @@
 	return true
 }
 
-// deleteUnnamed deletes the classes that a complete state does not have.
-func deleteUnnamed(classes map[string]*cachedClass, tables []service.ClassTable) {
+// deleteMissing deletes the classes that a complete state does not have.
+func deleteMissing(classes map[string]*cachedClass, tables []service.ClassTable) {
 	maps.DeleteFunc(classes, func(name string, _ *cachedClass) bool {
 		return !slices.ContainsFunc(tables, func(t service.ClassTable) bool { return t.Class == name })
 	})
--- a/client/cache_test.go
+++ b/client/cache_test.go
@@ -14,10 +14,10 @@
 
 const sec = fleet.Second
 
-func nameOf(id fleet.ServerID) (string, string) { return fmt.Sprint("s", id), fmt.Sprint("x:", id) }
+func lookupName(id fleet.ServerID) (string, string) { return fmt.Sprint("s", id), fmt.Sprint("x:", id) }
 
-// ready is a change that adds a server to a class.
-func ready(class, server int, weight int16) reconcile.Change {
+// addReady is a change that adds a server to a class.
+func addReady(class, server int, weight int16) reconcile.Change {
 	return reconcile.Change{
 		Kind:   reconcile.AddEntry,
 		Class:  fleet.ClassID(class),
@@ -27,30 +27,30 @@
 	}
 }
 
-// text shows what is cached of a class.
-func (t *tableCache) text(class string) string {
+// formatEndpoints shows what is cached of a class.
+func (t *tableCache) formatEndpoints(class string) string {
 	found, _ := t.endpoints(class)
 	return fmt.Sprint(found.endpoints)
 }
 
-// firstClass shows what a controller has of its first class.
-func firstClass(view *service.View) string {
+// formatFirstClass shows what a controller has of its first class.
+func formatFirstClass(view *service.View) string {
 	update := view.Since(tableversion.NoVersion)
 	return fmt.Sprint(update.Classes[0].Endpoints)
 }
 
-// cacheCheck is a cache that checks each update that it is given.
-type cacheCheck struct {
-	t           *rapid.T
-	cache       *tableCache
-	now         fleet.Time
-	sent        map[string]bool // states of the first class that some controller had
-	newestList  uint64
-	lastApplied fleet.Time
+// checkedCache is a cache that checks each update that it is given.
+type checkedCache struct {
+	t                *rapid.T
+	cache            *tableCache
+	now              fleet.Time
+	controllerStates map[string]bool // states of the first class that some controller had
+	newestList       uint64
+	lastApplied      fleet.Time
 }
 
-func (c *cacheCheck) deliver(update service.Update) {
-	before := c.cache.text("look")
+func (c *checkedCache) deliver(update service.Update) {
+	before := c.cache.formatEndpoints("look")
 	_, versionBefore := c.cache.current()
 	verdict, reason := c.cache.update(c.now, &update)
 	after, known := c.cache.endpoints("look")
@@ -58,7 +58,7 @@
 	_, version := c.cache.current()
 	switch verdict {
 	case updateApplied:
-		if known && len(after.endpoints) > 0 && !c.sent[text] {
+		if known && len(after.endpoints) > 0 && !c.controllerStates[text] {
 			c.t.Fatalf("cached %v, a state that no controller had", text)
 		}
 		if update.ListRevision < c.newestList && c.now < c.lastApplied+olderListDelay {
@@ -87,8 +87,8 @@
 		names := []string{"g1", "g2"}
 		views := []*service.View{service.NewView("g1", "a", 5, classes), service.NewView("g2", "a", 9, classes)}
 		revisions := []uint64{1, 1}
-		check := &cacheCheck{t: t, cache: newTableCache(), now: 100 * sec, sent: map[string]bool{}}
-		var late []service.Update
+		checked := &checkedCache{t: t, cache: newTableCache(), now: 100 * sec, controllerStates: map[string]bool{}}
+		var delayed []service.Update
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			controller := rapid.IntRange(0, 1).Draw(t, "controller")
 			view := views[controller]
@@ -98,9 +98,9 @@
 				weight := int16(rapid.IntRange(0, 256).Draw(t, "weight"))
 				for _, kind := range []reconcile.ChangeKind{reconcile.AddEntry, reconcile.UpdateEntry} {
 					state := reconcile.State(rapid.IntRange(1, 3).Draw(t, "state"))
-					view.Apply([]reconcile.Change{{Kind: kind, Server: id, Weight: weight, State: state}}, nameOf)
+					view.Apply([]reconcile.Change{{Kind: kind, Server: id, Weight: weight, State: state}}, lookupName)
 				}
-				check.sent[firstClass(view)] = true
+				checked.controllerStates[formatFirstClass(view)] = true
 			case 2:
 				revisions[controller] += uint64(rapid.IntRange(0, 2).Draw(t, "revision"))
 				view.SetState(service.PublishedState{
@@ -108,26 +108,27 @@
 					OpenServers:  []string{"s0", "s1", "s2", "s3", "s4", "s5"},
 				})
 			case 3:
-				check.deliver(view.Heartbeat())
+				checked.deliver(view.Heartbeat())
 			case 4:
-				late = append(late, view.Since(check.cache.watchFrom(names[controller])))
+				delayed = append(delayed, view.Since(checked.cache.watchFrom(names[controller])))
 			case 5:
-				if len(late) > 0 {
-					check.deliver(late[rapid.IntRange(0, len(late)-1).Draw(t, "late")])
+				if len(delayed) > 0 {
+					checked.deliver(delayed[rapid.IntRange(0, len(delayed)-1).Draw(t, "late")])
 				}
 			default:
-				check.deliver(view.Since(check.cache.watchFrom(names[controller])))
+				checked.deliver(view.Since(checked.cache.watchFrom(names[controller])))
 			}
-			check.now += fleet.Time(rapid.IntRange(0, 3000).Draw(t, "ms")) * fleet.Millisecond
+			checked.now += fleet.Time(rapid.IntRange(0, 3000).Draw(t, "ms")) * fleet.Millisecond
 		}
-		check.now += olderListDelay
+		checked.now += olderListDelay
 		views[0].SetState(service.PublishedState{ListRevision: revisions[0]})
 		update := views[0].Since(tableversion.NoVersion)
-		if verdict, reason := check.cache.update(check.now, &update); verdict != updateApplied {
+		if verdict, reason := checked.cache.update(checked.now, &update); verdict != updateApplied {
 			t.Fatalf("complete state not applied: %s", reason)
 		}
-		if cached := check.cache.text("look"); update.Classes[0].Published && cached != firstClass(views[0]) {
-			t.Fatalf("cached %s, the controller has %s", cached, firstClass(views[0]))
+		cached := checked.cache.formatEndpoints("look")
+		if update.Classes[0].Published && cached != formatFirstClass(views[0]) {
+			t.Fatalf("cached %s, the controller has %s", cached, formatFirstClass(views[0]))
 		}
 	})
 }
@@ -135,10 +136,10 @@
 // TestCacheRejectsInvalidUpdates checks that an invalid update changes nothing.
 func TestCacheRejectsInvalidUpdates(t *testing.T) {
 	view := service.NewView("g", "a", 5, []string{"look"})
-	view.Apply([]reconcile.Change{ready(0, 1, 9)}, nameOf)
+	view.Apply([]reconcile.Change{addReady(0, 1, 9)}, lookupName)
 	cache := newTableCache()
-	good := view.Since(tableversion.NoVersion)
-	if verdict, reason := cache.update(sec, &good); verdict != updateApplied {
+	valid := view.Since(tableversion.NoVersion)
+	if verdict, reason := cache.update(sec, &valid); verdict != updateApplied {
 		t.Fatalf("valid update not applied: %s", reason)
 	}
 	otherVersion := tableversion.Version{Epoch: 4, Count: 1}
@@ -184,7 +185,7 @@
 // class ends the class.
 func TestCacheAppliesChanges(t *testing.T) {
 	view := service.NewView("g", "a", 5, []string{"look", "book"})
-	view.Apply([]reconcile.Change{ready(0, 1, 9), ready(1, 1, 9)}, nameOf)
+	view.Apply([]reconcile.Change{addReady(0, 1, 9), addReady(1, 1, 9)}, lookupName)
 	cache := newTableCache()
 	cached := func() string {
 		look, _ := cache.endpoints("look")
@@ -206,25 +207,25 @@
 	update(view.Since(tableversion.NoVersion), updateApplied)
 	before := cached()
 	from := view.Version()
-	view.Apply([]reconcile.Change{{Kind: reconcile.UpdateEntry, Server: 1, Weight: 4}, ready(0, 2, 4)}, nameOf)
+	view.Apply([]reconcile.Change{{Kind: reconcile.UpdateEntry, Server: 1, Weight: 4}, addReady(0, 2, 4)}, lookupName)
 	wrong := view.Since(from)
 	wrong.Classes[0].Digest++
 	update(wrong, updateOutOfSync)
 	expect(before)
 	update(view.Since(from), updateApplied)
 
-	next := service.NewView("g", "a", 6, []string{"look", "book"})
-	next.SetState(service.PublishedState{OpenServers: []string{"s1"}})
-	update(next.Since(tableversion.NoVersion), updateApplied)
+	restarted := service.NewView("g", "a", 6, []string{"look", "book"})
+	restarted.SetState(service.PublishedState{OpenServers: []string{"s1"}})
+	update(restarted.Since(tableversion.NoVersion), updateApplied)
 	expect("[{s1 x:1 4}] [{s1 x:1 9}] true")
 
-	from = next.Version()
-	next.Apply([]reconcile.Change{ready(0, 3, 7)}, nameOf)
-	update(next.Since(from), updateApplied)
+	from = restarted.Version()
+	restarted.Apply([]reconcile.Change{addReady(0, 3, 7)}, lookupName)
+	update(restarted.Since(from), updateApplied)
 	expect("[{s3 x:3 7}] [{s1 x:1 9}] true")
 
-	one := next.Since(tableversion.NoVersion)
-	one.Classes = one.Classes[:1]
-	update(one, updateApplied)
+	withoutBook := restarted.Since(tableversion.NoVersion)
+	withoutBook.Classes = withoutBook.Classes[:1]
+	update(withoutBook, updateApplied)
 	expect("[{s3 x:3 7}] [] false")
 }
--- a/client/client.go
+++ b/client/client.go
@@ -86,12 +86,12 @@
 
 // Client routes requests by the tables of controllers. All methods may be called from any goroutine.
 type Client struct {
-	config    Config
-	transport Transport
-	session   uint64 // identifies this client's reports
-	ctx       context.Context
-	cancel    context.CancelFunc
-	done      sync.WaitGroup
+	config        Config
+	transport     Transport
+	reportSession uint64 // identifies this client's reports
+	ctx           context.Context
+	cancel        context.CancelFunc
+	background    sync.WaitGroup
 
 	// Routing, read without a lock.
 	table      atomic.Pointer[routingTable]
@@ -113,8 +113,8 @@
 	controller       string
 	disconnectReason *service.Error // why none is
 	ready            chan struct{}  // closed when there is a table
-	pending          []*service.Report
-	sequence         uint64
+	pendingReports   []*service.Report
+	reportSequence   uint64
 }
 
 // demandCounts are the requests of a class since the last report.
@@ -134,14 +134,14 @@
 		transport:        transport,
 		picker:           newControllerPicker(len(config.Controllers), config.Seed),
 		budget:           newRetryBudget(),
-		session:          rand.Uint64(),
+		reportSession:    rand.Uint64(),
 		cache:            newTableCache(),
 		servers:          map[string]*Server{},
 		ready:            make(chan struct{}),
 		disconnectReason: &service.Error{Code: service.Unreachable, Text: "no controller has been contacted yet"},
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.done.Add(2)
+	c.background.Add(2)
 	go c.watch()
 	go c.sendReports()
 	return c, nil
@@ -152,8 +152,8 @@
 		config.Seed = rand.Uint64()
 	}
 	if config.Clock == nil {
-		began := time.Now()
-		config.Clock = func() fleet.Time { return fleet.Time(began.UnixNano()) + fleet.Time(time.Since(began)) }
+		start := time.Now()
+		config.Clock = func() fleet.Time { return fleet.Time(start.UnixNano()) + fleet.Time(time.Since(start)) }
 	}
 	if config.OnTable == nil {
 		config.OnTable = func(tableversion.Version, int) {}
@@ -166,7 +166,7 @@
 // Close ends the client's goroutines and waits for them. Outcomes that were not reported are lost.
 func (c *Client) Close() error {
 	c.cancel()
-	c.done.Wait()
+	c.background.Wait()
 	return nil
 }
 
@@ -301,7 +301,7 @@
 }
 
 // query asks the controller that is watched.
-func query[T any](ctx context.Context, c *Client, ask func(context.Context, Conn) (T, error)) (T, error) {
+func query[T any](ctx context.Context, c *Client, call func(context.Context, Conn) (T, error)) (T, error) {
 	c.mu.Lock()
 	conn := c.conn
 	reason := c.disconnectReason
@@ -312,7 +312,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(queryTimeout))
 	defer cancel()
-	return ask(ctx, conn)
+	return call(ctx, conn)
 }
 
 // Server returns the state of a server, and the reasons for it.
--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -12,7 +12,7 @@
 
 	"cressknot/internal/fleet"
 	"cressknot/internal/service"
-	overrpc "cressknot/internal/service/rpc"
+	servicerpc "cressknot/internal/service/rpc"
 	"cressknot/internal/service/rpc/pb"
 	"cressknot/internal/service/text"
 	"cressknot/internal/tableversion"
@@ -26,13 +26,13 @@
 
 // messages are what both protocols carry, with how each is written and read.
 var messages = []struct {
-	name  string
-	value any
-	proto func(any) proto.Message
-	plain func(any) []byte
-	empty func() proto.Message
-	of    func(proto.Message) any
-	read  func([]byte) (any, error)
+	name       string
+	value      any
+	toProto    func(any) proto.Message
+	formatText func(any) []byte
+	newProto   func() proto.Message
+	fromProto  func(proto.Message) any
+	parseText  func([]byte) (any, error)
 }{
 	{
 		"update",
@@ -57,10 +57,10 @@
 				{Class: "book", AdmissionLimit: 500},
 			},
 		},
-		func(v any) proto.Message { u := v.(service.Update); return overrpc.UpdateToProto(&u) },
+		func(v any) proto.Message { u := v.(service.Update); return servicerpc.UpdateToProto(&u) },
 		func(v any) []byte { u := v.(service.Update); return text.FormatUpdate(&u) },
 		func() proto.Message { return &pb.Update{} },
-		func(m proto.Message) any { return overrpc.UpdateFromProto(m.(*pb.Update)) },
+		func(m proto.Message) any { return servicerpc.UpdateFromProto(m.(*pb.Update)) },
 		func(b []byte) (any, error) { return text.ParseUpdate(b) },
 	},
 	{
@@ -81,10 +81,10 @@
 				},
 			},
 		},
-		func(v any) proto.Message { return overrpc.HelloToProto(v.(service.Hello)) },
+		func(v any) proto.Message { return servicerpc.HelloToProto(v.(service.Hello)) },
 		func(v any) []byte { return text.FormatHello(v.(service.Hello)) },
 		func() proto.Message { return &pb.Hello{} },
-		func(m proto.Message) any { return overrpc.HelloFromProto(m.(*pb.Hello)) },
+		func(m proto.Message) any { return servicerpc.HelloFromProto(m.(*pb.Hello)) },
 		func(b []byte) (any, error) { return text.ParseHello(b) },
 	},
 	{
@@ -100,10 +100,10 @@
 			Weights:            []service.ClassWeight{{Zone: "a", Class: "look", Weight: 9}},
 			Reasons:            []string{"because; a = b"},
 		},
-		func(v any) proto.Message { return overrpc.ServerStateToProto(v.(service.ServerState)) },
+		func(v any) proto.Message { return servicerpc.ServerStateToProto(v.(service.ServerState)) },
 		func(v any) []byte { return text.FormatServerState(v.(service.ServerState)) },
 		func() proto.Message { return &pb.ServerState{} },
-		func(m proto.Message) any { return overrpc.ServerStateFromProto(m.(*pb.ServerState)) },
+		func(m proto.Message) any { return servicerpc.ServerStateFromProto(m.(*pb.ServerState)) },
 		func(b []byte) (any, error) { return text.ParseServerState(b) },
 	},
 	{
@@ -119,10 +119,10 @@
 				},
 			},
 		},
-		func(v any) proto.Message { return overrpc.HistoryToProto(v.(service.History)) },
+		func(v any) proto.Message { return servicerpc.HistoryToProto(v.(service.History)) },
 		func(v any) []byte { return text.FormatHistory(v.(service.History)) },
 		func() proto.Message { return &pb.HistoryReply{} },
-		func(m proto.Message) any { return overrpc.HistoryFromProto(m.(*pb.HistoryReply)) },
+		func(m proto.Message) any { return servicerpc.HistoryFromProto(m.(*pb.HistoryReply)) },
 		func(b []byte) (any, error) { return text.ParseHistory(b) },
 	},
 	{
@@ -142,20 +142,20 @@
 			ProxiesAll:   1,
 			Watchers:     9,
 		},
-		func(v any) proto.Message { return overrpc.SummaryToProto(v.(service.Summary)) },
+		func(v any) proto.Message { return servicerpc.SummaryToProto(v.(service.Summary)) },
 		func(v any) []byte { return text.FormatSummary(v.(service.Summary)) },
 		func() proto.Message { return &pb.SummaryReply{} },
-		func(m proto.Message) any { return overrpc.SummaryFromProto(m.(*pb.SummaryReply)) },
+		func(m proto.Message) any { return servicerpc.SummaryFromProto(m.(*pb.SummaryReply)) },
 		func(b []byte) (any, error) { return text.ParseSummary(b) },
 	},
 }
 
 // withUnknownParts writes an answer as a minor version to come might: with a field, a key and a row that nobody here
 // knows.
-func withUnknownParts(p, plain []byte) ([]byte, []byte) {
-	p = protowire.AppendTag(p, 1000, protowire.BytesType)
-	p = protowire.AppendString(p, "to come")
-	return p, append(append([]byte(nil), plain...), "shade server=s1 of=0.5\n"...)
+func withUnknownParts(encoded, plain []byte) ([]byte, []byte) {
+	encoded = protowire.AppendTag(encoded, 1000, protowire.BytesType)
+	encoded = protowire.AppendString(encoded, "to come")
+	return encoded, append(append([]byte(nil), plain...), "shade server=s1 of=0.5\n"...)
 }
 
 // writeGoldenFiles writes a message as this version does, and as one to come might.
@@ -186,16 +186,16 @@
 // TestGoldenFilesOfEveryVersionParse reads messages of each version that was ever written, and of one to come: both
 // protocols give the same, the parts that are known.
 func TestGoldenFilesOfEveryVersionParse(t *testing.T) {
-	for _, f := range messages {
+	for _, message := range messages {
 		if *update {
-			writeGoldenFiles(t, f.name, f.proto(f.value), f.plain(f.value))
+			writeGoldenFiles(t, message.name, message.toProto(message.value), message.formatText(message.value))
 		}
-		files, _ := filepath.Glob("testdata/golden/*/" + f.name + ".pb")
+		files, _ := filepath.Glob("testdata/golden/*/" + message.name + ".pb")
 		if len(files) < 2 {
-			t.Fatalf("%d golden files of message %s, want at least 2", len(files), f.name)
+			t.Fatalf("%d golden files of message %s, want at least 2", len(files), message.name)
 		}
 		for _, path := range files {
-			p, err := os.ReadFile(path)
+			encoded, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -203,14 +203,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			m := f.empty()
-			if err := proto.Unmarshal(p, m); err != nil {
+			decoded := message.newProto()
+			if err := proto.Unmarshal(encoded, decoded); err != nil {
 				t.Fatal(err)
 			}
-			one := f.of(m)
-			other, err := f.read(plain)
-			if err != nil || !reflect.DeepEqual(one, f.value) || !reflect.DeepEqual(other, f.value) {
-				t.Errorf("%s: text parse error %v\nproto: %+v\ntext:  %+v\nwant:  %+v", path, err, one, other, f.value)
+			fromProto := message.fromProto(decoded)
+			fromText, err := message.parseText(plain)
+			if err != nil || !reflect.DeepEqual(fromProto, message.value) || !reflect.DeepEqual(fromText, message.value) {
+				t.Errorf("%s: text parse error %v\nproto: %+v\ntext:  %+v\nwant:  %+v",
+					path, err, fromProto, fromText, message.value)
 			}
 		}
 	}
@@ -219,17 +220,17 @@
 // FuzzAnswers: whatever bytes come, a reader gives an answer or an error, and what it gives can be written and read
 // again.
 func FuzzAnswers(f *testing.F) {
-	for _, one := range messages {
-		f.Add(one.plain(one.value))
+	for _, message := range messages {
+		f.Add(message.formatText(message.value))
 	}
-	f.Fuzz(func(t *testing.T, b []byte) {
-		u, err := text.ParseUpdate(b)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		parsed, err := text.ParseUpdate(input)
 		if err != nil {
 			return
 		}
-		again, err := text.ParseUpdate(text.FormatUpdate(&u))
-		if err != nil || !reflect.DeepEqual(u, again) {
-			t.Errorf("update %+v, after formatting and parsing %+v (error %v)", u, again, err)
+		reparsed, err := text.ParseUpdate(text.FormatUpdate(&parsed))
+		if err != nil || !reflect.DeepEqual(parsed, reparsed) {
+			t.Errorf("update %+v, after formatting and parsing %+v (error %v)", parsed, reparsed, err)
 		}
 	})
 }
--- a/client/picker.go
+++ b/client/picker.go
@@ -57,8 +57,8 @@
 	return best, max(0, p.candidates[best].notBefore-now)
 }
 
-// failed records that a controller failed; the reason, nil if none is known, may ask for a longer wait.
-func (p *controllerPicker) failed(now fleet.Time, controller int, reason *service.Error) {
+// recordFailure records that a controller failed; the reason, nil if none is known, may ask for a longer wait.
+func (p *controllerPicker) recordFailure(now fleet.Time, controller int, reason *service.Error) {
 	c := &p.candidates[controller]
 	wait := min(maxBackoff, minBackoff<<min(c.failures, maxBackoffDoublings))
 	c.failures++
@@ -70,14 +70,14 @@
 	p.preferred = (controller + 1) % len(p.candidates)
 }
 
-// outdated records that a controller knows less than another one has sent.
-func (p *controllerPicker) outdated(now fleet.Time, controller int) {
+// recordOutdated records that a controller knows less than another one has sent.
+func (p *controllerPicker) recordOutdated(now fleet.Time, controller int) {
 	p.candidates[controller].notBefore = now + outdatedDelay.Scale(1+backoffJitter*p.rng.Float64())
 	p.preferred = (controller + 1) % len(p.candidates)
 }
 
-// serving records that a controller serves.
-func (p *controllerPicker) serving(controller int) {
+// recordSuccess records that a controller serves.
+func (p *controllerPicker) recordSuccess(controller int) {
 	p.candidates[controller] = candidate{}
 	p.preferred = controller
 }
--- a/client/picker_test.go
+++ b/client/picker_test.go
@@ -14,12 +14,12 @@
 	now := 100 * sec
 	first, _ := picker.pick(now)
 	other := 1 - first
-	picker.failed(now, first, nil)
+	picker.recordFailure(now, first, nil)
 	if next, wait := picker.pick(now); next == first || wait != 0 {
 		t.Errorf("after controller %d failed: picked controller %d with a wait of %d ns, want the other one at once",
 			first, next, wait)
 	}
-	picker.failed(now, other, &service.Error{RetryAfter: 60 * sec})
+	picker.recordFailure(now, other, &service.Error{RetryAfter: 60 * sec})
 	secondWait := fleet.Time(0)
 	for i := range 12 {
 		next, wait := picker.pick(now)
@@ -34,12 +34,12 @@
 		if i == 11 && wait < 5*secondWait {
 			t.Errorf("backoff of %d ns after %d ns, want at least 5 times as long", wait, secondWait)
 		}
-		picker.failed(now, next, nil)
+		picker.recordFailure(now, next, nil)
 	}
 	if at := picker.candidates[other].notBefore; at < 160*sec || at > 191*sec {
 		t.Errorf("next attempt after %.1f s, want 60 s to 91 s", (at - 100*sec).Seconds())
 	}
-	picker.serving(first)
+	picker.recordSuccess(first)
 	if next, wait := picker.pick(now); next != first || wait != 0 {
 		t.Errorf("after controller %d succeeded: picked controller %d with a wait of %d ns", first, next, wait)
 	}
@@ -51,7 +51,7 @@
 	waits := map[fleet.Time]int{}
 	for seed := range uint64(1000) {
 		picker := newControllerPicker(1, seed)
-		picker.failed(0, 0, nil)
+		picker.recordFailure(0, 0, nil)
 		_, wait := picker.pick(0)
 		waits[wait/(5*fleet.Millisecond)]++
 	}
--- a/client/reports.go
+++ b/client/reports.go
@@ -24,14 +24,14 @@
 
 // sendReports reports outcomes until the client is closed.
 func (c *Client) sendReports() {
-	defer c.done.Done()
+	defer c.background.Done()
 	for sleep(c.ctx, reportInterval.Scale(minReportFraction+reportJitter*rand.Float64())) {
 		c.mu.Lock()
 		conn := c.conn
-		if conn != nil && len(c.pending) < maxPendingReports {
+		if conn != nil && len(c.pendingReports) < maxPendingReports {
 			c.collectReports()
 		}
-		pending := c.pending
+		pending := c.pendingReports
 		c.mu.Unlock()
 		if conn != nil {
 			c.sendPending(conn, pending)
@@ -50,18 +50,18 @@
 			return
 		}
 		c.mu.Lock()
-		c.pending = c.pending[1:]
+		c.pendingReports = c.pendingReports[1:]
 		c.mu.Unlock()
 	}
 }
 
 // isPermanent reports whether a controller will never count a report, however often it is sent.
 func isPermanent(err error) bool {
-	var answer *service.Error
-	if !errors.As(err, &answer) {
+	var serviceError *service.Error
+	if !errors.As(err, &serviceError) {
 		return false
 	}
-	switch answer.Code {
+	switch serviceError.Code {
 	case service.BadRequest, service.TooLarge, service.NoServer, service.NoClass, service.NoZone:
 		return true
 	}
@@ -89,11 +89,11 @@
 }
 
 func (c *Client) enqueueReport(report *service.Report) {
-	c.sequence++
+	c.reportSequence++
 	report.Zone = c.config.Zone
-	report.Session = c.session
-	report.Sequence = c.sequence
-	c.pending = append(c.pending, report)
+	report.Session = c.reportSession
+	report.Sequence = c.reportSequence
+	c.pendingReports = append(c.pendingReports, report)
 }
 
 // takeOutcome takes the counts of a server. Successes and failures are counted after their attempt, so that those
--- a/client/request.go
+++ b/client/request.go
@@ -72,21 +72,21 @@
 
 // finishedAttempt is an attempt that has ended.
 type finishedAttempt struct {
-	server *Server
-	began  fleet.Time
-	result Result
+	server    *Server
+	startedAt fleet.Time
+	result    Result
 }
 
 // requestRun carries out the attempts of one request.
 type requestRun struct {
-	client   *Client
-	class    int
-	table    *classTable
-	send     SendFunc
-	state    requestState
-	finished chan finishedAttempt
-	inFlight int
-	last     *Server // of the newest attempt
+	client     *Client
+	class      int
+	table      *classTable
+	send       SendFunc
+	state      requestState
+	finished   chan finishedAttempt
+	inFlight   int
+	lastServer *Server // of the newest attempt
 }
 
 // run makes attempts until one succeeds or none may follow, and a hedged request if the first is slow and the client is
@@ -94,7 +94,7 @@
 func (r *requestRun) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // ends attempts that are still in flight
-	r.start(ctx, r.table.pick(r.client.nowNanos, nil))
+	r.startAttempt(ctx, r.table.pick(r.client.nowNanos, nil))
 	var hedgeDue <-chan time.Time
 	if r.mayHedge() {
 		timer := time.NewTimer(time.Duration(r.state.class.LatencyObjective.Scale(hedgeDelayFraction)))
@@ -108,7 +108,7 @@
 		case <-hedgeDue:
 			hedgeDue = nil
 			if r.inFlight == 1 && r.state.attempts == 1 && r.client.takeRetryToken() {
-				r.start(ctx, r.table.pick(r.client.nowNanos, r.last))
+				r.startAttempt(ctx, r.table.pick(r.client.nowNanos, r.lastServer))
 			}
 		case attempt := <-r.finished:
 			if ended, err := r.attemptFinished(ctx, attempt); ended {
@@ -126,31 +126,31 @@
 		len(r.table.servers) > 1
 }
 
-// start sends an attempt. One that may be followed by another has the latency objective as its timeout.
-func (r *requestRun) start(ctx context.Context, server *Server) {
+// startAttempt sends an attempt. One that may be followed by another has the latency objective as its timeout.
+func (r *requestRun) startAttempt(ctx context.Context, server *Server) {
 	c := r.client
 	mayBeRetried := r.state.beginAttempt()
-	release := context.CancelFunc(func() {})
+	cancel := context.CancelFunc(func() {})
 	if objective := time.Duration(r.state.class.LatencyObjective); mayBeRetried && objective > 0 {
-		ctx, release = context.WithTimeout(ctx, objective)
+		ctx, cancel = context.WithTimeout(ctx, objective)
 	}
 	attempt := Attempt{
 		Server:     server,
 		Number:     r.state.attempts - 1,
 		MayHaveRun: r.state.mayHaveRun,
 	}
-	r.last = server
+	r.lastServer = server
 	r.inFlight++
 	c.attempts.Add(1)
 	send := r.send
 	finished := r.finished
 	go func() {
-		defer release()
-		began := c.config.Clock()
+		defer cancel()
+		startedAt := c.config.Clock()
 		result := send(ctx, attempt)
-		millis := uint64(max(0, (c.config.Clock()-began)/fleet.Millisecond))
-		server.attemptEnded(c.nowNanos(), result.Outcome, millis, result.Load)
-		finished <- finishedAttempt{server, began, result}
+		millis := uint64(max(0, (c.config.Clock()-startedAt)/fleet.Millisecond))
+		server.recordAttempt(c.nowNanos(), result.Outcome, millis, result.Load)
+		finished <- finishedAttempt{server, startedAt, result}
 	}()
 }
 
@@ -162,7 +162,7 @@
 	if outcome == Success {
 		return true, nil
 	}
-	r.state.endAttempt(attempt.began, outcome)
+	r.state.endAttempt(attempt.startedAt, outcome)
 	if r.inFlight > 0 {
 		return false, nil
 	}
@@ -175,9 +175,9 @@
 		r.table = table
 	}
 	if target == sameServer {
-		r.start(ctx, attempt.server)
+		r.startAttempt(ctx, attempt.server)
 	} else {
-		r.start(ctx, r.table.pick(r.client.nowNanos, r.last))
+		r.startAttempt(ctx, r.table.pick(r.client.nowNanos, r.lastServer))
 	}
 	return false, nil
 }
--- a/client/retry.go
+++ b/client/retry.go
@@ -36,11 +36,11 @@
 
 // requestState is the state of one request's attempts. It does no I/O and reads no clock.
 type requestState struct {
-	class         fleet.RequestClass
-	mode          fleet.RetryMode
-	attempts      int
-	mayHaveRun    bool
-	firstExecuted fleet.Time // when the first attempt began that may have been executed
+	class       fleet.RequestClass
+	mode        fleet.RetryMode
+	attempts    int
+	mayHaveRun  bool
+	windowStart fleet.Time // when the first attempt began that may have been executed
 }
 
 // newRequestState begins a request of a class under the controller's retry mode.
@@ -66,10 +66,10 @@
 }
 
 // endAttempt records the outcome of an attempt that began at the given time.
-func (r *requestState) endAttempt(began fleet.Time, outcome Outcome) {
+func (r *requestState) endAttempt(startedAt fleet.Time, outcome Outcome) {
 	if outcome == Failed && !r.mayHaveRun {
 		r.mayHaveRun = true
-		r.firstExecuted = began
+		r.windowStart = startedAt
 	}
 }
 
@@ -84,7 +84,7 @@
 		return otherServer, true
 	}
 	latestArrival := now + r.class.Deadline/2 // the repetition must arrive within the window, too
-	if r.class.Idempotency == fleet.NotIdempotent || latestArrival > r.firstExecuted+r.class.DeduplicationWindow {
+	if r.class.Idempotency == fleet.NotIdempotent || latestArrival > r.windowStart+r.class.DeduplicationWindow {
 		return otherServer, false
 	}
 	if r.class.DeduplicationScope == fleet.DeduplicationFleet {
--- a/client/retry_test.go
+++ b/client/retry_test.go
@@ -38,16 +38,16 @@
 	request := newRequestState(class, mode)
 	now := 100 * sec
 	executed := false
-	firstExecuted := fleet.Time(0)
-	left := outcomes
+	windowStart := fleet.Time(0)
+	remaining := outcomes
 	for retries := range 3 {
 		request.beginAttempt()
-		outcome := Outcome(left % 3)
-		left /= 3
+		outcome := Outcome(remaining % 3)
+		remaining /= 3
 		request.endAttempt(now, outcome)
 		if outcome == Failed && !executed {
 			executed = true
-			firstExecuted = now
+			windowStart = now
 		}
 		now += 2500 * fleet.Millisecond
 		target, allowed := request.retry(now, outcome)
@@ -58,7 +58,7 @@
 			mode == fleet.RetryIfNotExecuted && outcome != NotExecuted {
 			t.Errorf("mode %d, outcomes %d: retry %d allowed after outcome %d", mode, outcomes, retries+1, outcome)
 		}
-		outsideWindow := now+class.Deadline/2 > firstExecuted+class.DeduplicationWindow
+		outsideWindow := now+class.Deadline/2 > windowStart+class.DeduplicationWindow
 		notRecognized := class.DeduplicationScope != fleet.DeduplicationFleet && target != sameServer
 		if executed && (class.Idempotency == fleet.NotIdempotent ||
 			class.Idempotency == fleet.IdempotentWithKey && (outsideWindow || notRecognized)) {
--- a/client/routing_test.go
+++ b/client/routing_test.go
@@ -41,7 +41,7 @@
 	c := newTestClient(t, 0, false, weights...)
 	fail := func(name string) {
 		for range ejectionThreshold {
-			c.servers[name].attemptEnded(c.nowNanos(), Failed, 0, nil)
+			c.servers[name].recordAttempt(c.nowNanos(), Failed, 0, nil)
 		}
 	}
 	fail("s1")
--- a/client/rpc/rpc.go
+++ b/client/rpc/rpc.go
@@ -122,7 +122,7 @@
 		return rpc.ErrorFromStatus(err)
 	}
 	request := &pb.WatchRequest{Zone: zone, Caller: c.caller, Holds: rpc.VersionToProto(from)}
-	if err := send(stream, request); err != nil {
+	if err := sendWatchRequest(stream, request); err != nil {
 		return err
 	}
 	for {
@@ -137,14 +137,14 @@
 		if err := apply(&update); err != nil {
 			return err
 		}
-		if err := send(stream, &pb.WatchRequest{Holds: rpc.VersionToProto(update.To)}); err != nil {
+		if err := sendWatchRequest(stream, &pb.WatchRequest{Holds: rpc.VersionToProto(update.To)}); err != nil {
 			return err
 		}
 	}
 }
 
-// send sends a request of a watch. A stream that has ended is no error here: the reason comes by Recv.
-func send(stream grpc.BidiStreamingClient[pb.WatchRequest, pb.Update], request *pb.WatchRequest) error {
+// sendWatchRequest sends a request of a watch. A stream that has ended is no error here: the reason comes by Recv.
+func sendWatchRequest(stream grpc.BidiStreamingClient[pb.WatchRequest, pb.Update], request *pb.WatchRequest) error {
 	err := stream.Send(request)
 	if err == nil || errors.Is(err, io.EOF) {
 		return nil
--- a/client/runtime/runtime.go
+++ b/client/runtime/runtime.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// unnamed is the name of a caller without one.
-	unnamed = "-"
+	// anonymousCaller is the name of a caller without one.
+	anonymousCaller = "-"
 	// noVersion asks for the complete state.
 	noVersion = "-"
 	// payloadEnd ends the payload of a report; no row reads like it.
@@ -70,14 +70,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		return nil, unreachable(net.ErrClosed)
+		return nil, unreachableError(net.ErrClosed)
 	}
 	if c.stream == nil {
 		if err := c.reconnect(ctx); err != nil {
 			return nil, err
 		}
 	}
-	return c.ask(ctx, request)
+	return c.exchange(ctx, request)
 }
 
 // reconnect makes the connection anew and greets. The caller has locked c.
@@ -90,13 +90,13 @@
 	if len(c.hello) == 0 {
 		return nil
 	}
-	_, err = c.ask(ctx, c.hello)
+	_, err = c.exchange(ctx, c.hello)
 	return err
 }
 
-// ask closes the connection after a failure. The caller has locked c.
-func (c *conn) ask(ctx context.Context, request []byte) ([]byte, error) {
-	answer, err := c.stream.ask(ctx, request)
+// exchange closes the connection after a failure. The caller has locked c.
+func (c *conn) exchange(ctx context.Context, request []byte) ([]byte, error) {
+	answer, err := c.stream.exchange(ctx, request)
 	if err != nil {
 		_ = c.stream.Close()
 		c.stream = nil
@@ -104,7 +104,9 @@
 	return answer, err
 }
 
-func request(words ...string) []byte { return append(haproxyapi.AppendCommand(nil, words...), '\n') }
+func formatRequest(words ...string) []byte {
+	return append(haproxyapi.AppendCommand(nil, words...), '\n')
+}
 
 // parse returns a parsed answer or its error.
 func parse[T any](answer []byte, err error, parseAnswer func([]byte) (T, error)) (T, error) {
@@ -119,9 +121,9 @@
 func (c *conn) Greet(ctx context.Context, h service.Hello) (service.Hello, error) {
 	name := h.Name
 	if name == "" {
-		name = unnamed
+		name = anonymousCaller
 	}
-	hello := request("hello", fmt.Sprintf("%d.%d", h.Major, h.Minor), name)
+	hello := formatRequest("hello", fmt.Sprintf("%d.%d", h.Major, h.Minor), name)
 	answer, err := c.query(ctx, hello)
 	greeting, err := parse(answer, err, text.ParseHello)
 	if err == nil {
@@ -134,7 +136,7 @@
 
 // Table returns the complete state of a zone.
 func (c *conn) Table(ctx context.Context, zone string) (service.Update, error) {
-	answer, err := c.query(ctx, request("get", "table", zone))
+	answer, err := c.query(ctx, formatRequest("get", "table", zone))
 	return parse(answer, err, text.ParseUpdate)
 }
 
@@ -152,19 +154,19 @@
 
 // Server returns the state of a server.
 func (c *conn) Server(ctx context.Context, name string) (service.ServerState, error) {
-	answer, err := c.query(ctx, request("get", "server", name))
+	answer, err := c.query(ctx, formatRequest("get", "server", name))
 	return parse(answer, err, text.ParseServerState)
 }
 
 // History returns the newest versions of a class's table.
 func (c *conn) History(ctx context.Context, zone, class string, maxVersions int) (service.History, error) {
-	answer, err := c.query(ctx, request("get", "history", zone, class, strconv.Itoa(maxVersions)))
+	answer, err := c.query(ctx, formatRequest("get", "history", zone, class, strconv.Itoa(maxVersions)))
 	return parse(answer, err, text.ParseHistory)
 }
 
 // Summary returns the state of the fleet.
 func (c *conn) Summary(ctx context.Context) (service.Summary, error) {
-	answer, err := c.query(ctx, request("get", "summary"))
+	answer, err := c.query(ctx, formatRequest("get", "summary"))
 	return parse(answer, err, text.ParseSummary)
 }
 
@@ -186,7 +188,7 @@
 	hello := c.hello
 	c.mu.Unlock()
 	if len(hello) > 0 {
-		if _, err := s.ask(ctx, hello); err != nil {
+		if _, err := s.exchange(ctx, hello); err != nil {
 			return err
 		}
 		_ = s.SetDeadline(time.Time{})
@@ -195,11 +197,11 @@
 	if from != tableversion.NoVersion {
 		version = from.String()
 	}
-	if _, err := s.Write(request("watch", "table", zone, version)); err != nil {
-		return unreachable(err)
+	if _, err := s.Write(formatRequest("watch", "table", zone, version)); err != nil {
+		return unreachableError(err)
 	}
 	for {
-		answer, err := s.next()
+		answer, err := s.nextAnswer()
 		if err != nil {
 			return err
 		}
@@ -210,8 +212,8 @@
 		if err := apply(&update); err != nil {
 			return err
 		}
-		if _, err := s.Write(request("ack", update.To.String())); err != nil {
-			return unreachable(err)
+		if _, err := s.Write(formatRequest("ack", update.To.String())); err != nil {
+			return unreachableError(err)
 		}
 	}
 }
--- a/client/server.go
+++ b/client/server.go
@@ -30,8 +30,8 @@
 	loadValues                                   atomic.Int32 // how many of load are set
 }
 
-// attemptEnded counts an attempt for the next report, and ejects a server that fails again and again.
-func (s *Server) attemptEnded(now int64, outcome Outcome, millis uint64, load []uint32) {
+// recordAttempt counts an attempt for the next report, and ejects a server that fails again and again.
+func (s *Server) recordAttempt(now int64, outcome Outcome, millis uint64, load []uint32) {
 	s.counts.attempts.Add(1)
 	if outcome != Success {
 		s.counts.failures.Add(1)
--- a/client/suite_test.go
+++ b/client/suite_test.go
@@ -23,7 +23,7 @@
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	ctx, cancel := context.WithTimeout(context.Background(), 2*eventuallyTimeout)
 	defer cancel()
-	a := &agreement{t: t, ctx: ctx, controller: startController(t, "g1", 100, 0)}
+	a := &protocolComparison{t: t, ctx: ctx, controller: startController(t, "g1", 100, 0)}
 	defer func() { a.controller.stop() }()
 	a.pair = newClientPair(t, a.controller)
 	defer a.pair.close()
@@ -34,8 +34,8 @@
 	a.reportOutcomes()
 }
 
-// agreement is the state of TestClientsOfBothProtocolsAgree; its methods are the steps in their order.
-type agreement struct {
+// protocolComparison is the state of TestClientsOfBothProtocolsAgree; its methods are the steps in their order.
+type protocolComparison struct {
 	t          *testing.T
 	ctx        context.Context
 	controller *testController
@@ -44,13 +44,13 @@
 
 func connected(c *client.Client) bool { return c.State().Connected }
 
-// shows matches a connected client with the given weights.
-func shows(want string) func(*client.Client) bool {
+// connectedWithWeights matches a connected client with the given weights.
+func connectedWithWeights(want string) func(*client.Client) bool {
 	return func(c *client.Client) bool { return connected(c) && weights(c) == want }
 }
 
-// same asks both clients and expects equal answers, or errors with the given code.
-func (a *agreement) same(step string, want service.Code, ask func(*client.Client) (any, error)) {
+// expectSameAnswer asks both clients and expects equal answers, or errors with the given code.
+func (a *protocolComparison) expectSameAnswer(step string, want service.Code, ask func(*client.Client) (any, error)) {
 	a.t.Helper()
 	wantRetryLater := want == service.Unready || want == service.Overloaded
 	var answers [2]any
@@ -59,45 +59,45 @@
 		got, retryLater := errorCode(err)
 		wrongCode := err != nil && got != want || err == nil && want != ""
 		if wrongCode || retryLater != wantRetryLater {
-			a.t.Errorf("%s, protocol %s: error %v, want code %q", step, transports[i].name, err, want)
+			a.t.Errorf("%s, protocol %s: error %v, want code %q", step, protocols[i].name, err, want)
 		}
 		answers[i] = answer
 	}
 	if !reflect.DeepEqual(answers[0], answers[1]) {
 		a.t.Errorf("%s: answers differ: %+v over %s, %+v over %s",
-			step, answers[0], transports[0].name, answers[1], transports[1].name)
+			step, answers[0], protocols[0].name, answers[1], protocols[1].name)
 	}
 }
 
 // publishAndQuery publishes tables and asks each query.
-func (a *agreement) publishAndQuery() {
+func (a *protocolComparison) publishAndQuery() {
 	ctx := a.ctx
 	table := func(c *client.Client) (any, error) { return c.Table(ctx) }
 	a.pair.eventuallyAgree("connected", connected)
-	a.same("table before the first publication", service.Unready, table)
+	a.expectSameAnswer("table before the first publication", service.Unready, table)
 	a.controller.setOpen(5, 0, 1, 2, 3)
 	a.controller.publish(reconcile.AddEntry, reconcile.StateReady, 128, 0, 1, 2)
-	a.pair.eventuallyAgree("first publication", shows("s0=128 s1=128 s2=128 "))
+	a.pair.eventuallyAgree("first publication", connectedWithWeights("s0=128 s1=128 s2=128 "))
 	a.controller.publish(reconcile.UpdateEntry, reconcile.StateDrain, -1, 1)
 	a.controller.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, 64, 2)
-	a.pair.eventuallyAgree("one server draining, one with a lower weight", shows("s0=128 s2=64 "))
-	a.same("complete state", "", table)
-	a.same("known server", "", func(c *client.Client) (any, error) { return c.Server(ctx, "s1") })
-	a.same("unknown server", service.NoServer, func(c *client.Client) (any, error) {
+	a.pair.eventuallyAgree("one server draining, one with a lower weight", connectedWithWeights("s0=128 s2=64 "))
+	a.expectSameAnswer("complete state", "", table)
+	a.expectSameAnswer("known server", "", func(c *client.Client) (any, error) { return c.Server(ctx, "s1") })
+	a.expectSameAnswer("unknown server", service.NoServer, func(c *client.Client) (any, error) {
 		return c.Server(ctx, "nobody; quit")
 	})
-	a.same("overlong server name", service.TooLarge, func(c *client.Client) (any, error) {
+	a.expectSameAnswer("overlong server name", service.TooLarge, func(c *client.Client) (any, error) {
 		return c.Server(ctx, fmt.Sprintf("%0300d", 1))
 	})
-	a.same("history", "", func(c *client.Client) (any, error) { return c.History(ctx, "look", 3) })
-	a.same("history of an unknown class", service.NoClass, func(c *client.Client) (any, error) {
+	a.expectSameAnswer("history", "", func(c *client.Client) (any, error) { return c.History(ctx, "look", 3) })
+	a.expectSameAnswer("history of an unknown class", service.NoClass, func(c *client.Client) (any, error) {
 		return c.History(ctx, "none", 3)
 	})
-	a.same("history over the limit", service.BadRequest, func(c *client.Client) (any, error) {
+	a.expectSameAnswer("history over the limit", service.BadRequest, func(c *client.Client) (any, error) {
 		return c.History(ctx, "look", 5000)
 	})
-	a.same("summary", "", func(c *client.Client) (any, error) { return c.Summary(ctx) })
-	a.same("queries over the rate limit", service.Overloaded, func(c *client.Client) (any, error) {
+	a.expectSameAnswer("summary", "", func(c *client.Client) (any, error) { return c.Summary(ctx) })
+	a.expectSameAnswer("queries over the rate limit", service.Overloaded, func(c *client.Client) (any, error) {
 		var err error
 		for i := 0; err == nil && i < 100; i++ {
 			_, err = c.Summary(ctx)
@@ -107,7 +107,7 @@
 }
 
 // breakConnections checks that both continue with what they have cached, miss three changes, and continue from there.
-func (a *agreement) breakConnections() {
+func (a *protocolComparison) breakConnections() {
 	for _, relay := range a.pair.relays {
 		relay.Refuse(true)
 		relay.Cut()
@@ -120,7 +120,7 @@
 			a.t.Errorf("Pick while disconnected: server %v, error %v; want s0 or s2", server, err)
 		}
 	}
-	a.same("query while disconnected", service.Unreachable, func(c *client.Client) (any, error) {
+	a.expectSameAnswer("query while disconnected", service.Unreachable, func(c *client.Client) (any, error) {
 		_, err := c.Summary(a.ctx)
 		return nil, err
 	})
@@ -130,11 +130,11 @@
 	for _, relay := range a.pair.relays {
 		relay.Refuse(false)
 	}
-	a.pair.eventuallyAgree("reconnected", shows("s0=16 s1=128 s2=32 "))
+	a.pair.eventuallyAgree("reconnected", connectedWithWeights("s0=16 s1=128 s2=32 "))
 }
 
 // holdConnections makes the connections half open: nothing arrives any more, and no error says so.
-func (a *agreement) holdConnections() {
+func (a *protocolComparison) holdConnections() {
 	for _, relay := range a.pair.relays {
 		relay.Hold(true)
 	}
@@ -148,7 +148,7 @@
 
 // restartController starts a controller that has published nothing yet, says which servers are open, and speaks a newer
 // minor version.
-func (a *agreement) restartController() {
+func (a *protocolComparison) restartController() {
 	a.controller.stop()
 	a.controller = startController(a.t, "g1", 200, 7)
 	for i, relay := range a.pair.relays {
@@ -157,19 +157,22 @@
 	}
 	a.controller.setOpen(6, 0, 2)
 	a.pair.eventuallyAgree("cached table restricted to open servers", func(c *client.Client) bool {
-		return shows("s0=16 s2=32 ")(c) && c.State().NewerProtocol
+		return connectedWithWeights("s0=16 s2=32 ")(c) && c.State().NewerProtocol
 	})
 	a.controller.setOpen(7, 5)
-	a.pair.eventuallyAgree("complete cached table while none of its servers is open", shows("s0=16 s1=128 s2=32 "))
+	a.pair.eventuallyAgree(
+		"complete cached table while none of its servers is open",
+		connectedWithWeights("s0=16 s1=128 s2=32 "),
+	)
 	a.controller.publish(reconcile.AddEntry, reconcile.StateReady, 100, 5, 6)
-	a.pair.eventuallyAgree("publication after the restart", shows("s5=100 s6=100 "))
+	a.pair.eventuallyAgree("publication after the restart", connectedWithWeights("s5=100 s6=100 "))
 	if answered := a.controller.answered(); answered != 1 {
 		a.t.Errorf("%d messages answered, want 1", answered)
 	}
 }
 
 // reportOutcomes checks that outcomes are counted once though the connections break in between.
-func (a *agreement) reportOutcomes() {
+func (a *protocolComparison) reportOutcomes() {
 	const requests = 300
 	outcomes := []client.Outcome{client.Success, client.Success, client.Failed}
 	for i, c := range a.pair.clients {
@@ -189,7 +192,7 @@
 }
 
 // countedOnce reports whether the controller has counted all requests and failures; it fails if it has counted more.
-func (a *agreement) countedOnce(requests, failed uint64) bool {
+func (a *protocolComparison) countedOnce(requests, failed uint64) bool {
 	a.controller.hub.Poll(0)
 	a.controller.mu.Lock()
 	defer a.controller.mu.Unlock()
@@ -212,27 +215,27 @@
 // watched, over either protocol, until it has caught up.
 func TestClientNeverGoesBackToOlderList(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	one, other := startController(t, "g1", 100, 0), startController(t, "g2", 300, 0)
-	defer one.stop()
-	defer other.stop()
-	one.setOpen(10, 0, 1)
-	one.publish(reconcile.AddEntry, reconcile.StateReady, 100, 0)
-	p := newClientPair(t, one)
-	defer p.close()
-	p.eventuallyAgree("watching g1", func(c *client.Client) bool { return c.State().ListRevision == 10 })
-	other.setOpen(9, 0, 1)
-	other.publish(reconcile.AddEntry, reconcile.StateReady, 100, 0, 1)
-	for i, r := range p.relays {
-		r.SetTarget(other.addrs[i])
-		r.Cut()
+	first, second := startController(t, "g1", 100, 0), startController(t, "g2", 300, 0)
+	defer first.stop()
+	defer second.stop()
+	first.setOpen(10, 0, 1)
+	first.publish(reconcile.AddEntry, reconcile.StateReady, 100, 0)
+	pair := newClientPair(t, first)
+	defer pair.close()
+	pair.eventuallyAgree("watching g1", func(c *client.Client) bool { return c.State().ListRevision == 10 })
+	second.setOpen(9, 0, 1)
+	second.publish(reconcile.AddEntry, reconcile.StateReady, 100, 0, 1)
+	for i, relay := range pair.relays {
+		relay.SetTarget(second.addrs[i])
+		relay.Cut()
 	}
-	p.eventuallyAgree("g2 rejected as outdated", func(c *client.Client) bool {
-		s := c.State()
-		return s.Controller == "g1" && s.Err != nil && len(c.Endpoints("look")) == 1
+	pair.eventuallyAgree("g2 rejected as outdated", func(c *client.Client) bool {
+		state := c.State()
+		return state.Controller == "g1" && state.Err != nil && len(c.Endpoints("look")) == 1
 	})
-	other.setOpen(10, 0, 1)
-	other.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, 50, 1)
-	p.eventuallyAgree(
+	second.setOpen(10, 0, 1)
+	second.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, 50, 1)
+	pair.eventuallyAgree(
 		"g2 accepted after catching up",
 		func(c *client.Client) bool { return c.State().Controller == "g2" && len(c.Endpoints("look")) == 2 },
 	)
@@ -242,13 +245,13 @@
 // and that it is answered by an error in the text protocol.
 func TestMalformedInputEndsOnlyItsConnection(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	g := startController(t, "g1", 100, 0)
-	defer g.stop()
-	g.setOpen(1, 0)
-	g.publish(reconcile.AddEntry, reconcile.StateReady, 100, 0)
-	p := newClientPair(t, g)
-	defer p.close()
-	p.eventuallyAgree("watching g1", func(c *client.Client) bool { return weights(c) != "" })
+	controller := startController(t, "g1", 100, 0)
+	defer controller.stop()
+	controller.setOpen(1, 0)
+	controller.publish(reconcile.AddEntry, reconcile.StateReady, 100, 0)
+	pair := newClientPair(t, controller)
+	defer pair.close()
+	pair.eventuallyAgree("watching g1", func(c *client.Client) bool { return weights(c) != "" })
 	malformed := [][]string{
 		{
 			"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\x00\x00\x08\x06\x00\x00\x00\x00\x00\xff",
@@ -265,7 +268,7 @@
 	}
 	for i, frames := range malformed {
 		for _, frame := range frames {
-			conn, err := net.Dial("tcp", g.addrs[i])
+			conn, err := net.Dial("tcp", controller.addrs[i])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -276,34 +279,35 @@
 				n, err := conn.Read(answer)
 				if _, fault := text.ParseHello(answer[:n]); err != nil {
 					t.Errorf("input %q: reading the answer: %v", frame, err)
-				} else if is, _ := errorCode(fault); is != service.BadRequest && is != service.Malformed {
-					t.Errorf("input %q: answer %q, want code %q or %q", frame, answer[:n], service.BadRequest, service.Malformed)
+				} else if code, _ := errorCode(fault); code != service.BadRequest && code != service.Malformed {
+					t.Errorf("input %q: answer %q, want code %q or %q",
+						frame, answer[:n], service.BadRequest, service.Malformed)
 				}
 			}
 			_ = conn.Close()
 		}
 	}
-	for i, via := range transports {
+	for i, protocol := range protocols {
 		ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
-		conn, err := via.via.Dial(ctx, g.addrs[i], "x")
+		conn, err := protocol.transport.Dial(ctx, controller.addrs[i], "x")
 		if err != nil {
 			t.Fatal(err)
 		}
 		_, err = conn.Greet(ctx, service.Hello{Major: 2, Name: "x"})
-		if is, _ := errorCode(err); is != service.OtherMajor {
-			t.Errorf("%s: Greet with another major version: error %v, want code %q", via.name, err, service.OtherMajor)
+		if code, _ := errorCode(err); code != service.OtherMajor {
+			t.Errorf("%s: Greet with another major version: error %v, want code %q", protocol.name, err, service.OtherMajor)
 		}
 		tooLarge := make([]service.ServerOutcome, 5000)
 		_, err = conn.Report(ctx, &service.Report{Zone: "a", Session: 1, Sequence: 1, Outcomes: tooLarge})
-		if is, _ := errorCode(err); is != service.TooLarge && is != service.BadRequest && is != service.Unreachable {
-			t.Errorf("%s: Report with %d outcomes: error %v, want code %q, %q or %q", via.name, len(tooLarge), err,
+		if code, _ := errorCode(err); code != service.TooLarge && code != service.BadRequest && code != service.Unreachable {
+			t.Errorf("%s: Report with %d outcomes: error %v, want code %q, %q or %q", protocol.name, len(tooLarge), err,
 				service.TooLarge, service.BadRequest, service.Unreachable)
 		}
 		_ = conn.Close()
 		cancel()
 	}
-	g.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, 50, 0)
-	p.eventuallyAgree(
+	controller.publish(reconcile.UpdateEntry, reconcile.StateUnchanged, 50, 0)
+	pair.eventuallyAgree(
 		"other connections continue",
 		func(c *client.Client) bool { return c.State().Connected && weights(c) == "s0=50 " },
 	)
--- a/client/testcontroller_test.go
+++ b/client/testcontroller_test.go
@@ -15,7 +15,7 @@
 	"cressknot/internal/fleet"
 	"cressknot/internal/reconcile"
 	"cressknot/internal/service"
-	overrpc "cressknot/internal/service/rpc"
+	servicerpc "cressknot/internal/service/rpc"
 	"cressknot/internal/service/text"
 	"cressknot/internal/tableversion"
 	"cressknot/internal/testing/fakes"
@@ -24,21 +24,21 @@
 
 const eventuallyTimeout = 30 * time.Second // for anything that must happen on a loaded machine
 
-var transports = []struct {
-	name string
-	via  client.Transport
+var protocols = []struct {
+	name      string
+	transport client.Transport
 }{{"rpc", rpc.Transport{}}, {"runtime", runtime.Transport{}}}
 
-// names are servers s0, s1, … at addresses of their own.
-type names struct{ n int }
+// serverNames are servers s0, s1, … at addresses of their own.
+type serverNames struct{ n int }
 
-func (n names) Server(name string) (fleet.ServerID, bool) {
+func (n serverNames) Server(name string) (fleet.ServerID, bool) {
 	var id int
 	_, err := fmt.Sscanf(name, "s%d", &id)
 	return fleet.ServerID(id), err == nil && id < n.n
 }
-func (n names) Learn(name, _ string) fleet.ServerID { id, _ := n.Server(name); return id }
-func (n names) Lookup(id fleet.ServerID) (string, string) {
+func (n serverNames) Learn(name, _ string) fleet.ServerID { id, _ := n.Server(name); return id }
+func (n serverNames) Lookup(id fleet.ServerID) (string, string) {
 	return fmt.Sprint("s", id), fmt.Sprint("127.0.0.1:", 7000+id)
 }
 
@@ -82,12 +82,12 @@
 func (fixedQueries) History(
 	_ context.Context,
 	zone, class string,
-	most int,
+	limit int,
 ) (rows []service.VersionRow, err error) {
 	if class != "look" {
 		return nil, &service.Error{Code: service.NoClass, Text: fmt.Sprintf("class %q is not configured", class)}
 	}
-	for i := range most {
+	for i := range limit {
 		rows = append(rows, service.VersionRow{
 			Version:   tableversion.Version{Epoch: 9, Count: uint64(i + 1)},
 			Digest:    tableversion.Digest(i),
@@ -130,79 +130,86 @@
 
 func startController(t *testing.T, name string, epoch uint64, minor uint32) *testController {
 	t.Helper()
-	g := &testController{t: t}
+	controller := &testController{t: t}
 	began := time.Now()
-	g.hub = service.NewHub(service.HubOptions{
+	controller.hub = service.NewHub(service.HubOptions{
 		Controller: name,
 		Epoch:      epoch,
 		Zones:      []service.Zone{{Name: "a"}},
 		Classes:    classes,
-		Names:      names{1000},
+		Names:      serverNames{1000},
 		Minor:      minor,
 		Now:        func() fleet.Time { return fleet.Time(began.UnixNano()) + fleet.Time(time.Since(began)) },
 	})
-	if err := g.hub.Start(context.Background(), func(e transport.Event) {
-		g.mu.Lock()
-		g.events = append(g.events, e)
-		g.mu.Unlock()
+	if err := controller.hub.Start(context.Background(), func(e transport.Event) {
+		controller.mu.Lock()
+		controller.events = append(controller.events, e)
+		controller.mu.Unlock()
 	}); err != nil {
 		t.Fatal(err)
 	}
-	core := service.New(g.hub, fixedQueries{})
-	r, err := overrpc.Listen("127.0.0.1:0", core)
+	core := service.New(controller.hub, fixedQueries{})
+	rpcServer, err := servicerpc.Listen("127.0.0.1:0", core)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x, err := text.Listen("127.0.0.1:0", core)
+	textServer, err := text.Listen("127.0.0.1:0", core)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.servers, g.addrs = [2]interface{ Close(context.Context) error }{r, x}, [2]string{r.Addr(), x.Addr()}
-	return g
+	controller.servers = [2]interface{ Close(context.Context) error }{rpcServer, textServer}
+	controller.addrs = [2]string{rpcServer.Addr(), textServer.Addr()}
+	return controller
 }
 
-func (g *testController) stop() {
-	if g.stopped {
+func (tc *testController) stop() {
+	if tc.stopped {
 		return
 	}
-	g.stopped = true
+	tc.stopped = true
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	_ = g.hub.Stop(ctx)
-	for _, f := range g.servers {
-		_ = f.Close(ctx)
+	_ = tc.hub.Stop(ctx)
+	for _, server := range tc.servers {
+		_ = server.Close(ctx)
 	}
 }
 
 // publish changes servers in all classes by one message.
-func (g *testController) publish(kind reconcile.ChangeKind, state reconcile.State, weight int16, servers ...int) {
-	g.sequence++
-	m := reconcile.Message{Sequence: g.sequence}
-	for c := range classes {
-		for _, s := range servers {
-			m.Changes = append(
-				m.Changes,
-				reconcile.Change{Kind: kind, Class: fleet.ClassID(c), Server: fleet.ServerID(s), Weight: weight, State: state},
+func (tc *testController) publish(kind reconcile.ChangeKind, state reconcile.State, weight int16, servers ...int) {
+	tc.sequence++
+	message := reconcile.Message{Sequence: tc.sequence}
+	for class := range classes {
+		for _, server := range servers {
+			message.Changes = append(
+				message.Changes,
+				reconcile.Change{
+					Kind:   kind,
+					Class:  fleet.ClassID(class),
+					Server: fleet.ServerID(server),
+					Weight: weight,
+					State:  state,
+				},
 			)
 		}
 	}
-	g.hub.Send(m)
+	tc.hub.Send(message)
 }
 
-func (g *testController) setOpen(rev uint64, servers ...int) {
-	f := service.PublishedState{ListRevision: rev, Live: true, OpenServers: []string{}}
-	for _, s := range servers {
-		f.OpenServers = append(f.OpenServers, fmt.Sprint("s", s))
+func (tc *testController) setOpen(revision uint64, servers ...int) {
+	state := service.PublishedState{ListRevision: revision, Live: true, OpenServers: []string{}}
+	for _, server := range servers {
+		state.OpenServers = append(state.OpenServers, fmt.Sprint("s", server))
 	}
-	g.hub.PublishState(f)
+	tc.hub.PublishState(state)
 }
 
 // answered counts the messages that were answered.
-func (g *testController) answered() (n int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, e := range g.events {
-		if _, is := e.(transport.Answered); is {
+func (tc *testController) answered() (n int) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	for _, e := range tc.events {
+		if _, ok := e.(transport.Answered); ok {
 			n++
 		}
 	}
@@ -219,20 +226,20 @@
 func newClientPair(t *testing.T, controllers ...*testController) *clientPair {
 	t.Helper()
 	p := &clientPair{t: t}
-	for i, via := range transports {
-		r, err := fakes.NewRelay(controllers[0].addrs[i])
+	for i, protocol := range protocols {
+		relay, err := fakes.NewRelay(controllers[0].addrs[i])
 		if err != nil {
 			t.Fatal(err)
 		}
-		addrs := []string{r.Addr}
-		for _, g := range controllers[1:] {
-			addrs = append(addrs, g.addrs[i])
+		addrs := []string{relay.Addr}
+		for _, controller := range controllers[1:] {
+			addrs = append(addrs, controller.addrs[i])
 		}
-		c, err := client.New(client.Config{Name: "suite-" + via.name, Zone: "a", Controllers: addrs, Seed: 2}, via.via)
+		c, err := client.New(client.Config{Name: "suite-" + protocol.name, Zone: "a", Controllers: addrs, Seed: 2}, protocol.transport)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.relays[i], p.clients[i] = r, c
+		p.relays[i], p.clients[i] = relay, c
 	}
 	return p
 }
@@ -245,11 +252,11 @@
 }
 
 // eventuallyAgree waits until both clients are as wanted, and alike.
-func (p *clientPair) eventuallyAgree(what string, good func(*client.Client) bool) {
+func (p *clientPair) eventuallyAgree(step string, condition func(*client.Client) bool) {
 	p.t.Helper()
 	for end := time.Now().Add(eventuallyTimeout); ; time.Sleep(5 * time.Millisecond) {
 		a, b := p.clients[0].State(), p.clients[1].State()
-		if good(p.clients[0]) && good(p.clients[1]) && a.Controller == b.Controller && a.Version == b.Version &&
+		if condition(p.clients[0]) && condition(p.clients[1]) && a.Controller == b.Controller && a.Version == b.Version &&
 			a.Connected == b.Connected &&
 			a.NewerProtocol == b.NewerProtocol &&
 			reflect.DeepEqual(p.clients[0].Endpoints("look"), p.clients[1].Endpoints("look")) {
@@ -258,7 +265,7 @@
 		if time.Now().After(end) {
 			p.t.Fatalf(
 				"%s: condition not met by both clients, or their states differ, after %s:\n%+v %v\n%+v %v",
-				what,
+				step,
 				eventuallyTimeout,
 				a,
 				p.clients[0].Endpoints("look"),
@@ -270,18 +277,18 @@
 }
 
 func weights(c *client.Client) string {
-	out := ""
-	for _, l := range c.Endpoints("issue") {
-		out += fmt.Sprintf("%s=%d ", l.Server, l.Weight)
+	formatted := ""
+	for _, endpoint := range c.Endpoints("issue") {
+		formatted += fmt.Sprintf("%s=%d ", endpoint.Server, endpoint.Weight)
 	}
-	return out
+	return formatted
 }
 
 // errorCode returns the code of an error, and whether it asks to retry later.
 func errorCode(err error) (service.Code, bool) {
-	var f *service.Error
-	if errors.As(err, &f) {
-		return f.Code, f.RetryAfter > 0
+	var serviceError *service.Error
+	if errors.As(err, &serviceError) {
+		return serviceError.Code, serviceError.RetryAfter > 0
 	}
 	return service.Code(fmt.Sprint(err)), false
 }
--- a/client/watch.go
+++ b/client/watch.go
@@ -19,16 +19,16 @@
 
 // asServiceError converts any error.
 func asServiceError(err error) *service.Error {
-	var answer *service.Error
-	if errors.As(err, &answer) {
-		return answer
+	var serviceError *service.Error
+	if errors.As(err, &serviceError) {
+		return serviceError
 	}
 	return &service.Error{Code: service.Unreachable, Text: err.Error()}
 }
 
 // watch watches one controller after the other until the client is closed.
 func (c *Client) watch() {
-	defer c.done.Done()
+	defer c.background.Done()
 	for {
 		controller, wait := c.picker.pick(c.config.Clock())
 		if !sleep(c.ctx, wait) {
@@ -41,9 +41,9 @@
 		now := c.config.Clock()
 		reason := asServiceError(err)
 		if errors.Is(err, errOutdated) {
-			c.picker.outdated(now, controller)
+			c.picker.recordOutdated(now, controller)
 		} else {
-			c.picker.failed(now, controller, reason)
+			c.picker.recordFailure(now, controller, reason)
 		}
 		c.mu.Lock()
 		c.disconnectReason = reason
@@ -93,7 +93,7 @@
 		}
 		if !applied {
 			applied = true
-			c.picker.serving(controller)
+			c.picker.recordSuccess(controller)
 			c.config.OnWatch(true, hello.Name)
 		}
 		return nil
