--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -33,8 +33,8 @@
 	return controller
 }
 
-// BenchmarkFanOut changes 20 servers in three classes while 5,000 watchers follow, who run on the same cores; an op
-// lasts until the last of them has taken the change in.
+// BenchmarkFanOut changes 20 servers in three classes for 5,000 watchers, which run on the same cores. An operation
+// lasts until the last watcher has received the change.
 func BenchmarkFanOut(b *testing.B) {
 	const watchers = 5000
 	for i, protocol := range protocols {
@@ -59,7 +59,8 @@
 						return
 					}
 					defer func() { _ = conn.Close() }()
-					if protocol.name == "runtime" { // a watch has a connection of its own; sockets of one process are bounded
+					// A watch has a connection of its own, and the sockets of one process are limited.
+					if protocol.name == "runtime" {
 						_ = conn.Close()
 					}
 					version := tableversion.NoVersion
@@ -74,7 +75,7 @@
 								b.Error(err)
 								return
 							}
-							time.Sleep(time.Duration(100+w%100) * time.Millisecond) // as it asks for
+							time.Sleep(time.Duration(100+w%100) * time.Millisecond) // at least the smallest RetryAfter, spread
 						}
 					}
 				}()
@@ -82,7 +83,7 @@
 			for controller.hub.Watchers() < watchers && !b.Failed() {
 				time.Sleep(10 * time.Millisecond)
 			}
-			time.Sleep(2 * time.Second) // first updates are applied
+			time.Sleep(2 * time.Second) // lets all watchers apply their first update
 			var latencies []time.Duration
 			for n := range b.N {
 				target.Store(received.Load() + watchers)
@@ -109,8 +110,8 @@
 	}
 }
 
-// BenchmarkSizes prints what one change of 20 servers in three classes, and a complete state of 700, take over each
-// protocol.
+// BenchmarkSizes reports the sizes in bytes, over each protocol, of a change of 20 servers in three classes and of a
+// complete state of 700 servers.
 func BenchmarkSizes(b *testing.B) {
 	view := service.NewView("g1", "a", 1, []string{"look", "book", "issue"})
 	var all []reconcile.Change
@@ -148,7 +149,7 @@
 	}
 }
 
-// BenchmarkRequests asks a controller for its introduction from 16 connections at once.
+// BenchmarkRequests measures handshakes with a controller over 16 concurrent connections.
 func BenchmarkRequests(b *testing.B) {
 	for i, protocol := range protocols {
 		b.Run(protocol.name, func(b *testing.B) {
--- a/client/cache.go
+++ b/client/cache.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// maxEndpoints bounds a class: more is no table of servers.
+	// maxEndpoints is the largest number of endpoints of a class that is accepted as plausible.
 	maxEndpoints = 20_000
-	// maxWeight bounds an endpoint's weight, as in the runtime API of a proxy.
+	// maxWeight is the largest weight of an endpoint, as in the runtime API of a proxy.
 	maxWeight = 256
-	// olderListDelay without an update makes an older endpoint list acceptable: its source has begun anew, or all
-	// controllers have lost it.
+	// olderListDelay is the time without an applied update after which older state is accepted: the source of the
+	// endpoint list has restarted its revisions, or all controllers have lost the newer list.
 	olderListDelay = 10 * fleet.Second
 )
 
-// updateVerdict is what an update means for the cache.
+// updateVerdict is the result of passing an update to the cache.
 type updateVerdict uint8
 
 const (
 	updateApplied   updateVerdict = iota
 	updateHeartbeat               // nothing has changed
-	updateOutOfSync               // it does not continue the cached version: ask for the complete state
-	updateOutdated                // the controller knows less than another one has sent: ask another one
-	updateInvalid
+	updateOutOfSync               // does not continue the cached version: the complete state is needed
+	updateOutdated                // older than the cached state: another controller is needed
+	updateInvalid                 // violates a limit or does not match its digest
 )
 
 // cachedClass is the cached table of a class.
 type cachedClass struct {
 	endpoints      map[string]service.Endpoint
-	published      bool // by the controller that is watched
+	published      bool // the watched controller has published the class
 	admissionLimit int
 	retry          fleet.RetryMode
 }
@@ -45,7 +45,7 @@
 	return &copied
 }
 
-// digest sums the digests of the endpoints.
+// digest returns the sum of the endpoints' digests.
 func (c *cachedClass) digest() tableversion.Digest {
 	sum := tableversion.Digest(0)
 	for _, endpoint := range c.endpoints {
@@ -54,16 +54,16 @@
 	return sum
 }
 
-// tableCache is the cached state of a zone: it applies updates completely or not at all, and never goes back to an
-// older endpoint list. It does no I/O and reads no clock.
+// tableCache is the cached state of a zone. It applies an update completely or not at all, and rejects state that is
+// older than the cached one while updates are recent. It does no I/O and reads no clock.
 type tableCache struct {
 	classes          map[string]*cachedClass
-	openServers      map[string]bool // nil: all servers are open
+	openServers      map[string]bool // servers usable for classes that are not published; nil: all
 	controller       string
 	version          tableversion.Version
 	revision         uint64                          // of the endpoint list
 	newestVersions   map[string]tableversion.Version // by controller
-	updatedAt        fleet.Time                      // of the last update that counted
+	updatedAt        fleet.Time                      // of the last applied update or heartbeat
 	sawNewerProtocol bool
 }
 
@@ -71,18 +71,20 @@
 	return &tableCache{classes: map[string]*cachedClass{}, newestVersions: map[string]tableversion.Version{}}
 }
 
-// current returns the cached version and its controller.
+// current returns the cached version and the name of the controller that sent it.
 func (t *tableCache) current() (controller string, version tableversion.Version) {
 	return t.controller, t.version
 }
 
-// listRevision returns the revision of the endpoint list by which the tables were decided.
+// listRevision returns the revision of the endpoint list that the cached tables were decided by.
 func (t *tableCache) listRevision() uint64 { return t.revision }
 
-// newerProtocol reports whether a controller speaks a newer version of the protocol; what is not known here is skipped.
+// newerProtocol reports whether a controller has used a newer minor version of the protocol, whose additional fields
+// are skipped.
 func (t *tableCache) newerProtocol() bool { return t.sawNewerProtocol }
 
-// watchFrom returns the version from which to watch a controller: what is cached of it, else the complete state.
+// watchFrom returns the version from which to watch a controller: the cached one if that controller sent it, else
+// NoVersion, which requests the complete state.
 func (t *tableCache) watchFrom(controller string) tableversion.Version {
 	if controller == t.controller {
 		return t.version
@@ -90,10 +92,10 @@
 	return tableversion.NoVersion
 }
 
-// requestComplete lets the next watch ask for the complete state.
+// requestComplete makes the next watch request the complete state.
 func (t *tableCache) requestComplete() { t.version = tableversion.NoVersion }
 
-// update applies an update. The reason says what was wrong with one that was not applied.
+// update applies an update. The reason explains why one was not applied; it is "" for applied ones and heartbeats.
 func (t *tableCache) update(now fleet.Time, u *service.Update) (verdict updateVerdict, reason string) {
 	t.sawNewerProtocol = t.sawNewerProtocol || u.Minor > service.Minor
 	if reason := t.outdatedReason(now, u); reason != "" {
@@ -160,7 +162,7 @@
 	return updateHeartbeat, ""
 }
 
-// applyClass returns a class as an update leaves it. The cached one is not changed.
+// applyClass returns the state of class i of an update after the update. It does not change the cached class.
 func (t *tableCache) applyClass(
 	i int,
 	table *service.ClassTable,
@@ -174,7 +176,7 @@
 	class := t.classes[table.Class]
 	switch {
 	case class == nil,
-		table.Published && (complete || !class.published): // what is cached came from another controller
+		table.Published && (complete || !class.published): // the table replaces that of another controller
 		class = &cachedClass{endpoints: map[string]service.Endpoint{}}
 	default:
 		class = class.clone()
@@ -182,7 +184,7 @@
 	class.published = table.Published
 	class.admissionLimit = table.AdmissionLimit
 	class.retry = table.Retry
-	if !table.Published { // what is cached stays in use
+	if !table.Published { // the cached endpoints stay in use
 		return class, updateApplied, ""
 	}
 	for k, endpoint := range table.Endpoints {
@@ -223,7 +225,7 @@
 	return true
 }
 
-// deleteMissing deletes the classes that a complete state does not have.
+// deleteMissing deletes the classes that are not part of a complete state.
 func deleteMissing(classes map[string]*cachedClass, tables []service.ClassTable) {
 	maps.DeleteFunc(classes, func(name string, _ *cachedClass) bool {
 		return !slices.ContainsFunc(tables, func(t service.ClassTable) bool { return t.Class == name })
@@ -241,15 +243,16 @@
 	}
 }
 
-// classEndpoints is what the requests of a class may use.
+// classEndpoints are the endpoints and limits for the requests of a class.
 type classEndpoints struct {
-	endpoints      []service.Endpoint // by server
+	endpoints      []service.Endpoint // ordered by server name
 	admissionLimit int
 	retry          fleet.RetryMode
 }
 
-// endpoints returns what a class's requests may use, and whether the class is known. Of a class that the controller
-// has not published that is the cached table without servers that are not open, unless none would be left.
+// endpoints returns the endpoints that requests of a class may use, and whether the class is known. For a class that
+// the controller has not published these are the cached endpoints of open servers, or all cached endpoints if none is
+// open.
 func (t *tableCache) endpoints(name string) (_ classEndpoints, known bool) {
 	class := t.classes[name]
 	if class == nil {
--- a/client/cache_test.go
+++ b/client/cache_test.go
@@ -16,7 +16,7 @@
 
 func lookupName(id fleet.ServerID) (string, string) { return fmt.Sprint("s", id), fmt.Sprint("x:", id) }
 
-// addReady is a change that adds a server to a class.
+// addReady returns a change that adds a ready server to a class.
 func addReady(class, server int, weight int16) reconcile.Change {
 	return reconcile.Change{
 		Kind:   reconcile.AddEntry,
@@ -27,24 +27,24 @@
 	}
 }
 
-// formatEndpoints shows what is cached of a class.
+// formatEndpoints returns the usable endpoints of a class as text.
 func (t *tableCache) formatEndpoints(class string) string {
 	found, _ := t.endpoints(class)
 	return fmt.Sprint(found.endpoints)
 }
 
-// formatFirstClass shows what a controller has of its first class.
+// formatFirstClass returns the endpoints of a controller's first class as text.
 func formatFirstClass(view *service.View) string {
 	update := view.Since(tableversion.NoVersion)
 	return fmt.Sprint(update.Classes[0].Endpoints)
 }
 
-// checkedCache is a cache that checks each update that it is given.
+// checkedCache is a cache with checks for each delivered update.
 type checkedCache struct {
 	t                *rapid.T
 	cache            *tableCache
 	now              fleet.Time
-	controllerStates map[string]bool // states of the first class that some controller had
+	controllerStates map[string]bool // states that the first class had at any controller
 	newestList       uint64
 	lastApplied      fleet.Time
 }
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestCacheHoldsStatesOfControllers delivers updates of two controllers late, twice or not at all. It checks that
-// what is cached is always a complete state that some controller had, that a controller with an older list does not
-// count while a newer update is recent, and that the last complete state makes both agree.
+// TestCacheHoldsStatesOfControllers delivers updates of two controllers late, twice or not at all. It checks that the
+// cached state is always a complete state that a controller had, that updates decided by an older endpoint list are
+// rejected while a newer update is recent, and that a final complete state brings the cache in sync.
 func TestCacheHoldsStatesOfControllers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := []string{"look", "book"}
@@ -133,7 +133,7 @@
 	})
 }
 
-// TestCacheRejectsInvalidUpdates checks that an invalid update changes nothing.
+// TestCacheRejectsInvalidUpdates checks that an invalid, outdated or out-of-sync update does not change the cache.
 func TestCacheRejectsInvalidUpdates(t *testing.T) {
 	view := service.NewView("g", "a", 5, []string{"look"})
 	view.Apply([]reconcile.Change{addReady(0, 1, 9)}, lookupName)
@@ -180,9 +180,9 @@
 	}
 }
 
-// TestCacheAppliesChanges checks that a change that does not add up changes nothing; that a class that its controller
-// publishes late replaces what was cached of another one without a complete state; and that a complete state without a
-// class ends the class.
+// TestCacheAppliesChanges checks that a change with a wrong digest changes nothing; that the first publication of a
+// class replaces the cached table of another controller even if it is not a complete state; and that a complete state
+// without a class removes the class.
 func TestCacheAppliesChanges(t *testing.T) {
 	view := service.NewView("g", "a", 5, []string{"look", "book"})
 	view.Apply([]reconcile.Change{addReady(0, 1, 9), addReady(1, 1, 9)}, lookupName)
--- a/client/client.go
+++ b/client/client.go
@@ -1,8 +1,12 @@
-// Package client lets a program send its requests by the tables of cressknot's controllers, as a plain proxy does: it
-// watches a zone's tables, picks a server by weight for each request, ejects servers that fail, retries only where no
-// effect can happen twice and a budget allows it, and reports outcomes. It watches one controller at a time out of
-// several, never goes back to an older endpoint list, and continues with the last valid table while no controller
-// answers. Packages rpc and runtime connect it over the two published protocols; the answers are the same.
+// Package client is a client-side load balancer for programs that send requests to the servers of a fleet without a
+// proxy. A client watches the weight tables of its zone at a cressknot controller, picks a server by weight for each
+// request, ejects servers that fail repeatedly, retries only where the effect of a request cannot be applied twice and
+// a retry budget allows it, and reports outcomes to the controller.
+//
+// It watches one of several controllers at a time and continues with the last valid table while none is reachable. A
+// table decided by an older endpoint list than the one in use is rejected, unless no update was applied for 10 s.
+// Packages rpc and runtime connect the client over the two published protocols, gRPC and the text protocol; both give
+// the same results.
 package client
 
 import (
@@ -22,58 +26,74 @@
 )
 
 const (
-	// dialTimeout bounds connecting to a controller and the exchange of introductions.
+	// dialTimeout bounds dialing a controller, including the handshake.
 	dialTimeout = 2 * fleet.Second
-	// queryTimeout bounds a query.
+	// queryTimeout bounds a query or a load report.
 	queryTimeout = 3 * fleet.Second
 )
 
 // Transport connects to controllers over one protocol.
 type Transport interface {
+	// Dial connects to the controller at addr, whose form depends on the transport. It must return when ctx ends. The
+	// caller is Config.Name; controllers identify the client by it.
 	Dial(ctx context.Context, addr, caller string) (Conn, error)
 }
 
-// Conn is a connection to one controller. Its methods may be called from any goroutine; errors are *service.Error.
+// Conn is a connection to one controller. Its methods may be called concurrently. Errors are *service.Error, except
+// that Watch returns an error of apply unchanged.
 type Conn interface {
-	// Greet exchanges introductions.
+	// Greet performs the handshake: it sends the caller's protocol version and name, and returns the controller's, with
+	// its zones and classes.
 	Greet(ctx context.Context, h service.Hello) (service.Hello, error)
-	// Watch passes each update to apply until the context ends, the connection breaks or apply fails; updates that were
-	// applied without an error are acknowledged.
+	// Watch subscribes to the tables of a zone from the given version, NoVersion for the complete state. It calls apply
+	// for each update, in order, and acknowledges the update if apply succeeds. It returns when the context ends, the
+	// connection breaks or apply fails; the error is never nil.
 	Watch(ctx context.Context, zone string, from tableversion.Version, apply func(*service.Update) error) error
-	// Table returns the complete state of a zone.
+	// Table returns the complete state of a zone as an update from NoVersion.
 	Table(ctx context.Context, zone string) (service.Update, error)
-	// Report sends a batch of outcomes and returns the number of the newest batch that is counted.
+	// Report sends a load report and returns the sequence number of the newest report that the controller has counted.
 	Report(ctx context.Context, r *service.Report) (uint64, error)
-	// Server returns the state of a server.
+	// Server returns the controller's state of a server by name.
 	Server(ctx context.Context, name string) (service.ServerState, error)
-	// History returns the newest versions of a class's table.
+	// History returns the newest versions of the weight table of a class, at most maxVersions.
 	History(ctx context.Context, zone, class string, maxVersions int) (service.History, error)
-	// Summary returns the state of the fleet.
+	// Summary returns a summary of the fleet.
 	Summary(ctx context.Context) (service.Summary, error)
-	// Close closes the connection.
+	// Close closes the connection. Depending on the transport, queries in flight fail or are awaited.
 	Close() error
 }
 
-// Config configures a client. Governors and Zone are required.
+// Config configures a client. Zone and Controllers are required.
 type Config struct {
-	Name             string        // of the caller, as controllers see it
-	Zone             string        // whose tables are used
-	Controllers      []string      // addresses of the controllers, in the transport's form
-	Staleness        time.Duration // a table that was confirmed longer ago is not used; 0: any is better than none
-	Hedge            bool          // send hedged requests for slow idempotent requests, within the retry budget
-	UnboundedRetries bool          // no retry budget: only to measure its effect
-	Seed             uint64        // of random choices; 0: a random one
-
-	// OnTable is called with each table that is applied, and with how many endpoints the update had. May be nil; it must
-	// not call the client.
+	Name        string   // name of the caller, shown by controllers; may be empty
+	Zone        string   // zone whose weight tables are used
+	Controllers []string // addresses of the controllers; their form depends on the transport
+
+	// Staleness is the maximal age of a table in use: requests fail with ErrStale if the last confirmation by a
+	// controller is longer ago. 0 sets no limit.
+	Staleness time.Duration
+	// Hedge enables hedged requests: a second attempt of a request of an idempotent class, sent to another server if the
+	// first has not finished after half of the class's latency objective. Hedged requests use the retry budget, and are
+	// not sent while the controller forbids retries.
+	Hedge bool
+	// UnboundedRetries disables the retry budget. It serves to measure the budget's effect.
+	UnboundedRetries bool
+	// Seed seeds the choice of the controller and the jitter of reconnects. 0 selects a random seed.
+	Seed uint64
+
+	// OnTable is called after an update other than a heartbeat has been applied, with the version of the table and the
+	// number of endpoints in the update. It must not call the client. May be nil.
 	OnTable func(version tableversion.Version, endpoints int)
-	// OnWatch is called when a controller's watch begins or ends. May be nil; it must not call the client.
+	// OnWatch is called with up set after the first update of a watch has been applied, and with up unset when that
+	// watch ends. It must not call the client. May be nil.
 	OnWatch func(up bool, controller string)
-	// Clock returns the time, for tests; nil: the system's.
+	// Clock returns the current time in nanoseconds, counted from any epoch and greater than 0. It is called concurrently.
+	// Tests may set it; nil selects the system's clock.
 	Clock func() fleet.Time
 }
 
-// Errors of picks and requests, beside those of attempts and contexts.
+// Errors of the client's methods, to be matched with errors.Is. ErrFailed wraps the error of the last attempt, if it
+// had one, or that of the context.
 var (
 	ErrNoTable  = errors.New("no weight table has been received yet")
 	ErrNoClass  = errors.New("unknown class")
@@ -84,43 +104,45 @@
 	ErrClosed   = errors.New("client is closed")
 )
 
-// Client routes requests by the tables of controllers. All methods may be called from any goroutine.
+// Client routes requests by the weight tables of a controller. It is created by New and must be closed. Its methods may
+// be called concurrently.
 type Client struct {
 	config        Config
 	transport     Transport
-	reportSession uint64 // identifies this client's reports
+	reportSession uint64 // random; identifies the reports of this client instance
 	ctx           context.Context
 	cancel        context.CancelFunc
 	background    sync.WaitGroup
 
-	// Routing, read without a lock.
+	// Routing state, read without holding mu.
 	table      atomic.Pointer[routingTable]
 	classes    atomic.Pointer[[]fleet.RequestClass]
-	lastUpdate atomic.Int64 // when the table was last confirmed
+	lastUpdate atomic.Int64 // time of the last applied update or heartbeat; 0: none
 	budget     *retryBudget
 
-	// Counters since the start, and those since the last report.
+	// Counters since the start; demand counts since the last report.
 	requests atomic.Uint64
 	attempts atomic.Uint64
 	demand   atomic.Pointer[[]demandCounts]
 
-	picker *controllerPicker // of the watching goroutine
+	picker *controllerPicker // used only by the watch goroutine
 
 	mu               sync.Mutex
 	cache            *tableCache
-	servers          map[string]*Server // those of the present table, and those with counts to report
-	conn             Conn               // to the controller that is watched; nil: none
+	servers          map[string]*Server // by name: servers of the current table, and others with counts to report
+	conn             Conn               // to the watched controller; nil while disconnected
 	controller       string
-	disconnectReason *service.Error // why none is
-	ready            chan struct{}  // closed when there is a table
+	disconnectReason *service.Error // set while conn is nil
+	ready            chan struct{}  // closed once there is a routing table
 	pendingReports   []*service.Report
 	reportSequence   uint64
 }
 
-// demandCounts are the requests of a class since the last report.
+// demandCounts are the requests of a class, and those without a successful attempt, since the last report.
 type demandCounts struct{ requests, unanswered atomic.Uint64 }
 
-// New makes a client and begins to watch.
+// New returns a client that connects to the controllers in the background over the given transport. It does not wait
+// for a table; see Ready. The error says which required field of the configuration is missing.
 func New(config Config, transport Transport) (*Client, error) {
 	if config.Zone == "" || len(config.Controllers) == 0 {
 		return nil, fmt.Errorf(
@@ -163,14 +185,16 @@
 	}
 }
 
-// Close ends the client's goroutines and waits for them. Outcomes that were not reported are lost.
+// Close stops the client's goroutines and waits for them. Outcomes that have not been reported are lost. The error is
+// always nil.
 func (c *Client) Close() error {
 	c.cancel()
 	c.background.Wait()
 	return nil
 }
 
-// Ready waits until there is a table.
+// Ready waits until there is a routing table. It returns the context's error, wrapped with the reason why no
+// controller is connected, if the context ends first, and ErrClosed if the client is closed.
 func (c *Client) Ready(ctx context.Context) error {
 	select {
 	case <-c.ready:
@@ -184,7 +208,7 @@
 	}
 }
 
-// sleep waits; it returns false if the context ends before.
+// sleep waits for the duration. It returns false if the context ends first.
 func sleep(ctx context.Context, duration fleet.Time) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
@@ -201,7 +225,8 @@
 
 func (c *Client) nowNanos() int64 { return int64(c.config.Clock()) }
 
-// Class returns the position of a class by its name.
+// Class returns the position of a class by name, as Pick and Do take it. Positions stay valid until the client is
+// closed. The error wraps ErrNoClass, also while no controller has been connected yet.
 func (c *Client) Class(name string) (int, error) {
 	if classes := c.classes.Load(); classes != nil {
 		position := slices.IndexFunc(*classes, func(class fleet.RequestClass) bool { return class.Name == name })
@@ -212,7 +237,7 @@
 	return 0, fmt.Errorf("%w: %q", ErrNoClass, name)
 }
 
-// lookup returns the present table of a class.
+// lookup returns the current table of a class, which has at least one server.
 func (c *Client) lookup(class int) (*classTable, error) {
 	table := c.table.Load()
 	switch {
@@ -230,7 +255,9 @@
 	return found, nil
 }
 
-// Pick returns a server for a request of a class, by its position. It counts nothing; Do sends a complete request.
+// Pick returns a server for a request of the class at the given position. Ejected servers are returned only if all
+// servers of the class are ejected. Pick does not count or report anything; use Do to send a request with retries. The
+// error is ErrNoTable, ErrNoClass, ErrStale or ErrNoServer.
 func (c *Client) Pick(class int) (*Server, error) {
 	table, err := c.lookup(class)
 	if err != nil {
@@ -239,7 +266,8 @@
 	return table.pick(c.nowNanos, nil), nil
 }
 
-// Age returns how long ago a controller confirmed the table.
+// Age returns the time since a controller last confirmed the table by an update or a heartbeat, or the largest
+// duration if none ever did.
 func (c *Client) Age() time.Duration {
 	at := c.lastUpdate.Load()
 	if at == 0 {
@@ -248,18 +276,18 @@
 	return time.Duration(c.nowNanos() - at)
 }
 
-// State describes the table that a client uses.
+// State describes the table that a client uses, and its connection.
 type State struct {
-	Controller    string // whose table it is
-	Version       tableversion.Version
-	ListRevision  uint64
-	Connected     bool  // a controller is watched now
-	Err           error // why none is
-	NewerProtocol bool  // controllers speak a newer version of the protocol
-	Age           time.Duration
+	Controller    string               // name of the controller that sent the table; "" before the first one
+	Version       tableversion.Version // version of the table; NoVersion before the first one or out of sync
+	ListRevision  uint64               // revision of the endpoint list that the table was decided by
+	Connected     bool                 // a controller is connected
+	Err           error                // why none is connected; nil if Connected
+	NewerProtocol bool                 // a controller has used a newer minor version of the protocol
+	Age           time.Duration        // as returned by Client.Age
 }
 
-// State returns the state of the client.
+// State returns a snapshot of the client's state.
 func (c *Client) State() State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -276,7 +304,7 @@
 	return state
 }
 
-// Endpoints returns what a class's requests may use.
+// Endpoints returns the endpoints that requests of a class may use, ordered by server name; nil for an unknown class.
 func (c *Client) Endpoints(class string) []service.Endpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -284,14 +312,14 @@
 	return found.endpoints
 }
 
-// Counts are counters since the client's start.
+// Counts are counters since the client was created.
 type Counts struct {
-	Requests      uint64
-	Attempts      uint64
-	DeniedRetries uint64 // retries and hedged requests that the budget did not allow
+	Requests      uint64 // calls of Do that found a usable table, including those rejected by an admission limit
+	Attempts      uint64 // attempts sent, including retries and hedged requests
+	DeniedRetries uint64 // retries and hedged requests denied by the retry budget
 }
 
-// Counts returns the client's counters.
+// Counts returns the current values of the counters. They are not read atomically as a group.
 func (c *Client) Counts() Counts {
 	return Counts{
 		Requests:      c.requests.Load(),
@@ -300,7 +328,7 @@
 	}
 }
 
-// query asks the controller that is watched.
+// query sends a query to the watched controller.
 func query[T any](ctx context.Context, c *Client, call func(context.Context, Conn) (T, error)) (T, error) {
 	c.mu.Lock()
 	conn := c.conn
@@ -315,28 +343,29 @@
 	return call(ctx, conn)
 }
 
-// Server returns the state of a server, and the reasons for it.
+// Server returns the watched controller's state of a server by name, with the reasons for it. Like the other queries it
+// takes at most 3 s; errors are *service.Error, with the code Unreachable if no controller is connected.
 func (c *Client) Server(ctx context.Context, name string) (service.ServerState, error) {
 	return query(ctx, c, func(ctx context.Context, conn Conn) (service.ServerState, error) {
 		return conn.Server(ctx, name)
 	})
 }
 
-// History returns the newest versions of a class's table, at most maxVersions.
+// History returns the newest versions of the weight table of a class in the client's zone, at most maxVersions.
 func (c *Client) History(ctx context.Context, class string, maxVersions int) (service.History, error) {
 	return query(ctx, c, func(ctx context.Context, conn Conn) (service.History, error) {
 		return conn.History(ctx, c.config.Zone, class, maxVersions)
 	})
 }
 
-// Summary returns the state of the fleet.
+// Summary returns the watched controller's summary of the fleet.
 func (c *Client) Summary(ctx context.Context) (service.Summary, error) {
 	return query(ctx, c, func(ctx context.Context, conn Conn) (service.Summary, error) {
 		return conn.Summary(ctx)
 	})
 }
 
-// Table returns the complete state of the zone, independently of the watch.
+// Table queries the complete state of the client's zone. It does not change the table that the client uses.
 func (c *Client) Table(ctx context.Context) (service.Update, error) {
 	return query(ctx, c, func(ctx context.Context, conn Conn) (service.Update, error) {
 		return conn.Table(ctx, c.config.Zone)
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -10,8 +10,8 @@
 	"cressknot/client/rpc"
 )
 
-// A program that books slots: it follows its zone's tables over gRPC (package runtime does the same over the text
-// protocol) and lets the library choose servers, retry where that is safe, and report.
+// A program that books slots over gRPC. The client watches the tables of its zone, picks servers, retries where that is
+// safe, and reports outcomes. Package runtime does the same over the text protocol.
 func Example() {
 	c, err := rpc.New(client.Config{
 		Name:        "desk-7",
@@ -26,7 +26,7 @@
 	defer func() { _ = c.Close() }()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if err := c.Ready(ctx); err != nil { // no controller answers yet
+	if err := c.Ready(ctx); err != nil { // no table was received within 10 s
 		fmt.Println(err)
 		return
 	}
@@ -35,14 +35,14 @@
 		fmt.Println(err)
 		return
 	}
-	err = c.Do(ctx, book, func(ctx context.Context, t client.Attempt) client.Result {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.Server.Addr+"/book", nil)
+	err = c.Do(ctx, book, func(ctx context.Context, attempt client.Attempt) client.Result {
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+attempt.Server.Addr+"/book", nil)
 		if err != nil {
 			return client.Result{Outcome: client.NotExecuted, Err: err}
 		}
 		res, err := http.DefaultClient.Do(req)
 		if err != nil {
-			return client.Result{Outcome: client.Failed, Err: err} // it may have run
+			return client.Result{Outcome: client.Failed, Err: err} // the request may have been executed
 		}
 		defer func() { _ = res.Body.Close() }()
 		if res.StatusCode != http.StatusOK {
--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -24,7 +24,7 @@
 	"rewrite the golden files of version 1.0, and those of 1.9 with parts that are unknown to this version",
 )
 
-// messages are what both protocols carry, with how each is written and read.
+// messages are the messages that both protocols carry, with the functions that format and parse them.
 var messages = []struct {
 	name       string
 	value      any
@@ -150,15 +150,15 @@
 	},
 }
 
-// withUnknownParts writes an answer as a minor version to come might: with a field, a key and a row that nobody here
-// knows.
+// withUnknownParts extends an encoded message and its text form as a future minor version might, by a field and a row
+// that this version does not know.
 func withUnknownParts(encoded, plain []byte) ([]byte, []byte) {
 	encoded = protowire.AppendTag(encoded, 1000, protowire.BytesType)
 	encoded = protowire.AppendString(encoded, "to come")
 	return encoded, append(append([]byte(nil), plain...), "shade server=s1 of=0.5\n"...)
 }
 
-// writeGoldenFiles writes a message as this version does, and as one to come might.
+// writeGoldenFiles writes a message as version 1.0 encodes it, and with unknown parts as version 1.9.
 func writeGoldenFiles(t *testing.T, name string, message proto.Message, plain []byte) {
 	t.Helper()
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
@@ -183,8 +183,8 @@
 	}
 }
 
-// TestGoldenFilesOfEveryVersionParse reads messages of each version that was ever written, and of one to come: both
-// protocols give the same, the parts that are known.
+// TestGoldenFilesOfEveryVersionParse checks that messages of every version so far, and of a future one with unknown
+// parts, are parsed to the same values over both protocols.
 func TestGoldenFilesOfEveryVersionParse(t *testing.T) {
 	for _, message := range messages {
 		if *update {
@@ -217,8 +217,8 @@
 	}
 }
 
-// FuzzAnswers: whatever bytes come, a reader gives an answer or an error, and what it gives can be written and read
-// again.
+// FuzzAnswers checks that the parser returns an update or an error for any input, and that a parsed update is unchanged
+// after formatting and parsing it again.
 func FuzzAnswers(f *testing.F) {
 	for _, message := range messages {
 		f.Add(message.formatText(message.value))
--- a/client/picker.go
+++ b/client/picker.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// minBackoff is the wait after a controller's first failure; it doubles with each further one.
+	// minBackoff is the wait after the first failure of a controller; it doubles with each consecutive failure.
 	minBackoff = 100 * fleet.Millisecond
-	// maxBackoff bounds the wait: a controller that comes back after long is found within this time.
+	// maxBackoff bounds the wait, so that a controller that recovers after a long outage is found within this time.
 	maxBackoff = 5 * fleet.Second
-	// maxBackoffDoublings bounds the shift of minBackoff.
+	// maxBackoffDoublings bounds the shift of minBackoff against overflow.
 	maxBackoffDoublings = 8
-	// backoffJitter is the part of each wait that is random, so that clients don't reconnect all at once.
+	// backoffJitter is the random fraction of each wait, so that clients do not reconnect all at once.
 	backoffJitter = 0.5
-	// outdatedDelay is the wait before a controller is asked again that knew less than another one: it learns meanwhile.
+	// outdatedDelay is the wait before a controller with outdated state is dialed again; it may catch up meanwhile.
 	outdatedDelay = fleet.Second
-	// pickerStream distinguishes the picker's random numbers from others of the same seed.
+	// pickerStream is the PCG stream of the picker, distinct from other uses of the same seed.
 	pickerStream = 11
 )
 
-// candidate is the state of one controller.
+// candidate is the connection history of one controller.
 type candidate struct {
-	failures  int // in a row
+	failures  int // consecutive
 	notBefore fleet.Time
 }
 
-// controllerPicker decides which controller is asked next and when. It does no I/O and reads no clock.
+// controllerPicker decides which controller is dialed next, and when. It does no I/O and reads no clock.
 type controllerPicker struct {
 	candidates []candidate
 	preferred  int
 	rng        *rand.Rand
 }
 
-// newControllerPicker makes a picker for a number of controllers that begins with a random one.
+// newControllerPicker returns a picker for the given number of controllers that starts with a random one.
 func newControllerPicker(controllers int, seed uint64) *controllerPicker {
 	p := &controllerPicker{
 		candidates: make([]candidate, controllers),
@@ -45,7 +45,7 @@
 	return p
 }
 
-// pick returns the controller to ask, and how long to wait before.
+// pick returns the index of the controller to dial next, and how long to wait before.
 func (p *controllerPicker) pick(now fleet.Time) (controller int, wait fleet.Time) {
 	best := p.preferred
 	for offset := range p.candidates {
@@ -57,26 +57,27 @@
 	return best, max(0, p.candidates[best].notBefore-now)
 }
 
-// recordFailure records that a controller failed; the reason, nil if none is known, may ask for a longer wait.
+// recordFailure records that dialing or watching a controller failed. The wait before the next attempt is at least
+// reason.RetryAfter; the reason may be nil.
 func (p *controllerPicker) recordFailure(now fleet.Time, controller int, reason *service.Error) {
 	c := &p.candidates[controller]
 	wait := min(maxBackoff, minBackoff<<min(c.failures, maxBackoffDoublings))
 	c.failures++
 	wait = wait.Scale(1 - backoffJitter*p.rng.Float64())
-	if reason != nil && reason.RetryAfter > 0 { // no earlier than it asked for, and not all clients at once
+	if reason != nil && reason.RetryAfter > 0 { // jitter only lengthens the wait, and spreads the clients
 		wait = max(wait, reason.RetryAfter.Scale(1+backoffJitter*p.rng.Float64()))
 	}
 	c.notBefore = now + wait
 	p.preferred = (controller + 1) % len(p.candidates)
 }
 
-// recordOutdated records that a controller knows less than another one has sent.
+// recordOutdated records that a controller has sent older state than was applied before.
 func (p *controllerPicker) recordOutdated(now fleet.Time, controller int) {
 	p.candidates[controller].notBefore = now + outdatedDelay.Scale(1+backoffJitter*p.rng.Float64())
 	p.preferred = (controller + 1) % len(p.candidates)
 }
 
-// recordSuccess records that a controller serves.
+// recordSuccess records that an update of a controller was applied. It resets the backoff.
 func (p *controllerPicker) recordSuccess(controller int) {
 	p.candidates[controller] = candidate{}
 	p.preferred = controller
--- a/client/picker_test.go
+++ b/client/picker_test.go
@@ -7,8 +7,8 @@
 	"cressknot/internal/service"
 )
 
-// TestPickerBacksOff checks that a controller that fails waits longer each time while others are asked, that one that
-// asks for a longer wait gets it, and that one that serves is asked at once.
+// TestPickerBacksOff checks that the wait for a failing controller grows while the other one is picked, that a
+// controller's RetryAfter is respected, and that a controller is picked at once after a success.
 func TestPickerBacksOff(t *testing.T) {
 	picker := newControllerPicker(2, 3)
 	now := 100 * sec
@@ -45,8 +45,7 @@
 	}
 }
 
-// TestPickerSpreadsReconnects checks that clients that lost a controller at the same time don't reconnect at the same
-// time.
+// TestPickerSpreadsReconnects checks that clients that lose a controller at the same time reconnect at different times.
 func TestPickerSpreadsReconnects(t *testing.T) {
 	waits := map[fleet.Time]int{}
 	for seed := range uint64(1000) {
--- a/client/reports.go
+++ b/client/reports.go
@@ -13,16 +13,16 @@
 const (
 	// reportInterval is the mean time between two reports.
 	reportInterval = fleet.Second
-	// minReportFraction and reportJitter spread the reports of many clients.
+	// minReportFraction and reportJitter make each interval 0.9 to 1.1 times the mean, to spread reports of many clients.
 	minReportFraction = 0.9
 	reportJitter      = 0.2
-	// maxReportRows bounds the servers of a report: some 14 kB in the text protocol, whose payloads end at 16.
+	// maxReportRows bounds the servers per report: about 14 kB in the text protocol, which limits payloads to 16 kB.
 	maxReportRows = 200
-	// maxPendingReports bounds the reports that wait for a controller; later outcomes are summed in the counts.
+	// maxPendingReports bounds the reports waiting for a controller. At the limit, outcomes accumulate in the counters.
 	maxPendingReports = 16
 )
 
-// sendReports reports outcomes until the client is closed.
+// sendReports sends load reports until the client is closed.
 func (c *Client) sendReports() {
 	defer c.background.Done()
 	for sleep(c.ctx, reportInterval.Scale(minReportFraction+reportJitter*rand.Float64())) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// sendPending sends reports in their order up to the first failure, after which the same report is sent again with
-// the same number.
+// sendPending sends reports in order and stops at the first temporary failure. The failed report is sent again later
+// with the same sequence number, so that the controller counts it once.
 func (c *Client) sendPending(conn Conn, pending []*service.Report) {
 	for _, report := range pending {
 		ctx, cancel := context.WithTimeout(c.ctx, time.Duration(queryTimeout))
@@ -55,7 +55,7 @@
 	}
 }
 
-// isPermanent reports whether a controller will never count a report, however often it is sent.
+// isPermanent reports whether sending the same report again cannot succeed.
 func isPermanent(err error) bool {
 	var serviceError *service.Error
 	if !errors.As(err, &serviceError) {
@@ -68,7 +68,7 @@
 	return false
 }
 
-// collectReports makes reports of what was counted. The client is locked.
+// collectReports moves the counts since the last report into pending reports. The caller must hold mu.
 func (c *Client) collectReports() {
 	report := &service.Report{}
 	for name, server := range c.servers {
@@ -96,8 +96,8 @@
 	c.pendingReports = append(c.pendingReports, report)
 }
 
-// takeOutcome takes the counts of a server. Successes and failures are counted after their attempt, so that those
-// taken here belong to attempts that are counted: sums stay in bounds.
+// takeOutcome returns and resets the counts of a server. recordAttempt counts an attempt before its success or
+// failure, so that the attempts counter is never smaller than the sum taken here and does not wrap around.
 func (s *Server) takeOutcome(name string) (_ service.ServerOutcome, ok bool) {
 	if s.counts.attempts.Load() == 0 {
 		return service.ServerOutcome{}, false
@@ -116,7 +116,7 @@
 	return outcome, outcome.Attempts > 0
 }
 
-// takeDemands takes the counts of requests by class.
+// takeDemands returns and resets the request counts of the classes with requests.
 func (c *Client) takeDemands() []service.ClassDemand {
 	classes := c.classes.Load()
 	if classes == nil {
--- a/client/request.go
+++ b/client/request.go
@@ -10,33 +10,40 @@
 )
 
 const (
-	// admissionUnit is the value of an admission limit that admits every request.
+	// admissionUnit is the admission limit that admits every request.
 	admissionUnit = 1000
-	// maxAttempts is more than the attempts of a request can be: none waits for the request when it ends.
+	// maxAttempts exceeds the number of attempts that a request can have: attempts that end after their request never
+	// block on its channel.
 	maxAttempts = 4
 )
 
-// Attempt is one attempt of a request, to be sent to a server.
+// Attempt describes one attempt of a request, which is to be sent to Server.
 type Attempt struct {
 	Server     *Server
-	Number     int  // from 0
-	MayHaveRun bool // an earlier attempt may have been executed
+	Number     int  // 0 for the first attempt of the request
+	MayHaveRun bool // an earlier attempt of the request may have been executed
 }
 
-// Result is the outcome of an attempt.
+// Result is the result of an attempt. The zero value is a success.
 type Result struct {
 	Outcome Outcome
-	Load    []uint32 // load values of the server in thousandths, if the answer had any
-	Err     error
+	Load    []uint32 // load values of the server in thousandths, at most 4, from a successful response; may be nil
+	Err     error    // cause of a failure, wrapped in the error of Do; may be nil
 }
 
-// SendFunc sends one attempt. It must stop when its context ends.
+// SendFunc sends one attempt and returns its result. It must return when its context ends. It is called in a goroutine
+// of its own: calls for one request may overlap, and one may still run after Do has returned, with its context
+// cancelled.
 type SendFunc = func(context.Context, Attempt) Result
 
-// Do sends one request of a class: it picks a server, lets send attempt it, and retries where that is safe, the
-// controller allows it and the retry budget suffices. It returns when an attempt succeeds, when none may follow, or
-// at once when the context ends. No effect happens twice through it: what may have been executed is not sent again
-// unless the class allows repetitions.
+// Do sends one request of the class at the given position. It picks a server, calls send for the attempt, and retries
+// where that is safe, the controller's retry mode allows it and the retry budget suffices. A request that may have been
+// executed is sent again only if its class is idempotent, or within the class's deduplication window if it has
+// idempotency keys.
+//
+// Do returns nil when an attempt succeeds, and an error when no attempt may follow or as soon as the context or the
+// class's deadline ends. The error is one of Pick's, ErrRejected if the admission limit of the class rejected the
+// request before the first attempt, or wraps ErrFailed.
 func (c *Client) Do(ctx context.Context, class int, send SendFunc) error {
 	table, err := c.lookup(class)
 	if err != nil {
@@ -70,14 +77,14 @@
 	return err
 }
 
-// finishedAttempt is an attempt that has ended.
+// finishedAttempt is an attempt that has ended, with its result.
 type finishedAttempt struct {
 	server    *Server
 	startedAt fleet.Time
 	result    Result
 }
 
-// requestRun carries out the attempts of one request.
+// requestRun executes one request.
 type requestRun struct {
 	client     *Client
 	class      int
@@ -89,11 +96,11 @@
 	lastServer *Server // of the newest attempt
 }
 
-// run makes attempts until one succeeds or none may follow, and a hedged request if the first is slow and the client is
-// configured so.
+// run makes attempts until one succeeds or none may follow. If hedging is enabled and the first attempt is slow, it
+// sends a hedged request.
 func (r *requestRun) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // ends attempts that are still in flight
+	defer cancel() // cancels attempts that are still in flight
 	r.startAttempt(ctx, r.table.pick(r.client.nowNanos, nil))
 	var hedgeDue <-chan time.Time
 	if r.mayHedge() {
@@ -103,7 +110,7 @@
 	}
 	for {
 		select {
-		case <-ctx.Done(): // the answer is final, whatever is still in flight
+		case <-ctx.Done(): // does not wait for attempts in flight
 			return fmt.Errorf("%w: %w", ErrFailed, ctx.Err())
 		case <-hedgeDue:
 			hedgeDue = nil
@@ -118,7 +125,7 @@
 	}
 }
 
-// mayHedge reports whether a hedged request may be sent.
+// mayHedge reports whether the request may be hedged.
 func (r *requestRun) mayHedge() bool {
 	return r.client.config.Hedge &&
 		r.state.class.Idempotency == fleet.Idempotent &&
@@ -126,7 +133,8 @@
 		len(r.table.servers) > 1
 }
 
-// startAttempt sends an attempt. One that may be followed by another has the latency objective as its timeout.
+// startAttempt starts an attempt in a goroutine. An attempt that may be retried is limited to the latency objective of
+// the class.
 func (r *requestRun) startAttempt(ctx context.Context, server *Server) {
 	c := r.client
 	mayBeRetried := r.state.beginAttempt()
@@ -154,8 +162,8 @@
 	}()
 }
 
-// attemptFinished handles the end of an attempt and starts a retry where one may follow. Ended reports that the
-// request is answered, by err.
+// attemptFinished handles the end of an attempt and starts a retry if one is allowed. It reports whether the request
+// has ended; err is then its result.
 func (r *requestRun) attemptFinished(ctx context.Context, attempt finishedAttempt) (ended bool, err error) {
 	r.inFlight--
 	outcome := attempt.result.Outcome
@@ -170,7 +178,7 @@
 	if !allowed || ctx.Err() != nil || !r.client.takeRetryToken() {
 		return true, attemptsFailed(attempt.result.Err)
 	}
-	// The newest table may no longer have the server that failed.
+	// The current table may no longer contain the server that failed.
 	if table, err := r.client.lookup(r.class); err == nil {
 		r.table = table
 	}
@@ -184,7 +192,7 @@
 
 func (c *Client) takeRetryToken() bool { return c.config.UnboundedRetries || c.budget.withdraw() }
 
-// attemptsFailed wraps the error of the last attempt, which may be nil.
+// attemptsFailed returns ErrFailed wrapping the error of the last attempt, which may be nil.
 func attemptsFailed(last error) error {
 	if last == nil {
 		return ErrFailed
--- a/client/request_test.go
+++ b/client/request_test.go
@@ -12,8 +12,8 @@
 	"cressknot/internal/service"
 )
 
-// newTestClient makes a client with a fixed table and without controllers. Its servers s0, s1, … have the given
-// weights in an idempotent and in another class.
+// newTestClient returns a client with a fixed table and without controllers. Its servers s0, s1, … have the given
+// weights in an idempotent class at position 0 and a class at position 1 that is not idempotent.
 func newTestClient(t testing.TB, mode fleet.RetryMode, unbounded bool, weights ...int) *Client {
 	t.Helper()
 	var now atomic.Int64
@@ -44,8 +44,8 @@
 	return c
 }
 
-// TestRequestEndsWithItsContext checks that a request whose context ends returns at once though an attempt is in
-// flight, and that it is not sent again whatever the attempt's outcome.
+// TestRequestEndsWithItsContext checks that Do returns at once when its context ends while an attempt is in flight, and
+// that the request is not retried even if the attempt was not executed.
 func TestRequestEndsWithItsContext(t *testing.T) {
 	c := newTestClient(t, fleet.RetryTwice, false, 1, 1)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -75,7 +75,7 @@
 	}
 }
 
-// TestHedgeOnlyIdempotentRequests checks that a hedged request is sent only where no effect can happen twice.
+// TestHedgeOnlyIdempotentRequests checks that hedged requests are sent only for classes that are idempotent.
 func TestHedgeOnlyIdempotentRequests(t *testing.T) {
 	c := newTestClient(t, fleet.RetryTwice, false, 1, 1)
 	c.config.Hedge = true
@@ -83,14 +83,14 @@
 		requestClass := &(*c.classes.Load())[class]
 		requestClass.LatencyObjective = sec
 		requestClass.Deadline = 60 * sec
-		if class == 1 { // nothing else ends it
+		if class == 1 { // bounds the test: no hedged request ends it
 			requestClass.Deadline = 50 * fleet.Millisecond
 		}
 		attempts := make(chan Attempt, 9)
 		_ = c.Do(context.Background(), class, func(ctx context.Context, attempt Attempt) Result {
 			attempts <- attempt
 			if attempt.Number == 0 {
-				<-ctx.Done() // its own timeout, or the hedged request succeeded
+				<-ctx.Done() // ends by the attempt's timeout or when the hedged request succeeds
 				return Result{Outcome: Failed}
 			}
 			return Result{}
--- a/client/retry.go
+++ b/client/retry.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// retriesPerRequest is what each request adds to the retry budget: while half of a fleet fails, a tenth more attempts
-	// are sent, not half as many again.
+	// retriesPerRequest is the number of tokens that each request adds to the retry budget. With half of the fleet
+	// failing, clients send 10% more attempts than requests instead of 50% more.
 	retriesPerRequest = 0.1
-	// maxRetryTokens bounds the saved budget: a quiet client may retry after the first failures of a fault.
+	// maxRetryTokens bounds the saved tokens, which let a client with few requests retry the first failures of an outage.
 	maxRetryTokens = 10.0
-	// hedgeDelayFraction of the latency objective is when a hedged request may be sent.
+	// hedgeDelayFraction is the fraction of the latency objective after which a hedged request may be sent.
 	hedgeDelayFraction = 0.5
 )
 
 // Outcome is the outcome of an attempt.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of attempts. Use NotExecuted only with proof: it allows retries of requests that are not idempotent.
 const (
 	Success     Outcome = iota
-	NotExecuted         // proof exists that it had no effect: no connection, or the server said so
-	Failed              // it may have been executed
+	NotExecuted         // failed, and provably not executed: no connection was made, or the server refused the request
+	Failed              // failed, and may have been executed
 )
 
-// retryTarget is where a retry may go.
+// retryTarget is the server to which a retry may be sent.
 type retryTarget uint8
 
 const (
 	otherServer retryTarget = iota
-	sameServer              // the only one that surely recognizes the repetition
+	sameServer              // only this server is certain to recognize the idempotency key
 )
 
 // requestState is the state of one request's attempts. It does no I/O and reads no clock.
@@ -40,15 +40,15 @@
 	mode        fleet.RetryMode
 	attempts    int
 	mayHaveRun  bool
-	windowStart fleet.Time // when the first attempt began that may have been executed
+	windowStart fleet.Time // start of the first attempt that may have been executed; begins the deduplication window
 }
 
-// newRequestState begins a request of a class under the controller's retry mode.
+// newRequestState returns the state of a request without attempts, for the controller's retry mode.
 func newRequestState(class fleet.RequestClass, mode fleet.RetryMode) requestState {
 	return requestState{class: class, mode: mode}
 }
 
-// maxRetries returns how many retries a mode allows after attempts that may have been executed.
+// maxRetries returns the number of retries that a mode allows after attempts that may have been executed.
 func maxRetries(mode fleet.RetryMode) int {
 	switch mode {
 	case fleet.RetryOnce:
@@ -59,13 +59,14 @@
 	return 0
 }
 
-// beginAttempt begins an attempt, and reports whether another one may follow it whatever its outcome.
+// beginAttempt counts an attempt. It reports whether the mode and the class allow a retry even if it may have been
+// executed.
 func (r *requestState) beginAttempt() (mayBeRetried bool) {
 	r.attempts++
 	return r.attempts <= maxRetries(r.mode) && r.class.Idempotency != fleet.NotIdempotent
 }
 
-// endAttempt records the outcome of an attempt that began at the given time.
+// endAttempt records the outcome of an attempt that was started at the given time.
 func (r *requestState) endAttempt(startedAt fleet.Time, outcome Outcome) {
 	if outcome == Failed && !r.mayHaveRun {
 		r.mayHaveRun = true
@@ -73,9 +74,10 @@
 	}
 }
 
-// retry reports whether the request may be retried now, and where. No effect happens twice: a request that is not
-// idempotent is retried only while no attempt may have been executed; one with an idempotency key within its window,
-// counted from the first attempt that may have been executed, where servers recognize the repetition.
+// retry reports whether the request may be retried now, and where. To apply no effect twice, a request that is not
+// idempotent is retried only while no attempt may have been executed. After that, a request with an idempotency key is
+// retried only within the deduplication window, which starts with the first attempt that may have been executed, and
+// only at servers that recognize the key.
 func (r *requestState) retry(now fleet.Time, last Outcome) (target retryTarget, allowed bool) {
 	if last == Success || !r.modeAllowsRetry(last) {
 		return otherServer, false
@@ -83,7 +85,7 @@
 	if !r.mayHaveRun || r.class.Idempotency == fleet.Idempotent {
 		return otherServer, true
 	}
-	latestArrival := now + r.class.Deadline/2 // the repetition must arrive within the window, too
+	latestArrival := now + r.class.Deadline/2 // the retry must also arrive within the window
 	if r.class.Idempotency == fleet.NotIdempotent || latestArrival > r.windowStart+r.class.DeduplicationWindow {
 		return otherServer, false
 	}
@@ -100,24 +102,25 @@
 	return r.attempts <= maxRetries(r.mode)
 }
 
-// retryBudget bounds retries and hedged requests by the number of requests, so that a client never feeds an overload.
+// retryBudget is a token bucket that limits retries and hedged requests to a fraction of the requests, so that retries
+// do not amplify an overload.
 type retryBudget struct {
 	mu     sync.Mutex
 	tokens float64
 	denied uint64
 }
 
-// newRetryBudget makes a full budget.
+// newRetryBudget returns a full budget.
 func newRetryBudget() *retryBudget { return &retryBudget{tokens: maxRetryTokens} }
 
-// deposit adds what a request earns.
+// deposit adds the tokens for one request.
 func (b *retryBudget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(maxRetryTokens, b.tokens+retriesPerRequest)
 }
 
-// withdraw takes the cost of a retry, if the budget has it.
+// withdraw takes one token for a retry. It returns false, and counts a denial, if there is none.
 func (b *retryBudget) withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/client/retry_test.go
+++ b/client/retry_test.go
@@ -7,9 +7,10 @@
 	"cressknot/internal/fleet"
 )
 
-// TestNoEffectHappensTwice goes through classes, retry modes and outcomes of up to three attempts: after one that may
-// have been executed a request that is not idempotent is never retried, one with an idempotency key only within its
-// window and where servers recognize it; nothing goes past the controller's mode.
+// TestNoEffectHappensTwice checks retries for all combinations of classes, retry modes and outcomes of up to three
+// attempts. After an attempt that may have been executed, a request that is not idempotent must not be retried, and one
+// with an idempotency key only within the deduplication window and at servers that recognize the key. The controller's
+// retry mode is never exceeded.
 func TestNoEffectHappensTwice(t *testing.T) {
 	const outcomesOfThreeAttempts = 27
 	classes := []fleet.RequestClass{
@@ -32,7 +33,7 @@
 	}
 }
 
-// checkAttempts makes three attempts at most, whose outcomes are the digits of a number to the base of three.
+// checkAttempts makes up to three attempts. Their outcomes are the base-3 digits of outcomes, the lowest first.
 func checkAttempts(t *testing.T, class fleet.RequestClass, mode fleet.RetryMode, outcomes int) {
 	t.Helper()
 	request := newRequestState(class, mode)
@@ -68,8 +69,8 @@
 	}
 }
 
-// TestRetryBudgetBoundsRetries lets half of the servers fail everything. With the budget clients send at most a fifth
-// more attempts than there are requests; without it over a half more.
+// TestRetryBudgetBoundsRetries makes half of the servers fail all attempts. With the budget, clients must send at most
+// 20% more attempts than requests; without it at least 50% more, which shows that the scenario causes retries.
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	bounded := attemptsPerRequest(t, false)
 	unbounded := attemptsPerRequest(t, true)
@@ -89,7 +90,7 @@
 		for range 300 {
 			_ = c.Do(context.Background(), 0, func(_ context.Context, attempt Attempt) Result {
 				if attempt.Server.Name < "s5" {
-					attempt.Server.ejectedUntil.Store(0) // ejection must not help here
+					attempt.Server.ejectedUntil.Store(0) // keeps the server in use, so that only the budget limits retries
 					return Result{Outcome: Failed}
 				}
 				return Result{}
--- a/client/routing.go
+++ b/client/routing.go
@@ -8,25 +8,26 @@
 	"cressknot/internal/service"
 )
 
-// maxDraws is the number of draws by weight before servers are searched one by one: past it nearly all are ejected.
+// maxDraws is the number of weighted draws before servers are searched one by one: if that many draws find none that is
+// usable, nearly all are ejected.
 const maxDraws = 8
 
-// routingTable is what requests are routed by; it never changes.
+// routingTable routes requests. It is immutable.
 type routingTable struct {
 	classes []classTable // by position
 }
 
-// classTable is an alias table (Vose's method): a pick costs one draw however many servers there are.
+// classTable is an alias table (Vose's method): a weighted draw takes constant time for any number of servers.
 type classTable struct {
 	servers        []*Server
-	thresholds     []uint32 // by position: a draw up to it means the position's own server, else its alias
+	thresholds     []uint32 // by position: draws up to it select the server at the position, others its alias
 	aliases        []int32
-	admissionLimit int
+	admissionLimit int // requests admitted per admissionUnit; negative: no limit
 	retry          fleet.RetryMode
-	known          bool
+	known          bool // false: the cache has no table of the class
 }
 
-// newClassTable builds the table of a class; resolve returns the server of a name and address.
+// newClassTable builds the table of a class; resolve returns the Server for a name and address.
 func newClassTable(class classEndpoints, resolve func(name, addr string) *Server) classTable {
 	count := len(class.endpoints)
 	t := classTable{
@@ -67,7 +68,7 @@
 	return t
 }
 
-// scaledWeights returns the weights with a mean of 1.
+// scaledWeights returns the weights scaled to a mean of 1.
 func scaledWeights(endpoints []service.Endpoint) []float64 {
 	sum := 0
 	for _, endpoint := range endpoints {
@@ -80,7 +81,7 @@
 	return scaled
 }
 
-// draw returns a server by weight.
+// draw returns a random server, weighted.
 func (t *classTable) draw() *Server {
 	random := rand.Uint64()
 	i := (random >> 32) * uint64(len(t.servers)) >> 32
@@ -90,7 +91,8 @@
 	return t.servers[i]
 }
 
-// pick returns a server by weight; ejected ones and the excluded one, nil for none, only where there is no other.
+// pick returns a random server, weighted. It returns an ejected server or the excluded one only if there is no other;
+// excluded may be nil.
 func (t *classTable) pick(now func() int64, excluded *Server) *Server {
 	server := t.draw()
 	if server != excluded && server.ejectedUntil.Load() == 0 {
@@ -113,7 +115,8 @@
 	return t.drawOther(excluded)
 }
 
-// drawOther returns a server by weight although all are ejected: no request is left without.
+// drawOther returns a server other than the excluded one where possible. It is used when all others are ejected, so
+// that each request gets a server.
 func (t *classTable) drawOther(excluded *Server) *Server {
 	server := t.draw()
 	for range maxDraws - 1 {
--- a/client/routing_test.go
+++ b/client/routing_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestPickAvoidsEjectedServers checks that a server that fails several times in a row is not picked, and that there
-// is a pick though all servers are ejected.
+// TestPickAvoidsEjectedServers checks that a server is not picked after several consecutive failures, and that a
+// server is still picked when all are ejected.
 func TestPickAvoidsEjectedServers(t *testing.T) {
 	weights := []int{1, 256, 40, 90, 0, 128}
 	c := newTestClient(t, 0, false, weights...)
--- a/client/rpc/rpc.go
+++ b/client/rpc/rpc.go
@@ -17,12 +17,13 @@
 	"cressknot/internal/tableversion"
 )
 
-// New makes a client whose controllers are asked over gRPC at host:port.
+// New returns a client that connects to controllers over gRPC without transport security. Config.Controllers are
+// host:port. For credentials or other options, pass a Transport to client.New.
 func New(cfg client.Config) (*client.Client, error) { return client.New(cfg, Transport{}) }
 
-// Transport connects over gRPC.
+// Transport connects over gRPC. The zero value is ready to use.
 type Transport struct {
-	Options []grpc.DialOption // beside the built-in ones, for example credentials
+	Options []grpc.DialOption // applied after the built-in options, for example transport credentials
 }
 
 var _ client.Transport = Transport{}
@@ -34,7 +35,8 @@
 	caller  string
 }
 
-// Dial prepares a connection; it is made by the first query.
+// Dial prepares a connection to host:port. gRPC connects on the first call, so an unreachable controller is reported
+// only then.
 func (t Transport) Dial(_ context.Context, addr, caller string) (client.Conn, error) {
 	options := []grpc.DialOption{
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -53,10 +55,10 @@
 	return &conn{grpc: grpcConn, service: pb.NewGovernorClient(grpcConn), caller: caller}, nil
 }
 
-// Close closes the connection.
+// Close closes the connection. Calls in flight fail.
 func (c *conn) Close() error { return c.grpc.Close() }
 
-// convert returns a converted answer or its error.
+// convert returns the answer converted by fromProto, or err as a service error.
 func convert[P, T any](answer P, err error, fromProto func(P) T) (T, error) {
 	if failed := rpc.ErrorFromStatus(err); failed != nil {
 		var none T
@@ -65,7 +67,7 @@
 	return fromProto(answer), nil
 }
 
-// Greet exchanges introductions.
+// Greet performs the handshake.
 func (c *conn) Greet(ctx context.Context, h service.Hello) (service.Hello, error) {
 	hello, err := c.service.Greet(ctx, rpc.HelloToProto(h))
 	return convert(hello, err, rpc.HelloFromProto)
@@ -77,7 +79,7 @@
 	return convert(update, err, rpc.UpdateFromProto)
 }
 
-// Report sends a batch of outcomes.
+// Report sends a load report and returns the sequence number of the newest report that the controller has counted.
 func (c *conn) Report(ctx context.Context, r *service.Report) (uint64, error) {
 	request := rpc.ReportToProto(r)
 	request.Caller = c.caller
@@ -85,13 +87,14 @@
 	return convert(counted, err, (*pb.ReportReply).GetSeq)
 }
 
-// Server returns the state of a server.
+// Server returns the state of a server by name.
 func (c *conn) Server(ctx context.Context, name string) (service.ServerState, error) {
 	state, err := c.service.Server(ctx, &pb.ServerRequest{Caller: c.caller, Name: name})
 	return convert(state, err, rpc.ServerStateFromProto)
 }
 
-// History returns the newest versions of a class's table.
+// History returns the newest versions of the weight table of a class, at most maxVersions. A negative limit counts as
+// 0.
 func (c *conn) History(ctx context.Context, zone, class string, maxVersions int) (service.History, error) {
 	history, err := c.service.History(ctx, &pb.HistoryRequest{
 		Caller: c.caller,
@@ -102,13 +105,14 @@
 	return convert(history, err, rpc.HistoryFromProto)
 }
 
-// Summary returns the state of the fleet.
+// Summary returns a summary of the fleet.
 func (c *conn) Summary(ctx context.Context) (service.Summary, error) {
 	summary, err := c.service.Summary(ctx, &pb.SummaryRequest{Caller: c.caller})
 	return convert(summary, err, rpc.SummaryFromProto)
 }
 
-// Watch passes each update to apply and acknowledges it.
+// Watch calls apply for each update and acknowledges those that were applied. It returns when the context ends, the
+// stream breaks or apply fails.
 func (c *conn) Watch(
 	ctx context.Context,
 	zone string,
@@ -143,7 +147,8 @@
 	}
 }
 
-// sendWatchRequest sends a request of a watch. A stream that has ended is no error here: the reason comes by Recv.
+// sendWatchRequest sends a request on a watch stream. It ignores that the stream has ended, because only Recv returns
+// the reason.
 func sendWatchRequest(stream grpc.BidiStreamingClient[pb.WatchRequest, pb.Update], request *pb.WatchRequest) error {
 	err := stream.Send(request)
 	if err == nil || errors.Is(err, io.EOF) {
--- a/client/runtime/runtime.go
+++ b/client/runtime/runtime.go
@@ -1,5 +1,5 @@
-// Package runtime connects the client library to controllers over the text protocol of package haproxyapi, as package
-// service/text answers it.
+// Package runtime connects the client library to controllers over the text protocol, which has the syntax of HAProxy's
+// runtime API (package haproxyapi) and is served by package service/text.
 package runtime
 
 import (
@@ -18,33 +18,35 @@
 )
 
 const (
-	// anonymousCaller is the name of a caller without one.
+	// anonymousCaller is sent as the name of a caller whose name is empty.
 	anonymousCaller = "-"
-	// noVersion asks for the complete state.
+	// noVersion requests the complete state.
 	noVersion = "-"
-	// payloadEnd ends the payload of a report; no row reads like it.
+	// payloadEnd terminates the payload of a report; no row of a report equals it.
 	payloadEnd = "end-of-batch"
 )
 
-// New makes a client whose controllers are asked over the text protocol at host:port or a Unix socket's path.
+// New returns a client that connects to controllers over the text protocol. Config.Controllers are host:port, or paths
+// of Unix sockets, which must contain a slash.
 func New(cfg client.Config) (*client.Client, error) { return client.New(cfg, Transport{}) }
 
-// Transport connects over the text protocol.
+// Transport connects over the text protocol. The zero value is ready to use.
 type Transport struct{}
 
 var _ client.Transport = Transport{}
 
-// conn asks one query at a time on a connection of its own, which is made anew after an answer that was not waited for.
-// Each watch has another connection.
+// conn sends queries one at a time over one connection, and reconnects after a query that ended without an answer. Each
+// watch uses a connection of its own.
 type conn struct {
 	addr   string
 	mu     sync.Mutex
-	stream *stream // nil: to be made
+	stream *stream // nil after a query without an answer, until the next one reconnects
 	closed bool
-	hello  []byte // this caller's introduction, once it has greeted
+	hello  []byte // handshake command, resent on each new connection; empty before the first successful Greet
 }
 
-// Dial connects.
+// Dial connects to addr, which is host:port or the path of a Unix socket with at least one slash. Errors are
+// *service.Error with the code Unreachable.
 func (Transport) Dial(ctx context.Context, addr, _ string) (client.Conn, error) {
 	s, err := dial(ctx, addr)
 	if err != nil {
@@ -53,7 +55,7 @@
 	return &conn{addr: addr, stream: s}, nil
 }
 
-// Close closes the connection; a query in flight fails.
+// Close closes the connection for queries, after a query in flight has ended. Watches end with their contexts.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,8 +66,8 @@
 	return nil
 }
 
-// query asks on the connection for queries. A connection whose answer was not waited for is closed, because that answer
-// would be taken for the next query's.
+// query sends a query and returns its answer. A connection on which an answer is still outstanding is closed, because
+// that answer would be taken for the answer to the next query.
 func (c *conn) query(ctx context.Context, request []byte) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,7 +82,7 @@
 	return c.exchange(ctx, request)
 }
 
-// reconnect makes the connection anew and greets. The caller has locked c.
+// reconnect opens a new connection and repeats the handshake. The caller must hold c.mu.
 func (c *conn) reconnect(ctx context.Context) error {
 	s, err := dial(ctx, c.addr)
 	if err != nil {
@@ -94,7 +96,7 @@
 	return err
 }
 
-// exchange closes the connection after a failure. The caller has locked c.
+// exchange sends a request and returns its answer. It closes the connection after a failure. The caller must hold c.mu.
 func (c *conn) exchange(ctx context.Context, request []byte) ([]byte, error) {
 	answer, err := c.stream.exchange(ctx, request)
 	if err != nil {
@@ -108,7 +110,7 @@
 	return append(haproxyapi.AppendCommand(nil, words...), '\n')
 }
 
-// parse returns a parsed answer or its error.
+// parse returns the parsed answer, or err if it is not nil.
 func parse[T any](answer []byte, err error, parseAnswer func([]byte) (T, error)) (T, error) {
 	if err != nil {
 		var none T
@@ -117,7 +119,7 @@
 	return parseAnswer(answer)
 }
 
-// Greet exchanges introductions.
+// Greet performs the handshake, which is repeated on each later connection.
 func (c *conn) Greet(ctx context.Context, h service.Hello) (service.Hello, error) {
 	name := h.Name
 	if name == "" {
@@ -140,7 +142,7 @@
 	return parse(answer, err, text.ParseUpdate)
 }
 
-// Report sends a batch of outcomes.
+// Report sends a load report and returns the sequence number of the newest report that the controller has counted.
 func (c *conn) Report(ctx context.Context, r *service.Report) (uint64, error) {
 	session := strconv.FormatUint(r.Session, 16)
 	sequence := strconv.FormatUint(r.Sequence, 10)
@@ -152,25 +154,26 @@
 	return parse(answer, err, text.ParseCounted)
 }
 
-// Server returns the state of a server.
+// Server returns the state of a server by name.
 func (c *conn) Server(ctx context.Context, name string) (service.ServerState, error) {
 	answer, err := c.query(ctx, formatRequest("get", "server", name))
 	return parse(answer, err, text.ParseServerState)
 }
 
-// History returns the newest versions of a class's table.
+// History returns the newest versions of the weight table of a class, at most maxVersions.
 func (c *conn) History(ctx context.Context, zone, class string, maxVersions int) (service.History, error) {
 	answer, err := c.query(ctx, formatRequest("get", "history", zone, class, strconv.Itoa(maxVersions)))
 	return parse(answer, err, text.ParseHistory)
 }
 
-// Summary returns the state of the fleet.
+// Summary returns a summary of the fleet.
 func (c *conn) Summary(ctx context.Context) (service.Summary, error) {
 	answer, err := c.query(ctx, formatRequest("get", "summary"))
 	return parse(answer, err, text.ParseSummary)
 }
 
-// Watch passes each update to apply and acknowledges it.
+// Watch opens a connection, calls apply for each update and acknowledges those that were applied. It returns when the
+// context ends, the connection breaks or apply fails.
 func (c *conn) Watch(
 	ctx context.Context,
 	zone string,
--- a/client/runtime/stream.go
+++ b/client/runtime/stream.go
@@ -15,19 +15,19 @@
 // readBufferSize is the size in bytes of a stream's read buffer.
 const readBufferSize = 64 << 10
 
-// stream is one connection of the text protocol.
+// stream is a connection of the text protocol that splits received bytes into answers.
 type stream struct {
 	net.Conn
 	parser haproxyapi.AnswerParser
 	buffer []byte
-	queued [][]byte // answers that were received and not returned yet
+	queued [][]byte // received answers that have not been returned yet
 }
 
 func unreachableError(err error) error {
 	return &service.Error{Code: service.Unreachable, Text: err.Error()}
 }
 
-// dial connects to host:port or a Unix socket's path.
+// dial connects to host:port, or to a Unix socket if the address contains a slash.
 func dial(ctx context.Context, addr string) (*stream, error) {
 	network := "tcp"
 	if strings.Contains(addr, "/") {
@@ -41,11 +41,12 @@
 	return &stream{Conn: conn, buffer: make([]byte, readBufferSize)}, nil
 }
 
-// exchange sends a request and reads its answer within the context.
+// exchange sends a request and reads its answer. It fails when the context ends.
 func (s *stream) exchange(ctx context.Context, request []byte) ([]byte, error) {
 	deadline, _ := ctx.Deadline()
 	_ = s.SetDeadline(deadline)
-	stop := context.AfterFunc(ctx, func() { _ = s.SetDeadline(time.Unix(1, 0)) }) // in the past: ends reads at once
+	// A deadline in the past ends reads at once.
+	stop := context.AfterFunc(ctx, func() { _ = s.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if _, err := s.Write(request); err != nil {
 		return nil, unreachableError(err)
@@ -53,7 +54,7 @@
 	return s.nextAnswer()
 }
 
-// nextAnswer reads the next answer.
+// nextAnswer returns the next answer, and reads from the connection if none is queued.
 func (s *stream) nextAnswer() ([]byte, error) {
 	for len(s.queued) == 0 {
 		if err := s.receive(); err != nil {
@@ -65,8 +66,8 @@
 	return answer, nil
 }
 
-// receive reads some bytes and collects the answers that they complete. An error of the connection counts only if
-// none was completed.
+// receive reads once from the connection and queues the answers that are complete. It returns a read error only if no
+// answer is queued.
 func (s *stream) receive() error {
 	n, err := s.Read(s.buffer)
 	malformed := s.parser.Feed(s.buffer[:n], func(answer []byte) error {
--- a/client/server.go
+++ b/client/server.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// ejectionThreshold is the number of failures in a row after which a server is ejected, as plain proxies do.
+	// ejectionThreshold is the number of consecutive failures after which a server is ejected, as plain proxies do.
 	ejectionThreshold = 3
-	// ejectionDuration is how long it stays ejected.
+	// ejectionDuration is how long a server stays ejected, unless an attempt at it succeeds earlier.
 	ejectionDuration = 4 * fleet.Second
-	// loadDimensions is the number of load values of a server.
+	// loadDimensions is the maximal number of load values of a server.
 	loadDimensions = 4
 )
 
-// Server is a server to which requests may be sent. It stays the same while its name and address do.
+// Server is a server to which requests may be sent, with its name and address as listed by the controller. The pointer
+// stays the same as long as the server is in the table under the same address.
 type Server struct {
 	Name, Addr          string
 	consecutiveFailures atomic.Int32
@@ -23,14 +24,15 @@
 	counts              attemptCounts
 }
 
-// attemptCounts are the outcomes of attempts since the last report.
+// attemptCounts count outcomes of attempts since the last report.
 type attemptCounts struct {
 	attempts, failures, successes, successMillis atomic.Uint64
 	load                                         [loadDimensions]atomic.Uint32
-	loadValues                                   atomic.Int32 // how many of load are set
+	loadValues                                   atomic.Int32 // number of values in load
 }
 
-// recordAttempt counts an attempt for the next report, and ejects a server that fails again and again.
+// recordAttempt counts an attempt for the next report, and ejects the server after ejectionThreshold consecutive
+// failures. A success ends an ejection.
 func (s *Server) recordAttempt(now int64, outcome Outcome, millis uint64, load []uint32) {
 	s.counts.attempts.Add(1)
 	if outcome != Success {
--- a/client/suite_test.go
+++ b/client/suite_test.go
@@ -17,8 +17,8 @@
 	"cressknot/internal/transport"
 )
 
-// TestClientsOfBothProtocolsAgree runs the clients of both protocols through the same faults and checks that they are
-// alike at each step.
+// TestClientsOfBothProtocolsAgree runs a client of each protocol through the same faults and checks that their states
+// and answers are equal after each step.
 func TestClientsOfBothProtocolsAgree(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	ctx, cancel := context.WithTimeout(context.Background(), 2*eventuallyTimeout)
@@ -34,7 +34,7 @@
 	a.reportOutcomes()
 }
 
-// protocolComparison is the state of TestClientsOfBothProtocolsAgree; its methods are the steps in their order.
+// protocolComparison is the state of TestClientsOfBothProtocolsAgree; its methods are the steps in order.
 type protocolComparison struct {
 	t          *testing.T
 	ctx        context.Context
@@ -49,7 +49,7 @@
 	return func(c *client.Client) bool { return connected(c) && weights(c) == want }
 }
 
-// expectSameAnswer asks both clients and expects equal answers, or errors with the given code.
+// expectSameAnswer queries both clients and expects equal answers, or errors with the given code.
 func (a *protocolComparison) expectSameAnswer(step string, want service.Code, ask func(*client.Client) (any, error)) {
 	a.t.Helper()
 	wantRetryLater := want == service.Unready || want == service.Overloaded
@@ -69,7 +69,7 @@
 	}
 }
 
-// publishAndQuery publishes tables and asks each query.
+// publishAndQuery publishes tables and sends each kind of query.
 func (a *protocolComparison) publishAndQuery() {
 	ctx := a.ctx
 	table := func(c *client.Client) (any, error) { return c.Table(ctx) }
@@ -106,7 +106,8 @@
 	})
 }
 
-// breakConnections checks that both continue with what they have cached, miss three changes, and continue from there.
+// breakConnections checks that both clients use their cached tables while disconnected, and catch up with three missed
+// changes after reconnecting.
 func (a *protocolComparison) breakConnections() {
 	for _, relay := range a.pair.relays {
 		relay.Refuse(true)
@@ -133,7 +134,8 @@
 	a.pair.eventuallyAgree("reconnected", connectedWithWeights("s0=16 s1=128 s2=32 "))
 }
 
-// holdConnections makes the connections half open: nothing arrives any more, and no error says so.
+// holdConnections simulates half-open connections, on which nothing arrives and no error occurs, and checks that both
+// clients detect them and reconnect.
 func (a *protocolComparison) holdConnections() {
 	for _, relay := range a.pair.relays {
 		relay.Hold(true)
@@ -146,8 +148,8 @@
 	a.pair.eventuallyAgree("reconnected after silence", connected)
 }
 
-// restartController starts a controller that has published nothing yet, says which servers are open, and speaks a newer
-// minor version.
+// restartController replaces the controller by one with a newer minor version that has not published a table yet. It
+// checks that the cached table is restricted to the open servers that the new controller names.
 func (a *protocolComparison) restartController() {
 	a.controller.stop()
 	a.controller = startController(a.t, "g1", 200, 7)
@@ -171,7 +173,7 @@
 	}
 }
 
-// reportOutcomes checks that outcomes are counted once though the connections break in between.
+// reportOutcomes checks that outcomes are counted exactly once although connections break in between.
 func (a *protocolComparison) reportOutcomes() {
 	const requests = 300
 	outcomes := []client.Outcome{client.Success, client.Success, client.Failed}
@@ -191,7 +193,8 @@
 	a.pair.eventuallyAgree("counted", func(*client.Client) bool { return a.countedOnce(2*requests, 2*requests/3) })
 }
 
-// countedOnce reports whether the controller has counted all requests and failures; it fails if it has counted more.
+// countedOnce reports whether the controller has counted all requests and failures. It fails the test if the controller
+// has counted more.
 func (a *protocolComparison) countedOnce(requests, failed uint64) bool {
 	a.controller.hub.Poll(0)
 	a.controller.mu.Lock()
@@ -211,8 +214,8 @@
 	return attempts == requests && failures == failed && class.Requests == requests && class.Unanswered == failed
 }
 
-// TestClientNeverGoesBackToOlderList checks that a controller with an older endpoint list than one seen before is not
-// watched, over either protocol, until it has caught up.
+// TestClientNeverGoesBackToOlderList checks for both protocols that a client rejects the tables of a controller whose
+// endpoint list is older than the one in use, until that controller has caught up.
 func TestClientNeverGoesBackToOlderList(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	first, second := startController(t, "g1", 100, 0), startController(t, "g2", 300, 0)
@@ -241,8 +244,8 @@
 	)
 }
 
-// TestMalformedInputEndsOnlyItsConnection checks that malformed input ends the connection that it came on and no other,
-// and that it is answered by an error in the text protocol.
+// TestMalformedInputEndsOnlyItsConnection checks that malformed input ends only the connection that it was received on,
+// and that the text protocol answers it with an error.
 func TestMalformedInputEndsOnlyItsConnection(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	controller := startController(t, "g1", 100, 0)
--- a/client/testcontroller_test.go
+++ b/client/testcontroller_test.go
@@ -22,14 +22,15 @@
 	"cressknot/internal/transport"
 )
 
-const eventuallyTimeout = 30 * time.Second // for anything that must happen on a loaded machine
+// eventuallyTimeout bounds the wait for an expected state, with room for a loaded machine.
+const eventuallyTimeout = 30 * time.Second
 
 var protocols = []struct {
 	name      string
 	transport client.Transport
 }{{"rpc", rpc.Transport{}}, {"runtime", runtime.Transport{}}}
 
-// serverNames are servers s0, s1, … at addresses of their own.
+// serverNames names n servers s0, s1, … with distinct addresses.
 type serverNames struct{ n int }
 
 func (n serverNames) Server(name string) (fleet.ServerID, bool) {
@@ -116,7 +117,8 @@
 	}, nil
 }
 
-// testController is a hub served over both protocols, without a controller's loop: tests send the messages.
+// testController is a service hub served over both protocols, without a controller's main loop: tests publish changes
+// directly.
 type testController struct {
 	t        *testing.T
 	hub      *service.Hub
@@ -175,7 +177,7 @@
 	}
 }
 
-// publish changes servers in all classes by one message.
+// publish sends one message that changes the given servers in all classes.
 func (tc *testController) publish(kind reconcile.ChangeKind, state reconcile.State, weight int16, servers ...int) {
 	tc.sequence++
 	message := reconcile.Message{Sequence: tc.sequence}
@@ -204,7 +206,7 @@
 	tc.hub.PublishState(state)
 }
 
-// answered counts the messages that were answered.
+// answered returns the number of messages that the hub has answered.
 func (tc *testController) answered() (n int) {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
@@ -216,7 +218,7 @@
 	return n
 }
 
-// clientPair is a client on each protocol, each behind a relay of its own.
+// clientPair is a client for each protocol, each connected through its own relay to the first controller.
 type clientPair struct {
 	t       *testing.T
 	relays  [2]*fakes.Relay
@@ -235,7 +237,8 @@
 		for _, controller := range controllers[1:] {
 			addrs = append(addrs, controller.addrs[i])
 		}
-		c, err := client.New(client.Config{Name: "suite-" + protocol.name, Zone: "a", Controllers: addrs, Seed: 2}, protocol.transport)
+		config := client.Config{Name: "suite-" + protocol.name, Zone: "a", Controllers: addrs, Seed: 2}
+		c, err := client.New(config, protocol.transport)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -251,7 +254,7 @@
 	}
 }
 
-// eventuallyAgree waits until both clients are as wanted, and alike.
+// eventuallyAgree waits until both clients meet the condition and have the same state.
 func (p *clientPair) eventuallyAgree(step string, condition func(*client.Client) bool) {
 	p.t.Helper()
 	for end := time.Now().Add(eventuallyTimeout); ; time.Sleep(5 * time.Millisecond) {
@@ -284,7 +287,7 @@
 	return formatted
 }
 
-// errorCode returns the code of an error, and whether it asks to retry later.
+// errorCode returns the code of a service error, else the error's text, and whether it has a RetryAfter.
 func errorCode(err error) (service.Code, bool) {
 	var serviceError *service.Error
 	if errors.As(err, &serviceError) {
--- a/client/watch.go
+++ b/client/watch.go
@@ -11,13 +11,13 @@
 	"cressknot/internal/service"
 )
 
-// watchTimeout without an update ends a watch: three heartbeats are missing.
+// watchTimeout is the time without an update after which a watch ends: three heartbeats were missed.
 const watchTimeout = 3 * fleet.Second
 
-// errOutdated ends the watch of a controller that knows less than another one has sent.
+// errOutdated ends the watch of a controller that sent older state than was applied before.
 var errOutdated = errors.New("outdated update")
 
-// asServiceError converts any error.
+// asServiceError returns the service error in err, or err as one with the code Unreachable.
 func asServiceError(err error) *service.Error {
 	var serviceError *service.Error
 	if errors.As(err, &serviceError) {
@@ -26,7 +26,7 @@
 	return &service.Error{Code: service.Unreachable, Text: err.Error()}
 }
 
-// watch watches one controller after the other until the client is closed.
+// watch watches one controller at a time until the client is closed, and switches to another one when a watch ends.
 func (c *Client) watch() {
 	defer c.background.Done()
 	for {
@@ -51,7 +51,7 @@
 	}
 }
 
-// watchController watches one controller until the watch ends, and returns why.
+// watchController connects to a controller and watches it. It returns the reason for the end of the watch.
 func (c *Client) watchController(controller int) error {
 	dialCtx, cancel := context.WithTimeout(c.ctx, time.Duration(dialTimeout))
 	defer cancel()
@@ -104,7 +104,7 @@
 	return err
 }
 
-// greet exchanges introductions and checks that the controller serves the zone.
+// greet performs the handshake and checks that the controller supports the protocol version and serves the zone.
 func (c *Client) greet(ctx context.Context, conn Conn) (service.Hello, error) {
 	own := service.Hello{Major: service.Major, Minor: service.Minor, Name: c.config.Name}
 	hello, err := conn.Greet(ctx, own)
@@ -123,7 +123,8 @@
 	return hello, nil
 }
 
-// updateClasses takes over the controller's classes. Known ones keep their positions, which callers pick by.
+// updateClasses adopts the classes of a controller. Known classes keep their positions, because callers use positions
+// returned by Class.
 func (c *Client) updateClasses(received []fleet.RequestClass) {
 	var classes []fleet.RequestClass
 	if known := c.classes.Load(); known != nil {
@@ -141,7 +142,7 @@
 	c.classes.Store(&classes)
 }
 
-// extendDemand makes room for the counts of more classes.
+// extendDemand extends the demand counts to the given number of classes.
 func (c *Client) extendDemand(classes int) {
 	known := c.demand.Load()
 	if known != nil && len(*known) == classes {
@@ -157,7 +158,7 @@
 	c.demand.Store(&demand)
 }
 
-// applyUpdate applies an update, and builds a new routing table if it changed anything.
+// applyUpdate applies an update to the cache, and rebuilds the routing table unless the update is a heartbeat.
 func (c *Client) applyUpdate(u *service.Update) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,7 +187,8 @@
 	return nil
 }
 
-// buildTable builds the routing table from the cache. The first table without endpoints is not used.
+// buildTable builds the routing table from the cache, and drops servers that are neither in it nor have counts to
+// report. Until there is a table with endpoints, none is installed. The caller must hold mu.
 func (c *Client) buildTable() {
 	table := &routingTable{}
 	used := map[*Server]bool{}
@@ -221,7 +223,8 @@
 	}
 }
 
-// resolveServer returns the server of a name, a new one if its address has changed; its counts continue under the name.
+// resolveServer returns the Server for a name and address. If the address has changed, it returns a new one, which
+// takes over the counts that were not reported yet. The caller must hold mu.
 func (c *Client) resolveServer(name, addr string) *Server {
 	known := c.servers[name]
 	if known != nil && known.Addr == addr {
