--- a/client/cache.go
+++ b/client/cache.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// maxEndpoints bounds a class: more is no table of servers.
+	// maxEndpoints is the largest number of endpoints of a class that is accepted as plausible.
 	maxEndpoints = 20_000
-	// maxWeight bounds an endpoint's weight, as in the runtime API of a proxy.
+	// maxWeight is the largest weight of an endpoint, as in the runtime API of a proxy.
 	maxWeight = 256
-	// olderListDelay without an update makes an older endpoint list acceptable: its source has begun anew, or all
-	// controllers have lost it.
+	// olderListDelay is the time without an applied update after which older state is accepted: the source of the
+	// endpoint list has restarted its revisions, or all controllers have lost the newer list.
 	olderListDelay = 10 * fleet.Second
 )
 
-// updateVerdict is what an update means for the cache.
+// updateVerdict is the result of passing an update to the cache.
 type updateVerdict uint8
 
 const (
 	updateApplied   updateVerdict = iota
 	updateHeartbeat               // nothing has changed
-	updateOutOfSync               // it does not continue the cached version: ask for the complete state
-	updateOutdated                // the controller knows less than another one has sent: ask another one
-	updateInvalid
+	updateOutOfSync               // does not continue the cached version: the complete state is needed
+	updateOutdated                // older than the cached state: another controller is needed
+	updateInvalid                 // violates a limit or does not match its digest
 )
 
 // cachedClass is the cached table of a class.
 type cachedClass struct {
 	endpoints      map[string]service.Endpoint
-	published      bool // by the controller that is watched
+	published      bool // the watched controller has published the class
 	admissionLimit int
 	retry          fleet.RetryMode
 }
@@ -45,7 +45,7 @@
 	return &copied
 }
 
-// digest sums the digests of the endpoints.
+// digest returns the sum of the endpoints' digests.
 func (c *cachedClass) digest() tableversion.Digest {
 	sum := tableversion.Digest(0)
 	for _, endpoint := range c.endpoints {
@@ -54,16 +54,16 @@
 	return sum
 }
 
-// tableCache is the cached state of a zone: it applies updates completely or not at all, and never goes back to an
-// older endpoint list. It does no I/O and reads no clock.
+// tableCache is the cached state of a zone. It applies an update completely or not at all, and rejects state that is
+// older than the cached one while updates are recent. It does no I/O and reads no clock.
 type tableCache struct {
 	classes          map[string]*cachedClass
-	openServers      map[string]bool // nil: all servers are open
+	openServers      map[string]bool // servers usable for classes that are not published; nil: all
 	controller       string
 	version          tableversion.Version
 	revision         uint64                          // of the endpoint list
 	newestVersions   map[string]tableversion.Version // by controller
-	updatedAt        fleet.Time                      // of the last update that counted
+	updatedAt        fleet.Time                      // of the last applied update or heartbeat
 	sawNewerProtocol bool
 }
 
@@ -71,18 +71,20 @@
 	return &tableCache{classes: map[string]*cachedClass{}, newestVersions: map[string]tableversion.Version{}}
 }
 
-// current returns the cached version and its controller.
+// current returns the cached version and the name of the controller that sent it.
 func (t *tableCache) current() (controller string, version tableversion.Version) {
 	return t.controller, t.version
 }
 
-// listRevision returns the revision of the endpoint list by which the tables were decided.
+// listRevision returns the revision of the endpoint list that the cached tables were decided by.
 func (t *tableCache) listRevision() uint64 { return t.revision }
 
-// newerProtocol reports whether a controller speaks a newer version of the protocol; what is not known here is skipped.
+// newerProtocol reports whether a controller has used a newer minor version of the protocol, whose additional fields
+// are skipped.
 func (t *tableCache) newerProtocol() bool { return t.sawNewerProtocol }
 
-// watchFrom returns the version from which to watch a controller: what is cached of it, else the complete state.
+// watchFrom returns the version from which to watch a controller: the cached one if that controller sent it, else
+// NoVersion, which requests the complete state.
 func (t *tableCache) watchFrom(controller string) tableversion.Version {
 	if controller == t.controller {
 		return t.version
@@ -90,13 +92,13 @@
 	return tableversion.NoVersion
 }
 
-// requestComplete lets the next watch ask for the complete state.
+// requestComplete makes the next watch request the complete state.
 func (t *tableCache) requestComplete() { t.version = tableversion.NoVersion }
 
-// update applies an update. The reason says what was wrong with one that was not applied.
+// update applies an update. The reason explains why one was not applied; it is "" for applied ones and heartbeats.
 func (t *tableCache) update(now fleet.Time, u *service.Update) (verdict updateVerdict, reason string) {
 	t.sawNewerProtocol = t.sawNewerProtocol || u.Minor > service.Minor
-	if reason := t.outdated(now, u); reason != "" {
+	if reason := t.outdatedReason(now, u); reason != "" {
 		return updateOutdated, reason
 	}
 	if u.Heartbeat {
@@ -104,7 +106,9 @@
 	}
 	complete := u.From == tableversion.NoVersion
 	if !complete && (u.Controller != t.controller || u.From != t.version) {
-		return updateOutOfSync, fmt.Sprintf("a change from version %s, version %s is cached", u.From, t.version)
+		reason := fmt.Sprintf("update of controller %s starts at version %s, but version %s of controller %s is cached",
+			u.Controller, u.From, t.version, t.controller)
+		return updateOutOfSync, reason
 	}
 	classes := maps.Clone(t.classes)
 	for i := range u.Classes {
@@ -115,7 +119,7 @@
 		classes[u.Classes[i].Class] = class
 	}
 	if complete {
-		deleteUnnamed(classes, u.Classes)
+		deleteMissing(classes, u.Classes)
 	}
 	t.classes = classes
 	t.controller = u.Controller
@@ -127,18 +131,18 @@
 	return updateApplied, ""
 }
 
-// outdated returns why an update is older than what was applied before, "" if it is not. After a time without updates
-// older state is accepted.
-func (t *tableCache) outdated(now fleet.Time, u *service.Update) string {
+// outdatedReason returns why an update is older than the state applied before, or "" if it is not. Older state is
+// accepted once no update has been applied for olderListDelay.
+func (t *tableCache) outdatedReason(now fleet.Time, u *service.Update) string {
 	if t.updatedAt == 0 || now >= t.updatedAt+olderListDelay {
 		return ""
 	}
 	if last := t.newestVersions[u.Controller]; u.To.Compare(last) < 0 {
-		return fmt.Sprintf("controller %s sent version %s before %s", u.Controller, last, u.To)
+		return fmt.Sprintf("controller %s sent version %s after the newer version %s", u.Controller, u.To, last)
 	}
 	if u.ListRevision < t.revision {
 		return fmt.Sprintf(
-			"controller %s uses list %d, list %d was sent before",
+			"controller %s uses endpoint list revision %d, older than the applied revision %d",
 			u.Controller,
 			u.ListRevision,
 			t.revision,
@@ -149,27 +153,30 @@
 
 func (t *tableCache) applyHeartbeat(now fleet.Time, u *service.Update) (verdict updateVerdict, reason string) {
 	if u.Controller != t.controller || u.To != t.version {
-		return updateOutOfSync, "a heartbeat of a version that is not cached"
+		reason := fmt.Sprintf("heartbeat of controller %s is for version %s, but version %s of controller %s is cached",
+			u.Controller, u.To, t.version, t.controller)
+		return updateOutOfSync, reason
 	}
 	t.updatedAt = now
 	t.revision = u.ListRevision
 	return updateHeartbeat, ""
 }
 
-// applyClass returns a class as an update leaves it. The cached one is not changed.
+// applyClass returns the state of class i of an update after the update. It does not change the cached class.
 func (t *tableCache) applyClass(
 	i int,
 	table *service.ClassTable,
 	complete bool,
 ) (*cachedClass, updateVerdict, string) {
 	if table.Class == "" || len(table.Endpoints) > maxEndpoints || table.Retry > fleet.RetryTwice {
-		reason := fmt.Sprintf("classes[%d]: %d endpoints, retry mode %d", i, len(table.Endpoints), table.Retry)
+		reason := fmt.Sprintf("classes[%d]: invalid class %q: %d endpoints (limit %d), retry mode %d (limit %d)",
+			i, table.Class, len(table.Endpoints), maxEndpoints, table.Retry, fleet.RetryTwice)
 		return nil, updateInvalid, reason
 	}
 	class := t.classes[table.Class]
 	switch {
 	case class == nil,
-		table.Published && (complete || !class.published): // what is cached came from another controller
+		table.Published && (complete || !class.published): // the table replaces that of another controller
 		class = &cachedClass{endpoints: map[string]service.Endpoint{}}
 	default:
 		class = class.clone()
@@ -177,13 +184,13 @@
 	class.published = table.Published
 	class.admissionLimit = table.AdmissionLimit
 	class.retry = table.Retry
-	if !table.Published { // what is cached stays in use
+	if !table.Published { // the cached endpoints stay in use
 		return class, updateApplied, ""
 	}
 	for k, endpoint := range table.Endpoints {
 		if !validEndpoint(endpoint) {
-			reason := fmt.Sprintf("classes[%d].endpoints[%d]: server %q at %q, weight %d",
-				i, k, endpoint.Server, endpoint.Addr, endpoint.Weight)
+			reason := fmt.Sprintf("classes[%d].endpoints[%d]: invalid endpoint: server %q, address %q, weight %d (limit %d)",
+				i, k, endpoint.Server, endpoint.Addr, endpoint.Weight, maxWeight)
 			return nil, updateInvalid, reason
 		}
 		if endpoint.Weight == 0 {
@@ -195,13 +202,15 @@
 	if sum := class.digest(); sum != table.Digest {
 		if complete {
 			return nil, updateInvalid, fmt.Sprintf(
-				"classes[%d]: digest %s, its endpoints add up to %s",
+				"classes[%d]: digest is %s, but the digests of its endpoints sum to %s",
 				i,
 				table.Digest,
 				sum,
 			)
 		}
-		return nil, updateOutOfSync, fmt.Sprintf("class %s: digest %s, %s is cached", table.Class, table.Digest, sum)
+		reason := fmt.Sprintf("class %s: digest of the cached table is %s after the update, want %s",
+			table.Class, sum, table.Digest)
+		return nil, updateOutOfSync, reason
 	}
 	return class, updateApplied, ""
 }
@@ -216,8 +225,8 @@
 	return true
 }
 
-// deleteUnnamed deletes the classes that a complete state does not have.
-func deleteUnnamed(classes map[string]*cachedClass, tables []service.ClassTable) {
+// deleteMissing deletes the classes that are not part of a complete state.
+func deleteMissing(classes map[string]*cachedClass, tables []service.ClassTable) {
 	maps.DeleteFunc(classes, func(name string, _ *cachedClass) bool {
 		return !slices.ContainsFunc(tables, func(t service.ClassTable) bool { return t.Class == name })
 	})
@@ -234,15 +243,16 @@
 	}
 }
 
-// classEndpoints is what the requests of a class may use.
+// classEndpoints are the endpoints and limits for the requests of a class.
 type classEndpoints struct {
-	endpoints      []service.Endpoint // by server
+	endpoints      []service.Endpoint // ordered by server name
 	admissionLimit int
 	retry          fleet.RetryMode
 }
 
-// endpoints returns what a class's requests may use, and whether the class is known. Of a class that the controller
-// has not published that is the cached table without servers that are not open, unless none would be left.
+// endpoints returns the endpoints that requests of a class may use, and whether the class is known. For a class that
+// the controller has not published these are the cached endpoints of open servers, or all cached endpoints if none is
+// open.
 func (t *tableCache) endpoints(name string) (_ classEndpoints, known bool) {
 	class := t.classes[name]
 	if class == nil {
--- a/client/routing_test.go
+++ b/client/routing_test.go
@@ -34,27 +34,27 @@
 	}
 }
 
-// TestPickAvoidsEjectedServers checks that a server that fails several times in a row is not picked, and that there
-// is a pick though all servers are ejected.
+// TestPickAvoidsEjectedServers checks that a server is not picked after several consecutive failures, and that a
+// server is still picked when all are ejected.
 func TestPickAvoidsEjectedServers(t *testing.T) {
 	weights := []int{1, 256, 40, 90, 0, 128}
 	c := newTestClient(t, 0, false, weights...)
 	fail := func(name string) {
 		for range ejectionThreshold {
-			c.servers[name].attemptEnded(c.nowNanos(), Failed, 0, nil)
+			c.servers[name].recordAttempt(c.nowNanos(), Failed, 0, nil)
 		}
 	}
 	fail("s1")
 	for range 1000 {
 		if server, _ := c.Pick(0); server.Name == "s1" {
-			t.Fatal("an ejected server is picked")
+			t.Fatal("picked an ejected server")
 		}
 	}
 	for i := range weights {
 		fail(fmt.Sprint("s", i))
 	}
 	if server, err := c.Pick(0); err != nil || server == nil {
-		t.Errorf("all are ejected: %v %v", server, err)
+		t.Errorf("pick with all servers ejected: server %v, error %v", server, err)
 	}
 }
 
@@ -62,11 +62,11 @@
 func TestPickFailsWithoutUsableTable(t *testing.T) {
 	c := newTestClient(t, 0, false, 1)
 	if _, err := c.Pick(7); !errors.Is(err, ErrNoClass) {
-		t.Error(err)
+		t.Errorf("error %v, want %v", err, ErrNoClass)
 	}
 	c.config.Staleness = time.Second
 	if _, err := c.Pick(0); !errors.Is(err, ErrStale) {
-		t.Error(err)
+		t.Errorf("error %v, want %v", err, ErrStale)
 	}
 }
 
--- a/client/runtime/stream.go
+++ b/client/runtime/stream.go
@@ -15,19 +15,19 @@
 // readBufferSize is the size in bytes of a stream's read buffer.
 const readBufferSize = 64 << 10
 
-// stream is one connection of the text protocol.
+// stream is a connection of the text protocol that splits received bytes into answers.
 type stream struct {
 	net.Conn
-	answers haproxyapi.AnswerParser
-	buffer  []byte
-	ready   [][]byte // answers that were received and not returned yet
+	parser haproxyapi.AnswerParser
+	buffer []byte
+	queued [][]byte // received answers that have not been returned yet
 }
 
-func unreachable(err error) error {
+func unreachableError(err error) error {
 	return &service.Error{Code: service.Unreachable, Text: err.Error()}
 }
 
-// dial connects to host:port or a Unix socket's path.
+// dial connects to host:port, or to a Unix socket if the address contains a slash.
 func dial(ctx context.Context, addr string) (*stream, error) {
 	network := "tcp"
 	if strings.Contains(addr, "/") {
@@ -36,52 +36,53 @@
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, addr)
 	if err != nil {
-		return nil, unreachable(err)
+		return nil, unreachableError(err)
 	}
 	return &stream{Conn: conn, buffer: make([]byte, readBufferSize)}, nil
 }
 
-// ask sends a request and reads its answer within the context.
-func (s *stream) ask(ctx context.Context, request []byte) ([]byte, error) {
+// exchange sends a request and reads its answer. It fails when the context ends.
+func (s *stream) exchange(ctx context.Context, request []byte) ([]byte, error) {
 	deadline, _ := ctx.Deadline()
 	_ = s.SetDeadline(deadline)
-	stop := context.AfterFunc(ctx, func() { _ = s.SetDeadline(time.Unix(1, 0)) }) // in the past: ends reads at once
+	// A deadline in the past ends reads at once.
+	stop := context.AfterFunc(ctx, func() { _ = s.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if _, err := s.Write(request); err != nil {
-		return nil, unreachable(err)
+		return nil, unreachableError(err)
 	}
-	return s.next()
+	return s.nextAnswer()
 }
 
-// next reads the next answer.
-func (s *stream) next() ([]byte, error) {
-	for len(s.ready) == 0 {
+// nextAnswer returns the next answer, and reads from the connection if none is queued.
+func (s *stream) nextAnswer() ([]byte, error) {
+	for len(s.queued) == 0 {
 		if err := s.receive(); err != nil {
 			return nil, err
 		}
 	}
-	answer := s.ready[0]
-	s.ready = s.ready[1:]
+	answer := s.queued[0]
+	s.queued = s.queued[1:]
 	return answer, nil
 }
 
-// receive reads some bytes and collects the answers that they complete. An error of the connection counts only if
-// none was completed.
+// receive reads once from the connection and queues the answers that are complete. It returns a read error only if no
+// answer is queued.
 func (s *stream) receive() error {
 	n, err := s.Read(s.buffer)
-	malformed := s.answers.Feed(s.buffer[:n], func(answer []byte) error {
-		s.ready = append(s.ready, bytes.Clone(answer))
+	malformed := s.parser.Feed(s.buffer[:n], func(answer []byte) error {
+		s.queued = append(s.queued, bytes.Clone(answer))
 		return nil
 	})
 	if malformed != nil {
 		return &service.Error{Code: service.Malformed, Text: malformed.Error()}
 	}
-	if err == nil || len(s.ready) > 0 {
+	if err == nil || len(s.queued) > 0 {
 		return nil
 	}
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		return &service.Error{Code: service.Busy, Text: "no answer in time"}
+		return &service.Error{Code: service.Busy, Text: "no answer from the controller before the deadline"}
 	}
-	return unreachable(err)
+	return unreachableError(err)
 }
--- a/client/watch.go
+++ b/client/watch.go
@@ -11,24 +11,24 @@
 	"cressknot/internal/service"
 )
 
-// watchTimeout without an update ends a watch: three heartbeats are missing.
+// watchTimeout is the time without an update after which a watch ends: three heartbeats were missed.
 const watchTimeout = 3 * fleet.Second
 
-// errOutdated ends the watch of a controller that knows less than another one has sent.
-var errOutdated = errors.New("outdated")
+// errOutdated ends the watch of a controller that sent older state than was applied before.
+var errOutdated = errors.New("outdated update")
 
-// asServiceError converts any error.
+// asServiceError returns the service error in err, or err as one with the code Unreachable.
 func asServiceError(err error) *service.Error {
-	var answer *service.Error
-	if errors.As(err, &answer) {
-		return answer
+	var serviceError *service.Error
+	if errors.As(err, &serviceError) {
+		return serviceError
 	}
 	return &service.Error{Code: service.Unreachable, Text: err.Error()}
 }
 
-// watch watches one controller after the other until the client is closed.
+// watch watches one controller at a time until the client is closed, and switches to another one when a watch ends.
 func (c *Client) watch() {
-	defer c.done.Done()
+	defer c.background.Done()
 	for {
 		controller, wait := c.picker.pick(c.config.Clock())
 		if !sleep(c.ctx, wait) {
@@ -41,9 +41,9 @@
 		now := c.config.Clock()
 		reason := asServiceError(err)
 		if errors.Is(err, errOutdated) {
-			c.picker.outdated(now, controller)
+			c.picker.recordOutdated(now, controller)
 		} else {
-			c.picker.failed(now, controller, reason)
+			c.picker.recordFailure(now, controller, reason)
 		}
 		c.mu.Lock()
 		c.disconnectReason = reason
@@ -51,7 +51,7 @@
 	}
 }
 
-// watchController watches one controller until the watch ends, and returns why.
+// watchController connects to a controller and watches it. It returns the reason for the end of the watch.
 func (c *Client) watchController(controller int) error {
 	dialCtx, cancel := context.WithTimeout(c.ctx, time.Duration(dialTimeout))
 	defer cancel()
@@ -82,7 +82,7 @@
 	ctx, stop := context.WithCancelCause(c.ctx)
 	defer stop(nil)
 	timeout := time.AfterFunc(time.Duration(watchTimeout), func() {
-		reason := fmt.Sprintf("controller %s is silent", hello.Name)
+		reason := fmt.Sprintf("no update from controller %s within %.0f s", hello.Name, watchTimeout.Seconds())
 		stop(&service.Error{Code: service.Unreachable, Text: reason})
 	})
 	defer timeout.Stop()
@@ -93,7 +93,7 @@
 		}
 		if !applied {
 			applied = true
-			c.picker.serving(controller)
+			c.picker.recordSuccess(controller)
 			c.config.OnWatch(true, hello.Name)
 		}
 		return nil
@@ -104,7 +104,7 @@
 	return err
 }
 
-// greet exchanges introductions and checks that the controller serves the zone.
+// greet performs the handshake and checks that the controller supports the protocol version and serves the zone.
 func (c *Client) greet(ctx context.Context, conn Conn) (service.Hello, error) {
 	own := service.Hello{Major: service.Major, Minor: service.Minor, Name: c.config.Name}
 	hello, err := conn.Greet(ctx, own)
@@ -112,7 +112,8 @@
 		return service.Hello{}, err
 	}
 	if hello.Major != service.Major {
-		reason := fmt.Sprintf("controller %s speaks version %d.%d", hello.Name, hello.Major, hello.Minor)
+		reason := fmt.Sprintf("controller %s uses protocol version %d.%d, this client supports version %d only",
+			hello.Name, hello.Major, hello.Minor, service.Major)
 		return service.Hello{}, &service.Error{Code: service.OtherMajor, Text: reason}
 	}
 	if !slices.Contains(hello.Zones, c.config.Zone) {
@@ -122,7 +123,8 @@
 	return hello, nil
 }
 
-// updateClasses takes over the controller's classes. Known ones keep their positions, which callers pick by.
+// updateClasses adopts the classes of a controller. Known classes keep their positions, because callers use positions
+// returned by Class.
 func (c *Client) updateClasses(received []fleet.RequestClass) {
 	var classes []fleet.RequestClass
 	if known := c.classes.Load(); known != nil {
@@ -140,7 +142,7 @@
 	c.classes.Store(&classes)
 }
 
-// extendDemand makes room for the counts of more classes.
+// extendDemand extends the demand counts to the given number of classes.
 func (c *Client) extendDemand(classes int) {
 	known := c.demand.Load()
 	if known != nil && len(*known) == classes {
@@ -156,7 +158,7 @@
 	c.demand.Store(&demand)
 }
 
-// applyUpdate applies an update, and builds a new routing table if it changed anything.
+// applyUpdate applies an update to the cache, and rebuilds the routing table unless the update is a heartbeat.
 func (c *Client) applyUpdate(u *service.Update) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -185,7 +187,8 @@
 	return nil
 }
 
-// buildTable builds the routing table from the cache. The first table without endpoints is not used.
+// buildTable builds the routing table from the cache, and drops servers that are neither in it nor have counts to
+// report. Until there is a table with endpoints, none is installed. The caller must hold mu.
 func (c *Client) buildTable() {
 	table := &routingTable{}
 	used := map[*Server]bool{}
@@ -220,7 +223,8 @@
 	}
 }
 
-// resolveServer returns the server of a name, a new one if its address has changed; its counts continue under the name.
+// resolveServer returns the Server for a name and address. If the address has changed, it returns a new one, which
+// takes over the counts that were not reported yet. The caller must hold mu.
 func (c *Client) resolveServer(name, addr string) *Server {
 	known := c.servers[name]
 	if known != nil && known.Addr == addr {
