--- a/internal/ingest/clock_test.go
+++ b/internal/ingest/clock_test.go
@@ -83,7 +83,7 @@
 		}
 	}
 	notices := fmt.Sprint(r.pipeline.Examine(now + 61*second))
-	if !strings.Contains(notices, "its clock is off by 90.0 s") {
+	if !strings.Contains(notices, "clock is off by 90.0 s") {
 		t.Errorf("notices: %s", notices)
 	}
 	for i := range 9 { // set right: behind where it was
--- a/internal/ingest/health.go
+++ b/internal/ingest/health.go
@@ -168,10 +168,11 @@
 		return
 	}
 	p.reportsCutOff = cutOff
-	text := "reports come again"
+	text := "load reports are arriving again"
 	if cutOff {
-		text = fmt.Sprintf("no reports come from %d of %d servers that answer: "+
-			"the network path to this controller is down, their health is not judged by it", silent, reporting)
+		text = fmt.Sprintf("no load reports from %d of %d servers that still answer requests: "+
+			"the network path to this controller is down; missing reports are not attributed to the servers",
+			silent, reporting)
 	}
 	p.notices = append(p.notices, Notice{OfAll: true, Good: !cutOff, Text: text})
 }
@@ -270,23 +271,25 @@
 	period := (examinationCount * examinationInterval).Seconds()
 	switch h {
 	case ReportsMissing:
-		return fmt.Sprintf("no report for %.1f s, but it serves: %d of %d attempts succeeded in %.0f s; "+
-			"its weight follows what proxies measure", silence, outcomes.attempts-outcomes.failures, outcomes.attempts, period)
+		return fmt.Sprintf("no load report for %.1f s, but %d of %d attempts succeeded in the last %.0f s; "+
+			"its weight is computed from proxy measurements",
+			silence, outcomes.attempts-outcomes.failures, outcomes.attempts, period)
 	case Down:
-		return fmt.Sprintf("no report for %.1f s, and %d of %d attempts failed in %.0f s: it is down",
+		return fmt.Sprintf("no load report for %.1f s, and %d of %d attempts failed in the last %.0f s",
 			silence, outcomes.failures, outcomes.attempts, period)
 	case Unknown:
-		return fmt.Sprintf("no report for %.1f s, and no proxy sent requests: its health is unknown", silence)
+		return fmt.Sprintf("no load report for %.1f s, and no proxy sent it requests; its health is unknown", silence)
 	case Unreachable:
-		return fmt.Sprintf("it reports, but all %d attempts failed in %.0f s: proxies can't reach it",
+		return fmt.Sprintf("its load reports arrive, but all %d attempts failed in the last %.0f s; proxies cannot reach it",
 			outcomes.attempts, period)
 	case PartlyUnreachable:
-		return fmt.Sprintf("proxies of some zones get no answer, others do (%d of %d attempts failed)",
-			outcomes.failures, outcomes.attempts)
+		return fmt.Sprintf("all attempts from some zones fail, attempts from other zones succeed "+
+			"(%d of %d attempts failed in the last %.0f s)", outcomes.failures, outcomes.attempts, period)
 	case UnpolledTraffic:
-		return "it counts requests that no proxy here sends: they come from proxies that are not polled, or other clients"
+		return "it counts requests that no polled proxy sent; they come from other clients, " +
+			"or from proxies that this controller does not poll"
 	}
-	return "reports and answers have resumed"
+	return "load reports and answers to requests are back to normal"
 }
 
 // examineProxies notifies of proxies that don't answer their polls, and of their return.
@@ -298,10 +301,10 @@
 			continue
 		}
 		proxy.reported = late
-		text := "answers polls again"
+		text := "answers counter polls again"
 		if late {
-			text = fmt.Sprintf("has not answered its poll for %.1f s: its outcomes are unknown, those of others count",
-				waited.Seconds())
+			text = fmt.Sprintf("has not answered a counter poll for %.1f s (limit %.0f s); "+
+				"only the counters of other proxies are used", waited.Seconds(), pollTimeout.Seconds())
 		}
 		p.notices = append(p.notices, Notice{Proxy: proxy.id, OfProxy: true, Good: !late, Text: text})
 	}
--- a/internal/ingest/health_test.go
+++ b/internal/ingest/health_test.go
@@ -89,15 +89,15 @@
 		fault behaviour
 		want  HealthVerdict
 	}{
-		"all is well":                      {behaviour{reports: true, good: true}, Healthy},
-		"its reporter failed":              {behaviour{good: true}, ReportsMissing},
-		"it is down":                       {behaviour{failed: true}, Down},
-		"silent and unused":                {behaviour{}, Unknown},
-		"proxies can't reach it":           {behaviour{reports: true, failed: true}, Unreachable},
-		"one zone gets no answers":         {behaviour{reports: true, good: true, zoneFails: true}, PartlyUnreachable},
-		"requests of nobody who is polled": {behaviour{reports: true, elsewhere: true}, UnpolledTraffic},
-		"idle":                             {behaviour{reports: true}, Healthy},
-		"one report is late":               {behaviour{reports: true, good: true, lateReport: true}, Healthy},
+		"healthy":                      {behaviour{reports: true, good: true}, Healthy},
+		"reporter failed":              {behaviour{good: true}, ReportsMissing},
+		"down":                         {behaviour{failed: true}, Down},
+		"no reports and no requests":   {behaviour{}, Unknown},
+		"unreachable by all proxies":   {behaviour{reports: true, failed: true}, Unreachable},
+		"unreachable from one zone":    {behaviour{reports: true, good: true, zoneFails: true}, PartlyUnreachable},
+		"requests of unpolled clients": {behaviour{reports: true, elsewhere: true}, UnpolledTraffic},
+		"idle":                         {behaviour{reports: true}, Healthy},
+		"one late report":              {behaviour{reports: true, good: true, lateReport: true}, Healthy},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const end = 30 * second
@@ -156,8 +156,8 @@
 			texts = append(texts, notice.Text)
 		}
 	}
-	if len(texts) != 3 || !strings.Contains(texts[0], "no reports come from 4 of 4") ||
-		!strings.Contains(texts[1], "come again") || !strings.Contains(texts[2], "has not answered its poll") {
+	if len(texts) != 3 || !strings.Contains(texts[0], "no load reports from 4 of 4") ||
+		!strings.Contains(texts[1], "arriving again") || !strings.Contains(texts[2], "has not answered a counter poll") {
 		t.Errorf("notices:\n%s", strings.Join(texts, "\n"))
 	}
 }
--- a/internal/ingest/push/body.go
+++ b/internal/ingest/push/body.go
@@ -32,18 +32,24 @@
 	case "gzip":
 		decompressed, err := gzip.NewReader(r.Body)
 		if err != nil {
-			return &bodyError{http.StatusBadRequest, fmt.Errorf("the batch is not packed by gzip: %w", err)}
+			return &bodyError{http.StatusBadRequest, fmt.Errorf("batch is not valid gzip: %w", err)}
 		}
 		body = decompressed
 	default:
-		return &bodyError{http.StatusUnsupportedMediaType, fmt.Errorf("encoding %.20q is not known; gzip is", encoding)}
+		return &bodyError{
+			http.StatusUnsupportedMediaType,
+			fmt.Errorf("unsupported Content-Encoding %.20q, expected gzip or identity", encoding),
+		}
 	}
 	size, err := buffer.ReadFrom(io.LimitReader(body, maxBodySize+1))
 	if err != nil {
-		return &bodyError{http.StatusBadRequest, fmt.Errorf("the batch broke off after %d bytes: %w", size, err)}
+		return &bodyError{http.StatusBadRequest, fmt.Errorf("batch is unreadable after %d bytes: %w", size, err)}
 	}
 	if size > maxBodySize {
-		return &bodyError{http.StatusRequestEntityTooLarge, fmt.Errorf("a batch has %d bytes at most", maxBodySize)}
+		return &bodyError{
+			http.StatusRequestEntityTooLarge,
+			fmt.Errorf("batch exceeds the limit of %d bytes after decompression", maxBodySize),
+		}
 	}
 	return nil
 }
--- a/internal/ingest/push/decode.go
+++ b/internal/ingest/push/decode.go
@@ -34,7 +34,8 @@
 	fieldStarted       = "started"
 )
 
-var errStarted = errors.New("field started is a time in nanoseconds since 1970, as 1733071000000000000i")
+var errStarted = errors.New(
+	"field started must be an integer number of nanoseconds since 1970, such as 1733071000000000000i")
 
 // Vocabulary holds the names that lines may use.
 type Vocabulary struct {
@@ -75,7 +76,7 @@
 		decoder.record = ingest.Record{Arrived: now}
 		kind, err := decoder.line()
 		if err == nil && number > maxLines {
-			err = fmt.Errorf("%d lines are the most in a batch", maxLines)
+			err = fmt.Errorf("batch exceeds the limit of %d lines", maxLines)
 		}
 		if err != nil {
 			return before, Ignored{}, lineErrorOf(number, err)
@@ -154,7 +155,7 @@
 			continue
 		}
 		if len(value) == 0 || len(value) > maxNameSize {
-			return otherMeasurement, fmt.Errorf("a name has 1 to %d bytes, %d here", maxNameSize, len(value))
+			return otherMeasurement, fmt.Errorf("tag %s must have 1 to %d bytes, got %d", nameTag, maxNameSize, len(value))
 		}
 		kind = unknownServer
 		server, known := d.words.Lookup(value)
@@ -164,7 +165,7 @@
 		d.record.Server = server
 	}
 	if ours && kind == otherMeasurement {
-		return otherMeasurement, fmt.Errorf("a line of %s needs the tag %s", measurement, nameTag)
+		return otherMeasurement, fmt.Errorf("measurement %s requires the tag %s", measurement, nameTag)
 	}
 	return kind, nil
 }
@@ -229,7 +230,7 @@
 	case value.Kind() == lineprotocol.Int && value.IntV() >= 0:
 		*sum = uint64(value.IntV())
 	default:
-		return fmt.Errorf("field %s is a sum: a whole number from 0, as 12i", key)
+		return fmt.Errorf("field %s must be a non-negative integer, such as 12i", key)
 	}
 	return nil
 }
@@ -244,7 +245,7 @@
 	case lineprotocol.Uint:
 		*load = float32(value.UintV())
 	default:
-		return fmt.Errorf("field %s is a load figure: a number", key)
+		return fmt.Errorf("field %s must be a number", key)
 	}
 	return nil
 }
@@ -258,14 +259,14 @@
 		case i == 0 && c == '-':
 			negative = true
 		case c < '0' || c > '9' || count > (math.MaxInt64-9)/10:
-			return 0, fmt.Errorf("%.24q is no time", text)
+			return 0, fmt.Errorf("invalid time %.24q: not a 64-bit integer", text)
 		default:
 			count = count*10 + int64(c-'0')
 		}
 	}
 	nanoseconds := int64(unit.Duration())
 	if negative || count > math.MaxInt64/nanoseconds {
-		return 0, fmt.Errorf("%.24q is no time since 1970 in %s", text, unit)
+		return 0, fmt.Errorf("invalid time %.24q: out of range for %s since 1970", text, unit)
 	}
 	return fleet.Time(count * nanoseconds), nil
 }
--- a/internal/ingest/push/decode_test.go
+++ b/internal/ingest/push/decode_test.go
@@ -65,19 +65,19 @@
 
 func TestDecodeReturnsNothingOfAnInvalidBatch(t *testing.T) {
 	for text, want := range map[string]string{
-		"server tries=1i":                                      "line 2: a line of server needs the tag name",
-		"server,name=node-1 tries=-1i":                         "line 2: field tries is a sum",
-		"server,name=node-1 tries=1.5":                         "line 2: field tries is a sum",
+		"server tries=1i":                                      "line 2: measurement server requires the tag name",
+		"server,name=node-1 tries=-1i":                         "line 2: field tries must be a non-negative integer",
+		"server,name=node-1 tries=1.5":                         "line 2: field tries must be a non-negative integer",
 		"server,name=node-1 busy=NaN":                          "line 2: byte 25:",
-		"server,name=node-1 busy=\"x\"":                        "line 2: field busy is a load figure",
-		"server,name=node-1 started=\"x\"":                     "line 2: field started is a time",
+		"server,name=node-1 busy=\"x\"":                        "line 2: field busy must be a number",
+		"server,name=node-1 started=\"x\"":                     "line 2: field started must be an integer number of nanoseconds",
 		"server,name=node-1 tries=99999999999999999999i":       "line 2: byte 26:",
 		"server,name=node-1":                                   "line 2: byte",
 		"server,name=node-1 tries=1i 12x":                      "line 2:",
-		"server,name=node-1 tries=1i -5":                       "line 2: \"-5\" is no time",
-		"server,name=node-1 tries=1i 9999999999999999999":      "line 2: \"9999999999999999999\" is no time",
-		"server,name=" + strings.Repeat("x", 65) + " tries=1i": "line 2: a name has 1 to 64 bytes",
-		strings.Repeat("cpu x=1\n", maxLines):                  "lines are the most",
+		"server,name=node-1 tries=1i -5":                       "line 2: invalid time \"-5\"",
+		"server,name=node-1 tries=1i 9999999999999999999":      "line 2: invalid time \"9999999999999999999\"",
+		"server,name=" + strings.Repeat("x", 65) + " tries=1i": "line 2: tag name must have 1 to 64 bytes",
+		strings.Repeat("cpu x=1\n", maxLines):                  "limit of 10000 lines",
 	} {
 		records, _, err := decode(validLine + text)
 		var lineError *LineError
--- a/internal/ingest/push/server.go
+++ b/internal/ingest/push/server.go
@@ -46,6 +46,10 @@
 	busyRetryAfter = fleet.Second
 )
 
+// busyMessage is the answer to a batch for which there is no capacity.
+var busyMessage = fmt.Sprintf("no capacity to read the batch within %v: at most %d bytes are read at a time",
+	maxWait, maxBytesInFlight)
+
 // Sink receives records and decides what their source is answered.
 type Sink interface {
 	Now() fleet.Time
@@ -81,7 +85,7 @@
 func Listen(addr string, sink Sink, words Vocabulary) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("reports: %w", err)
+		return nil, fmt.Errorf("load report listener: %w", err)
 	}
 	s := &Server{
 		sink:          sink,
@@ -150,7 +154,7 @@
 	precision := r.URL.Query().Get("precision")
 	unit, ok := units[precision]
 	if !ok {
-		s.reject(w, invalid(http.StatusBadRequest, fmt.Errorf("precision %.10q: ns, us, ms and s are known", precision)))
+		s.reject(w, invalid(http.StatusBadRequest, fmt.Errorf("unknown precision %.10q, want ns, us, ms or s", precision)))
 		return
 	}
 	release, ok := s.acquire(r)
@@ -159,7 +163,7 @@
 		s.reject(w, rejection{
 			status:     http.StatusServiceUnavailable,
 			code:       "unavailable",
-			message:    "too much is being read",
+			message:    busyMessage,
 			retryAfter: busyRetryAfter,
 		})
 		return
@@ -175,7 +179,7 @@
 	records, ignored, err := Decode(pooled.records[:0], pooled.body.Bytes(), &s.words, unit, s.sink.Now())
 	pooled.records = records[:0]
 	if err != nil {
-		s.reject(w, invalid(http.StatusBadRequest, fmt.Errorf("%w; nothing of the batch was taken", err)))
+		s.reject(w, invalid(http.StatusBadRequest, fmt.Errorf("%w; the whole batch was rejected", err)))
 		return
 	}
 	s.unknown.Add(uint64(ignored.Unknown))
--- a/internal/ingest/push/server_test.go
+++ b/internal/ingest/push/server_test.go
@@ -83,7 +83,7 @@
 	compressed := gzipped(t, []byte(validLine))
 	bomb := gzipped(t, make([]byte, 8*maxBodySize))
 	overloaded := ingest.Reply{Text: "too many", RetryAfter: fleet.Second / 4}
-	distrusted := ingest.Reply{Text: "not believed", UntrustedUntil: arrival + 30*fleet.Second}
+	distrusted := ingest.Reply{Text: "ignored", UntrustedUntil: arrival + 30*fleet.Second}
 	for _, test := range []struct {
 		path       string
 		body       string
@@ -97,13 +97,13 @@
 		{path: "/api/v2/write?bucket=x&precision=ms", body: validLine, status: 204, records: 1},
 		{path: "/write", body: compressed, encoding: "gzip", status: 204, records: 1},
 		{path: "/write", body: validLine + "server x", status: 400, text: "line 2: "},
-		{path: "/write?precision=h", body: validLine, status: 400, text: "precision"},
-		{path: "/write", body: validLine, encoding: "br", status: 415, text: "encoding"},
-		{path: "/write", body: validLine, encoding: "gzip", status: 400, text: "not packed"},
-		{path: "/write", body: bomb, encoding: "gzip", status: 413, text: "1048576 bytes at most"},
-		{path: "/write", body: strings.Repeat("#", maxBodySize+1), status: 413, text: "bytes at most"},
+		{path: "/write?precision=h", body: validLine, status: 400, text: "unknown precision"},
+		{path: "/write", body: validLine, encoding: "br", status: 415, text: "unsupported Content-Encoding"},
+		{path: "/write", body: validLine, encoding: "gzip", status: 400, text: "not valid gzip"},
+		{path: "/write", body: bomb, encoding: "gzip", status: 413, text: "limit of 1048576 bytes"},
+		{path: "/write", body: strings.Repeat("#", maxBodySize+1), status: 413, text: "limit of 1048576 bytes"},
 		{path: "/write", body: validLine, reply: overloaded, status: 429, records: 1, text: "too many", retryAfter: "1"},
-		{path: "/write", body: validLine, reply: distrusted, status: 403, records: 1, text: "not believed", retryAfter: "30"},
+		{path: "/write", body: validLine, reply: distrusted, status: 403, records: 1, text: "ignored", retryAfter: "30"},
 		{path: "/elsewhere", body: validLine, status: 404},
 	} {
 		sink.reply = test.reply
@@ -143,13 +143,13 @@
 	}
 	for range senders - admitted {
 		if got := <-statuses; got != http.StatusServiceUnavailable {
-			t.Errorf("a batch over the limit is answered %d", got)
+			t.Errorf("a batch over the limit got status %d, want 503", got)
 		}
 	}
 	close(sink.release)
 	for range admitted {
 		if got := <-statuses; got != http.StatusNoContent {
-			t.Errorf("a batch in flight is answered %d", got)
+			t.Errorf("a batch in flight got status %d, want 204", got)
 		}
 	}
 	if sink.records != admitted {
--- a/internal/ingest/queue.go
+++ b/internal/ingest/queue.go
@@ -65,9 +65,10 @@
 	q.thinned += uint64(reply.Thinned)
 	switch {
 	case reply.UntrustedUntil > 0:
-		reply.Text = "not believed for now: its counters or clock made no sense"
+		reply.Text = "load reports are ignored for now: earlier ones had invalid counters, loads or times"
 	case reply.Accepted == 0 && reply.Thinned > 0:
-		reply.Text = fmt.Sprintf("more than %d records a second of one source", sourceRate)
+		reply.Text = fmt.Sprintf("rate limit exceeded: at most %d records per second of a server, %d of all servers",
+			sourceRate, int(totalRate))
 	}
 	return reply
 }
--- a/internal/ingest/shedding.go
+++ b/internal/ingest/shedding.go
@@ -28,10 +28,10 @@
 	pushed, polls float64
 	text          string
 }{
-	{1, 1, "all reports are heard"},
-	{0.25, 1, "pushed reports are thinned to a quarter"},
-	{0.1, 0.5, "pushed reports are thinned to a tenth, polls to half"},
-	{0.02, 0.25, "pushed reports are thinned to a fiftieth, polls to a quarter"},
+	{1, 1, "all load reports are accepted"},
+	{0.25, 1, "pushed load reports are reduced to 25 %"},
+	{0.1, 0.5, "pushed load reports are reduced to 10 %, counter polls to 50 %"},
+	{0.02, 0.25, "pushed load reports are reduced to 2 %, counter polls to 25 %"},
 }
 
 // loadShedder reduces what is taken in so that turns meet their deadline.
@@ -77,7 +77,7 @@
 func (s *loadShedder) setLevel(now fleet.Time, level int) {
 	text := sheddingLevels[level].text
 	if level > s.level {
-		text = fmt.Sprintf("turns took up to %.0f ms, the deadline is %.0f ms: %s",
+		text = fmt.Sprintf("control loop steps took up to %.0f ms (deadline %.0f ms): %s",
 			milliseconds(s.longest), milliseconds(turnDeadline), text)
 	}
 	s.notices = append(s.notices, Notice{OfAll: true, Good: level < s.level, Text: text})
--- a/internal/ingest/shedding_test.go
+++ b/internal/ingest/shedding_test.go
@@ -43,7 +43,7 @@
 	level, misses, _ := p.Shedding()
 	notices := p.Examine(now)
 	if level != 0 || misses != 30 || len(notices) != 6 ||
-		!strings.Contains(notices[0].Text, "turns took up to 80 ms") {
+		!strings.Contains(notices[0].Text, "control loop steps took up to 80 ms (deadline 50 ms)") {
 		t.Errorf("level %d, %d misses, %+v", level, misses, notices)
 	}
 }
--- a/internal/ingest/timeseries/row.go
+++ b/internal/ingest/timeseries/row.go
@@ -104,7 +104,7 @@
 func (r *row) encode() ([]byte, error) {
 	latencies, err := r.latencies.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
-		return nil, fmt.Errorf("histogram: %w", err)
+		return nil, fmt.Errorf("encode latency histogram: %w", err)
 	}
 	value := []byte{rowFormat}
 	value = binary.AppendUvarint(value, r.attempts)
--- a/internal/ingest/timeseries/store.go
+++ b/internal/ingest/timeseries/store.go
@@ -68,7 +68,7 @@
 	}
 	db, err := pebble.Open(folder, options)
 	if err != nil {
-		return nil, fmt.Errorf("time series in %s: %w", folder, err)
+		return nil, fmt.Errorf("open time series in %s: %w", folder, err)
 	}
 	s := &Store{
 		db:       db,
@@ -205,7 +205,7 @@
 		UpperBound: rowKey(math.MaxInt64, ""),
 	})
 	if err != nil {
-		return nil, 0, fmt.Errorf("time series: %w", err)
+		return nil, 0, fmt.Errorf("read time series: %w", err)
 	}
 	defer func() { _ = iterator.Close() }()
 	for valid := iterator.First(); valid; {
@@ -217,7 +217,7 @@
 		if order == 0 {
 			value, err := iterator.ValueAndErr()
 			if err != nil {
-				return points, damaged, fmt.Errorf("time series: %w", err)
+				return points, damaged, fmt.Errorf("read time series: %w", err)
 			}
 			point, err := decodeRow(at, value)
 			if err != nil {
--- a/internal/ingest/validator.go
+++ b/internal/ingest/validator.go
@@ -114,7 +114,7 @@
 	if s.backwardRecords < maxViolations {
 		return false
 	}
-	text := fmt.Sprintf("its clock went back by %.1f s", (last.Stated - record.Stated).Seconds())
+	text := fmt.Sprintf("clock was set back by %.1f s", (last.Stated - record.Stated).Seconds())
 	v.violation(now, s, record.Server, text)
 	s.clock.known = false
 	return true
@@ -123,11 +123,11 @@
 // problem returns what can't be right in any record, or "".
 func (r *Record) problem() string {
 	if r.Failures > r.Attempts || r.Successes > r.Attempts {
-		return fmt.Sprintf("it counts more failed (%d) or good (%d) visits than visits (%d)",
+		return fmt.Sprintf("counter failed (%d) or good (%d) exceeds tries (%d)",
 			r.Failures, r.Successes, r.Attempts)
 	}
 	if r.Started > r.Stated && r.Stated > 0 {
-		return "it states a time before its start"
+		return fmt.Sprintf("report time is %.1f s before the start time in field started", (r.Started - r.Stated).Seconds())
 	}
 	if !r.HasLoad {
 		return ""
@@ -135,7 +135,7 @@
 	for _, load := range r.Load {
 		inRange := load >= 0 && load < maxLoadFigure // false for NaN
 		if !inRange {
-			return fmt.Sprintf("it tells a load of %v", load)
+			return fmt.Sprintf("load figure %v is not between 0 and %v", load, maxLoadFigure)
 		}
 	}
 	return ""
@@ -154,11 +154,12 @@
 		{"good_ms", last.SuccessMillis, r.SuccessMillis},
 	} {
 		if counter.current < counter.before {
-			return fmt.Sprintf("its counter %s fell from %d to %d without a restart",
+			return fmt.Sprintf("counter %s decreased from %d to %d without a restart",
 				counter.name, counter.before, counter.current)
 		}
 		if counter.current-counter.before > maxCounterStep {
-			return fmt.Sprintf("its counter %s jumped from %d to %d", counter.name, counter.before, counter.current)
+			return fmt.Sprintf("counter %s increased from %d to %d in one report (limit %d)",
+				counter.name, counter.before, counter.current, uint64(maxCounterStep))
 		}
 	}
 	return ""
@@ -171,8 +172,8 @@
 	v.add(Violation{
 		At:     now,
 		Server: record.Server,
-		Text: fmt.Sprintf("its clock is off by %.1f s; its reports are aged by when they come",
-			-s.clock.offset.Seconds()),
+		Text: fmt.Sprintf("clock is off by %.1f s (limit %.0f s); the ages of its load reports are corrected for that",
+			-s.clock.offset.Seconds(), maxClockOffset.Seconds()),
 	})
 }
 
@@ -217,7 +218,7 @@
 func (v *recordValidator) notices(now fleet.Time, listed func(fleet.ServerID) bool) (notices []Notice) {
 	if now >= v.windowStart+violationWindow {
 		if v.suppressed > 0 {
-			text := fmt.Sprintf("%d more oddities of sources were not told one by one", v.suppressed)
+			text := fmt.Sprintf("%d more violations in load reports were not logged individually", v.suppressed)
 			notices = append(notices, Notice{OfAll: true, Text: text})
 		}
 		v.windowStart = now
@@ -243,5 +244,5 @@
 	if v.Until == 0 {
 		return v.Text
 	}
-	return fmt.Sprintf("%s; its reports are not believed for %.0f s", v.Text, (v.Until - v.At).Seconds())
+	return fmt.Sprintf("%s; its load reports are ignored for %.0f s", v.Text, (v.Until - v.At).Seconds())
 }
--- a/internal/ingest/validator_test.go
+++ b/internal/ingest/validator_test.go
@@ -31,7 +31,7 @@
 	if s.served != 435 || p.validator.invalid != 1 {
 		t.Errorf("%d served, %d invalid", s.served, p.validator.invalid)
 	}
-	if text := noticeTexts(p.Examine(100 * second)); !strings.Contains(text, "1 its counter tries fell from 30 to 10") {
+	if text := noticeTexts(p.Examine(100 * second)); !strings.Contains(text, "1 counter tries decreased from 30 to 10") {
 		t.Errorf("notices:\n%s", text)
 	}
 }
@@ -64,7 +64,7 @@
 		}
 	}
 	text := noticeTexts(p.Examine(100 * second))
-	for _, want := range []string{"2 it tells a load of NaN", "4 it counts more failed (2)"} {
+	for _, want := range []string{"2 load figure NaN", "4 counter failed (2)"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("notices lack %q:\n%s", want, text)
 		}
@@ -93,7 +93,7 @@
 	if s.served != 7 {
 		t.Errorf("%d served", s.served)
 	}
-	if text := noticeTexts(p.Examine(100 * second)); !strings.Contains(text, "not believed for 30 s") {
+	if text := noticeTexts(p.Examine(100 * second)); !strings.Contains(text, "ignored for 30 s") {
 		t.Errorf("notices:\n%s", text)
 	}
 }
@@ -114,7 +114,7 @@
 	if count := len(p.Examine(102 * second)); count >= maxViolationNotices {
 		t.Errorf("%d notices", count)
 	}
-	if later := fmt.Sprint(p.Examine(200 * second)); !strings.Contains(later, "more oddities of sources") {
+	if later := fmt.Sprint(p.Examine(200 * second)); !strings.Contains(later, "more violations in load reports") {
 		t.Errorf("later: %s", later)
 	}
 }
