--- a/internal/ingest/clock.go
+++ b/internal/ingest/clock.go
@@ -12,23 +12,23 @@
 	// minLateRecords in a row show that a clock was set back.
 	minLateRecords = 6
 
-	// minOffRecords in a row show that a clock is off. A single late record doesn't.
-	minOffRecords = 3
+	// minDisagreeingRecords in a row show that a clock is off. A single late record doesn't.
+	minDisagreeingRecords = 3
 )
 
 // clockEstimate estimates how far a source's clock is behind ours: the least difference between the time that a
 // record states and its arrival contains the least delay. A clock that jumps ahead shows at once, as nothing
 // arrives before it is sent.
 type clockEstimate struct {
-	offset      fleet.Time
-	known       bool
-	lateRecords int // in a row
-	isOff       bool
-	offRecords  int // in a row that contradict isOff
+	offset             fleet.Time
+	known              bool
+	lateRecords        int // in a row
+	offsetTooLarge     bool
+	disagreeingRecords int // in a row that contradict offsetTooLarge
 }
 
 // observe takes in a record that states its time. It returns true when the clock has turned out to be off.
-func (c *clockEstimate) observe(record *Record, lastArrival fleet.Time) (turnedOff bool) {
+func (c *clockEstimate) observe(record *Record, lastArrival fleet.Time) (becameTooLarge bool) {
 	difference := record.Arrived - record.Stated
 	switch {
 	case !c.known:
@@ -46,7 +46,7 @@
 			c.setOffset(difference)
 		}
 	}
-	return c.updateIsOff()
+	return c.updateOffsetTooLarge()
 }
 
 func (c *clockEstimate) setOffset(offset fleet.Time) {
@@ -54,17 +54,17 @@
 	c.lateRecords = 0
 }
 
-func (c *clockEstimate) updateIsOff() (turnedOff bool) {
-	off := c.offset > maxClockOffset || c.offset < -maxClockOffset
-	if off == c.isOff {
-		c.offRecords = 0
+func (c *clockEstimate) updateOffsetTooLarge() (becameTooLarge bool) {
+	tooLarge := c.offset > maxClockOffset || c.offset < -maxClockOffset
+	if tooLarge == c.offsetTooLarge {
+		c.disagreeingRecords = 0
 		return false
 	}
-	c.offRecords++
-	if c.offRecords < minOffRecords {
+	c.disagreeingRecords++
+	if c.disagreeingRecords < minDisagreeingRecords {
 		return false
 	}
-	c.isOff = off
-	c.offRecords = 0
-	return off
+	c.offsetTooLarge = tooLarge
+	c.disagreeingRecords = 0
+	return tooLarge
 }
--- a/internal/ingest/health.go
+++ b/internal/ingest/health.go
@@ -19,9 +19,9 @@
 	minAgreeing = 2
 
 	// minSilence without a report is silence, which is noticed within 4 s. For sources that report less often it is
-	// silentGaps times their mean gap.
-	minSilence = 3 * fleet.Second
-	silentGaps = 3
+	// silenceGapFactor times their mean gap.
+	minSilence       = 3 * fleet.Second
+	silenceGapFactor = 3
 
 	// pollTimeout is how long a proxy may take to answer a poll before operators are notified.
 	pollTimeout = 3 * fleet.Second
@@ -29,8 +29,8 @@
 	// minSilentSources that fall silent together make our own network suspect.
 	minSilentSources = 3
 
-	// minJudgedAttempts is the number of attempts of which all failed that says something.
-	minJudgedAttempts = 3
+	// minConclusiveAttempts is the number of attempts of which all failed that says something.
+	minConclusiveAttempts = 3
 
 	// zoneBits is the width of a set of zones.
 	zoneBits = 64
@@ -98,7 +98,7 @@
 	case delta.Failures < delta.Attempts:
 		latest.goodPolls++
 		latest.goodZones |= zone
-	case delta.Attempts >= minJudgedAttempts:
+	case delta.Attempts >= minConclusiveAttempts:
 		latest.badPolls++
 		latest.badZones |= zone
 	}
@@ -163,18 +163,18 @@
 			silent++
 		}
 	}
-	cutOff := silent >= minSilentSources && 2*silent > reporting
-	if cutOff == p.reportsCutOff {
+	pathDown := silent >= minSilentSources && 2*silent > reporting
+	if pathDown == p.reportPathDown {
 		return
 	}
-	p.reportsCutOff = cutOff
+	p.reportPathDown = pathDown
 	text := "load reports are arriving again"
-	if cutOff {
+	if pathDown {
 		text = fmt.Sprintf("no load reports from %d of %d servers that still answer requests: "+
 			"the network path to this controller is down; missing reports are not attributed to the servers",
 			silent, reporting)
 	}
-	p.notices = append(p.notices, Notice{OfAll: true, Good: !cutOff, Text: text})
+	p.notices = append(p.notices, Notice{OfAll: true, Good: !pathDown, Text: text})
 }
 
 // updateHealth changes the verdict on a server once examinations agree on it.
@@ -185,7 +185,7 @@
 		return
 	}
 	outcomes := s.recentOutcomes()
-	verdict := p.judge(s, &outcomes, now)
+	verdict := p.evaluate(s, &outcomes, now)
 	if verdict != h.candidate {
 		h.candidate = verdict
 		h.agreeing = 1
@@ -198,8 +198,8 @@
 	h.verdict = verdict
 	h.since = now
 	before := h.notified
-	ownFault := p.reportsCutOff && (verdict == ReportsMissing || verdict == Unknown)
-	h.notified = verdict != Healthy && !ownFault
+	causedByReportPath := p.reportPathDown && (verdict == ReportsMissing || verdict == Unknown)
+	h.notified = verdict != Healthy && !causedByReportPath
 	if h.notified || before {
 		p.notices = append(p.notices, Notice{
 			Server:  server,
@@ -213,22 +213,22 @@
 // startExamination begins a new part of the outcomes, and drops the oldest one.
 func (s *source) startExamination() {
 	copy(s.outcomes[1:], s.outcomes[:])
-	copy(s.servedAt[1:], s.servedAt[:])
+	copy(s.ownAttemptsHistory[1:], s.ownAttemptsHistory[:])
 	s.outcomes[0] = pollOutcomes{}
-	s.servedAt[0] = s.served
+	s.ownAttemptsHistory[0] = s.ownAttempts
 }
 
 func (s *source) silent(now fleet.Time) bool {
-	return s.hasReported() && now-s.lastArrival >= max(minSilence, silentGaps*s.meanGap)
+	return s.hasReported() && now-s.lastArrival >= max(minSilence, silenceGapFactor*s.meanGap)
 }
 
-// judge returns the verdict by what still comes: reports of the server, outcomes of polls, and the server's own sums.
-func (p *Pipeline) judge(s *source, outcomes *pollOutcomes, now fleet.Time) HealthVerdict {
+// evaluate returns the verdict by what still comes: reports of the server, outcomes of polls, and the server's own sums.
+func (p *Pipeline) evaluate(s *source, outcomes *pollOutcomes, now fleet.Time) HealthVerdict {
 	if outcomes.zoneWithoutAnswers() {
 		return PartlyUnreachable
 	}
 	if s.silent(now) {
-		return outcomes.verdictOnSilence()
+		return outcomes.verdictWithoutReports()
 	}
 	if !s.hasReported() {
 		return Healthy
@@ -248,8 +248,8 @@
 	return o.goodPolls > 0 && o.badPolls > 0 && o.badZones&^o.goodZones != 0
 }
 
-// verdictOnSilence returns the verdict on a server that doesn't report.
-func (o *pollOutcomes) verdictOnSilence() HealthVerdict {
+// verdictWithoutReports returns the verdict on a server that doesn't report.
+func (o *pollOutcomes) verdictWithoutReports() HealthVerdict {
 	switch {
 	case o.goodPolls > 0:
 		return ReportsMissing
@@ -261,8 +261,8 @@
 
 // servesUnpolledTraffic reports whether the server's own sums have grown since the oldest examination.
 func (s *source) servesUnpolledTraffic() bool {
-	oldest := s.servedAt[examinationCount-1]
-	return oldest > 0 && s.served > oldest+minJudgedAttempts
+	oldest := s.ownAttemptsHistory[examinationCount-1]
+	return oldest > 0 && s.ownAttempts > oldest+minConclusiveAttempts
 }
 
 // describe returns the text of a notice.
--- a/internal/ingest/pipeline.go
+++ b/internal/ingest/pipeline.go
@@ -58,10 +58,10 @@
 	usePushedLoad bool
 	observer      func(CounterDelta) // may be nil
 
-	shedder       loadShedder
-	examinedAt    fleet.Time
-	reportsCutOff bool // most sources are silent though their servers answer
-	notices       []Notice
+	shedder        loadShedder
+	examinedAt     fleet.Time
+	reportPathDown bool // most sources are silent though their servers answer
+	notices        []Notice
 }
 
 // New returns an empty pipeline for a site.
@@ -101,6 +101,6 @@
 
 // Violations returns the latest violations, oldest first, and how many records were repeated, violated a rule, or came
 // from a source that was not trusted.
-func (p *Pipeline) Violations() (violations []Violation, repeated, odd, unbelieved uint64) {
+func (p *Pipeline) Violations() (violations []Violation, repeated, invalid, untrusted uint64) {
 	return p.validator.violations, p.validator.repeated, p.validator.invalid, p.validator.untrusted
 }
--- a/internal/ingest/push/decode.go
+++ b/internal/ingest/push/decode.go
@@ -67,14 +67,14 @@
 // Sums are whole numbers since the start of the process; started is that start in nanoseconds; load figures have
 // the names of the settings; unknown fields are skipped. A line without a time counts as of now.
 func Decode(
-	records []ingest.Record, body []byte, words *Vocabulary, unit lineprotocol.Precision, now fleet.Time,
+	records []ingest.Record, body []byte, vocabulary *Vocabulary, unit lineprotocol.Precision, now fleet.Time,
 ) ([]ingest.Record, Ignored, error) {
 	var ignored Ignored
 	before := records
-	decoder := lineDecoder{Decoder: lineprotocol.NewDecoderWithBytes(body), words: words, unit: unit}
+	decoder := lineDecoder{Decoder: lineprotocol.NewDecoderWithBytes(body), vocabulary: vocabulary, unit: unit}
 	for number := 1; decoder.Next(); number++ {
 		decoder.record = ingest.Record{Arrived: now}
-		kind, err := decoder.line()
+		kind, err := decoder.decodeLine()
 		if err == nil && number > maxLines {
 			err = fmt.Errorf("batch exceeds the limit of %d lines", maxLines)
 		}
@@ -114,22 +114,22 @@
 // lineDecoder reads one line after another into its record.
 type lineDecoder struct {
 	*lineprotocol.Decoder
-	words  *Vocabulary
-	unit   lineprotocol.Precision
-	record ingest.Record
+	vocabulary *Vocabulary
+	unit       lineprotocol.Precision
+	record     ingest.Record
 }
 
-func (d *lineDecoder) line() (lineKind, error) {
+func (d *lineDecoder) decodeLine() (lineKind, error) {
 	name, err := d.Measurement()
 	if err != nil {
 		return otherMeasurement, err
 	}
-	ours := string(name) == measurement
-	kind, err := d.tags(ours)
+	isServerLine := string(name) == measurement
+	kind, err := d.decodeTags(isServerLine)
 	if err != nil {
 		return otherMeasurement, err
 	}
-	if err := d.fields(ours); err != nil {
+	if err := d.decodeFields(isServerLine); err != nil {
 		return otherMeasurement, err
 	}
 	text, err := d.TimeBytes()
@@ -140,8 +140,8 @@
 	return kind, err
 }
 
-// tags reads the tags of a line. A line of ours needs the name of a server.
-func (d *lineDecoder) tags(ours bool) (lineKind, error) {
+// decodeTags reads the tags of a line. A server line requires the name of a server.
+func (d *lineDecoder) decodeTags(isServerLine bool) (lineKind, error) {
 	kind := otherMeasurement
 	for {
 		key, value, err := d.NextTag()
@@ -151,26 +151,26 @@
 		if key == nil {
 			break
 		}
-		if !ours || string(key) != nameTag {
+		if !isServerLine || string(key) != nameTag {
 			continue
 		}
 		if len(value) == 0 || len(value) > maxNameSize {
 			return otherMeasurement, fmt.Errorf("tag %s must have 1 to %d bytes, got %d", nameTag, maxNameSize, len(value))
 		}
 		kind = unknownServer
-		server, known := d.words.Lookup(value)
+		server, known := d.vocabulary.Lookup(value)
 		if known {
 			kind = knownServer
 		}
 		d.record.Server = server
 	}
-	if ours && kind == otherMeasurement {
+	if isServerLine && kind == otherMeasurement {
 		return otherMeasurement, fmt.Errorf("measurement %s requires the tag %s", measurement, nameTag)
 	}
 	return kind, nil
 }
 
-func (d *lineDecoder) fields(ours bool) error {
+func (d *lineDecoder) decodeFields(isServerLine bool) error {
 	for {
 		key, value, err := d.NextField()
 		if err != nil {
@@ -179,16 +179,16 @@
 		if key == nil {
 			return nil
 		}
-		if !ours {
+		if !isServerLine {
 			continue
 		}
-		if err := d.field(key, value); err != nil {
+		if err := d.decodeField(key, value); err != nil {
 			return err
 		}
 	}
 }
 
-func (d *lineDecoder) field(key []byte, value lineprotocol.Value) error {
+func (d *lineDecoder) decodeField(key []byte, value lineprotocol.Value) error {
 	switch string(key) {
 	case fieldAttempts:
 		return readSum(&d.record.Attempts, key, value)
@@ -199,9 +199,9 @@
 	case fieldSuccessMillis:
 		return readSum(&d.record.SuccessMillis, key, value)
 	case fieldStarted:
-		return d.started(key, value)
+		return d.decodeStarted(key, value)
 	}
-	for i, name := range d.words.Loads {
+	for i, name := range d.vocabulary.Loads {
 		if string(key) != name {
 			continue
 		}
@@ -213,7 +213,7 @@
 	return nil
 }
 
-func (d *lineDecoder) started(key []byte, value lineprotocol.Value) error {
+func (d *lineDecoder) decodeStarted(key []byte, value lineprotocol.Value) error {
 	var started uint64
 	if err := readSum(&started, key, value); err != nil || started > math.MaxInt64 {
 		return errStarted
--- a/internal/ingest/push/server.go
+++ b/internal/ingest/push/server.go
@@ -32,8 +32,8 @@
 	// maxConnections at a time; more wait to be accepted.
 	maxConnections = 2048
 
-	// maxWait of a batch for its share of maxBytesInFlight.
-	maxWait = 2 * time.Second
+	// maxCapacityWait of a batch for its share of maxBytesInFlight.
+	maxCapacityWait = 2 * time.Second
 
 	// maxHeaderSize is in bytes.
 	maxHeaderSize = 8 << 10
@@ -48,7 +48,7 @@
 
 // busyMessage is the answer to a batch for which there is no capacity.
 var busyMessage = fmt.Sprintf("no capacity to read the batch within %v: at most %d bytes are read at a time",
-	maxWait, maxBytesInFlight)
+	maxCapacityWait, maxBytesInFlight)
 
 // Sink receives records and decides what their source is answered.
 type Sink interface {
@@ -68,7 +68,7 @@
 // Server receives reports over HTTP: POST /api/v2/write or /write, ?precision=ns|us|ms|s.
 type Server struct {
 	sink          Sink
-	words         Vocabulary
+	vocabulary    Vocabulary
 	http          *http.Server
 	bytesInFlight *semaphore.Weighted
 	addr          net.Addr
@@ -82,14 +82,14 @@
 }
 
 // Listen begins to receive reports at host:port.
-func Listen(addr string, sink Sink, words Vocabulary) (*Server, error) {
+func Listen(addr string, sink Sink, vocabulary Vocabulary) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("load report listener: %w", err)
 	}
 	s := &Server{
 		sink:          sink,
-		words:         words,
+		vocabulary:    vocabulary,
 		bytesInFlight: semaphore.NewWeighted(maxBytesInFlight),
 		addr:          listener.Addr(),
 	}
@@ -132,8 +132,8 @@
 	}
 }
 
-// units are the values of the parameter precision.
-var units = map[string]lineprotocol.Precision{
+// precisions are the values of the parameter precision.
+var precisions = map[string]lineprotocol.Precision{
 	"":   lineprotocol.Nanosecond,
 	"ns": lineprotocol.Nanosecond,
 	"us": lineprotocol.Microsecond,
@@ -152,12 +152,12 @@
 func (s *Server) write(w http.ResponseWriter, r *http.Request) {
 	s.batches.Add(1)
 	precision := r.URL.Query().Get("precision")
-	unit, ok := units[precision]
+	unit, ok := precisions[precision]
 	if !ok {
 		s.reject(w, invalid(http.StatusBadRequest, fmt.Errorf("unknown precision %.10q, want ns, us, ms or s", precision)))
 		return
 	}
-	release, ok := s.acquire(r)
+	release, ok := s.acquireCapacity(r)
 	if !ok {
 		s.busy.Add(1)
 		s.reject(w, rejection{
@@ -176,7 +176,7 @@
 		s.reject(w, invalid(err.status, err))
 		return
 	}
-	records, ignored, err := Decode(pooled.records[:0], pooled.body.Bytes(), &s.words, unit, s.sink.Now())
+	records, ignored, err := Decode(pooled.records[:0], pooled.body.Bytes(), &s.vocabulary, unit, s.sink.Now())
 	pooled.records = records[:0]
 	if err != nil {
 		s.reject(w, invalid(http.StatusBadRequest, fmt.Errorf("%w; the whole batch was rejected", err)))
@@ -188,13 +188,13 @@
 	if len(records) > 0 {
 		reply = s.sink.Push(records)
 	}
-	s.answer(w, reply)
+	s.writeReply(w, reply)
 }
 
-// acquire waits for the capacity to read the request. What isn't read yet stays in its socket and at its source, so
+// acquireCapacity waits for the capacity to read the request. What isn't read yet stays in its socket and at its source, so
 // that memory doesn't grow with a flood. The caller releases the capacity.
-func (s *Server) acquire(r *http.Request) (release func(), ok bool) {
-	ctx, cancel := context.WithTimeout(r.Context(), maxWait)
+func (s *Server) acquireCapacity(r *http.Request) (release func(), ok bool) {
+	ctx, cancel := context.WithTimeout(r.Context(), maxCapacityWait)
 	defer cancel()
 	size := int64(maxBodySize)
 	if length := r.ContentLength; length >= 0 && length < maxBodySize && r.Header.Get("Content-Encoding") == "" {
@@ -206,7 +206,7 @@
 	return func() { s.bytesInFlight.Release(size) }, true
 }
 
-func (s *Server) answer(w http.ResponseWriter, reply ingest.Reply) {
+func (s *Server) writeReply(w http.ResponseWriter, reply ingest.Reply) {
 	switch {
 	case reply.UntrustedUntil > 0:
 		s.reject(w, rejection{
--- a/internal/ingest/queue.go
+++ b/internal/ingest/queue.go
@@ -32,7 +32,7 @@
 	head    int
 	bucket  tokenBucket
 	records uint64
-	thinned uint64
+	dropped uint64
 }
 
 // queuedSource is what a Queue knows of a source.
@@ -46,7 +46,7 @@
 // Reply is what the source of a batch is answered.
 type Reply struct {
 	Accepted       int
-	Thinned        int        // dropped records
+	Dropped        int        // dropped records
 	RetryAfter     fleet.Time // before it sends again; 0: none
 	UntrustedUntil fleet.Time // until then its records don't count
 	Text           string
@@ -62,11 +62,11 @@
 	for i := range records {
 		q.put(now, &records[i], &reply)
 	}
-	q.thinned += uint64(reply.Thinned)
+	q.dropped += uint64(reply.Dropped)
 	switch {
 	case reply.UntrustedUntil > 0:
 		reply.Text = "load reports are ignored for now: earlier ones had invalid counters, loads or times"
-	case reply.Accepted == 0 && reply.Thinned > 0:
+	case reply.Accepted == 0 && reply.Dropped > 0:
 		reply.Text = fmt.Sprintf("rate limit exceeded: at most %d records per second of a server, %d of all servers",
 			sourceRate, int(totalRate))
 	}
@@ -81,11 +81,11 @@
 	source.bucket.refill(now, sourceRate, sourceBurst)
 	switch {
 	case source.bucket.tokens < 1:
-		reply.Thinned++
+		reply.Dropped++
 		reply.RetryAfter = max(reply.RetryAfter, source.bucket.timeToToken(sourceRate))
 		return
 	case q.bucket.tokens < 1:
-		reply.Thinned++
+		reply.Dropped++
 		reply.RetryAfter = max(reply.RetryAfter, q.bucket.timeToToken(totalRate))
 		return
 	}
@@ -154,8 +154,8 @@
 }
 
 // Waiting returns how many sources are queued, and how many records came and were dropped.
-func (q *Queue) Waiting() (sources int, records, thinned uint64) {
+func (q *Queue) Waiting() (sources int, records, dropped uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.order) - q.head, q.records, q.thinned
+	return len(q.order) - q.head, q.records, q.dropped
 }
--- a/internal/ingest/shedding.go
+++ b/internal/ingest/shedding.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// turnDeadline bounds a turn of the control loop: ordinary decisions have seconds, urgent ones have not.
-	turnDeadline = 50 * fleet.Millisecond
+	// stepDeadline bounds a turn of the control loop: ordinary decisions have seconds, urgent ones have not.
+	stepDeadline = 50 * fleet.Millisecond
 
 	// raiseInterval is the least time between two raises of the level, until the effect of the first one shows.
 	raiseInterval = fleet.Second
@@ -16,11 +16,11 @@
 	// calmDuration without a missed deadline lowers the level.
 	calmDuration = 5 * fleet.Second
 
-	// maxRecordsPerTurn takes all of a fleet in two turns.
-	maxRecordsPerTurn = 512
+	// maxRecordsPerStep takes all of a fleet in two turns.
+	maxRecordsPerStep = 512
 
-	// maxRowsPerTurn of counters take some 5 ms.
-	maxRowsPerTurn = 100_000
+	// maxRowsPerStep of counters take some 5 ms.
+	maxRowsPerStep = 100_000
 )
 
 // sheddingLevels are what remains at each level. Pushed reports are shed first, then polls, and orders never.
@@ -45,12 +45,12 @@
 }
 
 // TurnEnded takes in the duration of a turn.
-func (p *Pipeline) TurnEnded(now, duration fleet.Time) { p.shedder.turnEnded(now, duration) }
+func (p *Pipeline) TurnEnded(now, duration fleet.Time) { p.shedder.stepEnded(now, duration) }
 
 // TurnLimits returns how many pushed records and rows of counters the next turn may take.
 func (p *Pipeline) TurnLimits() (records, rows int) {
 	share := sheddingLevels[p.shedder.level].pushed
-	return max(1, int(maxRecordsPerTurn*share)), maxRowsPerTurn
+	return max(1, int(maxRecordsPerStep*share)), maxRowsPerStep
 }
 
 // Shedding returns the level of shedding, the number of missed deadlines, and what the level means.
@@ -58,8 +58,8 @@
 	return p.shedder.level, p.shedder.misses, sheddingLevels[p.shedder.level].text
 }
 
-func (s *loadShedder) turnEnded(now, duration fleet.Time) {
-	if duration <= turnDeadline {
+func (s *loadShedder) stepEnded(now, duration fleet.Time) {
+	if duration <= stepDeadline {
 		if s.level > 0 && now >= max(s.missedAt, s.changedAt)+calmDuration {
 			s.setLevel(now, s.level-1)
 		}
@@ -78,7 +78,7 @@
 	text := sheddingLevels[level].text
 	if level > s.level {
 		text = fmt.Sprintf("control loop steps took up to %.0f ms (deadline %.0f ms): %s",
-			milliseconds(s.longest), milliseconds(turnDeadline), text)
+			milliseconds(s.longest), milliseconds(stepDeadline), text)
 	}
 	s.notices = append(s.notices, Notice{OfAll: true, Good: level < s.level, Text: text})
 	s.level = level
--- a/internal/ingest/timeseries/store.go
+++ b/internal/ingest/timeseries/store.go
@@ -36,15 +36,15 @@
 
 // Store holds the rows. Its methods may be called from several goroutines.
 type Store struct {
-	db        *pebble.DB
-	nameOf    func(fleet.ServerID) string
-	writable  chan struct{} // has an element when complete rows are to be written; closed by Close
-	writing   sync.WaitGroup
-	unwritten atomic.Uint64 // rows that could not be written
-	mu        sync.Mutex
-	current   map[fleet.ServerID]*row
-	currentAt fleet.Time // begin of the current rows
-	ended     []serverRow
+	db            *pebble.DB
+	nameOf        func(fleet.ServerID) string
+	writeRequests chan struct{} // has an element when complete rows are to be written; closed by Close
+	writing       sync.WaitGroup
+	unwritten     atomic.Uint64 // rows that could not be written
+	mu            sync.Mutex
+	current       map[fleet.ServerID]*row
+	currentAt     fleet.Time // begin of the current rows
+	completed     []serverRow
 }
 
 // serverRow is a row that has ended and is not written yet.
@@ -71,10 +71,10 @@
 		return nil, fmt.Errorf("open time series in %s: %w", folder, err)
 	}
 	s := &Store{
-		db:       db,
-		nameOf:   nameOf,
-		writable: make(chan struct{}, 1),
-		current:  map[fleet.ServerID]*row{},
+		db:            db,
+		nameOf:        nameOf,
+		writeRequests: make(chan struct{}, 1),
+		current:       map[fleet.ServerID]*row{},
 	}
 	s.writing.Go(s.writeRows)
 	return s, nil
@@ -85,10 +85,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if at := delta.At / rowInterval * rowInterval; at > s.currentAt {
-		s.endRows()
+		s.completeRows()
 		s.currentAt = at
 		select {
-		case s.writable <- struct{}{}:
+		case s.writeRequests <- struct{}{}:
 		default:
 		}
 	}
@@ -100,26 +100,26 @@
 	r.add(delta)
 }
 
-// endRows lets the current rows be written. The caller holds the lock.
-func (s *Store) endRows() {
+// completeRows lets the current rows be written. The caller holds the lock.
+func (s *Store) completeRows() {
 	for server, r := range s.current {
-		s.ended = append(s.ended, serverRow{server: server, row: r})
+		s.completed = append(s.completed, serverRow{server: server, row: r})
 	}
 	clear(s.current)
 }
 
 // writeRows writes rows that have ended. They remain readable from memory until they are written.
 func (s *Store) writeRows() {
-	for range s.writable {
+	for range s.writeRequests {
 		s.mu.Lock()
-		rows := s.ended
+		rows := s.completed
 		at := s.currentAt
 		s.mu.Unlock()
 		if err := s.write(rows, at); err != nil {
 			s.unwritten.Add(uint64(len(rows)))
 		}
 		s.mu.Lock()
-		s.ended = slices.Delete(s.ended, 0, len(rows))
+		s.completed = slices.Delete(s.completed, 0, len(rows))
 		s.mu.Unlock()
 	}
 }
@@ -158,11 +158,11 @@
 // Close writes the current rows and closes the store.
 func (s *Store) Close() error {
 	s.mu.Lock()
-	s.endRows()
-	close(s.writable)
+	s.completeRows()
+	close(s.writeRequests)
 	s.mu.Unlock()
 	s.writing.Wait()
-	return errors.Join(s.write(s.ended, s.currentAt), s.db.Flush(), s.db.Close())
+	return errors.Join(s.write(s.completed, s.currentAt), s.db.Flush(), s.db.Close())
 }
 
 // Read returns a server's rows from a time on, the current one last. It counts the rows that are damaged, and skips
@@ -187,7 +187,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first = max(0, from, s.currentAt-retention) / rowInterval * rowInterval
-	for _, r := range s.ended {
+	for _, r := range s.completed {
 		if r.server == server && r.row.at >= first {
 			points = append(points, r.row.point())
 		}
--- a/internal/ingest/view.go
+++ b/internal/ingest/view.go
@@ -44,8 +44,8 @@
 		Reports:     s.hasReported(),
 		Attempts:    outcomes.attempts,
 		Failed:      outcomes.failures,
-		Served:      s.served,
-		OwnFailures: s.erred,
+		Served:      s.ownAttempts,
+		OwnFailures: s.ownFailures,
 		Load:        s.last.Load,
 		HasLoad:     s.last.HasLoad,
 		ClockOffset: s.clock.offset,
@@ -66,13 +66,13 @@
 }
 
 // reportedLoad returns the load that a server's answers reported, or the given one where there is none.
-func (p *Pipeline) reportedLoad(server fleet.ServerID, otherwise [4]float32) (load [4]float32, ok bool) {
+func (p *Pipeline) reportedLoad(server fleet.ServerID, fallback [4]float32) (load [4]float32, ok bool) {
 	for _, byServer := range p.outcomes {
 		if report := byServer[uint32(server)]; report != nil && report.load != [4]float32{} {
 			return report.load, true
 		}
 	}
-	return otherwise, false
+	return fallback, false
 }
 
 // ProxyAge returns how long ago a proxy's counters were read, and the period of polls. It returns false where they were
