--- a/internal/ingest/clock.go
+++ b/internal/ingest/clock.go
@@ -3,31 +3,34 @@
 import "cressknot/internal/fleet"
 
 const (
-	// maxDelayVariation is how much longer than the shortest one the delay of a report may be.
+	// maxDelayVariation is the largest expected difference between the delays of two reports.
 	maxDelayVariation = 500 * fleet.Millisecond
 
-	// maxClockOffset is the offset from which operators are notified: times in the logs of the server would mislead them.
+	// maxClockOffset is the offset above which operators are notified, as times in the logs of the server would mislead
+	// them.
 	maxClockOffset = 5 * fleet.Second
 
-	// minLateRecords in a row show that a clock was set back.
+	// minLateRecords is the number of consecutive late records that show that a clock was set back.
 	minLateRecords = 6
 
-	// minDisagreeingRecords in a row show that a clock is off. A single late record doesn't.
+	// minDisagreeingRecords is the number of consecutive records that show that a clock is off, or right again. A single
+	// late record does not.
 	minDisagreeingRecords = 3
 )
 
-// clockEstimate estimates how far a source's clock is behind ours: the least difference between the time that a
-// record states and its arrival contains the least delay. A clock that jumps ahead shows at once, as nothing
-// arrives before it is sent.
+// clockEstimate estimates the offset by which a source's clock is behind the controller's. The offset is the smallest
+// difference between the arrival of a record and the time that it states, as that record had the smallest delay. A
+// clock that jumps ahead is detected at once, as no record arrives before it is sent.
 type clockEstimate struct {
 	offset             fleet.Time
 	known              bool
-	lateRecords        int // in a row
+	lateRecords        int // consecutive
 	offsetTooLarge     bool
-	disagreeingRecords int // in a row that contradict offsetTooLarge
+	disagreeingRecords int // consecutive records that contradict offsetTooLarge
 }
 
-// observe takes in a record that states its time. It returns true when the clock has turned out to be off.
+// observe updates the estimate with a record that states its time. It returns true when the offset has become larger
+// than maxClockOffset.
 func (c *clockEstimate) observe(record *Record, lastArrival fleet.Time) (becameTooLarge bool) {
 	difference := record.Arrived - record.Stated
 	switch {
@@ -39,7 +42,7 @@
 	case difference <= c.offset+maxDelayVariation:
 		c.lateRecords = 0
 	case record.Arrived-lastArrival < maxDelayVariation:
-		// Many records at once are late, whatever the clock says.
+		// Records that arrive in quick succession were delayed together; that says nothing about the clock.
 	default:
 		c.lateRecords++
 		if c.lateRecords >= minLateRecords {
--- a/internal/ingest/clock_test.go
+++ b/internal/ingest/clock_test.go
@@ -8,7 +8,7 @@
 	"cressknot/internal/fleet"
 )
 
-// clockOffset is how far the clock of the tested source is ahead.
+// clockOffset is the offset by which the clock of the tested source is ahead.
 const clockOffset = 90 * second
 
 // clockRun is a pipeline with a proxy and a source whose clock is ahead.
@@ -25,13 +25,14 @@
 	return r
 }
 
-// push pushes a load that was taken at another time.
+// push pushes a load that arrives at now and was measured at taken.
 func (r *clockRun) push(now, taken fleet.Time) {
 	r.pipeline.AddRecord(now, Record{
 		Server: 1, Stated: taken + clockOffset, Arrived: now, HasLoad: true, Load: [4]float32{0.5}})
 }
 
-// reportedLoads counts the reports with a load, which never come without attempts.
+// reportedLoads returns the number of outcome reports with a load. It fails the test if a load is reported without
+// attempts.
 func (r *clockRun) reportedLoads(t *testing.T, now fleet.Time) (count int) {
 	t.Helper()
 	r.proxy.attempt(1, 5, 0)
@@ -47,7 +48,7 @@
 			}
 			count++
 			if event.Load[0] != 0.5 {
-				t.Errorf("a load of %v", event.Load)
+				t.Errorf("reported load %v, want 0.5", event.Load)
 			}
 		}
 	}
@@ -58,8 +59,9 @@
 	return r.pipeline.source(server).age(now)
 }
 
-// Ages go by a source's own clock as far as its offset is known. A load that is late by it is neither reported as a
-// current one nor as idleness, and a minute of late records at once doesn't pass for a clock that is off.
+// The age of a report is computed from its stated time and the estimated clock offset, so that a source whose clock is
+// off is not ignored. A load that is late by that clock is reported neither as a current one nor as idleness, and a
+// minute of late records that arrive at once does not change the estimate.
 func TestAgesFollowTheSourcesClock(t *testing.T) {
 	r := newClockRun()
 	now := 100 * second
@@ -86,17 +88,18 @@
 	if !strings.Contains(notices, "clock is off by 90.0 s") {
 		t.Errorf("notices: %s", notices)
 	}
-	for i := range 9 { // set right: behind where it was
+	for i := range 9 { // the clock is corrected backwards
 		at := now + 62*second + fleet.Time(i)*second
 		r.pipeline.AddRecord(at, Record{
 			Server: 1, Stated: at + clockOffset - 85*second, Arrived: at, Attempts: uint64(i + 1), HasLoad: true})
 	}
 	if age := r.age(1, now+70*second); age > second {
-		t.Errorf("after its clock was set its report has the age %.1f s", age.Seconds())
+		t.Errorf("after the clock was corrected, the report has the age %.1f s", age.Seconds())
 	}
 }
 
-// The first record of a source is late: the least delay counts, and a single record doesn't show that a clock is off.
+// The first record of a source is late. The estimate must follow the smallest delay, and a single late record must not
+// be taken for a clock that is off.
 func TestLateFirstRecordIsNoClockOffset(t *testing.T) {
 	p := New(testSite())
 	const start = 100 * second
@@ -108,6 +111,6 @@
 		}
 	}
 	if violations := p.validator.violations; len(violations) > 0 {
-		t.Errorf("violations of a clock that is right: %+v", violations)
+		t.Errorf("violations although the clock is right: %+v", violations)
 	}
 }
--- a/internal/ingest/conservation_test.go
+++ b/internal/ingest/conservation_test.go
@@ -8,7 +8,7 @@
 	"cressknot/internal/fleet"
 )
 
-// conservationRun drives a pipeline, and counts what proxies counted and what was reported.
+// conservationRun drives a pipeline, and sums the attempts that proxies counted and those that were reported.
 type conservationRun struct {
 	pipeline *Pipeline
 	start    fleet.Time
@@ -17,7 +17,7 @@
 	gone     map[fleet.ServerID]bool
 	// lastReport is the time of the last outcome report by server and zone.
 	lastReport map[seriesKey]fleet.Time
-	counted    uint64 // by proxies, between readings
+	counted    uint64 // attempts that proxies counted between readings
 	reported   uint64
 	reports    int
 }
@@ -49,7 +49,7 @@
 	return r
 }
 
-// step does something at a random proxy or server.
+// step performs a random action on a random proxy or server.
 func (r *conservationRun) step(t *rapid.T) {
 	r.now += fleet.Time(rapid.SampledFrom([]int{20, 300, 900, 900, 20_000}).Draw(t, "ms")) * millisecond
 	i := rapid.IntRange(0, len(r.proxies)-1).Draw(t, "proxy")
@@ -85,7 +85,7 @@
 	reading.Release()
 }
 
-// rejoin lets a proxy leave and join. A fresh one has restarted meanwhile.
+// rejoin makes a proxy leave and join again. If fresh is set, it has restarted in between.
 func (r *conservationRun) rejoin(i int, fresh bool) {
 	r.pipeline.Leave(fleet.ProxyID(i))
 	if fresh {
@@ -95,7 +95,7 @@
 	r.pipeline.Join(r.now, fleet.ProxyID(i), fleet.ZoneID(i%2), fresh)
 }
 
-// checkReports checks the reports that are due, and the totals.
+// checkReports takes the due reports, and checks their number, their values and the totals.
 func (r *conservationRun) checkReports(t *rapid.T) {
 	events, _ := r.pipeline.Reports(r.now)
 	for _, event := range events {
@@ -117,7 +117,7 @@
 	totals := r.pipeline.Totals()
 	if totals.Counted != r.counted || totals.Reported != r.reported ||
 		totals.Counted != totals.Reported+totals.Pending+totals.Aged+totals.Gone {
-		t.Fatalf("%+v, but proxies counted %d and %d were reported", totals, r.counted, r.reported)
+		t.Fatalf("totals %+v, but proxies counted %d attempts and %d were reported", totals, r.counted, r.reported)
 	}
 }
 
@@ -128,13 +128,14 @@
 	invalid := report.Failures > report.Attempts || report.Interval <= 0 || report.Attempts > 1e6 || report.Load != nil
 	tooEarly := last > 0 && r.now < last+second*3/4
 	if invalid || tooEarly || r.gone[report.Server] {
-		t.Fatalf("%+v, gone %v, last at %d, now %d", report, r.gone[report.Server], last, r.now)
+		t.Fatalf("invalid or early report %+v: gone %v, last at %d, now %d", report, r.gone[report.Server], last, r.now)
 	}
 	r.lastReport[key] = r.now
 }
 
-// Whatever is polled when, through departures, restarts and late readings, each attempt that proxies counted was
-// reported, is pending, was too old, or was of a server that is gone; and no more is reported than the site allows.
+// With any order of polls, departures, restarts and late readings, each attempt that proxies counted is reported,
+// pending, dropped as too old, or dropped because its server is gone; none is lost or counted twice. The rate of
+// reports stays within the limit of the site.
 func TestAttemptsAreConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := newConservationRun()
--- a/internal/ingest/counters/parse.go
+++ b/internal/ingest/counters/parse.go
@@ -8,23 +8,24 @@
 	"cressknot/internal/reconcile"
 )
 
-// Names of the proxy's rows that are not of a server.
+// Names of the rows of "show stat" that describe a proxy section instead of a server.
 const (
 	frontendRow = "FRONTEND"
 	backendRow  = "BACKEND"
 )
 
-// Beginnings of the status of a server.
+// Prefixes of the status column of a server.
 var (
 	statusMaintenance = []byte("MAINT")
 	statusDrain       = []byte("DRAIN")
 )
 
-// loadUnit: loads are counted in thousandths.
+// loadUnit is the number of units per load of 1: stick tables hold loads in thousandths.
 const loadUnit = 1000
 
-// ParseCounters reads the answer to "show stat". The rows of a server add up over the classes' backends; the row of a
-// backend holds the counters of its class. Servers that lookup doesn't know are skipped.
+// ParseCounters parses the answer to "show stat". The counters of a server are summed over the backends of all classes;
+// the row of a backend holds the counters of its class. Other backends, and servers for which lookup returns false, are
+// skipped. The caller releases the reading, which is not nil on an error either.
 func ParseCounters(
 	text []byte, backends map[string]fleet.ClassID, classes int, lookup func(string) (fleet.ServerID, bool),
 ) (*Reading, error) {
@@ -57,7 +58,7 @@
 	return r, err
 }
 
-// stateOf returns the administrative state of a server. The proxy's own health checks don't change it.
+// stateOf returns the administrative state of a server. Results of the proxy's own health checks don't affect it.
 func stateOf(status []byte) reconcile.State {
 	switch {
 	case bytes.HasPrefix(status, statusMaintenance):
@@ -68,8 +69,9 @@
 	return reconcile.StateReady
 }
 
-// AddTracked adds the answer to "show table" to the rows that there are: the latencies of successful answers, and
-// the load that the newest answers reported.
+// AddTracked parses the answer to "show table" and adds its values to the existing rows: the latencies of successful
+// answers, and the load that the newest answers reported. Servers without a row, and those for which lookup returns
+// false, are skipped.
 func (r *Reading) AddTracked(text []byte, lookup func(string) (fleet.ServerID, bool)) error {
 	return haproxyapi.ReadTable(text, func(tracked *haproxyapi.StickEntry) error {
 		server, known := lookup(string(tracked.Key))
--- a/internal/ingest/counters/parse_test.go
+++ b/internal/ingest/counters/parse_test.go
@@ -12,7 +12,7 @@
 const statHeader = "# pxname,svname,status,scur,stot,dreq,econ,eresp,wretr,weight," +
 	"hrsp_1xx,hrsp_2xx,hrsp_3xx,hrsp_4xx,hrsp_5xx,odd\n"
 
-// lookup knows servers named "n" and their number.
+// lookup accepts server names that consist of "n" and the server ID.
 func lookup(name string) (fleet.ServerID, bool) {
 	var id fleet.ServerID
 	_, err := fmt.Sscanf(name, "n%d", &id)
@@ -57,7 +57,7 @@
 	}
 	reading.Release()
 	if again := NewReading(1); len(again.Rows) != 0 || len(again.Classes) != 1 || again.Row(2).Attempts != 0 {
-		t.Errorf("a new reading is not empty: %+v", again)
+		t.Errorf("a new reading is not empty after Release: %+v", again)
 	}
 }
 
@@ -71,7 +71,7 @@
 	} {
 		_, err := ParseCounters([]byte(text), map[string]fleet.ClassID{"look": 0}, 1, lookup)
 		if text == "" {
-			continue // only that it doesn't panic
+			continue // checks only that it does not panic
 		}
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
@@ -84,7 +84,7 @@
 	reading.Row(1)
 	for _, text := range []string{"0x01: key=n1 gpc0=x\n", "0x01: gpc0=1\n", "nothing\n"} {
 		if err := reading.AddTracked([]byte(text), lookup); err == nil {
-			t.Errorf("%q is read", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
--- a/internal/ingest/counters/reading.go
+++ b/internal/ingest/counters/reading.go
@@ -1,5 +1,5 @@
-// Package counters reads the counters of proxies: the answers to "show stat" and "show table" become one typed
-// reading. It has no clock and no socket.
+// Package counters parses the counters of proxies: it turns the answers to "show stat" and "show table" into one typed
+// reading. It does no I/O and reads no clock.
 package counters
 
 import (
@@ -9,45 +9,45 @@
 	"cressknot/internal/reconcile"
 )
 
-// minIndexGrowth is the least number of servers by which the index of a reading grows.
+// minIndexGrowth is the least number of entries by which the index of a reading grows.
 const minIndexGrowth = 64
 
-// ServerCounters are a proxy's counters of one server over all classes, since the proxy's start.
+// ServerCounters are a proxy's cumulative counters of one server over all classes, since the proxy's start.
 type ServerCounters struct {
-	Attempts      uint64 // attempts that ended
-	Failures      uint64 // those of them without a successful answer
-	Successes     uint64 // successful answers that SuccessMillis is the sum of
-	SuccessMillis uint64 // sum of their latencies, in ms
-	Load          [4]float32
-	HasLoad       bool
+	Attempts      uint64     // completed attempts
+	Failures      uint64     // completed attempts without a successful answer
+	Successes     uint64     // successful answers that SuccessMillis covers
+	SuccessMillis uint64     // sum of their latencies, in ms
+	Load          [4]float32 // load figures of the newest answers
+	HasLoad       bool       // whether Load is set
 }
 
-// ClassCounters are a proxy's counters of one class, since the proxy's start.
+// ClassCounters are a proxy's cumulative counters of one class, since the proxy's start.
 type ClassCounters struct {
 	Requests   uint64 // received, including rejected ones
-	Unanswered uint64 // admitted and never answered
+	Unanswered uint64 // admitted, but never answered
 }
 
-// Row holds a proxy's counters of one server.
+// Row holds the counters of one server in a Reading.
 type Row struct {
 	Server fleet.ServerID
 	ServerCounters
 }
 
 // Reading holds the counters of one proxy at one time, with one row for each server. Readings are pooled: the owner
-// calls Release when it is done.
+// calls Release once it no longer uses the reading. A Reading is not safe for concurrent use.
 type Reading struct {
 	At      fleet.Time // set by the control loop when it receives the reading
 	Rows    []Row
 	Classes []ClassCounters
-	Entries []reconcile.ObservedEntry // the proxy's table entries; may be empty
+	Entries []reconcile.ObservedEntry // table entries of the proxy; empty if the answer has none
 
-	rowNumbers []int32 // by server: the index of its row plus 1, 0 for none
+	rowNumbers []int32 // by server: 1 + index of its row, 0 if it has none
 }
 
 var readingPool = sync.Pool{New: func() any { return new(Reading) }}
 
-// NewReading returns an empty reading for the given number of classes.
+// NewReading returns a reading without rows, with zeroed counters for the given number of classes.
 func NewReading(classes int) *Reading {
 	r := readingPool.Get().(*Reading)
 	for range classes {
@@ -67,7 +67,7 @@
 	readingPool.Put(r)
 }
 
-// Row returns the row of a server, and adds one if there is none. The pointer is valid until the next call.
+// Row returns the row of a server and adds it if there is none. The pointer is valid until the next call of Row.
 func (r *Reading) Row(server fleet.ServerID) *Row {
 	for int(server) >= len(r.rowNumbers) {
 		r.rowNumbers = append(r.rowNumbers, make([]int32, max(minIndexGrowth, len(r.rowNumbers)))...)
--- a/internal/ingest/fakes_test.go
+++ b/internal/ingest/fakes_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// fakeProxy is a proxy with its counters.
+// fakeProxy holds the counters of a simulated proxy.
 type fakeProxy struct {
 	servers  map[fleet.ServerID]counters.ServerCounters
 	requests uint64
@@ -35,7 +35,7 @@
 	return &fakeProxy{servers: map[fleet.ServerID]counters.ServerCounters{}}
 }
 
-// newFakeProxies joins proxies of alternating zones to the pipeline.
+// newFakeProxies returns proxies that have joined the pipeline, in alternating zones.
 func newFakeProxies(p *Pipeline, count int) (proxies []*fakeProxy) {
 	for i := range count {
 		proxies = append(proxies, newFakeProxy())
@@ -44,7 +44,7 @@
 	return proxies
 }
 
-// reading returns the counters. The caller may release it.
+// reading returns the current counters. The caller may release the reading.
 func (f *fakeProxy) reading(at fleet.Time) *counters.Reading {
 	reading := counters.NewReading(2)
 	reading.At = at
@@ -57,7 +57,7 @@
 	return reading
 }
 
-// attempt counts attempts at a server.
+// attempt adds completed attempts at a server to the counters.
 func (f *fakeProxy) attempt(server fleet.ServerID, attempts, failures uint64) {
 	const latency = 100
 	c := f.servers[server]
@@ -84,14 +84,14 @@
 	return float64(report.Attempts) / report.Interval.Seconds()
 }
 
-// listAll lists servers from 0 on.
+// listAll lists the first count servers.
 func listAll(p *Pipeline, count int) {
 	for server := range fleet.ServerID(count) {
 		p.Listed(server, false)
 	}
 }
 
-// push pushes a record that arrives now.
+// push adds a record, which arrives now unless it has a later time of arrival.
 func push(t *testing.T, p *Pipeline, record Record) {
 	t.Helper()
 	record.Arrived = max(record.Arrived, p.now)
--- a/internal/ingest/health.go
+++ b/internal/ingest/health.go
@@ -9,70 +9,72 @@
 )
 
 const (
-	// examinationInterval is the time between two examinations of all sources.
+	// examinationInterval is the time between two health examinations of all sources.
 	examinationInterval = fleet.Second / 2
 
-	// examinationCount is the number of examinations whose outcomes count, 3 s in all.
+	// examinationCount is the number of latest examinations whose outcomes are evaluated: a window of 3 s.
 	examinationCount = 6
 
-	// minAgreeing examinations in a row change a verdict: a single late report is no silence.
+	// minAgreeing is the number of consecutive examinations with the same result that change a verdict, so that a
+	// single late report does not.
 	minAgreeing = 2
 
-	// minSilence without a report is silence, which is noticed within 4 s. For sources that report less often it is
-	// silenceGapFactor times their mean gap.
+	// A source is silent after minSilence without a report, so that silence is detected within 4 s; a source that
+	// reports less often is silent after silenceGapFactor times its mean gap between reports.
 	minSilence       = 3 * fleet.Second
 	silenceGapFactor = 3
 
-	// pollTimeout is how long a proxy may take to answer a poll before operators are notified.
+	// pollTimeout is the time without an answer to a poll after which operators are notified.
 	pollTimeout = 3 * fleet.Second
 
-	// minSilentSources that fall silent together make our own network suspect.
+	// minSilentSources is the least number of sources that are silent at once from which the controller's own network
+	// is suspected.
 	minSilentSources = 3
 
-	// minConclusiveAttempts is the number of attempts of which all failed that says something.
+	// minConclusiveAttempts is the least number of attempts from which a poll with failures only counts as bad.
 	minConclusiveAttempts = 3
 
-	// zoneBits is the width of a set of zones.
+	// zoneBits is the number of bits in a set of zones.
 	zoneBits = 64
 )
 
-// HealthVerdict is what the silence of a server means, given what proxies measure there. docs/design/ingest.md has the
-// table.
+// HealthVerdict is the health of a server, concluded from its load reports and from the outcomes that proxies measure.
+// docs/design/ingest.md has the table.
 type HealthVerdict uint8
 
 // The verdicts.
 const (
 	Healthy           HealthVerdict = iota
-	ReportsMissing                  // its reports stopped, proxies get answers: its reporter failed
-	Down                            // its reports stopped, and no proxy gets an answer
-	Unknown                         // its reports stopped, and no proxy sends requests
-	Unreachable                     // it reports, and no proxy gets an answer
-	PartlyUnreachable               // the proxies of some zones get no answer, others do
-	UnpolledTraffic                 // its sums grow, but no polled proxy sends requests
+	ReportsMissing                  // no reports, attempts succeed: its reporter failed
+	Down                            // no reports, all attempts fail
+	Unknown                         // no reports, no attempts
+	Unreachable                     // it reports, all attempts fail
+	PartlyUnreachable               // all attempts from some zones fail, those from others succeed
+	UnpolledTraffic                 // its own counters grow, but no polled proxy sends requests
 )
 
-// String returns the name of the verdict that operators see.
+// String returns the name of the verdict in operators' answers and notices.
 func (h HealthVerdict) String() string {
 	return [...]string{"well", "mute", "dead", "lost", "cut", "one-sided", "unwatched"}[h]
 }
 
-// health is the verdict on a server, and what may change it.
+// health holds the verdict on a server and the state that leads to the next one.
 type health struct {
 	verdict   HealthVerdict
 	since     fleet.Time
-	candidate HealthVerdict // of the latest examination
-	agreeing  int           // examinations in a row with the candidate, after the first one
-	notified  bool          // operators know of the fault
+	candidate HealthVerdict // result of the latest examination
+	agreeing  int           // consecutive examinations with the candidate
+	notified  bool          // operators were notified of the fault
 }
 
-// pollOutcomes are what polls of proxies showed of a server.
+// pollOutcomes sums up the outcomes of attempts at a server, as measured by polls of proxies.
 type pollOutcomes struct {
-	goodPolls uint32 // with successful attempts
-	badPolls  uint32 // with failures only
+	goodPolls uint32 // polls with successful attempts
+	badPolls  uint32 // polls with at least minConclusiveAttempts, all of which failed
 	attempts  uint64
 	failures  uint64
-	goodZones uint64 // bits of the zones with good polls
-	badZones  uint64
+	goodZones uint64 // bit set of the zones with good polls
+	badZones  uint64 // bit set of the zones with bad polls
 }
 
 func (o *pollOutcomes) add(other *pollOutcomes) {
@@ -86,7 +88,7 @@
 
 func (o *pollOutcomes) onlyFailures() bool { return o.goodPolls == 0 && o.badPolls > 0 }
 
-// recordOutcome notes what a poll showed of a server.
+// recordOutcome adds the outcomes that a poll measured at a server to the current examination.
 func (p *Pipeline) recordOutcome(delta *CounterDelta) {
 	s := p.source(delta.Server)
 	s.polledAt = delta.At
@@ -104,7 +106,7 @@
 	}
 }
 
-// recentOutcomes adds up the outcomes that count.
+// recentOutcomes returns the sum of the outcomes of the last examinationCount examinations.
 func (s *source) recentOutcomes() (sum pollOutcomes) {
 	for i := range s.outcomes {
 		sum.add(&s.outcomes[i])
@@ -112,19 +114,20 @@
 	return sum
 }
 
-// Notice is a message for operators about a change.
+// Notice tells operators about a change. It concerns the verdict on Server unless one of the Of flags is set.
 type Notice struct {
 	Server   fleet.ServerID
 	Proxy    fleet.ProxyID
-	OfProxy  bool // it is about Proxy
-	OfAll    bool // it is about no single source
-	OfSource bool // it is about what Server reports, not about a Verdict
+	OfProxy  bool // concerns Proxy
+	OfAll    bool // concerns no single server or proxy
+	OfSource bool // concerns the load reports of Server, not its Verdict
 	Verdict  HealthVerdict
-	Good     bool // the fault is over
+	Good     bool // reports an improvement
 	Text     string
 }
 
-// Examine examines the sources, twice a second, and returns what has changed.
+// Examine examines the health of all sources if an examination is due, and returns the notices since the last call.
+// Examinations are due twice a second.
 func (p *Pipeline) Examine(now fleet.Time) []Notice {
 	p.advance(now)
 	if now >= p.examinedAt+examinationInterval {
@@ -148,8 +151,8 @@
 	p.notices = append(p.notices, p.validator.notices(now, listed)...)
 }
 
-// examineReportPath detects that reports don't reach this controller: many reporters that fall silent while their
-// servers answer have not all failed.
+// examineReportPath detects that reports don't reach this controller: when most sources are silent at once while their
+// servers answer, a network fault is more likely than a failure of all reporters.
 func (p *Pipeline) examineReportPath(now fleet.Time) {
 	silent := 0
 	reporting := 0
@@ -177,7 +180,7 @@
 	p.notices = append(p.notices, Notice{OfAll: true, Good: !pathDown, Text: text})
 }
 
-// updateHealth changes the verdict on a server once examinations agree on it.
+// updateHealth changes the verdict on a server after minAgreeing examinations with the same result, and adds a notice.
 func (p *Pipeline) updateHealth(server fleet.ServerID, s *source, now fleet.Time) {
 	h := &s.health
 	if !s.listed {
@@ -210,7 +213,7 @@
 	}
 }
 
-// startExamination begins a new part of the outcomes, and drops the oldest one.
+// startExamination begins collecting outcomes for the next examination, and drops those of the oldest one.
 func (s *source) startExamination() {
 	copy(s.outcomes[1:], s.outcomes[:])
 	copy(s.ownAttemptsHistory[1:], s.ownAttemptsHistory[:])
@@ -222,7 +225,7 @@
 	return s.hasReported() && now-s.lastArrival >= max(minSilence, silenceGapFactor*s.meanGap)
 }
 
-// evaluate returns the verdict by what still comes: reports of the server, outcomes of polls, and the server's own sums.
+// evaluate returns the verdict on a server from its reports, the outcomes of polls and the server's own counters.
 func (p *Pipeline) evaluate(s *source, outcomes *pollOutcomes, now fleet.Time) HealthVerdict {
 	if outcomes.zoneWithoutAnswers() {
 		return PartlyUnreachable
@@ -243,12 +246,12 @@
 	return Healthy
 }
 
-// zoneWithoutAnswers reports whether the proxies of some zone, but not of all, get no answers.
+// zoneWithoutAnswers reports whether all attempts from some zone fail while attempts from other zones succeed.
 func (o *pollOutcomes) zoneWithoutAnswers() bool {
 	return o.goodPolls > 0 && o.badPolls > 0 && o.badZones&^o.goodZones != 0
 }
 
-// verdictWithoutReports returns the verdict on a server that doesn't report.
+// verdictWithoutReports returns the verdict on a silent server.
 func (o *pollOutcomes) verdictWithoutReports() HealthVerdict {
 	switch {
 	case o.goodPolls > 0:
@@ -259,13 +262,13 @@
 	return Unknown
 }
 
-// servesUnpolledTraffic reports whether the server's own sums have grown since the oldest examination.
+// servesUnpolledTraffic reports whether the server's own count of attempts has grown since the oldest examination.
 func (s *source) servesUnpolledTraffic() bool {
 	oldest := s.ownAttemptsHistory[examinationCount-1]
 	return oldest > 0 && s.ownAttempts > oldest+minConclusiveAttempts
 }
 
-// describe returns the text of a notice.
+// describe returns the text of a notice about a new verdict.
 func (h HealthVerdict) describe(outcomes *pollOutcomes, sinceReport fleet.Time) string {
 	silence := sinceReport.Seconds()
 	period := (examinationCount * examinationInterval).Seconds()
@@ -292,7 +295,7 @@
 	return "load reports and answers to requests are back to normal"
 }
 
-// examineProxies notifies of proxies that don't answer their polls, and of their return.
+// examineProxies adds notices about proxies that stop or resume answering their polls.
 func (p *Pipeline) examineProxies(now fleet.Time) {
 	for _, proxy := range p.proxies {
 		waited := now - proxy.polledAt
--- a/internal/ingest/health_test.go
+++ b/internal/ingest/health_test.go
@@ -12,7 +12,7 @@
 	reports      bool
 	good         bool // attempts succeed
 	failed       bool // attempts fail
-	servesOthers bool // it serves others than the polled proxies
+	servesOthers bool // it answers requests of clients that are not polled
 	lateReport   bool // one of its reports is late
 	zoneFails    bool // attempts of one zone fail
 }
@@ -24,7 +24,7 @@
 	faultyServer = 1
 )
 
-// healthRun lets four proxies and four servers run in steps of a quarter of a second.
+// healthRun simulates four proxies and four servers in steps of a quarter of a second.
 type healthRun struct {
 	pipeline *Pipeline
 	proxies  []*fakeProxy
@@ -67,7 +67,7 @@
 	}
 }
 
-// report pushes the record of a server, which is due every second.
+// report pushes the record of a server if one is due; records are due every second.
 func (r *healthRun) report(server fleet.ServerID, current behavior, now fleet.Time) {
 	due := (current.reports || current.servesOthers) && now%second == 0
 	if current.lateReport {
@@ -108,7 +108,7 @@
 				run.step(now)
 				for _, notice := range run.pipeline.Examine(now) {
 					if notice.OfProxy || notice.OfAll || notice.Server != faultyServer || notice.Good {
-						t.Errorf("at %.1f: %+v", now.Seconds(), notice)
+						t.Errorf("unexpected notice at %.1f s: %+v", now.Seconds(), notice)
 						continue
 					}
 					notices++
@@ -124,14 +124,14 @@
 				t.Errorf("noticed after %.1f s", (noticedAt - faultAt).Seconds())
 			}
 			if notices > 2 {
-				t.Errorf("%d notices", notices)
+				t.Errorf("%d notices, want at most 2", notices)
 			}
 		})
 	}
 }
 
-// When most reporters fall silent while their servers answer, operators are notified once and no server is blamed.
-// A proxy that stops to answer polls is a notice of its own.
+// If most sources are silent while their servers answer, the network path of reports has failed: operators must get one
+// notice instead of one for each server. A proxy that stops answering polls gets a separate notice.
 func TestLostReportPathBlamesNoServer(t *testing.T) {
 	p := New(testSite())
 	proxy := newFakeProxy()
--- a/internal/ingest/heap.go
+++ b/internal/ingest/heap.go
@@ -5,13 +5,14 @@
 // heapItem is an element of an indexedHeap.
 type heapItem[T any] interface {
 	before(T) bool
-	heapIndex() *int // notInHeap while it is in none
+	heapIndex() *int // points to notInHeap while the item is in no heap
 }
 
 // notInHeap is the index of an item that is in no heap.
 const notInHeap = -1
 
-// indexedHeap is a heap whose items know their index. Its first element is the first in order.
+// indexedHeap is a heap whose items store their index, so that any item can be removed. The first element is the
+// minimum.
 type indexedHeap[T heapItem[T]] []T
 
 func (h *indexedHeap[T]) push(item T)   { heap.Push(h, item) }
--- a/internal/ingest/main_test.go
+++ b/internal/ingest/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain sets the defaults of the property tests.
+// TestMain sets defaults for the flags of the property tests, so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set := map[string]bool{}
--- a/internal/ingest/polls.go
+++ b/internal/ingest/polls.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// maxRowsPerSecond is the number of counter rows per second that are requested. To read them takes a third of a core.
+	// maxRowsPerSecond is the largest number of counter rows per second that polls request. Reading them takes a third of
+	// a core.
 	maxRowsPerSecond = 500_000
 
-	// goldenRatio spreads consecutive numbers evenly over a period.
+	// goldenRatio spreads the phases of consecutively numbered proxies evenly over a period.
 	goldenRatio = 0.6180339887498949
 
-	// minCounterGrowth is the least number of servers by which the counters of a proxy grow.
+	// minCounterGrowth is the least number of entries by which the counters of a proxy grow.
 	minCounterGrowth = 16
 )
 
@@ -23,10 +24,10 @@
 	id       fleet.ProxyID
 	zone     fleet.ZoneID
 	pollAt   fleet.Time
-	index    int // in the heap of polls; notInHeap while a poll is in flight
-	polledAt fleet.Time
-	rowCount int  // of its last reading
-	reported bool // operators know that it doesn't answer
+	index    int        // in the heap of polls; notInHeap while a poll is in flight
+	polledAt fleet.Time // 0: not since it joined
+	rowCount int        // of its last reading
+	reported bool       // operators were notified that it doesn't answer
 
 	hasReading bool
 	readAt     fleet.Time // of the last reading
@@ -36,7 +37,7 @@
 
 func (pp *polledProxy) heapIndex() *int { return &pp.index }
 
-// before orders proxies by their next poll.
+// before orders proxies by the time of their next poll, then by ID.
 func (pp *polledProxy) before(other *polledProxy) bool {
 	if pp.pollAt != other.pollAt {
 		return pp.pollAt < other.pollAt
@@ -52,9 +53,9 @@
 	return &pp.servers[server]
 }
 
-// Join begins to poll a proxy. The polls of a zone's proxies are spread evenly over the period, so that each second
-// brings counters of each server from each zone, however long the period is. A proxy that comes back continues from
-// its last counters unless it is fresh.
+// Join starts polling a proxy. The polls of a zone's proxies are spread evenly over the period, so that each second
+// yields counters of each server from each zone, however long the period is. A proxy that rejoins continues from its
+// last counters unless fresh is set, which means that it has restarted.
 func (p *Pipeline) Join(now fleet.Time, id fleet.ProxyID, zone fleet.ZoneID, fresh bool) {
 	p.Leave(id)
 	rank := 0
@@ -79,7 +80,7 @@
 	p.polls.push(proxy)
 }
 
-// Leave ends the polls of a proxy. What its counters added is reported all the same.
+// Leave stops polling a proxy. Outcomes that were already counted are still reported.
 func (p *Pipeline) Leave(id fleet.ProxyID) {
 	proxy := p.proxies[id]
 	if proxy == nil {
@@ -94,15 +95,15 @@
 	p.departed[id] = proxy
 }
 
-// pollPeriod is the site's report interval, or longer where the counters of all proxies would exceed
-// maxRowsPerSecond. As counters are sums, a longer period loses nothing but time.
+// pollPeriod returns the site's report interval, or a longer period if the counters of all proxies would exceed
+// maxRowsPerSecond. As counters are cumulative, a longer period delays data but loses none.
 func (p *Pipeline) pollPeriod() fleet.Time {
 	needed := fleet.Second.Scale(float64(p.rowCount) / (maxRowsPerSecond * p.shedder.pollShare()))
 	return max(p.site.ReportInterval, needed)
 }
 
-// Polls returns the proxies to poll now, and when to call again. A proxy is not polled again until it has answered
-// or left.
+// Polls returns the proxies to poll now, and the time of the next call, 0 if no poll is scheduled. A proxy is not
+// polled again until its answer was passed to AddReading, or it has left and rejoined.
 func (p *Pipeline) Polls(now fleet.Time) (due []fleet.ProxyID, wake fleet.Time) {
 	p.advance(now)
 	period := p.pollPeriod()
@@ -121,13 +122,13 @@
 	return due, wake
 }
 
-// skipMissedPolls moves the next poll into the future without a change of its place in the period.
+// skipMissedPolls moves the next poll into the future and keeps its phase in the period.
 func (pp *polledProxy) skipMissedPolls(now, period fleet.Time) {
 	pp.pollAt += ((now-pp.pollAt)/period + 1) * period
 }
 
-// answered schedules the next poll. A proxy that answers late stays at its place in the period, so that many that
-// answer at once after a stall are spread again.
+// answered schedules the next poll. A proxy that answers late keeps its phase in the period, so that the polls of many
+// proxies that answer at once after a stall are spread again.
 func (p *Pipeline) answered(proxy *polledProxy, reading *counters.Reading) {
 	rows := max(len(reading.Entries), len(reading.Rows)) // "show stat" has a row for each class
 	p.rowCount += rows - proxy.rowCount
--- a/internal/ingest/polls_test.go
+++ b/internal/ingest/polls_test.go
@@ -12,7 +12,7 @@
 type pollCounts struct {
 	byProxy map[fleet.ProxyID]int
 	byZone  [2][pollSeconds]int
-	atOnce  int // most at a time
+	atOnce  int // largest number of polls at a time
 }
 
 const (
@@ -20,7 +20,7 @@
 	pollProxies = 930
 )
 
-// runPolls polls proxies that answer with so many rows, or not at all with 0.
+// runPolls polls proxies that answer with the given number of rows, or do not answer if it is 0.
 func runPolls(rows int) pollCounts {
 	p := New(testSite())
 	newFakeProxies(p, pollProxies)
@@ -49,8 +49,8 @@
 	reading.Release()
 }
 
-// Proxies are polled evenly over the period, and none twice before its answer. With more rows than may be requested the
-// period grows, and each zone is still polled in each second.
+// Polls must be spread evenly over the period, and a proxy must not be polled again before it has answered. If the rows
+// exceed maxRowsPerSecond, the period grows, and proxies of each zone are still polled in each second.
 func TestPollsAreSpreadOverThePeriod(t *testing.T) {
 	for _, test := range []struct {
 		rows     int
@@ -63,7 +63,7 @@
 		t.Run(fmt.Sprint(test.rows), func(t *testing.T) {
 			counts := runPolls(test.rows)
 			if counts.atOnce > 20 || len(counts.byProxy) != pollProxies {
-				t.Errorf("%d polls at once, evenly it would be 10; %d proxies polled", counts.atOnce, len(counts.byProxy))
+				t.Errorf("%d polls at once, an even spread would be 10; %d proxies polled", counts.atOnce, len(counts.byProxy))
 			}
 			for id, polls := range counts.byProxy {
 				if polls < test.minPolls || polls > test.maxPolls {
@@ -81,7 +81,8 @@
 	}
 }
 
-// A proxy that answers late is polled again at its place in the period, not at once.
+// A proxy that answers late keeps its phase in the period instead of being polled again at once. Otherwise the polls of
+// all proxies would coincide after a stall.
 func TestLateAnswerKeepsThePlaceInThePeriod(t *testing.T) {
 	p := New(testSite())
 	p.Join(0, 1, 0, true)
--- a/internal/ingest/push/body.go
+++ b/internal/ingest/push/body.go
@@ -14,7 +14,7 @@
 	"cressknot/internal/fleet"
 )
 
-// bodyError reports a body that can't be read, with the HTTP status of the answer.
+// bodyError is an error in reading a request body, with the HTTP status of the response.
 type bodyError struct {
 	status int
 	err    error
@@ -24,7 +24,8 @@
 
 func (e *bodyError) Unwrap() error { return e.err }
 
-// readBody reads and decompresses a batch.
+// readBody reads the body of a request, decompressed, into the buffer. The body is limited to maxBodySize bytes after
+// decompression.
 func readBody(buffer *bytes.Buffer, r *http.Request) *bodyError {
 	body := io.Reader(r.Body)
 	switch encoding := r.Header.Get("Content-Encoding"); encoding {
@@ -54,19 +55,19 @@
 	return nil
 }
 
-// rejection is the answer to a batch that is not accepted.
+// rejection is the response to a rejected batch.
 type rejection struct {
 	status     int
 	code       string
 	message    string
-	retryAfter fleet.Time // 0: not stated
+	retryAfter fleet.Time // 0: the response has no Retry-After header
 }
 
 func invalid(status int, err error) rejection {
 	return rejection{status: status, code: "invalid", message: err.Error()}
 }
 
-// rejectionBody is the body of a rejection, in the form of InfluxDB.
+// rejectionBody is the JSON body of a rejection, in the format of InfluxDB.
 type rejectionBody struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
@@ -81,5 +82,5 @@
 	header.Set("Content-Type", "application/json; charset=utf-8")
 	w.WriteHeader(r.status)
 	body := rejectionBody{Code: r.code, Message: strings.ToValidUTF8(r.message, "?")}
-	_ = json.NewEncoder(w).Encode(body) // the source may be gone
+	_ = json.NewEncoder(w).Encode(body) // the client may have disconnected
 }
--- a/internal/ingest/push/decode.go
+++ b/internal/ingest/push/decode.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// measurement of the lines that are read. Lines of other measurements are skipped.
+	// measurement is the measurement of load reports. Lines of other measurements are skipped.
 	measurement = "server"
 
-	// nameTag holds the name of the server.
+	// nameTag is the key of the tag with the name of the server.
 	nameTag = "name"
 
-	// maxLines of a batch.
+	// maxLines is the largest number of lines in a batch.
 	maxLines = 10_000
 
-	// maxNameSize is in bytes, as in the settings.
+	// maxNameSize is the largest size of a server name in bytes, the same as in the settings.
 	maxNameSize = 64
 )
 
-// Fields of a line, besides load figures.
+// Field keys of a line. Load figures are further fields, whose keys are in the Vocabulary.
 const (
 	fieldAttempts      = "tries"
 	fieldFailures      = "failed"
@@ -37,19 +37,19 @@
 var errStarted = errors.New(
 	"field started must be an integer number of nanoseconds since 1970, such as 1733071000000000000i")
 
-// Vocabulary holds the names that lines may use.
+// Vocabulary defines the names that lines may use.
 type Vocabulary struct {
-	Loads  []string                                 // the fields of the load figures, in order
-	Lookup func(name []byte) (fleet.ServerID, bool) // returns the number of a known server
+	Loads  []string                                 // field keys of the load figures, in the order of ingest.Record.Load
+	Lookup func(name []byte) (fleet.ServerID, bool) // returns the ID of a known server; must not retain name
 }
 
-// Ignored counts the lines of a batch that hold no record.
+// Ignored counts the skipped lines of a batch.
 type Ignored struct {
-	Lines   int // of other measurements
-	Unknown int // of unknown servers
+	Lines   int // lines of other measurements
+	Unknown int // lines of unknown servers
 }
 
-// LineError reports the line of a batch that can't be read.
+// LineError is an error in a line of a batch. Lines are numbered from 1.
 type LineError struct {
 	Line int
 	Err  error
@@ -57,15 +57,18 @@
 
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Decode appends the records of a batch. On an error, which is a *LineError, it appends none:
+// Decode parses a batch and appends its records. On an error, which is a *LineError, it appends none. A line has the
+// form
 //
 //	server,name=n7 started=1733071000000000000i,tries=120i,failed=3i,good=117i,good_ms=2380i,busy=0.6 1733071234000000000
 //
-// Sums are whole numbers since the start of the process; started is that start in nanoseconds; load figures have
-// the names of the settings; unknown fields are skipped. A line without a time counts as of now.
+// tries, failed, good and good_ms are integer counters, cumulative since the start of the server's process; good_ms is
+// in ms. started is that start in nanoseconds since 1970. Load figures are fields with the names from the settings.
+// Unknown fields are skipped. Times of lines are in the given unit and become Record.Stated, which stays 0 for a line
+// without a time. now becomes Record.Arrived.
 func Decode(
 	records []ingest.Record, body []byte, vocabulary *Vocabulary, unit lineprotocol.Precision, now fleet.Time,
 ) ([]ingest.Record, Ignored, error) {
@@ -93,7 +96,7 @@
 	return records, ignored, nil
 }
 
-// lineErrorOf prefers the line that the line protocol's decoder states.
+// lineErrorOf returns a LineError with the line number from the line protocol decoder if it has one, otherwise number.
 func lineErrorOf(number int, err error) *LineError {
 	var syntax *lineprotocol.DecodeError
 	if errors.As(err, &syntax) {
@@ -102,7 +105,7 @@
 	return &LineError{Line: number, Err: err}
 }
 
-// lineKind is what a line is about.
+// lineKind tells whether a line contains a record.
 type lineKind uint8
 
 const (
@@ -111,7 +114,7 @@
 	knownServer
 )
 
-// lineDecoder reads one line after another into its record.
+// lineDecoder decodes one line at a time into record.
 type lineDecoder struct {
 	*lineprotocol.Decoder
 	vocabulary *Vocabulary
@@ -140,7 +143,7 @@
 	return kind, err
 }
 
-// decodeTags reads the tags of a line. A server line requires the name of a server.
+// decodeTags decodes the tags of a line. A server line requires the name of a server.
 func (d *lineDecoder) decodeTags(isServerLine bool) (lineKind, error) {
 	kind := otherMeasurement
 	for {
@@ -222,7 +225,7 @@
 	return nil
 }
 
-// readSum reads a whole number from 0.
+// readSum reads a non-negative integer.
 func readSum(sum *uint64, key []byte, value lineprotocol.Value) error {
 	switch {
 	case value.Kind() == lineprotocol.Uint:
@@ -235,7 +238,7 @@
 	return nil
 }
 
-// readLoad reads any number.
+// readLoad reads a number of any type.
 func readLoad(load *float32, key []byte, value lineprotocol.Value) error {
 	switch value.Kind() {
 	case lineprotocol.Float:
@@ -250,7 +253,7 @@
 	return nil
 }
 
-// parseTime reads a time since 1970 in a unit.
+// parseTime parses an integer time since 1970 in the given unit.
 func parseTime(text []byte, unit lineprotocol.Precision) (fleet.Time, error) {
 	count := int64(0)
 	negative := false
--- a/internal/ingest/push/decode_test.go
+++ b/internal/ingest/push/decode_test.go
@@ -13,7 +13,7 @@
 	"cressknot/internal/ingest"
 )
 
-// testServers is the number of known servers, which are named "node-" and their number.
+// testServers is the number of known servers, whose names are "node-" and the server ID.
 const testServers = 1000
 
 var testVocabulary = Vocabulary{
@@ -25,7 +25,7 @@
 	},
 }
 
-// arrival is the time at which batches are decoded.
+// arrival is the time of arrival of all decoded batches.
 const arrival fleet.Time = 77
 
 const validLine = "server,name=node-1 tries=1i\n"
@@ -100,7 +100,7 @@
 	})
 }
 
-// BenchmarkDecode measures one line.
+// BenchmarkDecode measures the decoding of one line.
 func BenchmarkDecode(b *testing.B) {
 	const lines = 700
 	var body bytes.Buffer
--- a/internal/ingest/push/server.go
+++ b/internal/ingest/push/server.go
@@ -1,6 +1,6 @@
-// Package push receives the reports that servers push: the line protocol that InfluxDB publishes, over HTTP POST,
-// which most agents and client libraries can send. It decodes and forwards; package ingest decides which reports
-// count and what their source is answered.
+// Package push receives the load reports that servers push over HTTP POST in the line protocol of InfluxDB, which most
+// agents and client libraries can send. It only decodes and forwards reports; package ingest decides which reports are
+// accepted and what the reply to their source is.
 package push
 
 import (
@@ -23,49 +23,54 @@
 )
 
 const (
-	// maxBodySize of a batch after decompression, in bytes.
+	// maxBodySize is the largest size of a batch after decompression, in bytes.
 	maxBodySize = 1 << 20
 
-	// maxBytesInFlight of all batches that are being read. Further batches wait in their sockets.
+	// maxBytesInFlight is the largest number of bytes of all batches that are processed at a time. Further batches wait
+	// in their sockets.
 	maxBytesInFlight = 16 << 20
 
-	// maxConnections at a time; more wait to be accepted.
+	// maxConnections is the largest number of open connections; further ones wait to be accepted.
 	maxConnections = 2048
 
-	// maxCapacityWait of a batch for its share of maxBytesInFlight.
+	// maxCapacityWait is the longest time that a batch waits for its share of maxBytesInFlight.
 	maxCapacityWait = 2 * time.Second
 
 	// maxHeaderSize is in bytes.
 	maxHeaderSize = 8 << 10
 
 	readTimeout  = 10 * time.Second
-	writeTimeout = readTimeout + 5*time.Second // it begins with the read
+	writeTimeout = readTimeout + 5*time.Second // starts with the read
 	idleTimeout  = 2 * time.Minute
 
-	// busyRetryAfter is the Retry-After of a batch for which there is no capacity.
+	// busyRetryAfter is the Retry-After of the response to a batch for which there is no capacity.
 	busyRetryAfter = fleet.Second
 )
 
-// busyMessage is the answer to a batch for which there is no capacity.
+// busyMessage is the error message for a batch for which there is no capacity.
 var busyMessage = fmt.Sprintf("no capacity to read the batch within %v: at most %d bytes are read at a time",
 	maxCapacityWait, maxBytesInFlight)
 
-// Sink receives records and decides what their source is answered.
+// Sink receives records. Its methods are called from several goroutines.
 type Sink interface {
+	// Now returns the current time of the controller.
 	Now() fleet.Time
+
+	// Push takes the records of a batch and returns the reply to its sender. It must not retain the slice.
 	Push(records []ingest.Record) ingest.Reply
 }
 
-// Counts are the figures since the start, for operators.
+// Counts are counters since the start, for operators.
 type Counts struct {
-	Batches  uint64
-	Rejected uint64 // batches
+	Batches  uint64 // received batches
+	Rejected uint64 // rejected batches, including Busy
 	Unknown  uint64 // lines of unknown servers
 	Ignored  uint64 // lines of other measurements
 	Busy     uint64 // batches for which there was no capacity
 }
 
-// Server receives reports over HTTP: POST /api/v2/write or /write, ?precision=ns|us|ms|s.
+// Server is the HTTP server for load reports: POST /api/v2/write or /write, ?precision=ns|us|ms|s. GET /health answers
+// 204.
 type Server struct {
 	sink          Sink
 	vocabulary    Vocabulary
@@ -81,7 +86,7 @@
 	busy     atomic.Uint64
 }
 
-// Listen begins to receive reports at host:port.
+// Listen starts a Server at addr, a host:port. The caller must call Close.
 func Listen(addr string, sink Sink, vocabulary Vocabulary) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -109,10 +114,10 @@
 	return s, nil
 }
 
-// Addr returns the host:port at which the server listens.
+// Addr returns the host:port on which the server listens.
 func (s *Server) Addr() string { return s.addr.String() }
 
-// Close ends the server. Batches in flight are answered until the context ends.
+// Close stops the server. Batches in flight are completed until the context ends; then their connections are closed.
 func (s *Server) Close(ctx context.Context) error {
 	defer s.serving.Wait()
 	if err := s.http.Shutdown(ctx); err != nil {
@@ -121,7 +126,7 @@
 	return nil
 }
 
-// Counts returns the figures since the start.
+// Counts returns the current counters. It may be called from any goroutine.
 func (s *Server) Counts() Counts {
 	return Counts{
 		Batches:  s.batches.Load(),
@@ -132,7 +137,7 @@
 	}
 }
 
-// precisions are the values of the parameter precision.
+// precisions are the values of the query parameter precision.
 var precisions = map[string]lineprotocol.Precision{
 	"":   lineprotocol.Nanosecond,
 	"ns": lineprotocol.Nanosecond,
@@ -141,7 +146,7 @@
 	"s":  lineprotocol.Second,
 }
 
-// buffers are what a batch is read into.
+// buffers hold the body and the records of a batch. They are pooled.
 type buffers struct {
 	body    bytes.Buffer
 	records []ingest.Record
@@ -191,8 +196,9 @@
 	s.writeReply(w, reply)
 }
 
-// acquireCapacity waits for the capacity to read the request. What isn't read yet stays in its socket and at its source, so
-// that memory doesn't grow with a flood. The caller releases the capacity.
+// acquireCapacity waits until the request may be read within maxBytesInFlight. Unread data stays in the socket and at
+// the client, so that a flood doesn't increase memory use. The caller must call release. It returns false after
+// maxCapacityWait.
 func (s *Server) acquireCapacity(r *http.Request) (release func(), ok bool) {
 	ctx, cancel := context.WithTimeout(r.Context(), maxCapacityWait)
 	defer cancel()
--- a/internal/ingest/push/server_test.go
+++ b/internal/ingest/push/server_test.go
@@ -14,7 +14,7 @@
 	"cressknot/internal/ingest"
 )
 
-// fakeSink counts records and gives the same reply to each batch.
+// fakeSink counts records and returns the same reply for each batch.
 type fakeSink struct {
 	mu      sync.Mutex
 	reply   ingest.Reply
@@ -57,7 +57,7 @@
 	return compressed.String()
 }
 
-// post sends a batch and returns the answer and its text.
+// post sends a batch and returns the response and its body.
 func post(t *testing.T, s *Server, path, body, encoding string) (*http.Response, string) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+s.Addr()+path, strings.NewReader(body))
@@ -76,7 +76,8 @@
 	return response, string(text)
 }
 
-// The status codes are those of the published interface. No record of a rejected batch is taken.
+// The status codes are those of the published InfluxDB API. No record of a batch that cannot be decoded reaches the
+// sink.
 func TestServerAnswers(t *testing.T) {
 	sink := &fakeSink{}
 	s := listen(t, sink)
@@ -121,8 +122,8 @@
 	}
 }
 
-// While as many bytes are in flight as may be, further batches are not read, and are rejected when that lasts; once
-// there is capacity again, the others are answered.
+// While maxBytesInFlight bytes are in flight, further batches are not read, and are rejected with status 503 after
+// maxCapacityWait, so that a flood of batches doesn't exhaust memory. The batches in flight are completed.
 func TestServerBoundsTheBytesInFlight(t *testing.T) {
 	sink := &fakeSink{release: make(chan struct{})}
 	s := listen(t, sink)
@@ -157,7 +158,7 @@
 	}
 }
 
-// BenchmarkWrite measures one line, in batches of 100 lines over loopback.
+// BenchmarkWrite measures the handling of one line, in batches of 100 lines over loopback.
 func BenchmarkWrite(b *testing.B) {
 	const lines = 100
 	s := listen(b, &fakeSink{})
--- a/internal/ingest/queue.go
+++ b/internal/ingest/queue.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// sourceRate is the number of records per second that are accepted of one source, with sourceBurst at once.
+	// sourceRate is the accepted number of records per second of one source, sourceBurst the number at once.
 	sourceRate  = 4
 	sourceBurst = 8
 
-	// totalRate is the number of records per second that are accepted of all sources, with totalBurst at once. They take a
-	// fifth of a core.
+	// totalRate is the accepted number of records per second of all sources, totalBurst the number at once. Processing
+	// them takes a fifth of a core.
 	totalRate  = 2e5
 	totalBurst = 2e4
 
-	// minSourceGrowth is the least number of sources by which the table grows.
+	// minSourceGrowth is the least number of entries by which the table of sources grows.
 	minSourceGrowth = 64
 )
 
-// Queue holds pushed records until a turn of the control loop takes them: the newest one of each source, so that
-// its size is bounded by the fleet and nothing of the sums is lost. Turns take the sources in the order of their
-// arrival, so that a source that sends more doesn't starve another one. It may be called from any goroutine; time
-// is an input.
+// Queue holds pushed records until a step of the control loop takes them. It keeps the newest record of each source, so
+// that its size is bounded by the number of servers; no counts are lost, as counters are cumulative. Records are taken
+// in the order in which their sources were queued, so that a source that sends more doesn't starve others. Queue is
+// safe for concurrent use and reads no clock.
 type Queue struct {
 	mu      sync.Mutex
 	sources []queuedSource   // by server
-	order   []fleet.ServerID // sources with a record, in the order of arrival; those before head were taken
+	order   []fleet.ServerID // queued sources, oldest first; those before head were taken
 	head    int
 	bucket  tokenBucket
-	records uint64
-	dropped uint64
+	records uint64 // received since the start
+	dropped uint64 // of records: exceeded a rate limit
 }
 
-// queuedSource is what a Queue knows of a source.
+// queuedSource is the state of a source in a Queue.
 type queuedSource struct {
 	record          Record
 	queued          bool
@@ -43,16 +43,16 @@
 	distrustedUntil fleet.Time
 }
 
-// Reply is what the source of a batch is answered.
+// Reply is the result of adding a batch, for its sender. Text explains a rejection and is empty otherwise.
 type Reply struct {
 	Accepted       int
-	Dropped        int        // dropped records
-	RetryAfter     fleet.Time // before it sends again; 0: none
-	UntrustedUntil fleet.Time // until then its records don't count
+	Dropped        int        // records that exceeded a rate limit
+	RetryAfter     fleet.Time // delay before the sender retries; 0: none
+	UntrustedUntil fleet.Time // records of a source in the batch are ignored until then; 0: none are
 	Text           string
 }
 
-// Put adds a batch of records.
+// Put adds a batch of records, except those over the rate limits.
 func (q *Queue) Put(now fleet.Time, records []Record) Reply {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -102,7 +102,7 @@
 	}
 }
 
-// olderThan reports whether the record was overtaken by the other one of the same source.
+// olderThan reports whether the record is not newer than the other one of the same source.
 func (r *Record) olderThan(other *Record) bool {
 	if r.Started != other.Started {
 		return r.Started < other.Started
@@ -117,7 +117,8 @@
 	return &q.sources[id]
 }
 
-// Take appends up to limit records to those given, in the order of their sources' arrival.
+// Take removes up to limit records from the queue and appends them to records, in the order in which their sources were
+// queued.
 func (q *Queue) Take(limit int, records []Record) []Record {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -131,7 +132,7 @@
 	return records
 }
 
-// compact frees the places of the sources that were taken, once they are more than half.
+// compact removes the taken sources from the order, once they are more than half of it.
 func (q *Queue) compact() {
 	switch {
 	case q.head == len(q.order):
@@ -144,7 +145,8 @@
 	}
 }
 
-// Distrust lets a source be answered that its records don't count until then.
+// Distrust makes the replies to batches of a source state that its records are ignored until the given time. They are
+// queued nevertheless.
 func (q *Queue) Distrust(id fleet.ServerID, until fleet.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -153,7 +155,7 @@
 	}
 }
 
-// Waiting returns how many sources are queued, and how many records came and were dropped.
+// Waiting returns the number of queued sources, and the numbers of records received and dropped since the start.
 func (q *Queue) Waiting() (sources int, records, dropped uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/ingest/queue_test.go
+++ b/internal/ingest/queue_test.go
@@ -14,12 +14,12 @@
 	// regularServers each push a record every second.
 	regularServers = 90
 
-	// listedServers is the number of the listed ones, of which the flood uses those from 99 on.
+	// listedServers is the number of listed servers. The flood uses those from floodingServer on.
 	listedServers  = 700
-	floodingServer = 99
+	floodingServer = 99 // sends half of the flood
 )
 
-// flood pushes records of many sources, of which one sends half of all, and broken ones.
+// flood pushes records of many sources, some of them invalid. Half of the records are of floodingServer.
 func flood(q *Queue, rng *rand.Rand, now fleet.Time, count int) {
 	batch := make([]Record, 0, 100)
 	for i := range count {
@@ -46,15 +46,15 @@
 	}
 }
 
-// floodResult is what a flood did to honest servers.
+// floodResult holds the effects of a flood on the regular servers.
 type floodResult struct {
 	longestGap map[fleet.ServerID]fleet.Time // between two records that were taken
-	longest    fleet.Time                    // that a record of an honest server was queued
+	longest    fleet.Time                    // longest time that a record of a regular server was queued
 	totals     Totals
-	queued     int // sources at a time
+	queued     int // largest number of queued sources
 }
 
-// runFlood runs ten seconds with so many records of a flood per tick.
+// runFlood simulates ten seconds with perTick records of a flood in each tick.
 func runFlood(perTick int) floodResult {
 	result := floodResult{longestGap: map[fleet.ServerID]fleet.Time{}}
 	p := New(testSite())
@@ -105,8 +105,9 @@
 	}
 }
 
-// 100,000 records per second are pushed for ten seconds. The records of each honest server are taken within a
-// second, the queue stays as small as the fleet, and the sums of polls are the same as without the flood.
+// A flood of 100,000 records per second for ten seconds must not starve other sources: the records of each regular
+// server are taken within a second, the queue is no larger than the fleet, and the counters from polls are the same as
+// without the flood.
 func TestFloodStarvesNoSource(t *testing.T) {
 	result := runFlood(1000)
 	withoutFlood := runFlood(0)
@@ -116,7 +117,7 @@
 		}
 	}
 	if result.longest > second || len(result.longestGap) != regularServers || result.queued > listedServers {
-		t.Errorf("a record was queued for %.2f s, %d sources were heard, %d were queued at once",
+		t.Errorf("a record was queued for %.2f s, records of %d sources were taken, %d sources were queued at once",
 			result.longest.Seconds(), len(result.longestGap), result.queued)
 	}
 	if result.totals.Counted != withoutFlood.totals.Counted || result.totals.Counted == 0 {
@@ -133,11 +134,11 @@
 		}
 	}
 	if sources, records, dropped := q.Waiting(); sources != 1 || records != 20 || dropped != 12 {
-		t.Errorf("%d sources queued, %d records came, %d dropped", sources, records, dropped)
+		t.Errorf("%d sources queued, %d records received, %d dropped", sources, records, dropped)
 	}
 }
 
-// BenchmarkPushed measures a record that is put, taken and added.
+// BenchmarkPushed measures putting, taking and adding a record.
 func BenchmarkPushed(b *testing.B) {
 	p := New(testSite())
 	q := &Queue{}
--- a/internal/ingest/readings.go
+++ b/internal/ingest/readings.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// maxCounterStep is the difference between two readings from which a counter can't be right.
+	// maxCounterStep is the largest plausible increase of a counter between two readings.
 	maxCounterStep = 1 << 40
 
-	// minInterval is the shortest interval that gives a useful rate.
+	// minInterval is the shortest interval from which a rate is computed.
 	minInterval = 10 * fleet.Millisecond
 
-	// maxCountedPeriods bounds, in periods of polls, what counts of a longer interval.
+	// maxCountedPeriods is the longest counted interval, in poll periods. Only that part of a longer interval counts.
 	maxCountedPeriods = 2
 )
 
-// CounterDelta is the difference between two readings of a proxy's counters of one server.
+// CounterDelta is the difference between two consecutive readings of a proxy's counters for one server.
 type CounterDelta struct {
-	At            fleet.Time // of the later reading
+	At            fleet.Time // time of the later reading
 	Interval      fleet.Time
 	Server        fleet.ServerID
 	Zone          fleet.ZoneID
@@ -31,7 +31,8 @@
 	HasLoad       bool
 }
 
-// AddReading takes in a reading of a proxy's counters. It does not retain it.
+// AddReading adds the increases since the previous reading of a proxy's counters to the pending reports. It does not
+// retain the reading. The first reading, and one after a counter reset, only set the base for the next one.
 func (p *Pipeline) AddReading(now fleet.Time, id fleet.ProxyID, reading *counters.Reading) {
 	p.advance(now)
 	proxy := p.proxies[id]
@@ -54,7 +55,7 @@
 	}
 }
 
-// setBase makes a reading the one that later ones are compared to.
+// setBase stores a reading as the base for later differences.
 func (pp *polledProxy) setBase(reading *counters.Reading) {
 	pp.hasReading = true
 	pp.readAt = reading.At
@@ -66,7 +67,8 @@
 	pp.classes = append(pp.classes[:0], reading.Classes...)
 }
 
-// countersReset reports whether a counter fell or jumped, so that differences mean nothing.
+// countersReset reports whether a counter decreased or increased implausibly since the last reading, as after a
+// restart of the proxy. Differences are then meaningless.
 func (pp *polledProxy) countersReset(reading *counters.Reading) bool {
 	for i := range reading.Rows {
 		row := &reading.Rows[i]
@@ -88,7 +90,7 @@
 
 func isReset(current, base uint64) bool { return current < base || current-base > maxCounterStep }
 
-// addOutcomes adds the differences of the servers' counters to the pending reports.
+// addOutcomes adds the increases of the servers' counters to the pending outcome reports.
 func (p *Pipeline) addOutcomes(proxy *polledProxy, reading *counters.Reading, interval fleet.Time) {
 	counted, fraction := p.countedPart(interval)
 	coverage := p.coverageOf(proxy.zone)
@@ -134,8 +136,9 @@
 	}
 }
 
-// countedPart returns how much of an interval counts, and the fraction of it. Sums that gathered while a proxy was
-// out of reach say little of the present; reported as those of one period they would read as a surge.
+// countedPart returns the part of an interval that counts, and its fraction of the interval. Attempts that accumulated
+// while a proxy was unreachable say little about the current rate; reported as those of one period they would look like
+// a surge.
 func (p *Pipeline) countedPart(interval fleet.Time) (counted fleet.Time, fraction float64) {
 	if limit := p.maxCountedInterval(); interval > limit {
 		return limit, float64(limit) / float64(interval)
@@ -147,7 +150,7 @@
 	return maxCountedPeriods * max(p.site.ReportInterval, p.pollPeriod())
 }
 
-// scaleDown reduces a difference to a fraction, and counts the other attempts as aged.
+// scaleDown reduces a difference to a fraction, and counts the remaining attempts as aged.
 func (p *Pipeline) scaleDown(delta *CounterDelta, fraction float64) {
 	attempts := min(delta.Attempts, scaled(delta.Attempts, fraction))
 	p.totals.Aged += delta.Attempts - attempts
@@ -159,7 +162,7 @@
 
 func scaled(count uint64, fraction float64) uint64 { return uint64(float64(count)*fraction + 0.5) }
 
-// addDemand adds the differences of the classes' counters to the pending reports.
+// addDemand adds the increases of the classes' counters to the pending demand reports.
 func (p *Pipeline) addDemand(proxy *polledProxy, reading *counters.Reading, interval fleet.Time) {
 	for class := range min(len(reading.Classes), len(proxy.classes)) {
 		report := p.demandReport(demandKey{proxy: proxy.id, class: fleet.ClassID(class)})
--- a/internal/ingest/readings_test.go
+++ b/internal/ingest/readings_test.go
@@ -8,7 +8,7 @@
 	"cressknot/internal/ingest/counters"
 )
 
-// A proxy that restarted unnoticed adds nothing, nor does one whose counter jumps.
+// Readings after an undetected restart of a proxy, or with a counter that increases implausibly, must add no attempts.
 func TestResetCountersAddNothing(t *testing.T) {
 	p := New(testSite())
 	p.Join(second, 1, 0, true)
@@ -23,8 +23,8 @@
 	}
 }
 
-// The counters of a minute that come at once after a departure are reported with the rate that they had, not as a
-// surge, and the rest counts as aged.
+// A proxy that rejoins after a minute brings the counters of that minute at once. They must be reported at their actual
+// rate instead of as a surge; the attempts beyond the counted interval are aged.
 func TestLateCountersAreNoSurge(t *testing.T) {
 	p := New(testSite())
 	proxy := newFakeProxy()
@@ -47,12 +47,13 @@
 	}
 	report := reports[0]
 	if rate := attemptRate(report); rate < 5 || rate > 15 || report.Failures*2 != report.Attempts || p.totals.Aged < 500 {
-		t.Errorf("%+v is %.1f a second; %+v", report, rate, p.totals)
+		t.Errorf("report %+v has %.1f attempts per second; totals %+v", report, rate, p.totals)
 	}
 }
 
-// Five proxies send a server two attempts a second each, and are polled at their own times. Each report, from the
-// first one on, has the rate of all of them.
+// Five proxies send two attempts per second each to a server, and are polled at different times. Each report, from the
+// first one on, must have the rate of all of them. A rate that includes only some of the proxies misleads the balancer
+// after a start.
 func TestRateIsRightFromTheFirstReport(t *testing.T) {
 	site := testSite()
 	site.ReportsPerSecond = 500
@@ -77,7 +78,7 @@
 		for _, report := range outcomeReports(p, now) {
 			count++
 			if rate := attemptRate(report); rate < 9 || rate > 11 {
-				t.Errorf("at %.1f s: %+v is %.1f a second, want 10", now.Seconds(), report, rate)
+				t.Errorf("at %.1f s: report %+v has %.1f attempts per second, want 10", now.Seconds(), report, rate)
 			}
 		}
 	}
@@ -86,8 +87,8 @@
 	}
 }
 
-// Outcomes that change all the time are reported about once a period, and each report continues where the last one
-// ended.
+// Outcomes that change continuously are reported about once per period, and the intervals of the reports are
+// contiguous.
 func TestOutcomesAreReportedOnceAPeriod(t *testing.T) {
 	p := New(testSite())
 	proxy := newFakeProxy()
@@ -103,11 +104,11 @@
 		}
 	}
 	if count < 10 || count > 14 || covered < 9*second || covered > 10*second {
-		t.Errorf("%d reports of %.1f s in all", count, covered.Seconds())
+		t.Errorf("%d reports that cover %.1f s", count, covered.Seconds())
 	}
 }
 
-// BenchmarkPolled measures a row of a reading, with the reports that result.
+// BenchmarkPolled measures adding a row of a reading, including the resulting reports.
 func BenchmarkPolled(b *testing.B) {
 	for _, servers := range []int{350, 700, 1400} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/internal/ingest/reports.go
+++ b/internal/ingest/reports.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// reportBurst is, in seconds of the site's report rate, how many reports may be passed on at once.
+	// reportBurst is the largest number of reports that are passed on at once, in seconds at the site's report rate.
 	reportBurst = 1
 
-	// minReportGapQuarters is the least time between two reports of a kind, in quarters of the report interval.
+	// minReportGapQuarters is the least time between two reports of the same key, in quarters of the report interval.
 	minReportGapQuarters = 3
 
-	// minReportWake is the least time to the next call of Tell while reports are pending.
+	// minReportWake is the least time to the next call of Reports while reports are pending.
 	minReportWake = 10 * fleet.Millisecond
 
-	// maxLoadPeriods is the age, in report intervals, from which a pushed load is not reported.
+	// maxLoadPeriods is the largest age of a pushed load that is reported, in report intervals.
 	maxLoadPeriods = 3
 )
 
@@ -26,17 +26,17 @@
 	class fleet.ClassID
 }
 
-// zoneCoverage is how much time of a zone's proxies has been read. The interval of an outcome report is what was
-// added to it since the report before, divided by the number of proxies; so its rate is right from the first report
-// on, whichever proxies were polled by then. Intervals taken from the clock made the fleet look busy and slow after
-// a start, as the attempts of some proxies were divided by the time of all.
+// zoneCoverage sums the intervals that readings of a zone's proxies cover. The interval of an outcome report is the
+// increase of that sum since the previous report, divided by the number of proxies. So its rate is right from the first
+// report on, whichever proxies were polled by then. Intervals taken from the clock made the fleet look busy and slow
+// after a start, as the attempts of some proxies were divided by the time of all.
 type zoneCoverage struct {
-	read    fleet.Time
+	read    fleet.Time // sum over all proxies of the zone
 	proxies int
 }
 
-// pendingReport gathers sums until they are reported: the outcomes at a server for the proxies of a zone, or the
-// demand of a class at a proxy.
+// pendingReport accumulates counts until they are reported: the outcomes of attempts at a server from the proxies of a
+// zone, or the demand of a class at a proxy.
 type pendingReport struct {
 	isDemand bool
 	server   fleet.ServerID // of an outcome report
@@ -50,18 +50,18 @@
 	load          [4]float32
 	hasLoad       bool
 
-	from       fleet.Time // begin and end of a demand report's interval
-	until      fleet.Time
-	coverage   fleet.Time // of the zone, at the begin of an outcome report's interval
-	reportedAt fleet.Time
+	from       fleet.Time // begin of a demand report's interval
+	until      fleet.Time // end of a demand report's interval
+	coverage   fleet.Time // zoneCoverage.read at the begin of an outcome report's interval
+	reportedAt fleet.Time // time of the last report; 0: none yet
 	dueAt      fleet.Time
-	pendingAt  fleet.Time // since when it is pending
+	pendingAt  fleet.Time // when it became pending
 	index      int        // in the heap of due reports
 }
 
 func (r *pendingReport) heapIndex() *int { return &r.index }
 
-// before orders reports by when they are due, and then by a fixed order.
+// before orders reports by due time, then by kind and key, so that the order is deterministic.
 func (r *pendingReport) before(other *pendingReport) bool {
 	switch {
 	case r.dueAt != other.dueAt:
@@ -89,7 +89,7 @@
 	}
 }
 
-// clear empties a report that was passed on.
+// clear resets the counts of a report that was passed on.
 func (r *pendingReport) clear(now fleet.Time) {
 	r.attempts = 0
 	r.failures = 0
@@ -122,8 +122,8 @@
 	return report
 }
 
-// beginCoverage sets the begin of an outcome report's interval: the last report, or the reading before the first
-// one, but not longer ago than maxCountedInterval.
+// beginCoverage sets the begin of an outcome report's interval: the previous report, or the coverage before the first
+// reading, but at most maxCountedInterval ago.
 func (p *Pipeline) beginCoverage(report *pendingReport, coverage *zoneCoverage, before fleet.Time) {
 	if report.reportedAt == 0 {
 		report.coverage = before
@@ -132,7 +132,7 @@
 	report.coverage = max(report.coverage, earliest)
 }
 
-// schedule makes a report pending, if it isn't yet, and extends its interval.
+// schedule makes a report pending unless it is already, and extends its interval.
 func (p *Pipeline) schedule(report *pendingReport, from, until fleet.Time) {
 	if report.index == notInHeap {
 		report.pendingAt = p.now
@@ -150,9 +150,10 @@
 	report.until = max(report.until, until)
 }
 
-// Reports returns the reports for the balancer: those that are pending longest, as many as the site's report rate
-// allows. What stays adds up. Wake is when to call again, 0 if nothing is pending. So no report is pending for longer
-// than all pending ones take at that rate, whoever sends how much.
+// Reports returns reports for the balancer in the order of their due times, as many as the site's report rate allows.
+// The others stay pending and continue to accumulate. Wake is the time of the next call, 0 if nothing is pending. As
+// each server, zone, proxy and class has at most one pending report, none is pending for longer than all pending ones
+// take at that rate, however much a single source sends.
 func (p *Pipeline) Reports(now fleet.Time) (events []fleet.Event, wake fleet.Time) {
 	p.advance(now)
 	rate := max(1, p.site.ReportsPerSecond)
@@ -170,7 +171,7 @@
 	return events, wake
 }
 
-// finish returns the event of a report, and empties it. The event is nil where the server or proxy is gone.
+// finish returns the event of a report and resets the report. The event is nil if the server or proxy is gone.
 func (p *Pipeline) finish(report *pendingReport, now fleet.Time) (event fleet.Event) {
 	if report.isDemand {
 		event = p.finishDemand(report)
@@ -223,10 +224,10 @@
 	return outcome
 }
 
-// loadOf returns the load that goes with an outcome report: the pushed one while it is fresh, or else the one that
-// answers reported. A load is never reported without the attempts that caused it: alone it would read as a fleet
-// that is busy and handles nothing. Where all loads are too old there is none, as a silent server is neither known
-// to be idle nor to be as busy as before.
+// loadOf returns the load for an outcome report: the pushed one while it is fresh, otherwise the one from responses to
+// proxies. A load is never reported without the attempts that caused it: alone it would look like a fleet that is busy
+// without handling requests. It returns false if all loads are too old, as nothing is known about the load of a silent
+// server.
 func (p *Pipeline) loadOf(report *pendingReport, s *source, now fleet.Time) (load [4]float32, ok bool) {
 	if p.usePushedLoad && s.hasReported() && s.last.HasLoad && s.age(now) <= maxLoadPeriods*p.site.ReportInterval {
 		return s.last.Load, true
@@ -236,7 +237,7 @@
 
 func clamped(count uint64) uint32 { return uint32(min(count, math.MaxUint32)) }
 
-// Waiting returns how many reports are pending, and for how long the oldest one is.
+// Waiting returns the number of pending reports, and how long the oldest one has been pending.
 func (p *Pipeline) Waiting(now fleet.Time) (reports int, oldest fleet.Time) {
 	for _, report := range p.due {
 		oldest = max(oldest, now-report.pendingAt)
--- a/internal/ingest/shedding.go
+++ b/internal/ingest/shedding.go
@@ -7,23 +7,25 @@
 )
 
 const (
-	// stepDeadline bounds a turn of the control loop: ordinary decisions have seconds, urgent ones have not.
+	// stepDeadline is the longest duration of a step of the control loop without shedding. Ordinary decisions may take
+	// seconds, but urgent ones must not wait for a long step.
 	stepDeadline = 50 * fleet.Millisecond
 
-	// raiseInterval is the least time between two raises of the level, until the effect of the first one shows.
+	// raiseInterval is the least time between two raises of the level, so that the first one takes effect.
 	raiseInterval = fleet.Second
 
-	// calmDuration without a missed deadline lowers the level.
+	// calmDuration is the time without a missed deadline after which the level is lowered.
 	calmDuration = 5 * fleet.Second
 
-	// maxRecordsPerStep takes all of a fleet in two turns.
+	// maxRecordsPerStep suffices for the records of a whole fleet in two steps.
 	maxRecordsPerStep = 512
 
-	// maxRowsPerStep of counters take some 5 ms.
+	// maxRowsPerStep is the largest number of counter rows in a step; they take about 5 ms.
 	maxRowsPerStep = 100_000
 )
 
-// sheddingLevels are what remains at each level. Pushed reports are shed first, then polls, and orders never.
+// sheddingLevels are the fractions of pushed reports and polls that remain at each level. Pushed reports are shed
+// first, then polls; orders are never shed.
 var sheddingLevels = [...]struct {
 	pushed, polls float64
 	text          string
@@ -34,26 +36,27 @@
 	{0.02, 0.25, "pushed load reports are reduced to 2 %, counter polls to 25 %"},
 }
 
-// loadShedder reduces what is taken in so that turns meet their deadline.
+// loadShedder reduces the input of the control loop so that steps meet stepDeadline.
 type loadShedder struct {
 	level     int
 	missedAt  fleet.Time // the latest missed deadline
 	changedAt fleet.Time
 	misses    uint64
-	longest   fleet.Time // turn since the last change
+	longest   fleet.Time // longest late step since the level changed
 	notices   []Notice
 }
 
-// TurnEnded takes in the duration of a turn.
+// TurnEnded adapts the shedding level to the duration of a step of the control loop. It is called after each step.
 func (p *Pipeline) TurnEnded(now, duration fleet.Time) { p.shedder.stepEnded(now, duration) }
 
-// TurnLimits returns how many pushed records and rows of counters the next turn may take.
+// TurnLimits returns the largest numbers of pushed records and counter rows that the next step may process.
 func (p *Pipeline) TurnLimits() (records, rows int) {
 	share := sheddingLevels[p.shedder.level].pushed
 	return max(1, int(maxRecordsPerStep*share)), maxRowsPerStep
 }
 
-// Shedding returns the level of shedding, the number of missed deadlines, and what the level means.
+// Shedding returns the shedding level (0: none), the number of missed deadlines since the start, and a description of
+// the level for operators.
 func (p *Pipeline) Shedding() (level int, misses uint64, text string) {
 	return p.shedder.level, p.shedder.misses, sheddingLevels[p.shedder.level].text
 }
@@ -94,5 +97,5 @@
 	return notices
 }
 
-// pollShare is the part of the polls that remains.
+// pollShare returns the fraction of polls that remains at the current level.
 func (s *loadShedder) pollShare() float64 { return sheddingLevels[s.level].polls }
--- a/internal/ingest/shedding_test.go
+++ b/internal/ingest/shedding_test.go
@@ -8,7 +8,8 @@
 	"cressknot/internal/fleet"
 )
 
-// Pushed reports are shed first and polls second; all comes back when turns are short again.
+// When steps exceed their deadline, pushed reports are shed first and polls second. Both are restored when steps are
+// short again.
 func TestLongTurnsShedReportsAndPolls(t *testing.T) {
 	const stepInterval = 100 * millisecond
 	p := New(testSite())
@@ -25,17 +26,17 @@
 			raisedAt = append(raisedAt, now)
 		}
 		if rows != maxRowsPerStep {
-			t.Error("readings that came are not taken")
+			t.Errorf("limit of %d counter rows per step, want %d", rows, maxRowsPerStep)
 		}
 	}
 	if fmt.Sprint(limits) != "[128 51 10]" {
-		t.Fatalf("%v pushed records a turn", limits)
+		t.Fatalf("limits of pushed records per step: %v", limits)
 	}
 	if periods[0] != 10*second || periods[1] != 20*second || periods[2] != 40*second {
-		t.Errorf("periods of polls %v", periods)
+		t.Errorf("poll periods %v", periods)
 	}
 	if raisedAt[1]-raisedAt[0] < raiseInterval || raisedAt[2]-raisedAt[1] < raiseInterval {
-		t.Errorf("raised at %v", raisedAt)
+		t.Errorf("level raised at %v", raisedAt)
 	}
 	for ; now < 30*second; now += stepInterval {
 		p.TurnEnded(now, millisecond)
--- a/internal/ingest/source.go
+++ b/internal/ingest/source.go
@@ -3,34 +3,34 @@
 import "cressknot/internal/fleet"
 
 const (
-	// gapWeight is the weight of the newest gap in the mean gap between reports.
+	// gapWeight is the weight of the newest gap in the moving mean of the gaps between reports.
 	gapWeight = 0.2
 
-	// minSourceTableGrowth is the least number of servers by which the table of sources grows.
+	// minSourceTableGrowth is the least number of entries by which the table of sources grows.
 	minSourceTableGrowth = 16
 )
 
-// source is what is known of a server: of its reports, and of what proxies measured there.
+// source is the state of a server: its load reports, and the outcomes that proxies measured.
 type source struct {
 	listed bool
-	gone   bool // the endpoint list says so
+	gone   bool // removed from the endpoint list
 
 	last        Record
-	lastArrival fleet.Time // 0: it never reported
+	lastArrival fleet.Time // 0: no report yet
 	meanGap     fleet.Time // between reports
-	ownAttempts uint64     // attempts by its own count, since the controller's start
-	ownFailures uint64     // failures, the same
+	ownAttempts uint64     // counted by the server, since the controller's start
+	ownFailures uint64     // counted by the server, since the controller's start
 
 	clock           clockEstimate
-	backwardRecords int // in a row whose clock went back while their sums grew
-	needsBase       bool
-	violations      int // since violationWindow began
+	backwardRecords int  // consecutive records with an earlier time but larger counters
+	needsBase       bool // the next record only sets the base for the counters
+	violations      int  // since violationWindow began
 	lastViolation   fleet.Time
-	distrustPeriod  fleet.Time // the last one
+	distrustPeriod  fleet.Time // the latest one; 0: none, or reset
 	distrustedUntil fleet.Time
 
-	outcomes           [examinationCount]pollOutcomes // since an examination, the latest one first
-	ownAttemptsHistory [examinationCount]uint64       // served, at the examinations
+	outcomes           [examinationCount]pollOutcomes // by examination, the latest one first
+	ownAttemptsHistory [examinationCount]uint64       // ownAttempts by examination, the latest one first
 	health             health
 	polledAt           fleet.Time // when a proxy's counters last showed attempts
 }
@@ -45,15 +45,16 @@
 	return &p.sources[id]
 }
 
-// Listed notes that the endpoint list names a server, or that the server is gone, after which nothing is reported
-// of it.
+// Listed records that the endpoint list contains a server, or that the server is gone. Nothing is reported to the
+// balancer about a server that is gone.
 func (p *Pipeline) Listed(id fleet.ServerID, gone bool) {
 	s := p.source(id)
 	s.listed = !gone
 	s.gone = gone
 }
 
-// AddRecord takes in a record of a server. Its sums are not passed on, as proxies count the same attempts.
+// AddRecord adds a record that a server pushed, if the record is valid. Its counters are not reported to the balancer,
+// as proxies count the same attempts.
 func (p *Pipeline) AddRecord(now fleet.Time, record Record) {
 	p.advance(now)
 	s := p.source(record.Server)
@@ -69,7 +70,8 @@
 	s.lastArrival = record.Arrived
 }
 
-// age returns how old the server's newest report is, by its own clock as far as the offset of that is known.
+// age returns the age of the server's newest report. It includes the delay between the stated time of the report, as
+// corrected by the estimated clock offset, and its arrival.
 func (s *source) age(now fleet.Time) fleet.Time {
 	age := now - s.last.Arrived
 	if s.last.Stated > 0 {
--- a/internal/ingest/timeseries/row.go
+++ b/internal/ingest/timeseries/row.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	// Latencies in a histogram are in ms, exact to a hundredth.
+	// Range of the latencies in a histogram in ms, and their precision in significant decimal digits.
 	minLatency    = 1
 	maxLatency    = 600_000
 	latencyDigits = 2
 
-	// rowFormat is the first byte of a stored row.
+	// rowFormat is the first byte of a stored row, the version of its format.
 	rowFormat = 1
 
-	// timeSize of a key, in bytes; the name of a server follows the time.
+	// timeSize is the size of the time at the begin of a key, in bytes. The name of the server follows.
 	timeSize = 8
 
-	// maxNameSize of a key, in bytes.
+	// maxNameSize is the largest size of the name in a key, in bytes. Longer names are truncated.
 	maxNameSize = 255
 
 	// noLoad is the load of a Point without load reports.
 	noLoad = -1
 )
 
-// errDamagedRow reports a stored row that can't be read.
+// errDamagedRow is returned for a stored row that can't be decoded.
 var errDamagedRow = errors.New("damaged row")
 
-// Point holds what all proxies measured at a server in a row's interval.
+// Point holds the measurements of all proxies at a server in the interval of a row, or in several intervals.
 type Point struct {
 	At        fleet.Time // begin of the interval
 	Attempts  uint64
 	Failures  uint64
-	Load      float64 // mean of the load that answers reported; negative: none
-	Latencies *hdrhistogram.Histogram
+	Load      float64                 // mean of the first load figure that answers reported; negative: none
+	Latencies *hdrhistogram.Histogram // of successful attempts, in ms
 }
 
-// row is a Point that is added to.
+// row accumulates the measurements of a Point.
 type row struct {
 	at        fleet.Time
 	attempts  uint64
@@ -56,7 +56,8 @@
 
 func newRow(at fleet.Time) *row { return &row{at: at, latencies: newHistogram()} }
 
-// add adds what a proxy measured. The proxy reports the sum of some latencies, which count as so many of their mean.
+// add adds the measurements of a proxy. The proxy reports only the sum of the latencies, so each successful attempt is
+// recorded with their mean.
 func (r *row) add(delta ingest.CounterDelta) {
 	r.attempts += delta.Attempts
 	r.failures += delta.Failures
@@ -88,19 +89,20 @@
 	return sum / float64(count)
 }
 
-// rowKey orders rows by time, then by server.
+// rowKey returns the key of a row. Keys are ordered by time, then by server name.
 func rowKey(at fleet.Time, name string) []byte {
 	key := binary.BigEndian.AppendUint64(make([]byte, 0, timeSize+len(name)), uint64(at))
 	return append(key, name[:min(len(name), maxNameSize)]...)
 }
 
-// compareKey returns the time of a key, and how its name compares to the given one.
+// compareKey returns the time in a key, and the order of the name in the key relative to the given one, as
+// bytes.Compare does.
 func compareKey(key []byte, name string) (at fleet.Time, order int) {
 	at = fleet.Time(binary.BigEndian.Uint64(key))
 	return at, bytes.Compare(key[timeSize:], []byte(name))
 }
 
-// encode writes the format, four unsigned varints and the histogram.
+// encode returns the stored form of the row: the format, four unsigned varints and the histogram.
 func (r *row) encode() ([]byte, error) {
 	latencies, err := r.latencies.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
@@ -114,7 +116,7 @@
 	return append(value, latencies...), nil
 }
 
-// decodeRow reads what encode wrote.
+// decodeRow decodes the result of encode. It returns errDamagedRow if that is not possible.
 func decodeRow(at fleet.Time, value []byte) (Point, error) {
 	if len(value) == 0 || value[0] != rowFormat {
 		return Point{}, errDamagedRow
--- a/internal/ingest/timeseries/store.go
+++ b/internal/ingest/timeseries/store.go
@@ -1,6 +1,6 @@
-// Package timeseries stores what proxies measured at each server for operators: a row for each minute and server,
-// for a day, in an embedded store on disk or in memory. Latencies are stored as histograms, which add up exactly
-// over minutes, zones and servers. No decision reads them.
+// Package timeseries stores the measurements of proxies at each server for operators: one row for each minute and
+// server, kept for a day in an embedded store on disk or in memory. Latencies are stored as histograms, which can be
+// merged exactly over minutes, zones and servers. Decisions of the controller don't depend on the stored data.
 package timeseries
 
 import (
@@ -20,40 +20,41 @@
 )
 
 const (
-	// rowInterval is the time that a row covers.
+	// rowInterval is the interval of a row.
 	rowInterval = 60 * fleet.Second
 
-	// retention reaches back to what operators still ask about.
+	// retention is the time for which rows are kept, as long as operators need them.
 	retention = 24 * 3600 * fleet.Second
 
-	// cacheSize and memTableSize of the store are in bytes.
+	// cacheSize and memTableSize limit the memory of the embedded store, in bytes.
 	cacheSize    = 4 << 20
 	memTableSize = 4 << 20
 
-	// memoryFolder is the name of the folder of a store in memory.
+	// memoryFolder is the folder of a store in memory, in its virtual file system.
 	memoryFolder = "series"
 )
 
-// Store holds the rows. Its methods may be called from several goroutines.
+// Store stores the rows of all servers. It is safe for concurrent use. No method may be called after Close.
 type Store struct {
 	db            *pebble.DB
 	nameOf        func(fleet.ServerID) string
-	writeRequests chan struct{} // has an element when complete rows are to be written; closed by Close
+	writeRequests chan struct{} // capacity 1; signalled when there are completed rows to write; closed by Close
 	writing       sync.WaitGroup
 	unwritten     atomic.Uint64 // rows that could not be written
 	mu            sync.Mutex
 	current       map[fleet.ServerID]*row
-	currentAt     fleet.Time // begin of the current rows
-	completed     []serverRow
+	currentAt     fleet.Time  // begin of the current rows
+	completed     []serverRow // not written yet
 }
 
-// serverRow is a row that has ended and is not written yet.
+// serverRow is a completed row of a server that is not written yet.
 type serverRow struct {
 	server fleet.ServerID
 	row    *row
 }
 
-// Open opens the store in a folder, or in memory if the folder is "".
+// Open opens the store in a folder, or in memory if folder is "". NameOf returns the name under which the rows of a
+// server are stored. The caller must call Close.
 func Open(folder string, nameOf func(fleet.ServerID) string) (*Store, error) {
 	options := &pebble.Options{
 		Logger:       silentLogger{},
@@ -80,7 +81,7 @@
 	return s, nil
 }
 
-// Add adds what a proxy measured at a server. It doesn't wait for the disk.
+// Add adds the measurements of a proxy at a server. It doesn't wait for the disk.
 func (s *Store) Add(delta ingest.CounterDelta) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +101,7 @@
 	r.add(delta)
 }
 
-// completeRows lets the current rows be written. The caller holds the lock.
+// completeRows queues the current rows to be written. The caller holds the lock.
 func (s *Store) completeRows() {
 	for server, r := range s.current {
 		s.completed = append(s.completed, serverRow{server: server, row: r})
@@ -108,7 +109,8 @@
 	clear(s.current)
 }
 
-// writeRows writes rows that have ended. They remain readable from memory until they are written.
+// writeRows writes completed rows until writeRequests is closed. Rows remain readable from memory until they are
+// written.
 func (s *Store) writeRows() {
 	for range s.writeRequests {
 		s.mu.Lock()
@@ -124,7 +126,7 @@
 	}
 }
 
-// write writes rows, and deletes those that are past their retention. It doesn't sync: a crash loses the latest
+// write writes rows, and deletes stored rows that are older than retention. It doesn't sync: a crash loses the latest
 // rows only.
 func (s *Store) write(rows []serverRow, at fleet.Time) error {
 	batch := s.db.NewBatch()
@@ -146,16 +148,16 @@
 	return batch.Commit(pebble.NoSync)
 }
 
-// UnwrittenRows returns the number of rows that could not be written.
+// UnwrittenRows returns the number of rows that were lost since Open because a write failed.
 func (s *Store) UnwrittenRows() uint64 { return s.unwritten.Load() }
 
-// Size returns the bytes on disk or in memory.
+// Size returns the size of the store on disk and in memory, in bytes.
 func (s *Store) Size() uint64 {
 	metrics := s.db.Metrics()
 	return metrics.DiskSpaceUsage() + metrics.MemTable.Size
 }
 
-// Close writes the current rows and closes the store.
+// Close writes all rows that are not written yet and closes the store.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	s.completeRows()
@@ -165,10 +167,10 @@
 	return errors.Join(s.write(s.completed, s.currentAt), s.db.Flush(), s.db.Close())
 }
 
-// Read returns a server's rows from a time on, the current one last. It counts the rows that are damaged, and skips
-// them.
+// Read returns the rows of a server from the given time on, ordered by time, including the current one. Damaged rows
+// are skipped and counted.
 func (s *Store) Read(server fleet.ServerID, from fleet.Time) (points []Point, damaged int, err error) {
-	// What is not written yet is read first: a row may be in both places for a moment, but not in none.
+	// Memory is read first: a row that is written in between is then found twice, but never missed.
 	from, recent := s.readMemory(server, from)
 	points, damaged, err = s.readStore(s.nameOf(server), from)
 	if err != nil {
@@ -182,7 +184,7 @@
 	return points, damaged, nil
 }
 
-// readMemory returns the rows that are not written yet, and the begin of the first row to read.
+// readMemory returns the rows of a server that are not written yet, and the begin of the first row to read.
 func (s *Store) readMemory(server fleet.ServerID, from fleet.Time) (first fleet.Time, points []Point) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,7 +200,8 @@
 	return first, points
 }
 
-// readStore returns the rows that are written. It seeks from one row of the server to its next one.
+// readStore returns the written rows of a server. It seeks from one row of the server to the next, as each minute holds
+// rows of all servers.
 func (s *Store) readStore(name string, from fleet.Time) (points []Point, damaged int, err error) {
 	iterator, err := s.db.NewIter(&pebble.IterOptions{
 		LowerBound: rowKey(from, ""),
@@ -231,13 +234,13 @@
 	return points, damaged, nil
 }
 
-// silentLogger drops the log of the embedded store, whose methods return the errors that matter.
+// silentLogger discards the log of the embedded store, as its methods return the relevant errors.
 type silentLogger struct{}
 
-// Infof drops the message.
+// Infof discards the message.
 func (silentLogger) Infof(string, ...any) {}
 
-// Errorf drops the message.
+// Errorf discards the message.
 func (silentLogger) Errorf(string, ...any) {}
 
 // Fatalf panics, as the store can't continue.
@@ -245,7 +248,7 @@
 	panic(fmt.Sprintf("time series: "+format, args...))
 }
 
-// Sum adds points up. The load is the highest one.
+// Sum returns the sum of points. Its load is the highest one, its time that of the last point.
 func Sum(points []Point) Point {
 	sum := Point{Load: noLoad, Latencies: newHistogram()}
 	for _, point := range points {
--- a/internal/ingest/timeseries/store_test.go
+++ b/internal/ingest/timeseries/store_test.go
@@ -24,7 +24,7 @@
 // testDuration is longer than the retention.
 const testDuration = retention + 3600*fleet.Second
 
-// fill adds rows of two servers.
+// fill adds rows of two servers for testDuration.
 func fill(s *Store) {
 	for at := rowInterval; at < testDuration; at += rowInterval {
 		for server := range fleet.ServerID(2) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// Sums over more than a day are exact, and quantiles are those of all attempts; rows past their retention are
-// deleted. The rest remains over a restart, and a damaged row is counted and costs no other one.
+// Sums over more than a day are exact, and quantiles cover all attempts. Rows older than retention are deleted, the
+// others survive a restart. A damaged row is counted, and doesn't prevent the others from being read.
 func TestStoreAddsUpAndDeletesOldRows(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, folder)
@@ -87,7 +87,7 @@
 	}
 }
 
-// BenchmarkAdd measures what a proxy reports of one of 700 servers.
+// BenchmarkAdd measures adding the measurements of a proxy at one of 700 servers.
 func BenchmarkAdd(b *testing.B) {
 	s := open(b, "")
 	defer func() { _ = s.Close() }()
--- a/internal/ingest/timeseries/storeddata_test.go
+++ b/internal/ingest/timeseries/storeddata_test.go
@@ -17,7 +17,8 @@
 	storedMinutes = 4
 )
 
-// TestSeriesOfAnEarlierProgramIsRead reads a folder of time series.
+// TestSeriesOfAnEarlierProgramIsRead reads time series that an earlier version wrote. It guards against changes of the
+// stored format that lose the data at an upgrade.
 func TestSeriesOfAnEarlierProgramIsRead(t *testing.T) {
 	if *writeFixtures {
 		s, err := Open(storedFolder, nameOf)
--- a/internal/ingest/tokenbucket.go
+++ b/internal/ingest/tokenbucket.go
@@ -2,7 +2,7 @@
 
 import "cressknot/internal/fleet"
 
-// tokenBucket limits a rate. A bucket that was never used is full, unless startsEmpty is set.
+// tokenBucket limits a rate. The zero value is a full bucket; with startsEmpty it starts without tokens.
 type tokenBucket struct {
 	tokens      float64
 	refilledAt  fleet.Time
@@ -10,7 +10,7 @@
 	used        bool
 }
 
-// refill adds the tokens of the time that has passed, up to the burst.
+// refill adds the tokens for the time since the last refill, up to burst.
 func (b *tokenBucket) refill(now fleet.Time, perSecond, burst float64) {
 	if !b.used && !b.startsEmpty {
 		b.tokens = burst
@@ -20,7 +20,7 @@
 	b.refilledAt = max(b.refilledAt, now)
 }
 
-// timeToToken returns when a whole token will be there.
+// timeToToken returns the time until a whole token is available.
 func (b *tokenBucket) timeToToken(perSecond float64) fleet.Time {
 	return fleet.Second.Scale((1 - b.tokens) / perSecond)
 }
--- a/internal/ingest/validator.go
+++ b/internal/ingest/validator.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// maxViolations of a source within violationWindow make it untrusted. So many records with a clock that went back show
-	// that it did.
+	// maxViolations is the number of violations within violationWindow after which a source is untrusted. It is also the
+	// number of consecutive records with an earlier time that show that the source's clock was set back.
 	maxViolations   = 3
 	violationWindow = 60 * fleet.Second
 
-	// A source that is untrusted again is so for twice the time, from minDistrustPeriod to maxDistrustPeriod.
+	// A source is untrusted for minDistrustPeriod at first, and for twice the previous time, up to maxDistrustPeriod, if
+	// it violates the rules again.
 	minDistrustPeriod = 30 * fleet.Second
 	maxDistrustPeriod = 600 * fleet.Second
 
-	// distrustResetDelay without a violation ends the doubling.
+	// distrustResetDelay is the time without a violation after which the period is minDistrustPeriod again.
 	distrustResetDelay = 600 * fleet.Second
 
-	// maxLoadFigure of a record.
+	// maxLoadFigure is the exclusive upper bound of the load figures of a record.
 	maxLoadFigure = 1e9
 
-	// violationCapacity is the number of violations that operators can look at.
+	// violationCapacity is the number of violations that are kept for operators.
 	violationCapacity = 256
 
-	// maxViolationNotices is how many violations operators are notified of within violationWindow.
+	// maxViolationNotices is the largest number of notices of violations within violationWindow.
 	maxViolationNotices = 10
 )
 
-// recordDecision is what is made of a record.
+// recordDecision is the result of checking a record.
 type recordDecision uint8
 
 const (
@@ -38,32 +39,33 @@
 	recordRejected
 )
 
-// Violation is a record of a source that can't be right.
+// Violation describes an invalid record of a source, or a source whose clock is off.
 type Violation struct {
 	At     fleet.Time
 	Server fleet.ServerID
 	Text   string
-	Until  fleet.Time // the source is untrusted until then; 0: it is trusted
+	Until  fleet.Time // the source is untrusted until then; 0: the violation did not make it untrusted
 }
 
-// recordValidator decides which records are accepted.
+// recordValidator decides which records are accepted, and keeps the latest violations.
 type recordValidator struct {
 	repeated   uint64
 	invalid    uint64
 	untrusted  uint64
 	violations []Violation // the latest ones, oldest first
 
-	notifiedUntil fleet.Time // violations up to then were considered for notices
+	notifiedUntil fleet.Time // time of the last call of notices
 	windowStart   fleet.Time
-	notified      int // since windowStart
-	suppressed    int // since windowStart
+	notified      int // violations with a notice since windowStart
+	suppressed    int // violations without a notice since windowStart
 }
 
-// check decides on a record, and prepares the source's base for its sums: after a restart they count from 0.
+// check decides whether a record is accepted. For an accepted one it prepares the base from which the increases of the
+// source's counters are computed: the record itself for a new source or one that was untrusted, 0 after a restart.
 func (v *recordValidator) check(now fleet.Time, s *source, record *Record) recordDecision {
 	if s.distrustedUntil > now {
 		v.untrusted++
-		s.needsBase = true // what it reports meanwhile never counts
+		s.needsBase = true // increases while the source is untrusted never count
 		return recordRejected
 	}
 	restarted := record.Started > s.last.Started
@@ -99,13 +101,14 @@
 	return recordAccepted
 }
 
-// precedes reports whether the record was taken before the last one, by the source's clock.
+// precedes reports whether the record is not newer than the last one, by the source's clock.
 func (r *Record) precedes(last *Record) bool {
 	return r.Started < last.Started && r.Started > 0 || r.Stated > 0 && r.Stated <= last.Stated
 }
 
-// acceptBackwardClock returns true for a record that precedes the last one because the source's clock was set back. A
-// single one looks like a record that was overtaken; but then its sums don't grow.
+// acceptBackwardClock reports whether a record precedes the last one because the source's clock was set back. A record
+// that was overtaken by a newer one also has an earlier time, but no larger counters; so maxViolations consecutive
+// records with an earlier time and larger counters are required.
 func (v *recordValidator) acceptBackwardClock(now fleet.Time, s *source, record *Record) bool {
 	last := &s.last
 	if record.Stated <= last.Stated && record.Started == last.Started && record.Attempts > last.Attempts {
@@ -120,7 +123,7 @@
 	return true
 }
 
-// problem returns what can't be right in any record, or "".
+// problem describes what makes the record invalid by itself. It returns "" for a valid record.
 func (r *Record) problem() string {
 	if r.Failures > r.Attempts || r.Successes > r.Attempts {
 		return fmt.Sprintf("counter failed (%d) or good (%d) exceeds tries (%d)",
@@ -141,7 +144,8 @@
 	return ""
 }
 
-// counterProblem names a counter that fell or jumped since the last record without a restart, or returns "".
+// counterProblem describes a counter that decreased or increased implausibly since the last record without a restart.
+// It returns "" if there is none.
 func (r *Record) counterProblem(last *Record) string {
 	for _, counter := range [...]struct {
 		name    string
@@ -177,7 +181,7 @@
 	})
 }
 
-// violation counts a violation. After too many of them the source is untrusted for a while.
+// violation records a violation. After maxViolations of them the source is untrusted for its distrust period.
 func (v *recordValidator) violation(now fleet.Time, s *source, server fleet.ServerID, text string) {
 	v.invalid++
 	if now > s.lastViolation+violationWindow {
@@ -203,7 +207,7 @@
 	v.violations = append(v.violations[surplus:], entry)
 }
 
-// isFirstOf reports whether no earlier violation of the source is stored.
+// isFirstOf reports whether entry is the oldest stored violation of its source.
 func (v *recordValidator) isFirstOf(entry Violation) bool {
 	for _, other := range v.violations {
 		if other.Server == entry.Server {
@@ -213,8 +217,8 @@
 	return false
 }
 
-// notices returns notices of the violations since the last call: the first one of each source, and those after
-// which it is untrusted. Their number is bounded, as many faulty sources must not fill the log.
+// notices returns notices of the violations since the last call: the first one of each source, and those that made a
+// source untrusted. Their number is limited, so that many faulty sources don't fill the log.
 func (v *recordValidator) notices(now fleet.Time, listed func(fleet.ServerID) bool) (notices []Notice) {
 	if now >= v.windowStart+violationWindow {
 		if v.suppressed > 0 {
--- a/internal/ingest/validator_test.go
+++ b/internal/ingest/validator_test.go
@@ -9,8 +9,8 @@
 	"cressknot/internal/fleet"
 )
 
-// Sums count from the second record on. Repeated and overtaken records are dropped, a stated restart begins anew, and a
-// counter that falls without one is a violation.
+// Increases of counters count from the second record on. Repeated and overtaken records are dropped, counters start
+// from 0 after a stated restart, and a counter that decreases without a restart is a violation.
 func TestSumsOfRecords(t *testing.T) {
 	p := New(testSite())
 	listAll(p, 2)
@@ -24,7 +24,7 @@
 	if s.ownAttempts != 400 || p.validator.repeated != 2 || p.validator.invalid != 0 {
 		t.Errorf("%d served, %d repeated, %d invalid", s.ownAttempts, p.validator.repeated, p.validator.invalid)
 	}
-	for i, attempts := range []uint64{30, 10, 15, 20} { // after a restart, and then fallen
+	for i, attempts := range []uint64{30, 10, 15, 20} { // after a restart; the second one decreases
 		at := fleet.Time(i+8) * second
 		push(t, p, Record{Server: 1, Started: 7 * second, Stated: at, Arrived: at, Attempts: attempts})
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-// What a source reports while it is untrusted never counts.
+// Counter increases that a source reports while it is untrusted must never count, even once it is trusted again.
 func TestSourceIsUntrustedAfterViolations(t *testing.T) {
 	p := New(testSite())
 	listAll(p, 50)
@@ -98,7 +98,8 @@
 	}
 }
 
-// Operators get a bounded number of notices of many faulty sources.
+// The number of notices is bounded, so that many faulty sources do not flood the log; a later notice
+// states how many were suppressed.
 func TestNoticesOfViolationsAreBounded(t *testing.T) {
 	p := New(testSite())
 	listAll(p, 50)
--- a/internal/ingest/view.go
+++ b/internal/ingest/view.go
@@ -2,28 +2,28 @@
 
 import "cressknot/internal/fleet"
 
-// View is what operators see of a server as a source.
+// View is the state of a server as a source of load reports, as shown to operators.
 type View struct {
 	Server      fleet.ServerID
 	Verdict     HealthVerdict
-	Since       fleet.Time
-	Reports     bool       // it has reported
+	Since       fleet.Time // when Verdict last changed
+	Reports     bool       // the server has pushed a report
 	Age         fleet.Time // of its newest report
 	PolledAge   fleet.Time // since polls last showed attempts; 0: never
-	Attempts    uint64     // attempts that proxies counted in the last seconds
-	Failed      uint64     // failures, the same
-	Served      uint64     // attempts by its own count
-	OwnFailures uint64     // failures by its own count
+	Attempts    uint64     // counted by proxies in the last 3 s
+	Failed      uint64     // counted by proxies in the last 3 s
+	Served      uint64     // attempts counted by the server itself, since the controller's start
+	OwnFailures uint64     // failures counted by the server itself, since the controller's start
 	Load        [4]float32
 	HasLoad     bool
-	Distrust    fleet.Time // until when its reports don't count; 0: they count
-	ClockOffset fleet.Time // by which its clock is behind
+	Distrust    fleet.Time // its reports are ignored until then; 0: they are accepted
+	ClockOffset fleet.Time // positive if its clock is behind the controller's
 }
 
-// Verdict returns the health verdict on a server.
+// Verdict returns the current health verdict on a server, Healthy for an unknown one.
 func (p *Pipeline) Verdict(id fleet.ServerID) HealthVerdict { return p.source(id).health.verdict }
 
-// Views returns the listed servers in the order of their numbers.
+// Views returns the views of the listed servers, ordered by server ID.
 func (p *Pipeline) Views(now fleet.Time) []View {
 	var views []View
 	for i := range p.sources {
@@ -65,7 +65,8 @@
 	return view
 }
 
-// reportedLoad returns the load that a server's answers reported, or the given one where there is none.
+// reportedLoad returns the load that a server reported in its responses to proxies, or fallback and false if there is
+// none.
 func (p *Pipeline) reportedLoad(server fleet.ServerID, fallback [4]float32) (load [4]float32, ok bool) {
 	for _, byServer := range p.outcomes {
 		if report := byServer[uint32(server)]; report != nil && report.load != [4]float32{} {
@@ -75,8 +76,8 @@
 	return fallback, false
 }
 
-// ProxyAge returns how long ago a proxy's counters were read, and the period of polls. It returns false where they were
-// never read.
+// ProxyAge returns the time since a proxy's counters were last read, and the poll period. It returns false if they were
+// never read or the proxy is not polled.
 func (p *Pipeline) ProxyAge(now fleet.Time, id fleet.ProxyID) (age, period fleet.Time, ok bool) {
 	proxy := p.proxies[id]
 	if proxy == nil || !proxy.hasReading {
