--- a/internal/ingest/push/decode.go
+++ b/internal/ingest/push/decode.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// measurement of the lines that are read. Lines of other measurements are skipped.
+	// measurement is the measurement of load reports. Lines of other measurements are skipped.
 	measurement = "server"
 
-	// nameTag holds the name of the server.
+	// nameTag is the key of the tag with the name of the server.
 	nameTag = "name"
 
-	// maxLines of a batch.
+	// maxLines is the largest number of lines in a batch.
 	maxLines = 10_000
 
-	// maxNameSize is in bytes, as in the settings.
+	// maxNameSize is the largest size of a server name in bytes, the same as in the settings.
 	maxNameSize = 64
 )
 
-// Fields of a line, besides load figures.
+// Field keys of a line. Load figures are further fields, whose keys are in the Vocabulary.
 const (
 	fieldAttempts      = "tries"
 	fieldFailures      = "failed"
@@ -34,21 +34,22 @@
 	fieldStarted       = "started"
 )
 
-var errStarted = errors.New("field started is a time in nanoseconds since 1970, as 1733071000000000000i")
+var errStarted = errors.New(
+	"field started must be an integer number of nanoseconds since 1970, such as 1733071000000000000i")
 
-// Vocabulary holds the names that lines may use.
+// Vocabulary defines the names that lines may use.
 type Vocabulary struct {
-	Loads  []string                                 // the fields of the load figures, in order
-	Lookup func(name []byte) (fleet.ServerID, bool) // returns the number of a known server
+	Loads  []string                                 // field keys of the load figures, in the order of ingest.Record.Load
+	Lookup func(name []byte) (fleet.ServerID, bool) // returns the ID of a known server; must not retain name
 }
 
-// Ignored counts the lines of a batch that hold no record.
+// Ignored counts the skipped lines of a batch.
 type Ignored struct {
-	Lines   int // of other measurements
-	Unknown int // of unknown servers
+	Lines   int // lines of other measurements
+	Unknown int // lines of unknown servers
 }
 
-// LineError reports the line of a batch that can't be read.
+// LineError is an error in a line of a batch. Lines are numbered from 1.
 type LineError struct {
 	Line int
 	Err  error
@@ -56,26 +57,29 @@
 
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Decode appends the records of a batch. On an error, which is a *LineError, it appends none:
+// Decode parses a batch and appends its records. On an error, which is a *LineError, it appends none. A line has the
+// form
 //
 //	server,name=n7 started=1733071000000000000i,tries=120i,failed=3i,good=117i,good_ms=2380i,busy=0.6 1733071234000000000
 //
-// Sums are whole numbers since the start of the process; started is that start in nanoseconds; load figures have
-// the names of the settings; unknown fields are skipped. A line without a time counts as of now.
+// tries, failed, good and good_ms are integer counters, cumulative since the start of the server's process; good_ms is
+// in ms. started is that start in nanoseconds since 1970. Load figures are fields with the names from the settings.
+// Unknown fields are skipped. Times of lines are in the given unit and become Record.Stated, which stays 0 for a line
+// without a time. now becomes Record.Arrived.
 func Decode(
-	records []ingest.Record, body []byte, words *Vocabulary, unit lineprotocol.Precision, now fleet.Time,
+	records []ingest.Record, body []byte, vocabulary *Vocabulary, unit lineprotocol.Precision, now fleet.Time,
 ) ([]ingest.Record, Ignored, error) {
 	var ignored Ignored
 	before := records
-	decoder := lineDecoder{Decoder: lineprotocol.NewDecoderWithBytes(body), words: words, unit: unit}
+	decoder := lineDecoder{Decoder: lineprotocol.NewDecoderWithBytes(body), vocabulary: vocabulary, unit: unit}
 	for number := 1; decoder.Next(); number++ {
 		decoder.record = ingest.Record{Arrived: now}
-		kind, err := decoder.line()
+		kind, err := decoder.decodeLine()
 		if err == nil && number > maxLines {
-			err = fmt.Errorf("%d lines are the most in a batch", maxLines)
+			err = fmt.Errorf("batch exceeds the limit of %d lines", maxLines)
 		}
 		if err != nil {
 			return before, Ignored{}, lineErrorOf(number, err)
@@ -92,7 +96,7 @@
 	return records, ignored, nil
 }
 
-// lineErrorOf prefers the line that the line protocol's decoder states.
+// lineErrorOf returns a LineError with the line number from the line protocol decoder if it has one, otherwise number.
 func lineErrorOf(number int, err error) *LineError {
 	var syntax *lineprotocol.DecodeError
 	if errors.As(err, &syntax) {
@@ -101,7 +105,7 @@
 	return &LineError{Line: number, Err: err}
 }
 
-// lineKind is what a line is about.
+// lineKind tells whether a line contains a record.
 type lineKind uint8
 
 const (
@@ -110,25 +114,25 @@
 	knownServer
 )
 
-// lineDecoder reads one line after another into its record.
+// lineDecoder decodes one line at a time into record.
 type lineDecoder struct {
 	*lineprotocol.Decoder
-	words  *Vocabulary
-	unit   lineprotocol.Precision
-	record ingest.Record
+	vocabulary *Vocabulary
+	unit       lineprotocol.Precision
+	record     ingest.Record
 }
 
-func (d *lineDecoder) line() (lineKind, error) {
+func (d *lineDecoder) decodeLine() (lineKind, error) {
 	name, err := d.Measurement()
 	if err != nil {
 		return otherMeasurement, err
 	}
-	ours := string(name) == measurement
-	kind, err := d.tags(ours)
+	isServerLine := string(name) == measurement
+	kind, err := d.decodeTags(isServerLine)
 	if err != nil {
 		return otherMeasurement, err
 	}
-	if err := d.fields(ours); err != nil {
+	if err := d.decodeFields(isServerLine); err != nil {
 		return otherMeasurement, err
 	}
 	text, err := d.TimeBytes()
@@ -139,8 +143,8 @@
 	return kind, err
 }
 
-// tags reads the tags of a line. A line of ours needs the name of a server.
-func (d *lineDecoder) tags(ours bool) (lineKind, error) {
+// decodeTags decodes the tags of a line. A server line requires the name of a server.
+func (d *lineDecoder) decodeTags(isServerLine bool) (lineKind, error) {
 	kind := otherMeasurement
 	for {
 		key, value, err := d.NextTag()
@@ -150,26 +154,26 @@
 		if key == nil {
 			break
 		}
-		if !ours || string(key) != nameTag {
+		if !isServerLine || string(key) != nameTag {
 			continue
 		}
 		if len(value) == 0 || len(value) > maxNameSize {
-			return otherMeasurement, fmt.Errorf("a name has 1 to %d bytes, %d here", maxNameSize, len(value))
+			return otherMeasurement, fmt.Errorf("tag %s must have 1 to %d bytes, got %d", nameTag, maxNameSize, len(value))
 		}
 		kind = unknownServer
-		server, known := d.words.Lookup(value)
+		server, known := d.vocabulary.Lookup(value)
 		if known {
 			kind = knownServer
 		}
 		d.record.Server = server
 	}
-	if ours && kind == otherMeasurement {
-		return otherMeasurement, fmt.Errorf("a line of %s needs the tag %s", measurement, nameTag)
+	if isServerLine && kind == otherMeasurement {
+		return otherMeasurement, fmt.Errorf("measurement %s requires the tag %s", measurement, nameTag)
 	}
 	return kind, nil
 }
 
-func (d *lineDecoder) fields(ours bool) error {
+func (d *lineDecoder) decodeFields(isServerLine bool) error {
 	for {
 		key, value, err := d.NextField()
 		if err != nil {
@@ -178,16 +182,16 @@
 		if key == nil {
 			return nil
 		}
-		if !ours {
+		if !isServerLine {
 			continue
 		}
-		if err := d.field(key, value); err != nil {
+		if err := d.decodeField(key, value); err != nil {
 			return err
 		}
 	}
 }
 
-func (d *lineDecoder) field(key []byte, value lineprotocol.Value) error {
+func (d *lineDecoder) decodeField(key []byte, value lineprotocol.Value) error {
 	switch string(key) {
 	case fieldAttempts:
 		return readSum(&d.record.Attempts, key, value)
@@ -198,9 +202,9 @@
 	case fieldSuccessMillis:
 		return readSum(&d.record.SuccessMillis, key, value)
 	case fieldStarted:
-		return d.started(key, value)
+		return d.decodeStarted(key, value)
 	}
-	for i, name := range d.words.Loads {
+	for i, name := range d.vocabulary.Loads {
 		if string(key) != name {
 			continue
 		}
@@ -212,7 +216,7 @@
 	return nil
 }
 
-func (d *lineDecoder) started(key []byte, value lineprotocol.Value) error {
+func (d *lineDecoder) decodeStarted(key []byte, value lineprotocol.Value) error {
 	var started uint64
 	if err := readSum(&started, key, value); err != nil || started > math.MaxInt64 {
 		return errStarted
@@ -221,7 +225,7 @@
 	return nil
 }
 
-// readSum reads a whole number from 0.
+// readSum reads a non-negative integer.
 func readSum(sum *uint64, key []byte, value lineprotocol.Value) error {
 	switch {
 	case value.Kind() == lineprotocol.Uint:
@@ -229,12 +233,12 @@
 	case value.Kind() == lineprotocol.Int && value.IntV() >= 0:
 		*sum = uint64(value.IntV())
 	default:
-		return fmt.Errorf("field %s is a sum: a whole number from 0, as 12i", key)
+		return fmt.Errorf("field %s must be a non-negative integer, such as 12i", key)
 	}
 	return nil
 }
 
-// readLoad reads any number.
+// readLoad reads a number of any type.
 func readLoad(load *float32, key []byte, value lineprotocol.Value) error {
 	switch value.Kind() {
 	case lineprotocol.Float:
@@ -244,12 +248,12 @@
 	case lineprotocol.Uint:
 		*load = float32(value.UintV())
 	default:
-		return fmt.Errorf("field %s is a load figure: a number", key)
+		return fmt.Errorf("field %s must be a number", key)
 	}
 	return nil
 }
 
-// parseTime reads a time since 1970 in a unit.
+// parseTime parses an integer time since 1970 in the given unit.
 func parseTime(text []byte, unit lineprotocol.Precision) (fleet.Time, error) {
 	count := int64(0)
 	negative := false
@@ -258,14 +262,14 @@
 		case i == 0 && c == '-':
 			negative = true
 		case c < '0' || c > '9' || count > (math.MaxInt64-9)/10:
-			return 0, fmt.Errorf("%.24q is no time", text)
+			return 0, fmt.Errorf("invalid time %.24q: not a 64-bit integer", text)
 		default:
 			count = count*10 + int64(c-'0')
 		}
 	}
 	nanoseconds := int64(unit.Duration())
 	if negative || count > math.MaxInt64/nanoseconds {
-		return 0, fmt.Errorf("%.24q is no time since 1970 in %s", text, unit)
+		return 0, fmt.Errorf("invalid time %.24q: out of range for %s since 1970", text, unit)
 	}
 	return fleet.Time(count * nanoseconds), nil
 }
--- a/internal/ingest/push/decode_test.go
+++ b/internal/ingest/push/decode_test.go
@@ -13,10 +13,10 @@
 	"cressknot/internal/ingest"
 )
 
-// testServers is the number of known servers, which are named "node-" and their number.
+// testServers is the number of known servers, whose names are "node-" and the server ID.
 const testServers = 1000
 
-var testWords = Vocabulary{
+var testVocabulary = Vocabulary{
 	Loads: []string{"busy", "held"},
 	Lookup: func(name []byte) (fleet.ServerID, bool) {
 		var id fleet.ServerID
@@ -25,13 +25,13 @@
 	},
 }
 
-// arrival is the time at which batches are decoded.
+// arrival is the time of arrival of all decoded batches.
 const arrival fleet.Time = 77
 
 const validLine = "server,name=node-1 tries=1i\n"
 
 func decode(text string) ([]ingest.Record, Ignored, error) {
-	return Decode(nil, []byte(text), &testWords, lineprotocol.Nanosecond, arrival)
+	return Decode(nil, []byte(text), &testVocabulary, lineprotocol.Nanosecond, arrival)
 }
 
 func TestDecode(t *testing.T) {
@@ -65,19 +65,19 @@
 
 func TestDecodeReturnsNothingOfAnInvalidBatch(t *testing.T) {
 	for text, want := range map[string]string{
-		"server tries=1i":                                      "line 2: a line of server needs the tag name",
-		"server,name=node-1 tries=-1i":                         "line 2: field tries is a sum",
-		"server,name=node-1 tries=1.5":                         "line 2: field tries is a sum",
+		"server tries=1i":                                      "line 2: measurement server requires the tag name",
+		"server,name=node-1 tries=-1i":                         "line 2: field tries must be a non-negative integer",
+		"server,name=node-1 tries=1.5":                         "line 2: field tries must be a non-negative integer",
 		"server,name=node-1 busy=NaN":                          "line 2: byte 25:",
-		"server,name=node-1 busy=\"x\"":                        "line 2: field busy is a load figure",
-		"server,name=node-1 started=\"x\"":                     "line 2: field started is a time",
+		"server,name=node-1 busy=\"x\"":                        "line 2: field busy must be a number",
+		"server,name=node-1 started=\"x\"":                     "line 2: field started must be an integer",
 		"server,name=node-1 tries=99999999999999999999i":       "line 2: byte 26:",
 		"server,name=node-1":                                   "line 2: byte",
 		"server,name=node-1 tries=1i 12x":                      "line 2:",
-		"server,name=node-1 tries=1i -5":                       "line 2: \"-5\" is no time",
-		"server,name=node-1 tries=1i 9999999999999999999":      "line 2: \"9999999999999999999\" is no time",
-		"server,name=" + strings.Repeat("x", 65) + " tries=1i": "line 2: a name has 1 to 64 bytes",
-		strings.Repeat("cpu x=1\n", maxLines):                  "lines are the most",
+		"server,name=node-1 tries=1i -5":                       "line 2: invalid time \"-5\"",
+		"server,name=node-1 tries=1i 9999999999999999999":      "line 2: invalid time \"9999999999999999999\"",
+		"server,name=" + strings.Repeat("x", 65) + " tries=1i": "line 2: tag name must have 1 to 64 bytes",
+		strings.Repeat("cpu x=1\n", maxLines):                  "limit of 10000 lines",
 	} {
 		records, _, err := decode(validLine + text)
 		var lineError *LineError
@@ -100,7 +100,7 @@
 	})
 }
 
-// BenchmarkDecode measures one line.
+// BenchmarkDecode measures the decoding of one line.
 func BenchmarkDecode(b *testing.B) {
 	const lines = 700
 	var body bytes.Buffer
@@ -111,8 +111,8 @@
 		fmt.Fprintf(&body, "server,name=%s started=1733071000000000000i,tries=1200i,failed=3i,good=1190i,"+
 			"good_ms=238000i,busy=0.61,held=4 1733071234000000000\n", name)
 	}
-	words := testWords
-	words.Lookup = func(name []byte) (fleet.ServerID, bool) {
+	vocabulary := testVocabulary
+	vocabulary.Lookup = func(name []byte) (fleet.ServerID, bool) {
 		id, ok := ids[string(name)]
 		return id, ok
 	}
@@ -120,7 +120,7 @@
 	b.ReportAllocs()
 	for n := 0; n < b.N; n += lines {
 		var err error
-		records, _, err = Decode(records[:0], body.Bytes(), &words, lineprotocol.Nanosecond, arrival)
+		records, _, err = Decode(records[:0], body.Bytes(), &vocabulary, lineprotocol.Nanosecond, arrival)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/ingest/push/server.go
+++ b/internal/ingest/push/server.go
@@ -1,6 +1,6 @@
-// Package push receives the reports that servers push: the line protocol that InfluxDB publishes, over HTTP POST,
-// which most agents and client libraries can send. It decodes and forwards; package ingest decides which reports
-// count and what their source is answered.
+// Package push receives the load reports that servers push over HTTP POST in the line protocol of InfluxDB, which most
+// agents and client libraries can send. It only decodes and forwards reports; package ingest decides which reports are
+// accepted and what the reply to their source is.
 package push
 
 import (
@@ -23,48 +23,57 @@
 )
 
 const (
-	// maxBodySize of a batch after decompression, in bytes.
+	// maxBodySize is the largest size of a batch after decompression, in bytes.
 	maxBodySize = 1 << 20
 
-	// maxBytesInFlight of all batches that are being read. Further batches wait in their sockets.
+	// maxBytesInFlight is the largest number of bytes of all batches that are processed at a time. Further batches wait
+	// in their sockets.
 	maxBytesInFlight = 16 << 20
 
-	// maxConnections at a time; more wait to be accepted.
+	// maxConnections is the largest number of open connections; further ones wait to be accepted.
 	maxConnections = 2048
 
-	// maxWait of a batch for its share of maxBytesInFlight.
-	maxWait = 2 * time.Second
+	// maxCapacityWait is the longest time that a batch waits for its share of maxBytesInFlight.
+	maxCapacityWait = 2 * time.Second
 
 	// maxHeaderSize is in bytes.
 	maxHeaderSize = 8 << 10
 
 	readTimeout  = 10 * time.Second
-	writeTimeout = readTimeout + 5*time.Second // it begins with the read
+	writeTimeout = readTimeout + 5*time.Second // starts with the read
 	idleTimeout  = 2 * time.Minute
 
-	// busyRetryAfter is the Retry-After of a batch for which there is no capacity.
+	// busyRetryAfter is the Retry-After of the response to a batch for which there is no capacity.
 	busyRetryAfter = fleet.Second
 )
 
-// Sink receives records and decides what their source is answered.
+// busyMessage is the error message for a batch for which there is no capacity.
+var busyMessage = fmt.Sprintf("no capacity to read the batch within %v: at most %d bytes are read at a time",
+	maxCapacityWait, maxBytesInFlight)
+
+// Sink receives records. Its methods are called from several goroutines.
 type Sink interface {
+	// Now returns the current time of the controller.
 	Now() fleet.Time
+
+	// Push takes the records of a batch and returns the reply to its sender. It must not retain the slice.
 	Push(records []ingest.Record) ingest.Reply
 }
 
-// Counts are the figures since the start, for operators.
+// Counts are counters since the start, for operators.
 type Counts struct {
-	Batches  uint64
-	Rejected uint64 // batches
+	Batches  uint64 // received batches
+	Rejected uint64 // rejected batches, including Busy
 	Unknown  uint64 // lines of unknown servers
 	Ignored  uint64 // lines of other measurements
 	Busy     uint64 // batches for which there was no capacity
 }
 
-// Server receives reports over HTTP: POST /api/v2/write or /write, ?precision=ns|us|ms|s.
+// Server is the HTTP server for load reports: POST /api/v2/write or /write, ?precision=ns|us|ms|s. GET /health answers
+// 204.
 type Server struct {
 	sink          Sink
-	words         Vocabulary
+	vocabulary    Vocabulary
 	http          *http.Server
 	bytesInFlight *semaphore.Weighted
 	addr          net.Addr
@@ -77,15 +86,15 @@
 	busy     atomic.Uint64
 }
 
-// Listen begins to receive reports at host:port.
-func Listen(addr string, sink Sink, words Vocabulary) (*Server, error) {
+// Listen starts a Server at addr, a host:port. The caller must call Close.
+func Listen(addr string, sink Sink, vocabulary Vocabulary) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("reports: %w", err)
+		return nil, fmt.Errorf("load report listener: %w", err)
 	}
 	s := &Server{
 		sink:          sink,
-		words:         words,
+		vocabulary:    vocabulary,
 		bytesInFlight: semaphore.NewWeighted(maxBytesInFlight),
 		addr:          listener.Addr(),
 	}
@@ -105,10 +114,10 @@
 	return s, nil
 }
 
-// Addr returns the host:port at which the server listens.
+// Addr returns the host:port on which the server listens.
 func (s *Server) Addr() string { return s.addr.String() }
 
-// Close ends the server. Batches in flight are answered until the context ends.
+// Close stops the server. Batches in flight are completed until the context ends; then their connections are closed.
 func (s *Server) Close(ctx context.Context) error {
 	defer s.serving.Wait()
 	if err := s.http.Shutdown(ctx); err != nil {
@@ -117,7 +126,7 @@
 	return nil
 }
 
-// Counts returns the figures since the start.
+// Counts returns the current counters. It may be called from any goroutine.
 func (s *Server) Counts() Counts {
 	return Counts{
 		Batches:  s.batches.Load(),
@@ -128,8 +137,8 @@
 	}
 }
 
-// units are the values of the parameter precision.
-var units = map[string]lineprotocol.Precision{
+// precisions are the values of the query parameter precision.
+var precisions = map[string]lineprotocol.Precision{
 	"":   lineprotocol.Nanosecond,
 	"ns": lineprotocol.Nanosecond,
 	"us": lineprotocol.Microsecond,
@@ -137,7 +146,7 @@
 	"s":  lineprotocol.Second,
 }
 
-// buffers are what a batch is read into.
+// buffers hold the body and the records of a batch. They are pooled.
 type buffers struct {
 	body    bytes.Buffer
 	records []ingest.Record
@@ -148,18 +157,18 @@
 func (s *Server) write(w http.ResponseWriter, r *http.Request) {
 	s.batches.Add(1)
 	precision := r.URL.Query().Get("precision")
-	unit, ok := units[precision]
+	unit, ok := precisions[precision]
 	if !ok {
-		s.reject(w, invalid(http.StatusBadRequest, fmt.Errorf("precision %.10q: ns, us, ms and s are known", precision)))
+		s.reject(w, invalid(http.StatusBadRequest, fmt.Errorf("unknown precision %.10q, want ns, us, ms or s", precision)))
 		return
 	}
-	release, ok := s.acquire(r)
+	release, ok := s.acquireCapacity(r)
 	if !ok {
 		s.busy.Add(1)
 		s.reject(w, rejection{
 			status:     http.StatusServiceUnavailable,
 			code:       "unavailable",
-			message:    "too much is being read",
+			message:    busyMessage,
 			retryAfter: busyRetryAfter,
 		})
 		return
@@ -172,10 +181,10 @@
 		s.reject(w, invalid(err.status, err))
 		return
 	}
-	records, ignored, err := Decode(pooled.records[:0], pooled.body.Bytes(), &s.words, unit, s.sink.Now())
+	records, ignored, err := Decode(pooled.records[:0], pooled.body.Bytes(), &s.vocabulary, unit, s.sink.Now())
 	pooled.records = records[:0]
 	if err != nil {
-		s.reject(w, invalid(http.StatusBadRequest, fmt.Errorf("%w; nothing of the batch was taken", err)))
+		s.reject(w, invalid(http.StatusBadRequest, fmt.Errorf("%w; the whole batch was rejected", err)))
 		return
 	}
 	s.unknown.Add(uint64(ignored.Unknown))
@@ -184,13 +193,14 @@
 	if len(records) > 0 {
 		reply = s.sink.Push(records)
 	}
-	s.answer(w, reply)
+	s.writeReply(w, reply)
 }
 
-// acquire waits for the capacity to read the request. What isn't read yet stays in its socket and at its source, so
-// that memory doesn't grow with a flood. The caller releases the capacity.
-func (s *Server) acquire(r *http.Request) (release func(), ok bool) {
-	ctx, cancel := context.WithTimeout(r.Context(), maxWait)
+// acquireCapacity waits until the request may be read within maxBytesInFlight. Unread data stays in the socket and at
+// the client, so that a flood doesn't increase memory use. The caller must call release. It returns false after
+// maxCapacityWait.
+func (s *Server) acquireCapacity(r *http.Request) (release func(), ok bool) {
+	ctx, cancel := context.WithTimeout(r.Context(), maxCapacityWait)
 	defer cancel()
 	size := int64(maxBodySize)
 	if length := r.ContentLength; length >= 0 && length < maxBodySize && r.Header.Get("Content-Encoding") == "" {
@@ -202,7 +212,7 @@
 	return func() { s.bytesInFlight.Release(size) }, true
 }
 
-func (s *Server) answer(w http.ResponseWriter, reply ingest.Reply) {
+func (s *Server) writeReply(w http.ResponseWriter, reply ingest.Reply) {
 	switch {
 	case reply.UntrustedUntil > 0:
 		s.reject(w, rejection{
--- a/internal/ingest/push/server_test.go
+++ b/internal/ingest/push/server_test.go
@@ -14,7 +14,7 @@
 	"cressknot/internal/ingest"
 )
 
-// fakeSink counts records and gives the same reply to each batch.
+// fakeSink counts records and returns the same reply for each batch.
 type fakeSink struct {
 	mu      sync.Mutex
 	reply   ingest.Reply
@@ -36,7 +36,7 @@
 
 func listen(t testing.TB, sink Sink) *Server {
 	t.Helper()
-	s, err := Listen("127.0.0.1:0", sink, testWords)
+	s, err := Listen("127.0.0.1:0", sink, testVocabulary)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 	return compressed.String()
 }
 
-// post sends a batch and returns the answer and its text.
+// post sends a batch and returns the response and its body.
 func post(t *testing.T, s *Server, path, body, encoding string) (*http.Response, string) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+s.Addr()+path, strings.NewReader(body))
@@ -76,14 +76,15 @@
 	return response, string(text)
 }
 
-// The status codes are those of the published interface. No record of a rejected batch is taken.
+// The status codes are those of the published InfluxDB API. No record of a batch that cannot be decoded reaches the
+// sink.
 func TestServerAnswers(t *testing.T) {
 	sink := &fakeSink{}
 	s := listen(t, sink)
 	compressed := gzipped(t, []byte(validLine))
 	bomb := gzipped(t, make([]byte, 8*maxBodySize))
 	overloaded := ingest.Reply{Text: "too many", RetryAfter: fleet.Second / 4}
-	distrusted := ingest.Reply{Text: "not believed", UntrustedUntil: arrival + 30*fleet.Second}
+	distrusted := ingest.Reply{Text: "ignored", UntrustedUntil: arrival + 30*fleet.Second}
 	for _, test := range []struct {
 		path       string
 		body       string
@@ -97,13 +98,13 @@
 		{path: "/api/v2/write?bucket=x&precision=ms", body: validLine, status: 204, records: 1},
 		{path: "/write", body: compressed, encoding: "gzip", status: 204, records: 1},
 		{path: "/write", body: validLine + "server x", status: 400, text: "line 2: "},
-		{path: "/write?precision=h", body: validLine, status: 400, text: "precision"},
-		{path: "/write", body: validLine, encoding: "br", status: 415, text: "encoding"},
-		{path: "/write", body: validLine, encoding: "gzip", status: 400, text: "not packed"},
-		{path: "/write", body: bomb, encoding: "gzip", status: 413, text: "1048576 bytes at most"},
-		{path: "/write", body: strings.Repeat("#", maxBodySize+1), status: 413, text: "bytes at most"},
+		{path: "/write?precision=h", body: validLine, status: 400, text: "unknown precision"},
+		{path: "/write", body: validLine, encoding: "br", status: 415, text: "unsupported Content-Encoding"},
+		{path: "/write", body: validLine, encoding: "gzip", status: 400, text: "not valid gzip"},
+		{path: "/write", body: bomb, encoding: "gzip", status: 413, text: "limit of 1048576 bytes"},
+		{path: "/write", body: strings.Repeat("#", maxBodySize+1), status: 413, text: "limit of 1048576 bytes"},
 		{path: "/write", body: validLine, reply: overloaded, status: 429, records: 1, text: "too many", retryAfter: "1"},
-		{path: "/write", body: validLine, reply: distrusted, status: 403, records: 1, text: "not believed", retryAfter: "30"},
+		{path: "/write", body: validLine, reply: distrusted, status: 403, records: 1, text: "ignored", retryAfter: "30"},
 		{path: "/elsewhere", body: validLine, status: 404},
 	} {
 		sink.reply = test.reply
@@ -121,8 +122,8 @@
 	}
 }
 
-// While as many bytes are in flight as may be, further batches are not read, and are rejected when that lasts; once
-// there is capacity again, the others are answered.
+// While maxBytesInFlight bytes are in flight, further batches are not read, and are rejected with status 503 after
+// maxCapacityWait, so that a flood of batches doesn't exhaust memory. The batches in flight are completed.
 func TestServerBoundsTheBytesInFlight(t *testing.T) {
 	sink := &fakeSink{release: make(chan struct{})}
 	s := listen(t, sink)
@@ -143,13 +144,13 @@
 	}
 	for range senders - admitted {
 		if got := <-statuses; got != http.StatusServiceUnavailable {
-			t.Errorf("a batch over the limit is answered %d", got)
+			t.Errorf("a batch over the limit got status %d, want 503", got)
 		}
 	}
 	close(sink.release)
 	for range admitted {
 		if got := <-statuses; got != http.StatusNoContent {
-			t.Errorf("a batch in flight is answered %d", got)
+			t.Errorf("a batch in flight got status %d, want 204", got)
 		}
 	}
 	if sink.records != admitted {
@@ -157,7 +158,7 @@
 	}
 }
 
-// BenchmarkWrite measures one line, in batches of 100 lines over loopback.
+// BenchmarkWrite measures the handling of one line, in batches of 100 lines over loopback.
 func BenchmarkWrite(b *testing.B) {
 	const lines = 100
 	s := listen(b, &fakeSink{})
--- a/internal/ingest/queue_test.go
+++ b/internal/ingest/queue_test.go
@@ -11,20 +11,20 @@
 const (
 	floodTick = 10 * millisecond
 
-	// honestServers each push a record every second.
-	honestServers = 90
+	// regularServers each push a record every second.
+	regularServers = 90
 
-	// floodedServers is the number of the listed ones, of which the flood uses those from 99 on.
-	floodedServers = 700
-	greedyServer   = 99
+	// listedServers is the number of listed servers. The flood uses those from floodingServer on.
+	listedServers  = 700
+	floodingServer = 99 // sends half of the flood
 )
 
-// flood pushes records of many sources, of which one sends half of all, and broken ones.
+// flood pushes records of many sources, some of them invalid. Half of the records are of floodingServer.
 func flood(q *Queue, rng *rand.Rand, now fleet.Time, count int) {
 	batch := make([]Record, 0, 100)
 	for i := range count {
 		record := Record{
-			Server:   fleet.ServerID(greedyServer + 1 + rng.IntN(600)),
+			Server:   fleet.ServerID(floodingServer + 1 + rng.IntN(600)),
 			Stated:   now - fleet.Time(rng.IntN(9))*second,
 			Arrived:  now,
 			Attempts: uint64(rng.IntN(1e6)),
@@ -33,7 +33,7 @@
 		}
 		switch rng.IntN(4) {
 		case 0, 1:
-			record.Server = greedyServer
+			record.Server = floodingServer
 		case 2:
 			record.Load[0] = float32(math.NaN())
 			record.Failures = math.MaxUint64
@@ -46,15 +46,15 @@
 	}
 }
 
-// floodResult is what a flood did to honest servers.
+// floodResult holds the effects of a flood on the regular servers.
 type floodResult struct {
 	longestGap map[fleet.ServerID]fleet.Time // between two records that were taken
-	longest    fleet.Time                    // that a record of an honest server was queued
+	longest    fleet.Time                    // longest time that a record of a regular server was queued
 	totals     Totals
-	queued     int // sources at a time
+	queued     int // largest number of queued sources
 }
 
-// runFlood runs ten seconds with so many records of a flood per tick.
+// runFlood simulates ten seconds with perTick records of a flood in each tick.
 func runFlood(perTick int) floodResult {
 	result := floodResult{longestGap: map[fleet.ServerID]fleet.Time{}}
 	p := New(testSite())
@@ -62,17 +62,17 @@
 	rng := rand.New(rand.NewPCG(5, 5))
 	proxy := newFakeProxy()
 	p.Join(0, 1, 0, true)
-	listAll(p, floodedServers)
+	listAll(p, listedServers)
 	last := map[fleet.ServerID]fleet.Time{}
 	var records []Record
 	for now := second; now < 11*second; now += floodTick {
 		flood(q, rng, now, perTick)
-		pushHonest(q, now)
+		pushRegular(q, now)
 		limit, _ := p.TurnLimits()
 		records = q.Take(limit, records[:0])
 		for _, record := range records {
 			p.AddRecord(now, record)
-			if record.Server >= honestServers {
+			if record.Server >= regularServers {
 				continue
 			}
 			result.longest = max(result.longest, now-record.Arrived)
@@ -94,10 +94,10 @@
 	return result
 }
 
-// pushHonest pushes the records of the honest servers that are due.
-func pushHonest(q *Queue, now fleet.Time) {
+// pushRegular pushes the records of the regular servers that are due.
+func pushRegular(q *Queue, now fleet.Time) {
 	const ticksPerSecond = second / floodTick
-	for server := range fleet.ServerID(honestServers) {
+	for server := range fleet.ServerID(regularServers) {
 		if (now/floodTick+fleet.Time(server))%ticksPerSecond == 0 {
 			record := Record{Server: server, Stated: now, Arrived: now, Attempts: uint64(now / second), HasLoad: true}
 			q.Put(now, []Record{record})
@@ -105,22 +105,23 @@
 	}
 }
 
-// 100,000 records per second are pushed for ten seconds. The records of each honest server are taken within a
-// second, the queue stays as small as the fleet, and the sums of polls are the same as without the flood.
+// A flood of 100,000 records per second for ten seconds must not starve other sources: the records of each regular
+// server are taken within a second, the queue is no larger than the fleet, and the counters from polls are the same as
+// without the flood.
 func TestFloodStarvesNoSource(t *testing.T) {
 	result := runFlood(1000)
-	calm := runFlood(0)
+	withoutFlood := runFlood(0)
 	for server, gap := range result.longestGap {
 		if gap > 2*second {
 			t.Errorf("no record of server %d was taken for %.1f s", server, gap.Seconds())
 		}
 	}
-	if result.longest > second || len(result.longestGap) != honestServers || result.queued > floodedServers {
-		t.Errorf("a record was queued for %.2f s, %d sources were heard, %d were queued at once",
+	if result.longest > second || len(result.longestGap) != regularServers || result.queued > listedServers {
+		t.Errorf("a record was queued for %.2f s, records of %d sources were taken, %d sources were queued at once",
 			result.longest.Seconds(), len(result.longestGap), result.queued)
 	}
-	if result.totals.Counted != calm.totals.Counted || result.totals.Counted == 0 {
-		t.Errorf("totals %+v, without the flood %+v", result.totals, calm.totals)
+	if result.totals.Counted != withoutFlood.totals.Counted || result.totals.Counted == 0 {
+		t.Errorf("totals %+v, without the flood %+v", result.totals, withoutFlood.totals)
 	}
 }
 
@@ -132,16 +133,16 @@
 			t.Errorf("%+v", reply)
 		}
 	}
-	if sources, records, thinned := q.Waiting(); sources != 1 || records != 20 || thinned != 12 {
-		t.Errorf("%d sources queued, %d records came, %d dropped", sources, records, thinned)
+	if sources, records, dropped := q.Waiting(); sources != 1 || records != 20 || dropped != 12 {
+		t.Errorf("%d sources queued, %d records received, %d dropped", sources, records, dropped)
 	}
 }
 
-// BenchmarkPushed measures a record that is put, taken and added.
+// BenchmarkPushed measures putting, taking and adding a record.
 func BenchmarkPushed(b *testing.B) {
 	p := New(testSite())
 	q := &Queue{}
-	batch := make([]Record, floodedServers)
+	batch := make([]Record, listedServers)
 	now := second
 	var taken []Record
 	round := func() {
--- a/internal/ingest/validator_test.go
+++ b/internal/ingest/validator_test.go
@@ -9,8 +9,8 @@
 	"cressknot/internal/fleet"
 )
 
-// Sums count from the second record on. Repeated and overtaken records are dropped, a stated restart begins anew, and a
-// counter that falls without one is a violation.
+// Increases of counters count from the second record on. Repeated and overtaken records are dropped, counters start
+// from 0 after a stated restart, and a counter that decreases without a restart is a violation.
 func TestSumsOfRecords(t *testing.T) {
 	p := New(testSite())
 	listAll(p, 2)
@@ -21,17 +21,17 @@
 	push(t, p, Record{Server: 1, Started: second, Stated: 4 * second, Attempts: 300}) // overtaken
 	push(t, p, Record{Server: 1, Started: second, Stated: 6 * second, Attempts: 500}) // repeated
 	s := p.source(1)
-	if s.served != 400 || p.validator.repeated != 2 || p.validator.invalid != 0 {
-		t.Errorf("%d served, %d repeated, %d invalid", s.served, p.validator.repeated, p.validator.invalid)
+	if s.ownAttempts != 400 || p.validator.repeated != 2 || p.validator.invalid != 0 {
+		t.Errorf("%d served, %d repeated, %d invalid", s.ownAttempts, p.validator.repeated, p.validator.invalid)
 	}
-	for i, attempts := range []uint64{30, 10, 15, 20} { // after a restart, and then fallen
+	for i, attempts := range []uint64{30, 10, 15, 20} { // after a restart; the second one decreases
 		at := fleet.Time(i+8) * second
 		push(t, p, Record{Server: 1, Started: 7 * second, Stated: at, Arrived: at, Attempts: attempts})
 	}
-	if s.served != 435 || p.validator.invalid != 1 {
-		t.Errorf("%d served, %d invalid", s.served, p.validator.invalid)
+	if s.ownAttempts != 435 || p.validator.invalid != 1 {
+		t.Errorf("%d served, %d invalid", s.ownAttempts, p.validator.invalid)
 	}
-	if text := noticeTexts(p.Examine(100 * second)); !strings.Contains(text, "1 its counter tries fell from 30 to 10") {
+	if text := noticeTexts(p.Examine(100 * second)); !strings.Contains(text, "1 counter tries decreased from 30 to 10") {
 		t.Errorf("notices:\n%s", text)
 	}
 }
@@ -64,7 +64,7 @@
 		}
 	}
 	text := noticeTexts(p.Examine(100 * second))
-	for _, want := range []string{"2 it tells a load of NaN", "4 it counts more failed (2)"} {
+	for _, want := range []string{"2 load figure NaN", "4 counter failed (2)"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("notices lack %q:\n%s", want, text)
 		}
@@ -74,7 +74,7 @@
 	}
 }
 
-// What a source reports while it is untrusted never counts.
+// Counter increases that a source reports while it is untrusted must never count, even once it is trusted again.
 func TestSourceIsUntrustedAfterViolations(t *testing.T) {
 	p := New(testSite())
 	listAll(p, 50)
@@ -90,15 +90,16 @@
 	}
 	push(t, p, Record{Server: 20, Arrived: until + second, Attempts: 500})
 	push(t, p, Record{Server: 20, Arrived: until + 2*second, Attempts: 507})
-	if s.served != 7 {
-		t.Errorf("%d served", s.served)
+	if s.ownAttempts != 7 {
+		t.Errorf("%d served", s.ownAttempts)
 	}
-	if text := noticeTexts(p.Examine(100 * second)); !strings.Contains(text, "not believed for 30 s") {
+	if text := noticeTexts(p.Examine(100 * second)); !strings.Contains(text, "ignored for 30 s") {
 		t.Errorf("notices:\n%s", text)
 	}
 }
 
-// Operators get a bounded number of notices of many faulty sources.
+// The number of notices is bounded, so that many faulty sources do not flood the log; a later notice
+// states how many were suppressed.
 func TestNoticesOfViolationsAreBounded(t *testing.T) {
 	p := New(testSite())
 	listAll(p, 50)
@@ -114,7 +115,7 @@
 	if count := len(p.Examine(102 * second)); count >= maxViolationNotices {
 		t.Errorf("%d notices", count)
 	}
-	if later := fmt.Sprint(p.Examine(200 * second)); !strings.Contains(later, "more oddities of sources") {
+	if later := fmt.Sprint(p.Examine(200 * second)); !strings.Contains(later, "more violations in load reports") {
 		t.Errorf("later: %s", later)
 	}
 }
