--- a/internal/service/hub.go
+++ b/internal/service/hub.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"sync"
 	"time"
 
@@ -265,11 +266,11 @@
 	}
 	for w := range z.watchers {
 		if len(w.unacknowledged) > 0 {
-			h.endWatch(w, errorf(TooSlow, "the governor waited for it too long"))
+			h.endWatch(w, errorf(TooSlow, "watch ended: an update was not acknowledged in time"))
 		}
 	}
 	z.pending = nil
-	reason := errors.New("its callers took too long")
+	reason := errors.New("clients did not acknowledge updates in time")
 	h.sink(transport.Disconnected{Proxy: id, Stream: z.stream, Err: reason})
 	h.connect(z)
 }
@@ -294,7 +295,7 @@
 }
 
 func (h *Hub) closingError() *Error {
-	return errorf(Closing, "governor %s stops", h.options.Controller)
+	return errorf(Closing, "controller %s is shutting down", h.options.Controller)
 }
 
 // zoneByName returns a zone of this controller.
@@ -304,7 +305,7 @@
 	}
 	z := h.byName[name]
 	if z == nil {
-		return nil, errorf(NoZone, "zone %.*q is none of this governor's", maxNameLength, name)
+		return nil, errorf(NoZone, "zone %.*q is not served by this controller", maxNameLength, name)
 	}
 	return z, nil
 }
@@ -318,7 +319,8 @@
 		return nil, err
 	}
 	if !z.view.AnyPublished() {
-		return nil, &Error{Unready, "no table is laid yet", unreadyRetryAfter}
+		text := fmt.Sprintf("no class has a weight table in zone %s yet", zone)
+		return nil, &Error{Unready, text, unreadyRetryAfter}
 	}
 	return z.updateSince(tableversion.NoVersion), nil
 }
--- a/internal/service/hub_test.go
+++ b/internal/service/hub_test.go
@@ -141,14 +141,14 @@
 					blocked = blocked || !w.lagging && w.acked.Compare(version[next]) < 0
 				}
 				if !blocked {
-					t.Fatalf("message %d is not answered, and waits for no watcher", next)
+					t.Fatalf("message %d is not answered although no watcher blocks it", next)
 				}
 			}
 			if len(seqs) > 0 {
 				for _, w := range all {
 					if w.ended == nil && !w.lagging && w.joinedAfter < uint64(len(seqs)) &&
 						w.acked.Compare(version[uint64(len(seqs))]) < 0 {
-						t.Fatalf("message %d is answered, and %+v has not acknowledged it", len(seqs), w.acked)
+						t.Fatalf("message %d is answered although a watcher has acknowledged only %+v", len(seqs), w.acked)
 					}
 				}
 			}
@@ -157,7 +157,7 @@
 		h.hub.Tick(h.now)
 		for _, w := range all {
 			if w.silent && len(w.got) > 0 && w.ended == nil {
-				t.Fatal("the watch of a silent caller goes on")
+				t.Fatal("the watch of a silent caller has not ended")
 			}
 		}
 		if n := len(h.answered()); n != int(h.sequence) {
@@ -194,15 +194,15 @@
 		ua.Encoded(TextEncoding, func(*Update) any { made++; return nil })
 	}
 	if made != 1 {
-		t.Errorf("made %d times", made)
+		t.Errorf("encoded %d times, want 1", made)
 	}
 	if len(h.answered()) != 7 {
-		t.Errorf("answered %v: messages wait for a new watcher before its first acknowledgement", h.answered())
+		t.Errorf("answered %v, want 7 messages: a new watcher blocks them before its first acknowledgement", h.answered())
 	}
 	a.Ack(ua.To)
 	h.send(addEntry(9, 1))
 	if len(h.answered()) != 7 {
-		t.Error("a message does not wait for a watcher that has caught up")
+		t.Error("a message was answered before a watcher that has caught up acknowledged it")
 	}
 	h.hub.Drop(3)
 	if _, f := b.Next(); f == nil || f.Code != TooSlow {
@@ -224,7 +224,7 @@
 	)
 	a := h.events[len(h.events)-1].(transport.Answered)
 	if len(a.Failures) != 3 ||
-		a.Failures[0] != (reconcile.Failure{Index: 1, Kind: reconcile.FailureEntryExists, Text: "already exists"}) ||
+		a.Failures[0] != (reconcile.Failure{Index: 1, Kind: reconcile.FailureEntryExists, Text: "entry already exists"}) ||
 		a.Failures[1].Kind != reconcile.FailureEntryMissing {
 		t.Errorf("%+v", a.Failures)
 	}
@@ -266,7 +266,7 @@
 	}
 	h.now += reportSessionRetention
 	if h.hub.Tick(h.now); len(h.hub.sessions) != 0 {
-		t.Error("the session of a caller that left is remembered")
+		t.Error("an expired report session was not removed")
 	}
 	_ = h.hub.Stop(context.Background())
 	if _, f := h.hub.Report(met(4, good)); f == nil || f.Code != Closing {
--- a/internal/service/limiter.go
+++ b/internal/service/limiter.go
@@ -1,6 +1,7 @@
 package service
 
 import (
+	"fmt"
 	"math"
 
 	"cressknot/internal/fleet"
@@ -74,6 +75,10 @@
 	maxRetryAfter = 5 * fleet.Second
 )
 
+// tooManyCallers is the text of the error for a caller beyond maxCallers. It is formatted once, because it answers
+// floods.
+var tooManyCallers = fmt.Sprintf("limit of %d concurrent callers reached", maxCallers)
+
 // tokenBucket limits the rate of one caller for one kind.
 type tokenBucket struct {
 	tokens  float64
@@ -124,7 +129,7 @@
 	state := l.caller(now, caller)
 	if state == nil {
 		l.Rejected++
-		return &Error{Overloaded, "too many callers", maxRetryAfter}
+		return &Error{Overloaded, tooManyCallers, maxRetryAfter}
 	}
 	state.lastQuery = now
 	policy := queryPolicies[kind]
@@ -134,12 +139,12 @@
 		l.Rejected++
 		l.RejectedByRate++
 		wait := fleet.Second.Scale((1 - bucket.tokens) / policy.ratePerSecond)
-		return &Error{Overloaded, "this caller asks too often", boundRetryAfter(wait)}
+		return &Error{Overloaded, "caller exceeded its rate limit for this kind of query", boundRetryAfter(wait)}
 	}
 	if float64(l.inFlight) >= l.concurrency*policy.share {
 		l.Rejected++
 		wait := fleet.Second.Scale(l.meanDuration * float64(l.inFlight) / l.concurrency)
-		return &Error{Overloaded, "too many questions at a time", boundRetryAfter(wait)}
+		return &Error{Overloaded, "too many queries in flight", boundRetryAfter(wait)}
 	}
 	bucket.tokens--
 	l.inFlight++
--- a/internal/service/limiter_test.go
+++ b/internal/service/limiter_test.go
@@ -25,16 +25,16 @@
 		}
 	}
 	if admitted != 5 || rejected.RetryAfter != fleet.Second/2 {
-		t.Errorf("%d admitted, then %+v", admitted, rejected)
+		t.Errorf("%d queries admitted, want 5; then %+v, want a retry after 0.5 s", admitted, rejected)
 	}
 	if limiter.Admit(now, "b", HistoryQuery) != nil || limiter.Admit(now, "a", ServerQuery) != nil {
-		t.Error("another caller or another kind is rejected")
+		t.Error("a query of another caller or another kind was rejected")
 	}
 	limiter.Release(now, 0)
 	limiter.Release(now, 0)
 	now += rejected.RetryAfter
 	if limiter.Admit(now, "a", HistoryQuery) != nil {
-		t.Error("rejected after the time to retry")
+		t.Error("query rejected after the retry delay")
 	}
 	limiter.Release(now, 0)
 }
@@ -75,7 +75,7 @@
 	}
 	if quick < 500 || rejected[WatchQuery] > rejected[TableQuery] ||
 		rejected[TableQuery] >= rejected[HistoryQuery] || rejected[WatchQuery] == 0 {
-		t.Errorf("limit %.0f while quick, rejected %v", quick, rejected)
+		t.Errorf("limit %.0f while answers are quick, rejected queries by kind %v", quick, rejected)
 	}
 }
 
@@ -90,7 +90,7 @@
 		now += fleet.Second
 	}
 	if limit, _ := limiter.Concurrency(); limit > initialConcurrency {
-		t.Errorf("limit %.0f without measurements at that limit", limit)
+		t.Errorf("limit rose to %.0f although one query ran at a time", limit)
 	}
 }
 
@@ -107,7 +107,7 @@
 		now += 10 * fleet.Millisecond
 	}
 	if limit, _ := limiter.Concurrency(); limit < initialConcurrency {
-		t.Errorf("limit %.0f by the jitter of quick answers", limit)
+		t.Errorf("limit fell to %.0f because of the jitter of quick answers", limit)
 	}
 }
 
@@ -132,7 +132,7 @@
 	}
 	limit, inFlight := limiter.Concurrency()
 	if limit > initialConcurrency/2 || limit < minConcurrency || inFlight != 0 {
-		t.Errorf("limit %.1f with slow answers, %d in flight", limit, inFlight)
+		t.Errorf("limit %.1f with slow answers, %d queries in flight", limit, inFlight)
 	}
 	for i := range maxCallers + 5 {
 		if limiter.Admit(now, fmt.Sprint("x", i), ReportQuery) == nil {
@@ -140,10 +140,10 @@
 		}
 	}
 	if len(limiter.callers) > maxCallers {
-		t.Errorf("%d callers are remembered", len(limiter.callers))
+		t.Errorf("%d callers tracked, the limit is %d", len(limiter.callers), maxCallers)
 	}
 	now += 2 * callerRetention
 	if rejected := limiter.Admit(now, "late", ReportQuery); rejected != nil || len(limiter.callers) != 1 {
-		t.Errorf("%v; %d callers are remembered", rejected, len(limiter.callers))
+		t.Errorf("%v; %d callers tracked, want 1", rejected, len(limiter.callers))
 	}
 }
--- a/internal/service/reports.go
+++ b/internal/service/reports.go
@@ -1,6 +1,7 @@
 package service
 
 import (
+	"fmt"
 	"slices"
 
 	"cressknot/internal/fleet"
@@ -27,6 +28,9 @@
 	unknownClass = -1
 )
 
+// tooManyReportSessions is the text of the error for a session beyond maxReportSessions.
+var tooManyReportSessions = fmt.Sprintf("limit of %d report sessions reached", maxReportSessions)
+
 // reportSession is the state of one caller's reports.
 type reportSession struct {
 	sequence uint64 // of the newest report
@@ -43,7 +47,7 @@
 		return 0, err
 	}
 	if len(r.Outcomes) > maxReportRows || len(r.Demands) > len(h.options.Classes) {
-		return 0, errorf(TooLarge, "a batch of %d servers and %d classes; %d and %d are the most",
+		return 0, errorf(TooLarge, "report has %d server rows and %d class rows, the limits are %d and %d",
 			len(r.Outcomes), len(r.Demands), maxReportRows, len(h.options.Classes))
 	}
 	servers, err := h.checkOutcomes(r.Outcomes)
@@ -88,7 +92,10 @@
 		servers[i] = server
 		if o.Attempts > maxCount || o.Failures > o.Attempts || o.Successes > o.Attempts ||
 			o.SuccessMillis > maxCount*millisPerSecond || len(o.Load) > maxLoads {
-			return nil, errorf(BadRequest, "met[%d]: %q: counts that don't add up", i, o.Server)
+			return nil, errorf(BadRequest, "met[%d]: server %q: invalid counts: tries=%d (at most %d), "+
+				"failed=%d and good=%d (each at most tries), good_ms=%d (at most %d), %d load values (at most %d)",
+				i, o.Server, o.Attempts, uint64(maxCount), o.Failures, o.Successes,
+				o.SuccessMillis, uint64(maxCount*millisPerSecond), len(o.Load), maxLoads)
 		}
 	}
 	return servers, nil
@@ -102,10 +109,12 @@
 			return class.Name == demand.Class
 		})
 		if classes[i] == unknownClass {
-			return nil, errorf(NoClass, "came[%d]: %.*q is none of the classes", i, maxNameLength, demand.Class)
+			return nil, errorf(NoClass, "came[%d]: class %.*q is not configured", i, maxNameLength, demand.Class)
 		}
 		if demand.Requests > maxCount || demand.Unanswered > demand.Requests {
-			return nil, errorf(BadRequest, "came[%d]: %q: counts that don't add up", i, demand.Class)
+			return nil, errorf(BadRequest,
+				"came[%d]: class %q: invalid counts: visits=%d (at most %d), no_answer=%d (at most visits)",
+				i, demand.Class, demand.Requests, uint64(maxCount), demand.Unanswered)
 		}
 	}
 	return classes, nil
@@ -118,7 +127,7 @@
 		return session, nil
 	}
 	if len(h.sessions) >= maxReportSessions {
-		return nil, &Error{Overloaded, "too many callers report", maxRetryAfter}
+		return nil, &Error{Overloaded, tooManyReportSessions, maxRetryAfter}
 	}
 	session = &reportSession{}
 	h.sessions[id] = session
--- a/internal/service/rpc/server.go
+++ b/internal/service/rpc/server.go
@@ -31,7 +31,7 @@
 func Listen(addr string, s *service.Service) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("service over gRPC: %w", err)
+		return nil, fmt.Errorf("gRPC service: %w", err)
 	}
 	server := &Server{service: s, addr: listener.Addr().String()}
 	server.grpc = grpc.NewServer(
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -57,7 +57,7 @@
 // Greet answers a caller's introduction.
 func (s *Service) Greet(h Hello) (Hello, *Error) {
 	if h.Major != Major {
-		return Hello{}, errorf(OtherMajor, "version %d.%d of the protocol is not spoken here, %d.%d is",
+		return Hello{}, errorf(OtherMajor, "protocol version %d.%d is not supported, this controller supports %d.%d",
 			h.Major, h.Minor, Major, Minor)
 	}
 	return s.Hub.Hello(), nil
@@ -96,7 +96,7 @@
 // Server returns the state of a server.
 func (s *Service) Server(ctx context.Context, caller, name string) (ServerState, *Error) {
 	if len(name) > maxNameLength {
-		return ServerState{}, errorf(TooLarge, "a name of %d bytes, %d are the most", len(name), maxNameLength)
+		return ServerState{}, errorf(TooLarge, "server name of %d bytes, the limit is %d bytes", len(name), maxNameLength)
 	}
 	var state ServerState
 	failed := s.query(ctx, caller, ServerQuery, func(ctx context.Context) (err error) {
@@ -110,7 +110,7 @@
 // History returns the newest versions of a class's table in a zone, at most maxVersions.
 func (s *Service) History(ctx context.Context, caller, zone, class string, maxVersions int) (History, *Error) {
 	if maxVersions < 0 || maxVersions > maxHistoryVersions {
-		return History{}, errorf(BadRequest, "%d versions; 0 to %d can be asked for", maxVersions, maxHistoryVersions)
+		return History{}, errorf(BadRequest, "%d versions requested, the range is 0 to %d", maxVersions, maxHistoryVersions)
 	}
 	history := History{Minor: Minor}
 	failed := s.query(ctx, caller, HistoryQuery, func(ctx context.Context) (err error) {
--- a/internal/service/text/commands.go
+++ b/internal/service/text/commands.go
@@ -50,7 +50,7 @@
 }
 
 func (c *connection) answerUnknown(command haproxyapi.Command) {
-	c.answerError(service.BadRequest, "byte %d: no such command: %.200q; known are %s",
+	c.answerError(service.BadRequest, "byte %d: unknown command %.200q; the commands are: %s",
 		command.Offset, strings.Join(command.Words, " "), commandList)
 }
 
@@ -63,7 +63,7 @@
 	if !ok || majorErr != nil || minorErr != nil {
 		c.answerError(
 			service.BadRequest,
-			"byte %d: %.40q is no version: it reads as MAJOR.MINOR",
+			"byte %d: invalid protocol version %.40q: want MAJOR.MINOR",
 			command.Offset,
 			version,
 		)
@@ -110,13 +110,13 @@
 	session, sessionErr := strconv.ParseUint(command.Words[2], 16, 64)
 	sequence, sequenceErr := strconv.ParseUint(command.Words[3], 10, 64)
 	if sessionErr != nil || sequenceErr != nil {
-		c.answerError(service.BadRequest, "byte %d: 'report' expects a zone, a session in hexadecimal and a number",
+		c.answerError(service.BadRequest, "byte %d: report: invalid SESSION or SEQ: want a hexadecimal and a decimal number",
 			command.Offset)
 		return
 	}
 	batch := &service.Report{Zone: command.Words[1], Session: session, Sequence: sequence}
 	if err := ParseReport(command.Payload, batch); err != nil {
-		c.answerError(service.BadRequest, "byte %d: payload, %v", command.Offset, err)
+		c.answerError(service.BadRequest, "byte %d: payload: %v", command.Offset, err)
 		return
 	}
 	counted, failed := c.server.service.Report(c.caller, batch)
@@ -133,7 +133,8 @@
 	class := command.Words[3]
 	maxVersions, err := strconv.Atoi(command.Words[4])
 	if err != nil {
-		c.answerError(service.BadRequest, "byte %d: %.40q is no number", command.Offset, command.Words[4])
+		c.answerError(service.BadRequest, "byte %d: invalid number of versions %.40q: want an integer",
+			command.Offset, command.Words[4])
 		return
 	}
 	history, failed := c.server.service.History(ctx, c.caller, zone, class, maxVersions)
--- a/internal/service/text/connection.go
+++ b/internal/service/text/connection.go
@@ -42,7 +42,7 @@
 		return nil
 	})
 	if err != nil {
-		c.answerError(service.BadRequest, "can't read the request: %v", err)
+		c.answerError(service.BadRequest, "invalid request: %v", err)
 		_ = c.conn.Close()
 	}
 }
@@ -57,7 +57,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.waiting) >= service.MaxPendingRequests {
-		reason := fmt.Sprintf("over %d commands wait for their answers", service.MaxPendingRequests)
+		reason := fmt.Sprintf("more than %d commands are pending on this connection", service.MaxPendingRequests)
 		return &haproxyapi.SyntaxError{Offset: command.Offset, Reason: reason}
 	}
 	c.waiting = append(c.waiting, command)
@@ -76,7 +76,7 @@
 			return nil
 		}
 	}
-	const reason = "a connection that watches takes 'ack VERSION' only"
+	const reason = "only 'ack VERSION' is accepted on a connection that watches a table"
 	return &haproxyapi.SyntaxError{Offset: command.Offset, Reason: reason}
 }
 
--- a/internal/service/text/parse.go
+++ b/internal/service/text/parse.go
@@ -74,7 +74,7 @@
 }
 
 func (r row) reject(key string) {
-	r.fail("%s=%.40q makes no sense", key, r.values[key])
+	r.fail("invalid value: %s=%.40q", key, r.values[key])
 }
 
 // fail records an error unless there is one already.
@@ -108,7 +108,7 @@
 	return nil
 }
 
-var errNoRow = errors.New("no row")
+var errNoRow = errors.New("want one row per line, without an unescaped semicolon")
 
 func parseRow(line []byte) (row, error) {
 	commands, err := haproxyapi.Split(line, 0)
@@ -146,14 +146,14 @@
 				RetryAfter: r.duration("retry_ns"),
 			}
 		case first && r.kind != "# "+kind:
-			r.fail("%.40q where an answer of kind %q was to come", r.kind, kind)
+			r.fail("answer begins with %.40q, want %q", r.kind, "# "+kind)
 		case answered == nil:
 			handle(r)
 		}
 		first = false
 	})
 	if err == nil && first {
-		err = errors.New("line 1: an empty answer")
+		err = errors.New("line 1: empty answer")
 	}
 	if err != nil {
 		return &service.Error{Code: service.Malformed, Text: err.Error()}
@@ -192,7 +192,7 @@
 			})
 		case "line":
 			if len(u.Classes) == 0 {
-				r.fail("a line of no class")
+				r.fail("row 'line' before the first row 'class'")
 				return
 			}
 			class := &u.Classes[len(u.Classes)-1]
--- a/internal/service/text/server.go
+++ b/internal/service/text/server.go
@@ -57,7 +57,7 @@
 		}
 	})
 	if err := server.engine.Start(); err != nil {
-		return nil, fmt.Errorf("service socket %s: %w", addr, err)
+		return nil, fmt.Errorf("text protocol service on %s: %w", addr, err)
 	}
 	server.sender.start()
 	return server, nil
--- a/internal/service/text/transcript_test.go
+++ b/internal/service/text/transcript_test.go
@@ -41,7 +41,7 @@
 
 func (fixedQueries) Server(_ context.Context, name string) (service.ServerState, error) {
 	if name != "s1" {
-		return service.ServerState{}, &service.Error{Code: service.NoServer, Text: "never heard of"}
+		return service.ServerState{}, &service.Error{Code: service.NoServer, Text: `no server "s9" is known`}
 	}
 	return service.ServerState{
 		Name:    "s1",
@@ -52,7 +52,7 @@
 		Weights: []service.ClassWeight{
 			{Zone: "a", Class: "look", Weight: 12},
 		},
-		Reasons: []string{"it drains; so says the list"},
+		Reasons: []string{"draining; set by the endpoint list"},
 	}, nil
 }
 
@@ -127,6 +127,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(answers, want) {
-		t.Errorf("answered\n%s\nwant\n%s", answers, want)
+		t.Errorf("got answers\n%s\nwant\n%s", answers, want)
 	}
 }
--- a/internal/service/view.go
+++ b/internal/service/view.go
@@ -112,7 +112,7 @@
 	next *viewChange,
 ) (_ reconcile.Failure, ok bool) {
 	if int(change.Class) >= len(v.classes) {
-		return reconcile.Failure{Text: "no such class"}, false
+		return reconcile.Failure{Text: "class is not configured"}, false
 	}
 	class := v.classes[change.Class]
 	switch change.Kind {
@@ -129,9 +129,9 @@
 	_, exists := class.entries[server]
 	switch {
 	case change.Kind == reconcile.AddEntry && exists:
-		return reconcile.Failure{Kind: reconcile.FailureEntryExists, Text: "already exists"}, false
+		return reconcile.Failure{Kind: reconcile.FailureEntryExists, Text: "entry already exists"}, false
 	case change.Kind != reconcile.AddEntry && !exists:
-		return reconcile.Failure{Kind: reconcile.FailureEntryMissing, Text: "no such server"}, false
+		return reconcile.Failure{Kind: reconcile.FailureEntryMissing, Text: "entry does not exist"}, false
 	case change.Kind == reconcile.DeleteEntry:
 		delete(class.entries, server)
 	default:
--- a/internal/service/watcher.go
+++ b/internal/service/watcher.go
@@ -1,6 +1,7 @@
 package service
 
 import (
+	"fmt"
 	"slices"
 	"sync"
 
@@ -21,6 +22,9 @@
 	heartbeatInterval = fleet.Second
 )
 
+// tooManyWatchers is the text of the error for a watcher beyond maxWatchers.
+var tooManyWatchers = fmt.Sprintf("limit of %d concurrent watchers reached", maxWatchers)
+
 // SharedUpdate is an update that goes to many watchers: each protocol encodes it once.
 type SharedUpdate struct {
 	Update
@@ -80,7 +84,7 @@
 		return nil, err
 	}
 	if h.watchers >= maxWatchers {
-		return nil, &Error{Overloaded, "too many watchers", maxRetryAfter}
+		return nil, &Error{Overloaded, tooManyWatchers, maxRetryAfter}
 	}
 	w := &Watcher{
 		hub:         h,
@@ -205,7 +209,7 @@
 	w.hub.mu.Lock()
 	defer w.hub.mu.Unlock()
 	if w.ended == nil {
-		w.hub.endWatch(w, errorf(Closing, "the caller left"))
+		w.hub.endWatch(w, errorf(Closing, "watch closed by the caller"))
 		w.hub.answerAcknowledged(w.zone)
 	}
 }
@@ -232,7 +236,8 @@
 			w.markLagging()
 		}
 	case watcherTimedOut:
-		h.endWatch(w, errorf(TooSlow, "nothing was acknowledged for %.0f s", (now-since).Seconds()))
+		h.endWatch(w, errorf(TooSlow, "watch ended: no acknowledgement for %.0f s, the limit is %.0f s",
+			(now-since).Seconds(), watcherTimeout.Seconds()))
 		return
 	}
 	if now >= w.lastSent+heartbeatInterval && len(w.unacknowledged) < maxUnacknowledged {
--- a/internal/store/corruption_test.go
+++ b/internal/store/corruption_test.go
@@ -60,7 +60,7 @@
 	got, corruptions, err := readAll(s)
 	at := latestMatch(got, c.states, 0)
 	if err == nil && len(corruptions) == 0 && at < 0 {
-		c.t.Errorf("%s: a state that never was: %v", name, got)
+		c.t.Errorf("%s: read a state that was never committed: %v", name, got)
 	}
 	switch {
 	case err != nil || len(corruptions) > 0:
@@ -108,12 +108,13 @@
 	sealed := storeOf(t, changes, true)
 	_, tables := storeFiles(t, sealed)
 	if len(tables) == 0 {
-		t.Fatal("nothing was sealed")
+		t.Fatal("no table file was written")
 	}
 	counts.checkFlipped(rng, sealed, tables[0], "table")
 
-	t.Logf("%d cases, %d refused, %d complete", counts.cases, counts.refused, counts.complete)
+	t.Logf("%d cases: %d with the damage reported, %d complete", counts.cases, counts.refused, counts.complete)
 	if counts.cases < 900 || counts.refused < 100 || counts.complete == 0 {
-		t.Errorf("%d cases, %d refused, %d complete", counts.cases, counts.refused, counts.complete)
+		t.Errorf("%d cases, want 900; %d with the damage reported, want 100; %d complete, want 1",
+			counts.cases, counts.refused, counts.complete)
 	}
 }
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -47,7 +47,8 @@
 			got, corruptions, err := readAll(s)
 			at := latestMatch(got, states[:min(committed+2, len(states))], committed)
 			if err != nil || len(corruptions) > 0 || at < 0 {
-				t.Fatalf("seed %d, cut %d: %v after %d commits (%v, %v)", seed, cut, got, committed, corruptions, err)
+				t.Fatalf("seed %d, power cut %d: read %v after %d commits (corrupt records %v, error %v)",
+					seed, cut, got, committed, corruptions, err)
 			}
 			committed = at
 			mustClose(t, s)
@@ -119,18 +120,19 @@
 				duringCreation++
 				continue
 			}
-			t.Fatalf("cut %d after %d commits: %v", i, loss.committedBefore, err)
+			t.Fatalf("power cut %d after %d commits: %v", i, loss.committedBefore, err)
 		}
 		got, corruptions, err := readAll(s)
 		at := latestMatch(got, states[:min(loss.committedAfter+2, len(states))], loss.committedBefore)
 		if err != nil || len(corruptions) > 0 || at < 0 {
-			t.Fatalf("cut %d: %v after %d commits (%v, %v)", i, got, loss.committedBefore, corruptions, err)
+			t.Fatalf("power cut %d: read %v after %d commits (corrupt records %v, error %v)",
+				i, got, loss.committedBefore, corruptions, err)
 		}
 		mustClose(t, s)
 		afterCreation++
 	}
-	t.Logf("%d cuts, %d during creation", afterCreation, duringCreation)
+	t.Logf("%d power cuts after the creation of the store, %d during it", afterCreation, duringCreation)
 	if afterCreation < 300 {
-		t.Errorf("only %d cuts", afterCreation)
+		t.Errorf("%d power cuts after the creation of the store, want 300", afterCreation)
 	}
 }
--- a/internal/store/disk_full_test.go
+++ b/internal/store/disk_full_test.go
@@ -83,23 +83,23 @@
 			t.Fatal(err)
 		}
 		if err := <-done; err == nil {
-			t.Fatal("persisted on a full disk")
+			t.Fatal("changes were reported as persisted on a full disk")
 		}
 	}
 	if got := <-health; !strings.HasPrefix(got, "true ") || !strings.Contains(got, "no space left") {
-		t.Errorf("health %q", got)
+		t.Errorf("health %q, want a failure for lack of space", got)
 	}
 	if statistics := s.Statistics(); statistics.Pending != 49 {
-		t.Errorf("%d records pending", statistics.Pending)
+		t.Errorf("%d records pending, want 49", statistics.Pending)
 	}
 	full.Store(false)
 	if got := <-health; got != "false <nil>" {
-		t.Errorf("health %q", got)
+		t.Errorf("health %q, want recovery", got)
 	}
 	s = mustOpen(t, disk.CrashClone(vfs.CrashCloneCfg{}))
 	defer mustClose(t, s)
 	got, corruptions, err := readAll(s)
 	if err != nil || len(corruptions) > 0 || len(got) != 49 || got["k/1"] != 49 || got["k/49"] != 49 {
-		t.Errorf("%d records, k/1 %d (%v, %v)", len(got), got["k/1"], corruptions, err)
+		t.Errorf("%d records, k/1=%d (corrupt records %v, error %v)", len(got), got["k/1"], corruptions, err)
 	}
 }
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -32,7 +32,8 @@
 	n, _ := file.Read(text[:]) // an error leaves a text that does not parse
 	var format int
 	if _, err := fmt.Sscanf(string(text[:n]), formatLine, &format); err != nil || format < 1 {
-		return 0, fmt.Errorf("store %s: %s can't be read: it is no store, or a damaged one", options.Directory, formatFile)
+		return 0, fmt.Errorf("store %s: invalid file %s: the directory is not a store, or the file is damaged",
+			options.Directory, formatFile)
 	}
 	return format, nil
 }
@@ -80,10 +81,10 @@
 	for format := from; format < Format; format++ {
 		batch := s.db.NewBatch()
 		if err := migrations[format](s, batch); err != nil {
-			return errors.Join(fmt.Errorf("from format %d: %w", format, err), batch.Close())
+			return errors.Join(fmt.Errorf("migrate from format %d: %w", format, err), batch.Close())
 		}
 		if err := batch.Commit(pebble.Sync); err != nil {
-			return fmt.Errorf("from format %d: %w", format, err)
+			return fmt.Errorf("migrate from format %d: %w", format, err)
 		}
 		if err := writeFormat(s.options); err != nil {
 			return err
--- a/internal/store/maintenance.go
+++ b/internal/store/maintenance.go
@@ -47,7 +47,7 @@
 func (s *Store) Backup(directory string) (err error) {
 	defer recoverFatal(&err)
 	if _, err := s.options.FS.Stat(directory); err == nil {
-		return fmt.Errorf("store: %s is there already", directory)
+		return fmt.Errorf("store: backup target %s already exists", directory)
 	}
 	if err := s.db.Checkpoint(directory, pebble.WithFlushedWAL()); err != nil {
 		return fmt.Errorf("store: backup: %w", err)
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -20,7 +20,7 @@
 	err = s.eachRaw(prefix, func(key string, raw []byte) error {
 		payload, valid := unseal(key, raw)
 		if !valid {
-			corruptions = append(corruptions, Corruption{key, "its checksum differs"})
+			corruptions = append(corruptions, Corruption{key, "checksum mismatch"})
 			return nil
 		}
 		return each(key, payload)
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -37,7 +37,7 @@
 		return nil, err
 	}
 	if len(payload) > maxRecordSize {
-		return nil, fmt.Errorf("%d bytes, %d are the most", len(payload), maxRecordSize)
+		return nil, fmt.Errorf("payload of %d bytes, the limit is %d bytes", len(payload), maxRecordSize)
 	}
 	return &record{value: seal(change.Key, payload)}, nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,7 +21,7 @@
 }
 
 func (e *NewerError) Error() string {
-	return fmt.Sprintf("store %s has format %d, this program knows up to %d: it is left untouched",
+	return fmt.Sprintf("store %s has format %d, newer than the supported format %d; it was not modified",
 		e.Directory, e.Format, Format)
 }
 
@@ -32,7 +32,7 @@
 }
 
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("store %s: another process has it, or it can't be locked: %v", e.Directory, e.Err)
+	return fmt.Sprintf("store %s: locked by another process, or the lock could not be acquired: %v", e.Directory, e.Err)
 }
 
 func (e *BusyError) Unwrap() error { return e.Err }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -147,7 +147,7 @@
 	defer mustClose(t, s)
 	var busy *BusyError
 	if _, err := Open(Options{Directory: testDirectory, FS: fs}); !errors.As(err, &busy) {
-		t.Errorf("a second opening: %v", err)
+		t.Errorf("opening a locked store: %v, want a BusyError", err)
 	}
 }
 
@@ -173,11 +173,11 @@
 		t.Fatal(err)
 	}
 	if got, _, err := readAll(backup); err != nil || !maps.Equal(got, map[string]int{"k/1": 1, "k/2": 2}) {
-		t.Errorf("the backup has %v (%v)", got, err)
+		t.Errorf("the backup has the records %v (error %v)", got, err)
 	}
 	mustClose(t, backup)
 	if err := s.Backup("copy"); err == nil {
-		t.Error("a backup over a backup")
+		t.Error("a second backup to the same directory succeeded")
 	}
 }
 
@@ -211,7 +211,7 @@
 	defer mustClose(t, s)
 	got, corruptions, err := readAll(s)
 	if err != nil || len(corruptions) > 0 || !maps.Equal(got, map[string]int{"k/1": 7, "k/2": 8}) {
-		t.Errorf("from format 1: %v, %v, %v", got, corruptions, err)
+		t.Errorf("after migration from format 1: records %v, corrupt %v, error %v", got, corruptions, err)
 	}
 }
 
@@ -225,14 +225,14 @@
 	}
 	var newer *NewerError
 	if _, err := Open(Options{Directory: testDirectory, FS: fs}); !errors.As(err, &newer) || newer.Format != 9 {
-		t.Errorf("a newer format: %v", err)
+		t.Errorf("opening a store of format 9: %v, want a NewerError", err)
 	}
 	after, err := fs.List(testDirectory)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(after) != len(before) {
-		t.Error("a directory of a newer format was touched")
+		t.Error("opening a store of a newer format changed its files")
 	}
 }
 
