--- a/internal/service/hub.go
+++ b/internal/service/hub.go
@@ -70,8 +70,8 @@
 	pending  []*pendingMessage
 	watchers map[*Watcher]struct{}
 
-	shared    map[tableversion.Version]*SharedUpdate // to the present version, by the version that a watcher has
-	heartbeat *SharedUpdate
+	sharedUpdates map[tableversion.Version]*SharedUpdate // to the present version, by the version that a watcher has
+	heartbeat     *SharedUpdate
 
 	serverCounters map[fleet.ServerID]*counters.ServerCounters
 	classCounters  []counters.ClassCounters
@@ -79,12 +79,12 @@
 
 // pendingMessage is a message that some watchers have not acknowledged yet.
 type pendingMessage struct {
-	number   uint64 // in the zone, from 1
-	sequence uint64 // of the controller
-	at       fleet.Time
-	version  tableversion.Version
-	waiting  int // watchers that it waits for
-	failures []reconcile.Failure
+	number          uint64 // in the zone, from 1
+	sequence        uint64 // of the controller
+	sentAt          fleet.Time
+	version         tableversion.Version
+	waitingWatchers int // watchers that it waits for
+	failures        []reconcile.Failure
 }
 
 // NewHub makes a hub that serves nothing before Start.
@@ -105,7 +105,7 @@
 			Zone:           zone,
 			view:           NewView(options.Controller, zone.Name, options.Epoch, classes),
 			watchers:       map[*Watcher]struct{}{},
-			shared:         map[tableversion.Version]*SharedUpdate{},
+			sharedUpdates:  map[tableversion.Version]*SharedUpdate{},
 			serverCounters: map[fleet.ServerID]*counters.ServerCounters{},
 			classCounters:  make([]counters.ClassCounters, len(classes)),
 		}
@@ -172,14 +172,14 @@
 	message := &pendingMessage{
 		number:   z.messages,
 		sequence: m.Sequence,
-		at:       h.options.Now(),
+		sentAt:   h.options.Now(),
 		version:  z.view.Version(),
 		failures: failures,
 	}
 	if changed {
 		for w := range z.watchers {
 			if !w.lagging {
-				message.waiting++
+				message.waitingWatchers++
 			}
 		}
 		z.notifyWatchers()
@@ -190,20 +190,20 @@
 
 // notifyWatchers wakes the watchers for a new version.
 func (z *zoneHub) notifyWatchers() {
-	z.forgetShared()
+	z.discardSharedUpdates()
 	for w := range z.watchers {
 		w.wake()
 	}
 }
 
-func (z *zoneHub) forgetShared() {
-	clear(z.shared)
+func (z *zoneHub) discardSharedUpdates() {
+	clear(z.sharedUpdates)
 	z.heartbeat = nil
 }
 
 // answerAcknowledged answers, in their order, the messages that wait for no watcher any more.
 func (h *Hub) answerAcknowledged(z *zoneHub) {
-	for len(z.pending) > 0 && z.pending[0].waiting <= 0 {
+	for len(z.pending) > 0 && z.pending[0].waitingWatchers <= 0 {
 		message := z.pending[0]
 		z.pending = z.pending[1:]
 		h.sink(transport.Answered{
@@ -223,7 +223,7 @@
 		if z.view.SetState(state) {
 			z.notifyWatchers()
 		}
-		z.forgetShared()
+		z.discardSharedUpdates()
 	}
 }
 
@@ -327,10 +327,10 @@
 
 // updateSince returns the update to the present version, made once for all watchers that have the same version.
 func (z *zoneHub) updateSince(from tableversion.Version) *SharedUpdate {
-	update := z.shared[from]
+	update := z.sharedUpdates[from]
 	if update == nil {
 		update = &SharedUpdate{Update: z.view.Since(from)}
-		z.shared[from] = update
+		z.sharedUpdates[from] = update
 	}
 	return update
 }
--- a/internal/service/hub_test.go
+++ b/internal/service/hub_test.go
@@ -146,7 +146,7 @@
 			}
 			if len(seqs) > 0 {
 				for _, w := range all {
-					if w.ended == nil && !w.lagging && w.joinedAfter < uint64(len(seqs)) &&
+					if w.endErr == nil && !w.lagging && w.joinedAfter < uint64(len(seqs)) &&
 						w.acked.Compare(version[uint64(len(seqs))]) < 0 {
 						t.Fatalf("message %d is answered although a watcher has acknowledged only %+v", len(seqs), w.acked)
 					}
@@ -156,7 +156,7 @@
 		h.now += watcherTimeout + fleet.Millisecond
 		h.hub.Tick(h.now)
 		for _, w := range all {
-			if w.silent && len(w.got) > 0 && w.ended == nil {
+			if w.silent && len(w.got) > 0 && w.endErr == nil {
 				t.Fatal("the watch of a silent caller has not ended")
 			}
 		}
@@ -234,7 +234,7 @@
 // rows of unknown servers are left out.
 func TestReportsCountOnce(t *testing.T) {
 	h := newTestHub()
-	met := func(seq uint64, m ...ServerOutcome) *Report {
+	newReport := func(seq uint64, m ...ServerOutcome) *Report {
 		return &Report{Zone: "a", Session: 5, Sequence: seq, Outcomes: m, Demands: []ClassDemand{{"look", 2, 1}}}
 	}
 	good := ServerOutcome{Server: "s1", Attempts: 3, Failures: 1, Successes: 2, SuccessMillis: 40, Load: []uint32{500}}
@@ -243,15 +243,15 @@
 		want   uint64
 		code   Code
 	}{
-		{met(1, good), 1, ""},
-		{met(1, good), 1, ""},
-		{met(2, good, ServerOutcome{Server: "s2", Attempts: 1, Failures: 2}), 0, BadRequest},
-		{met(2, good, ServerOutcome{Server: "nobody", Attempts: 1}), 2, ""},
+		{newReport(1, good), 1, ""},
+		{newReport(1, good), 1, ""},
+		{newReport(2, good, ServerOutcome{Server: "s2", Attempts: 1, Failures: 2}), 0, BadRequest},
+		{newReport(2, good, ServerOutcome{Server: "nobody", Attempts: 1}), 2, ""},
 		{&Report{Zone: "z"}, 0, NoZone},
 		{&Report{Zone: "a", Sequence: 3, Demands: []ClassDemand{{Class: "none"}}}, 0, NoClass},
-		{met(3, make([]ServerOutcome, maxReportRows+1)...), 0, TooLarge},
+		{newReport(3, make([]ServerOutcome, maxReportRows+1)...), 0, TooLarge},
 		{&Report{Zone: "a", Sequence: 3, Demands: []ClassDemand{{"look", 1, 2}}}, 0, BadRequest},
-		{met(3, ServerOutcome{Server: "s1", Attempts: 1 << 40}), 0, BadRequest},
+		{newReport(3, ServerOutcome{Server: "s1", Attempts: 1 << 40}), 0, BadRequest},
 	} {
 		sequence, failed := h.hub.Report(c.report)
 		if sequence != c.want || (failed == nil) != (c.code == "") || failed != nil && failed.Code != c.code {
@@ -269,7 +269,7 @@
 		t.Error("an expired report session was not removed")
 	}
 	_ = h.hub.Stop(context.Background())
-	if _, f := h.hub.Report(met(4, good)); f == nil || f.Code != Closing {
+	if _, f := h.hub.Report(newReport(4, good)); f == nil || f.Code != Closing {
 		t.Errorf("%v", f)
 	}
 }
--- a/internal/service/limiter.go
+++ b/internal/service/limiter.go
@@ -23,9 +23,9 @@
 
 // queryPolicy is how queries of a kind are limited.
 type queryPolicy struct {
-	ratePerSecond float64 // of one caller
-	burst         float64 // of one caller
-	share         float64 // of the concurrency up to which the kind is admitted
+	ratePerSecond       float64 // of one caller
+	burst               float64 // of one caller
+	concurrencyFraction float64 // of the concurrency up to which the kind is admitted
 }
 
 // queryPolicies put queries that requests depend on before those that people look at.
@@ -141,7 +141,7 @@
 		wait := fleet.Second.Scale((1 - bucket.tokens) / policy.ratePerSecond)
 		return &Error{Overloaded, "caller exceeded its rate limit for this kind of query", boundRetryAfter(wait)}
 	}
-	if float64(l.inFlight) >= l.concurrency*policy.share {
+	if float64(l.inFlight) >= l.concurrency*policy.concurrencyFraction {
 		l.Rejected++
 		wait := fleet.Second.Scale(l.meanDuration * float64(l.inFlight) / l.concurrency)
 		return &Error{Overloaded, "too many queries in flight", boundRetryAfter(wait)}
--- a/internal/service/reports.go
+++ b/internal/service/reports.go
@@ -69,13 +69,13 @@
 	session.sequence = r.Sequence
 	for i := range r.Outcomes {
 		if servers[i] != unknownServer {
-			z.countOutcome(servers[i], &r.Outcomes[i])
+			z.addOutcome(servers[i], &r.Outcomes[i])
 		}
 	}
 	for i, demand := range r.Demands {
-		counted := &z.classCounters[classes[i]]
-		counted.Requests += demand.Requests
-		counted.Unanswered += demand.Unanswered
+		total := &z.classCounters[classes[i]]
+		total.Requests += demand.Requests
+		total.Unanswered += demand.Unanswered
 	}
 	return session.sequence, nil
 }
@@ -142,18 +142,18 @@
 	}
 }
 
-func (z *zoneHub) countOutcome(server fleet.ServerID, outcome *ServerOutcome) {
-	counted := z.serverCounters[server]
-	if counted == nil {
-		counted = &counters.ServerCounters{}
-		z.serverCounters[server] = counted
+func (z *zoneHub) addOutcome(server fleet.ServerID, outcome *ServerOutcome) {
+	total := z.serverCounters[server]
+	if total == nil {
+		total = &counters.ServerCounters{}
+		z.serverCounters[server] = total
 	}
-	counted.Attempts += outcome.Attempts
-	counted.Failures += outcome.Failures
-	counted.Successes += outcome.Successes
-	counted.SuccessMillis += outcome.SuccessMillis
+	total.Attempts += outcome.Attempts
+	total.Failures += outcome.Failures
+	total.Successes += outcome.Successes
+	total.SuccessMillis += outcome.SuccessMillis
 	for i, load := range outcome.Load {
-		counted.Load[i] = float32(load) / loadUnit
-		counted.HasLoad = true
+		total.Load[i] = float32(load) / loadUnit
+		total.HasLoad = true
 	}
 }
--- a/internal/service/rpc/convert.go
+++ b/internal/service/rpc/convert.go
@@ -42,8 +42,12 @@
 			Retry:  uint32(class.Retry),
 			Digest: uint64(class.Digest),
 		}
-		for _, line := range class.Endpoints {
-			table.Lines = append(table.Lines, &pb.Line{Server: line.Server, Addr: line.Addr, Weight: uint32(line.Weight)})
+		for _, endpoint := range class.Endpoints {
+			table.Lines = append(table.Lines, &pb.Line{
+				Server: endpoint.Server,
+				Addr:   endpoint.Addr,
+				Weight: uint32(endpoint.Weight),
+			})
 		}
 		p.Classes = append(p.Classes, table)
 	}
@@ -128,8 +132,8 @@
 			Load:   outcome.Load,
 		})
 	}
-	for _, class := range r.Demands {
-		p.Came = append(p.Came, &pb.Came{Class: class.Class, Visits: class.Requests, NoAnswer: class.Unanswered})
+	for _, demand := range r.Demands {
+		p.Came = append(p.Came, &pb.Came{Class: demand.Class, Visits: demand.Requests, NoAnswer: demand.Unanswered})
 	}
 	return p
 }
@@ -147,10 +151,10 @@
 			Load:          outcome.Load,
 		})
 	}
-	for _, class := range p.Came {
+	for _, demand := range p.Came {
 		r.Demands = append(
 			r.Demands,
-			service.ClassDemand{Class: class.Class, Requests: class.Visits, Unanswered: class.NoAnswer},
+			service.ClassDemand{Class: demand.Class, Requests: demand.Visits, Unanswered: demand.NoAnswer},
 		)
 	}
 	return r
--- a/internal/service/rpc/server.go
+++ b/internal/service/rpc/server.go
@@ -89,51 +89,51 @@
 }
 
 // reply returns an answer or its error as a status.
-func reply[T any](answer T, failed *service.Error) (T, error) {
-	if failed != nil {
-		var none T
-		return none, StatusFromError(failed)
+func reply[T any](answer T, serviceErr *service.Error) (T, error) {
+	if serviceErr != nil {
+		var zero T
+		return zero, StatusFromError(serviceErr)
 	}
 	return answer, nil
 }
 
 // Greet answers an introduction.
 func (s *Server) Greet(_ context.Context, h *pb.Hello) (*pb.Hello, error) {
-	hello, failed := s.service.Greet(HelloFromProto(h))
-	return reply(HelloToProto(hello), failed)
+	hello, serviceErr := s.service.Greet(HelloFromProto(h))
+	return reply(HelloToProto(hello), serviceErr)
 }
 
 // Table returns the complete state of a zone.
 func (s *Server) Table(ctx context.Context, r *pb.TableRequest) (*pb.Update, error) {
-	update, failed := s.service.Table(callerName(ctx, r.Caller), r.Zone)
-	if failed != nil {
-		return nil, StatusFromError(failed)
+	update, serviceErr := s.service.Table(callerName(ctx, r.Caller), r.Zone)
+	if serviceErr != nil {
+		return nil, StatusFromError(serviceErr)
 	}
 	return UpdateToProto(&update.Update), nil
 }
 
 // Report counts a batch of outcomes.
 func (s *Server) Report(ctx context.Context, r *pb.ReportRequest) (*pb.ReportReply, error) {
-	sequence, failed := s.service.Report(callerName(ctx, r.Caller), ReportFromProto(r))
-	return reply(&pb.ReportReply{Seq: sequence}, failed)
+	sequence, serviceErr := s.service.Report(callerName(ctx, r.Caller), ReportFromProto(r))
+	return reply(&pb.ReportReply{Seq: sequence}, serviceErr)
 }
 
 // Server returns the state of a server.
 func (s *Server) Server(ctx context.Context, r *pb.ServerRequest) (*pb.ServerState, error) {
-	state, failed := s.service.Server(ctx, callerName(ctx, r.Caller), r.Name)
-	return reply(ServerStateToProto(state), failed)
+	state, serviceErr := s.service.Server(ctx, callerName(ctx, r.Caller), r.Name)
+	return reply(ServerStateToProto(state), serviceErr)
 }
 
 // History returns the versions of a class's table.
 func (s *Server) History(ctx context.Context, r *pb.HistoryRequest) (*pb.HistoryReply, error) {
-	history, failed := s.service.History(ctx, callerName(ctx, r.Caller), r.Zone, r.Class, int(r.Most))
-	return reply(HistoryToProto(history), failed)
+	history, serviceErr := s.service.History(ctx, callerName(ctx, r.Caller), r.Zone, r.Class, int(r.Most))
+	return reply(HistoryToProto(history), serviceErr)
 }
 
 // Summary returns the state of the fleet.
 func (s *Server) Summary(ctx context.Context, r *pb.SummaryRequest) (*pb.SummaryReply, error) {
-	summary, failed := s.service.Summary(ctx, callerName(ctx, r.Caller))
-	return reply(SummaryToProto(summary), failed)
+	summary, serviceErr := s.service.Summary(ctx, callerName(ctx, r.Caller))
+	return reply(SummaryToProto(summary), serviceErr)
 }
 
 // Watch follows a zone: an update that goes to many watchers is encoded once.
@@ -144,23 +144,23 @@
 	}
 	wake := make(chan struct{}, 1)
 	caller := callerName(stream.Context(), first.Caller)
-	watcher, failed := s.service.Watch(caller, first.Zone, VersionFromProto(first.Holds), func() {
+	watcher, serviceErr := s.service.Watch(caller, first.Zone, VersionFromProto(first.Holds), func() {
 		select {
 		case wake <- struct{}{}:
 		default:
 		}
 	})
-	if failed != nil {
-		return StatusFromError(failed)
+	if serviceErr != nil {
+		return StatusFromError(serviceErr)
 	}
 	defer watcher.Close()
-	received := make(chan error, 1)
-	go func() { received <- receiveAcks(stream, watcher) }() // ends with the stream
+	streamErr := make(chan error, 1)
+	go func() { streamErr <- receiveAcks(stream, watcher) }() // ends with the stream
 	for {
-		update, ended := watcher.Next()
+		update, endErr := watcher.Next()
 		switch {
-		case ended != nil:
-			return StatusFromError(ended)
+		case endErr != nil:
+			return StatusFromError(endErr)
 		case update != nil:
 			if err := sendUpdate(stream, update); err != nil {
 				return err
@@ -169,7 +169,7 @@
 		}
 		select {
 		case <-wake:
-		case err := <-received:
+		case err := <-streamErr:
 			if errors.Is(err, io.EOF) {
 				return nil
 			}
@@ -198,7 +198,7 @@
 		}
 		return message
 	})
-	if err, failed := encoded.(error); failed {
+	if err, isErr := encoded.(error); isErr {
 		return err
 	}
 	return stream.SendMsg(encoded)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -99,12 +99,12 @@
 		return ServerState{}, errorf(TooLarge, "server name of %d bytes, the limit is %d bytes", len(name), maxNameLength)
 	}
 	var state ServerState
-	failed := s.query(ctx, caller, ServerQuery, func(ctx context.Context) (err error) {
+	queryErr := s.query(ctx, caller, ServerQuery, func(ctx context.Context) (err error) {
 		state, err = s.queries.Server(ctx, name)
 		return err
 	})
 	state.Minor = Minor
-	return state, failed
+	return state, queryErr
 }
 
 // History returns the newest versions of a class's table in a zone, at most maxVersions.
@@ -113,23 +113,23 @@
 		return History{}, errorf(BadRequest, "%d versions requested, the range is 0 to %d", maxVersions, maxHistoryVersions)
 	}
 	history := History{Minor: Minor}
-	failed := s.query(ctx, caller, HistoryQuery, func(ctx context.Context) (err error) {
+	queryErr := s.query(ctx, caller, HistoryQuery, func(ctx context.Context) (err error) {
 		history.Versions, err = s.queries.History(ctx, zone, class, maxVersions)
 		return err
 	})
-	return history, failed
+	return history, queryErr
 }
 
 // Summary returns the state of the fleet.
 func (s *Service) Summary(ctx context.Context, caller string) (Summary, *Error) {
 	var summary Summary
-	failed := s.query(ctx, caller, SummaryQuery, func(ctx context.Context) (err error) {
+	queryErr := s.query(ctx, caller, SummaryQuery, func(ctx context.Context) (err error) {
 		summary, err = s.queries.Summary(ctx)
 		return err
 	})
 	summary.Minor = Minor
 	summary.Watchers = s.Hub.Watchers()
-	return summary, failed
+	return summary, queryErr
 }
 
 // query asks the controller's loop.
@@ -137,7 +137,7 @@
 	ctx context.Context,
 	caller string,
 	kind QueryKind,
-	ask func(context.Context) error,
+	handle func(context.Context) error,
 ) *Error {
 	release, rejected := s.admit(caller, kind)
 	if rejected != nil {
@@ -146,7 +146,7 @@
 	defer release()
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(queryTimeout))
 	defer cancel()
-	err := ask(ctx)
+	err := handle(ctx)
 	if err == nil {
 		return nil
 	}
--- a/internal/service/text/commands.go
+++ b/internal/service/text/commands.go
@@ -15,8 +15,8 @@
 
 // handler answers commands of one form.
 type handler struct {
-	form   []string // a word in capitals matches any
-	handle func(ctx context.Context, c *connection, command haproxyapi.Command)
+	pattern []string // a word in capitals matches any
+	handle  func(ctx context.Context, c *connection, command haproxyapi.Command)
 }
 
 // handlers are the commands of the protocol.
@@ -38,10 +38,10 @@
 	"get history Z CLASS N, get summary, quit"
 
 func (h *handler) matches(words []string) bool {
-	if len(words) != len(h.form) {
+	if len(words) != len(h.pattern) {
 		return false
 	}
-	for i, word := range h.form {
+	for i, word := range h.pattern {
 		if word != strings.ToUpper(word) && word != words[i] {
 			return false
 		}
@@ -70,16 +70,16 @@
 		return
 	}
 	introduction := service.Hello{Major: uint32(major), Minor: uint32(minor), Name: name}
-	greeting, failed := c.server.service.Greet(introduction)
-	if failed == nil {
+	greeting, serviceErr := c.server.service.Greet(introduction)
+	if serviceErr == nil {
 		c.caller = name
 	}
-	reply(c, greeting, failed, FormatHello)
+	reply(c, greeting, serviceErr, FormatHello)
 }
 
 func getTable(_ context.Context, c *connection, command haproxyapi.Command) {
-	update, failed := c.server.service.Table(c.caller, command.Words[2])
-	reply(c, update, failed, encoded)
+	update, serviceErr := c.server.service.Table(c.caller, command.Words[2])
+	reply(c, update, serviceErr, encodedUpdate)
 }
 
 func watchTable(_ context.Context, c *connection, command haproxyapi.Command) {
@@ -93,9 +93,9 @@
 		}
 	}
 	sender := &c.server.sender
-	watcher, failed := c.server.service.Watch(c.caller, command.Words[2], from, func() { sender.enqueue(c) })
-	if failed != nil {
-		c.answer(FormatError(failed))
+	watcher, serviceErr := c.server.service.Watch(c.caller, command.Words[2], from, func() { sender.enqueue(c) })
+	if serviceErr != nil {
+		c.answer(FormatError(serviceErr))
 		return
 	}
 	c.watcher.Store(watcher)
@@ -119,13 +119,13 @@
 		c.answerError(service.BadRequest, "byte %d: payload: %v", command.Offset, err)
 		return
 	}
-	counted, failed := c.server.service.Report(c.caller, batch)
-	reply(c, counted, failed, FormatCounted)
+	counted, serviceErr := c.server.service.Report(c.caller, batch)
+	reply(c, counted, serviceErr, FormatCounted)
 }
 
 func getServer(ctx context.Context, c *connection, command haproxyapi.Command) {
-	state, failed := c.server.service.Server(ctx, c.caller, command.Words[2])
-	reply(c, state, failed, FormatServerState)
+	state, serviceErr := c.server.service.Server(ctx, c.caller, command.Words[2])
+	reply(c, state, serviceErr, FormatServerState)
 }
 
 func getHistory(ctx context.Context, c *connection, command haproxyapi.Command) {
@@ -137,13 +137,13 @@
 			command.Offset, command.Words[4])
 		return
 	}
-	history, failed := c.server.service.History(ctx, c.caller, zone, class, maxVersions)
-	reply(c, history, failed, FormatHistory)
+	history, serviceErr := c.server.service.History(ctx, c.caller, zone, class, maxVersions)
+	reply(c, history, serviceErr, FormatHistory)
 }
 
 func getSummary(ctx context.Context, c *connection, _ haproxyapi.Command) {
-	summary, failed := c.server.service.Summary(ctx, c.caller)
-	reply(c, summary, failed, FormatSummary)
+	summary, serviceErr := c.server.service.Summary(ctx, c.caller)
+	reply(c, summary, serviceErr, FormatSummary)
 }
 
 // prompt changes nothing: a connection stays open after an answer in any mode.
--- a/internal/service/text/connection.go
+++ b/internal/service/text/connection.go
@@ -19,21 +19,21 @@
 type connection struct {
 	server   *Server
 	conn     *nbio.Conn
-	requests haproxyapi.RequestParser
+	parser   haproxyapi.RequestParser
 	watcher  atomic.Pointer[service.Watcher]
 	isClosed atomic.Bool
 	caller   string     // of the goroutine that answers
-	writing  sync.Mutex // orders what is written
+	writeMu  sync.Mutex // orders what is written
 
 	mu        sync.Mutex
-	waiting   []haproxyapi.Command // not answered yet
+	pending   []haproxyapi.Command // not answered yet
 	answering bool                 // a goroutine answers them
 }
 
 // receive takes bytes of the caller.
 func (c *connection) receive(data []byte) {
 	_ = c.conn.SetReadDeadline(time.Now().Add(service.IdleTimeout))
-	err := c.requests.Feed(data, func(commands []haproxyapi.Command) error {
+	err := c.parser.Feed(data, func(commands []haproxyapi.Command) error {
 		for _, command := range commands {
 			if err := c.enqueue(command); err != nil {
 				return err
@@ -56,11 +56,11 @@
 	command.Payload = bytes.Clone(command.Payload)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.waiting) >= service.MaxPendingRequests {
+	if len(c.pending) >= service.MaxPendingRequests {
 		reason := fmt.Sprintf("more than %d commands are pending on this connection", service.MaxPendingRequests)
 		return &haproxyapi.SyntaxError{Offset: command.Offset, Reason: reason}
 	}
-	c.waiting = append(c.waiting, command)
+	c.pending = append(c.pending, command)
 	if !c.answering {
 		c.answering = true
 		go c.answerAll()
@@ -94,12 +94,12 @@
 func (c *connection) nextCommand() (command haproxyapi.Command, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.waiting) == 0 || c.isClosed.Load() {
+	if len(c.pending) == 0 || c.isClosed.Load() {
 		c.answering = false
 		return haproxyapi.Command{}, false
 	}
-	command = c.waiting[0]
-	c.waiting = c.waiting[1:]
+	command = c.pending[0]
+	c.pending = c.pending[1:]
 	return command, true
 }
 
@@ -117,8 +117,8 @@
 }
 
 func (c *connection) answer(text []byte) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.write(text)
 }
 
@@ -134,9 +134,9 @@
 }
 
 // reply answers with the result of a query.
-func reply[T any](c *connection, result T, failed *service.Error, format func(T) []byte) {
-	if failed != nil {
-		c.answer(FormatError(failed))
+func reply[T any](c *connection, result T, serviceErr *service.Error, format func(T) []byte) {
+	if serviceErr != nil {
+		c.answer(FormatError(serviceErr))
 		return
 	}
 	c.answer(format(result))
@@ -144,25 +144,25 @@
 
 // sendUpdates writes what the watcher has.
 func (c *connection) sendUpdates() {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	watcher := c.watcher.Load()
 	for watcher != nil && !c.isClosed.Load() {
-		update, ended := watcher.Next()
-		if ended != nil {
-			c.write(FormatError(ended))
+		update, endErr := watcher.Next()
+		if endErr != nil {
+			c.write(FormatError(endErr))
 			_ = c.conn.Close()
 			return
 		}
 		if update == nil {
 			return
 		}
-		c.write(encoded(update))
+		c.write(encodedUpdate(update))
 	}
 }
 
 // encoded returns the text of an update, made once for all connections.
-func encoded(update *service.SharedUpdate) []byte {
+func encodedUpdate(update *service.SharedUpdate) []byte {
 	text := update.Encoded(service.TextEncoding, func(u *service.Update) any { return FormatUpdate(u) })
 	return text.([]byte)
 }
--- a/internal/service/text/format.go
+++ b/internal/service/text/format.go
@@ -13,13 +13,13 @@
 )
 
 // updateCapacity is the initial size in bytes of an update's buffer.
-const updateCapacity = 256
+const updateBufferSize = 256
 
 // writer builds an answer.
 type writer struct{ buffer []byte }
 
 // heading begins an answer of a kind.
-func heading(kind string) *writer { return new(writer).row("#", kind) }
+func newAnswer(kind string) *writer { return new(writer).row("#", kind) }
 
 // row begins a row.
 func (w *writer) row(words ...string) *writer {
@@ -74,7 +74,7 @@
 
 // FormatUpdate formats an update.
 func FormatUpdate(u *service.Update) []byte {
-	w := (&writer{make([]byte, 0, updateCapacity)}).row("#", "update").
+	w := (&writer{make([]byte, 0, updateBufferSize)}).row("#", "update").
 		count("minor", uint64(u.Minor)).
 		text("governor", u.Controller).
 		count("list_rev", u.ListRevision).
@@ -106,7 +106,7 @@
 
 // FormatError formats an error answer.
 func FormatError(e *service.Error) []byte {
-	return heading("fault").
+	return newAnswer("fault").
 		text("code", string(e.Code)).
 		count("retry_ns", uint64(e.RetryAfter)).
 		text("text", e.Text).
@@ -115,7 +115,7 @@
 
 // FormatHello formats an introduction.
 func FormatHello(h service.Hello) []byte {
-	w := heading("hello").
+	w := newAnswer("hello").
 		count("major", uint64(h.Major)).
 		count("minor", uint64(h.Minor)).
 		text("name", h.Name).
@@ -137,7 +137,7 @@
 
 // FormatCounted formats the answer to a report.
 func FormatCounted(sequence uint64) []byte {
-	return heading("counted").count("seq", sequence).bytes()
+	return newAnswer("counted").count("seq", sequence).bytes()
 }
 
 // FormatReport formats a report as rows of a payload.
@@ -174,7 +174,7 @@
 
 // FormatServerState formats the state of a server.
 func FormatServerState(s service.ServerState) []byte {
-	w := heading("server").
+	w := newAnswer("server").
 		count("minor", uint64(s.Minor)).
 		text("name", s.Name).
 		text("addr", s.Addr).
@@ -194,7 +194,7 @@
 
 // FormatHistory formats versions of a table.
 func FormatHistory(h service.History) []byte {
-	w := heading("history").count("minor", uint64(h.Minor))
+	w := newAnswer("history").count("minor", uint64(h.Minor))
 	for _, row := range h.Versions {
 		w.row("version").
 			text("version", formatVersion(row.Version)).
@@ -208,7 +208,7 @@
 
 // FormatSummary formats a summary.
 func FormatSummary(m service.Summary) []byte {
-	return heading("summary").
+	return newAnswer("summary").
 		count("minor", uint64(m.Minor)).
 		text("governor", m.Controller).
 		text("program", m.Program).
--- a/internal/service/text/parse.go
+++ b/internal/service/text/parse.go
@@ -35,7 +35,7 @@
 	}
 	number, err := strconv.ParseUint(text, 10, bits)
 	if err != nil {
-		r.reject(key)
+		r.failValue(key)
 	}
 	return number
 }
@@ -47,7 +47,7 @@
 	}
 	number, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		r.reject(key)
+		r.failValue(key)
 	}
 	return number
 }
@@ -59,7 +59,7 @@
 	}
 	version, err := tableversion.ParseVersion(text)
 	if err != nil {
-		r.reject(key)
+		r.failValue(key)
 	}
 	return version
 }
@@ -68,12 +68,12 @@
 func (r row) digest(key string) tableversion.Digest {
 	digest, err := strconv.ParseUint(r.values[key], 16, 64)
 	if err != nil {
-		r.reject(key)
+		r.failValue(key)
 	}
 	return tableversion.Digest(digest)
 }
 
-func (r row) reject(key string) {
+func (r row) failValue(key string) {
 	r.fail("invalid value: %s=%.40q", key, r.values[key])
 }
 
@@ -108,7 +108,7 @@
 	return nil
 }
 
-var errNoRow = errors.New("want one row per line, without an unescaped semicolon")
+var errNotOneRow = errors.New("want one row per line, without an unescaped semicolon")
 
 func parseRow(line []byte) (row, error) {
 	commands, err := haproxyapi.Split(line, 0)
@@ -116,7 +116,7 @@
 		return row{}, err
 	}
 	if len(commands) != 1 {
-		return row{}, errNoRow
+		return row{}, errNotOneRow
 	}
 	words := commands[0].Words
 	r := row{kind: words[0], values: make(map[string]string, len(words))}
@@ -136,18 +136,18 @@
 // parseAnswer parses an answer of a kind. An error answer comes as such, anything else as malformed.
 func parseAnswer(text []byte, kind string, handle func(row)) error {
 	first := true
-	var answered *service.Error
+	var errorAnswer *service.Error
 	err := parseRows(text, func(r row) {
 		switch {
 		case first && r.kind == "# fault":
-			answered = &service.Error{
+			errorAnswer = &service.Error{
 				Code:       service.Code(r.text("code")),
 				Text:       r.text("text"),
 				RetryAfter: r.duration("retry_ns"),
 			}
 		case first && r.kind != "# "+kind:
 			r.fail("answer begins with %.40q, want %q", r.kind, "# "+kind)
-		case answered == nil:
+		case errorAnswer == nil:
 			handle(r)
 		}
 		first = false
@@ -158,8 +158,8 @@
 	if err != nil {
 		return &service.Error{Code: service.Malformed, Text: err.Error()}
 	}
-	if answered != nil {
-		return answered
+	if errorAnswer != nil {
+		return errorAnswer
 	}
 	return nil
 }
@@ -170,14 +170,12 @@
 		switch r.kind {
 		case "# update":
 			u = service.Update{
-				Minor:        uint32(r.count("minor", 32)),
-				Controller:   r.text("governor"),
-				ListRevision: r.count("list_rev", 64),
-				Live:         r.flag("live"),
-				Zone:         r.text("zone"),
-				From: r.version(
-					"from",
-				),
+				Minor:           uint32(r.count("minor", 32)),
+				Controller:      r.text("governor"),
+				ListRevision:    r.count("list_rev", 64),
+				Live:            r.flag("live"),
+				Zone:            r.text("zone"),
+				From:            r.version("from"),
 				To:              r.version("to"),
 				RestrictsToOpen: r.flag("shut"),
 				Heartbeat:       r.flag("beat"),
@@ -273,7 +271,7 @@
 		}
 		load, err := strconv.ParseUint(text, 10, 32)
 		if err != nil {
-			r.reject(key)
+			r.failValue(key)
 		}
 		loads = append(loads, uint32(load))
 	}
--- a/internal/service/watcher.go
+++ b/internal/service/watcher.go
@@ -66,12 +66,12 @@
 	lagging        bool         // no message waits for it
 	lastSent       fleet.Time
 	heartbeatDue   bool
-	ended          *Error
+	endErr         *Error
 }
 
 type sentUpdate struct {
 	version tableversion.Version
-	at      fleet.Time
+	sentAt  fleet.Time
 }
 
 // Watch begins to follow a zone from the version that a caller has. Wake is called whenever Next may have something,
@@ -115,8 +115,8 @@
 func (w *Watcher) Next() (*SharedUpdate, *Error) {
 	w.hub.mu.Lock()
 	defer w.hub.mu.Unlock()
-	if w.ended != nil {
-		return nil, w.ended
+	if w.endErr != nil {
+		return nil, w.endErr
 	}
 	if len(w.unacknowledged) >= maxUnacknowledged {
 		return nil, nil
@@ -151,7 +151,7 @@
 	h := w.hub
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if w.ended != nil {
+	if w.endErr != nil {
 		return
 	}
 	count := 0
@@ -183,7 +183,7 @@
 	for _, message := range w.zone.pending {
 		if message.number > w.joinedAfter &&
 			message.version.Compare(previous) > 0 && message.version.Compare(version) <= 0 {
-			message.waiting--
+			message.waitingWatchers--
 		}
 	}
 }
@@ -197,7 +197,7 @@
 func (w *Watcher) markLagging() {
 	for _, message := range w.zone.pending {
 		if w.blocks(message) {
-			message.waiting--
+			message.waitingWatchers--
 		}
 	}
 	w.lagging = true
@@ -208,17 +208,17 @@
 func (w *Watcher) Close() {
 	w.hub.mu.Lock()
 	defer w.hub.mu.Unlock()
-	if w.ended == nil {
+	if w.endErr == nil {
 		w.hub.endWatch(w, errorf(Closing, "watch closed by the caller"))
 		w.hub.answerAcknowledged(w.zone)
 	}
 }
 
 func (h *Hub) endWatch(w *Watcher, reason *Error) {
-	if w.ended != nil {
+	if w.endErr != nil {
 		return
 	}
-	w.ended = reason
+	w.endErr = reason
 	if !w.lagging {
 		w.markLagging()
 	}
@@ -230,7 +230,7 @@
 // checkWatcher handles a watcher that acknowledges too slowly, or that is due for a heartbeat.
 func (h *Hub) checkWatcher(now fleet.Time, w *Watcher) {
 	since := w.waitingSince()
-	switch judgeWatcher(now, since) {
+	switch classifyWatcher(now, since) {
 	case watcherSlow:
 		if !w.lagging {
 			w.markLagging()
@@ -250,13 +250,13 @@
 // none.
 func (w *Watcher) waitingSince() fleet.Time {
 	if len(w.unacknowledged) > 0 {
-		return w.unacknowledged[0].at
+		return w.unacknowledged[0].sentAt
 	}
 	i := slices.IndexFunc(w.zone.pending, w.blocks)
 	if i < 0 {
 		return 0
 	}
-	return w.zone.pending[i].at
+	return w.zone.pending[i].sentAt
 }
 
 // watcherState is how far a watcher is behind.
@@ -269,7 +269,7 @@
 )
 
 // judgeWatcher returns the state of a watcher whose oldest unacknowledged update is of the given time, 0 for none.
-func judgeWatcher(now, since fleet.Time) watcherState {
+func classifyWatcher(now, since fleet.Time) watcherState {
 	switch {
 	case since == 0 || now < since+slowWatcherDelay:
 		return watcherCurrent
--- a/internal/store/corruption_test.go
+++ b/internal/store/corruption_test.go
@@ -20,13 +20,13 @@
 }
 
 // storeOf returns the disk of a store with all commits, the first ones sealed in a table file on request.
-func storeOf(t *testing.T, changes [][]Change, sealed bool) *vfs.MemFS {
+func newStoreDisk(t *testing.T, changes [][]Change, flushed bool) *vfs.MemFS {
 	t.Helper()
 	fs := vfs.NewCrashableMem()
 	s := mustOpen(t, fs)
 	for i, commit := range changes {
 		mustPut(t, s, commit...)
-		if sealed && i == 25 {
+		if flushed && i == 25 {
 			if err := s.db.Flush(); err != nil {
 				t.Fatal(err)
 			}
@@ -38,20 +38,20 @@
 }
 
 // damageCounts counts what became of damaged stores.
-type damageCounts struct {
+type damageResults struct {
 	t        *testing.T
 	states   []map[string]int // that were once committed
 	cases    int
-	refused  int
+	reported int
 	complete int
 }
 
 // check opens a damaged store. It must have a state that was once committed, or report the damage.
-func (c *damageCounts) check(name string, fs vfs.FS) {
+func (c *damageResults) check(name string, fs vfs.FS) {
 	c.cases++
 	s, err := Open(Options{Directory: testDirectory, FS: fs})
 	if err != nil {
-		c.refused++
+		c.reported++
 		if !strings.HasPrefix(err.Error(), "store store: ") {
 			c.t.Errorf("%s: %v", name, err)
 		}
@@ -64,7 +64,7 @@
 	}
 	switch {
 	case err != nil || len(corruptions) > 0:
-		c.refused++
+		c.reported++
 	case at == len(c.states)-1:
 		c.complete++
 	}
@@ -72,7 +72,7 @@
 }
 
 // checkFlipped flips a random bit of a file in 300 copies of a store.
-func (c *damageCounts) checkFlipped(rng *rand.Rand, fs *vfs.MemFS, file, name string) {
+func (c *damageResults) checkFlipped(rng *rand.Rand, fs *vfs.MemFS, file, name string) {
 	content := readFile(c.t, fs, file)
 	for range 300 {
 		damaged := copyStore(c.t, fs)
@@ -87,9 +87,9 @@
 // TestDamagedFilesYieldNoInventedState cuts the log at every byte, and flips bits in the log and in a sealed table.
 func TestDamagedFilesYieldNoInventedState(t *testing.T) {
 	changes, states := commitSequence(5, 40)
-	counts := &damageCounts{t: t, states: states}
+	results := &damageResults{t: t, states: states}
 
-	plain := storeOf(t, changes, false)
+	plain := newStoreDisk(t, changes, false)
 	logs, _ := storeFiles(t, plain)
 	log := logs[len(logs)-1]
 	content := readFile(t, plain, log)
@@ -100,21 +100,21 @@
 	for at := 0; at <= len(content); at += step {
 		damaged := copyStore(t, plain)
 		overwriteFile(t, damaged, log, content[:at])
-		counts.check(fmt.Sprint("cut at ", at), damaged)
+		results.check(fmt.Sprint("cut at ", at), damaged)
 	}
 	rng := rand.New(rand.NewPCG(8, 8))
-	counts.checkFlipped(rng, plain, log, "log")
+	results.checkFlipped(rng, plain, log, "log")
 
-	sealed := storeOf(t, changes, true)
-	_, tables := storeFiles(t, sealed)
+	flushed := newStoreDisk(t, changes, true)
+	_, tables := storeFiles(t, flushed)
 	if len(tables) == 0 {
 		t.Fatal("no table file was written")
 	}
-	counts.checkFlipped(rng, sealed, tables[0], "table")
+	results.checkFlipped(rng, flushed, tables[0], "table")
 
-	t.Logf("%d cases: %d with the damage reported, %d complete", counts.cases, counts.refused, counts.complete)
-	if counts.cases < 900 || counts.refused < 100 || counts.complete == 0 {
+	t.Logf("%d cases: %d with the damage reported, %d complete", results.cases, results.reported, results.complete)
+	if results.cases < 900 || results.reported < 100 || results.complete == 0 {
 		t.Errorf("%d cases, want 900; %d with the damage reported, want 100; %d complete, want 1",
-			counts.cases, counts.refused, counts.complete)
+			results.cases, results.reported, results.complete)
 	}
 }
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -37,12 +37,12 @@
 					t.Fatal(err)
 				}
 			}
-			left := fs.CrashClone(vfs.CrashCloneCfg{
+			remaining := fs.CrashClone(vfs.CrashCloneCfg{
 				UnsyncedDataPercent: rng.IntN(101),
 				RNG:                 rand.New(rand.NewPCG(seed, 3)),
 			})
 			mustClose(t, s)
-			fs = left
+			fs = remaining
 			s = mustOpen(t, fs)
 			got, corruptions, err := readAll(s)
 			at := latestMatch(got, states[:min(committed+2, len(states))], committed)
@@ -88,11 +88,11 @@
 		defer mu.Unlock()
 		before := int(committed.Load())
 		for _, percent := range []int{0, 50, 100} {
-			left := disk.CrashClone(vfs.CrashCloneCfg{
+			remaining := disk.CrashClone(vfs.CrashCloneCfg{
 				UnsyncedDataPercent: percent,
 				RNG:                 rand.New(rand.NewPCG(uint64(len(losses)), 4)),
 			})
-			losses = append(losses, powerLoss{left, before, int(committed.Load())})
+			losses = append(losses, powerLoss{remaining, before, int(committed.Load())})
 		}
 	}}))
 	for i, commit := range changes {
--- a/internal/store/database.go
+++ b/internal/store/database.go
@@ -78,7 +78,7 @@
 }
 
 // Damaged returns why a data block can't be read, nil if none is known to be damaged.
-func (s *Store) Damaged() error {
+func (s *Store) CorruptionCause() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.corruption
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -68,8 +68,8 @@
 
 // addChecksums migrates from format 1, whose records had no checksums.
 func addChecksums(s *Store, batch *pebble.Batch) error {
-	return s.eachRaw("", func(key string, raw []byte) error {
-		return batch.Set([]byte(key), seal(key, raw), nil)
+	return s.forEachRaw("", func(key string, raw []byte) error {
+		return batch.Set([]byte(key), encodeRecord(key, raw), nil)
 	})
 }
 
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -15,15 +15,15 @@
 // Read calls each record whose key begins with a prefix, in the order of keys, as they are on disk. Corrupt records
 // are returned instead.
 func (s *Store) Read(
-	prefix string, each func(key string, payload []byte) error,
+	prefix string, handle func(key string, payload []byte) error,
 ) (corruptions []Corruption, err error) {
-	err = s.eachRaw(prefix, func(key string, raw []byte) error {
-		payload, valid := unseal(key, raw)
+	err = s.forEachRaw(prefix, func(key string, raw []byte) error {
+		payload, valid := decodeRecord(key, raw)
 		if !valid {
 			corruptions = append(corruptions, Corruption{key, "checksum mismatch"})
 			return nil
 		}
-		return each(key, payload)
+		return handle(key, payload)
 	})
 	if err != nil {
 		err = fmt.Errorf("store %s: %w", s.options.Directory, err)
@@ -32,7 +32,7 @@
 }
 
 // eachRaw calls each stored value whose key begins with a prefix, in the order of keys.
-func (s *Store) eachRaw(prefix string, each func(key string, raw []byte) error) (err error) {
+func (s *Store) forEachRaw(prefix string, handle func(key string, raw []byte) error) (err error) {
 	defer recoverFatal(&err)
 	options := &pebble.IterOptions{}
 	if prefix != "" { // to the library an empty bound is no bound
@@ -46,7 +46,7 @@
 	for valid := iterator.First(); valid; valid = iterator.Next() {
 		raw, err := iterator.ValueAndErr()
 		if err == nil {
-			err = each(string(iterator.Key()), raw)
+			err = handle(string(iterator.Key()), raw)
 		}
 		if err != nil {
 			return errors.Join(err, iterator.Close())
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -39,28 +39,28 @@
 	if len(payload) > maxRecordSize {
 		return nil, fmt.Errorf("payload of %d bytes, the limit is %d bytes", len(payload), maxRecordSize)
 	}
-	return &record{value: seal(change.Key, payload)}, nil
+	return &record{value: encodeRecord(change.Key, payload)}, nil
 }
 
 // seal puts a checksum of key and payload before the payload. As it covers the key, a record under another's key
 // shows.
-func seal(key string, payload []byte) []byte {
+func encodeRecord(key string, payload []byte) []byte {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(key) // never fails, as documented
 	_, _ = digest.Write(payload)
-	sealed := make([]byte, 0, checksumSize+len(payload))
-	sealed = binary.BigEndian.AppendUint64(sealed, digest.Sum64())
-	return append(sealed, payload...)
+	encoded := make([]byte, 0, checksumSize+len(payload))
+	encoded = binary.BigEndian.AppendUint64(encoded, digest.Sum64())
+	return append(encoded, payload...)
 }
 
 // unseal returns the payload of a sealed record, and false if its checksum differs.
-func unseal(key string, raw []byte) (payload []byte, valid bool) {
+func decodeRecord(key string, raw []byte) (payload []byte, valid bool) {
 	if len(raw) < checksumSize {
 		return nil, false
 	}
 	payload = raw[checksumSize:]
-	sealed := seal(key, payload)
-	return payload, string(sealed[:checksumSize]) == string(raw[:checksumSize])
+	encoded := encodeRecord(key, payload)
+	return payload, string(encoded[:checksumSize]) == string(raw[:checksumSize])
 }
 
 // Key joins the parts of a key, which must not contain a slash.
