--- a/internal/service/bounds.go
+++ b/internal/service/bounds.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Timeouts and sizes of the protocols, at both ends. They are here because a protocol's package decides nothing.
+// Limits and timeouts of both protocols, used by controllers and clients. They are declared here because packages rpc
+// and text only translate and make no decisions.
 const (
-	MaxRequestSize     = 1 << 20          // bytes of a query: a report of 4,096 servers takes some 300 kB
-	MaxAnswerSize      = 16 << 20         // bytes of an answer: 20,000 servers in 16 classes
-	MaxUnsentBytes     = 64 << 20         // bytes that wait for one reader
-	MaxStreams         = 2048             // of one connection
-	MaxPendingRequests = 64               // queries of a connection that wait for their answers
-	ConnectTimeout     = 10 * time.Second // for the handshake of a connection
-	IdleTimeout        = 10 * time.Minute // of a connection without a query
-	RequestTimeout     = 3 * time.Second  // for a query to the controller's loop: longer than the service gives it
-	PingInterval       = 5 * time.Second  // of silence on a connection that has streams
-	PingTimeout        = 3 * time.Second
+	MaxRequestSize     = 1 << 20          // bytes of a request; a report of 4,096 servers takes about 300 kB
+	MaxAnswerSize      = 16 << 20         // bytes of an answer; enough for 20,000 servers in 16 classes
+	MaxUnsentBytes     = 64 << 20         // bytes buffered for one connection that reads slowly
+	MaxStreams         = 2048             // concurrent gRPC streams of one connection
+	MaxPendingRequests = 64               // commands of one connection that are not answered yet
+	ConnectTimeout     = 10 * time.Second // for the connection handshake
+	IdleTimeout        = 10 * time.Minute // after which a connection without requests is closed
+	RequestTimeout     = 3 * time.Second  // for one request; longer than queryTimeout, so that the service answers first
+	PingInterval       = 5 * time.Second  // of silence before a keepalive ping; clients ping only while they have streams
+	PingTimeout        = 3 * time.Second  // for the answer to a ping, before the connection is closed
 )
--- a/internal/service/hub.go
+++ b/internal/service/hub.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// tickInterval is the time between two checks of slow watchers and due heartbeats.
+	// tickInterval is the interval at which slow watchers, due heartbeats and expired report sessions are handled.
 	tickInterval = 100 * time.Millisecond
-	// maxNameLength is the largest length in bytes of a name in a query.
+	// maxNameLength is the maximum length in bytes of a server name in a query, and the length in characters to which
+	// names are cut in error texts.
 	maxNameLength = 256
-	// unreadyRetryAfter is when a caller may ask again that came before the first table.
+	// unreadyRetryAfter is the retry delay for a caller that asks before the first table is published.
 	unreadyRetryAfter = fleet.Second
 )
 
-// Zone is a zone whose callers are one proxy to the controller.
+// Zone is a zone of the service. The controller treats all clients of the zone as one proxy.
 type Zone struct {
 	Name        string
 	ID          fleet.ZoneID
@@ -33,17 +34,18 @@
 
 // HubOptions configure a hub.
 type HubOptions struct {
-	Controller string
-	Epoch      uint64
+	Controller string // name of the controller
+	Epoch      uint64 // of the table versions that the hub creates
 	Zones      []Zone
 	Classes    []fleet.RequestClass
 	Names      transport.ServerNames
 	Now        func() fleet.Time
-	Minor      uint32 // of the protocol that updates are marked with; 0: this program's
+	Minor      uint32 // minor protocol version in updates, if newer than that of this program; 0: that of this program
 }
 
-// Hub is the transport whose proxies are the callers of zones: messages become versions of a view, watchers get what
-// has changed, and their reports become the proxy's counters. All methods may be called from any goroutine.
+// Hub is a transport whose proxies are the clients of zones. It applies the controller's messages to the view of a
+// zone, sends the changes to the zone's watchers, and sums up the reports of clients to the counters of the zone's
+// proxy. Its methods may be called from any goroutine. The sink must not call back into the hub.
 type Hub struct {
 	options HubOptions
 	quit    chan struct{}
@@ -66,28 +68,29 @@
 	Zone
 	stream   uint64
 	view     *View
-	messages uint64 // number of messages so far
+	messages uint64 // messages received so far
 	pending  []*pendingMessage
 	watchers map[*Watcher]struct{}
 
-	sharedUpdates map[tableversion.Version]*SharedUpdate // to the present version, by the version that a watcher has
+	sharedUpdates map[tableversion.Version]*SharedUpdate // to the current version, by the version that the watcher has
 	heartbeat     *SharedUpdate
 
 	serverCounters map[fleet.ServerID]*counters.ServerCounters
 	classCounters  []counters.ClassCounters
 }
 
-// pendingMessage is a message that some watchers have not acknowledged yet.
+// pendingMessage is a message that is not answered yet, because watchers have not acknowledged it or an earlier one is
+// pending.
 type pendingMessage struct {
-	number          uint64 // in the zone, from 1
-	sequence        uint64 // of the controller
+	number          uint64 // counts the zone's messages, from 1
+	sequence        uint64 // assigned by the controller
 	sentAt          fleet.Time
 	version         tableversion.Version
-	waitingWatchers int // watchers that it waits for
+	waitingWatchers int // watchers whose acknowledgement is outstanding
 	failures        []reconcile.Failure
 }
 
-// NewHub makes a hub that serves nothing before Start.
+// NewHub returns a hub. It ignores messages until Start.
 func NewHub(options HubOptions) *Hub {
 	h := &Hub{
 		options:  options,
@@ -117,8 +120,8 @@
 	return h
 }
 
-// Start connects the zones' proxies. They have no tables: callers use what they have from before until a table is
-// published.
+// Start reports the zones' proxies as connected, without tables, and starts the periodic work. Until the controller
+// publishes a table, clients continue with the tables that they have.
 func (h *Hub) Start(_ context.Context, sink transport.Sink) error {
 	h.mu.Lock()
 	h.sink = sink
@@ -151,7 +154,7 @@
 	h.sink(transport.Connected{Proxy: z.Proxy, Stream: z.stream, Snapshot: snapshot})
 }
 
-// zoneOf returns the zone of a proxy, nil if there is none or the hub has not started.
+// zoneOf returns the zone of a proxy, or nil if there is none or the hub has not started.
 func (h *Hub) zoneOf(id fleet.ProxyID) *zoneHub {
 	if h.sink == nil {
 		return nil
@@ -159,7 +162,8 @@
 	return h.byProxy[id]
 }
 
-// Send applies a message and wakes the zone's watchers.
+// Send applies a message to the view of a zone and wakes the zone's watchers. The message is answered, with the changes
+// that could not be applied, when all watchers that do not lag have acknowledged it.
 func (h *Hub) Send(m reconcile.Message) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -188,7 +192,7 @@
 	h.answerAcknowledged(z)
 }
 
-// notifyWatchers wakes the watchers for a new version.
+// notifyWatchers wakes the watchers because a new version or state is available.
 func (z *zoneHub) notifyWatchers() {
 	z.discardSharedUpdates()
 	for w := range z.watchers {
@@ -196,12 +200,13 @@
 	}
 }
 
+// discardSharedUpdates drops the shared updates, which are out of date after any change of the view.
 func (z *zoneHub) discardSharedUpdates() {
 	clear(z.sharedUpdates)
 	z.heartbeat = nil
 }
 
-// answerAcknowledged answers, in their order, the messages that wait for no watcher any more.
+// answerAcknowledged answers, in order, the messages without outstanding acknowledgements.
 func (h *Hub) answerAcknowledged(z *zoneHub) {
 	for len(z.pending) > 0 && z.pending[0].waitingWatchers <= 0 {
 		message := z.pending[0]
@@ -215,7 +220,7 @@
 	}
 }
 
-// PublishState takes over the state of the endpoint list.
+// PublishState replaces the state of the endpoint list in all zones.
 func (h *Hub) PublishState(state PublishedState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -227,7 +232,7 @@
 	}
 }
 
-// Tick handles slow watchers, due heartbeats and expired report sessions.
+// Tick handles slow watchers, due heartbeats and expired report sessions. Start calls it periodically.
 func (h *Hub) Tick(now fleet.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -240,7 +245,7 @@
 	h.expireSessions(now)
 }
 
-// Poll reports the counters of a zone's callers.
+// Poll reports the counters of a zone's clients to the sink.
 func (h *Hub) Poll(id fleet.ProxyID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -256,7 +261,7 @@
 	h.sink(transport.CountersPolled{Proxy: id, Stream: z.stream, Reading: reading})
 }
 
-// Drop ends the watches that messages wait for, and connects the zone's proxy again.
+// Drop ends all watches with unacknowledged updates, discards pending messages and reconnects the zone's proxy.
 func (h *Hub) Drop(id fleet.ProxyID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -275,7 +280,7 @@
 	h.connect(z)
 }
 
-// Stop ends all watches; callers go to another controller or go on to use what they have.
+// Stop ends all watches with code Closing. Clients then switch to another controller or keep the tables that they have.
 func (h *Hub) Stop(context.Context) error {
 	h.mu.Lock()
 	if h.closing {
@@ -298,7 +303,7 @@
 	return errorf(Closing, "controller %s is shutting down", h.options.Controller)
 }
 
-// zoneByName returns a zone of this controller.
+// zoneByName returns a zone, or an error if this controller does not serve it or is shutting down.
 func (h *Hub) zoneByName(name string) (*zoneHub, *Error) {
 	if h.closing {
 		return nil, h.closingError()
@@ -310,7 +315,7 @@
 	return z, nil
 }
 
-// Table returns the complete state of a zone.
+// Table returns the complete tables of a zone. While no class is published the error has code Unready.
 func (h *Hub) Table(zone string) (*SharedUpdate, *Error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -325,7 +330,8 @@
 	return z.updateSince(tableversion.NoVersion), nil
 }
 
-// updateSince returns the update to the present version, made once for all watchers that have the same version.
+// updateSince returns the update from a version to the current one. It is computed once for all watchers that have the
+// same version.
 func (z *zoneHub) updateSince(from tableversion.Version) *SharedUpdate {
 	update := z.sharedUpdates[from]
 	if update == nil {
@@ -335,7 +341,7 @@
 	return update
 }
 
-// Hello introduces the controller.
+// Hello describes the controller: its protocol version, name, epoch, zones and classes.
 func (h *Hub) Hello() Hello {
 	hello := Hello{
 		Major:   Major,
--- a/internal/service/hub_test.go
+++ b/internal/service/hub_test.go
@@ -25,7 +25,7 @@
 	return fmt.Sprint("s", id), fmt.Sprint("x:", id)
 }
 
-// testHub is a hub with one zone whose time the test sets.
+// testHub is a hub with one zone and a clock that the test controls.
 type testHub struct {
 	hub      *Hub
 	now      fleet.Time
@@ -72,18 +72,18 @@
 	}
 }
 
-// TestMessagesAreAnsweredWhenAcknowledged checks with watchers that join, leave, acknowledge and fall silent at
-// random that each message is answered once, in order, when all watchers that are not lagging have acknowledged it
-// and not before; that a silent watcher is ended after watcherTimeout, within which every message is answered; and
-// that a lagging watcher gets one update with all changes.
+// TestMessagesAreAnsweredWhenAcknowledged checks, with watchers that join, leave, acknowledge and fall silent at
+// random, that each message is answered once, in order, as soon as all watchers that do not lag have acknowledged it
+// and not earlier; that the watch of a silent client ends after watcherTimeout and all messages are answered by then;
+// and that a lagging watcher gets one update with all changes.
 func TestMessagesAreAnsweredWhenAcknowledged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newTestHub()
 		type watch struct {
 			*Watcher
-			got    []tableversion.Version // not acknowledged
+			got    []tableversion.Version // not acknowledged yet
 			acked  tableversion.Version
-			since  fleet.Time // of the oldest of got
+			since  fleet.Time // when the oldest of got was received
 			silent bool
 		}
 		var all []*watch
@@ -135,7 +135,7 @@
 				}
 			}
 			next := uint64(len(seqs) + 1)
-			if next <= h.sequence { // some watcher must block it
+			if next <= h.sequence { // a watcher must block it
 				blocked := false
 				for _, w := range all {
 					blocked = blocked || !w.lagging && w.acked.Compare(version[next]) < 0
@@ -166,8 +166,9 @@
 	})
 }
 
-// TestSlowWatcherGetsOneChange checks that messages that were sent while a watcher could not take more come to it as
-// one update, and that watchers with the same version share it with its encoding.
+// TestSlowWatcherGetsOneChange checks that a watcher that could not receive for several messages gets them as one
+// update, that watchers with the same version share the update and its encoding, and that Drop ends the watches that
+// are behind.
 func TestSlowWatcherGetsOneChange(t *testing.T) {
 	h := newTestHub()
 	h.send(addEntry(0, 10), addEntry(1, 10))
@@ -213,7 +214,8 @@
 	}
 }
 
-// TestImpossibleChangesAreReportedAsFailures updates an entry that does not exist and adds one that does.
+// TestImpossibleChangesAreReportedAsFailures adds an entry that exists, updates one that does not, and changes a class
+// that is not configured.
 func TestImpossibleChangesAreReportedAsFailures(t *testing.T) {
 	h := newTestHub()
 	h.send(
@@ -230,8 +232,8 @@
 	}
 }
 
-// TestReportsCountOnce checks that a repeated report counts once, that of an invalid one nothing counts, and that
-// rows of unknown servers are left out.
+// TestReportsCountOnce checks that a repeated report counts once, that no row of an invalid report counts, and that
+// rows of unknown servers are skipped.
 func TestReportsCountOnce(t *testing.T) {
 	h := newTestHub()
 	newReport := func(seq uint64, m ...ServerOutcome) *Report {
--- a/internal/service/limiter.go
+++ b/internal/service/limiter.go
@@ -7,10 +7,10 @@
 	"cressknot/internal/fleet"
 )
 
-// QueryKind is a kind of query.
+// QueryKind distinguishes queries that are limited separately.
 type QueryKind uint8
 
-// The kinds, in falling priority.
+// The kinds of queries, in falling priority.
 const (
 	WatchQuery QueryKind = iota
 	ReportQuery
@@ -21,17 +21,17 @@
 	queryKindCount
 )
 
-// queryPolicy is how queries of a kind are limited.
+// queryPolicy limits the queries of one kind.
 type queryPolicy struct {
-	ratePerSecond       float64 // of one caller
-	burst               float64 // of one caller
-	concurrencyFraction float64 // of the concurrency up to which the kind is admitted
+	ratePerSecond       float64 // token rate of one caller
+	burst               float64 // bucket size of one caller
+	concurrencyFraction float64 // fraction of the concurrency limit up to which the kind is admitted
 }
 
-// queryPolicies put queries that requests depend on before those that people look at.
+// queryPolicies prefer queries that the routing of requests depends on to those that operators make.
 var queryPolicies = [queryKindCount]queryPolicy{
-	WatchQuery:   {2, 10, 1},     // a reconnect, and some controllers' restarts in a row
-	ReportQuery:  {10, 40, 0.95}, // a report each second in some pieces
+	WatchQuery:   {2, 10, 1},     // allows for a reconnect and several controller restarts in a row
+	ReportQuery:  {10, 40, 0.95}, // allows for one report per second, split into several batches
 	TableQuery:   {5, 20, 0.9},
 	ServerQuery:  {20, 40, 0.7},
 	SummaryQuery: {5, 10, 0.6},
@@ -39,53 +39,53 @@
 }
 
 const (
-	// maxCallers bounds the callers whose rates are remembered.
+	// maxCallers bounds the number of callers whose rates are tracked.
 	maxCallers = 20_000
-	// callerRetention is how long a caller is remembered after its last query.
+	// callerRetention is how long a caller is tracked after its last query.
 	callerRetention = 60 * fleet.Second
-	// minSweepInterval and sweepInterval bound how often callers are looked through: the first with too many callers.
+	// sweepInterval is the interval at which inactive callers are removed, minSweepInterval that at maxCallers.
 	minSweepInterval = fleet.Second
 	sweepInterval    = callerRetention / 4
 
-	// initialConcurrency is the limit before anything is measured.
+	// initialConcurrency is the concurrency limit before the first measurement.
 	initialConcurrency = 64.0
-	// minConcurrency admits some queries of each kind whatever is measured.
+	// minConcurrency is the lowest concurrency limit; it admits some queries of each kind.
 	minConcurrency = 8.0
-	// maxConcurrency is where memory, not time, bounds the queries.
+	// maxConcurrency is the highest concurrency limit; above it memory, not latency, is the bottleneck.
 	maxConcurrency = 4096.0
-	// adjustInterval is the shortest time between two adjustments of the limit.
+	// adjustInterval is the minimum time between two adjustments of the limit.
 	adjustInterval = 100 * fleet.Millisecond
-	// minAnswersToAdjust is the number of answers that an adjustment needs: fewer are chance.
+	// minAnswersToAdjust is the minimum number of answers for an adjustment; the mean of fewer is too noisy.
 	minAnswersToAdjust = 10
-	// durationTolerance is how many times the best duration answers may take before the limit falls.
+	// durationTolerance is the ratio of mean to best duration above which the limit falls.
 	durationTolerance = 2.0
-	// bestDurationDecay raises the best duration at each adjustment: it is forgotten within ten seconds.
+	// bestDurationDecay divides the best duration at each adjustment, so that an outdated one fades within about ten
+	// seconds.
 	bestDurationDecay = 0.99
-	// quickDuration, in seconds, is what never lowers the limit, however quick the best answers were.
+	// quickDuration, in seconds, is a mean duration that never lowers the limit, however short the best one is.
 	quickDuration = 0.005
-	// minGradient bounds how much one adjustment lowers the limit.
+	// minGradient limits by how much one adjustment can lower the limit.
 	minGradient = 0.5
 	// minMeanDuration, in seconds, avoids a division by zero.
 	minMeanDuration = 1e-9
-	// limitSmoothing is the weight of the newest measurement.
+	// limitSmoothing is the weight of the newest measurement in the moving average of the limit.
 	limitSmoothing = 0.2
 
-	// minRetryAfter and maxRetryAfter bound when a rejected caller is asked to retry.
+	// minRetryAfter and maxRetryAfter bound the retry delay of a rejected caller.
 	minRetryAfter = 100 * fleet.Millisecond
 	maxRetryAfter = 5 * fleet.Second
 )
 
-// tooManyCallers is the text of the error for a caller beyond maxCallers. It is formatted once, because it answers
-// floods.
+// tooManyCallers is the error text for a caller beyond maxCallers. It is formatted once because it is used under load.
 var tooManyCallers = fmt.Sprintf("limit of %d concurrent callers reached", maxCallers)
 
-// tokenBucket limits the rate of one caller for one kind.
+// tokenBucket limits the rate of one caller for one kind of query.
 type tokenBucket struct {
 	tokens  float64
 	updated fleet.Time
 }
 
-// refill adds what the rate gives since the last update.
+// refill adds the tokens that have accrued since the last update.
 func (b *tokenBucket) refill(now fleet.Time, policy queryPolicy) {
 	b.tokens = min(policy.burst, b.tokens+(now-b.updated).Seconds()*policy.ratePerSecond)
 	b.updated = max(b.updated, now)
@@ -96,15 +96,16 @@
 	lastQuery fleet.Time
 }
 
-// QueryLimiter decides which queries are admitted: it bounds the rate of each caller, and the number of queries in
-// flight by how long answers take, lowest priority rejected first. It does no I/O and reads no clock.
+// QueryLimiter decides which queries are admitted. It limits the rate of each caller, and the total number of queries
+// in flight with a limit that adapts to the duration of answers; queries of low priority are rejected first. It does no
+// I/O and reads no clock. It is not safe for concurrent use.
 type QueryLimiter struct {
 	callers   map[string]*callerState
 	lastSwept fleet.Time
 
-	concurrency  float64 // limit of the queries in flight
+	concurrency  float64 // limit of queries in flight
 	inFlight     int
-	bestDuration float64 // seconds
+	bestDuration float64 // seconds; 0: not measured yet
 	meanDuration float64 // seconds, at the last adjustment
 
 	// Since the last adjustment.
@@ -115,15 +116,16 @@
 
 	Admitted       uint64
 	Rejected       uint64
-	RejectedByRate uint64 // part of Rejected
+	RejectedByRate uint64 // those of Rejected that exceeded the rate of their caller
 }
 
-// NewQueryLimiter makes a limiter that has measured nothing yet.
+// NewQueryLimiter returns a limiter with the initial concurrency limit.
 func NewQueryLimiter() *QueryLimiter {
 	return &QueryLimiter{callers: map[string]*callerState{}, concurrency: initialConcurrency}
 }
 
-// Admit admits a query, or rejects it with a time after which to retry. Each admitted one ends with Release.
+// Admit returns nil if it admits a query, or an error with code Overloaded and the delay after which to retry. Release
+// must be called for each admitted query when it ends.
 func (l *QueryLimiter) Admit(now fleet.Time, caller string, kind QueryKind) *Error {
 	l.sweep(now)
 	state := l.caller(now, caller)
@@ -153,7 +155,7 @@
 	return nil
 }
 
-// caller returns the state of a caller, nil if there are too many.
+// caller returns the state of a caller and starts to track a new one. It returns nil for a new caller at maxCallers.
 func (l *QueryLimiter) caller(now fleet.Time, name string) *callerState {
 	state := l.callers[name]
 	if state != nil {
@@ -172,7 +174,7 @@
 
 func boundRetryAfter(wait fleet.Time) fleet.Time { return max(minRetryAfter, min(maxRetryAfter, wait)) }
 
-// Release ends an admitted query after the given duration.
+// Release ends an admitted query that took the given duration.
 func (l *QueryLimiter) Release(now, duration fleet.Time) {
 	l.inFlight--
 	l.durationSum += duration.Seconds()
@@ -182,8 +184,8 @@
 	}
 }
 
-// adjust moves the limit by the gradient of the mean duration over the best one: as many queries in flight as don't
-// wait for each other, and room to find out about more.
+// adjust scales the concurrency limit by the ratio of the best to the mean duration, so that queries do not queue
+// behind each other, and adds its square root as headroom to probe for a higher limit.
 func (l *QueryLimiter) adjust(now fleet.Time) {
 	mean := l.durationSum / float64(l.answers)
 	if l.bestDuration == 0 || mean < l.bestDuration {
@@ -193,7 +195,8 @@
 	tolerated := max(quickDuration, durationTolerance*l.bestDuration)
 	gradient := min(1, max(minGradient, tolerated/max(mean, minMeanDuration)))
 	next := l.concurrency*gradient + math.Sqrt(l.concurrency)
-	used := float64(l.peakInFlight) >= l.concurrency/2 // idle times show nothing about a higher limit
+	// With few queries in flight the durations say nothing about a higher limit.
+	used := float64(l.peakInFlight) >= l.concurrency/2
 	if gradient < 1 || used {
 		smoothed := (1-limitSmoothing)*l.concurrency + limitSmoothing*next
 		l.concurrency = min(maxConcurrency, max(minConcurrency, smoothed))
@@ -205,7 +208,7 @@
 	l.lastAdjusted = now
 }
 
-// sweep forgets callers that have not asked for a while.
+// sweep removes callers without a query within callerRetention.
 func (l *QueryLimiter) sweep(now fleet.Time) {
 	interval := sweepInterval
 	if len(l.callers) >= maxCallers {
@@ -222,5 +225,5 @@
 	}
 }
 
-// Concurrency returns the limit of queries in flight, and how many are.
+// Concurrency returns the limit of queries in flight and their current number.
 func (l *QueryLimiter) Concurrency() (limit float64, inFlight int) { return l.concurrency, l.inFlight }
--- a/internal/service/limiter_test.go
+++ b/internal/service/limiter_test.go
@@ -7,11 +7,11 @@
 	"cressknot/internal/fleet"
 )
 
-// limiterStart is the time at which the tests of the limiter begin.
+// limiterStart is the time at which the tests of the limiter start.
 const limiterStart = 100 * fleet.Second
 
-// TestQueryLimiterBoundsRateOfCaller checks that a caller that asks too often is rejected with the time after which
-// it is admitted again, and that other callers and kinds are not affected.
+// TestQueryLimiterBoundsRateOfCaller checks that a caller beyond its rate is rejected with the delay after which it is
+// admitted again, and that other callers and other kinds of queries are not affected.
 func TestQueryLimiterBoundsRateOfCaller(t *testing.T) {
 	limiter := NewQueryLimiter()
 	now := limiterStart
@@ -39,8 +39,8 @@
 	limiter.Release(now, 0)
 }
 
-// TestQueryLimiterRejectsLowestPriorityFirst checks that the limit rises while answers are quick, and that with a low
-// limit kinds of lower priority are rejected more often.
+// TestQueryLimiterRejectsLowestPriorityFirst checks that the concurrency limit rises while answers are quick, and that
+// at a low limit queries of lower priority are rejected more often.
 func TestQueryLimiterRejectsLowestPriorityFirst(t *testing.T) {
 	limiter := NewQueryLimiter()
 	now := limiterStart
@@ -79,7 +79,8 @@
 	}
 }
 
-// TestQueryLimiterDoesNotRiseWhileIdle checks that one query at a time shows nothing about a higher limit.
+// TestQueryLimiterDoesNotRiseWhileIdle checks that single queries do not raise the limit: they say nothing about the
+// durations at a higher concurrency.
 func TestQueryLimiterDoesNotRiseWhileIdle(t *testing.T) {
 	limiter := NewQueryLimiter()
 	now := limiterStart
@@ -94,8 +95,8 @@
 	}
 }
 
-// TestQueryLimiterIgnoresJitterOfQuickAnswers checks that answers of microseconds, some ten times as long as others,
-// don't lower the limit.
+// TestQueryLimiterIgnoresJitterOfQuickAnswers checks that the limit does not fall when answers take microseconds and
+// some take ten times as long as others.
 func TestQueryLimiterIgnoresJitterOfQuickAnswers(t *testing.T) {
 	limiter := NewQueryLimiter()
 	now := limiterStart
@@ -111,8 +112,8 @@
 	}
 }
 
-// TestQueryLimiterFallsWhileAnswersAreSlow checks that the limit falls, though not below its minimum, and that
-// callers are remembered up to a bound and forgotten later.
+// TestQueryLimiterFallsWhileAnswersAreSlow checks that slow answers lower the limit, though not below its minimum, and
+// that the number of tracked callers is bounded and inactive ones are removed.
 func TestQueryLimiterFallsWhileAnswersAreSlow(t *testing.T) {
 	limiter := NewQueryLimiter()
 	limiter.bestDuration = 0.001
@@ -128,7 +129,7 @@
 			limiter.Release(now, 50*fleet.Millisecond)
 		}
 		now += fleet.Second
-		limiter.bestDuration = 0.001 // another caller's answers are quick
+		limiter.bestDuration = 0.001 // as if answers to another caller were quick
 	}
 	limit, inFlight := limiter.Concurrency()
 	if limit > initialConcurrency/2 || limit < minConcurrency || inFlight != 0 {
--- a/internal/service/reports.go
+++ b/internal/service/reports.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// maxReportSessions bounds the callers whose reports are numbered.
+	// maxReportSessions bounds the number of report sessions.
 	maxReportSessions = 20_000
-	// reportSessionRetention is how long a caller without a report is remembered: four of the longest waits between
-	// retries.
+	// reportSessionRetention is how long a session is kept after its last report: four times the longest delay between
+	// retries of a client.
 	reportSessionRetention = 120 * fleet.Second
-	// maxReportRows bounds the servers of a report.
+	// maxReportRows bounds the number of server rows in a report.
 	maxReportRows = 4096
-	// maxCount bounds every count of one report: a larger one is an error of the caller.
+	// maxCount bounds every count in a report; a larger one can only be an error of the caller.
 	maxCount = 1 << 32
-	// millisPerSecond turns maxCount of answers into a bound of their summed times.
+	// millisPerSecond, times maxCount, bounds the sum of latencies in a report.
 	millisPerSecond = 1000
-	// loadUnit is the value of a full load in a report.
+	// loadUnit is the value of full load in a report, as loads are in thousandths.
 	loadUnit = 1000
-	// unknownServer marks a server that this controller does not know.
+	// unknownServer stands for a server that this controller does not know.
 	unknownServer = fleet.ServerID(1<<32 - 1)
-	// unknownClass marks a class that does not exist.
+	// unknownClass is the index of a class that is not configured.
 	unknownClass = -1
 )
 
-// tooManyReportSessions is the text of the error for a session beyond maxReportSessions.
+// tooManyReportSessions is the error text for a session beyond maxReportSessions.
 var tooManyReportSessions = fmt.Sprintf("limit of %d report sessions reached", maxReportSessions)
 
-// reportSession is the state of one caller's reports.
+// reportSession detects repeated reports of one caller.
 type reportSession struct {
-	sequence uint64 // of the newest report
+	sequence uint64 // of the newest report, 0 for none
 	lastSeen fleet.Time
 }
 
-// Report counts a batch, all of it or nothing, and returns the number of the newest batch that is counted. Rows of
-// servers that this controller does not know are left out.
+// Report adds a batch to the counters of its zone, completely or not at all, and returns the sequence number of the
+// newest batch that the session has counted. A repeated batch is not counted again. Rows of servers that this
+// controller does not know are skipped.
 func (h *Hub) Report(r *Report) (uint64, *Error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -63,7 +64,7 @@
 		return 0, err
 	}
 	session.lastSeen = h.options.Now()
-	if r.Sequence <= session.sequence { // a repetition
+	if r.Sequence <= session.sequence { // already counted
 		return session.sequence, nil
 	}
 	session.sequence = r.Sequence
@@ -80,7 +81,8 @@
 	return session.sequence, nil
 }
 
-// checkOutcomes returns the servers of the rows, unknownServer for those of another controller's list.
+// checkOutcomes validates the server rows and returns the ids of their servers. Servers that are known to another
+// controller only have the id unknownServer.
 func (h *Hub) checkOutcomes(outcomes []ServerOutcome) ([]fleet.ServerID, *Error) {
 	maxLoads := len(counters.ServerCounters{}.Load)
 	servers := make([]fleet.ServerID, len(outcomes))
@@ -101,7 +103,7 @@
 	return servers, nil
 }
 
-// checkDemands returns the positions of the rows' classes.
+// checkDemands validates the class rows and returns the indexes of their classes.
 func (h *Hub) checkDemands(demands []ClassDemand) ([]int, *Error) {
 	classes := make([]int, len(demands))
 	for i, demand := range demands {
@@ -120,7 +122,7 @@
 	return classes, nil
 }
 
-// session returns the report session of a caller, a new one at its first report.
+// session returns the report session with an id, and creates it at the first report.
 func (h *Hub) session(id uint64) (*reportSession, *Error) {
 	session := h.sessions[id]
 	if session != nil {
@@ -142,6 +144,7 @@
 	}
 }
 
+// addOutcome adds a row to the counters of its server. Load values replace the previous ones.
 func (z *zoneHub) addOutcome(server fleet.ServerID, outcome *ServerOutcome) {
 	total := z.serverCounters[server]
 	if total == nil {
--- a/internal/service/rpc/convert.go
+++ b/internal/service/rpc/convert.go
@@ -7,12 +7,12 @@
 	"cressknot/internal/tableversion"
 )
 
-// VersionFromProto converts a version; an absent one is NoVersion.
+// VersionFromProto converts a version from its wire form; nil is NoVersion.
 func VersionFromProto(v *pb.Version) tableversion.Version {
 	return tableversion.Version{Epoch: v.GetEpoch(), Count: v.GetCount()}
 }
 
-// VersionToProto converts a version; NoVersion is absent.
+// VersionToProto converts a version to its wire form, NoVersion to nil.
 func VersionToProto(v tableversion.Version) *pb.Version {
 	if v == tableversion.NoVersion {
 		return nil
@@ -20,7 +20,7 @@
 	return &pb.Version{Epoch: v.Epoch, Count: v.Count}
 }
 
-// UpdateToProto converts an update.
+// UpdateToProto converts an update to its wire form. The result shares OpenServers with u.
 func UpdateToProto(u *service.Update) *pb.Update {
 	p := &pb.Update{
 		Minor:      u.Minor,
@@ -54,7 +54,7 @@
 	return p
 }
 
-// UpdateFromProto converts an update.
+// UpdateFromProto converts an update from its wire form and does not validate it. The result shares OpenServers with p.
 func UpdateFromProto(p *pb.Update) service.Update {
 	u := service.Update{
 		Minor:           p.Minor,
@@ -87,7 +87,7 @@
 	return u
 }
 
-// HelloToProto converts an introduction.
+// HelloToProto converts the first message of a caller, or the answer to it, to its wire form.
 func HelloToProto(h service.Hello) *pb.Hello {
 	p := &pb.Hello{Major: h.Major, Minor: h.Minor, Name: h.Name, Epoch: h.Epoch, Zones: h.Zones}
 	for _, class := range h.Classes {
@@ -103,7 +103,7 @@
 	return p
 }
 
-// HelloFromProto converts an introduction.
+// HelloFromProto converts the first message of a caller, or the answer to it, from its wire form.
 func HelloFromProto(p *pb.Hello) service.Hello {
 	h := service.Hello{Major: p.Major, Minor: p.Minor, Name: p.Name, Epoch: p.Epoch, Zones: p.Zones}
 	for _, class := range p.Classes {
@@ -119,7 +119,7 @@
 	return h
 }
 
-// ReportToProto converts a report.
+// ReportToProto converts a report to its wire form. The caller's name is not part of service.Report and remains empty.
 func ReportToProto(r *service.Report) *pb.ReportRequest {
 	p := &pb.ReportRequest{Zone: r.Zone, Session: r.Session, Seq: r.Sequence}
 	for _, outcome := range r.Outcomes {
@@ -138,7 +138,7 @@
 	return p
 }
 
-// ReportFromProto converts a report.
+// ReportFromProto converts a report from its wire form. Hub.Report validates it.
 func ReportFromProto(p *pb.ReportRequest) *service.Report {
 	r := &service.Report{Zone: p.Zone, Session: p.Session, Sequence: p.Seq}
 	for _, outcome := range p.Met {
@@ -160,7 +160,7 @@
 	return r
 }
 
-// ServerStateToProto converts the state of a server.
+// ServerStateToProto converts the state of a server to its wire form.
 func ServerStateToProto(s service.ServerState) *pb.ServerState {
 	p := &pb.ServerState{
 		Minor:     s.Minor,
@@ -182,7 +182,7 @@
 	return p
 }
 
-// ServerStateFromProto converts the state of a server.
+// ServerStateFromProto converts the state of a server from its wire form.
 func ServerStateFromProto(p *pb.ServerState) service.ServerState {
 	s := service.ServerState{
 		Minor:              p.Minor,
@@ -204,7 +204,7 @@
 	return s
 }
 
-// HistoryToProto converts versions of a table.
+// HistoryToProto converts versions of a table to their wire form.
 func HistoryToProto(h service.History) *pb.HistoryReply {
 	p := &pb.HistoryReply{Minor: h.Minor}
 	for _, row := range h.Versions {
@@ -219,7 +219,7 @@
 	return p
 }
 
-// HistoryFromProto converts versions of a table.
+// HistoryFromProto converts versions of a table from their wire form.
 func HistoryFromProto(p *pb.HistoryReply) service.History {
 	h := service.History{Minor: p.Minor}
 	for _, row := range p.Versions {
@@ -234,7 +234,7 @@
 	return h
 }
 
-// SummaryToProto converts a summary.
+// SummaryToProto converts a summary to its wire form.
 func SummaryToProto(m service.Summary) *pb.SummaryReply {
 	return &pb.SummaryReply{
 		Minor:      m.Minor,
@@ -254,7 +254,7 @@
 	}
 }
 
-// SummaryFromProto converts a summary.
+// SummaryFromProto converts a summary from its wire form.
 func SummaryFromProto(p *pb.SummaryReply) service.Summary {
 	return service.Summary{
 		Minor:        p.Minor,
--- a/internal/service/rpc/errors.go
+++ b/internal/service/rpc/errors.go
@@ -9,7 +9,7 @@
 	"cressknot/internal/service/rpc/pb"
 )
 
-// statusCodes are the statuses that go with error codes, for callers that know only gRPC.
+// statusCodes map error codes to gRPC status codes, for clients that do not read the detail of a status.
 var statusCodes = map[service.Code]codes.Code{
 	service.Unready:    codes.Unavailable,
 	service.NoZone:     codes.NotFound,
@@ -24,7 +24,7 @@
 	service.TooSlow:    codes.Aborted,
 }
 
-// StatusFromError converts an error answer to a gRPC status.
+// StatusFromError converts an error answer to a gRPC status whose detail, a pb.Fault, contains the original error.
 func StatusFromError(e *service.Error) error {
 	s := status.New(statusCodes[e.Code], e.Text)
 	detail := &pb.Fault{Code: string(e.Code), Text: e.Text, RetryAfterNs: uint64(e.RetryAfter)}
@@ -34,7 +34,8 @@
 	return s.Err()
 }
 
-// ErrorFromStatus converts a gRPC status to an error answer, nil to nil.
+// ErrorFromStatus converts the error of a gRPC call to an error answer, nil to nil. Errors without a detail, which come
+// from the gRPC library, get the codes OtherMajor, Busy, Malformed or Unreachable.
 func ErrorFromStatus(err error) *service.Error {
 	if err == nil {
 		return nil
@@ -50,7 +51,7 @@
 		return &service.Error{Code: service.OtherMajor, Text: s.Message()}
 	case codes.DeadlineExceeded, codes.Canceled:
 		return &service.Error{Code: service.Busy, Text: s.Message()}
-	case codes.Internal, codes.ResourceExhausted: // of the gRPC library: frames that are invalid or too large
+	case codes.Internal, codes.ResourceExhausted: // from the gRPC library: invalid or too large messages
 		return &service.Error{Code: service.Malformed, Text: s.Message()}
 	}
 	return &service.Error{Code: service.Unreachable, Text: s.Message()}
--- a/internal/service/rpc/server.go
+++ b/internal/service/rpc/server.go
@@ -1,4 +1,5 @@
-// Package rpc serves the queries of package service over gRPC, as pb/cressknot.proto defines it. It decides nothing.
+// Package rpc serves package service over gRPC, as defined in pb/cressknot.proto. It only translates between the types
+// of the two packages, for servers and for clients.
 package rpc
 
 import (
@@ -16,10 +17,11 @@
 	"cressknot/internal/service/rpc/pb"
 )
 
-// pingTolerance is by which factor a client may ping more often than agreed.
+// pingTolerance is the factor by which a client may ping more often than service.PingInterval without being
+// disconnected, as its timers are not exact.
 const pingTolerance = 2
 
-// Server serves a service over gRPC.
+// Server serves a service over gRPC. Use Listen to create one.
 type Server struct {
 	pb.UnimplementedGovernorServer
 	service *service.Service
@@ -27,7 +29,7 @@
 	addr    string
 }
 
-// Listen serves on host:port.
+// Listen starts to serve a service on a TCP address, host:port. Port 0 selects a free port; see Addr.
 func Listen(addr string, s *service.Service) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -49,14 +51,14 @@
 		}),
 	)
 	pb.RegisterGovernorServer(server.grpc, server)
-	go func() { _ = server.grpc.Serve(listener) }() // ends with Close
+	go func() { _ = server.grpc.Serve(listener) }() // returns after Close
 	return server, nil
 }
 
-// Addr returns the address on which it listens.
+// Addr returns the address, host:port, on which the server listens.
 func (s *Server) Addr() string { return s.addr }
 
-// Close stops the server; calls in flight are answered until the context ends.
+// Close stops the server. It waits for calls in flight until the context ends, then cancels them. It returns nil.
 func (s *Server) Close(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// callerName returns the name that a caller gives itself, else the host that it calls from.
+// callerName returns the name that a caller sent, or the host of its address if it sent none.
 func callerName(ctx context.Context, name string) string {
 	if name != "" {
 		return name
@@ -88,7 +90,7 @@
 	return host
 }
 
-// reply returns an answer or its error as a status.
+// reply returns the answer, or a status if there is an error.
 func reply[T any](answer T, serviceErr *service.Error) (T, error) {
 	if serviceErr != nil {
 		var zero T
@@ -97,13 +99,13 @@
 	return answer, nil
 }
 
-// Greet answers an introduction.
+// Greet answers the first message of a caller; see service.Service.Greet.
 func (s *Server) Greet(_ context.Context, h *pb.Hello) (*pb.Hello, error) {
 	hello, serviceErr := s.service.Greet(HelloFromProto(h))
 	return reply(HelloToProto(hello), serviceErr)
 }
 
-// Table returns the complete state of a zone.
+// Table returns the complete tables of a zone.
 func (s *Server) Table(ctx context.Context, r *pb.TableRequest) (*pb.Update, error) {
 	update, serviceErr := s.service.Table(callerName(ctx, r.Caller), r.Zone)
 	if serviceErr != nil {
@@ -112,7 +114,7 @@
 	return UpdateToProto(&update.Update), nil
 }
 
-// Report counts a batch of outcomes.
+// Report adds a batch of outcomes to the counters of its zone.
 func (s *Server) Report(ctx context.Context, r *pb.ReportRequest) (*pb.ReportReply, error) {
 	sequence, serviceErr := s.service.Report(callerName(ctx, r.Caller), ReportFromProto(r))
 	return reply(&pb.ReportReply{Seq: sequence}, serviceErr)
@@ -124,19 +126,20 @@
 	return reply(ServerStateToProto(state), serviceErr)
 }
 
-// History returns the versions of a class's table.
+// History returns the newest versions of the weight table of a class in a zone.
 func (s *Server) History(ctx context.Context, r *pb.HistoryRequest) (*pb.HistoryReply, error) {
 	history, serviceErr := s.service.History(ctx, callerName(ctx, r.Caller), r.Zone, r.Class, int(r.Most))
 	return reply(HistoryToProto(history), serviceErr)
 }
 
-// Summary returns the state of the fleet.
+// Summary returns a summary of the fleet.
 func (s *Server) Summary(ctx context.Context, r *pb.SummaryRequest) (*pb.SummaryReply, error) {
 	summary, serviceErr := s.service.Summary(ctx, callerName(ctx, r.Caller))
 	return reply(SummaryToProto(summary), serviceErr)
 }
 
-// Watch follows a zone: an update that goes to many watchers is encoded once.
+// Watch sends the updates of a zone until the stream or the watch ends. The first request names the zone and the
+// version that the client has, later ones acknowledge versions. Updates are encoded once for all watchers.
 func (s *Server) Watch(stream grpc.BidiStreamingServer[pb.WatchRequest, pb.Update]) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -189,7 +192,7 @@
 	}
 }
 
-// sendUpdate sends the shared encoding of an update.
+// sendUpdate sends an update. The first watcher to send it encodes it for all.
 func sendUpdate(stream grpc.BidiStreamingServer[pb.WatchRequest, pb.Update], update *service.SharedUpdate) error {
 	encoded := update.Encoded(service.RPCEncoding, func(u *service.Update) any {
 		message := &grpc.PreparedMsg{}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,8 +1,8 @@
-// Package service answers the queries of programs that send requests themselves: which servers a class may use from a
-// zone and with what weights, complete and as changes; reports of outcomes; the state of a server; the versions of a
-// table; the state of the fleet. It knows no wire format: packages rpc and text serve the same answers over two
-// protocols. To the controller the clients of a zone are one proxy, so that their tables are decided, checked for
-// safety and paced as those of every proxy. docs/design/service.md compares the alternatives.
+// Package service is the API for programs that balance their requests themselves, without a proxy. Clients watch the
+// weight tables of a zone, report the outcomes of their attempts, and query the state of a server, the versions of a
+// table and a summary of the fleet. The package is independent of wire formats: packages rpc and text serve the same
+// answers over two protocols. The controller treats the clients of a zone as one proxy, so their tables are computed,
+// checked for safety and rate-limited like those of any proxy. docs/design/service.md compares the alternatives.
 package service
 
 import (
@@ -16,15 +16,16 @@
 )
 
 const (
-	// queryTimeout bounds a query to the controller's loop: some of its turns.
+	// queryTimeout bounds a query to the controller's loop; it allows for several iterations of the loop.
 	queryTimeout = 2 * fleet.Second
-	// busyRetryAfter is when a query that was not answered in time may be asked again.
+	// busyRetryAfter is the retry delay after a query that was not answered in time.
 	busyRetryAfter = fleet.Second
-	// maxHistoryVersions bounds one answer.
+	// maxHistoryVersions bounds the versions in one answer.
 	maxHistoryVersions = 1000
 )
 
-// Service answers queries for both protocols.
+// Service answers the queries of both protocols. Its methods may be called from any goroutine. Their caller argument is
+// the name by which a client's queries are rate-limited.
 type Service struct {
 	Hub     *Hub
 	queries QueryHandler
@@ -33,12 +34,12 @@
 	limiter *QueryLimiter
 }
 
-// New makes a service.
+// New returns a service that serves the tables of a hub and takes the time from the hub's options.
 func New(hub *Hub, queries QueryHandler) *Service {
 	return &Service{Hub: hub, queries: queries, now: hub.options.Now, limiter: NewQueryLimiter()}
 }
 
-// admit asks the limiter; release ends an admitted query.
+// admit admits or rejects a query by the limiter. The release function must be called when an admitted query ends.
 func (s *Service) admit(caller string, kind QueryKind) (release func(), rejected *Error) {
 	began := s.now()
 	s.mu.Lock()
@@ -54,7 +55,7 @@
 	}, nil
 }
 
-// Greet answers a caller's introduction.
+// Greet answers the first message of a caller. If the major protocol versions differ the error has code OtherMajor.
 func (s *Service) Greet(h Hello) (Hello, *Error) {
 	if h.Major != Major {
 		return Hello{}, errorf(OtherMajor, "protocol version %d.%d is not supported, this controller supports %d.%d",
@@ -63,7 +64,7 @@
 	return s.Hub.Hello(), nil
 }
 
-// Table returns the complete state of a zone.
+// Table returns the complete tables of a zone; see Hub.Table.
 func (s *Service) Table(caller, zone string) (*SharedUpdate, *Error) {
 	release, err := s.admit(caller, TableQuery)
 	if err != nil {
@@ -73,7 +74,7 @@
 	return s.Hub.Table(zone)
 }
 
-// Watch begins to follow a zone; see Hub.Watch.
+// Watch starts to watch a zone; see Hub.Watch.
 func (s *Service) Watch(caller, zone string, from tableversion.Version, wake func()) (*Watcher, *Error) {
 	release, err := s.admit(caller, WatchQuery)
 	if err != nil {
@@ -83,7 +84,7 @@
 	return s.Hub.Watch(zone, from, wake)
 }
 
-// Report counts a batch; see Hub.Report.
+// Report adds a batch of outcomes to the counters of its zone; see Hub.Report.
 func (s *Service) Report(caller string, r *Report) (uint64, *Error) {
 	release, err := s.admit(caller, ReportQuery)
 	if err != nil {
@@ -93,7 +94,7 @@
 	return s.Hub.Report(r)
 }
 
-// Server returns the state of a server.
+// Server returns the state of a server by name.
 func (s *Service) Server(ctx context.Context, caller, name string) (ServerState, *Error) {
 	if len(name) > maxNameLength {
 		return ServerState{}, errorf(TooLarge, "server name of %d bytes, the limit is %d bytes", len(name), maxNameLength)
@@ -107,7 +108,8 @@
 	return state, queryErr
 }
 
-// History returns the newest versions of a class's table in a zone, at most maxVersions.
+// History returns the newest versions of the weight table of a class in a zone, at most maxVersions, which may be 0 to
+// 1000.
 func (s *Service) History(ctx context.Context, caller, zone, class string, maxVersions int) (History, *Error) {
 	if maxVersions < 0 || maxVersions > maxHistoryVersions {
 		return History{}, errorf(BadRequest, "%d versions requested, the range is 0 to %d", maxVersions, maxHistoryVersions)
@@ -120,7 +122,7 @@
 	return history, queryErr
 }
 
-// Summary returns the state of the fleet.
+// Summary returns a summary of the fleet.
 func (s *Service) Summary(ctx context.Context, caller string) (Summary, *Error) {
 	var summary Summary
 	queryErr := s.query(ctx, caller, SummaryQuery, func(ctx context.Context) (err error) {
@@ -132,7 +134,7 @@
 	return summary, queryErr
 }
 
-// query asks the controller's loop.
+// query admits a query and runs it with queryTimeout. An error that is not an *Error gets code Busy.
 func (s *Service) query(
 	ctx context.Context,
 	caller string,
--- a/internal/service/text/commands.go
+++ b/internal/service/text/commands.go
@@ -10,12 +10,12 @@
 	"cressknot/internal/tableversion"
 )
 
-// noVersion is the text of tableversion.NoVersion.
+// noVersion stands for tableversion.NoVersion in requests and answers.
 const noVersion = "-"
 
-// handler answers commands of one form.
+// handler answers the commands that match a pattern.
 type handler struct {
-	pattern []string // a word in capitals matches any
+	pattern []string // a word in capitals matches any word
 	handle  func(ctx context.Context, c *connection, command haproxyapi.Command)
 }
 
@@ -33,7 +33,7 @@
 	{[]string{"quit"}, quit},
 }
 
-// commandList is the answer to an unknown command.
+// commandList lists the commands in the answer to an unknown one.
 const commandList = "hello VERSION NAME, get table Z, watch table Z [VERSION], report Z SESSION SEQ, get server S, " +
 	"get history Z CLASS N, get summary, quit"
 
@@ -146,7 +146,7 @@
 	reply(c, summary, serviceErr, FormatSummary)
 }
 
-// prompt changes nothing: a connection stays open after an answer in any mode.
+// prompt has no effect, because connections stay open after an answer in any mode.
 func prompt(_ context.Context, c *connection, _ haproxyapi.Command) { c.answer(nil) }
 
 func quit(_ context.Context, c *connection, _ haproxyapi.Command) { _ = c.conn.Close() }
--- a/internal/service/text/connection.go
+++ b/internal/service/text/connection.go
@@ -15,22 +15,22 @@
 	"cressknot/internal/tableversion"
 )
 
-// connection is one connection of a caller.
+// connection is a connection of a caller. Its commands are answered one after the other, in order.
 type connection struct {
 	server   *Server
 	conn     *nbio.Conn
 	parser   haproxyapi.RequestParser
 	watcher  atomic.Pointer[service.Watcher]
 	isClosed atomic.Bool
-	caller   string     // of the goroutine that answers
-	writeMu  sync.Mutex // orders what is written
+	caller   string     // name of the caller; only used by the goroutine that answers
+	writeMu  sync.Mutex // serializes writes
 
 	mu        sync.Mutex
 	pending   []haproxyapi.Command // not answered yet
-	answering bool                 // a goroutine answers them
+	answering bool                 // a goroutine is answering pending commands
 }
 
-// receive takes bytes of the caller.
+// receive parses received bytes and queues complete commands. After a syntax error it closes the connection.
 func (c *connection) receive(data []byte) {
 	_ = c.conn.SetReadDeadline(time.Now().Add(service.IdleTimeout))
 	err := c.parser.Feed(data, func(commands []haproxyapi.Command) error {
@@ -47,8 +47,8 @@
 	}
 }
 
-// enqueue puts a command behind those that are being answered: an event loop serves many connections and waits for
-// none. An acknowledgement of a watcher needs no answer.
+// enqueue queues a command for the goroutine that answers, because the event loop serves many connections and must not
+// block. On a connection that watches, acknowledgements are handled at once and not answered.
 func (c *connection) enqueue(command haproxyapi.Command) error {
 	if watcher := c.watcher.Load(); watcher != nil {
 		return acknowledge(watcher, command)
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// acknowledge handles "ack VERSION", the only command of a connection that watches.
+// acknowledge handles "ack VERSION", the only command on a connection that watches a table.
 func acknowledge(watcher *service.Watcher, command haproxyapi.Command) error {
 	if len(command.Words) == 2 && command.Words[0] == "ack" {
 		if version, err := tableversion.ParseVersion(command.Words[1]); err == nil {
@@ -80,7 +80,7 @@
 	return &haproxyapi.SyntaxError{Offset: command.Offset, Reason: reason}
 }
 
-// answerAll answers the waiting commands in order until none is left or the connection is closed.
+// answerAll answers the pending commands in order until none is left or the connection is closed.
 func (c *connection) answerAll() {
 	for {
 		command, ok := c.nextCommand()
@@ -103,7 +103,7 @@
 	return command, true
 }
 
-// execute answers one command.
+// execute runs the handler of a command.
 func (c *connection) execute(command haproxyapi.Command) {
 	ctx, cancel := context.WithTimeout(context.Background(), service.RequestTimeout)
 	defer cancel()
@@ -122,7 +122,7 @@
 	c.write(text)
 }
 
-// write writes an answer. The caller has locked writing.
+// write writes an answer. The caller must hold writeMu.
 func (c *connection) write(text []byte) {
 	if !c.isClosed.Load() {
 		_, _ = c.conn.Write(haproxyapi.AppendAnswer(make([]byte, 0, len(text)+1), text))
@@ -133,7 +133,7 @@
 	c.answer(FormatError(&service.Error{Code: code, Text: fmt.Sprintf(format, args...)}))
 }
 
-// reply answers with the result of a query.
+// reply answers with the formatted result of a query, or with its error.
 func reply[T any](c *connection, result T, serviceErr *service.Error, format func(T) []byte) {
 	if serviceErr != nil {
 		c.answer(FormatError(serviceErr))
@@ -142,7 +142,8 @@
 	c.answer(format(result))
 }
 
-// sendUpdates writes what the watcher has.
+// sendUpdates writes all updates that the watcher has to send now. If the watch has ended it writes the reason and
+// closes the connection.
 func (c *connection) sendUpdates() {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -161,13 +162,13 @@
 	}
 }
 
-// encoded returns the text of an update, made once for all connections.
+// encodedUpdate returns the text of an update, which is formatted once for all connections.
 func encodedUpdate(update *service.SharedUpdate) []byte {
 	text := update.Encoded(service.TextEncoding, func(u *service.Update) any { return FormatUpdate(u) })
 	return text.([]byte)
 }
 
-// closed ends the watch after the connection was closed.
+// closed ends the watch, if any, after the connection has been closed.
 func (c *connection) closed() {
 	c.isClosed.Store(true)
 	if watcher := c.watcher.Load(); watcher != nil {
--- a/internal/service/text/format.go
+++ b/internal/service/text/format.go
@@ -1,6 +1,7 @@
-// Package text serves the queries of package service over the text protocol of package haproxyapi: request lines of
-// words, answers that end with an empty line. An answer's first line says what it is, "# KIND key=value ..."; rows
-// follow, "row key=value ...". Readers skip kinds of rows and keys that they don't know. It decides nothing.
+// Package text serves package service over a text protocol with the syntax of package haproxyapi: a request is a line
+// of words, and an answer ends with an empty line. The first line of an answer, "# KIND key=value ...", states its
+// kind; rows follow, "row key=value ...". Readers skip unknown kinds of rows and unknown keys. The package only
+// formats and parses, for servers and for clients.
 package text
 
 import (
@@ -12,16 +13,16 @@
 	"cressknot/internal/tableversion"
 )
 
-// updateCapacity is the initial size in bytes of an update's buffer.
+// updateBufferSize is the initial size of the buffer for an update, in bytes.
 const updateBufferSize = 256
 
-// writer builds an answer.
+// writer builds an answer or the payload of a report.
 type writer struct{ buffer []byte }
 
-// heading begins an answer of a kind.
+// newAnswer starts an answer of the given kind.
 func newAnswer(kind string) *writer { return new(writer).row("#", kind) }
 
-// row begins a row.
+// row starts a row.
 func (w *writer) row(words ...string) *writer {
 	if len(w.buffer) > 0 {
 		w.buffer = append(w.buffer, '\n')
@@ -36,7 +37,7 @@
 	w.buffer = append(w.buffer, '=')
 }
 
-// text writes a text. Control characters, which a line can't hold, become question marks.
+// text appends a key with a text. Control characters, which a line cannot contain, become question marks.
 func (w *writer) text(key, value string) *writer {
 	w.key(key)
 	start := len(w.buffer)
@@ -49,13 +50,14 @@
 	return w
 }
 
+// count appends a key with an unsigned number.
 func (w *writer) count(key string, value uint64) *writer {
 	w.key(key)
 	w.buffer = strconv.AppendUint(w.buffer, value, 10)
 	return w
 }
 
-// flag writes 1 for true and nothing for false.
+// flag appends a key with value 1 for true, and nothing for false.
 func (w *writer) flag(key string, value bool) *writer {
 	if value {
 		w.count(key, 1)
@@ -72,7 +74,8 @@
 	return v.String()
 }
 
-// FormatUpdate formats an update.
+// FormatUpdate formats an update as an answer. Like all Format functions it returns the text without the empty line
+// that ends an answer.
 func FormatUpdate(u *service.Update) []byte {
 	w := (&writer{make([]byte, 0, updateBufferSize)}).row("#", "update").
 		count("minor", uint64(u.Minor)).
@@ -104,7 +107,7 @@
 	return w.bytes()
 }
 
-// FormatError formats an error answer.
+// FormatError formats an error answer, of kind "fault".
 func FormatError(e *service.Error) []byte {
 	return newAnswer("fault").
 		text("code", string(e.Code)).
@@ -113,7 +116,7 @@
 		bytes()
 }
 
-// FormatHello formats an introduction.
+// FormatHello formats the answer to a hello command.
 func FormatHello(h service.Hello) []byte {
 	w := newAnswer("hello").
 		count("major", uint64(h.Major)).
@@ -135,12 +138,13 @@
 	return w.bytes()
 }
 
-// FormatCounted formats the answer to a report.
+// FormatCounted formats the answer to a report: the sequence number of the newest batch that was counted.
 func FormatCounted(sequence uint64) []byte {
 	return newAnswer("counted").count("seq", sequence).bytes()
 }
 
-// FormatReport formats a report as rows of a payload.
+// FormatReport formats the rows of a report as the payload of a report command, which itself names the zone, the
+// session and the sequence number.
 func FormatReport(r *service.Report) []byte {
 	w := new(writer)
 	for _, outcome := range r.Outcomes {
@@ -160,7 +164,7 @@
 	return w.bytes()
 }
 
-// formatLoads separates load values by commas.
+// formatLoads joins load values with commas.
 func formatLoads(loads []uint32) string {
 	var text []byte
 	for i, load := range loads {
@@ -172,7 +176,7 @@
 	return string(text)
 }
 
-// FormatServerState formats the state of a server.
+// FormatServerState formats the state of a server as an answer.
 func FormatServerState(s service.ServerState) []byte {
 	w := newAnswer("server").
 		count("minor", uint64(s.Minor)).
@@ -192,7 +196,7 @@
 	return w.bytes()
 }
 
-// FormatHistory formats versions of a table.
+// FormatHistory formats versions of a table as an answer.
 func FormatHistory(h service.History) []byte {
 	w := newAnswer("history").count("minor", uint64(h.Minor))
 	for _, row := range h.Versions {
@@ -206,7 +210,7 @@
 	return w.bytes()
 }
 
-// FormatSummary formats a summary.
+// FormatSummary formats a summary as an answer.
 func FormatSummary(m service.Summary) []byte {
 	return newAnswer("summary").
 		count("minor", uint64(m.Minor)).
--- a/internal/service/text/parse.go
+++ b/internal/service/text/parse.go
@@ -13,7 +13,8 @@
 	"cressknot/internal/tableversion"
 )
 
-// row is one parsed line. A missing value reads as zero; the first invalid one is recorded as the error.
+// row is a parsed line. The methods that read a value return zero for a missing key; the first invalid value is
+// recorded in err.
 type row struct {
 	kind   string
 	values map[string]string
@@ -27,7 +28,7 @@
 
 func (r row) duration(key string) fleet.Time { return fleet.Time(r.count(key, 63)) }
 
-// count reads an unsigned number of the given size in bits.
+// count reads an unsigned number of at most the given number of bits.
 func (r row) count(key string, bits int) uint64 {
 	text, ok := r.values[key]
 	if !ok {
@@ -64,7 +65,7 @@
 	return version
 }
 
-// digest reads a digest, which may not be missing.
+// digest reads a digest. A missing one is an error.
 func (r row) digest(key string) tableversion.Digest {
 	digest, err := strconv.ParseUint(r.values[key], 16, 64)
 	if err != nil {
@@ -77,14 +78,15 @@
 	r.fail("invalid value: %s=%.40q", key, r.values[key])
 }
 
-// fail records an error unless there is one already.
+// fail records an error with the line number, unless there is one already.
 func (r row) fail(format string, args ...any) {
 	if *r.err == nil {
 		*r.err = fmt.Errorf("line %d: %s", r.number, fmt.Sprintf(format, args...))
 	}
 }
 
-// parseRows parses an answer or a payload and calls handle for each row. Errors name the line.
+// parseRows parses an answer or a payload and calls handle for each row. It stops at the first error, which contains
+// the line number.
 func parseRows(text []byte, handle func(row)) error {
 	number := 0
 	for line := range bytes.Lines(text) {
@@ -133,7 +135,8 @@
 	return r, nil
 }
 
-// parseAnswer parses an answer of a kind. An error answer comes as such, anything else as malformed.
+// parseAnswer parses an answer of the given kind and calls handle for each of its rows. The error is always a
+// *service.Error: that of an error answer, or one with code Malformed.
 func parseAnswer(text []byte, kind string, handle func(row)) error {
 	first := true
 	var errorAnswer *service.Error
@@ -164,7 +167,8 @@
 	return nil
 }
 
-// ParseUpdate parses an update.
+// ParseUpdate parses an update. Like all functions that parse an answer, it returns a *service.Error: the error that
+// was answered, or one with code Malformed that contains the line number.
 func ParseUpdate(text []byte) (u service.Update, err error) {
 	err = parseAnswer(text, "update", func(r row) {
 		switch r.kind {
@@ -206,7 +210,7 @@
 	return u, err
 }
 
-// ParseHello parses an introduction.
+// ParseHello parses the answer to a hello command.
 func ParseHello(text []byte) (h service.Hello, err error) {
 	err = parseAnswer(text, "hello", func(r row) {
 		switch r.kind {
@@ -233,13 +237,14 @@
 	return h, err
 }
 
-// ParseCounted parses the answer to a report.
+// ParseCounted parses the answer to a report: the sequence number of the newest batch that was counted.
 func ParseCounted(text []byte) (sequence uint64, err error) {
 	err = parseAnswer(text, "counted", func(r row) { sequence = r.count("seq", 64) })
 	return sequence, err
 }
 
-// ParseReport parses the rows of a report.
+// ParseReport parses the payload of a report command and appends its rows to a report. The error contains the line
+// number.
 func ParseReport(payload []byte, report *service.Report) error {
 	return parseRows(payload, func(r row) {
 		switch r.kind {
@@ -262,7 +267,7 @@
 	})
 }
 
-// loads reads load values that are separated by commas.
+// loads reads load values separated by commas.
 func (r row) loads(key string) []uint32 {
 	var loads []uint32
 	for _, text := range strings.Split(r.text(key), ",") {
@@ -278,7 +283,7 @@
 	return loads
 }
 
-// ParseServerState parses the state of a server.
+// ParseServerState parses an answer with the state of a server.
 func ParseServerState(text []byte) (s service.ServerState, err error) {
 	err = parseAnswer(text, "server", func(r row) {
 		switch r.kind {
@@ -306,7 +311,7 @@
 	return s, err
 }
 
-// ParseHistory parses versions of a table.
+// ParseHistory parses an answer with versions of a table.
 func ParseHistory(text []byte) (h service.History, err error) {
 	err = parseAnswer(text, "history", func(r row) {
 		switch r.kind {
@@ -325,7 +330,7 @@
 	return h, err
 }
 
-// ParseSummary parses a summary.
+// ParseSummary parses an answer with a summary.
 func ParseSummary(text []byte) (m service.Summary, err error) {
 	err = parseAnswer(text, "summary", func(r row) {
 		if r.kind != "# summary" {
--- a/internal/service/text/sender.go
+++ b/internal/service/text/sender.go
@@ -2,11 +2,12 @@
 
 import "sync"
 
-// sender writes the updates of watchers in a goroutine of its own: the hub wakes it and never waits.
+// sender writes the updates of all watching connections in one goroutine, so that the hub, which wakes it, never blocks
+// on a connection.
 type sender struct {
 	mu       sync.Mutex
-	due      map[*connection]bool
-	order    []*connection
+	due      map[*connection]bool // connections that may have an update to send
+	order    []*connection        // the keys of due, in the order of their enqueue calls
 	wake     chan struct{}
 	quit     chan struct{}
 	done     sync.WaitGroup
@@ -22,13 +23,13 @@
 	go s.run()
 }
 
-// stop ends the goroutine and waits for it.
+// stop ends the goroutine and waits for it. It may be called more than once.
 func (s *sender) stop() {
 	s.stopOnce.Do(func() { close(s.quit) })
 	s.done.Wait()
 }
 
-// enqueue lets a connection send what its watcher has.
+// enqueue schedules a connection to send the updates of its watcher. It does not block.
 func (s *sender) enqueue(c *connection) {
 	s.mu.Lock()
 	if !s.due[c] {
@@ -56,6 +57,7 @@
 	}
 }
 
+// takeDue returns the scheduled connections in order and clears the schedule.
 func (s *sender) takeDue() []*connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/service/text/server.go
+++ b/internal/service/text/server.go
@@ -15,10 +15,10 @@
 	"cressknot/internal/service"
 )
 
-// localCaller names a caller on a Unix socket that has not introduced itself.
+// localCaller is the name of a caller on a Unix socket that has not sent a hello command.
 const localCaller = "local"
 
-// Server serves a service over the text protocol.
+// Server serves a service over the text protocol. Use Listen to create one.
 type Server struct {
 	service     *service.Service
 	engine      *nbio.Engine
@@ -27,9 +27,10 @@
 	sender      sender
 }
 
-// Listen serves on a Unix socket's path, or on host:port.
+// Listen starts to serve a service on the path of a Unix socket, which contains a slash, or on a TCP address,
+// host:port. Port 0 selects a free port; see Addr.
 func Listen(addr string, s *service.Service) (*Server, error) {
-	logging.SetLevel(logging.LevelNone) // the library's own log; errors are returned as well
+	logging.SetLevel(logging.LevelNone) // disables the log of the library, which also returns its errors
 	network := "tcp"
 	if strings.Contains(addr, "/") {
 		network = "unix"
@@ -63,7 +64,7 @@
 	return server, nil
 }
 
-// listen opens the socket and notes its address.
+// listen opens the socket and records its address.
 func (s *Server) listen(network, addr string) (net.Listener, error) {
 	listener, err := haproxyapi.Listen(network, addr)
 	if err == nil {
@@ -72,7 +73,7 @@
 	return listener, err
 }
 
-// remoteHost names a caller that has not introduced itself.
+// remoteHost returns the name of a caller that has not sent a hello command: its host, or localCaller.
 func remoteHost(c *nbio.Conn) string {
 	if addr := c.RemoteAddr(); addr != nil {
 		if host, _, err := net.SplitHostPort(addr.String()); err == nil {
@@ -82,10 +83,10 @@
 	return localCaller
 }
 
-// Addr returns the address on which it listens.
+// Addr returns the address on which the server listens: host:port or the path of the socket.
 func (s *Server) Addr() string { return s.addr }
 
-// Close stops the server.
+// Close stops the server and closes all connections. It returns nil.
 func (s *Server) Close(context.Context) error {
 	s.sender.stop()
 	s.engine.Stop()
--- a/internal/service/text/transcript_test.go
+++ b/internal/service/text/transcript_test.go
@@ -17,7 +17,7 @@
 	"cressknot/internal/transport"
 )
 
-// names are servers by id; all have the same address.
+// names are the names of servers by id. All have the same address.
 type names []string
 
 func (n names) Server(name string) (fleet.ServerID, bool) {
@@ -76,7 +76,8 @@
 	}, nil
 }
 
-// TestSessionAnswersTheseBytes checks the answers to requests of the text protocol.
+// TestSessionAnswersTheseBytes checks the answers to all commands, and to invalid ones, byte by byte against a
+// transcript, because clients of other versions parse them.
 func TestSessionAnswersTheseBytes(t *testing.T) {
 	hub := service.NewHub(
 		service.HubOptions{Controller: "g-1", Epoch: 9, Zones: []service.Zone{{Name: "a"}}, Names: names{"s0", "s1"},
--- a/internal/service/view.go
+++ b/internal/service/view.go
@@ -10,18 +10,18 @@
 	"cressknot/internal/tableversion"
 )
 
-// maxHistoryEntries bounds the changed entries of a zone that are remembered: some minutes of many changes at 700
-// servers.
+// maxHistoryEntries bounds the number of changed entries in the history of a zone. It covers several minutes of
+// frequent changes with 700 servers.
 const maxHistoryEntries = 20_000
 
-// viewEntry is what the zone's proxy has of a server in a class.
+// viewEntry is the entry of a server in the table of a class.
 type viewEntry struct {
 	addr   string
 	weight int16
 	state  reconcile.State
 }
 
-// usableWeight is the weight by which callers may use the server, 0 if they may not.
+// usableWeight returns the weight that clients use for the server, 0 if it is not ready.
 func (e viewEntry) usableWeight() int {
 	if e.state == reconcile.StateReady {
 		return int(e.weight)
@@ -29,6 +29,7 @@
 	return 0
 }
 
+// classView is the table and the admission of a class.
 type classView struct {
 	name      string
 	published bool
@@ -37,25 +38,26 @@
 	digest    tableversion.Digest
 }
 
-// viewChange is what a version changed.
+// viewChange records which entries and admissions a version changed, but not their values.
 type viewChange struct {
 	to         tableversion.Version
 	servers    []map[string]bool // by class
 	admissions []bool            // by class
-	size       int
+	size       int               // number of changed entries and admissions
 }
 
-// View is the published state of a zone with its versions. It does no I/O and reads no clock.
+// View holds the published tables of a zone and the history of their versions, from which it computes updates. It does
+// no I/O and reads no clock. It is not safe for concurrent use.
 type View struct {
 	version     tableversion.Version
 	classes     []*classView
 	history     []viewChange // oldest first, without gaps
 	historySize int
 	state       PublishedState
-	template    Update // what all updates have in common
+	template    Update // fields that all updates have in common
 }
 
-// NewView makes a view in an epoch in which nothing is published.
+// NewView returns a view without published classes. Its versions belong to the given epoch.
 func NewView(controller, zone string, epoch uint64, classes []string) *View {
 	v := &View{
 		version:  tableversion.Version{Epoch: epoch},
@@ -71,7 +73,7 @@
 	return v
 }
 
-// Version returns the present version.
+// Version returns the current version.
 func (v *View) Version() tableversion.Version { return v.version }
 
 // AllPublished reports whether all classes are published.
@@ -79,16 +81,16 @@
 	return !slices.ContainsFunc(v.classes, func(c *classView) bool { return !c.published })
 }
 
-// AnyPublished reports whether some class is published.
+// AnyPublished reports whether at least one class is published.
 func (v *View) AnyPublished() bool {
 	return slices.ContainsFunc(v.classes, func(c *classView) bool { return c.published })
 }
 
-// ServerLookup returns the name and the address of a server.
+// ServerLookup returns the name and the address, host:port, of a server.
 type ServerLookup func(fleet.ServerID) (name, addr string)
 
-// Apply applies a message's changes and makes the next version of them. Changes that are impossible come back as the
-// failures that a proxy would report.
+// Apply applies the changes of a message as one new version, and reports whether there is one. Changes that cannot be
+// applied are returned as the failures that a proxy would report.
 func (v *View) Apply(changes []reconcile.Change, lookup ServerLookup) (failures []reconcile.Failure, changed bool) {
 	next := v.newChange()
 	for i := range changes {
@@ -105,7 +107,7 @@
 	return failures, v.finish(next)
 }
 
-// applyOne applies a change and records it; the failure counts if ok is false.
+// applyOne applies one change and records it in next. The failure is valid only if ok is false.
 func (v *View) applyOne(
 	change *reconcile.Change,
 	lookup ServerLookup,
@@ -141,7 +143,7 @@
 	return reconcile.Failure{}, true
 }
 
-// setEntry adds or updates an entry. A new one without a state is ready.
+// setEntry adds or updates an entry. A new entry without a state is ready.
 func (c *classView) setEntry(server, addr string, change *reconcile.Change) {
 	entry, exists := c.entries[server]
 	if !exists || change.AddressChanged {
@@ -158,7 +160,7 @@
 	c.entries[server] = entry
 }
 
-// summarize computes the digest. A class counts as published once it has a usable entry.
+// summarize updates the digest of the class, and marks the class as published once it has a usable entry.
 func (c *classView) summarize() {
 	c.digest = 0
 	for server, entry := range c.entries {
@@ -175,7 +177,7 @@
 	return change
 }
 
-// finish makes a version of a change unless it is empty.
+// finish adds a change to the history as a new version, unless it is empty.
 func (v *View) finish(change viewChange) (changed bool) {
 	for i := range v.classes {
 		change.size += len(change.servers[i])
@@ -190,6 +192,7 @@
 	return true
 }
 
+// addVersion adds a change to the history as a new version, and removes old changes beyond maxHistoryEntries.
 func (v *View) addVersion(change viewChange) {
 	v.version = v.version.Next()
 	change.to = v.version
@@ -201,8 +204,8 @@
 	}
 }
 
-// SetState takes over the state of the endpoint list. While a class is not published its callers use what they have,
-// restricted to the open servers: a change of these makes a version then, which the result reports.
+// SetState replaces the state of the endpoint list. While some class is unpublished, clients use the table that they
+// have for it, restricted to the open servers; a change of these then creates a new version. It reports whether it did.
 func (v *View) SetState(state PublishedState) (changed bool) {
 	changed = !v.AllPublished() && !slices.Equal(state.OpenServers, v.state.OpenServers)
 	v.state = state
@@ -214,7 +217,7 @@
 	return changed
 }
 
-// Heartbeat returns an update that confirms the present version.
+// Heartbeat returns an update that confirms the current version.
 func (v *View) Heartbeat() Update {
 	u := v.template
 	u.From = v.version
@@ -223,7 +226,7 @@
 	return u
 }
 
-// Since returns what has changed since a version: the complete state if that version is not known here.
+// Since returns the changes since a version, or the complete tables if the version is NoVersion or not in the history.
 func (v *View) Since(from tableversion.Version) Update {
 	u := v.template
 	u.To = v.version
@@ -254,6 +257,7 @@
 	return u
 }
 
+// completeTable returns a table with all usable entries.
 func (c *classView) completeTable() ClassTable {
 	table := c.emptyTable()
 	for server, entry := range c.entries {
@@ -265,7 +269,7 @@
 	return table
 }
 
-// changedTable has only the given servers; those that are gone have weight 0.
+// changedTable returns a table with the entries of the given servers only. Removed or unusable ones have weight 0.
 func (c *classView) changedTable(servers map[string]bool) ClassTable {
 	table := c.emptyTable()
 	for server := range servers {
@@ -276,6 +280,7 @@
 	return table
 }
 
+// emptyTable returns a table without entries.
 func (c *classView) emptyTable() ClassTable {
 	table := ClassTable{
 		Class:          c.name,
--- a/internal/service/watcher.go
+++ b/internal/service/watcher.go
@@ -10,22 +10,25 @@
 )
 
 const (
-	// maxWatchers bounds the watchers of a controller.
+	// maxWatchers bounds the number of watchers of a controller.
 	maxWatchers = 8192
-	// maxUnacknowledged is how many updates a watcher may not have acknowledged: one is applied while one is on its way.
+	// maxUnacknowledged is the maximum number of unacknowledged updates of a watcher: a client applies one while the
+	// next is in transit.
 	maxUnacknowledged = 2
-	// slowWatcherDelay without an acknowledgement makes a watcher lagging: messages don't wait for it any more.
+	// slowWatcherDelay is the time without an acknowledgement after which a watcher lags: it no longer delays the answers
+	// to messages.
 	slowWatcherDelay = fleet.Second
-	// watcherTimeout without an acknowledgement ends a watch, because a table that is not updated misleads.
+	// watcherTimeout is the time without an acknowledgement after which a watch ends, because a client that applies no
+	// updates routes by an outdated table.
 	watcherTimeout = 3 * fleet.Second
-	// heartbeatInterval is the time between two updates of a watcher when nothing changes.
+	// heartbeatInterval is the time since the last update after which a watcher gets a heartbeat.
 	heartbeatInterval = fleet.Second
 )
 
-// tooManyWatchers is the text of the error for a watcher beyond maxWatchers.
+// tooManyWatchers is the error text for a watcher beyond maxWatchers.
 var tooManyWatchers = fmt.Sprintf("limit of %d concurrent watchers reached", maxWatchers)
 
-// SharedUpdate is an update that goes to many watchers: each protocol encodes it once.
+// SharedUpdate is an update that is sent to many watchers. Each protocol encodes it once.
 type SharedUpdate struct {
 	Update
 	encodings [encodingCount]sharedEncoding
@@ -33,40 +36,42 @@
 
 type sharedEncoding struct {
 	once  sync.Once
-	value any // what the protocol's package made
+	value any // type chosen by the package of the protocol
 }
 
-// Encoding is a protocol that shares encoded updates.
+// Encoding identifies a protocol that shares encoded updates.
 type Encoding int
 
-// The encodings.
+// The protocols that share encoded updates.
 const (
 	RPCEncoding Encoding = iota
 	TextEncoding
 	encodingCount
 )
 
-// Encoded returns a protocol's encoding of the update, made by the first call.
+// Encoded returns the encoding of the update for a protocol. The first call computes it with encode, later calls and
+// concurrent ones return the same value. It may be called from any goroutine.
 func (s *SharedUpdate) Encoded(encoding Encoding, encode func(*Update) any) any {
 	e := &s.encodings[encoding]
 	e.once.Do(func() { e.value = encode(&s.Update) })
 	return e.value
 }
 
-// Watcher follows a zone. Its protocol calls Next when it can send, and Ack when the caller has applied updates.
+// Watcher sends the updates of a zone to one client. The protocol calls Next when it can send, Ack when the client
+// acknowledges updates, and Close when the connection ends. Its methods may be called from any goroutine.
 type Watcher struct {
 	hub            *Hub
 	zone           *zoneHub
 	wake           func()
-	started        bool // the first update was returned
-	sent           tableversion.Version
-	acked          tableversion.Version
-	unacknowledged []sentUpdate // oldest first
-	joinedAfter    uint64       // messages up to this number don't wait for it
-	lagging        bool         // no message waits for it
+	started        bool                 // the first update was sent
+	sent           tableversion.Version // newest version that was sent
+	acked          tableversion.Version // newest version that was acknowledged
+	unacknowledged []sentUpdate         // oldest first
+	joinedAfter    uint64               // messages up to this number do not wait for the watcher
+	lagging        bool                 // no message waits for the watcher
 	lastSent       fleet.Time
 	heartbeatDue   bool
-	endErr         *Error
+	endErr         *Error // why the watch has ended; nil: it has not
 }
 
 type sentUpdate struct {
@@ -74,8 +79,8 @@
 	sentAt  fleet.Time
 }
 
-// Watch begins to follow a zone from the version that a caller has. Wake is called whenever Next may have something,
-// from any goroutine; it must not block and not call back.
+// Watch starts to watch a zone from the version that the client has, NoVersion for none. Wake is called from any
+// goroutine whenever Next may return an update or an error; it must not block nor call the hub or the watcher.
 func (h *Hub) Watch(zone string, from tableversion.Version, wake func()) (*Watcher, *Error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,17 +106,18 @@
 	return w, nil
 }
 
-// Watchers returns the number of watchers.
+// Watchers returns the number of current watchers in all zones.
 func (h *Hub) Watchers() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.watchers
 }
 
-// hasState reports whether there is anything to send: a list was received.
+// hasState reports whether there is anything to send: a table is published or an endpoint list was received.
 func (z *zoneHub) hasState() bool { return z.view.AnyPublished() || z.view.state.OpenServers != nil }
 
-// Next returns what is to be sent now, nil for nothing, or why the watch has ended.
+// Next returns the update to send now, or nil if there is none or too many are unacknowledged. The error says why the
+// watch has ended.
 func (w *Watcher) Next() (*SharedUpdate, *Error) {
 	w.hub.mu.Lock()
 	defer w.hub.mu.Unlock()
@@ -146,7 +152,7 @@
 	w.unacknowledged = append(w.unacknowledged, sentUpdate{w.sent, now})
 }
 
-// Ack reports that the caller has applied all updates up to a version.
+// Ack records that the client has applied all updates up to a version. Versions that were not sent are ignored.
 func (w *Watcher) Ack(version tableversion.Version) {
 	h := w.hub
 	h.mu.Lock()
@@ -158,7 +164,7 @@
 	for count < len(w.unacknowledged) && w.unacknowledged[count].version.Compare(version) <= 0 {
 		count++
 	}
-	if count == 0 { // nothing of that version was sent
+	if count == 0 { // that version was not sent or is acknowledged already
 		return
 	}
 	full := len(w.unacknowledged) >= maxUnacknowledged
@@ -169,7 +175,7 @@
 	case !w.lagging:
 		w.unblock(previous, version)
 		h.answerAcknowledged(w.zone)
-	case len(w.unacknowledged) == 0: // caught up: later messages wait for it
+	case len(w.unacknowledged) == 0: // caught up: later messages wait for the watcher again
 		w.lagging = false
 		w.joinedAfter = w.zone.messages
 	}
@@ -178,7 +184,7 @@
 	}
 }
 
-// unblock counts the watcher out of the messages between two acknowledged versions.
+// unblock removes the watcher from the count of the messages that it has just acknowledged.
 func (w *Watcher) unblock(previous, version tableversion.Version) {
 	for _, message := range w.zone.pending {
 		if message.number > w.joinedAfter &&
@@ -193,7 +199,7 @@
 	return !w.lagging && message.number > w.joinedAfter && message.version.Compare(w.acked) > 0
 }
 
-// markLagging counts a watcher out of all messages that wait for it.
+// markLagging removes the watcher from the count of all messages that wait for it.
 func (w *Watcher) markLagging() {
 	for _, message := range w.zone.pending {
 		if w.blocks(message) {
@@ -204,7 +210,7 @@
 	w.joinedAfter = w.zone.messages
 }
 
-// Close ends the watch from the caller's side.
+// Close ends the watch on behalf of the client. Further calls have no effect.
 func (w *Watcher) Close() {
 	w.hub.mu.Lock()
 	defer w.hub.mu.Unlock()
@@ -214,6 +220,7 @@
 	}
 }
 
+// endWatch ends a watch for the given reason and wakes it, so that its protocol learns of that.
 func (h *Hub) endWatch(w *Watcher, reason *Error) {
 	if w.endErr != nil {
 		return
@@ -227,7 +234,8 @@
 	w.wake()
 }
 
-// checkWatcher handles a watcher that acknowledges too slowly, or that is due for a heartbeat.
+// checkWatcher marks a slow watcher as lagging, ends the watch of one that timed out, and wakes one that is due for a
+// heartbeat.
 func (h *Hub) checkWatcher(now fleet.Time, w *Watcher) {
 	since := w.waitingSince()
 	switch classifyWatcher(now, since) {
@@ -246,8 +254,8 @@
 	}
 }
 
-// waitingSince is the time of the oldest update that the watcher has not acknowledged, or not even asked for; 0 for
-// none.
+// waitingSince returns the time of the oldest update that the watcher has not acknowledged, whether or not it was sent;
+// 0 for none.
 func (w *Watcher) waitingSince() fleet.Time {
 	if len(w.unacknowledged) > 0 {
 		return w.unacknowledged[0].sentAt
@@ -259,7 +267,7 @@
 	return w.zone.pending[i].sentAt
 }
 
-// watcherState is how far a watcher is behind.
+// watcherState says how far a watcher is behind.
 type watcherState uint8
 
 const (
@@ -268,7 +276,7 @@
 	watcherTimedOut
 )
 
-// judgeWatcher returns the state of a watcher whose oldest unacknowledged update is of the given time, 0 for none.
+// classifyWatcher returns the state of a watcher by the time of its oldest unacknowledged update, 0 for none.
 func classifyWatcher(now, since fleet.Time) watcherState {
 	switch {
 	case since == 0 || now < since+slowWatcherDelay:
--- a/internal/store/corruption_test.go
+++ b/internal/store/corruption_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// copyStore copies a store to a file system of its own.
+// copyStore copies a store to a new file system.
 func copyStore(t testing.TB, fs *vfs.MemFS) *vfs.MemFS {
 	t.Helper()
 	clone := vfs.NewCrashableMem()
@@ -19,7 +19,8 @@
 	return clone
 }
 
-// storeOf returns the disk of a store with all commits, the first ones sealed in a table file on request.
+// newStoreDisk returns the disk of a store after all commits. With flushed, the first commits are in a table file and
+// the others in the log; otherwise all are in the log.
 func newStoreDisk(t *testing.T, changes [][]Change, flushed bool) *vfs.MemFS {
 	t.Helper()
 	fs := vfs.NewCrashableMem()
@@ -37,16 +38,16 @@
 	return clone
 }
 
-// damageCounts counts what became of damaged stores.
+// damageResults counts the outcomes of opening and reading damaged stores.
 type damageResults struct {
 	t        *testing.T
-	states   []map[string]int // that were once committed
+	states   []map[string]int // committed states, oldest first
 	cases    int
-	reported int
-	complete int
+	reported int // the damage was reported
+	complete int // the newest state was read
 }
 
-// check opens a damaged store. It must have a state that was once committed, or report the damage.
+// check opens and reads a damaged store, which must yield a committed state or report the damage.
 func (c *damageResults) check(name string, fs vfs.FS) {
 	c.cases++
 	s, err := Open(Options{Directory: testDirectory, FS: fs})
@@ -68,7 +69,7 @@
 	case at == len(c.states)-1:
 		c.complete++
 	}
-	_ = s.Close() // fails where the damage is found late
+	_ = s.Close() // fails if the damage is only detected then
 }
 
 // checkFlipped flips a random bit of a file in 300 copies of a store.
@@ -84,7 +85,8 @@
 	}
 }
 
-// TestDamagedFilesYieldNoInventedState cuts the log at every byte, and flips bits in the log and in a sealed table.
+// TestDamagedFilesYieldNoInventedState truncates the log at each byte, and flips bits in the log and in a table file. A
+// store must never return a state that was not committed without reporting the damage.
 func TestDamagedFilesYieldNoInventedState(t *testing.T) {
 	changes, states := commitSequence(5, 40)
 	results := &damageResults{t: t, states: states}
@@ -94,7 +96,7 @@
 	log := logs[len(logs)-1]
 	content := readFile(t, plain, log)
 	step := 1
-	if testing.Short() { // takes a sample
+	if testing.Short() { // tests a sample only
 		step = 7
 	}
 	for at := 0; at <= len(content); at += step {
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -10,9 +10,9 @@
 	"github.com/cockroachdb/pebble/v2/vfs/errorfs"
 )
 
-// TestAcknowledgedCommitsSurvivePowerLoss cuts the power at a random moment of 150 runs, with unsynced blocks lost
-// by chance: all acknowledged commits are there, and the content is the complete state after some commit. The run
-// goes on with what is left and is cut again.
+// TestAcknowledgedCommitsSurvivePowerLoss simulates power losses at random moments of 150 runs, with a random part of
+// the unsynced blocks lost. All acknowledged commits must survive, and the records must be the complete state after
+// one commit. Each run continues with the remaining state up to the next power loss.
 func TestAcknowledgedCommitsSurvivePowerLoss(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -27,7 +27,7 @@
 					committed++
 				}
 			}
-			if committed < len(changes) { // in flight when the power goes
+			if committed < len(changes) { // in flight at the power loss
 				if err := s.Put(changes[committed], nil); err != nil {
 					t.Fatal(err)
 				}
@@ -68,15 +68,16 @@
 
 func (h writeHook) String() string { return "write hook" }
 
-// powerLoss is the state of a disk after the power was cut.
+// powerLoss is the state of a disk after a power loss.
 type powerLoss struct {
 	fs *vfs.MemFS
-	// committedBefore and committedAfter count commits around the cut: the library writes beside the test.
+	// committedBefore and committedAfter are the numbers of commits before and after the copy of the disk was made,
+	// because the library also writes in the background.
 	committedBefore, committedAfter int
 }
 
-// powerLossAtEachWrite runs commits with flushes and compactions, and returns the disks that are left if the power
-// is cut before each operation, with unsynced blocks lost all, in part or not at all.
+// powerLossAtEachWrite runs commits, flushes and compactions, and returns the states of the disk after a power loss
+// before each write operation, with all, some or none of the unsynced blocks lost.
 func powerLossAtEachWrite(t *testing.T, changes [][]Change) []powerLoss {
 	t.Helper()
 	disk := vfs.NewCrashableMem()
@@ -108,15 +109,15 @@
 	return losses
 }
 
-// TestPowerLossAtEachWriteLosesNoCommit checks that whichever single write the power is cut before, all
-// acknowledged commits are there, completely.
+// TestPowerLossAtEachWriteLosesNoCommit checks that all acknowledged commits survive completely, whichever write the
+// power loss precedes.
 func TestPowerLossAtEachWriteLosesNoCommit(t *testing.T) {
 	changes, states := commitSequence(5, 24)
 	duringCreation, afterCreation := 0, 0
 	for i, loss := range powerLossAtEachWrite(t, changes) {
 		s, err := Open(Options{Directory: testDirectory, FS: loss.fs})
 		if err != nil {
-			if loss.committedBefore == 0 { // the directory itself was being created
+			if loss.committedBefore == 0 { // power loss while the store was being created
 				duringCreation++
 				continue
 			}
--- a/internal/store/database.go
+++ b/internal/store/database.go
@@ -8,12 +8,13 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// Memory of the embedded database, in bytes.
+// Memory limits of the embedded database, in bytes.
 const (
 	memTableSize = 4 << 20
 	cacheSize    = 4 << 20
 )
 
+// openDatabase opens the embedded database. The directory is locked already.
 func (s *Store) openDatabase() (db *pebble.DB, err error) {
 	defer recoverFatal(&err)
 	cache := pebble.NewCache(cacheSize)
@@ -38,12 +39,13 @@
 	return db.Close()
 }
 
-// fatalError is what the library reports where it would end the process: a write that failed.
+// fatalError is a failed write that the library reports as fatal, where it would end the process by default.
 type fatalError struct{ text string }
 
 func (e fatalError) Error() string { return e.text }
 
-// recoverFatal turns a panic with a fatalError into an error, as a controller continues without its store.
+// recoverFatal converts a panic with a fatalError to an error, because a controller continues without its store. Other
+// panics continue.
 func recoverFatal(err *error) {
 	switch cause := recover().(type) {
 	case nil:
@@ -54,15 +56,15 @@
 	}
 }
 
-// logger drops the library's log and keeps it from ending the process.
+// logger discards the log of the library and prevents that the library ends the process.
 type logger struct{}
 
 func (logger) Infof(string, ...any)  {}
 func (logger) Errorf(string, ...any) {}
 
-// Fatalf is called where the library would end the process. A failed commit is on the stack of the goroutine that
-// commits, which recovers. Anything else ends only that goroutine of the library, as a controller must survive its
-// store.
+// Fatalf is called where the library would end the process, which a controller must survive. A failed commit is
+// reported in the goroutine that commits: it panics and recoverFatal recovers. Any other failure only ends the
+// goroutine of the library in which it occurs.
 func (logger) Fatalf(format string, args ...any) {
 	if strings.Contains(format, "commit error") {
 		panic(fatalError{fmt.Sprintf(format, args...)})
@@ -70,14 +72,14 @@
 	runtime.Goexit()
 }
 
-// recordCorruption notes a data block that the library could not read during a compaction.
+// recordCorruption records the error of a data block that the library could not read during a compaction.
 func (s *Store) recordCorruption(cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.corruption = cause
 }
 
-// Damaged returns why a data block can't be read, nil if none is known to be damaged.
+// CorruptionCause returns the latest error of a data block that could not be read, nil if no corruption is known.
 func (s *Store) CorruptionCause() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/disk_full_test.go
+++ b/internal/store/disk_full_test.go
@@ -18,6 +18,7 @@
 	full *atomic.Bool
 }
 
+// fullDiskFile is a file of a fullDisk.
 type fullDiskFile struct {
 	vfs.File
 	full *atomic.Bool
@@ -60,8 +61,8 @@
 
 func (f fullDiskFile) SyncData() error { return f.Sync() }
 
-// TestStoreCatchesUpAfterFullDisk checks that while nothing can be written the store reports it at once and keeps
-// the newest of each record pending, and that it catches up by itself once there is room, durably.
+// TestStoreCatchesUpAfterFullDisk checks that while the disk is full the store reports each failure at once and keeps
+// the newest change of each record pending, and that it writes them durably by itself once there is space.
 func TestStoreCatchesUpAfterFullDisk(t *testing.T) {
 	disk := vfs.NewCrashableMem()
 	full := atomic.Bool{}
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -9,7 +9,8 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// Format is that of directories this program writes. Older ones are migrated, newer ones refused untouched.
+// Format is the version of the on-disk format that this program writes. Open migrates stores of older formats, and
+// returns a NewerError for newer ones without modifying them.
 const Format = 2
 
 const (
@@ -18,7 +19,7 @@
 	maxFormatBytes = 32
 )
 
-// readFormat returns the format of a directory, 0 for a new one.
+// readFormat returns the format of a store, 0 for a new one.
 func readFormat(options Options) (int, error) {
 	file, err := options.FS.Open(filepath.Join(options.Directory, formatFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -29,7 +30,7 @@
 	}
 	defer func() { _ = file.Close() }()
 	var text [maxFormatBytes]byte
-	n, _ := file.Read(text[:]) // an error leaves a text that does not parse
+	n, _ := file.Read(text[:]) // after an error the text does not parse
 	var format int
 	if _, err := fmt.Sscanf(string(text[:n]), formatLine, &format); err != nil || format < 1 {
 		return 0, fmt.Errorf("store %s: invalid file %s: the directory is not a store, or the file is damaged",
@@ -61,19 +62,19 @@
 	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// migrations convert a store from each earlier format to the next one, in one commit each.
+// migrations convert a store from an earlier format to the next one, each in one commit.
 var migrations = map[int]func(s *Store, batch *pebble.Batch) error{
 	1: addChecksums,
 }
 
-// addChecksums migrates from format 1, whose records had no checksums.
+// addChecksums migrates from format 1, whose records have no checksums.
 func addChecksums(s *Store, batch *pebble.Batch) error {
 	return s.forEachRaw("", func(key string, raw []byte) error {
 		return batch.Set([]byte(key), encodeRecord(key, raw), nil)
 	})
 }
 
-// migrate brings the store from a format to the present one.
+// migrate converts the store from an earlier format to the current one, or writes the format of a new store.
 func (s *Store) migrate(from int) error {
 	if from == 0 {
 		return writeFormat(s.options)
--- a/internal/store/maintenance.go
+++ b/internal/store/maintenance.go
@@ -7,15 +7,16 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// Statistics are totals of what was written since the store was opened, and its present size.
+// Statistics are totals of writes since the store was opened, and its current size.
 type Statistics struct {
-	Commits, Records, Bytes uint64
-	Written                 uint64 // bytes written by the library, logs and compactions included
-	OnDisk                  uint64 // bytes
-	Pending                 int    // pending records that are not on disk
+	Commits, Records, Bytes uint64 // Bytes is the size of the records that were set
+	Written                 uint64 // bytes written by the library, including logs and compactions
+	OnDisk                  uint64 // size of the store in bytes
+	Pending                 int    // changed records that are not on disk yet
 }
 
-// Statistics returns the statistics of the store.
+// Statistics returns the statistics of the store. While the database is closed after a failed write, OnDisk and Written
+// are 0.
 func (s *Store) Statistics() Statistics {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,14 +37,14 @@
 	return statistics
 }
 
-// Compact rewrites the data without what was replaced.
+// Compact rewrites the data without replaced and deleted records. It waits until that is done.
 func (s *Store) Compact() (err error) {
 	defer recoverFatal(&err)
 	return s.db.Compact(context.Background(), nil, []byte{0xff}, true)
 }
 
-// Backup copies the store, as it is at this moment, to a directory that must not exist. Writes may continue
-// meanwhile.
+// Backup copies the current state on disk to a directory that must not exist yet. Writes may continue during the copy
+// and are not part of it.
 func (s *Store) Backup(directory string) (err error) {
 	defer recoverFatal(&err)
 	if _, err := s.options.FS.Stat(directory); err == nil {
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -7,13 +7,14 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// Corruption is a record that must not be used.
+// Corruption describes a record that is damaged and must not be used.
 type Corruption struct{ Key, Reason string }
 
 func (c Corruption) String() string { return c.Key + ": " + c.Reason }
 
-// Read calls each record whose key begins with a prefix, in the order of keys, as they are on disk. Corrupt records
-// are returned instead.
+// Read calls handle for each record on disk whose key has the given prefix, in the order of keys; an empty prefix
+// selects all records. Pending changes are not included. Corrupt records are returned and not passed to handle. Read
+// stops at the first error of handle. The payload is valid only during the call.
 func (s *Store) Read(
 	prefix string, handle func(key string, payload []byte) error,
 ) (corruptions []Corruption, err error) {
@@ -31,11 +32,11 @@
 	return corruptions, err
 }
 
-// eachRaw calls each stored value whose key begins with a prefix, in the order of keys.
+// forEachRaw calls handle for each stored value whose key has the given prefix, in the order of keys.
 func (s *Store) forEachRaw(prefix string, handle func(key string, raw []byte) error) (err error) {
 	defer recoverFatal(&err)
 	options := &pebble.IterOptions{}
-	if prefix != "" { // to the library an empty bound is no bound
+	if prefix != "" { // without a prefix the iterator stays unbounded
 		options.LowerBound = []byte(prefix)
 		options.UpperBound = []byte(prefix + "\xff")
 	}
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxRecordSize bounds the payload of a record, in bytes.
+	// maxRecordSize is the maximum size of the payload of a record, in bytes.
 	maxRecordSize = 16 << 20
 	// checksumSize is the size of the checksum before each payload, in bytes.
 	checksumSize = 8
@@ -24,7 +24,7 @@
 
 // record is the encoded form of a change.
 type record struct {
-	value  []byte // sealed
+	value  []byte // checksum and payload; see encodeRecord
 	delete bool
 }
 
@@ -42,18 +42,18 @@
 	return &record{value: encodeRecord(change.Key, payload)}, nil
 }
 
-// seal puts a checksum of key and payload before the payload. As it covers the key, a record under another's key
-// shows.
+// encodeRecord returns the payload with a checksum of key and payload before it. The checksum covers the key, so that a
+// record stored under the key of another one is detected.
 func encodeRecord(key string, payload []byte) []byte {
 	digest := xxhash.New()
-	_, _ = digest.WriteString(key) // never fails, as documented
+	_, _ = digest.WriteString(key) // documented to never fail
 	_, _ = digest.Write(payload)
 	encoded := make([]byte, 0, checksumSize+len(payload))
 	encoded = binary.BigEndian.AppendUint64(encoded, digest.Sum64())
 	return append(encoded, payload...)
 }
 
-// unseal returns the payload of a sealed record, and false if its checksum differs.
+// decodeRecord returns the payload of an encoded record, and whether its checksum matches.
 func decodeRecord(key string, raw []byte) (payload []byte, valid bool) {
 	if len(raw) < checksumSize {
 		return nil, false
@@ -63,5 +63,5 @@
 	return payload, string(encoded[:checksumSize]) == string(raw[:checksumSize])
 }
 
-// Key joins the parts of a key, which must not contain a slash.
+// Key joins parts to a key, separated by slashes. The parts must not contain a slash.
 func Key(parts ...string) string { return strings.Join(parts, "/") }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store persists what must survive the crash of a controller: typed records with checksums in an embedded
-// key-value store, with one writer and group commit. It takes no decisions; docs/design/store.md lists what is
-// persisted and why.
+// Package store persists the state of a controller that must survive a crash. It stores JSON records with checksums in
+// an embedded key-value database, with one writer goroutine and group commit. docs/design/store.md lists the records
+// and why they are persisted.
 package store
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// NewerError reports that a directory was written by a newer program.
+// NewerError reports that a newer program version wrote the store. The store was not modified.
 type NewerError struct {
 	Directory string
-	Format    int
+	Format    int // of the store
 }
 
 func (e *NewerError) Error() string {
@@ -25,7 +25,8 @@
 		e.Directory, e.Format, Format)
 }
 
-// BusyError reports that another process has locked the directory.
+// BusyError reports that the lock of the directory could not be acquired, usually because another process has the store
+// open.
 type BusyError struct {
 	Directory string
 	Err       error
@@ -35,40 +36,42 @@
 	return fmt.Sprintf("store %s: locked by another process, or the lock could not be acquired: %v", e.Directory, e.Err)
 }
 
+// Unwrap returns the error of the attempt to lock the directory.
 func (e *BusyError) Unwrap() error { return e.Err }
 
 // Options configure a store.
 type Options struct {
 	Directory string
 	FS        vfs.FS // nil: that of the operating system
-	ReadOnly  bool
-	// OnHealthChange is called by the writer when writes begin to fail, with the error, and when the store has caught
-	// up again. It may be nil.
+	ReadOnly  bool   // the store must exist and is not migrated; changes of Put are never written
+	// OnHealthChange is called by the writer goroutine when writes start to fail, with the error, and when all pending
+	// changes are written again. It may be nil.
 	OnHealthChange func(failing bool, cause error)
 }
 
-// Store is an open store. Its methods may be called from any goroutine.
+// Store is an open store. Its methods may be called from any goroutine, but not after Close. Close must be called once.
 type Store struct {
 	options Options
 	lock    *pebble.Lock
 
 	mu          sync.Mutex
-	db          *pebble.DB         // nil after a failed write, until the writer has opened it again
-	pending     map[string]*record // not on disk yet, the newest of each key
-	pendingKeys []string           // keys of pending, oldest first
-	callbacks   []func(error)      // of the next commit
+	db          *pebble.DB         // nil after a failed write, until the writer reopens it
+	pending     map[string]*record // changes that are not on disk yet, the newest of each key
+	pendingKeys []string           // keys of pending, in the order of their first change
+	callbacks   []func(error)      // to call after the next commit
 	writeError  error              // of the last commit
-	corruption  error              // of a data block, as found by the library
+	corruption  error              // of a data block, reported by the library
 
 	// Totals since the store was opened.
 	commits, records, bytes uint64
 
-	wake   chan struct{} // something is pending
+	wake   chan struct{} // changes or callbacks are pending
 	stop   chan struct{}
 	writer sync.WaitGroup
 }
 
-// Open opens a store, creates it if it does not exist, and migrates it to the present format.
+// Open opens a store, creates it if it does not exist, and migrates it to the current format. The error is a
+// *NewerError if a newer program version wrote the store, or a *BusyError if the directory cannot be locked.
 func Open(options Options) (*Store, error) {
 	if options.FS == nil {
 		options.FS = vfs.Default
@@ -85,7 +88,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if format > Format { // before anything of it is touched
+	if format > Format { // checked before anything is modified
 		return nil, &NewerError{options.Directory, format}
 	}
 	s := &Store{
@@ -112,7 +115,8 @@
 	return s, nil
 }
 
-// Close writes what is pending and closes the store. The error says what could not be persisted.
+// Close writes pending changes and closes the store. The error is that of the last write if it failed, in which case
+// changes are lost, or of closing the database.
 func (s *Store) Close() error {
 	if !s.options.ReadOnly {
 		close(s.stop)
@@ -128,7 +132,7 @@
 	return errors.Join(writeError, closeError, s.lock.Close())
 }
 
-// Exists reports whether a directory has a store.
+// Exists reports whether a directory of the operating system's file system contains a store.
 func Exists(directory string) bool {
 	_, err := os.Stat(filepath.Join(directory, formatFile))
 	return err == nil
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// mustPut waits until changes are on disk.
+// mustPut puts changes and waits until they are on disk.
 func mustPut(t testing.TB, s *Store, changes ...Change) {
 	t.Helper()
 	done := make(chan error, 1)
@@ -45,7 +45,7 @@
 	}
 }
 
-// readAll returns the records of a store, whose values are numbers.
+// readAll returns all records of a store; their values must be numbers.
 func readAll(s *Store) (map[string]int, []Corruption, error) {
 	records := map[string]int{}
 	corruptions, err := s.Read("", func(key string, payload []byte) error {
@@ -57,8 +57,8 @@
 	return records, corruptions, err
 }
 
-// commitSequence returns commits that each set some keys, some of which delete one, and the states before and after
-// each.
+// commitSequence returns commits that set keys, of which every third also deletes one, and the states before the first
+// and after each commit.
 func commitSequence(seed uint64, commits int) (changes [][]Change, states []map[string]int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	state := map[string]int{}
@@ -80,7 +80,7 @@
 	return changes, states
 }
 
-// latestMatch returns the index of the latest state, not before first, that equals what was read, -1 for none.
+// latestMatch returns the index of the latest state, from index first on, that equals the records, -1 for none.
 func latestMatch(records map[string]int, states []map[string]int, first int) int {
 	for i := len(states) - 1; i >= first; i-- {
 		if maps.Equal(records, states[i]) {
@@ -90,7 +90,7 @@
 	return -1
 }
 
-// storeFiles returns the log files and the sealed table files of a store.
+// storeFiles returns the log files and the table files of a store.
 func storeFiles(t testing.TB, fs vfs.FS) (logs, tables []string) {
 	t.Helper()
 	names, err := fs.List(testDirectory)
@@ -127,7 +127,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = file.Write(append([]byte(nil), content...)) // a copy, as the file system may overwrite it
+	_, err = file.Write(append([]byte(nil), content...)) // a copy, because the file system may modify its argument
 	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		t.Fatal(err)
 	}
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestBackupHoldsStateOfItsMoment checks that writes after a backup do not change it, and that it is never
-// overwritten.
+// TestBackupHoldsStateOfItsMoment checks that later writes to the store do not change a backup, and that a backup does
+// not overwrite an existing one.
 func TestBackupHoldsStateOfItsMoment(t *testing.T) {
 	fs, s := newTestStore(t)
 	defer mustClose(t, s)
@@ -181,7 +181,7 @@
 	}
 }
 
-// TestRecordUnderOtherKeyIsCorrupt checks that the checksum covers the key.
+// TestRecordUnderOtherKeyIsCorrupt checks that the checksum covers the key: a record copied to another key is corrupt.
 func TestRecordUnderOtherKeyIsCorrupt(t *testing.T) {
 	_, s := newTestStore(t)
 	defer mustClose(t, s)
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	initialRetryDelay = time.Second // after a failed commit, doubled with each further one
+	initialRetryDelay = time.Second // after a failed commit, doubled after each further failure
 	maxRetryDelay     = 30 * time.Second
-	closeTimeout      = 10 * time.Second // for closing a database whose write failed
+	closeTimeout      = 10 * time.Second // for closing the database after a failed write
 )
 
-// Put persists changes: those of one call all or none, in the order of calls. It never waits for the disk. The
-// callback, which may be nil, is called by the writer when the changes are on disk, or with the reason why they are
-// not yet; they remain pending then and are written as soon as that is possible again.
+// Put queues changes for the writer and does not wait for the disk. Calls are persisted in order, and the changes of
+// one call atomically. The writer calls the callback, which may be nil, with nil when the changes are on disk, or with
+// an error if they could not be written; they then remain pending and the writer retries. Put itself only returns an
+// error if a value cannot be encoded or is too large, in which case no change is queued.
 func (s *Store) Put(changes []Change, callback func(error)) error {
 	records := make([]*record, len(changes))
 	for i, change := range changes {
@@ -44,8 +45,8 @@
 	return nil
 }
 
-// runWriter commits all that is pending at once, until the store is closed. While one commit syncs, the next one
-// gathers.
+// runWriter commits all pending changes together until the store is closed. Changes that arrive during a commit are
+// part of the next one. After a failure it retries with backoff.
 func (s *Store) runWriter() {
 	defer s.writer.Done()
 	retryDelay := time.Duration(0) // 0: the last commit succeeded
@@ -57,7 +58,7 @@
 		select {
 		case <-s.wake:
 			if retryDelay > 0 {
-				s.failCallbacks() // callers learn of the failure at once
+				s.failCallbacks() // report the failure without waiting for the retry
 				continue
 			}
 		case <-retry:
@@ -79,7 +80,7 @@
 	}
 }
 
-// failCallbacks calls all that wait with the error of the last commit.
+// failCallbacks calls all waiting callbacks with the error of the last commit.
 func (s *Store) failCallbacks() {
 	s.mu.Lock()
 	callbacks, err := s.callbacks, s.writeError
@@ -90,7 +91,7 @@
 	}
 }
 
-// commit writes what is pending. After a failure it remains pending.
+// commit writes the pending changes and calls their callbacks. After a failure the changes remain pending.
 func (s *Store) commit() (err error) {
 	s.mu.Lock()
 	keys, records, callbacks := s.pendingKeys, s.pending, s.callbacks
@@ -114,8 +115,8 @@
 	return err
 }
 
-// restorePending puts records that were not written back before those that came meanwhile, which are newer. The
-// caller has locked s.mu.
+// restorePending puts records that could not be written back into pending, before those that were added in the
+// meantime, which are newer and replace them. The caller must hold s.mu.
 func (s *Store) restorePending(keys []string, records map[string]*record) {
 	for _, key := range s.pendingKeys {
 		if records[key] == nil {
@@ -127,6 +128,7 @@
 	s.pending = records
 }
 
+// writeRecords writes records in one batch. After a failure it closes the database.
 func (s *Store) writeRecords(keys []string, records map[string]*record) error {
 	err := s.writeBatch(keys, records)
 	if err != nil {
@@ -135,6 +137,7 @@
 	return err
 }
 
+// writeBatch reopens the database if necessary, and commits records durably in one batch.
 func (s *Store) writeBatch(keys []string, records map[string]*record) (err error) {
 	defer recoverFatal(&err)
 	if s.db == nil {
@@ -161,8 +164,8 @@
 	return batch.Commit(pebble.Sync)
 }
 
-// abandonDatabase closes the database after a failed write, as nothing is known of its state: the next commit opens
-// it again. It waits for the end of that for a while, as two must not write to one directory.
+// abandonDatabase closes the database after a failed write, because its state is unknown then; the next commit reopens
+// it. It waits up to closeTimeout for that, because two databases must not write to the same directory.
 func (s *Store) abandonDatabase() {
 	s.mu.Lock()
 	db := s.db
@@ -174,7 +177,7 @@
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		_ = closeDatabase(db) // its state is given up
+		_ = closeDatabase(db) // the error adds nothing to that of the write
 	}()
 	select {
 	case <-closed:
