--- a/internal/service/hub_test.go
+++ b/internal/service/hub_test.go
@@ -54,13 +54,13 @@
 	h.hub.Send(reconcile.Message{Proxy: 3, Sequence: h.sequence, Changes: changes})
 }
 
-func (h *testHub) answered() (seqs []uint64) {
+func (h *testHub) answered() (sequences []uint64) {
 	for _, e := range h.events {
-		if a, is := e.(transport.Answered); is {
-			seqs = append(seqs, a.Sequence)
+		if a, ok := e.(transport.Answered); ok {
+			sequences = append(sequences, a.Sequence)
 		}
 	}
-	return seqs
+	return sequences
 }
 
 func addEntry(server int, weight int16) reconcile.Change {
@@ -86,32 +86,32 @@
 			since  fleet.Time // when the oldest of got was received
 			silent bool
 		}
-		var all []*watch
+		var watches []*watch
 		sentAt := map[uint64]fleet.Time{}
 		version := map[uint64]tableversion.Version{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
-			case what == 0 && len(all) < 4:
-				w, f := h.hub.Watch("a", tableversion.NoVersion, func() {})
-				if f != nil {
-					t.Fatal(f)
+			switch action := rapid.IntRange(0, 5).Draw(t, "what"); {
+			case action == 0 && len(watches) < 4:
+				w, err := h.hub.Watch("a", tableversion.NoVersion, func() {})
+				if err != nil {
+					t.Fatal(err)
 				}
-				all = append(all, &watch{Watcher: w, silent: rapid.IntRange(0, 3).Draw(t, "silent") == 0})
-			case what == 1 && len(all) > 0:
-				i := rapid.IntRange(0, len(all)-1).Draw(t, "leaves")
-				all[i].Close()
-				all = append(all[:i], all[i+1:]...)
-			case what == 2:
+				watches = append(watches, &watch{Watcher: w, silent: rapid.IntRange(0, 3).Draw(t, "silent") == 0})
+			case action == 1 && len(watches) > 0:
+				i := rapid.IntRange(0, len(watches)-1).Draw(t, "leaves")
+				watches[i].Close()
+				watches = append(watches[:i], watches[i+1:]...)
+			case action == 2:
 				h.send(addEntry(int(h.sequence), int16(1+h.sequence%200)))
 				sentAt[h.sequence], version[h.sequence] = h.now, h.hub.zones[0].view.Version()
-			case what == 3:
+			case action == 3:
 				h.now += fleet.Time(rapid.IntRange(1, 900).Draw(t, "ms")) * fleet.Millisecond
 				h.hub.Tick(h.now)
 			default:
-				for _, w := range all {
+				for _, w := range watches {
 					for {
-						u, f := w.Next()
-						if f != nil || u == nil {
+						u, err := w.Next()
+						if err != nil || u == nil {
 							break
 						}
 						if w.got = append(w.got, u.To); len(w.got) == 1 {
@@ -128,34 +128,34 @@
 					}
 				}
 			}
-			seqs := h.answered()
-			for i, s := range seqs {
+			sequences := h.answered()
+			for i, s := range sequences {
 				if s != uint64(i+1) {
-					t.Fatalf("answered %v", seqs)
+					t.Fatalf("answered %v", sequences)
 				}
 			}
-			next := uint64(len(seqs) + 1)
+			next := uint64(len(sequences) + 1)
 			if next <= h.sequence { // a watcher must block it
 				blocked := false
-				for _, w := range all {
+				for _, w := range watches {
 					blocked = blocked || !w.lagging && w.acked.Compare(version[next]) < 0
 				}
 				if !blocked {
 					t.Fatalf("message %d is not answered although no watcher blocks it", next)
 				}
 			}
-			if len(seqs) > 0 {
-				for _, w := range all {
-					if w.endErr == nil && !w.lagging && w.joinedAfter < uint64(len(seqs)) &&
-						w.acked.Compare(version[uint64(len(seqs))]) < 0 {
-						t.Fatalf("message %d is answered although a watcher has acknowledged only %+v", len(seqs), w.acked)
+			if len(sequences) > 0 {
+				for _, w := range watches {
+					if w.endErr == nil && !w.lagging && w.joinedAfter < uint64(len(sequences)) &&
+						w.acked.Compare(version[uint64(len(sequences))]) < 0 {
+						t.Fatalf("message %d is answered although a watcher has acknowledged only %+v", len(sequences), w.acked)
 					}
 				}
 			}
 		}
 		h.now += watcherTimeout + fleet.Millisecond
 		h.hub.Tick(h.now)
-		for _, w := range all {
+		for _, w := range watches {
 			if w.silent && len(w.got) > 0 && w.endErr == nil {
 				t.Fatal("the watch of a silent caller has not ended")
 			}
@@ -183,16 +183,16 @@
 		h.send(addEntry(2+i, 20))
 		h.send(reconcile.Change{Kind: reconcile.UpdateEntry, Server: 0, Weight: int16(11 + i)})
 	}
-	ua, _ := a.Next()
-	ub, _ := b.Next()
-	if ua != ub || len(ua.Classes) != 1 || len(ua.Classes[0].Endpoints) != 4 ||
-		ua.Classes[0].Endpoints[0].Weight != 13 ||
-		ua.From != first.To {
-		t.Errorf("%+v", ua)
+	updateA, _ := a.Next()
+	updateB, _ := b.Next()
+	if updateA != updateB || len(updateA.Classes) != 1 || len(updateA.Classes[0].Endpoints) != 4 ||
+		updateA.Classes[0].Endpoints[0].Weight != 13 ||
+		updateA.From != first.To {
+		t.Errorf("%+v", updateA)
 	}
 	made := 0
 	for range 3 {
-		ua.Encoded(TextEncoding, func(*Update) any { made++; return nil })
+		updateA.Encoded(TextEncoding, func(*Update) any { made++; return nil })
 	}
 	if made != 1 {
 		t.Errorf("encoded %d times, want 1", made)
@@ -200,14 +200,14 @@
 	if len(h.answered()) != 7 {
 		t.Errorf("answered %v, want 7 messages: a new watcher blocks them before its first acknowledgement", h.answered())
 	}
-	a.Ack(ua.To)
+	a.Ack(updateA.To)
 	h.send(addEntry(9, 1))
 	if len(h.answered()) != 7 {
 		t.Error("a message was answered before a watcher that has caught up acknowledged it")
 	}
 	h.hub.Drop(3)
-	if _, f := b.Next(); f == nil || f.Code != TooSlow {
-		t.Errorf("%v", f)
+	if _, err := b.Next(); err == nil || err.Code != TooSlow {
+		t.Errorf("%v", err)
 	}
 	if up := h.events[len(h.events)-1].(transport.Connected); up.Stream != 2 {
 		t.Errorf("%+v", up)
@@ -271,7 +271,7 @@
 		t.Error("an expired report session was not removed")
 	}
 	_ = h.hub.Stop(context.Background())
-	if _, f := h.hub.Report(newReport(4, good)); f == nil || f.Code != Closing {
-		t.Errorf("%v", f)
+	if _, err := h.hub.Report(newReport(4, good)); err == nil || err.Code != Closing {
+		t.Errorf("%v", err)
 	}
 }
--- a/internal/service/rpc/server.go
+++ b/internal/service/rpc/server.go
@@ -17,8 +17,8 @@
 	"cressknot/internal/service/rpc/pb"
 )
 
-// pingTolerance is the factor by which a client may ping more often than service.PingInterval without being
-// disconnected, as its timers are not exact.
+// pingTolerance is the factor by which a client may ping more often than once per service.PingInterval without being
+// disconnected.
 const pingTolerance = 2
 
 // Server serves a service over gRPC. Use Listen to create one.
--- a/internal/service/watcher.go
+++ b/internal/service/watcher.go
@@ -220,7 +220,7 @@
 	}
 }
 
-// endWatch ends a watch for the given reason and wakes it, so that its protocol learns of that.
+// endWatch ends a watch for the given reason and wakes the watcher, so that its protocol sends the reason.
 func (h *Hub) endWatch(w *Watcher, reason *Error) {
 	if w.endErr != nil {
 		return
--- a/internal/store/database.go
+++ b/internal/store/database.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// logger discards the log of the library and prevents that the library ends the process.
+// logger discards the log of the library and prevents the library from ending the process.
 type logger struct{}
 
 func (logger) Infof(string, ...any)  {}
