--- a/internal/service/hub_test.go
+++ b/internal/service/hub_test.go
@@ -25,7 +25,7 @@
 	return fmt.Sprint("s", id), fmt.Sprint("x:", id)
 }
 
-// testHub is a hub with one zone whose time the test sets.
+// testHub is a hub with one zone and a clock that the test controls.
 type testHub struct {
 	hub      *Hub
 	now      fleet.Time
@@ -54,13 +54,13 @@
 	h.hub.Send(reconcile.Message{Proxy: 3, Sequence: h.sequence, Changes: changes})
 }
 
-func (h *testHub) answered() (seqs []uint64) {
+func (h *testHub) answered() (sequences []uint64) {
 	for _, e := range h.events {
-		if a, is := e.(transport.Answered); is {
-			seqs = append(seqs, a.Sequence)
+		if a, ok := e.(transport.Answered); ok {
+			sequences = append(sequences, a.Sequence)
 		}
 	}
-	return seqs
+	return sequences
 }
 
 func addEntry(server int, weight int16) reconcile.Change {
@@ -72,46 +72,46 @@
 	}
 }
 
-// TestMessagesAreAnsweredWhenAcknowledged checks with watchers that join, leave, acknowledge and fall silent at
-// random that each message is answered once, in order, when all watchers that are not lagging have acknowledged it
-// and not before; that a silent watcher is ended after watcherTimeout, within which every message is answered; and
-// that a lagging watcher gets one update with all changes.
+// TestMessagesAreAnsweredWhenAcknowledged checks, with watchers that join, leave, acknowledge and fall silent at
+// random, that each message is answered once, in order, as soon as all watchers that do not lag have acknowledged it
+// and not earlier; that the watch of a silent client ends after watcherTimeout and all messages are answered by then;
+// and that a lagging watcher gets one update with all changes.
 func TestMessagesAreAnsweredWhenAcknowledged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newTestHub()
 		type watch struct {
 			*Watcher
-			got    []tableversion.Version // not acknowledged
+			got    []tableversion.Version // not acknowledged yet
 			acked  tableversion.Version
-			since  fleet.Time // of the oldest of got
+			since  fleet.Time // when the oldest of got was received
 			silent bool
 		}
-		var all []*watch
+		var watches []*watch
 		sentAt := map[uint64]fleet.Time{}
 		version := map[uint64]tableversion.Version{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
-			case what == 0 && len(all) < 4:
-				w, f := h.hub.Watch("a", tableversion.NoVersion, func() {})
-				if f != nil {
-					t.Fatal(f)
+			switch action := rapid.IntRange(0, 5).Draw(t, "what"); {
+			case action == 0 && len(watches) < 4:
+				w, err := h.hub.Watch("a", tableversion.NoVersion, func() {})
+				if err != nil {
+					t.Fatal(err)
 				}
-				all = append(all, &watch{Watcher: w, silent: rapid.IntRange(0, 3).Draw(t, "silent") == 0})
-			case what == 1 && len(all) > 0:
-				i := rapid.IntRange(0, len(all)-1).Draw(t, "leaves")
-				all[i].Close()
-				all = append(all[:i], all[i+1:]...)
-			case what == 2:
+				watches = append(watches, &watch{Watcher: w, silent: rapid.IntRange(0, 3).Draw(t, "silent") == 0})
+			case action == 1 && len(watches) > 0:
+				i := rapid.IntRange(0, len(watches)-1).Draw(t, "leaves")
+				watches[i].Close()
+				watches = append(watches[:i], watches[i+1:]...)
+			case action == 2:
 				h.send(addEntry(int(h.sequence), int16(1+h.sequence%200)))
 				sentAt[h.sequence], version[h.sequence] = h.now, h.hub.zones[0].view.Version()
-			case what == 3:
+			case action == 3:
 				h.now += fleet.Time(rapid.IntRange(1, 900).Draw(t, "ms")) * fleet.Millisecond
 				h.hub.Tick(h.now)
 			default:
-				for _, w := range all {
+				for _, w := range watches {
 					for {
-						u, f := w.Next()
-						if f != nil || u == nil {
+						u, err := w.Next()
+						if err != nil || u == nil {
 							break
 						}
 						if w.got = append(w.got, u.To); len(w.got) == 1 {
@@ -128,36 +128,36 @@
 					}
 				}
 			}
-			seqs := h.answered()
-			for i, s := range seqs {
+			sequences := h.answered()
+			for i, s := range sequences {
 				if s != uint64(i+1) {
-					t.Fatalf("answered %v", seqs)
+					t.Fatalf("answered %v", sequences)
 				}
 			}
-			next := uint64(len(seqs) + 1)
-			if next <= h.sequence { // some watcher must block it
+			next := uint64(len(sequences) + 1)
+			if next <= h.sequence { // a watcher must block it
 				blocked := false
-				for _, w := range all {
+				for _, w := range watches {
 					blocked = blocked || !w.lagging && w.acked.Compare(version[next]) < 0
 				}
 				if !blocked {
-					t.Fatalf("message %d is not answered, and waits for no watcher", next)
+					t.Fatalf("message %d is not answered although no watcher blocks it", next)
 				}
 			}
-			if len(seqs) > 0 {
-				for _, w := range all {
-					if w.ended == nil && !w.lagging && w.joinedAfter < uint64(len(seqs)) &&
-						w.acked.Compare(version[uint64(len(seqs))]) < 0 {
-						t.Fatalf("message %d is answered, and %+v has not acknowledged it", len(seqs), w.acked)
+			if len(sequences) > 0 {
+				for _, w := range watches {
+					if w.endErr == nil && !w.lagging && w.joinedAfter < uint64(len(sequences)) &&
+						w.acked.Compare(version[uint64(len(sequences))]) < 0 {
+						t.Fatalf("message %d is answered although a watcher has acknowledged only %+v", len(sequences), w.acked)
 					}
 				}
 			}
 		}
 		h.now += watcherTimeout + fleet.Millisecond
 		h.hub.Tick(h.now)
-		for _, w := range all {
-			if w.silent && len(w.got) > 0 && w.ended == nil {
-				t.Fatal("the watch of a silent caller goes on")
+		for _, w := range watches {
+			if w.silent && len(w.got) > 0 && w.endErr == nil {
+				t.Fatal("the watch of a silent caller has not ended")
 			}
 		}
 		if n := len(h.answered()); n != int(h.sequence) {
@@ -166,8 +166,9 @@
 	})
 }
 
-// TestSlowWatcherGetsOneChange checks that messages that were sent while a watcher could not take more come to it as
-// one update, and that watchers with the same version share it with its encoding.
+// TestSlowWatcherGetsOneChange checks that a watcher that could not receive for several messages gets them as one
+// update, that watchers with the same version share the update and its encoding, and that Drop ends the watches that
+// are behind.
 func TestSlowWatcherGetsOneChange(t *testing.T) {
 	h := newTestHub()
 	h.send(addEntry(0, 10), addEntry(1, 10))
@@ -182,38 +183,39 @@
 		h.send(addEntry(2+i, 20))
 		h.send(reconcile.Change{Kind: reconcile.UpdateEntry, Server: 0, Weight: int16(11 + i)})
 	}
-	ua, _ := a.Next()
-	ub, _ := b.Next()
-	if ua != ub || len(ua.Classes) != 1 || len(ua.Classes[0].Endpoints) != 4 ||
-		ua.Classes[0].Endpoints[0].Weight != 13 ||
-		ua.From != first.To {
-		t.Errorf("%+v", ua)
+	updateA, _ := a.Next()
+	updateB, _ := b.Next()
+	if updateA != updateB || len(updateA.Classes) != 1 || len(updateA.Classes[0].Endpoints) != 4 ||
+		updateA.Classes[0].Endpoints[0].Weight != 13 ||
+		updateA.From != first.To {
+		t.Errorf("%+v", updateA)
 	}
 	made := 0
 	for range 3 {
-		ua.Encoded(TextEncoding, func(*Update) any { made++; return nil })
+		updateA.Encoded(TextEncoding, func(*Update) any { made++; return nil })
 	}
 	if made != 1 {
-		t.Errorf("made %d times", made)
+		t.Errorf("encoded %d times, want 1", made)
 	}
 	if len(h.answered()) != 7 {
-		t.Errorf("answered %v: messages wait for a new watcher before its first acknowledgement", h.answered())
+		t.Errorf("answered %v, want 7 messages: a new watcher blocks them before its first acknowledgement", h.answered())
 	}
-	a.Ack(ua.To)
+	a.Ack(updateA.To)
 	h.send(addEntry(9, 1))
 	if len(h.answered()) != 7 {
-		t.Error("a message does not wait for a watcher that has caught up")
+		t.Error("a message was answered before a watcher that has caught up acknowledged it")
 	}
 	h.hub.Drop(3)
-	if _, f := b.Next(); f == nil || f.Code != TooSlow {
-		t.Errorf("%v", f)
+	if _, err := b.Next(); err == nil || err.Code != TooSlow {
+		t.Errorf("%v", err)
 	}
 	if up := h.events[len(h.events)-1].(transport.Connected); up.Stream != 2 {
 		t.Errorf("%+v", up)
 	}
 }
 
-// TestImpossibleChangesAreReportedAsFailures updates an entry that does not exist and adds one that does.
+// TestImpossibleChangesAreReportedAsFailures adds an entry that exists, updates one that does not, and changes a class
+// that is not configured.
 func TestImpossibleChangesAreReportedAsFailures(t *testing.T) {
 	h := newTestHub()
 	h.send(
@@ -224,17 +226,17 @@
 	)
 	a := h.events[len(h.events)-1].(transport.Answered)
 	if len(a.Failures) != 3 ||
-		a.Failures[0] != (reconcile.Failure{Index: 1, Kind: reconcile.FailureEntryExists, Text: "already exists"}) ||
+		a.Failures[0] != (reconcile.Failure{Index: 1, Kind: reconcile.FailureEntryExists, Text: "entry already exists"}) ||
 		a.Failures[1].Kind != reconcile.FailureEntryMissing {
 		t.Errorf("%+v", a.Failures)
 	}
 }
 
-// TestReportsCountOnce checks that a repeated report counts once, that of an invalid one nothing counts, and that
-// rows of unknown servers are left out.
+// TestReportsCountOnce checks that a repeated report counts once, that no row of an invalid report counts, and that
+// rows of unknown servers are skipped.
 func TestReportsCountOnce(t *testing.T) {
 	h := newTestHub()
-	met := func(seq uint64, m ...ServerOutcome) *Report {
+	newReport := func(seq uint64, m ...ServerOutcome) *Report {
 		return &Report{Zone: "a", Session: 5, Sequence: seq, Outcomes: m, Demands: []ClassDemand{{"look", 2, 1}}}
 	}
 	good := ServerOutcome{Server: "s1", Attempts: 3, Failures: 1, Successes: 2, SuccessMillis: 40, Load: []uint32{500}}
@@ -243,15 +245,15 @@
 		want   uint64
 		code   Code
 	}{
-		{met(1, good), 1, ""},
-		{met(1, good), 1, ""},
-		{met(2, good, ServerOutcome{Server: "s2", Attempts: 1, Failures: 2}), 0, BadRequest},
-		{met(2, good, ServerOutcome{Server: "nobody", Attempts: 1}), 2, ""},
+		{newReport(1, good), 1, ""},
+		{newReport(1, good), 1, ""},
+		{newReport(2, good, ServerOutcome{Server: "s2", Attempts: 1, Failures: 2}), 0, BadRequest},
+		{newReport(2, good, ServerOutcome{Server: "nobody", Attempts: 1}), 2, ""},
 		{&Report{Zone: "z"}, 0, NoZone},
 		{&Report{Zone: "a", Sequence: 3, Demands: []ClassDemand{{Class: "none"}}}, 0, NoClass},
-		{met(3, make([]ServerOutcome, maxReportRows+1)...), 0, TooLarge},
+		{newReport(3, make([]ServerOutcome, maxReportRows+1)...), 0, TooLarge},
 		{&Report{Zone: "a", Sequence: 3, Demands: []ClassDemand{{"look", 1, 2}}}, 0, BadRequest},
-		{met(3, ServerOutcome{Server: "s1", Attempts: 1 << 40}), 0, BadRequest},
+		{newReport(3, ServerOutcome{Server: "s1", Attempts: 1 << 40}), 0, BadRequest},
 	} {
 		sequence, failed := h.hub.Report(c.report)
 		if sequence != c.want || (failed == nil) != (c.code == "") || failed != nil && failed.Code != c.code {
@@ -266,10 +268,10 @@
 	}
 	h.now += reportSessionRetention
 	if h.hub.Tick(h.now); len(h.hub.sessions) != 0 {
-		t.Error("the session of a caller that left is remembered")
+		t.Error("an expired report session was not removed")
 	}
 	_ = h.hub.Stop(context.Background())
-	if _, f := h.hub.Report(met(4, good)); f == nil || f.Code != Closing {
-		t.Errorf("%v", f)
+	if _, err := h.hub.Report(newReport(4, good)); err == nil || err.Code != Closing {
+		t.Errorf("%v", err)
 	}
 }
--- a/internal/service/limiter_test.go
+++ b/internal/service/limiter_test.go
@@ -7,11 +7,11 @@
 	"cressknot/internal/fleet"
 )
 
-// limiterStart is the time at which the tests of the limiter begin.
+// limiterStart is the time at which the tests of the limiter start.
 const limiterStart = 100 * fleet.Second
 
-// TestQueryLimiterBoundsRateOfCaller checks that a caller that asks too often is rejected with the time after which
-// it is admitted again, and that other callers and kinds are not affected.
+// TestQueryLimiterBoundsRateOfCaller checks that a caller beyond its rate is rejected with the delay after which it is
+// admitted again, and that other callers and other kinds of queries are not affected.
 func TestQueryLimiterBoundsRateOfCaller(t *testing.T) {
 	limiter := NewQueryLimiter()
 	now := limiterStart
@@ -25,22 +25,22 @@
 		}
 	}
 	if admitted != 5 || rejected.RetryAfter != fleet.Second/2 {
-		t.Errorf("%d admitted, then %+v", admitted, rejected)
+		t.Errorf("%d queries admitted, want 5; then %+v, want a retry after 0.5 s", admitted, rejected)
 	}
 	if limiter.Admit(now, "b", HistoryQuery) != nil || limiter.Admit(now, "a", ServerQuery) != nil {
-		t.Error("another caller or another kind is rejected")
+		t.Error("a query of another caller or another kind was rejected")
 	}
 	limiter.Release(now, 0)
 	limiter.Release(now, 0)
 	now += rejected.RetryAfter
 	if limiter.Admit(now, "a", HistoryQuery) != nil {
-		t.Error("rejected after the time to retry")
+		t.Error("query rejected after the retry delay")
 	}
 	limiter.Release(now, 0)
 }
 
-// TestQueryLimiterRejectsLowestPriorityFirst checks that the limit rises while answers are quick, and that with a low
-// limit kinds of lower priority are rejected more often.
+// TestQueryLimiterRejectsLowestPriorityFirst checks that the concurrency limit rises while answers are quick, and that
+// at a low limit queries of lower priority are rejected more often.
 func TestQueryLimiterRejectsLowestPriorityFirst(t *testing.T) {
 	limiter := NewQueryLimiter()
 	now := limiterStart
@@ -75,11 +75,12 @@
 	}
 	if quick < 500 || rejected[WatchQuery] > rejected[TableQuery] ||
 		rejected[TableQuery] >= rejected[HistoryQuery] || rejected[WatchQuery] == 0 {
-		t.Errorf("limit %.0f while quick, rejected %v", quick, rejected)
+		t.Errorf("limit %.0f while answers are quick, rejected queries by kind %v", quick, rejected)
 	}
 }
 
-// TestQueryLimiterDoesNotRiseWhileIdle checks that one query at a time shows nothing about a higher limit.
+// TestQueryLimiterDoesNotRiseWhileIdle checks that single queries do not raise the limit: they say nothing about the
+// durations at a higher concurrency.
 func TestQueryLimiterDoesNotRiseWhileIdle(t *testing.T) {
 	limiter := NewQueryLimiter()
 	now := limiterStart
@@ -90,12 +91,12 @@
 		now += fleet.Second
 	}
 	if limit, _ := limiter.Concurrency(); limit > initialConcurrency {
-		t.Errorf("limit %.0f without measurements at that limit", limit)
+		t.Errorf("limit rose to %.0f although one query ran at a time", limit)
 	}
 }
 
-// TestQueryLimiterIgnoresJitterOfQuickAnswers checks that answers of microseconds, some ten times as long as others,
-// don't lower the limit.
+// TestQueryLimiterIgnoresJitterOfQuickAnswers checks that the limit does not fall when answers take microseconds and
+// some take ten times as long as others.
 func TestQueryLimiterIgnoresJitterOfQuickAnswers(t *testing.T) {
 	limiter := NewQueryLimiter()
 	now := limiterStart
@@ -107,12 +108,12 @@
 		now += 10 * fleet.Millisecond
 	}
 	if limit, _ := limiter.Concurrency(); limit < initialConcurrency {
-		t.Errorf("limit %.0f by the jitter of quick answers", limit)
+		t.Errorf("limit fell to %.0f because of the jitter of quick answers", limit)
 	}
 }
 
-// TestQueryLimiterFallsWhileAnswersAreSlow checks that the limit falls, though not below its minimum, and that
-// callers are remembered up to a bound and forgotten later.
+// TestQueryLimiterFallsWhileAnswersAreSlow checks that slow answers lower the limit, though not below its minimum, and
+// that the number of tracked callers is bounded and inactive ones are removed.
 func TestQueryLimiterFallsWhileAnswersAreSlow(t *testing.T) {
 	limiter := NewQueryLimiter()
 	limiter.bestDuration = 0.001
@@ -128,11 +129,11 @@
 			limiter.Release(now, 50*fleet.Millisecond)
 		}
 		now += fleet.Second
-		limiter.bestDuration = 0.001 // another caller's answers are quick
+		limiter.bestDuration = 0.001 // as if answers to another caller were quick
 	}
 	limit, inFlight := limiter.Concurrency()
 	if limit > initialConcurrency/2 || limit < minConcurrency || inFlight != 0 {
-		t.Errorf("limit %.1f with slow answers, %d in flight", limit, inFlight)
+		t.Errorf("limit %.1f with slow answers, %d queries in flight", limit, inFlight)
 	}
 	for i := range maxCallers + 5 {
 		if limiter.Admit(now, fmt.Sprint("x", i), ReportQuery) == nil {
@@ -140,10 +141,10 @@
 		}
 	}
 	if len(limiter.callers) > maxCallers {
-		t.Errorf("%d callers are remembered", len(limiter.callers))
+		t.Errorf("%d callers tracked, the limit is %d", len(limiter.callers), maxCallers)
 	}
 	now += 2 * callerRetention
 	if rejected := limiter.Admit(now, "late", ReportQuery); rejected != nil || len(limiter.callers) != 1 {
-		t.Errorf("%v; %d callers are remembered", rejected, len(limiter.callers))
+		t.Errorf("%v; %d callers tracked, want 1", rejected, len(limiter.callers))
 	}
 }
--- a/internal/service/reports.go
+++ b/internal/service/reports.go
@@ -1,6 +1,7 @@
 package service
 
 import (
+	"fmt"
 	"slices"
 
 	"cressknot/internal/fleet"
@@ -8,33 +9,37 @@
 )
 
 const (
-	// maxReportSessions bounds the callers whose reports are numbered.
+	// maxReportSessions bounds the number of report sessions.
 	maxReportSessions = 20_000
-	// reportSessionRetention is how long a caller without a report is remembered: four of the longest waits between
-	// retries.
+	// reportSessionRetention is how long a session is kept after its last report: four times the longest delay between
+	// retries of a client.
 	reportSessionRetention = 120 * fleet.Second
-	// maxReportRows bounds the servers of a report.
+	// maxReportRows bounds the number of server rows in a report.
 	maxReportRows = 4096
-	// maxCount bounds every count of one report: a larger one is an error of the caller.
+	// maxCount bounds every count in a report; a larger one can only be an error of the caller.
 	maxCount = 1 << 32
-	// millisPerSecond turns maxCount of answers into a bound of their summed times.
+	// millisPerSecond, times maxCount, bounds the sum of latencies in a report.
 	millisPerSecond = 1000
-	// loadUnit is the value of a full load in a report.
+	// loadUnit is the value of full load in a report, as loads are in thousandths.
 	loadUnit = 1000
-	// unknownServer marks a server that this controller does not know.
+	// unknownServer stands for a server that this controller does not know.
 	unknownServer = fleet.ServerID(1<<32 - 1)
-	// unknownClass marks a class that does not exist.
+	// unknownClass is the index of a class that is not configured.
 	unknownClass = -1
 )
 
-// reportSession is the state of one caller's reports.
+// tooManyReportSessions is the error text for a session beyond maxReportSessions.
+var tooManyReportSessions = fmt.Sprintf("limit of %d report sessions reached", maxReportSessions)
+
+// reportSession detects repeated reports of one caller.
 type reportSession struct {
-	sequence uint64 // of the newest report
+	sequence uint64 // of the newest report, 0 for none
 	lastSeen fleet.Time
 }
 
-// Report counts a batch, all of it or nothing, and returns the number of the newest batch that is counted. Rows of
-// servers that this controller does not know are left out.
+// Report adds a batch to the counters of its zone, completely or not at all, and returns the sequence number of the
+// newest batch that the session has counted. A repeated batch is not counted again. Rows of servers that this
+// controller does not know are skipped.
 func (h *Hub) Report(r *Report) (uint64, *Error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -43,7 +48,7 @@
 		return 0, err
 	}
 	if len(r.Outcomes) > maxReportRows || len(r.Demands) > len(h.options.Classes) {
-		return 0, errorf(TooLarge, "a batch of %d servers and %d classes; %d and %d are the most",
+		return 0, errorf(TooLarge, "report has %d server rows and %d class rows, the limits are %d and %d",
 			len(r.Outcomes), len(r.Demands), maxReportRows, len(h.options.Classes))
 	}
 	servers, err := h.checkOutcomes(r.Outcomes)
@@ -59,24 +64,25 @@
 		return 0, err
 	}
 	session.lastSeen = h.options.Now()
-	if r.Sequence <= session.sequence { // a repetition
+	if r.Sequence <= session.sequence { // already counted
 		return session.sequence, nil
 	}
 	session.sequence = r.Sequence
 	for i := range r.Outcomes {
 		if servers[i] != unknownServer {
-			z.countOutcome(servers[i], &r.Outcomes[i])
+			z.addOutcome(servers[i], &r.Outcomes[i])
 		}
 	}
 	for i, demand := range r.Demands {
-		counted := &z.classCounters[classes[i]]
-		counted.Requests += demand.Requests
-		counted.Unanswered += demand.Unanswered
+		total := &z.classCounters[classes[i]]
+		total.Requests += demand.Requests
+		total.Unanswered += demand.Unanswered
 	}
 	return session.sequence, nil
 }
 
-// checkOutcomes returns the servers of the rows, unknownServer for those of another controller's list.
+// checkOutcomes validates the server rows and returns the ids of their servers. Servers that are known to another
+// controller only have the id unknownServer.
 func (h *Hub) checkOutcomes(outcomes []ServerOutcome) ([]fleet.ServerID, *Error) {
 	maxLoads := len(counters.ServerCounters{}.Load)
 	servers := make([]fleet.ServerID, len(outcomes))
@@ -88,13 +94,16 @@
 		servers[i] = server
 		if o.Attempts > maxCount || o.Failures > o.Attempts || o.Successes > o.Attempts ||
 			o.SuccessMillis > maxCount*millisPerSecond || len(o.Load) > maxLoads {
-			return nil, errorf(BadRequest, "met[%d]: %q: counts that don't add up", i, o.Server)
+			return nil, errorf(BadRequest, "met[%d]: server %q: invalid counts: tries=%d (at most %d), "+
+				"failed=%d and good=%d (each at most tries), good_ms=%d (at most %d), %d load values (at most %d)",
+				i, o.Server, o.Attempts, uint64(maxCount), o.Failures, o.Successes,
+				o.SuccessMillis, uint64(maxCount*millisPerSecond), len(o.Load), maxLoads)
 		}
 	}
 	return servers, nil
 }
 
-// checkDemands returns the positions of the rows' classes.
+// checkDemands validates the class rows and returns the indexes of their classes.
 func (h *Hub) checkDemands(demands []ClassDemand) ([]int, *Error) {
 	classes := make([]int, len(demands))
 	for i, demand := range demands {
@@ -102,23 +111,25 @@
 			return class.Name == demand.Class
 		})
 		if classes[i] == unknownClass {
-			return nil, errorf(NoClass, "came[%d]: %.*q is none of the classes", i, maxNameLength, demand.Class)
+			return nil, errorf(NoClass, "came[%d]: class %.*q is not configured", i, maxNameLength, demand.Class)
 		}
 		if demand.Requests > maxCount || demand.Unanswered > demand.Requests {
-			return nil, errorf(BadRequest, "came[%d]: %q: counts that don't add up", i, demand.Class)
+			return nil, errorf(BadRequest,
+				"came[%d]: class %q: invalid counts: visits=%d (at most %d), no_answer=%d (at most visits)",
+				i, demand.Class, demand.Requests, uint64(maxCount), demand.Unanswered)
 		}
 	}
 	return classes, nil
 }
 
-// session returns the report session of a caller, a new one at its first report.
+// session returns the report session with an id, and creates it at the first report.
 func (h *Hub) session(id uint64) (*reportSession, *Error) {
 	session := h.sessions[id]
 	if session != nil {
 		return session, nil
 	}
 	if len(h.sessions) >= maxReportSessions {
-		return nil, &Error{Overloaded, "too many callers report", maxRetryAfter}
+		return nil, &Error{Overloaded, tooManyReportSessions, maxRetryAfter}
 	}
 	session = &reportSession{}
 	h.sessions[id] = session
@@ -133,18 +144,19 @@
 	}
 }
 
-func (z *zoneHub) countOutcome(server fleet.ServerID, outcome *ServerOutcome) {
-	counted := z.serverCounters[server]
-	if counted == nil {
-		counted = &counters.ServerCounters{}
-		z.serverCounters[server] = counted
+// addOutcome adds a row to the counters of its server. Load values replace the previous ones.
+func (z *zoneHub) addOutcome(server fleet.ServerID, outcome *ServerOutcome) {
+	total := z.serverCounters[server]
+	if total == nil {
+		total = &counters.ServerCounters{}
+		z.serverCounters[server] = total
 	}
-	counted.Attempts += outcome.Attempts
-	counted.Failures += outcome.Failures
-	counted.Successes += outcome.Successes
-	counted.SuccessMillis += outcome.SuccessMillis
+	total.Attempts += outcome.Attempts
+	total.Failures += outcome.Failures
+	total.Successes += outcome.Successes
+	total.SuccessMillis += outcome.SuccessMillis
 	for i, load := range outcome.Load {
-		counted.Load[i] = float32(load) / loadUnit
-		counted.HasLoad = true
+		total.Load[i] = float32(load) / loadUnit
+		total.HasLoad = true
 	}
 }
--- a/internal/service/rpc/convert.go
+++ b/internal/service/rpc/convert.go
@@ -7,12 +7,12 @@
 	"cressknot/internal/tableversion"
 )
 
-// VersionFromProto converts a version; an absent one is NoVersion.
+// VersionFromProto converts a version from its wire form; nil is NoVersion.
 func VersionFromProto(v *pb.Version) tableversion.Version {
 	return tableversion.Version{Epoch: v.GetEpoch(), Count: v.GetCount()}
 }
 
-// VersionToProto converts a version; NoVersion is absent.
+// VersionToProto converts a version to its wire form, NoVersion to nil.
 func VersionToProto(v tableversion.Version) *pb.Version {
 	if v == tableversion.NoVersion {
 		return nil
@@ -20,7 +20,7 @@
 	return &pb.Version{Epoch: v.Epoch, Count: v.Count}
 }
 
-// UpdateToProto converts an update.
+// UpdateToProto converts an update to its wire form. The result shares OpenServers with u.
 func UpdateToProto(u *service.Update) *pb.Update {
 	p := &pb.Update{
 		Minor:      u.Minor,
@@ -42,15 +42,19 @@
 			Retry:  uint32(class.Retry),
 			Digest: uint64(class.Digest),
 		}
-		for _, line := range class.Endpoints {
-			table.Lines = append(table.Lines, &pb.Line{Server: line.Server, Addr: line.Addr, Weight: uint32(line.Weight)})
+		for _, endpoint := range class.Endpoints {
+			table.Lines = append(table.Lines, &pb.Line{
+				Server: endpoint.Server,
+				Addr:   endpoint.Addr,
+				Weight: uint32(endpoint.Weight),
+			})
 		}
 		p.Classes = append(p.Classes, table)
 	}
 	return p
 }
 
-// UpdateFromProto converts an update.
+// UpdateFromProto converts an update from its wire form and does not validate it. The result shares OpenServers with p.
 func UpdateFromProto(p *pb.Update) service.Update {
 	u := service.Update{
 		Minor:           p.Minor,
@@ -83,7 +87,7 @@
 	return u
 }
 
-// HelloToProto converts an introduction.
+// HelloToProto converts the first message of a caller, or the answer to it, to its wire form.
 func HelloToProto(h service.Hello) *pb.Hello {
 	p := &pb.Hello{Major: h.Major, Minor: h.Minor, Name: h.Name, Epoch: h.Epoch, Zones: h.Zones}
 	for _, class := range h.Classes {
@@ -99,7 +103,7 @@
 	return p
 }
 
-// HelloFromProto converts an introduction.
+// HelloFromProto converts the first message of a caller, or the answer to it, from its wire form.
 func HelloFromProto(p *pb.Hello) service.Hello {
 	h := service.Hello{Major: p.Major, Minor: p.Minor, Name: p.Name, Epoch: p.Epoch, Zones: p.Zones}
 	for _, class := range p.Classes {
@@ -115,7 +119,7 @@
 	return h
 }
 
-// ReportToProto converts a report.
+// ReportToProto converts a report to its wire form. The caller's name is not part of service.Report and remains empty.
 func ReportToProto(r *service.Report) *pb.ReportRequest {
 	p := &pb.ReportRequest{Zone: r.Zone, Session: r.Session, Seq: r.Sequence}
 	for _, outcome := range r.Outcomes {
@@ -128,13 +132,13 @@
 			Load:   outcome.Load,
 		})
 	}
-	for _, class := range r.Demands {
-		p.Came = append(p.Came, &pb.Came{Class: class.Class, Visits: class.Requests, NoAnswer: class.Unanswered})
+	for _, demand := range r.Demands {
+		p.Came = append(p.Came, &pb.Came{Class: demand.Class, Visits: demand.Requests, NoAnswer: demand.Unanswered})
 	}
 	return p
 }
 
-// ReportFromProto converts a report.
+// ReportFromProto converts a report from its wire form. Hub.Report validates it.
 func ReportFromProto(p *pb.ReportRequest) *service.Report {
 	r := &service.Report{Zone: p.Zone, Session: p.Session, Sequence: p.Seq}
 	for _, outcome := range p.Met {
@@ -147,16 +151,16 @@
 			Load:          outcome.Load,
 		})
 	}
-	for _, class := range p.Came {
+	for _, demand := range p.Came {
 		r.Demands = append(
 			r.Demands,
-			service.ClassDemand{Class: class.Class, Requests: class.Visits, Unanswered: class.NoAnswer},
+			service.ClassDemand{Class: demand.Class, Requests: demand.Visits, Unanswered: demand.NoAnswer},
 		)
 	}
 	return r
 }
 
-// ServerStateToProto converts the state of a server.
+// ServerStateToProto converts the state of a server to its wire form.
 func ServerStateToProto(s service.ServerState) *pb.ServerState {
 	p := &pb.ServerState{
 		Minor:     s.Minor,
@@ -178,7 +182,7 @@
 	return p
 }
 
-// ServerStateFromProto converts the state of a server.
+// ServerStateFromProto converts the state of a server from its wire form.
 func ServerStateFromProto(p *pb.ServerState) service.ServerState {
 	s := service.ServerState{
 		Minor:              p.Minor,
@@ -200,7 +204,7 @@
 	return s
 }
 
-// HistoryToProto converts versions of a table.
+// HistoryToProto converts versions of a table to their wire form.
 func HistoryToProto(h service.History) *pb.HistoryReply {
 	p := &pb.HistoryReply{Minor: h.Minor}
 	for _, row := range h.Versions {
@@ -215,7 +219,7 @@
 	return p
 }
 
-// HistoryFromProto converts versions of a table.
+// HistoryFromProto converts versions of a table from their wire form.
 func HistoryFromProto(p *pb.HistoryReply) service.History {
 	h := service.History{Minor: p.Minor}
 	for _, row := range p.Versions {
@@ -230,7 +234,7 @@
 	return h
 }
 
-// SummaryToProto converts a summary.
+// SummaryToProto converts a summary to its wire form.
 func SummaryToProto(m service.Summary) *pb.SummaryReply {
 	return &pb.SummaryReply{
 		Minor:      m.Minor,
@@ -250,7 +254,7 @@
 	}
 }
 
-// SummaryFromProto converts a summary.
+// SummaryFromProto converts a summary from its wire form.
 func SummaryFromProto(p *pb.SummaryReply) service.Summary {
 	return service.Summary{
 		Minor:        p.Minor,
--- a/internal/service/text/commands.go
+++ b/internal/service/text/commands.go
@@ -10,13 +10,13 @@
 	"cressknot/internal/tableversion"
 )
 
-// noVersion is the text of tableversion.NoVersion.
+// noVersion stands for tableversion.NoVersion in requests and answers.
 const noVersion = "-"
 
-// handler answers commands of one form.
+// handler answers the commands that match a pattern.
 type handler struct {
-	form   []string // a word in capitals matches any
-	handle func(ctx context.Context, c *connection, command haproxyapi.Command)
+	pattern []string // a word in capitals matches any word
+	handle  func(ctx context.Context, c *connection, command haproxyapi.Command)
 }
 
 // handlers are the commands of the protocol.
@@ -33,15 +33,15 @@
 	{[]string{"quit"}, quit},
 }
 
-// commandList is the answer to an unknown command.
+// commandList lists the commands in the answer to an unknown one.
 const commandList = "hello VERSION NAME, get table Z, watch table Z [VERSION], report Z SESSION SEQ, get server S, " +
 	"get history Z CLASS N, get summary, quit"
 
 func (h *handler) matches(words []string) bool {
-	if len(words) != len(h.form) {
+	if len(words) != len(h.pattern) {
 		return false
 	}
-	for i, word := range h.form {
+	for i, word := range h.pattern {
 		if word != strings.ToUpper(word) && word != words[i] {
 			return false
 		}
@@ -50,7 +50,7 @@
 }
 
 func (c *connection) answerUnknown(command haproxyapi.Command) {
-	c.answerError(service.BadRequest, "byte %d: no such command: %.200q; known are %s",
+	c.answerError(service.BadRequest, "byte %d: unknown command %.200q; the commands are: %s",
 		command.Offset, strings.Join(command.Words, " "), commandList)
 }
 
@@ -63,23 +63,23 @@
 	if !ok || majorErr != nil || minorErr != nil {
 		c.answerError(
 			service.BadRequest,
-			"byte %d: %.40q is no version: it reads as MAJOR.MINOR",
+			"byte %d: invalid protocol version %.40q: want MAJOR.MINOR",
 			command.Offset,
 			version,
 		)
 		return
 	}
 	introduction := service.Hello{Major: uint32(major), Minor: uint32(minor), Name: name}
-	greeting, failed := c.server.service.Greet(introduction)
-	if failed == nil {
+	greeting, serviceErr := c.server.service.Greet(introduction)
+	if serviceErr == nil {
 		c.caller = name
 	}
-	reply(c, greeting, failed, FormatHello)
+	reply(c, greeting, serviceErr, FormatHello)
 }
 
 func getTable(_ context.Context, c *connection, command haproxyapi.Command) {
-	update, failed := c.server.service.Table(c.caller, command.Words[2])
-	reply(c, update, failed, encoded)
+	update, serviceErr := c.server.service.Table(c.caller, command.Words[2])
+	reply(c, update, serviceErr, encodedUpdate)
 }
 
 func watchTable(_ context.Context, c *connection, command haproxyapi.Command) {
@@ -93,9 +93,9 @@
 		}
 	}
 	sender := &c.server.sender
-	watcher, failed := c.server.service.Watch(c.caller, command.Words[2], from, func() { sender.enqueue(c) })
-	if failed != nil {
-		c.answer(FormatError(failed))
+	watcher, serviceErr := c.server.service.Watch(c.caller, command.Words[2], from, func() { sender.enqueue(c) })
+	if serviceErr != nil {
+		c.answer(FormatError(serviceErr))
 		return
 	}
 	c.watcher.Store(watcher)
@@ -110,22 +110,22 @@
 	session, sessionErr := strconv.ParseUint(command.Words[2], 16, 64)
 	sequence, sequenceErr := strconv.ParseUint(command.Words[3], 10, 64)
 	if sessionErr != nil || sequenceErr != nil {
-		c.answerError(service.BadRequest, "byte %d: 'report' expects a zone, a session in hexadecimal and a number",
+		c.answerError(service.BadRequest, "byte %d: report: invalid SESSION or SEQ: want a hexadecimal and a decimal number",
 			command.Offset)
 		return
 	}
 	batch := &service.Report{Zone: command.Words[1], Session: session, Sequence: sequence}
 	if err := ParseReport(command.Payload, batch); err != nil {
-		c.answerError(service.BadRequest, "byte %d: payload, %v", command.Offset, err)
+		c.answerError(service.BadRequest, "byte %d: payload: %v", command.Offset, err)
 		return
 	}
-	counted, failed := c.server.service.Report(c.caller, batch)
-	reply(c, counted, failed, FormatCounted)
+	counted, serviceErr := c.server.service.Report(c.caller, batch)
+	reply(c, counted, serviceErr, FormatCounted)
 }
 
 func getServer(ctx context.Context, c *connection, command haproxyapi.Command) {
-	state, failed := c.server.service.Server(ctx, c.caller, command.Words[2])
-	reply(c, state, failed, FormatServerState)
+	state, serviceErr := c.server.service.Server(ctx, c.caller, command.Words[2])
+	reply(c, state, serviceErr, FormatServerState)
 }
 
 func getHistory(ctx context.Context, c *connection, command haproxyapi.Command) {
@@ -133,19 +133,20 @@
 	class := command.Words[3]
 	maxVersions, err := strconv.Atoi(command.Words[4])
 	if err != nil {
-		c.answerError(service.BadRequest, "byte %d: %.40q is no number", command.Offset, command.Words[4])
+		c.answerError(service.BadRequest, "byte %d: invalid number of versions %.40q: want an integer",
+			command.Offset, command.Words[4])
 		return
 	}
-	history, failed := c.server.service.History(ctx, c.caller, zone, class, maxVersions)
-	reply(c, history, failed, FormatHistory)
+	history, serviceErr := c.server.service.History(ctx, c.caller, zone, class, maxVersions)
+	reply(c, history, serviceErr, FormatHistory)
 }
 
 func getSummary(ctx context.Context, c *connection, _ haproxyapi.Command) {
-	summary, failed := c.server.service.Summary(ctx, c.caller)
-	reply(c, summary, failed, FormatSummary)
+	summary, serviceErr := c.server.service.Summary(ctx, c.caller)
+	reply(c, summary, serviceErr, FormatSummary)
 }
 
-// prompt changes nothing: a connection stays open after an answer in any mode.
+// prompt has no effect, because connections stay open after an answer in any mode.
 func prompt(_ context.Context, c *connection, _ haproxyapi.Command) { c.answer(nil) }
 
 func quit(_ context.Context, c *connection, _ haproxyapi.Command) { _ = c.conn.Close() }
--- a/internal/service/text/connection.go
+++ b/internal/service/text/connection.go
@@ -15,25 +15,25 @@
 	"cressknot/internal/tableversion"
 )
 
-// connection is one connection of a caller.
+// connection is a connection of a caller. Its commands are answered one after the other, in order.
 type connection struct {
 	server   *Server
 	conn     *nbio.Conn
-	requests haproxyapi.RequestParser
+	parser   haproxyapi.RequestParser
 	watcher  atomic.Pointer[service.Watcher]
 	isClosed atomic.Bool
-	caller   string     // of the goroutine that answers
-	writing  sync.Mutex // orders what is written
+	caller   string     // name of the caller; only used by the goroutine that answers
+	writeMu  sync.Mutex // serializes writes
 
 	mu        sync.Mutex
-	waiting   []haproxyapi.Command // not answered yet
-	answering bool                 // a goroutine answers them
+	pending   []haproxyapi.Command // not answered yet
+	answering bool                 // a goroutine is answering pending commands
 }
 
-// receive takes bytes of the caller.
+// receive parses received bytes and queues complete commands. After a syntax error it closes the connection.
 func (c *connection) receive(data []byte) {
 	_ = c.conn.SetReadDeadline(time.Now().Add(service.IdleTimeout))
-	err := c.requests.Feed(data, func(commands []haproxyapi.Command) error {
+	err := c.parser.Feed(data, func(commands []haproxyapi.Command) error {
 		for _, command := range commands {
 			if err := c.enqueue(command); err != nil {
 				return err
@@ -42,13 +42,13 @@
 		return nil
 	})
 	if err != nil {
-		c.answerError(service.BadRequest, "can't read the request: %v", err)
+		c.answerError(service.BadRequest, "invalid request: %v", err)
 		_ = c.conn.Close()
 	}
 }
 
-// enqueue puts a command behind those that are being answered: an event loop serves many connections and waits for
-// none. An acknowledgement of a watcher needs no answer.
+// enqueue queues a command for the goroutine that answers, because the event loop serves many connections and must not
+// block. On a connection that watches, acknowledgements are handled at once and not answered.
 func (c *connection) enqueue(command haproxyapi.Command) error {
 	if watcher := c.watcher.Load(); watcher != nil {
 		return acknowledge(watcher, command)
@@ -56,11 +56,11 @@
 	command.Payload = bytes.Clone(command.Payload)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.waiting) >= service.MaxPendingRequests {
-		reason := fmt.Sprintf("over %d commands wait for their answers", service.MaxPendingRequests)
+	if len(c.pending) >= service.MaxPendingRequests {
+		reason := fmt.Sprintf("more than %d commands are pending on this connection", service.MaxPendingRequests)
 		return &haproxyapi.SyntaxError{Offset: command.Offset, Reason: reason}
 	}
-	c.waiting = append(c.waiting, command)
+	c.pending = append(c.pending, command)
 	if !c.answering {
 		c.answering = true
 		go c.answerAll()
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// acknowledge handles "ack VERSION", the only command of a connection that watches.
+// acknowledge handles "ack VERSION", the only command on a connection that watches a table.
 func acknowledge(watcher *service.Watcher, command haproxyapi.Command) error {
 	if len(command.Words) == 2 && command.Words[0] == "ack" {
 		if version, err := tableversion.ParseVersion(command.Words[1]); err == nil {
@@ -76,11 +76,11 @@
 			return nil
 		}
 	}
-	const reason = "a connection that watches takes 'ack VERSION' only"
+	const reason = "only 'ack VERSION' is accepted on a connection that watches a table"
 	return &haproxyapi.SyntaxError{Offset: command.Offset, Reason: reason}
 }
 
-// answerAll answers the waiting commands in order until none is left or the connection is closed.
+// answerAll answers the pending commands in order until none is left or the connection is closed.
 func (c *connection) answerAll() {
 	for {
 		command, ok := c.nextCommand()
@@ -94,16 +94,16 @@
 func (c *connection) nextCommand() (command haproxyapi.Command, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.waiting) == 0 || c.isClosed.Load() {
+	if len(c.pending) == 0 || c.isClosed.Load() {
 		c.answering = false
 		return haproxyapi.Command{}, false
 	}
-	command = c.waiting[0]
-	c.waiting = c.waiting[1:]
+	command = c.pending[0]
+	c.pending = c.pending[1:]
 	return command, true
 }
 
-// execute answers one command.
+// execute runs the handler of a command.
 func (c *connection) execute(command haproxyapi.Command) {
 	ctx, cancel := context.WithTimeout(context.Background(), service.RequestTimeout)
 	defer cancel()
@@ -117,12 +117,12 @@
 }
 
 func (c *connection) answer(text []byte) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.write(text)
 }
 
-// write writes an answer. The caller has locked writing.
+// write writes an answer. The caller must hold writeMu.
 func (c *connection) write(text []byte) {
 	if !c.isClosed.Load() {
 		_, _ = c.conn.Write(haproxyapi.AppendAnswer(make([]byte, 0, len(text)+1), text))
@@ -133,41 +133,42 @@
 	c.answer(FormatError(&service.Error{Code: code, Text: fmt.Sprintf(format, args...)}))
 }
 
-// reply answers with the result of a query.
-func reply[T any](c *connection, result T, failed *service.Error, format func(T) []byte) {
-	if failed != nil {
-		c.answer(FormatError(failed))
+// reply answers with the formatted result of a query, or with its error.
+func reply[T any](c *connection, result T, serviceErr *service.Error, format func(T) []byte) {
+	if serviceErr != nil {
+		c.answer(FormatError(serviceErr))
 		return
 	}
 	c.answer(format(result))
 }
 
-// sendUpdates writes what the watcher has.
+// sendUpdates writes all updates that the watcher has to send now. If the watch has ended it writes the reason and
+// closes the connection.
 func (c *connection) sendUpdates() {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	watcher := c.watcher.Load()
 	for watcher != nil && !c.isClosed.Load() {
-		update, ended := watcher.Next()
-		if ended != nil {
-			c.write(FormatError(ended))
+		update, endErr := watcher.Next()
+		if endErr != nil {
+			c.write(FormatError(endErr))
 			_ = c.conn.Close()
 			return
 		}
 		if update == nil {
 			return
 		}
-		c.write(encoded(update))
+		c.write(encodedUpdate(update))
 	}
 }
 
-// encoded returns the text of an update, made once for all connections.
-func encoded(update *service.SharedUpdate) []byte {
+// encodedUpdate returns the text of an update, which is formatted once for all connections.
+func encodedUpdate(update *service.SharedUpdate) []byte {
 	text := update.Encoded(service.TextEncoding, func(u *service.Update) any { return FormatUpdate(u) })
 	return text.([]byte)
 }
 
-// closed ends the watch after the connection was closed.
+// closed ends the watch, if any, after the connection has been closed.
 func (c *connection) closed() {
 	c.isClosed.Store(true)
 	if watcher := c.watcher.Load(); watcher != nil {
--- a/internal/service/text/format.go
+++ b/internal/service/text/format.go
@@ -1,6 +1,7 @@
-// Package text serves the queries of package service over the text protocol of package haproxyapi: request lines of
-// words, answers that end with an empty line. An answer's first line says what it is, "# KIND key=value ..."; rows
-// follow, "row key=value ...". Readers skip kinds of rows and keys that they don't know. It decides nothing.
+// Package text serves package service over a text protocol with the syntax of package haproxyapi: a request is a line
+// of words, and an answer ends with an empty line. The first line of an answer, "# KIND key=value ...", states its
+// kind; rows follow, "row key=value ...". Readers skip unknown kinds of rows and unknown keys. The package only
+// formats and parses, for servers and for clients.
 package text
 
 import (
@@ -12,16 +13,16 @@
 	"cressknot/internal/tableversion"
 )
 
-// updateCapacity is the initial size in bytes of an update's buffer.
-const updateCapacity = 256
+// updateBufferSize is the initial size of the buffer for an update, in bytes.
+const updateBufferSize = 256
 
-// writer builds an answer.
+// writer builds an answer or the payload of a report.
 type writer struct{ buffer []byte }
 
-// heading begins an answer of a kind.
-func heading(kind string) *writer { return new(writer).row("#", kind) }
+// newAnswer starts an answer of the given kind.
+func newAnswer(kind string) *writer { return new(writer).row("#", kind) }
 
-// row begins a row.
+// row starts a row.
 func (w *writer) row(words ...string) *writer {
 	if len(w.buffer) > 0 {
 		w.buffer = append(w.buffer, '\n')
@@ -36,7 +37,7 @@
 	w.buffer = append(w.buffer, '=')
 }
 
-// text writes a text. Control characters, which a line can't hold, become question marks.
+// text appends a key with a text. Control characters, which a line cannot contain, become question marks.
 func (w *writer) text(key, value string) *writer {
 	w.key(key)
 	start := len(w.buffer)
@@ -49,13 +50,14 @@
 	return w
 }
 
+// count appends a key with an unsigned number.
 func (w *writer) count(key string, value uint64) *writer {
 	w.key(key)
 	w.buffer = strconv.AppendUint(w.buffer, value, 10)
 	return w
 }
 
-// flag writes 1 for true and nothing for false.
+// flag appends a key with value 1 for true, and nothing for false.
 func (w *writer) flag(key string, value bool) *writer {
 	if value {
 		w.count(key, 1)
@@ -72,9 +74,10 @@
 	return v.String()
 }
 
-// FormatUpdate formats an update.
+// FormatUpdate formats an update as an answer. Like all Format functions it returns the text without the empty line
+// that ends an answer.
 func FormatUpdate(u *service.Update) []byte {
-	w := (&writer{make([]byte, 0, updateCapacity)}).row("#", "update").
+	w := (&writer{make([]byte, 0, updateBufferSize)}).row("#", "update").
 		count("minor", uint64(u.Minor)).
 		text("governor", u.Controller).
 		count("list_rev", u.ListRevision).
@@ -104,18 +107,18 @@
 	return w.bytes()
 }
 
-// FormatError formats an error answer.
+// FormatError formats an error answer, of kind "fault".
 func FormatError(e *service.Error) []byte {
-	return heading("fault").
+	return newAnswer("fault").
 		text("code", string(e.Code)).
 		count("retry_ns", uint64(e.RetryAfter)).
 		text("text", e.Text).
 		bytes()
 }
 
-// FormatHello formats an introduction.
+// FormatHello formats the answer to a hello command.
 func FormatHello(h service.Hello) []byte {
-	w := heading("hello").
+	w := newAnswer("hello").
 		count("major", uint64(h.Major)).
 		count("minor", uint64(h.Minor)).
 		text("name", h.Name).
@@ -135,12 +138,13 @@
 	return w.bytes()
 }
 
-// FormatCounted formats the answer to a report.
+// FormatCounted formats the answer to a report: the sequence number of the newest batch that was counted.
 func FormatCounted(sequence uint64) []byte {
-	return heading("counted").count("seq", sequence).bytes()
+	return newAnswer("counted").count("seq", sequence).bytes()
 }
 
-// FormatReport formats a report as rows of a payload.
+// FormatReport formats the rows of a report as the payload of a report command, which itself names the zone, the
+// session and the sequence number.
 func FormatReport(r *service.Report) []byte {
 	w := new(writer)
 	for _, outcome := range r.Outcomes {
@@ -160,7 +164,7 @@
 	return w.bytes()
 }
 
-// formatLoads separates load values by commas.
+// formatLoads joins load values with commas.
 func formatLoads(loads []uint32) string {
 	var text []byte
 	for i, load := range loads {
@@ -172,9 +176,9 @@
 	return string(text)
 }
 
-// FormatServerState formats the state of a server.
+// FormatServerState formats the state of a server as an answer.
 func FormatServerState(s service.ServerState) []byte {
-	w := heading("server").
+	w := newAnswer("server").
 		count("minor", uint64(s.Minor)).
 		text("name", s.Name).
 		text("addr", s.Addr).
@@ -192,9 +196,9 @@
 	return w.bytes()
 }
 
-// FormatHistory formats versions of a table.
+// FormatHistory formats versions of a table as an answer.
 func FormatHistory(h service.History) []byte {
-	w := heading("history").count("minor", uint64(h.Minor))
+	w := newAnswer("history").count("minor", uint64(h.Minor))
 	for _, row := range h.Versions {
 		w.row("version").
 			text("version", formatVersion(row.Version)).
@@ -206,9 +210,9 @@
 	return w.bytes()
 }
 
-// FormatSummary formats a summary.
+// FormatSummary formats a summary as an answer.
 func FormatSummary(m service.Summary) []byte {
-	return heading("summary").
+	return newAnswer("summary").
 		count("minor", uint64(m.Minor)).
 		text("governor", m.Controller).
 		text("program", m.Program).
--- a/internal/service/text/parse.go
+++ b/internal/service/text/parse.go
@@ -13,7 +13,8 @@
 	"cressknot/internal/tableversion"
 )
 
-// row is one parsed line. A missing value reads as zero; the first invalid one is recorded as the error.
+// row is a parsed line. The methods that read a value return zero for a missing key; the first invalid value is
+// recorded in err.
 type row struct {
 	kind   string
 	values map[string]string
@@ -27,7 +28,7 @@
 
 func (r row) duration(key string) fleet.Time { return fleet.Time(r.count(key, 63)) }
 
-// count reads an unsigned number of the given size in bits.
+// count reads an unsigned number of at most the given number of bits.
 func (r row) count(key string, bits int) uint64 {
 	text, ok := r.values[key]
 	if !ok {
@@ -35,7 +36,7 @@
 	}
 	number, err := strconv.ParseUint(text, 10, bits)
 	if err != nil {
-		r.reject(key)
+		r.failValue(key)
 	}
 	return number
 }
@@ -47,7 +48,7 @@
 	}
 	number, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		r.reject(key)
+		r.failValue(key)
 	}
 	return number
 }
@@ -59,32 +60,33 @@
 	}
 	version, err := tableversion.ParseVersion(text)
 	if err != nil {
-		r.reject(key)
+		r.failValue(key)
 	}
 	return version
 }
 
-// digest reads a digest, which may not be missing.
+// digest reads a digest. A missing one is an error.
 func (r row) digest(key string) tableversion.Digest {
 	digest, err := strconv.ParseUint(r.values[key], 16, 64)
 	if err != nil {
-		r.reject(key)
+		r.failValue(key)
 	}
 	return tableversion.Digest(digest)
 }
 
-func (r row) reject(key string) {
-	r.fail("%s=%.40q makes no sense", key, r.values[key])
+func (r row) failValue(key string) {
+	r.fail("invalid value: %s=%.40q", key, r.values[key])
 }
 
-// fail records an error unless there is one already.
+// fail records an error with the line number, unless there is one already.
 func (r row) fail(format string, args ...any) {
 	if *r.err == nil {
 		*r.err = fmt.Errorf("line %d: %s", r.number, fmt.Sprintf(format, args...))
 	}
 }
 
-// parseRows parses an answer or a payload and calls handle for each row. Errors name the line.
+// parseRows parses an answer or a payload and calls handle for each row. It stops at the first error, which contains
+// the line number.
 func parseRows(text []byte, handle func(row)) error {
 	number := 0
 	for line := range bytes.Lines(text) {
@@ -108,7 +110,7 @@
 	return nil
 }
 
-var errNoRow = errors.New("no row")
+var errNotOneRow = errors.New("want one row per line, without an unescaped semicolon")
 
 func parseRow(line []byte) (row, error) {
 	commands, err := haproxyapi.Split(line, 0)
@@ -116,7 +118,7 @@
 		return row{}, err
 	}
 	if len(commands) != 1 {
-		return row{}, errNoRow
+		return row{}, errNotOneRow
 	}
 	words := commands[0].Words
 	r := row{kind: words[0], values: make(map[string]string, len(words))}
@@ -133,51 +135,51 @@
 	return r, nil
 }
 
-// parseAnswer parses an answer of a kind. An error answer comes as such, anything else as malformed.
+// parseAnswer parses an answer of the given kind and calls handle for each of its rows. The error is always a
+// *service.Error: that of an error answer, or one with code Malformed.
 func parseAnswer(text []byte, kind string, handle func(row)) error {
 	first := true
-	var answered *service.Error
+	var errorAnswer *service.Error
 	err := parseRows(text, func(r row) {
 		switch {
 		case first && r.kind == "# fault":
-			answered = &service.Error{
+			errorAnswer = &service.Error{
 				Code:       service.Code(r.text("code")),
 				Text:       r.text("text"),
 				RetryAfter: r.duration("retry_ns"),
 			}
 		case first && r.kind != "# "+kind:
-			r.fail("%.40q where an answer of kind %q was to come", r.kind, kind)
-		case answered == nil:
+			r.fail("answer begins with %.40q, want %q", r.kind, "# "+kind)
+		case errorAnswer == nil:
 			handle(r)
 		}
 		first = false
 	})
 	if err == nil && first {
-		err = errors.New("line 1: an empty answer")
+		err = errors.New("line 1: empty answer")
 	}
 	if err != nil {
 		return &service.Error{Code: service.Malformed, Text: err.Error()}
 	}
-	if answered != nil {
-		return answered
+	if errorAnswer != nil {
+		return errorAnswer
 	}
 	return nil
 }
 
-// ParseUpdate parses an update.
+// ParseUpdate parses an update. Like all functions that parse an answer, it returns a *service.Error: the error that
+// was answered, or one with code Malformed that contains the line number.
 func ParseUpdate(text []byte) (u service.Update, err error) {
 	err = parseAnswer(text, "update", func(r row) {
 		switch r.kind {
 		case "# update":
 			u = service.Update{
-				Minor:        uint32(r.count("minor", 32)),
-				Controller:   r.text("governor"),
-				ListRevision: r.count("list_rev", 64),
-				Live:         r.flag("live"),
-				Zone:         r.text("zone"),
-				From: r.version(
-					"from",
-				),
+				Minor:           uint32(r.count("minor", 32)),
+				Controller:      r.text("governor"),
+				ListRevision:    r.count("list_rev", 64),
+				Live:            r.flag("live"),
+				Zone:            r.text("zone"),
+				From:            r.version("from"),
 				To:              r.version("to"),
 				RestrictsToOpen: r.flag("shut"),
 				Heartbeat:       r.flag("beat"),
@@ -192,7 +194,7 @@
 			})
 		case "line":
 			if len(u.Classes) == 0 {
-				r.fail("a line of no class")
+				r.fail("row 'line' before the first row 'class'")
 				return
 			}
 			class := &u.Classes[len(u.Classes)-1]
@@ -208,7 +210,7 @@
 	return u, err
 }
 
-// ParseHello parses an introduction.
+// ParseHello parses the answer to a hello command.
 func ParseHello(text []byte) (h service.Hello, err error) {
 	err = parseAnswer(text, "hello", func(r row) {
 		switch r.kind {
@@ -235,13 +237,14 @@
 	return h, err
 }
 
-// ParseCounted parses the answer to a report.
+// ParseCounted parses the answer to a report: the sequence number of the newest batch that was counted.
 func ParseCounted(text []byte) (sequence uint64, err error) {
 	err = parseAnswer(text, "counted", func(r row) { sequence = r.count("seq", 64) })
 	return sequence, err
 }
 
-// ParseReport parses the rows of a report.
+// ParseReport parses the payload of a report command and appends its rows to a report. The error contains the line
+// number.
 func ParseReport(payload []byte, report *service.Report) error {
 	return parseRows(payload, func(r row) {
 		switch r.kind {
@@ -264,7 +267,7 @@
 	})
 }
 
-// loads reads load values that are separated by commas.
+// loads reads load values separated by commas.
 func (r row) loads(key string) []uint32 {
 	var loads []uint32
 	for _, text := range strings.Split(r.text(key), ",") {
@@ -273,14 +276,14 @@
 		}
 		load, err := strconv.ParseUint(text, 10, 32)
 		if err != nil {
-			r.reject(key)
+			r.failValue(key)
 		}
 		loads = append(loads, uint32(load))
 	}
 	return loads
 }
 
-// ParseServerState parses the state of a server.
+// ParseServerState parses an answer with the state of a server.
 func ParseServerState(text []byte) (s service.ServerState, err error) {
 	err = parseAnswer(text, "server", func(r row) {
 		switch r.kind {
@@ -308,7 +311,7 @@
 	return s, err
 }
 
-// ParseHistory parses versions of a table.
+// ParseHistory parses an answer with versions of a table.
 func ParseHistory(text []byte) (h service.History, err error) {
 	err = parseAnswer(text, "history", func(r row) {
 		switch r.kind {
@@ -327,7 +330,7 @@
 	return h, err
 }
 
-// ParseSummary parses a summary.
+// ParseSummary parses an answer with a summary.
 func ParseSummary(text []byte) (m service.Summary, err error) {
 	err = parseAnswer(text, "summary", func(r row) {
 		if r.kind != "# summary" {
--- a/internal/service/text/transcript_test.go
+++ b/internal/service/text/transcript_test.go
@@ -17,7 +17,7 @@
 	"cressknot/internal/transport"
 )
 
-// names are servers by id; all have the same address.
+// names are the names of servers by id. All have the same address.
 type names []string
 
 func (n names) Server(name string) (fleet.ServerID, bool) {
@@ -41,7 +41,7 @@
 
 func (fixedQueries) Server(_ context.Context, name string) (service.ServerState, error) {
 	if name != "s1" {
-		return service.ServerState{}, &service.Error{Code: service.NoServer, Text: "never heard of"}
+		return service.ServerState{}, &service.Error{Code: service.NoServer, Text: `no server "s9" is known`}
 	}
 	return service.ServerState{
 		Name:    "s1",
@@ -52,7 +52,7 @@
 		Weights: []service.ClassWeight{
 			{Zone: "a", Class: "look", Weight: 12},
 		},
-		Reasons: []string{"it drains; so says the list"},
+		Reasons: []string{"draining; set by the endpoint list"},
 	}, nil
 }
 
@@ -76,7 +76,8 @@
 	}, nil
 }
 
-// TestSessionAnswersTheseBytes checks the answers to requests of the text protocol.
+// TestSessionAnswersTheseBytes checks the answers to all commands, and to invalid ones, byte by byte against a
+// transcript, because clients of other versions parse them.
 func TestSessionAnswersTheseBytes(t *testing.T) {
 	hub := service.NewHub(
 		service.HubOptions{Controller: "g-1", Epoch: 9, Zones: []service.Zone{{Name: "a"}}, Names: names{"s0", "s1"},
@@ -127,6 +128,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(answers, want) {
-		t.Errorf("answered\n%s\nwant\n%s", answers, want)
+		t.Errorf("got answers\n%s\nwant\n%s", answers, want)
 	}
 }
--- a/internal/store/corruption_test.go
+++ b/internal/store/corruption_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// copyStore copies a store to a file system of its own.
+// copyStore copies a store to a new file system.
 func copyStore(t testing.TB, fs *vfs.MemFS) *vfs.MemFS {
 	t.Helper()
 	clone := vfs.NewCrashableMem()
@@ -19,14 +19,15 @@
 	return clone
 }
 
-// storeOf returns the disk of a store with all commits, the first ones sealed in a table file on request.
-func storeOf(t *testing.T, changes [][]Change, sealed bool) *vfs.MemFS {
+// newStoreDisk returns the disk of a store after all commits. With flushed, the first commits are in a table file and
+// the others in the log; otherwise all are in the log.
+func newStoreDisk(t *testing.T, changes [][]Change, flushed bool) *vfs.MemFS {
 	t.Helper()
 	fs := vfs.NewCrashableMem()
 	s := mustOpen(t, fs)
 	for i, commit := range changes {
 		mustPut(t, s, commit...)
-		if sealed && i == 25 {
+		if flushed && i == 25 {
 			if err := s.db.Flush(); err != nil {
 				t.Fatal(err)
 			}
@@ -37,21 +38,21 @@
 	return clone
 }
 
-// damageCounts counts what became of damaged stores.
-type damageCounts struct {
+// damageResults counts the outcomes of opening and reading damaged stores.
+type damageResults struct {
 	t        *testing.T
-	states   []map[string]int // that were once committed
+	states   []map[string]int // committed states, oldest first
 	cases    int
-	refused  int
-	complete int
+	reported int // the damage was reported
+	complete int // the newest state was read
 }
 
-// check opens a damaged store. It must have a state that was once committed, or report the damage.
-func (c *damageCounts) check(name string, fs vfs.FS) {
+// check opens and reads a damaged store, which must yield a committed state or report the damage.
+func (c *damageResults) check(name string, fs vfs.FS) {
 	c.cases++
 	s, err := Open(Options{Directory: testDirectory, FS: fs})
 	if err != nil {
-		c.refused++
+		c.reported++
 		if !strings.HasPrefix(err.Error(), "store store: ") {
 			c.t.Errorf("%s: %v", name, err)
 		}
@@ -60,19 +61,19 @@
 	got, corruptions, err := readAll(s)
 	at := latestMatch(got, c.states, 0)
 	if err == nil && len(corruptions) == 0 && at < 0 {
-		c.t.Errorf("%s: a state that never was: %v", name, got)
+		c.t.Errorf("%s: read a state that was never committed: %v", name, got)
 	}
 	switch {
 	case err != nil || len(corruptions) > 0:
-		c.refused++
+		c.reported++
 	case at == len(c.states)-1:
 		c.complete++
 	}
-	_ = s.Close() // fails where the damage is found late
+	_ = s.Close() // fails if the damage is only detected then
 }
 
 // checkFlipped flips a random bit of a file in 300 copies of a store.
-func (c *damageCounts) checkFlipped(rng *rand.Rand, fs *vfs.MemFS, file, name string) {
+func (c *damageResults) checkFlipped(rng *rand.Rand, fs *vfs.MemFS, file, name string) {
 	content := readFile(c.t, fs, file)
 	for range 300 {
 		damaged := copyStore(c.t, fs)
@@ -84,36 +85,38 @@
 	}
 }
 
-// TestDamagedFilesYieldNoInventedState cuts the log at every byte, and flips bits in the log and in a sealed table.
+// TestDamagedFilesYieldNoInventedState truncates the log at each byte, and flips bits in the log and in a table file. A
+// store must never return a state that was not committed without reporting the damage.
 func TestDamagedFilesYieldNoInventedState(t *testing.T) {
 	changes, states := commitSequence(5, 40)
-	counts := &damageCounts{t: t, states: states}
+	results := &damageResults{t: t, states: states}
 
-	plain := storeOf(t, changes, false)
+	plain := newStoreDisk(t, changes, false)
 	logs, _ := storeFiles(t, plain)
 	log := logs[len(logs)-1]
 	content := readFile(t, plain, log)
 	step := 1
-	if testing.Short() { // takes a sample
+	if testing.Short() { // tests a sample only
 		step = 7
 	}
 	for at := 0; at <= len(content); at += step {
 		damaged := copyStore(t, plain)
 		overwriteFile(t, damaged, log, content[:at])
-		counts.check(fmt.Sprint("cut at ", at), damaged)
+		results.check(fmt.Sprint("cut at ", at), damaged)
 	}
 	rng := rand.New(rand.NewPCG(8, 8))
-	counts.checkFlipped(rng, plain, log, "log")
+	results.checkFlipped(rng, plain, log, "log")
 
-	sealed := storeOf(t, changes, true)
-	_, tables := storeFiles(t, sealed)
+	flushed := newStoreDisk(t, changes, true)
+	_, tables := storeFiles(t, flushed)
 	if len(tables) == 0 {
-		t.Fatal("nothing was sealed")
+		t.Fatal("no table file was written")
 	}
-	counts.checkFlipped(rng, sealed, tables[0], "table")
+	results.checkFlipped(rng, flushed, tables[0], "table")
 
-	t.Logf("%d cases, %d refused, %d complete", counts.cases, counts.refused, counts.complete)
-	if counts.cases < 900 || counts.refused < 100 || counts.complete == 0 {
-		t.Errorf("%d cases, %d refused, %d complete", counts.cases, counts.refused, counts.complete)
+	t.Logf("%d cases: %d with the damage reported, %d complete", results.cases, results.reported, results.complete)
+	if results.cases < 900 || results.reported < 100 || results.complete == 0 {
+		t.Errorf("%d cases, want 900; %d with the damage reported, want 100; %d complete, want 1",
+			results.cases, results.reported, results.complete)
 	}
 }
--- a/internal/store/disk_full_test.go
+++ b/internal/store/disk_full_test.go
@@ -18,6 +18,7 @@
 	full *atomic.Bool
 }
 
+// fullDiskFile is a file of a fullDisk.
 type fullDiskFile struct {
 	vfs.File
 	full *atomic.Bool
@@ -60,8 +61,8 @@
 
 func (f fullDiskFile) SyncData() error { return f.Sync() }
 
-// TestStoreCatchesUpAfterFullDisk checks that while nothing can be written the store reports it at once and keeps
-// the newest of each record pending, and that it catches up by itself once there is room, durably.
+// TestStoreCatchesUpAfterFullDisk checks that while the disk is full the store reports each failure at once and keeps
+// the newest change of each record pending, and that it writes them durably by itself once there is space.
 func TestStoreCatchesUpAfterFullDisk(t *testing.T) {
 	disk := vfs.NewCrashableMem()
 	full := atomic.Bool{}
@@ -83,23 +84,23 @@
 			t.Fatal(err)
 		}
 		if err := <-done; err == nil {
-			t.Fatal("persisted on a full disk")
+			t.Fatal("changes were reported as persisted on a full disk")
 		}
 	}
 	if got := <-health; !strings.HasPrefix(got, "true ") || !strings.Contains(got, "no space left") {
-		t.Errorf("health %q", got)
+		t.Errorf("health %q, want a failure for lack of space", got)
 	}
 	if statistics := s.Statistics(); statistics.Pending != 49 {
-		t.Errorf("%d records pending", statistics.Pending)
+		t.Errorf("%d records pending, want 49", statistics.Pending)
 	}
 	full.Store(false)
 	if got := <-health; got != "false <nil>" {
-		t.Errorf("health %q", got)
+		t.Errorf("health %q, want recovery", got)
 	}
 	s = mustOpen(t, disk.CrashClone(vfs.CrashCloneCfg{}))
 	defer mustClose(t, s)
 	got, corruptions, err := readAll(s)
 	if err != nil || len(corruptions) > 0 || len(got) != 49 || got["k/1"] != 49 || got["k/49"] != 49 {
-		t.Errorf("%d records, k/1 %d (%v, %v)", len(got), got["k/1"], corruptions, err)
+		t.Errorf("%d records, k/1=%d (corrupt records %v, error %v)", len(got), got["k/1"], corruptions, err)
 	}
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// mustPut waits until changes are on disk.
+// mustPut puts changes and waits until they are on disk.
 func mustPut(t testing.TB, s *Store, changes ...Change) {
 	t.Helper()
 	done := make(chan error, 1)
@@ -45,7 +45,7 @@
 	}
 }
 
-// readAll returns the records of a store, whose values are numbers.
+// readAll returns all records of a store; their values must be numbers.
 func readAll(s *Store) (map[string]int, []Corruption, error) {
 	records := map[string]int{}
 	corruptions, err := s.Read("", func(key string, payload []byte) error {
@@ -57,8 +57,8 @@
 	return records, corruptions, err
 }
 
-// commitSequence returns commits that each set some keys, some of which delete one, and the states before and after
-// each.
+// commitSequence returns commits that set keys, of which every third also deletes one, and the states before the first
+// and after each commit.
 func commitSequence(seed uint64, commits int) (changes [][]Change, states []map[string]int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	state := map[string]int{}
@@ -80,7 +80,7 @@
 	return changes, states
 }
 
-// latestMatch returns the index of the latest state, not before first, that equals what was read, -1 for none.
+// latestMatch returns the index of the latest state, from index first on, that equals the records, -1 for none.
 func latestMatch(records map[string]int, states []map[string]int, first int) int {
 	for i := len(states) - 1; i >= first; i-- {
 		if maps.Equal(records, states[i]) {
@@ -90,7 +90,7 @@
 	return -1
 }
 
-// storeFiles returns the log files and the sealed table files of a store.
+// storeFiles returns the log files and the table files of a store.
 func storeFiles(t testing.TB, fs vfs.FS) (logs, tables []string) {
 	t.Helper()
 	names, err := fs.List(testDirectory)
@@ -127,7 +127,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = file.Write(append([]byte(nil), content...)) // a copy, as the file system may overwrite it
+	_, err = file.Write(append([]byte(nil), content...)) // a copy, because the file system may modify its argument
 	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 	defer mustClose(t, s)
 	var busy *BusyError
 	if _, err := Open(Options{Directory: testDirectory, FS: fs}); !errors.As(err, &busy) {
-		t.Errorf("a second opening: %v", err)
+		t.Errorf("opening a locked store: %v, want a BusyError", err)
 	}
 }
 
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestBackupHoldsStateOfItsMoment checks that writes after a backup do not change it, and that it is never
-// overwritten.
+// TestBackupHoldsStateOfItsMoment checks that later writes to the store do not change a backup, and that a backup does
+// not overwrite an existing one.
 func TestBackupHoldsStateOfItsMoment(t *testing.T) {
 	fs, s := newTestStore(t)
 	defer mustClose(t, s)
@@ -173,15 +173,15 @@
 		t.Fatal(err)
 	}
 	if got, _, err := readAll(backup); err != nil || !maps.Equal(got, map[string]int{"k/1": 1, "k/2": 2}) {
-		t.Errorf("the backup has %v (%v)", got, err)
+		t.Errorf("the backup has the records %v (error %v)", got, err)
 	}
 	mustClose(t, backup)
 	if err := s.Backup("copy"); err == nil {
-		t.Error("a backup over a backup")
+		t.Error("a second backup to the same directory succeeded")
 	}
 }
 
-// TestRecordUnderOtherKeyIsCorrupt checks that the checksum covers the key.
+// TestRecordUnderOtherKeyIsCorrupt checks that the checksum covers the key: a record copied to another key is corrupt.
 func TestRecordUnderOtherKeyIsCorrupt(t *testing.T) {
 	_, s := newTestStore(t)
 	defer mustClose(t, s)
@@ -211,7 +211,7 @@
 	defer mustClose(t, s)
 	got, corruptions, err := readAll(s)
 	if err != nil || len(corruptions) > 0 || !maps.Equal(got, map[string]int{"k/1": 7, "k/2": 8}) {
-		t.Errorf("from format 1: %v, %v, %v", got, corruptions, err)
+		t.Errorf("after migration from format 1: records %v, corrupt %v, error %v", got, corruptions, err)
 	}
 }
 
@@ -225,14 +225,14 @@
 	}
 	var newer *NewerError
 	if _, err := Open(Options{Directory: testDirectory, FS: fs}); !errors.As(err, &newer) || newer.Format != 9 {
-		t.Errorf("a newer format: %v", err)
+		t.Errorf("opening a store of format 9: %v, want a NewerError", err)
 	}
 	after, err := fs.List(testDirectory)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(after) != len(before) {
-		t.Error("a directory of a newer format was touched")
+		t.Error("opening a store of a newer format changed its files")
 	}
 }
 
