--- a/internal/testing/fakes/files.go
+++ b/internal/testing/fakes/files.go
@@ -62,7 +62,7 @@
 		err = watcher.Add(p.Folder)
 	}
 	if err != nil {
-		return fmt.Errorf("proxy %s: %w", p.Name, err)
+		return fmt.Errorf("proxy %s: watch folder %s: %w", p.Name, p.Folder, err)
 	}
 	stop := make(chan struct{})
 	p.mu.Lock()
--- a/internal/testing/fakes/proxy.go
+++ b/internal/testing/fakes/proxy.go
@@ -135,7 +135,7 @@
 		var err error
 		runtimeListener, err = net.Listen("unix", p.Runtime)
 		if err != nil {
-			return fmt.Errorf("proxy %s: %w", p.Name, err)
+			return fmt.Errorf("proxy %s: runtime socket: %w", p.Name, err)
 		}
 	}
 	addr := p.RequestAddr
@@ -147,7 +147,7 @@
 		if runtimeListener != nil {
 			_ = runtimeListener.Close()
 		}
-		return fmt.Errorf("proxy %s: %w", p.Name, err)
+		return fmt.Errorf("proxy %s: request address: %w", p.Name, err)
 	}
 	p.start(runtimeListener, requestListener)
 	if p.Folder != "" {
--- a/internal/testing/fakes/weights_test.go
+++ b/internal/testing/fakes/weights_test.go
@@ -15,7 +15,7 @@
 var requests = flag.Int(
 	"requests",
 	12_000,
-	"requests of the test of weights; 100,000 for the stated bound of two percent",
+	"number of requests in the weight test; at 100,000 the tolerance is 2%",
 )
 
 // TestRequestsFollowWeights checks that nodes get requests in proportion to their weights: within two percent of each
@@ -50,9 +50,10 @@
 		want := float64(weight) / float64(sum) * float64(*requests)
 		worst = max(worst, math.Abs(float64(received[fmt.Sprintf("n%d", i)])/want-1))
 	}
-	t.Logf("%d requests, %.0f per second: the worst part is off by %.2f%%", *requests, rate, 100*worst)
+	t.Logf("%d requests, %.0f per second: largest deviation from a weighted share %.2f%%", *requests, rate, 100*worst)
 	if allowed := 0.02 * math.Sqrt(1e5/float64(*requests)); worst > allowed {
-		t.Errorf("a part is off by %.2f%%, %.2f%% is allowed: %v", 100*worst, 100*allowed, received)
+		t.Errorf("largest deviation from a weighted share %.2f%%, limit %.2f%%; requests by node: %v",
+			100*worst, 100*allowed, received)
 	}
 }
 
--- a/internal/testing/invariants/availability.go
+++ b/internal/testing/invariants/availability.go
@@ -30,15 +30,16 @@
 			lacked := w.longestReady(w.owner(span.proxy, from), from, to, f)
 			if lacked > longest {
 				longest = lacked
-				place = fmt.Sprintf(" (%s, %s, at %.2f s)", span.proxy, span.class, from.Seconds())
+				place = fmt.Sprintf(" (proxy %s, class %s, at %.2f s)", span.proxy, span.class, from.Seconds())
 			}
 			if lacked > f.MaxUnusable+f.Slack {
-				v.violate(from, "proxy %s had no line for %s for %.2f s while a warm server was listed",
-					span.proxy, span.class, lacked.Seconds())
+				v.violate(from, "proxy %s had no usable entry for class %s for %.2f s while a warmed-up server was listed; "+
+					"limit %.2f s plus %.2f s slack",
+					span.proxy, span.class, lacked.Seconds(), f.MaxUnusable.Seconds(), f.Slack.Seconds())
 			}
 		}
 	}
-	v.Seen = fmt.Sprintf("longest without a line %.3f s of %.2f s%s; %d spans",
+	v.Seen = fmt.Sprintf("longest time without a usable entry %.3f s, limit %.2f s%s; %d periods without one",
 		longest.Seconds(), f.MaxUnusable.Seconds(), place, len(w.unusable))
 	return v
 }
--- a/internal/testing/invariants/drain.go
+++ b/internal/testing/invariants/drain.go
@@ -39,12 +39,14 @@
 				late := a.at - max(drained.from, connected.from)
 				latest = max(latest, late)
 				if late > f.DrainTimeout+f.Slack {
-					v.violate(a.at, "proxy %s sent to %s %.2f s after its governor knew", a.proxy, a.node, late.Seconds())
+					v.violate(a.at, "proxy %s sent an attempt to node %s %.2f s after its connected controller was notified "+
+						"that the node is not ready; limit %.2f s plus %.2f s slack",
+						a.proxy, a.node, late.Seconds(), f.DrainTimeout.Seconds(), f.Slack.Seconds())
 				}
 			}
 		}
 	}
-	v.Seen = fmt.Sprintf("%d drains and losses told; last visit %.2f s after, of %.2f s",
+	v.Seen = fmt.Sprintf("%d drains and losses notified; latest attempt %.2f s after the notification, limit %.2f s",
 		v.Tested, latest.Seconds(), f.DrainTimeout.Seconds())
 	return v
 }
--- a/internal/testing/invariants/duplicates.go
+++ b/internal/testing/invariants/duplicates.go
@@ -14,7 +14,7 @@
 	}
 	effects, repeatedEffects := w.judgeExecutions(&v, classes)
 	repeatedAttempts := w.judgeAttempts(&v, classes)
-	v.Seen = fmt.Sprintf("%d effects, %d repeated tries, %d effects again inside their window",
+	v.Seen = fmt.Sprintf("%d requests with side effects executed, %d attempts repeated, %d executions repeated",
 		effects, repeatedAttempts, repeatedEffects)
 	return v
 }
@@ -35,8 +35,8 @@
 		}
 		repeated++
 		if class.Idempotency == NotIdempotent || e.at > earlier.at+class.DeduplicationWindow {
-			v.violate(e.at, "visit %d of class %s ran at %s and again at %s %.2f s later",
-				e.request, e.class, earlier.node, e.node, (e.at - earlier.at).Seconds())
+			v.violate(e.at, "request %d of class %s executed by node %s and again by node %s %.2f s later; %s",
+				e.request, e.class, earlier.node, e.node, (e.at - earlier.at).Seconds(), class.repetitionLimit())
 		}
 	}
 	return len(first), repeated
@@ -58,10 +58,11 @@
 		if a.mayHaveRun && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentWithKey && afterWindow) {
 			v.violate(
 				a.at,
-				"proxy %s sent visit %d of class %s again after a try that may have run",
+				"proxy %s retried request %d of class %s after an attempt that may have been executed; %s",
 				a.proxy,
 				a.request,
 				a.class,
+				class.repetitionLimit(),
 			)
 		}
 	}
--- a/internal/testing/invariants/judge.go
+++ b/internal/testing/invariants/judge.go
@@ -22,6 +22,14 @@
 	DeduplicationWindow time.Duration // of IdempotentWithKey
 }
 
+// repetitionLimit says, for violation texts, when a request of the class may be repeated.
+func (c Class) repetitionLimit() string {
+	if c.Idempotency == NotIdempotent {
+		return "class is not idempotent"
+	}
+	return fmt.Sprintf("deduplication window %.2f s", c.DeduplicationWindow.Seconds())
+}
+
 // Figures are the limits of the rules.
 type Figures struct {
 	Classes           []Class
@@ -85,7 +93,7 @@
 		verdicts = append(verdicts, Verdict{
 			Rule:   RuleSingleController,
 			Tested: w.commands,
-			Seen:   fmt.Sprintf("%d commands at %d proxies", w.commands, len(w.epochs)),
+			Seen:   fmt.Sprintf("%d commands executed at %d proxies", w.commands, len(w.epochs)),
 			Breaks: w.outdatedCommands,
 		})
 	}
@@ -93,7 +101,7 @@
 		verdicts = append(verdicts, Verdict{
 			Rule:   RuleNoRollback,
 			Tested: w.versions,
-			Seen:   fmt.Sprintf("%d versions told", w.versions),
+			Seen:   fmt.Sprintf("%d versions received", w.versions),
 			Breaks: w.rollbacks,
 		})
 	}
--- a/internal/testing/invariants/queue.go
+++ b/internal/testing/invariants/queue.go
@@ -23,7 +23,7 @@
 	for proxy, messages := range byProxy {
 		mostMessages = max(mostMessages, judgeMessageRate(&v, proxy, messages, f))
 	}
-	v.Seen = fmt.Sprintf("most lines in one go %.0f of %.0f; most messages to a proxy in %s: %d",
+	v.Seen = fmt.Sprintf("largest burst %.0f entries, limit %.0f entries; most messages to one proxy within %s: %d",
 		longestBurst, f.Backlog, f.MessagesOver, mostMessages)
 	return v
 }
@@ -60,8 +60,9 @@
 		longest = max(longest, entries)
 		duration := (m.at - began).Seconds()
 		if entries > f.Backlog && entries > duration*f.EntriesPerSecond*minBurstPace {
-			v.violate(m.at, "%.0f lines left governor %s in one go of %.2f s, %.0f may wait",
-				entries, controller, duration, f.Backlog)
+			v.violate(m.at, "controller %s sent %.0f entries, message overhead included, in a burst of %.2f s; "+
+				"limit %.0f entries",
+				controller, entries, duration, f.Backlog)
 			began = -1
 			entries = 0
 		}
@@ -79,7 +80,7 @@
 		}
 		largest = max(largest, recent)
 		if f.Messages > 0 && recent > f.Messages {
-			v.violate(m.at, "%d messages to proxy %s within %s, %d may be", recent, proxy, f.MessagesOver, f.Messages)
+			v.violate(m.at, "proxy %s received %d messages within %s; limit %d", proxy, recent, f.MessagesOver, f.Messages)
 			break
 		}
 	}
--- a/internal/testing/invariants/slowstart.go
+++ b/internal/testing/invariants/slowstart.go
@@ -25,11 +25,12 @@
 			}
 		}
 		if knowing > sum*maxKnowingFraction {
-			v.violate(o.at, "%s fell over %.1f s after its start, %.0f%% of the work by proxies whose governor knew",
-				o.node, (o.at - o.started).Seconds(), 100*knowing/sum)
+			v.violate(o.at, "node %s was overloaded %.1f s after its start; %.0f%% of the work came from proxies "+
+				"whose controller was notified of the start, limit %.0f%%",
+				o.node, (o.at - o.started).Seconds(), 100*knowing/sum, 100*maxKnowingFraction)
 		}
 	}
-	v.Seen = fmt.Sprintf("%d visits at cold servers, %d fell over", w.slowStartRequests, len(w.overloads))
+	v.Seen = fmt.Sprintf("%d requests at nodes in slow start, %d overloads", w.slowStartRequests, len(w.overloads))
 	return v
 }
 
--- a/internal/testing/invariants/watch.go
+++ b/internal/testing/invariants/watch.go
@@ -146,7 +146,7 @@
 	w.commands++
 	if last := w.epochs[proxy]; epoch < last {
 		text := fmt.Sprintf(
-			"proxy %s followed governor %s of epoch %d after one of epoch %d",
+			"proxy %s executed a command of controller %s with epoch %d after one with epoch %d",
 			proxy,
 			controller,
 			epoch,
@@ -298,7 +298,7 @@
 	defer w.mu.Unlock()
 	w.versions++
 	if older {
-		text := fmt.Sprintf("proxy %s: %s went back to %s", proxy, key, version)
+		text := fmt.Sprintf("proxy %s received version %s of %s, which is older than the one before", proxy, version, key)
 		w.rollbacks = append(w.rollbacks, Break{RuleNoRollback, w.now(), text})
 	}
 }
