--- a/internal/testing/fakes/commands.go
+++ b/internal/testing/fakes/commands.go
@@ -18,8 +18,8 @@
 // initialWeight is the weight of the entries that a proxy starts with.
 const initialWeight = 100
 
-// runningState is the operational state of every server.
-const runningState = 2
+// operationalRunning is the operational state of every server.
+const operationalRunning = 2
 
 // runtimeCommand is a command of the runtime socket: its first words, how many may follow, and what answers it.
 type runtimeCommand struct {
@@ -90,12 +90,12 @@
 	p.commandLog = p.commandLog[max(0, len(p.commandLog)-maxCommandLog):]
 }
 
-// touch records that a command changed an entry, which the proxy takes some time for.
-func (p *Proxy) touch(s *runtimeSession, target string) {
+// recordChange records that a command changed an entry, which the proxy takes some time for.
+func (p *Proxy) recordChange(s *runtimeSession, target string) {
 	_, server, _ := strings.Cut(target, "/")
-	s.touched[server] = true
+	s.changedServers[server] = true
 	if s.controller != "" {
-		p.watch.CommandFollowed(p.Name, s.controller, s.epoch)
+		p.watch.CommandExecuted(p.Name, s.controller, s.epoch)
 	}
 	if now := time.Now(); p.stalledUntil.Before(now) {
 		p.stalledUntil = now
@@ -181,7 +181,7 @@
 				Server:      []byte(entry.name),
 				Addr:        []byte(host),
 				Port:        port,
-				Operational: runningState,
+				Operational: operationalRunning,
 				Admin:       entry.admin,
 				Weight:      uint64(entry.weight),
 			})
@@ -233,10 +233,10 @@
 		p.mapKeys = append(p.mapKeys, key)
 	}
 	if strings.HasSuffix(key, ".version") {
-		p.watch.Version(p.Name, key, value, isOlderVersion(value, p.mapEntries[key]))
+		p.watch.VersionReceived(p.Name, key, value, isOlderVersion(value, p.mapEntries[key]))
 	}
 	p.mapEntries[key] = value
-	s.noteLease(key, value)
+	s.recordLease(key, value)
 	return nil
 }
 
@@ -257,26 +257,26 @@
 }
 
 func getWeight(p *Proxy, _ *runtimeSession, args []string) []byte {
-	entry, missing := p.find(args[0])
+	entry, failure := p.find(args[0])
 	if entry == nil {
-		return []byte(missing)
+		return []byte(failure)
 	}
 	return fmt.Appendf(nil, "%d (initial %d)\n", entry.weight, initialWeight)
 }
 
 func setWeight(p *Proxy, s *runtimeSession, args []string) []byte {
 	target, value := args[0], args[1]
-	entry, missing := p.find(target)
+	entry, failure := p.find(target)
 	if entry == nil {
-		return []byte(missing)
+		return []byte(failure)
 	}
 	weight, err := strconv.Atoi(value)
 	if err != nil || weight < 0 || weight > haproxyapi.MaxWeight {
 		return []byte(haproxyapi.BadWeight)
 	}
 	entry.weight = weight
-	p.touch(s, target)
-	p.observeUsable()
+	p.recordChange(s, target)
+	p.reportUsability()
 	return nil
 }
 
@@ -295,9 +295,9 @@
 }
 
 func setState(p *Proxy, s *runtimeSession, target, state string) []byte {
-	entry, missing := p.find(target)
+	entry, failure := p.find(target)
 	if entry == nil {
-		return []byte(missing)
+		return []byte(failure)
 	}
 	adminByState := map[string]uint64{"ready": 0, "drain": haproxyapi.AdminDrain, "maint": haproxyapi.AdminMaint}
 	admin, ok := adminByState[state]
@@ -305,16 +305,16 @@
 		return []byte(haproxyapi.BadState)
 	}
 	entry.admin = admin
-	p.touch(s, target)
-	p.observeUsable()
+	p.recordChange(s, target)
+	p.reportUsability()
 	return nil
 }
 
 // setAddr takes an address, or an address, "port" and a port.
 func setAddr(p *Proxy, target string, values []string) []byte {
-	entry, missing := p.find(target)
+	entry, failure := p.find(target)
 	if entry == nil {
-		return []byte(missing)
+		return []byte(failure)
 	}
 	_, port, _ := net.SplitHostPort(entry.addr)
 	if len(values) == 3 && values[1] == "port" {
@@ -330,12 +330,12 @@
 
 func addServer(p *Proxy, s *runtimeSession, args []string) []byte {
 	target, addr, options := args[0], args[1], args[2:]
-	entry, missing := p.find(target)
+	entry, failure := p.find(target)
 	if entry != nil {
 		return []byte(haproxyapi.ServerExists)
 	}
-	if missing != haproxyapi.NoServer {
-		return []byte(missing)
+	if failure != haproxyapi.NoServer {
+		return []byte(failure)
 	}
 	weight := 1
 	for i := 0; i+1 < len(options); i += 2 {
@@ -345,15 +345,15 @@
 	}
 	backend, server, _ := strings.Cut(target, "/")
 	p.add(backend, server, addr, weight, haproxyapi.AdminMaint)
-	p.touch(s, target)
+	p.recordChange(s, target)
 	return []byte(haproxyapi.Registered)
 }
 
 func deleteServer(p *Proxy, _ *runtimeSession, args []string) []byte {
-	entry, missing := p.find(args[0])
+	entry, failure := p.find(args[0])
 	switch {
 	case entry == nil:
-		return []byte(missing)
+		return []byte(failure)
 	case entry.admin&haproxyapi.AdminMaint == 0:
 		return []byte(haproxyapi.NotInMaintenance)
 	case entry.inFlight > 0:
--- a/internal/testing/fakes/files.go
+++ b/internal/testing/fakes/files.go
@@ -37,23 +37,23 @@
 	adminByHealth = map[string]uint64{"DRAINING": haproxyapi.AdminDrain, "UNHEALTHY": haproxyapi.AdminMaint}
 )
 
-// filesState is the state of a proxy that reads files, beside its tables.
-type filesState struct {
-	stop   chan struct{}
-	done   sync.WaitGroup
-	ack    files.Ack
-	silent bool // never acknowledges
+// fileTransport is the state of a proxy that reads files, beside its tables.
+type fileTransport struct {
+	stop        chan struct{}
+	done        sync.WaitGroup
+	ack         files.Ack
+	acksStopped bool // never acknowledges
 }
 
 // StopAcknowledging lets it acknowledge nothing, or again.
-func (p *Proxy) StopAcknowledging(mute bool) {
+func (p *Proxy) StopAcknowledging(stop bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.files.silent = mute
+	p.files.acksStopped = stop
 }
 
-// followFolder uses the files of its folder until Down. Files of before its start are not read.
-func (p *Proxy) followFolder() error {
+// watchFolder uses the files of its folder until Down. Files of before its start are not read.
+func (p *Proxy) watchFolder() error {
 	if err := os.MkdirAll(p.Folder, folderMode); err != nil {
 		return fmt.Errorf("proxy %s: %w", p.Name, err)
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-func (p *Proxy) unfollowFolder() {
+func (p *Proxy) unwatchFolder() {
 	close(p.files.stop)
 	p.files.done.Wait()
 	p.watch.Disconnected(p.Name)
@@ -137,7 +137,7 @@
 	p.files.ack.Error = ""
 	p.stalledUntil = time.Now().Add(time.Duration(len(changed)) * p.EntryDelay)
 	delay := p.readDelay
-	p.observeUsable()
+	p.reportUsability()
 	p.mu.Unlock()
 	p.watch.Message(p.Name, len(changed))
 	time.Sleep(delay)
@@ -204,10 +204,10 @@
 func (p *Proxy) acknowledge() {
 	p.mu.Lock()
 	ack := p.files.ack
-	silent := p.files.silent
+	acksStopped := p.files.acksStopped
 	tables := p.currentTables()
 	p.mu.Unlock()
-	if silent {
+	if acksStopped {
 		return
 	}
 	if text, err := files.EncodeTables(tables); err == nil {
--- a/internal/testing/fakes/lister.go
+++ b/internal/testing/fakes/lister.go
@@ -50,10 +50,10 @@
 	changed    map[string]uint64 // revision of an entry's last change; of entries that are gone, too
 	nextChange chan struct{}     // closed at the next change
 
-	down    bool
-	outages map[string]bool // by controller
-	delay   time.Duration   // of changes
-	frozen  bool
+	down       bool
+	failingFor map[string]bool // by controller
+	delay      time.Duration   // of changes
+	frozen     bool
 }
 
 // NewLister starts the service.
@@ -67,7 +67,7 @@
 		watch:      watch,
 		entries:    map[string]Entry{},
 		changed:    map[string]uint64{},
-		outages:    map[string]bool{},
+		failingFor: map[string]bool{},
 		nextChange: make(chan struct{}),
 	}
 	s.server = &http.Server{Handler: http.HandlerFunc(s.serve)}
@@ -102,11 +102,11 @@
 			s.entries[entry.Name] = entry
 		}
 	}
-	s.wakePolls()
+	s.notifyPolls()
 }
 
-// wakePolls lets waiting polls look again. The service is locked.
-func (s *Lister) wakePolls() {
+// notifyPolls lets waiting polls look again. The service is locked.
+func (s *Lister) notifyPolls() {
 	close(s.nextChange)
 	s.nextChange = make(chan struct{})
 }
@@ -127,15 +127,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	s.wakePolls()
+	s.notifyPolls()
 }
 
 // FailFor lets the service fail one controller, or no more.
 func (s *Lister) FailFor(controller string, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.outages[controller] = down
-	s.wakePolls()
+	s.failingFor[controller] = down
+	s.notifyPolls()
 }
 
 // Freeze lets the service send each controller its first list only, though the watch records all changes as sent.
@@ -164,7 +164,7 @@
 		waited := ctx.Err() != nil
 		s.mu.Lock()
 		nextChange := s.nextChange
-		if s.down || s.outages[controller] {
+		if s.down || s.failingFor[controller] {
 			s.mu.Unlock()
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
@@ -210,7 +210,7 @@
 		}
 	}
 	slices.SortFunc(answer.Servers, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
-	s.record(controller)
+	s.recordNotifications(controller)
 	if s.frozen && answer.Changes {
 		answer.Servers = answer.Servers[:0]
 	}
@@ -218,7 +218,7 @@
 }
 
 // record reports to the watch what a controller knows of all servers.
-func (s *Lister) record(controller string) {
+func (s *Lister) recordNotifications(controller string) {
 	for name := range s.changed {
 		entry, listed := s.entries[name]
 		if !listed {
--- a/internal/testing/fakes/node.go
+++ b/internal/testing/fakes/node.go
@@ -195,7 +195,7 @@
 	if !slowStart || n.overloaded {
 		return
 	}
-	n.watch.SlowStartRequest()
+	n.watch.SlowStartRequestReceived()
 	n.recent = append(n.recent, recentWork{now, size, proxy})
 	for len(n.recent) > 0 && now.Sub(n.recent[0].at) > n.capacity.OverloadWindow {
 		n.recent = n.recent[1:]
@@ -209,7 +209,7 @@
 	limit := n.capacity.OverloadFactor * n.capacityFraction() * n.capacity.OverloadWindow.Seconds()
 	if sum > limit+overloadSlackRequests*size {
 		n.overloaded = true
-		n.watch.Overloaded(n.Name, n.started, byProxy)
+		n.watch.NodeOverloaded(n.Name, n.started, byProxy)
 	}
 }
 
--- a/internal/testing/fakes/noderequest.go
+++ b/internal/testing/fakes/noderequest.go
@@ -22,17 +22,17 @@
 
 // nodeRequest is one request at a node.
 type nodeRequest struct {
-	node    *Node
-	class   string
-	id      uint64
-	fault   Fault
-	failed  bool // by the fault
-	lost    bool // its answer, by the fault
-	full    bool // no room in the queue
-	work    time.Duration
-	resume  chan struct{} // closed when a pause ends
-	crashed chan struct{} // closed when the process dies
-	slots   chan struct{}
+	node          *Node
+	class         string
+	id            uint64
+	fault         Fault
+	injectedError bool // by the fault
+	answerLost    bool // its answer, by the fault
+	queueFull     bool // no room in the queue
+	work          time.Duration
+	resume        chan struct{} // closed when a pause ends
+	crashed       chan struct{} // closed when the process dies
+	slots         chan struct{}
 }
 
 // serve handles a health check or a request.
@@ -41,30 +41,30 @@
 		n.serveHealthCheck(w)
 		return
 	}
-	request := n.begin(r)
-	defer n.end()
+	request := n.startRequest(r)
+	defer n.endRequest()
 	time.Sleep(request.fault.LinkDelay)
 	request.waitForResume()
 	switch {
 	case request.fault.Hang:
-		n.watch.Executed(n.Name, request.class, request.id) // it may have been executed
+		n.watch.RequestExecuted(n.Name, request.class, request.id) // it may have been executed
 		request.hang(r)
-	case request.failed:
+	case request.injectedError:
 		n.countOutcome(false, 0)
-		n.watch.Executed(n.Name, request.class, request.id)
+		n.watch.RequestExecuted(n.Name, request.class, request.id)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
-	case request.full:
+	case request.queueFull:
 		w.Header().Set(headerNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	request.waitForSlot(r)
-	n.watch.Executed(n.Name, request.class, request.id)
+	n.watch.RequestExecuted(n.Name, request.class, request.id)
 	began := time.Now()
 	request.execute()
-	n.finish(w, request, time.Since(began))
-	if request.lost {
+	n.completeExecution(w, request, time.Since(began))
+	if request.answerLost {
 		request.hang(r)
 	}
 	w.WriteHeader(http.StatusOK)
@@ -79,7 +79,7 @@
 }
 
 // begin counts a request in and decides how it goes.
-func (n *Node) begin(r *http.Request) *nodeRequest {
+func (n *Node) startRequest(r *http.Request) *nodeRequest {
 	request := &nodeRequest{node: n, class: r.Header.Get(headerClass)}
 	proxy := r.Header.Get(headerProxy)
 	request.id, _ = strconv.ParseUint(r.Header.Get(headerRequest), 10, 64)
@@ -97,23 +97,23 @@
 	if n.overloaded {
 		request.fault.Hang = true
 	}
-	request.failed = n.rng.Float64() < request.fault.Errors
-	request.lost = n.rng.Float64() < request.fault.LostAnswers
-	request.full = n.inFlight >= n.capacity.Cores+n.capacity.Queue
+	request.injectedError = n.rng.Float64() < request.fault.Errors
+	request.answerLost = n.rng.Float64() < request.fault.LostAnswers
+	request.queueFull = n.inFlight >= n.capacity.Cores+n.capacity.Queue
 	n.inFlight++
 	seconds := float64(work) / n.capacity.Speed / n.capacityFraction() * request.fault.Slow
 	request.work = time.Duration(seconds * (minWorkFactor + workJitter*n.rng.Float64()))
 	return request
 }
 
-func (n *Node) end() {
+func (n *Node) endRequest() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.inFlight--
 }
 
 // finish counts an executed request and frees its slot.
-func (n *Node) finish(w http.ResponseWriter, request *nodeRequest, duration time.Duration) {
+func (n *Node) completeExecution(w http.ResponseWriter, request *nodeRequest, duration time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.updateBusy()
@@ -121,7 +121,7 @@
 	n.serviceMillis = (1-serviceTimeSmoothing)*n.serviceMillis + serviceTimeSmoothing*float64(millis)
 	n.counters.add(true, millis)
 	<-request.slots
-	if !request.lost {
+	if !request.answerLost {
 		n.writeLoadHeader(w)
 	}
 }
--- a/internal/testing/fakes/proxy.go
+++ b/internal/testing/fakes/proxy.go
@@ -98,7 +98,7 @@
 	conns           map[net.Conn]*runtimeSession
 	lastSession     uint64
 	commandLog      []string // the latest commands that change something
-	files           filesState
+	files           fileTransport
 
 	// Faults.
 	stalledUntil time.Time
@@ -151,7 +151,7 @@
 	}
 	p.start(runtimeListener, requestListener)
 	if p.Folder != "" {
-		return p.followFolder()
+		return p.watchFolder()
 	}
 	go p.accept(runtimeListener)
 	return nil
@@ -181,7 +181,7 @@
 	}
 	requestServer := &http.Server{Handler: http.HandlerFunc(p.serveRequest)}
 	p.requestServer = requestServer
-	p.observeUsable()
+	p.reportUsability()
 	go func() { _ = requestServer.Serve(requestListener) }()
 }
 
@@ -213,7 +213,7 @@
 	if runtimeListener != nil {
 		_ = runtimeListener.Close()
 	} else {
-		p.unfollowFolder()
+		p.unwatchFolder()
 	}
 	_ = requestServer.Close()
 	for conn := range conns {
@@ -258,9 +258,9 @@
 	stateByAdmin := map[uint64]string{0: "ready", haproxyapi.AdminDrain: "drain", haproxyapi.AdminMaint: "maint"}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	entry, missing := p.find(backend + "/" + server)
+	entry, failure := p.find(backend + "/" + server)
 	if entry == nil {
-		return strings.TrimSpace(missing)
+		return strings.TrimSpace(failure)
 	}
 	return fmt.Sprintf("%d %s", entry.weight, stateByAdmin[entry.admin])
 }
@@ -285,7 +285,7 @@
 
 // Execute executes a command as an operator would at the proxy itself.
 func (p *Proxy) Execute(words ...string) string {
-	s := &runtimeSession{touched: map[string]bool{}}
+	s := &runtimeSession{changedServers: map[string]bool{}}
 	return string(p.execute(haproxyapi.Command{Words: words}, s))
 }
 
--- a/internal/testing/fakes/requests.go
+++ b/internal/testing/fakes/requests.go
@@ -49,8 +49,8 @@
 
 func (e *proxyEntry) usable() bool { return e.weight > 0 && e.admin == 0 }
 
-// observeUsable reports to the watch for which classes there is a usable entry.
-func (p *Proxy) observeUsable() {
+// reportUsability reports to the watch for which classes there is a usable entry.
+func (p *Proxy) reportUsability() {
 	for _, class := range p.Classes {
 		usable := slices.ContainsFunc(p.backends[class.Backend], (*proxyEntry).usable)
 		p.watch.ClassUsable(p.Name, class.Name, usable)
@@ -64,15 +64,15 @@
 		eligible := func(entry *proxyEntry) bool {
 			return entry.usable() && entry != excluded && (allowEjected || now.After(entry.ejectedUntil))
 		}
-		if entry := p.draw(p.backends[backend], eligible); entry != nil {
+		if entry := p.pickWeighted(p.backends[backend], eligible); entry != nil {
 			return entry
 		}
 	}
 	return nil
 }
 
-// draw draws an eligible entry by weight, nil if there is none.
-func (p *Proxy) draw(entries []*proxyEntry, eligible func(*proxyEntry) bool) *proxyEntry {
+// pickWeighted draws an eligible entry by weight, nil if there is none.
+func (p *Proxy) pickWeighted(entries []*proxyEntry, eligible func(*proxyEntry) bool) *proxyEntry {
 	sum := 0
 	for _, entry := range entries {
 		if eligible(entry) {
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// mapNumber returns a number of the proxy's map, or the default.
-func (p *Proxy) mapNumber(key string, defaultValue int) int {
+// mapInt returns a number of the proxy's map, or the default.
+func (p *Proxy) mapInt(key string, defaultValue int) int {
 	number, err := strconv.Atoi(p.mapEntries[key])
 	if err != nil {
 		return defaultValue
@@ -107,12 +107,12 @@
 // serveRequest handles one request of a caller.
 func (p *Proxy) serveRequest(w http.ResponseWriter, r *http.Request) {
 	name := r.Header.Get(headerClass)
-	position := slices.IndexFunc(p.Classes, func(c ProxyClass) bool { return c.Name == name })
-	if position < 0 {
+	classIndex := slices.IndexFunc(p.Classes, func(c ProxyClass) bool { return c.Name == name })
+	if classIndex < 0 {
 		http.Error(w, "no such class", http.StatusBadRequest)
 		return
 	}
-	request := proxyRequest{proxy: p, class: p.Classes[position]}
+	request := proxyRequest{proxy: p, class: p.Classes[classIndex]}
 	request.id, _ = strconv.ParseUint(r.Header.Get(headerRequest), 10, 64)
 	ctx, cancel := context.WithTimeout(r.Context(), request.class.Deadline)
 	defer cancel()
@@ -143,8 +143,8 @@
 	defer p.mu.Unlock()
 	total := p.totals[r.class.Backend]
 	total.Sessions++
-	r.retryMode = p.mapNumber(r.class.Name+".retry", retryNever)
-	if p.rng.IntN(admissionUnit) >= p.mapNumber(r.class.Name+".share", admissionUnit) {
+	r.retryMode = p.mapInt(r.class.Name+".retry", retryNever)
+	if p.rng.IntN(admissionUnit) >= p.mapInt(r.class.Name+".share", admissionUnit) {
 		total.Denied++
 		return false
 	}
@@ -155,7 +155,7 @@
 func (r *proxyRequest) run(ctx context.Context, w http.ResponseWriter) {
 	var last *proxyEntry
 	for number := 0; ; number++ {
-		entry := r.begin(last)
+		entry := r.startAttempt(last)
 		if entry == nil {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -166,7 +166,7 @@
 		if !outcome.Success && ctx.Err() == nil && r.mayRetry(number, outcome) {
 			continue
 		}
-		r.finish(outcome.Success)
+		r.countResult(outcome.Success)
 		if outcome.Success {
 			w.Header().Set(headerNode, entry.name)
 			return
@@ -176,8 +176,8 @@
 	}
 }
 
-// begin picks the entry of an attempt, nil if there is none.
-func (r *proxyRequest) begin(excluded *proxyEntry) *proxyEntry {
+// startAttempt picks the entry of an attempt, nil if there is none.
+func (r *proxyRequest) startAttempt(excluded *proxyEntry) *proxyEntry {
 	p := r.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -209,7 +209,7 @@
 	return r.proxy.sendAttempt(ctx, entry, r, number)
 }
 
-func (r *proxyRequest) finish(success bool) {
+func (r *proxyRequest) countResult(success bool) {
 	p := r.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testing/fakes/runtimesession.go
+++ b/internal/testing/fakes/runtimesession.go
@@ -20,15 +20,15 @@
 
 // runtimeSession is one session of the runtime socket.
 type runtimeSession struct {
-	id         string
-	conn       net.Conn
-	since      time.Time
-	commands   int
-	ended      bool            // by "shutdown session"
-	stateRead  bool            // "show servers state" was answered
-	touched    map[string]bool // servers that the present requests changed
-	controller string          // whose lease entry was written last
-	epoch      uint64          // of that entry
+	id             string
+	conn           net.Conn
+	since          time.Time
+	commands       int
+	ended          bool            // by "shutdown session"
+	stateRead      bool            // "show servers state" was answered
+	changedServers map[string]bool // servers that the present requests changed
+	controller     string          // whose lease entry was written last
+	epoch          uint64          // of that entry
 }
 
 // accept serves sessions until the listener is closed.
@@ -46,10 +46,10 @@
 		}
 		p.lastSession++
 		s := &runtimeSession{
-			id:      fmt.Sprintf("0x%08x", p.lastSession),
-			conn:    conn,
-			since:   time.Now(),
-			touched: map[string]bool{},
+			id:             fmt.Sprintf("0x%08x", p.lastSession),
+			conn:           conn,
+			since:          time.Now(),
+			changedServers: map[string]bool{},
 		}
 		p.conns[conn] = s
 		p.mu.Unlock()
@@ -59,13 +59,13 @@
 
 // serveSession answers one session until it ends.
 func (p *Proxy) serveSession(s *runtimeSession) {
-	joined := false
+	connected := false
 	defer func() {
 		_ = s.conn.Close()
 		p.mu.Lock()
 		delete(p.conns, s.conn)
 		p.mu.Unlock()
-		if joined {
+		if connected {
 			p.watch.Disconnected(p.Name)
 		}
 	}()
@@ -83,19 +83,19 @@
 		}
 		read += n
 		reply, done := protocol.Feed(buffer[:n])
-		if len(s.touched) > 0 {
-			p.watch.Message(p.Name, len(s.touched))
-			clear(s.touched)
+		if len(s.changedServers) > 0 {
+			p.watch.Message(p.Name, len(s.changedServers))
+			clear(s.changedServers)
 		}
 		if cutAfter >= 0 && read >= cutAfter {
-			p.cutDone()
+			p.finishCut()
 			return
 		}
 		if _, err := s.conn.Write(reply); err != nil || done {
 			return
 		}
-		if !joined && s.stateRead && bytes.Contains(buffer[:n], []byte("show map")) {
-			joined = true
+		if !connected && s.stateRead && bytes.Contains(buffer[:n], []byte("show map")) {
+			connected = true
 			if s.controller != "" {
 				p.watch.Owner(p.Name, s.controller)
 			}
@@ -126,8 +126,8 @@
 	return cutAfter
 }
 
-// cutDone ends the cuts if only one was asked for.
-func (p *Proxy) cutDone() {
+// finishCut ends the cuts if only one was asked for.
+func (p *Proxy) finishCut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cutOnce {
@@ -150,8 +150,8 @@
 	return epoch, count
 }
 
-// noteLease notes which controller's session it is, by the lease entry that it writes.
-func (s *runtimeSession) noteLease(key, value string) {
+// recordLease notes which controller's session it is, by the lease entry that it writes.
+func (s *runtimeSession) recordLease(key, value string) {
 	controller, ok := strings.CutPrefix(key, "cressknot.lease.")
 	if !ok {
 		return
--- a/internal/testing/invariants/availability.go
+++ b/internal/testing/invariants/availability.go
@@ -7,35 +7,36 @@
 	"time"
 )
 
-// readinessStep is the resolution at which the readiness of servers is followed.
-const readinessStep = 50 * time.Millisecond
+// readinessResolution is the sampling interval for the readiness of listed servers.
+const readinessResolution = 50 * time.Millisecond
 
-// judgeAvailability finds connected proxies without a usable entry for a class while a warmed-up server was listed.
-func (w *Watch) judgeAvailability(f Figures) Verdict {
+// checkAvailability finds connected proxies that had no usable entry for a class while their controller's endpoint list
+// had a warmed-up server.
+func (w *Watch) checkAvailability(f Figures) Verdict {
 	v := Verdict{Rule: RuleAvailability, Tested: w.usabilityChecks}
 	end := w.now()
 	longest := time.Duration(0)
 	place := ""
-	for _, span := range w.unusable {
-		spanEnd := cmp.Or(span.to, end)
+	for _, period := range w.unusable {
+		periodEnd := cmp.Or(period.to, end)
 		for _, s := range w.sessions {
-			if s.proxy != span.proxy {
+			if s.proxy != period.proxy {
 				continue
 			}
-			from := max(span.from, s.from)
-			to := min(spanEnd, cmp.Or(s.to, end))
+			from := max(period.from, s.from)
+			to := min(periodEnd, cmp.Or(s.to, end))
 			if to <= from {
 				continue
 			}
-			lacked := w.longestReady(w.owner(span.proxy, from), from, to, f)
-			if lacked > longest {
-				longest = lacked
-				place = fmt.Sprintf(" (proxy %s, class %s, at %.2f s)", span.proxy, span.class, from.Seconds())
+			unserved := w.longestReadyPeriod(w.owner(period.proxy, from), from, to, f)
+			if unserved > longest {
+				longest = unserved
+				place = fmt.Sprintf(" (proxy %s, class %s, at %.2f s)", period.proxy, period.class, from.Seconds())
 			}
-			if lacked > f.MaxUnusable+f.Slack {
+			if unserved > f.MaxUnusable+f.Slack {
 				v.violate(from, "proxy %s had no usable entry for class %s for %.2f s while a warmed-up server was listed; "+
 					"limit %.2f s plus %.2f s slack",
-					span.proxy, span.class, lacked.Seconds(), f.MaxUnusable.Seconds(), f.Slack.Seconds())
+					period.proxy, period.class, unserved.Seconds(), f.MaxUnusable.Seconds(), f.Slack.Seconds())
 			}
 		}
 	}
@@ -44,8 +45,9 @@
 	return v
 }
 
-// longestReady returns the longest time within [from, to) in which the controller's list had a warmed-up, ready node.
-func (w *Watch) longestReady(controller string, from, to time.Duration, f Figures) time.Duration {
+// longestReadyPeriod returns the longest continuous time within [from, to) in which the controller's endpoint list had
+// a warmed-up, ready node.
+func (w *Watch) longestReadyPeriod(controller string, from, to time.Duration, f Figures) time.Duration {
 	nodes := map[string]bool{}
 	for _, n := range w.notifications {
 		if n.controller == controller {
@@ -58,9 +60,9 @@
 	}
 	longest := time.Duration(0)
 	ready := time.Duration(0)
-	for at := from; at < to; at += readinessStep {
-		if slices.ContainsFunc(histories, func(h []notification) bool { return warmAndReady(h, at, f) }) {
-			ready += readinessStep
+	for at := from; at < to; at += readinessResolution {
+		if slices.ContainsFunc(histories, func(h []notification) bool { return isWarmAndReady(h, at, f) }) {
+			ready += readinessResolution
 		} else {
 			ready = 0
 		}
@@ -69,8 +71,9 @@
 	return longest
 }
 
-// warmAndReady reports whether a node was listed as ready and warmed up at a time.
-func warmAndReady(history []notification, at time.Duration, f Figures) bool {
+// isWarmAndReady reports whether a node was listed as ready and past its slow start at a time. The history is sorted
+// by time.
+func isWarmAndReady(history []notification, at time.Duration, f Figures) bool {
 	next, _ := slices.BinarySearchFunc(history, at, func(n notification, at time.Duration) int {
 		return cmp.Compare(n.at, at)
 	})
--- a/internal/testing/invariants/drain.go
+++ b/internal/testing/invariants/drain.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// interval is a time from one moment to another; to: 0 while it lasts.
+// interval is a period of time. A zero end means that it has not ended.
 type interval struct{ from, to time.Duration }
 
-// contains reports whether a moment is within the interval, which ends at the given time if it lasts.
+// contains reports whether a time is within the interval. An interval without an end extends to the given end.
 func (i interval) contains(at, end time.Duration) bool {
 	return at >= i.from && at < cmp.Or(i.to, end)
 }
 
-// judgeDrain finds attempts that proxies sent to nodes long after their controller knew that these were not ready.
-func (w *Watch) judgeDrain(f Figures) Verdict {
+// checkDrain finds attempts that proxies sent to a node more than the drain timeout after their controller was notified
+// that the node is not ready. Time without a session between proxy and controller does not count.
+func (w *Watch) checkDrain(f Figures) Verdict {
 	v := Verdict{Rule: RuleDrain}
 	notReady := w.notReadyIntervals()
 	for _, intervals := range notReady {
@@ -36,12 +37,12 @@
 				if !connected.contains(a.at, end) {
 					continue
 				}
-				late := a.at - max(drained.from, connected.from)
-				latest = max(latest, late)
-				if late > f.DrainTimeout+f.Slack {
+				delay := a.at - max(drained.from, connected.from)
+				latest = max(latest, delay)
+				if delay > f.DrainTimeout+f.Slack {
 					v.violate(a.at, "proxy %s sent an attempt to node %s %.2f s after its connected controller was notified "+
 						"that the node is not ready; limit %.2f s plus %.2f s slack",
-						a.proxy, a.node, late.Seconds(), f.DrainTimeout.Seconds(), f.Slack.Seconds())
+						a.proxy, a.node, delay.Seconds(), f.DrainTimeout.Seconds(), f.Slack.Seconds())
 				}
 			}
 		}
@@ -51,17 +52,18 @@
 	return v
 }
 
-// notReadyIntervals returns when each controller knew that a node was not ready.
+// notReadyIntervals returns, for each controller and node, the intervals in which the endpoint list that the controller
+// was last sent had the node as not ready.
 func (w *Watch) notReadyIntervals() map[controllerNode][]interval {
 	all := map[controllerNode][]interval{}
 	for _, n := range w.notifications {
 		key := controllerNode{n.controller, n.node}
 		intervals := all[key]
-		lasts := len(intervals) > 0 && intervals[len(intervals)-1].to == 0
+		open := len(intervals) > 0 && intervals[len(intervals)-1].to == 0
 		switch {
-		case n.state == stateReady && lasts:
+		case n.state == stateReady && open:
 			intervals[len(intervals)-1].to = n.at
-		case n.state != stateReady && !lasts:
+		case n.state != stateReady && !open:
 			all[key] = append(intervals, interval{from: n.at})
 		}
 	}
--- a/internal/testing/invariants/duplicates.go
+++ b/internal/testing/invariants/duplicates.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// judgeDuplicates finds requests whose effect happened twice, and attempts that could have led to that.
-func (w *Watch) judgeDuplicates(f Figures) Verdict {
+// checkDuplicates finds requests whose side effect happened twice, and retries that could have caused that.
+func (w *Watch) checkDuplicates(f Figures) Verdict {
 	v := Verdict{Rule: RuleNoDuplicates}
 	classes := map[string]Class{}
 	for _, class := range f.Classes {
 		classes[class.Name] = class
 	}
-	effects, repeatedEffects := w.judgeExecutions(&v, classes)
-	repeatedAttempts := w.judgeAttempts(&v, classes)
+	effects, repeatedEffects := w.checkExecutions(&v, classes)
+	repeatedAttempts := w.checkAttempts(&v, classes)
 	v.Seen = fmt.Sprintf("%d requests with side effects executed, %d attempts repeated, %d executions repeated",
 		effects, repeatedAttempts, repeatedEffects)
 	return v
 }
 
-// judgeExecutions returns the number of requests that were executed, and of their repetitions.
-func (w *Watch) judgeExecutions(v *Verdict, classes map[string]Class) (effects, repeated int) {
+// checkExecutions finds repeated executions that the class does not allow. It returns how many requests of classes with
+// side effects were executed, and how many executions repeated an earlier one.
+func (w *Watch) checkExecutions(v *Verdict, classes map[string]Class) (effects, repeated int) {
 	first := map[uint64]execution{}
 	for _, e := range w.executions {
 		class := classes[e.class]
@@ -42,8 +43,9 @@
 	return len(first), repeated
 }
 
-// judgeAttempts returns the number of repeated attempts.
-func (w *Watch) judgeAttempts(v *Verdict, classes map[string]Class) (repeated int) {
+// checkAttempts finds retries after an attempt that may have been executed, in classes that do not allow them. It
+// returns the number of retries in all classes.
+func (w *Watch) checkAttempts(v *Verdict, classes map[string]Class) (repeated int) {
 	firstSent := map[uint64]time.Duration{}
 	for _, a := range w.attempts {
 		class := classes[a.class]
--- a/internal/testing/invariants/judge.go
+++ b/internal/testing/invariants/judge.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Idempotency says what repeating a request would do.
+// Idempotency is the effect of executing a request of a class more than once.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
-	Idempotent Idempotency = iota
-	IdempotentWithKey
-	NotIdempotent
+	Idempotent        Idempotency = iota // repetitions are harmless
+	IdempotentWithKey                    // repetitions are harmless within the class's deduplication window
+	NotIdempotent                        // repetitions repeat the side effect
 )
 
-// Class is a request class as the rules need it.
+// Class holds the properties of a request class that the rules depend on.
 type Class struct {
 	Name                string
 	Idempotency         Idempotency
-	DeduplicationWindow time.Duration // of IdempotentWithKey
+	DeduplicationWindow time.Duration // from the first attempt; for IdempotentWithKey only
 }
 
 // repetitionLimit says, for violation texts, when a request of the class may be repeated.
@@ -30,64 +30,64 @@
 	return fmt.Sprintf("deduplication window %.2f s", c.DeduplicationWindow.Seconds())
 }
 
-// Figures are the limits of the rules.
+// Figures are the limits of the rules, and the properties of the simulated servers and update channels behind them.
 type Figures struct {
 	Classes           []Class
-	MaxUnusable       time.Duration // how long a connected proxy may lack a usable entry for a class
-	DrainTimeout      time.Duration // for drains, and until a controller counts as knowing of a start
-	SlowStartDuration time.Duration
-	SlowStartFraction float64
-	OverloadFactor    float64
-	OverloadWindow    time.Duration
-	EntriesPerSecond  float64 // entries per second of each controller's update channel
-	Backlog           float64 // entries that may wait
-	MessageOverhead   float64 // entries that a message counts for, beside its own
-	Messages          int     // to one proxy within MessagesOver; 0: no limit
-	MessagesOver      time.Duration
-	Slack             time.Duration // of a loaded machine: simulated parts look at their clocks this much late
+	MaxUnusable       time.Duration // longest time a connected proxy may be without a usable entry for a class
+	DrainTimeout      time.Duration // after a notification, until a drain or a slow start must be applied
+	SlowStartDuration time.Duration // after a server's start
+	SlowStartFraction float64       // capacity at the start of a slow start, as a fraction of full capacity
+	OverloadFactor    float64       // work that overloads a node in slow start, relative to its present capacity
+	OverloadWindow    time.Duration // window of OverloadFactor
+	EntriesPerSecond  float64       // rate of each controller's update channel
+	Backlog           float64       // entries that may be queued at a controller, message overhead included
+	MessageOverhead   float64       // cost of a message in entries, in addition to the entries in it
+	Messages          int           // messages to one proxy within MessagesOver; 0: no limit
+	MessagesOver      time.Duration // window of Messages
+	Slack             time.Duration // tolerance for simulated parts that run late on a loaded machine
 }
 
-// Break is one violation of a rule.
-type Break struct {
-	Rule string
-	At   time.Duration
-	What string
+// Violation is one violation of a rule.
+type Violation struct {
+	Rule string        // name of the rule
+	At   time.Duration // since the watch's start
+	What string        // the value met and the limit
 }
 
-// Verdict is a rule, how often it was tested and how it broke.
+// Verdict is the result of checking one rule.
 type Verdict struct {
-	Rule   string  `json:"rule"`
-	Tested int     `json:"tried"`
-	Seen   string  `json:"seen"`   // the nearest that it came to breaking
-	Breaks []Break `json:"breaks"` // none: the rule held
+	Rule   string      `json:"rule"`
+	Tested int         `json:"tried"`  // observations that the rule was checked on
+	Seen   string      `json:"seen"`   // the most extreme values observed
+	Breaks []Violation `json:"breaks"` // empty: the rule held
 }
 
 // violate adds a violation.
 func (v *Verdict) violate(at time.Duration, format string, args ...any) {
-	v.Breaks = append(v.Breaks, Break{v.Rule, at, fmt.Sprintf(format, args...)})
+	v.Breaks = append(v.Breaks, Violation{v.Rule, at, fmt.Sprintf(format, args...)})
 }
 
-// Names of the rules.
+// Names of the rules, as written to reports.
 const (
 	RuleAvailability     = "nobody left without a server"
 	RuleNoDuplicates     = "no effect twice"
 	RuleDrain            = "drains kept"
 	RuleSlowStart        = "no cold server pushed over"
 	RuleQueue            = "a short queue"
-	RuleSingleController = "one governor at a time" // judged where several may serve a proxy
-	RuleNoRollback       = "versions never go back" // of a table at a proxy
+	RuleSingleController = "one governor at a time" // checked if proxies executed commands with a controller's epoch
+	RuleNoRollback       = "versions never go back" // of a table at a proxy; checked if proxies received versions
 )
 
-// Judge judges what was observed until now.
+// Judge checks all rules on the observations until now. Rules that have nothing to check in this setup are left out.
 func (w *Watch) Judge(f Figures) []Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	verdicts := []Verdict{
-		w.judgeAvailability(f),
-		w.judgeDuplicates(f),
-		w.judgeDrain(f),
-		w.judgeSlowStart(f),
-		w.judgeQueue(f),
+		w.checkAvailability(f),
+		w.checkDuplicates(f),
+		w.checkDrain(f),
+		w.checkSlowStart(f),
+		w.checkQueue(f),
 	}
 	if w.commands > 0 {
 		verdicts = append(verdicts, Verdict{
--- a/internal/testing/invariants/queue.go
+++ b/internal/testing/invariants/queue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// judgeQueue finds update queues that were too long, and proxies that got too many messages where these are limited.
-func (w *Watch) judgeQueue(f Figures) Verdict {
+// checkQueue finds controllers whose update queue was too long, and proxies that received more messages than allowed.
+func (w *Watch) checkQueue(f Figures) Verdict {
 	v := Verdict{Rule: RuleQueue, Tested: len(w.messages)}
 	byController := map[string][]message{}
 	byProxy := map[string][]message{}
@@ -17,11 +17,11 @@
 	}
 	longestBurst := 0.0
 	for controller, messages := range byController {
-		longestBurst = max(longestBurst, judgeBursts(&v, controller, messages, f))
+		longestBurst = max(longestBurst, checkBursts(&v, controller, messages, f))
 	}
 	mostMessages := 0
 	for proxy, messages := range byProxy {
-		mostMessages = max(mostMessages, judgeMessageRate(&v, proxy, messages, f))
+		mostMessages = max(mostMessages, checkMessageRate(&v, proxy, messages, f))
 	}
 	v.Seen = fmt.Sprintf("largest burst %.0f entries, limit %.0f entries; most messages to one proxy within %s: %d",
 		longestBurst, f.Backlog, f.MessagesOver, mostMessages)
@@ -29,49 +29,50 @@
 }
 
 const (
-	// maxPauseFactor is how many times longer than its own entries take a pause before a message may be without ending
-	// the burst; burstPause, in seconds, is added.
-	maxPauseFactor = 4
-	burstPause     = 0.1
-	// minBurstPace is the part of the channel's rate below which a burst does not show a queue.
-	minBurstPace = 0.5
+	// maxPauseFactor and burstPauseSeconds bound the pause before a message that does not end a burst: maxPauseFactor
+	// times the duration of the message at the channel's rate, plus burstPauseSeconds.
+	maxPauseFactor    = 4
+	burstPauseSeconds = 0.1
+	// minBurstRateFraction is the fraction of the channel's rate below which a burst is no evidence of a queue.
+	minBurstRateFraction = 0.5
 )
 
-// judgeBursts finds a queue that was too long by how many entries a controller sent without a pause at about the full
-// rate of its channel: they must have waited somewhere had all been ordered when the burst began. It returns the
-// longest burst in entries.
-func judgeBursts(v *Verdict, controller string, messages []message, f Figures) float64 {
+// checkBursts finds bursts of more entries than may be queued. A burst is a sequence of messages that a controller sent
+// without a pause at about the full rate of its channel; had all its entries been ready when it began, they would have
+// been queued. It returns the largest burst in entries.
+func checkBursts(v *Verdict, controller string, messages []message, f Figures) float64 {
 	longest := 0.0
-	began := time.Duration(-1)
+	burstStart := time.Duration(-1)
 	entries := 0.0
 	for i, m := range messages {
 		cost := f.MessageOverhead + float64(m.entries)
 		if i > 0 {
 			pause := (m.at - messages[i-1].at).Seconds()
-			if pause*f.EntriesPerSecond > maxPauseFactor*cost+f.EntriesPerSecond*burstPause {
-				began = -1
+			if pause*f.EntriesPerSecond > maxPauseFactor*cost+f.EntriesPerSecond*burstPauseSeconds {
+				burstStart = -1
 				entries = 0
 			}
 		}
-		if began < 0 {
-			began = m.at
+		if burstStart < 0 {
+			burstStart = m.at
 		}
 		entries += cost
 		longest = max(longest, entries)
-		duration := (m.at - began).Seconds()
-		if entries > f.Backlog && entries > duration*f.EntriesPerSecond*minBurstPace {
+		duration := (m.at - burstStart).Seconds()
+		if entries > f.Backlog && entries > duration*f.EntriesPerSecond*minBurstRateFraction {
 			v.violate(m.at, "controller %s sent %.0f entries, message overhead included, in a burst of %.2f s; "+
 				"limit %.0f entries",
 				controller, entries, duration, f.Backlog)
-			began = -1
+			burstStart = -1
 			entries = 0
 		}
 	}
 	return longest
 }
 
-// judgeMessageRate finds too many messages to a proxy. It returns the largest number up to the first violation.
-func judgeMessageRate(v *Verdict, proxy string, messages []message, f Figures) int {
+// checkMessageRate finds a proxy that received too many messages within the window. It returns the largest number of
+// messages within one window up to the first violation.
+func checkMessageRate(v *Verdict, proxy string, messages []message, f Figures) int {
 	largest := 0
 	for i, m := range messages {
 		recent := 0
--- a/internal/testing/invariants/watch.go
+++ b/internal/testing/invariants/watch.go
@@ -1,6 +1,6 @@
-// Package invariants judges the rules that a controller must keep, from what simulated proxies and nodes saw on their
-// sockets and from what the list service answered. It never reads a controller's own records. The simulated parts
-// write into a Watch while they run; Judge evaluates it afterwards.
+// Package invariants checks the safety rules of controllers. Its input is what simulated proxies and nodes observed on
+// their sockets and what the endpoint list service answered, never a controller's own records. The simulated parts
+// record into a Watch while they run; Watch.Judge evaluates the rules afterwards.
 package invariants
 
 import (
@@ -10,92 +10,92 @@
 	"time"
 )
 
-// Observations of nodes and proxies. Times are since the watch's start.
+// Observations at nodes, proxies and the endpoint list service. Times are since the watch's start.
 type (
-	// ownership begins a controller's service of a proxy.
-	ownership struct {
+	// ownerChange is the time at which a controller began to serve a proxy.
+	ownerChange struct {
 		at         time.Duration
 		controller string
 	}
-	// unusableSpan is a time in which a proxy had no usable entry for a class.
-	unusableSpan struct {
+	// unusablePeriod is a period in which a proxy had no usable entry for a class.
+	unusablePeriod struct {
 		proxy, class string
-		from, to     time.Duration // to: 0 while it lasts
+		from, to     time.Duration // to: 0 until it ends
 	}
 	// session is a controller's session at a proxy.
 	session struct {
 		proxy    string
-		from, to time.Duration // to: 0 while it lasts
+		from, to time.Duration // to: 0 until it ends
 	}
-	// attempt is an attempt that a proxy sent.
+	// attempt is an attempt of a request that a proxy sent to a node.
 	attempt struct {
 		at         time.Duration
 		node       string
 		proxy      string
 		class      string
 		request    uint64
-		number     int
+		number     int  // within the request, from 0
 		mayHaveRun bool // an earlier attempt of this request may have been executed
 	}
-	// execution is a request that a node executed.
+	// execution is the execution of a request by a node.
 	execution struct {
 		at      time.Duration
 		node    string
 		request uint64
 		class   string
 	}
-	// notification is what a controller was sent about a node.
+	// notification is a change of a node's listed state that a controller was sent.
 	notification struct {
 		at         time.Duration
 		controller string
 		node       string
 		state      string // ready, draining, gone
 		started    time.Duration
-		slowStart  bool // started is since the watch began
+		slowStart  bool // started is known; otherwise the node is warmed up
 	}
-	// message is a message that a proxy read.
+	// message is a message of a controller that a proxy read.
 	message struct {
 		at      time.Duration
 		proxy   string
-		entries int
+		entries int // servers in it
 	}
-	// overload is a node in slow start that got too much work.
+	// overload is the overload of a node in slow start.
 	overload struct {
 		at          time.Duration
 		node        string
-		workByProxy map[string]float64 // in the window before
+		workByProxy map[string]float64 // within the overload window
 		started     time.Duration
 	}
 )
 
-// stateReady is the state of a listed server that takes requests.
+// stateReady is the state of a listed server that accepts requests.
 const stateReady = "ready"
 
-// proxyClass and controllerNode are keys of observations.
+// Keys by which observations are grouped.
 type (
 	proxyClass     struct{ proxy, class string }
 	controllerNode struct{ controller, node string }
 )
 
-// Watch collects observations; all its methods may be called from any goroutine.
+// Watch collects observations. Its exported methods may be called from any goroutine.
 type Watch struct {
 	start time.Time
 	mu    sync.Mutex
 
-	owners   map[string][]ownership // by proxy, in time
-	sessions []session
-	live     map[string]int // by proxy: index of the session that lasts
+	owners       map[string][]ownerChange // by proxy, sorted by time
+	sessions     []session
+	openSessions map[string]int // by proxy: index in sessions of the one that has not ended
 
 	usabilityChecks int
-	unusable        []unusableSpan
-	unusableNow     map[proxyClass]int // index of the span that lasts
+	unusable        []unusablePeriod
+	openUnusable    map[proxyClass]int // index in unusable of the period that has not ended
 
-	epochs           map[string]uint64 // by proxy: of the latest controller whose command it followed
+	epochs           map[string]uint64 // by proxy: highest epoch of the commands that it executed
 	commands         int
-	outdatedCommands []Break // of a controller after those of a later one
+	outdatedCommands []Violation // commands with an epoch lower than an earlier one's
 
 	versions  int
-	rollbacks []Break
+	rollbacks []Violation
 
 	attempts          []attempt
 	executions        []execution
@@ -106,14 +106,14 @@
 	slowStartRequests int
 }
 
-// NewWatch begins a watch.
+// NewWatch returns an empty watch. Times of its observations count from now.
 func NewWatch() *Watch {
 	return &Watch{
 		start:             time.Now(),
-		owners:            map[string][]ownership{},
+		owners:            map[string][]ownerChange{},
 		epochs:            map[string]uint64{},
-		unusableNow:       map[proxyClass]int{},
-		live:              map[string]int{},
+		openUnusable:      map[proxyClass]int{},
+		openSessions:      map[string]int{},
 		lastNotifications: map[controllerNode]notification{},
 	}
 }
@@ -124,10 +124,10 @@
 func (w *Watch) Owner(proxy, controller string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.owners[proxy] = append(w.owners[proxy], ownership{w.now(), controller})
+	w.owners[proxy] = append(w.owners[proxy], ownerChange{w.now(), controller})
 }
 
-// owner returns the controller that served a proxy at a time.
+// owner returns the controller that served a proxy at a time: the first one before its first record, "" without any.
 func (w *Watch) owner(proxy string, at time.Duration) string {
 	controller := ""
 	for i, o := range w.owners[proxy] {
@@ -138,9 +138,9 @@
 	return controller
 }
 
-// CommandFollowed records that a proxy followed a command of a controller that serves it since an epoch, where
-// several could.
-func (w *Watch) CommandFollowed(proxy, controller string, epoch uint64) {
+// CommandExecuted records that a proxy executed a command of a controller whose lease has an epoch. It is called only
+// where several controllers may serve a proxy.
+func (w *Watch) CommandExecuted(proxy, controller string, epoch uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.commands++
@@ -152,7 +152,7 @@
 			epoch,
 			last,
 		)
-		w.outdatedCommands = append(w.outdatedCommands, Break{RuleSingleController, w.now(), text})
+		w.outdatedCommands = append(w.outdatedCommands, Violation{RuleSingleController, w.now(), text})
 	}
 	w.epochs[proxy] = max(w.epochs[proxy], epoch)
 }
@@ -163,27 +163,27 @@
 	defer w.mu.Unlock()
 	w.usabilityChecks++
 	key := proxyClass{proxy, class}
-	i, lasts := w.unusableNow[key]
+	i, open := w.openUnusable[key]
 	switch {
-	case usable && lasts:
+	case usable && open:
 		w.unusable[i].to = max(w.now(), 1)
-		delete(w.unusableNow, key)
-	case !usable && !lasts:
-		w.unusableNow[key] = len(w.unusable)
-		w.unusable = append(w.unusable, unusableSpan{proxy: proxy, class: class, from: w.now()})
+		delete(w.openUnusable, key)
+	case !usable && !open:
+		w.openUnusable[key] = len(w.unusable)
+		w.unusable = append(w.unusable, unusablePeriod{proxy: proxy, class: class, from: w.now()})
 	}
 }
 
-// Connected records that a controller's session at a proxy begins. It ends one that lasts.
+// Connected records that a controller's session at a proxy begins. A session that has not ended yet ends now.
 func (w *Watch) Connected(proxy string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.endSession(proxy)
-	w.live[proxy] = len(w.sessions)
+	w.openSessions[proxy] = len(w.sessions)
 	w.sessions = append(w.sessions, session{proxy: proxy, from: w.now()})
 }
 
-// Disconnected records that the session at a proxy ends.
+// Disconnected records that the session at a proxy ends. Without a session it does nothing.
 func (w *Watch) Disconnected(proxy string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -191,13 +191,13 @@
 }
 
 func (w *Watch) endSession(proxy string) {
-	if i, ok := w.live[proxy]; ok {
+	if i, ok := w.openSessions[proxy]; ok {
 		w.sessions[i].to = w.now()
-		delete(w.live, proxy)
+		delete(w.openSessions, proxy)
 	}
 }
 
-// UnservedGaps returns how long proxies were without a session between two, sorted.
+// UnservedGaps returns the times that proxies were without a session between two sessions, sorted.
 func (w *Watch) UnservedGaps() []time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -213,35 +213,37 @@
 	return gaps
 }
 
-// Message records that a proxy read a message with a number of entries.
+// Message records that a proxy read a controller's message with entries for a number of servers.
 func (w *Watch) Message(proxy string, entries int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.messages = append(w.messages, message{w.now(), proxy, entries})
 }
 
-// AttemptSent records an attempt that a proxy sends.
+// AttemptSent records an attempt that a proxy sends to a node. The number counts from 0 within the request; mayHaveRun
+// says whether an earlier attempt of the request may have been executed.
 func (w *Watch) AttemptSent(proxy, node, class string, request uint64, number int, mayHaveRun bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.attempts = append(w.attempts, attempt{w.now(), node, proxy, class, request, number, mayHaveRun})
 }
 
-// SlowStartRequest records that a request came to a node in slow start.
-func (w *Watch) SlowStartRequest() {
+// SlowStartRequestReceived records that a node in slow start received a request.
+func (w *Watch) SlowStartRequestReceived() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slowStartRequests++
 }
 
-// Executed records that a node executed a request.
-func (w *Watch) Executed(node, class string, request uint64) {
+// RequestExecuted records that a node executed a request, or may have.
+func (w *Watch) RequestExecuted(node, class string, request uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.executions = append(w.executions, execution{w.now(), node, request, class})
 }
 
-// Notified records what the list service sent a controller about a node. Started is zero for long ago.
+// Notified records the state of a node that the endpoint list service sent a controller. A zero start time means that
+// the node is warmed up.
 func (w *Watch) Notified(controller, node, state string, started time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -259,7 +261,8 @@
 	w.notifications = append(w.notifications, sent)
 }
 
-// NotifiedSince returns when a proxy's controller was first notified, since a time, that a node is not ready.
+// NotifiedSince returns the time of the first notification since the given time to the proxy's controller that a node
+// is not ready, and false if there was none.
 func (w *Watch) NotifiedSince(proxy, node string, since time.Time) (at time.Time, notified bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -274,7 +277,7 @@
 	return time.Time{}, false
 }
 
-// history returns what a controller was sent about a node, in time.
+// history returns the notifications of a controller about a node, sorted by time.
 func (w *Watch) history(controller, node string) []notification {
 	var history []notification
 	for _, n := range w.notifications {
@@ -285,20 +288,22 @@
 	return history
 }
 
-// Overloaded records that a node in slow start was overloaded, and whose work did it.
-func (w *Watch) Overloaded(node string, started time.Time, workByProxy map[string]float64) {
+// NodeOverloaded records that a node in slow start was overloaded. workByProxy is the work within the overload window
+// by the proxy that sent it; it is kept, so the caller must not change it.
+func (w *Watch) NodeOverloaded(node string, started time.Time, workByProxy map[string]float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.overloads = append(w.overloads, overload{w.now(), node, workByProxy, started.Sub(w.start)})
 }
 
-// Version records that a proxy got a version, and whether it is older than the one before.
-func (w *Watch) Version(proxy, key, version string, older bool) {
+// VersionReceived records that a proxy received a version under a key of its map, and whether that is older than the
+// previous one.
+func (w *Watch) VersionReceived(proxy, key, version string, older bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.versions++
 	if older {
 		text := fmt.Sprintf("proxy %s received version %s of %s, which is older than the one before", proxy, version, key)
-		w.rollbacks = append(w.rollbacks, Break{RuleNoRollback, w.now(), text})
+		w.rollbacks = append(w.rollbacks, Violation{RuleNoRollback, w.now(), text})
 	}
 }
