--- a/internal/testing/fakes/commands.go
+++ b/internal/testing/fakes/commands.go
@@ -18,10 +18,11 @@
 // initialWeight is the weight of the entries that a proxy starts with.
 const initialWeight = 100
 
-// operationalRunning is the operational state of every server.
+// operationalRunning is the value of srv_op_state for a running server; all servers are shown as running.
 const operationalRunning = 2
 
-// runtimeCommand is a command of the runtime socket: its first words, how many may follow, and what answers it.
+// runtimeCommand is a command of the runtime API: its first words, the allowed number of arguments after them, and its
+// handler. Handlers run with the proxy locked.
 type runtimeCommand struct {
 	prefix  []string
 	minArgs int
@@ -29,7 +30,7 @@
 	handle  func(p *Proxy, s *runtimeSession, args []string) []byte
 }
 
-// runtimeCommands are the commands that a proxy knows. The first match answers.
+// runtimeCommands are the supported commands. The first match handles a command.
 var runtimeCommands = []runtimeCommand{
 	{[]string{"show", "info"}, 0, anyArgs, showInfo},
 	{[]string{"show", "stat"}, 0, anyArgs, showStat},
@@ -48,7 +49,7 @@
 	{[]string{"del", "server"}, 1, 1, deleteServer},
 }
 
-// match returns the arguments of a command if it is this one.
+// match returns the arguments of a command line, and false if it is another command or has too few or too many.
 func (c *runtimeCommand) match(words []string) (args []string, ok bool) {
 	if len(words) < len(c.prefix) || !slices.Equal(words[:len(c.prefix)], c.prefix) {
 		return nil, false
@@ -60,12 +61,12 @@
 	return args, true
 }
 
-// execute answers one command, by the rules of the specification.
+// execute executes one command and returns the answer as HAProxy would give it.
 func (p *Proxy) execute(command haproxyapi.Command, s *runtimeSession) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s.commands++
-	if s.ended { // commands that were sent before the session was ended are not executed
+	if s.ended { // commands still buffered at the shutdown are not executed
 		return nil
 	}
 	p.logCommand(command.Words)
@@ -81,7 +82,7 @@
 	return fmt.Appendf(nil, "%s'%s'.\n", haproxyapi.UnknownPrefix, strings.Join(words, " "))
 }
 
-// logCommand records a command that changes something.
+// logCommand records a command unless it only reads. The oldest ones are dropped beyond maxCommandLog.
 func (p *Proxy) logCommand(words []string) {
 	if words[0] == "show" || words[0] == "get" {
 		return
@@ -90,7 +91,8 @@
 	p.commandLog = p.commandLog[max(0, len(p.commandLog)-maxCommandLog):]
 }
 
-// recordChange records that a command changed an entry, which the proxy takes some time for.
+// recordChange records that a command changed the server of "backend/server", and extends the proxy's stall by
+// EntryDelay. Commands of a session that wrote a lease entry are reported to the watch.
 func (p *Proxy) recordChange(s *runtimeSession, target string) {
 	_, server, _ := strings.Cut(target, "/")
 	s.changedServers[server] = true
@@ -103,7 +105,7 @@
 	p.stalledUntil = p.stalledUntil.Add(p.EntryDelay)
 }
 
-// find returns the entry of "backend/server", or the answer that there is none.
+// find returns the entry of "backend/server", or nil and the answer that says why there is none.
 func (p *Proxy) find(target string) (*proxyEntry, string) {
 	backend, server, ok := strings.Cut(target, "/")
 	if !ok {
@@ -131,7 +133,7 @@
 	return p.delayedOutput("stat", p.stat())
 }
 
-// stat formats the counters of all entries and backends.
+// stat formats the counters of all entries and backends as "show stat" does. The caller holds the lock.
 func (p *Proxy) stat() []byte {
 	statusByAdmin := map[uint64]string{0: "UP", haproxyapi.AdminDrain: "DRAIN", haproxyapi.AdminMaint: "MAINT"}
 	out := haproxyapi.AppendStatHeader(nil)
@@ -146,7 +148,8 @@
 	return out
 }
 
-// showSessions lists the sessions of the runtime socket, and one of a request.
+// showSessions lists the sessions of the runtime socket and one session of a client request, which controllers must
+// leave alone.
 func showSessions(p *Proxy, _ *runtimeSession, _ []string) []byte {
 	var out []byte
 	for _, s := range p.conns {
@@ -208,7 +211,7 @@
 	return p.delayedOutput("table", p.trackedTable(p.Table))
 }
 
-// trackedTable formats what is counted of servers' answers.
+// trackedTable formats the stick table with the counters of successful answers by server.
 func (p *Proxy) trackedTable(name string) []byte {
 	out := fmt.Appendf(nil, "# table: %s, type: string, size:10240, used:%d\n", name, len(p.trackedNames))
 	for i, server := range p.trackedNames {
@@ -245,7 +248,7 @@
 	return known
 }
 
-// deleteMap accepts any map, as there is only one.
+// deleteMap deletes a key. It ignores the name of the map, as there is only one.
 func deleteMap(p *Proxy, _ *runtimeSession, args []string) []byte {
 	key := args[1]
 	if !p.hasKey(key) {
@@ -310,7 +313,7 @@
 	return nil
 }
 
-// setAddr takes an address, or an address, "port" and a port.
+// setAddr changes the address of a server. The values are an address, or an address, "port" and a port.
 func setAddr(p *Proxy, target string, values []string) []byte {
 	entry, failure := p.find(target)
 	if entry == nil {
--- a/internal/testing/fakes/files.go
+++ b/internal/testing/fakes/files.go
@@ -23,11 +23,11 @@
 	folderMode = 0o755
 	// countersInterval is the time between two writes of the counters.
 	countersInterval = time.Second
-	// trackedTableName is the table's name in the file of what is counted of servers.
+	// trackedTableName is the name of the stick table in the file of server counters.
 	trackedTableName = "nodes"
 )
 
-// Health states of endpoints in the tables' file, by admin state and back.
+// Health states of endpoints in the tables file by admin state, and the reverse.
 var (
 	healthByAdmin = map[uint64]string{
 		0:                     "HEALTHY",
@@ -37,22 +37,24 @@
 	adminByHealth = map[string]uint64{"DRAINING": haproxyapi.AdminDrain, "UNHEALTHY": haproxyapi.AdminMaint}
 )
 
-// fileTransport is the state of a proxy that reads files, beside its tables.
+// fileTransport is the state of a proxy that exchanges files with controllers instead of a runtime socket.
 type fileTransport struct {
 	stop        chan struct{}
 	done        sync.WaitGroup
 	ack         files.Ack
-	acksStopped bool // never acknowledges
+	acksStopped bool // writes no acknowledgements
 }
 
-// StopAcknowledging lets it acknowledge nothing, or again.
+// StopAcknowledging stops the writing of acknowledgements and current tables, or with false resumes it. Files are read
+// and applied all the same.
 func (p *Proxy) StopAcknowledging(stop bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.files.acksStopped = stop
 }
 
-// watchFolder uses the files of its folder until Down. Files of before its start are not read.
+// watchFolder applies files that change in the proxy's folder until Down. Files written before the proxy's start are
+// not read until they change.
 func (p *Proxy) watchFolder() error {
 	if err := os.MkdirAll(p.Folder, folderMode); err != nil {
 		return fmt.Errorf("proxy %s: %w", p.Name, err)
@@ -106,7 +108,8 @@
 	p.watch.Disconnected(p.Name)
 }
 
-// readTables applies a new tables' file completely, or keeps its tables and acknowledges the error.
+// readTables applies a new version of the tables file as a whole. If the file is invalid, it keeps the present tables
+// and acknowledges the error.
 func (p *Proxy) readTables() {
 	text, err := os.ReadFile(filepath.Join(p.Folder, files.TablesFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -144,7 +147,8 @@
 	p.acknowledge()
 }
 
-// replaceBackend gives a backend the endpoints of a file, and adds the servers that change.
+// replaceBackend replaces a backend's entries by the endpoints of a file, and adds the servers that differ to changed.
+// Entries that stay keep their counters.
 func (p *Proxy) replaceBackend(backend string, endpoints []files.Endpoint, changed map[string]bool) {
 	named := map[string]bool{}
 	for _, endpoint := range endpoints {
@@ -173,7 +177,8 @@
 	}
 }
 
-// readAdmissions applies a new file of admission limits.
+// readAdmissions applies the file of admission limits. If it is invalid, it keeps the present limits and acknowledges
+// the error.
 func (p *Proxy) readAdmissions() {
 	text, err := os.ReadFile(filepath.Join(p.Folder, files.AdmissionFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -200,7 +205,7 @@
 	p.acknowledge()
 }
 
-// acknowledge writes its present tables and which versions it uses.
+// acknowledge writes the present tables, and the versions in use with the last error.
 func (p *Proxy) acknowledge() {
 	p.mu.Lock()
 	ack := p.files.ack
@@ -218,7 +223,8 @@
 	_ = files.ReplaceFile(filepath.Join(p.Folder, files.AckFile), text)
 }
 
-// currentTables returns the entries that have a form in the tables' file.
+// currentTables returns the entries that the tables file can express: those with an address, a port and a positive
+// weight. The caller holds the lock.
 func (p *Proxy) currentTables() files.Tables {
 	tables := files.Tables{Version: p.files.ack.Tables, Backends: map[string][]files.Endpoint{}}
 	for _, class := range p.Classes {
@@ -239,7 +245,7 @@
 	return tables
 }
 
-// writeCounters writes what it counted.
+// writeCounters writes the files of server counters and of statistics.
 func (p *Proxy) writeCounters() {
 	p.mu.Lock()
 	stat := p.delayedOutput("stat", p.stat())
--- a/internal/testing/fakes/lister.go
+++ b/internal/testing/fakes/lister.go
@@ -15,13 +15,14 @@
 	"cressknot/internal/testing/invariants"
 )
 
-// States of listed servers.
+// States of servers in the endpoint list.
 const (
 	stateReady = "ready"
 	stateGone  = "gone"
 )
 
-// Entry is a server as the list service has it, in the form that package discovery reads.
+// Entry is a server of the endpoint list, in the format that package discovery reads. An empty state means ready; a
+// zero start time means that the server is warmed up.
 type Entry struct {
 	Name    string    `json:"name"`
 	Addr    string    `json:"addr"`
@@ -31,14 +32,15 @@
 	Started time.Time `json:"started,omitzero"`
 }
 
-// listAnswer is an answer of the list service.
+// listAnswer is an answer of the endpoint list service: a complete list, or the changes since a revision.
 type listAnswer struct {
 	Revision uint64  `json:"rev"`
 	Changes  bool    `json:"changes"`
 	Servers  []Entry `json:"servers"`
 }
 
-// Lister is the list service: GET /list?governor=G&rev=N&wait=S.
+// Lister is a simulated endpoint list service with long polls: GET /list?governor=G&rev=N&wait=S. G is the name of the
+// controller, N the revision that it has and S the longest wait for a change in seconds.
 type Lister struct {
 	URL    string
 	watch  *invariants.Watch
@@ -47,16 +49,16 @@
 	mu         sync.Mutex
 	revision   uint64
 	entries    map[string]Entry
-	changed    map[string]uint64 // revision of an entry's last change; of entries that are gone, too
+	changed    map[string]uint64 // revision of each server's last change; removed servers stay in it
 	nextChange chan struct{}     // closed at the next change
 
 	down       bool
 	failingFor map[string]bool // by controller
-	delay      time.Duration   // of changes
+	delay      time.Duration   // until a change is applied
 	frozen     bool
 }
 
-// NewLister starts the service.
+// NewLister starts the service with an empty list on a free loopback port.
 func NewLister(watch *invariants.Watch) (*Lister, error) {
 	listener, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
@@ -75,10 +77,10 @@
 	return s, nil
 }
 
-// Close ends the service.
+// Close ends the service and all its connections.
 func (s *Lister) Close() { _ = s.server.Close() }
 
-// Put changes servers in the list, after the service's delay.
+// Put adds or replaces servers in the list after the service's delay. Servers in state "gone" are removed.
 func (s *Lister) Put(entries ...Entry) {
 	s.mu.Lock()
 	delay := s.delay
@@ -105,13 +107,13 @@
 	s.notifyPolls()
 }
 
-// notifyPolls lets waiting polls look again. The service is locked.
+// notifyPolls wakes all waiting polls. The caller holds the lock.
 func (s *Lister) notifyPolls() {
 	close(s.nextChange)
 	s.nextChange = make(chan struct{})
 }
 
-// State returns the state of a server in the list.
+// State returns the state of a server as listed, "gone" if it is not in the list.
 func (s *Lister) State(name string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +124,7 @@
 	return entry.State
 }
 
-// Fail takes the service down or up.
+// Fail sets whether the service answers every poll with status 503.
 func (s *Lister) Fail(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +132,7 @@
 	s.notifyPolls()
 }
 
-// FailFor lets the service fail one controller, or no more.
+// FailFor sets whether the service answers the polls of one controller with status 503.
 func (s *Lister) FailFor(controller string, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,21 +140,23 @@
 	s.notifyPolls()
 }
 
-// Freeze lets the service send each controller its first list only, though the watch records all changes as sent.
+// Freeze sets whether the service leaves all changes out of its answers, so that controllers keep their first list. The
+// watch records the changes as sent nevertheless.
 func (s *Lister) Freeze(frozen bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.frozen = frozen
 }
 
-// Delay delays changes from now on.
+// Delay sets the time until later changes are applied; 0: at once.
 func (s *Lister) Delay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = delay
 }
 
-// serve answers a poll: at once if the caller's revision is old, else at the next change or when its wait ends.
+// serve answers a poll: at once if the caller's revision is not the current one, otherwise at the next change, or with
+// status 304 when the wait ends.
 func (s *Lister) serve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	controller := query.Get("governor")
@@ -190,7 +194,8 @@
 	}
 }
 
-// answer returns the changes since a revision, or the complete list if that is not known. The service is locked.
+// answer returns the changes since a revision, or the complete list if the revision is 0 or newer than the list. The
+// caller holds the lock.
 func (s *Lister) answer(controller string, revision uint64) listAnswer {
 	answer := listAnswer{
 		Revision: s.revision,
@@ -217,7 +222,7 @@
 	return answer
 }
 
-// record reports to the watch what a controller knows of all servers.
+// recordNotifications reports to the watch the state of all servers as sent to a controller. The caller holds the lock.
 func (s *Lister) recordNotifications(controller string) {
 	for name := range s.changed {
 		entry, listed := s.entries[name]
--- a/internal/testing/fakes/node.go
+++ b/internal/testing/fakes/node.go
@@ -1,5 +1,6 @@
-// Package fakes has simulated parts of a fleet that controllers are run against: booking nodes, proxies, the list
-// service and network relays. They use loopback sockets only and report what they see to an invariants.Watch.
+// Package fakes has the simulated parts of a fleet that controllers are tested against: servers (nodes), proxies, an
+// endpoint list service and network relays. They use loopback and Unix sockets and files only, and report what they
+// observe to an invariants.Watch.
 package fakes
 
 import (
@@ -18,29 +19,30 @@
 )
 
 const (
-	// nodeRandomStream distinguishes a node's random numbers from others of the same seed.
+	// nodeRandomStream separates a node's random numbers from those of other parts with the same seed.
 	nodeRandomStream = 1
-	// listenAttempts and listenRetryInterval bound the wait for an address that was in use a moment ago.
+	// listenAttempts and listenRetryInterval bound the wait for the address of a server that has just been closed.
 	listenAttempts      = 100
 	listenRetryInterval = 20 * time.Millisecond
-	// overloadSlackRequests is how many requests of the present size may come on top of the overload limit by chance,
-	// because single requests are large.
+	// overloadSlackRequests is the number of requests of the present size by which the work may exceed the overload
+	// limit. Single requests are large, so that without this slack random variation alone would overload a node.
 	overloadSlackRequests = 4
 )
 
-// NodeCapacity is how much work a node can do.
+// NodeCapacity is the capacity of a node and how it behaves during slow start.
 type NodeCapacity struct {
 	Cores             int
-	Speed             float64 // of a core
-	Queue             int     // requests that may wait
-	SlowStartFraction float64 // of the capacity at the start
+	Speed             float64 // of a core, relative to the core that Work refers to
+	Queue             int     // requests that may wait for a core
+	SlowStartFraction float64 // capacity at the start, as a fraction of full capacity
 	SlowStartDuration time.Duration
-	OverloadFactor    float64 // of the present capacity: more work overloads a node in slow start for good
+	OverloadFactor    float64 // work within OverloadWindow, relative to the present capacity, that overloads a node in slow start
 	OverloadWindow    time.Duration
-	Work              map[string]time.Duration // by class, on a core of speed 1
+	Work              map[string]time.Duration // duration of a request by class, on a core of speed 1
 }
 
-// Node is a booking node: HTTP on loopback.
+// Node is a simulated server, with HTTP on loopback. Name and Addr are set once. Its methods other than Up may be
+// called from any goroutine.
 type Node struct {
 	Name     string
 	Addr     string
@@ -52,30 +54,30 @@
 	server         *http.Server
 	crashed        chan struct{} // closed when the process dies
 	processStarted time.Time
-	started        time.Time // of the slow start; zero: warmed up since before the watch
+	started        time.Time // of the slow start; zero: first start, warmed up
 
 	faults     []*Fault
-	resume     chan struct{} // closed when a pause ends
-	overloaded bool
-	recent     []recentWork // in the overload window, during slow start
+	resume     chan struct{} // closed when a pause ends; nil: not paused
+	overloaded bool          // answers nothing until the next start
+	recent     []recentWork  // in the overload window, during slow start
 
-	slots          chan struct{} // one for each core
+	slots          chan struct{} // an element for each busy core
 	inFlight       int
-	busyFraction   float64 // smoothed
+	busyFraction   float64 // of the cores, smoothed
 	busyUpdated    time.Time
-	serviceMillis  float64 // smoothed
+	serviceMillis  float64 // service time in ms, smoothed
 	counters       nodeCounters
 	reportsStopped bool
 }
 
-// recentWork is the work of one request.
+// recentWork is the work of one request during slow start.
 type recentWork struct {
 	at    time.Time
-	size  float64 // seconds on all cores at full capacity
+	size  float64 // duration in seconds on all cores at full capacity
 	proxy string
 }
 
-// NewNode makes a node that is warmed up and not yet up.
+// NewNode returns a node that has not been started. Its first start is without slow start.
 func NewNode(name string, capacity NodeCapacity, watch *invariants.Watch, seed uint64) *Node {
 	return &Node{
 		Name:     name,
@@ -86,7 +88,7 @@
 	}
 }
 
-// Up starts the node's process, at its previous address if any; with a slow start unless it is the first time.
+// Up starts the node: the first time on a free port and warmed up, later on the same address and with a slow start.
 func (n *Node) Up() error {
 	addr := n.Addr
 	first := addr == ""
@@ -99,7 +101,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if first { // it never changes after
+	if first { // later starts listen on the same address
 		n.Addr = listener.Addr().String()
 	} else {
 		n.started = time.Now()
@@ -117,7 +119,7 @@
 	return nil
 }
 
-// listenRetrying listens on an address that may have been in use a moment ago.
+// listenRetrying listens on an address, with retries while it is still in use.
 func listenRetrying(addr string) (net.Listener, error) {
 	var err error
 	for range listenAttempts {
@@ -131,7 +133,7 @@
 	return nil, err
 }
 
-// Crash ends the process at once, with all requests in flight.
+// Crash ends the process at once and aborts all requests in flight. It does nothing if the node is down.
 func (n *Node) Crash() {
 	n.mu.Lock()
 	server := n.server
@@ -145,7 +147,8 @@
 	}
 }
 
-// Shutdown ends the process gracefully.
+// Shutdown stops accepting requests and waits for those in flight. At the context's deadline it closes their
+// connections.
 func (n *Node) Shutdown(ctx context.Context) error {
 	n.mu.Lock()
 	server := n.server
@@ -160,14 +163,14 @@
 	return nil
 }
 
-// Started returns the time of the latest start, zero if it was before the watch.
+// Started returns the time of the latest start, zero before the second start.
 func (n *Node) Started() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.started
 }
 
-// capacityFraction returns the part of its capacity that it has now.
+// capacityFraction returns the present capacity as a fraction of full capacity. The caller holds the lock.
 func (n *Node) capacityFraction() float64 {
 	if n.started.IsZero() {
 		return 1
@@ -177,7 +180,7 @@
 	return min(1, initial+(1-initial)*progress)
 }
 
-// updateBusy smooths the busy fraction over about a second.
+// updateBusy updates the busy fraction, smoothed with a time constant of 1 s. The caller holds the lock.
 func (n *Node) updateBusy() {
 	now := time.Now()
 	if !n.busyUpdated.IsZero() {
@@ -188,7 +191,8 @@
 	n.busyUpdated = now
 }
 
-// addSlowStartWork counts the work sent to a node in slow start, and overloads it when that is too much.
+// addSlowStartWork adds work to the overload window of a node in slow start, and marks the node as overloaded when the
+// sum exceeds the limit. The caller holds the lock.
 func (n *Node) addSlowStartWork(size float64, proxy string) {
 	now := time.Now()
 	slowStart := !n.started.IsZero() && now.Sub(n.started) < n.capacity.SlowStartDuration
@@ -213,13 +217,13 @@
 	}
 }
 
-// Fault is something that is wrong with a node.
+// Fault is a fault of a node. The zero value is a node without faults.
 type Fault struct {
-	Hang          bool    // accepts requests and answers none
-	Slow          float64 // times slower; 0: not
-	Errors        float64 // fraction that fails at once
-	LostAnswers   float64 // fraction whose answer is lost after the work
-	Pause         bool    // the process is stopped
+	Hang          bool    // requests are accepted and never answered
+	Slow          float64 // factor on the work of each request; 0 or 1: no change
+	Errors        float64 // fraction of requests answered with status 500 at once
+	LostAnswers   float64 // fraction of requests that are executed but never answered
+	Pause         bool    // the process is stopped, as by SIGSTOP
 	HeavyFraction float64 // fraction of requests that take HeavyFactor times the work
 	HeavyFactor   float64
 	LinkDelay     time.Duration   // added to each request
@@ -231,7 +235,7 @@
 	return (f.Class == "" || f.Class == class) && (f.Proxies == nil || f.Proxies[proxy])
 }
 
-// Inject adds a fault and returns the function that ends it.
+// Inject adds a fault and returns a function that removes it. Several faults apply together.
 func (n *Node) Inject(fault Fault) (end func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -243,7 +247,7 @@
 	return func() { n.remove(injected) }
 }
 
-// remove ends a fault; the end of the last pause lets the process continue.
+// remove removes a fault. Removing the last pause resumes the process.
 func (n *Node) remove(fault *Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -255,7 +259,7 @@
 	}
 }
 
-// activeFaults combines the faults that apply to a request.
+// activeFaults combines the faults that apply to a request. The caller holds the lock.
 func (n *Node) activeFaults(class, proxy string) Fault {
 	combined := Fault{Slow: 1}
 	for _, fault := range n.faults {
--- a/internal/testing/fakes/noderequest.go
+++ b/internal/testing/fakes/noderequest.go
@@ -11,12 +11,12 @@
 const (
 	// hangTimeout ends a request that is never answered.
 	hangTimeout = 30 * time.Second
-	// minWorkFactor and workJitter spread the work of requests.
+	// The work of a request is multiplied by a random factor from minWorkFactor to minWorkFactor+workJitter.
 	minWorkFactor = 0.7
 	workJitter    = 0.6
-	// serviceTimeSmoothing is the weight of the newest service time.
+	// serviceTimeSmoothing is the weight of the newest service time in the moving average.
 	serviceTimeSmoothing = 0.1
-	// loadUnit is the value of 1 in load values.
+	// loadUnit is the scale of load values, which are sent in thousandths.
 	loadUnit = 1000
 )
 
@@ -26,16 +26,16 @@
 	class         string
 	id            uint64
 	fault         Fault
-	injectedError bool // by the fault
-	answerLost    bool // its answer, by the fault
-	queueFull     bool // no room in the queue
+	injectedError bool // the fault fails this request
+	answerLost    bool // the fault drops the answer to this request
+	queueFull     bool // rejected without execution
 	work          time.Duration
 	resume        chan struct{} // closed when a pause ends
 	crashed       chan struct{} // closed when the process dies
 	slots         chan struct{}
 }
 
-// serve handles a health check or a request.
+// serve handles a health check at /probe, or a request at any other path.
 func (n *Node) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/probe" {
 		n.serveHealthCheck(w)
@@ -78,7 +78,7 @@
 	w.Header().Set(headerServer, n.Name)
 }
 
-// begin counts a request in and decides how it goes.
+// startRequest counts a request as in flight and determines its work and faults.
 func (n *Node) startRequest(r *http.Request) *nodeRequest {
 	request := &nodeRequest{node: n, class: r.Header.Get(headerClass)}
 	proxy := r.Header.Get(headerProxy)
@@ -112,7 +112,7 @@
 	n.inFlight--
 }
 
-// finish counts an executed request and frees its slot.
+// completeExecution counts an executed request, frees its core and writes the load header unless the answer is lost.
 func (n *Node) completeExecution(w http.ResponseWriter, request *nodeRequest, duration time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -127,6 +127,7 @@
 }
 
 // writeLoadHeader writes the load values in thousandths: busy fraction, requests in flight, recent service time in ms.
+// The caller holds the lock.
 func (n *Node) writeLoadHeader(w http.ResponseWriter) {
 	w.Header().Set(headerLoad, fmt.Sprintf("%.0f,%d,%.0f",
 		loadUnit*n.busyFraction, loadUnit*n.inFlight, loadUnit*n.serviceMillis))
@@ -135,7 +136,8 @@
 // abort closes the connection without an answer.
 func abort() { panic(http.ErrAbortHandler) }
 
-// hang closes the connection without an answer when the process dies, the caller leaves or the timeout ends.
+// hang blocks until the process dies, the caller disconnects or hangTimeout has passed, and then closes the connection
+// without an answer.
 func (r *nodeRequest) hang(request *http.Request) {
 	select {
 	case <-r.crashed:
@@ -157,7 +159,7 @@
 	}
 }
 
-// waitForSlot waits for a core. A request whose caller has left by then is not begun.
+// waitForSlot waits for a core. A request whose caller has disconnected by then is not executed.
 func (r *nodeRequest) waitForSlot(request *http.Request) {
 	select {
 	case r.slots <- struct{}{}:
@@ -170,7 +172,7 @@
 	}
 }
 
-// execute works until the work is done or the process dies.
+// execute blocks for the duration of the request's work, or until the process dies.
 func (r *nodeRequest) execute() {
 	timer := time.NewTimer(r.work)
 	defer timer.Stop()
--- a/internal/testing/fakes/proxy.go
+++ b/internal/testing/fakes/proxy.go
@@ -16,43 +16,43 @@
 )
 
 const (
-	// maxCommandLog bounds the commands that are recorded for tests.
+	// maxCommandLog is the largest number of commands kept for Commands.
 	maxCommandLog = 4096
-	// proxyRandomStream distinguishes a proxy's random numbers from others of the same seed.
+	// proxyRandomStream separates a proxy's random numbers from those of other parts with the same seed.
 	proxyRandomStream = 2
-	// maxIdleConnections and idleConnectionTimeout bound the connections to nodes that are kept open.
+	// maxIdleConnections, per node, and idleConnectionTimeout bound the idle connections to nodes.
 	maxIdleConnections    = 64
 	idleConnectionTimeout = 15 * time.Second
-	// nodeDialTimeout bounds connecting to a node.
+	// nodeDialTimeout is the timeout of connecting to a node.
 	nodeDialTimeout = 400 * time.Millisecond
-	// anyLoopbackPort listens on a free port.
+	// anyLoopbackPort is the listen address for a free loopback port.
 	anyLoopbackPort = "127.0.0.1:0"
 )
 
-// ProxyClass is the configuration of a class at a proxy.
+// ProxyClass is the configuration of a request class at a proxy.
 type ProxyClass struct {
 	Name           string
 	Backend        string
 	Deadline       time.Duration // deadline of a request
-	AttemptTimeout time.Duration // timeout of an attempt that may be retried
+	AttemptTimeout time.Duration // of an attempt that may be retried whatever its outcome
 }
 
-// ProxySetup is a proxy's configuration.
+// ProxySetup is the configuration of a proxy.
 type ProxySetup struct {
 	Name              string
 	Zone              string
 	Classes           []ProxyClass
-	Map               string
-	Table             string
-	EjectionThreshold int // failures in a row that eject a server; 0: never
-	EjectionDuration  time.Duration
-	EntryDelay        time.Duration // how long it stalls for each entry that a command changes
-	Runtime           string        // path of its runtime socket
-	Unresponsive      bool          // answers no runtime commands at all
-	Folder            string        // reads files in this folder, and has no runtime socket
+	Map               string        // name of its map, in runtime commands
+	Table             string        // name of its stick table, in runtime commands
+	EjectionThreshold int           // consecutive failures after which a server is ejected; 0: never
+	EjectionDuration  time.Duration // how long a server stays ejected
+	EntryDelay        time.Duration // stall for each entry that a command or file changes
+	Runtime           string        // path of the runtime socket
+	Unresponsive      bool          // accepts runtime commands but never answers them
+	Folder            string        // folder of the files that it exchanges with controllers; empty: runtime socket
 }
 
-// proxyEntry is a server in a backend.
+// proxyEntry is the table entry of a server in a backend.
 type proxyEntry struct {
 	id                  int
 	name                string
@@ -65,18 +65,19 @@
 	inFlight            int
 }
 
-// pastOutput is what a command answered at a time.
+// pastOutput is an earlier output of counters.
 type pastOutput struct {
 	at      time.Time
 	command string
 	text    []byte
 }
 
-// Proxy is a plain proxy: it picks servers by weight, ejects after failures in a row, stalls for each entry that
-// changes, retries as its map says and rejects by admission limits.
+// Proxy is a simulated proxy with HAProxy's runtime API. It picks servers by weight, ejects them after consecutive
+// failures, stalls for each entry that changes, retries according to its map and enforces admission limits. Its methods
+// other than Up and Down may be called from any goroutine.
 type Proxy struct {
 	ProxySetup
-	RequestAddr string // address for callers
+	RequestAddr string // address for callers; empty before the first Up
 	watch       *invariants.Watch
 	http        http.Client // to nodes
 
@@ -90,26 +91,27 @@
 	backends     map[string][]*proxyEntry
 	totals       map[string]*haproxyapi.Stat // by backend
 	mapEntries   map[string]string
-	mapKeys      []string // in the order of their addition
-	tracked      map[string]*haproxyapi.StickEntry
+	mapKeys      []string                          // in order of addition
+	tracked      map[string]*haproxyapi.StickEntry // by server
 	trackedNames []string
 
 	runtimeListener net.Listener
 	conns           map[net.Conn]*runtimeSession
 	lastSession     uint64
-	commandLog      []string // the latest commands that change something
+	commandLog      []string // the latest commands other than show and get
 	files           fileTransport
 
 	// Faults.
 	stalledUntil time.Time
 	readDelay    time.Duration // of each command
-	cutAfter     int           // bytes of requests after which sessions are cut; negative: never
+	cutAfter     int           // bytes read after which a session is closed; negative: never
 	cutOnce      bool
-	outputDelay  time.Duration // counters are shown as they were this long ago
+	outputDelay  time.Duration // age of the counters that are shown
 	pastOutputs  []pastOutput
 }
 
-// NewProxy makes a proxy that is not up. The initial entries are those of its own configuration.
+// NewProxy returns a proxy that has not been started. It has the initial entries in each backend after every start, as
+// from its own configuration file.
 func NewProxy(setup ProxySetup, initial []Entry, watch *invariants.Watch, seed uint64) *Proxy {
 	p := &Proxy{
 		ProxySetup:     setup,
@@ -127,7 +129,8 @@
 	return p
 }
 
-// Up starts the proxy with its initial tables.
+// Up starts the proxy with its initial entries, an empty map and zero counters. The request address is kept across
+// restarts.
 func (p *Proxy) Up() error {
 	var runtimeListener net.Listener
 	if p.Folder == "" {
@@ -161,7 +164,7 @@
 func (p *Proxy) start(runtimeListener, requestListener net.Listener) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.RequestAddr == "" { // it never changes after
+	if p.RequestAddr == "" { // later starts listen on the same address
 		p.RequestAddr = requestListener.Addr().String()
 	}
 	p.runtimeListener = runtimeListener
@@ -197,7 +200,7 @@
 	})
 }
 
-// Down ends the proxy at once.
+// Down ends the proxy at once and closes all its connections. It does nothing if the proxy is down.
 func (p *Proxy) Down() {
 	p.mu.Lock()
 	runtimeListener := p.runtimeListener
@@ -222,7 +225,8 @@
 	p.http.CloseIdleConnections()
 }
 
-// CutSessions closes all runtime sessions, and each later one after a number of bytes of requests; negative: no more.
+// CutSessions closes all runtime sessions, and each later session after it has read a number of bytes. With a negative
+// number, later sessions are not closed.
 func (p *Proxy) CutSessions(after int) {
 	p.mu.Lock()
 	p.cutAfter = after
@@ -236,7 +240,7 @@
 	}
 }
 
-// CutOnce closes the next session after a number of bytes of requests, and no later one.
+// CutOnce closes the first runtime session that has read a number of bytes, and no later one.
 func (p *Proxy) CutOnce(after int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -244,7 +248,8 @@
 	p.cutOnce = true
 }
 
-// Commands returns the commands that changed something since the last call, and their number.
+// Commands returns the commands other than show and get since the last call, and their number. At most maxCommandLog
+// are kept.
 func (p *Proxy) Commands() (n int, log []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -253,7 +258,8 @@
 	return len(log), log
 }
 
-// EntryState returns the state of a server in a backend, as "weight state".
+// EntryState returns the weight and state of a server in a backend, such as "100 ready". Without such an entry it
+// returns the answer that a runtime command would get.
 func (p *Proxy) EntryState(backend, server string) string {
 	stateByAdmin := map[uint64]string{0: "ready", haproxyapi.AdminDrain: "drain", haproxyapi.AdminMaint: "maint"}
 	p.mu.Lock()
@@ -265,7 +271,7 @@
 	return fmt.Sprintf("%d %s", entry.weight, stateByAdmin[entry.admin])
 }
 
-// Addr returns the address of a server in a backend, "" if there is none.
+// Addr returns the address of a server in a backend, "" if there is no such entry.
 func (p *Proxy) Addr(backend, server string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -276,20 +282,22 @@
 	return entry.addr
 }
 
-// MapEntry returns an entry of the map.
+// MapEntry returns the value of a key of the map, "" if there is none.
 func (p *Proxy) MapEntry(key string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mapEntries[key]
 }
 
-// Execute executes a command as an operator would at the proxy itself.
+// Execute executes a runtime command outside any controller's session, as an operator at the proxy would, and returns
+// the answer.
 func (p *Proxy) Execute(words ...string) string {
 	s := &runtimeSession{changedServers: map[string]bool{}}
 	return string(p.execute(haproxyapi.Command{Words: words}, s))
 }
 
-// DelayCounters lets it show counters as they were some time ago; 0: the present ones.
+// DelayCounters sets the age of the counters that the proxy shows; 0: the present ones. Counters from before the call
+// are not available.
 func (p *Proxy) DelayCounters(delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -297,7 +305,8 @@
 	p.pastOutputs = nil
 }
 
-// delayedOutput records the output of a command and returns that of the delay before, the oldest one if none is as old.
+// delayedOutput records the output of a command and returns the latest one that is at least outputDelay old, or the
+// oldest one if none is. The caller holds the lock.
 func (p *Proxy) delayedOutput(command string, text []byte) []byte {
 	if p.outputDelay == 0 {
 		return text
@@ -317,21 +326,21 @@
 	return text
 }
 
-// StallUntil lets the proxy handle nothing until a time.
+// StallUntil delays the handling of all commands and requests until the given time.
 func (p *Proxy) StallUntil(until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stalledUntil = until
 }
 
-// ReadSlowly lets it wait before each command; 0: no more.
+// ReadSlowly sets the delay before each command, and before the acknowledgement of tables from files; 0: none.
 func (p *Proxy) ReadSlowly(delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.readDelay = delay
 }
 
-// Weights returns each server's part of a class's weights.
+// Weights returns the weights of a class's usable servers as fractions of their sum.
 func (p *Proxy) Weights(class string) map[string]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testing/fakes/relay.go
+++ b/internal/testing/fakes/relay.go
@@ -6,10 +6,10 @@
 	"sync/atomic"
 )
 
-// relayBufferSize is the size in bytes of a direction's buffer.
+// relayBufferSize is the size of the buffer for each direction, in bytes.
 const relayBufferSize = 32 << 10
 
-// Relay is on loopback between a caller and a controller, and does to their connections what networks do.
+// Relay forwards TCP connections between callers and a controller on loopback, and simulates network faults on them.
 type Relay struct {
 	Addr     string
 	target   atomic.Pointer[string]
@@ -20,7 +20,7 @@
 	open     map[net.Conn]bool
 }
 
-// NewRelay listens for a controller at an address, which SetTarget changes.
+// NewRelay starts a relay on a free loopback port that forwards to the target address. Close ends it.
 func NewRelay(target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
@@ -43,17 +43,18 @@
 	}
 }
 
-// SetTarget lets new connections lead to another address.
+// SetTarget changes the target of later connections. Open ones keep theirs.
 func (r *Relay) SetTarget(addr string) { r.target.Store(&addr) }
 
-// Hold drops all bytes of all connections from now on, or no more: connections are half open. Those made meanwhile
-// stay so.
+// Hold sets whether all bytes on all connections are dropped while the connections stay open, as behind a network
+// partition. Connections are still accepted meanwhile. Dropped bytes are not sent later, so connections made meanwhile
+// stay half-open afterwards.
 func (r *Relay) Hold(hold bool) { r.holding.Store(hold) }
 
-// Refuse closes new connections at once, or no more.
+// Refuse sets whether new connections are closed at once.
 func (r *Relay) Refuse(refuse bool) { r.refusing.Store(refuse) }
 
-// Cut closes all connections.
+// Cut closes all open connections. Later ones are not affected.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,13 +63,13 @@
 	}
 }
 
-// Close ends the relay.
+// Close stops listening and closes all connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.Cut()
 }
 
-// forward carries one connection until either side ends it.
+// forward forwards one connection in both directions until either side closes it.
 func (r *Relay) forward(caller net.Conn) {
 	if r.refusing.Load() {
 		_ = caller.Close()
@@ -100,7 +101,7 @@
 	r.mu.Unlock()
 }
 
-// copy carries bytes of one direction, and closes both connections at its end.
+// copy copies bytes in one direction until an error or the end, and then closes both connections.
 func (r *Relay) copy(from, to net.Conn) {
 	defer func() { _ = from.Close() }()
 	defer func() { _ = to.Close() }()
--- a/internal/testing/fakes/reporter.go
+++ b/internal/testing/fakes/reporter.go
@@ -14,11 +14,11 @@
 const (
 	// reportInterval is the time between two load reports of a node.
 	reportInterval = time.Second
-	// reportTimeout bounds sending one.
+	// reportTimeout is the timeout of sending a report.
 	reportTimeout = 3 * time.Second
 )
 
-// nodeCounters are what a node counts since its start.
+// nodeCounters are counters of requests since the start of a node.
 type nodeCounters struct{ attempts, failures, successes, successMillis int64 }
 
 func (c *nodeCounters) add(success bool, millis int64) {
@@ -37,7 +37,7 @@
 	n.counters.add(success, millis)
 }
 
-// StopReports stops a node's reports, or lets them continue; it serves all the while.
+// StopReports stops a node's load reports, or with false resumes them. The node serves requests all the while.
 func (n *Node) StopReports(stop bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -49,8 +49,8 @@
 	Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections},
 }
 
-// Report sends a node's load reports to controllers until the context ends, while it is up and its reports are not
-// stopped.
+// Report sends load reports to the URLs every reportInterval until the context ends. It sends none while the node is
+// down, paused or overloaded, or its reports are stopped.
 func (n *Node) Report(ctx context.Context, urls []string) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
@@ -70,7 +70,7 @@
 	}
 }
 
-// report formats a load report and returns whether the node sends one now.
+// report formats a load report as a line of the Influx line protocol, and returns whether the node sends one now.
 func (n *Node) report() (line []byte, due bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -98,21 +98,23 @@
 	return res.StatusCode, res.Body.Close()
 }
 
-// Flood sends load reports that no controller expects: one name sends half of all, some are false, some malformed,
-// some name unknown servers, some come on new connections.
+// Flood sends false load reports: half of them for one server, some for unknown servers, some with counts out of all
+// bounds, some malformed, some on new connections. The counters are in report lines; Failed is in batches that got no
+// answer.
 type Flood struct{ Accepted, Rejected, Failed atomic.Int64 }
 
 const (
-	floodBatch         = 200 // lines of a request
+	floodBatch         = 200 // report lines in a batch
 	floodSenders       = 8
 	floodUnknownNames  = 5000
 	floodMaxAgeSeconds = 60
-	// One of this many requests ends with a malformed line, or comes on a new connection.
+	// One of this many batches, on average, ends with a malformed line or closes idle connections before it is sent.
 	floodMalformedOneOf     = 20
 	floodNewConnectionOneOf = 4
 )
 
-// Run sends a number of lines per second to a controller until the context ends. Names are of real servers.
+// Run starts senders that post a number of report lines per second to a controller's URL until the context ends. Names
+// are those of real servers; it must not be empty.
 func (f *Flood) Run(ctx context.Context, url string, names []string, linesPerSecond int, seed uint64) {
 	interval := time.Second * floodBatch * floodSenders / time.Duration(linesPerSecond)
 	for sender := range floodSenders {
@@ -153,7 +155,7 @@
 	}
 }
 
-// writeFalseReport writes a line of random counts for the first name, an unknown name or any name.
+// writeFalseReport writes a report line with random counts, for the first name, a random name or an unknown server.
 func writeFalseReport(body *bytes.Buffer, names []string, rng *rand.Rand) {
 	name := names[0]
 	attempts := int64(rng.Uint32())
--- a/internal/testing/fakes/requests.go
+++ b/internal/testing/fakes/requests.go
@@ -14,7 +14,7 @@
 	"cressknot/internal/haproxyapi"
 )
 
-// Headers of requests and answers between callers, proxies and nodes.
+// HTTP headers between callers, proxies and nodes.
 const (
 	headerClass       = "X-Class"
 	headerRequest     = "X-Visit"
@@ -25,7 +25,7 @@
 	headerNotExecuted = "X-Never-Ran"
 )
 
-// Retry modes in the proxy's map.
+// Retry modes, as values of the proxy's map.
 const (
 	retryNever         = 0
 	retryIfNotExecuted = 1
@@ -33,7 +33,7 @@
 	retryTwice         = 3
 )
 
-// admissionUnit is the value of an admission limit that admits every request.
+// admissionUnit is the scale of admission limits: this value admits every request, 0 none.
 const admissionUnit = 1000
 
 // maxRetries returns how many retries a mode allows after attempts that may have been executed.
@@ -49,7 +49,7 @@
 
 func (e *proxyEntry) usable() bool { return e.weight > 0 && e.admin == 0 }
 
-// reportUsability reports to the watch for which classes there is a usable entry.
+// reportUsability reports to the watch whether each class has a usable entry. The caller holds the lock.
 func (p *Proxy) reportUsability() {
 	for _, class := range p.Classes {
 		usable := slices.ContainsFunc(p.backends[class.Backend], (*proxyEntry).usable)
@@ -57,7 +57,8 @@
 	}
 }
 
-// pick draws an entry by weight other than the excluded one, nil for none; ejected ones only where there is no other.
+// pick picks a random entry other than the excluded one by weight, or nil if there is none. Ejected entries are used
+// only if there is no other. The caller holds the lock.
 func (p *Proxy) pick(backend string, excluded *proxyEntry) *proxyEntry {
 	now := time.Now()
 	for _, allowEjected := range []bool{false, true} {
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// pickWeighted draws an eligible entry by weight, nil if there is none.
+// pickWeighted picks a random eligible entry with a probability in proportion to its weight, nil if there is none.
 func (p *Proxy) pickWeighted(entries []*proxyEntry, eligible func(*proxyEntry) bool) *proxyEntry {
 	sum := 0
 	for _, entry := range entries {
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// mapInt returns a number of the proxy's map, or the default.
+// mapInt returns the value of a key of the proxy's map, or the default if there is none or it is not an integer.
 func (p *Proxy) mapInt(key string, defaultValue int) int {
 	number, err := strconv.Atoi(p.mapEntries[key])
 	if err != nil {
@@ -104,7 +105,8 @@
 	return number
 }
 
-// serveRequest handles one request of a caller.
+// serveRequest handles a request of a caller: 400 for an unknown class, 429 if the admission limit rejects it, 503
+// without a usable entry, 502 if no attempt succeeded.
 func (p *Proxy) serveRequest(w http.ResponseWriter, r *http.Request) {
 	name := r.Header.Get(headerClass)
 	classIndex := slices.IndexFunc(p.Classes, func(c ProxyClass) bool { return c.Name == name })
@@ -136,7 +138,7 @@
 	mayHaveRun bool // an attempt may have been executed
 }
 
-// admit applies the class's admission limit.
+// admit counts the request and reports whether the class's admission limit admits it. It also reads the retry mode.
 func (r *proxyRequest) admit() bool {
 	p := r.proxy
 	p.mu.Lock()
@@ -151,7 +153,7 @@
 	return true
 }
 
-// run makes attempts until one succeeds or none may follow.
+// run makes attempts until one succeeds or no retry is allowed, and answers the caller.
 func (r *proxyRequest) run(ctx context.Context, w http.ResponseWriter) {
 	var last *proxyEntry
 	for number := 0; ; number++ {
@@ -176,7 +178,7 @@
 	}
 }
 
-// startAttempt picks the entry of an attempt, nil if there is none.
+// startAttempt picks the entry of an attempt and counts the attempt. It returns nil if there is no usable entry.
 func (r *proxyRequest) startAttempt(excluded *proxyEntry) *proxyEntry {
 	p := r.proxy
 	p.mu.Lock()
@@ -191,7 +193,7 @@
 	return entry
 }
 
-// mayRetry reports whether the mode allows a retry after an attempt, counted from 0.
+// mayRetry reports whether the retry mode allows a retry after an attempt, whose number counts from 0.
 func (r *proxyRequest) mayRetry(number int, outcome RequestOutcome) bool {
 	if r.retryMode == retryIfNotExecuted {
 		return number == 0 && outcome.NotExecuted
@@ -199,7 +201,8 @@
 	return r.retryMode >= retryOnce && number < r.retryMode-1
 }
 
-// attempt sends the request to a node; an attempt that may be retried whatever its outcome has a timeout of its own.
+// attempt sends the request to a node. An attempt that may be retried whatever its outcome is limited by the class's
+// AttemptTimeout, the last one only by the deadline.
 func (r *proxyRequest) attempt(ctx context.Context, entry *proxyEntry, number int) RequestOutcome {
 	if number < maxRetries(r.retryMode) {
 		var cancel context.CancelFunc
@@ -221,7 +224,7 @@
 	}
 }
 
-// sendAttempt sends an attempt and counts its outcome.
+// sendAttempt sends an attempt, counts its outcome and ejects the server at the ejection threshold.
 func (p *Proxy) sendAttempt(ctx context.Context, entry *proxyEntry, r *proxyRequest, number int) RequestOutcome {
 	p.watch.AttemptSent(p.Name, entry.name, r.class.Name, r.id, number, r.mayHaveRun)
 	began := time.Now()
@@ -252,7 +255,8 @@
 	return outcome
 }
 
-// track counts a successful answer of a server and its load values.
+// track counts a successful answer of a server in the stick table and stores its load values. The caller holds the
+// lock.
 func (p *Proxy) track(server string, duration time.Duration, load []uint32) {
 	tracked := p.tracked[server]
 	if tracked == nil {
@@ -270,7 +274,7 @@
 	}
 }
 
-// Request is a request to a node in the name of a proxy.
+// Request is a request to a node on behalf of a proxy.
 type Request struct {
 	Proxy string
 	Class string
@@ -280,12 +284,12 @@
 // RequestOutcome is the outcome of a request to a node.
 type RequestOutcome struct {
 	Success     bool
-	NotExecuted bool     // proof exists that it had no effect
-	Load        []uint32 // load values of the node in thousandths
-	Err         error    // why there was no answer
+	NotExecuted bool     // the request certainly had no effect
+	Load        []uint32 // load values of the node in thousandths; nil: none in the answer
+	Err         error    // why there was no answer; nil: any answer, successful or not
 }
 
-// SendRequest sends a request to a node.
+// SendRequest sends one attempt of a request to the node at an address. The timeout is that of the context.
 func SendRequest(ctx context.Context, client *http.Client, addr string, request Request) RequestOutcome {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/visit", nil)
 	if err != nil {
@@ -307,7 +311,7 @@
 	}
 }
 
-// parseLoad reads load values that are separated by commas; invalid ones are left out.
+// parseLoad parses load values separated by commas. Invalid ones are skipped.
 func parseLoad(text string) []uint32 {
 	var load []uint32
 	for _, field := range strings.Split(text, ",") {
@@ -319,7 +323,7 @@
 	return load
 }
 
-// isDialError reports whether an error is that of a dial: the request was never sent.
+// isDialError reports whether connecting failed, so that the request was never sent.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
--- a/internal/testing/fakes/runtimesession.go
+++ b/internal/testing/fakes/runtimesession.go
@@ -14,21 +14,21 @@
 const (
 	// readBufferSize is the size in bytes of a session's read buffer.
 	readBufferSize = 1 << 16
-	// epochBase is the base in which epochs are written.
+	// epochBase is the numeral base of epochs in versions and lease entries.
 	epochBase = 36
 )
 
-// runtimeSession is one session of the runtime socket.
+// runtimeSession is a connection to the runtime socket.
 type runtimeSession struct {
 	id             string
 	conn           net.Conn
 	since          time.Time
 	commands       int
-	ended          bool            // by "shutdown session"
-	stateRead      bool            // "show servers state" was answered
-	changedServers map[string]bool // servers that the present requests changed
-	controller     string          // whose lease entry was written last
-	epoch          uint64          // of that entry
+	ended          bool            // closed by "shutdown session"
+	stateRead      bool            // has executed "show servers state"
+	changedServers map[string]bool // by the commands since the last read
+	controller     string          // name in the last lease entry written
+	epoch          uint64          // of that lease entry
 }
 
 // accept serves sessions until the listener is closed.
@@ -57,7 +57,8 @@
 	}
 }
 
-// serveSession answers one session until it ends.
+// serveSession answers the commands of a session until it ends. A controller counts as connected once it has read the
+// servers' state and the map.
 func (p *Proxy) serveSession(s *runtimeSession) {
 	connected := false
 	defer func() {
@@ -104,7 +105,7 @@
 	}
 }
 
-// answer answers one command after the configured delay.
+// answer executes a command after the configured delay and returns the answer. An unresponsive proxy never returns.
 func (p *Proxy) answer(command haproxyapi.Command, s *runtimeSession) []byte {
 	if p.Unresponsive {
 		select {}
@@ -116,7 +117,8 @@
 	return p.execute(command, s)
 }
 
-// waitWhileStalled waits and returns after how many bytes sessions are to be cut, negative for never.
+// waitWhileStalled waits until the proxy's stall ends, and returns the number of bytes after which the session must be
+// closed, negative for never.
 func (p *Proxy) waitWhileStalled() (cutAfter int) {
 	p.mu.Lock()
 	cutAfter = p.cutAfter
@@ -126,7 +128,7 @@
 	return cutAfter
 }
 
-// finishCut ends the cuts if only one was asked for.
+// finishCut disables further cuts if only one was requested.
 func (p *Proxy) finishCut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +137,7 @@
 	}
 }
 
-// isOlderVersion reports whether a version, EPOCH.COUNT/DIGEST with the epoch in base 36, is older than another one.
+// isOlderVersion reports whether a version, EPOCH.COUNT/DIGEST with the epoch in base 36, precedes another one.
 func isOlderVersion(version, than string) bool {
 	epoch, count := parseVersion(version)
 	otherEpoch, otherCount := parseVersion(than)
@@ -150,7 +152,8 @@
 	return epoch, count
 }
 
-// recordLease notes which controller's session it is, by the lease entry that it writes.
+// recordLease takes the session's controller and epoch from a lease entry that it writes. Other map entries are
+// ignored.
 func (s *runtimeSession) recordLease(key, value string) {
 	controller, ok := strings.CutPrefix(key, "cressknot.lease.")
 	if !ok {
--- a/internal/testing/fakes/weights_test.go
+++ b/internal/testing/fakes/weights_test.go
@@ -18,8 +18,9 @@
 	"number of requests in the weight test; at 100,000 the tolerance is 2%",
 )
 
-// TestRequestsFollowWeights checks that nodes get requests in proportion to their weights: within two percent of each
-// at 100,000 requests, and as much more as chance needs at fewer.
+// TestRequestsFollowWeights checks that nodes receive requests in proportion to their weights. The tolerance is 2% of
+// each node's share at 100,000 requests. It grows with the inverse square root of a smaller number of requests, as their
+// random variation does.
 func TestRequestsFollowWeights(t *testing.T) {
 	weights := []int{256, 192, 128, 224, 160}
 	proxy := startProxyWithWeights(t, weights)
@@ -57,7 +58,7 @@
 	}
 }
 
-// startProxyWithWeights starts a proxy and a node n0, n1, … for each weight.
+// startProxyWithWeights starts a proxy and, for each weight, a node named n0, n1, and so on.
 func startProxyWithWeights(t *testing.T, weights []int) *Proxy {
 	t.Helper()
 	watch := invariants.NewWatch()
