--- a/internal/testing/fakes/node.go
+++ b/internal/testing/fakes/node.go
@@ -36,7 +36,7 @@
 	Queue             int     // requests that may wait for a core
 	SlowStartFraction float64 // capacity at the start, as a fraction of full capacity
 	SlowStartDuration time.Duration
-	OverloadFactor    float64 // work within OverloadWindow, relative to the present capacity, that overloads a node in slow start
+	OverloadFactor    float64 // work within OverloadWindow that overloads a node in slow start, per present capacity
 	OverloadWindow    time.Duration
 	Work              map[string]time.Duration // duration of a request by class, on a core of speed 1
 }
--- a/internal/testing/fakes/weights_test.go
+++ b/internal/testing/fakes/weights_test.go
@@ -19,8 +19,8 @@
 )
 
 // TestRequestsFollowWeights checks that nodes receive requests in proportion to their weights. The tolerance is 2% of
-// each node's share at 100,000 requests. It grows with the inverse square root of a smaller number of requests, as their
-// random variation does.
+// each node's share at 100,000 requests. It grows with the inverse square root of a smaller number of requests, as
+// their random variation does.
 func TestRequestsFollowWeights(t *testing.T) {
 	weights := []int{256, 192, 128, 224, 160}
 	proxy := startProxyWithWeights(t, weights)
