--- a/internal/testing/fakes/noderequest.go
+++ b/internal/testing/fakes/noderequest.go
@@ -11,60 +11,60 @@
 const (
 	// hangTimeout ends a request that is never answered.
 	hangTimeout = 30 * time.Second
-	// minWorkFactor and workJitter spread the work of requests.
+	// The work of a request is multiplied by a random factor from minWorkFactor to minWorkFactor+workJitter.
 	minWorkFactor = 0.7
 	workJitter    = 0.6
-	// serviceTimeSmoothing is the weight of the newest service time.
+	// serviceTimeSmoothing is the weight of the newest service time in the moving average.
 	serviceTimeSmoothing = 0.1
-	// loadUnit is the value of 1 in load values.
+	// loadUnit is the scale of load values, which are sent in thousandths.
 	loadUnit = 1000
 )
 
 // nodeRequest is one request at a node.
 type nodeRequest struct {
-	node    *Node
-	class   string
-	id      uint64
-	fault   Fault
-	failed  bool // by the fault
-	lost    bool // its answer, by the fault
-	full    bool // no room in the queue
-	work    time.Duration
-	resume  chan struct{} // closed when a pause ends
-	crashed chan struct{} // closed when the process dies
-	slots   chan struct{}
+	node          *Node
+	class         string
+	id            uint64
+	fault         Fault
+	injectedError bool // the fault fails this request
+	answerLost    bool // the fault drops the answer to this request
+	queueFull     bool // rejected without execution
+	work          time.Duration
+	resume        chan struct{} // closed when a pause ends
+	crashed       chan struct{} // closed when the process dies
+	slots         chan struct{}
 }
 
-// serve handles a health check or a request.
+// serve handles a health check at /probe, or a request at any other path.
 func (n *Node) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/probe" {
 		n.serveHealthCheck(w)
 		return
 	}
-	request := n.begin(r)
-	defer n.end()
+	request := n.startRequest(r)
+	defer n.endRequest()
 	time.Sleep(request.fault.LinkDelay)
 	request.waitForResume()
 	switch {
 	case request.fault.Hang:
-		n.watch.Executed(n.Name, request.class, request.id) // it may have been executed
+		n.watch.RequestExecuted(n.Name, request.class, request.id) // it may have been executed
 		request.hang(r)
-	case request.failed:
+	case request.injectedError:
 		n.countOutcome(false, 0)
-		n.watch.Executed(n.Name, request.class, request.id)
+		n.watch.RequestExecuted(n.Name, request.class, request.id)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
-	case request.full:
+	case request.queueFull:
 		w.Header().Set(headerNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	request.waitForSlot(r)
-	n.watch.Executed(n.Name, request.class, request.id)
+	n.watch.RequestExecuted(n.Name, request.class, request.id)
 	began := time.Now()
 	request.execute()
-	n.finish(w, request, time.Since(began))
-	if request.lost {
+	n.completeExecution(w, request, time.Since(began))
+	if request.answerLost {
 		request.hang(r)
 	}
 	w.WriteHeader(http.StatusOK)
@@ -78,8 +78,8 @@
 	w.Header().Set(headerServer, n.Name)
 }
 
-// begin counts a request in and decides how it goes.
-func (n *Node) begin(r *http.Request) *nodeRequest {
+// startRequest counts a request as in flight and determines its work and faults.
+func (n *Node) startRequest(r *http.Request) *nodeRequest {
 	request := &nodeRequest{node: n, class: r.Header.Get(headerClass)}
 	proxy := r.Header.Get(headerProxy)
 	request.id, _ = strconv.ParseUint(r.Header.Get(headerRequest), 10, 64)
@@ -97,23 +97,23 @@
 	if n.overloaded {
 		request.fault.Hang = true
 	}
-	request.failed = n.rng.Float64() < request.fault.Errors
-	request.lost = n.rng.Float64() < request.fault.LostAnswers
-	request.full = n.inFlight >= n.capacity.Cores+n.capacity.Queue
+	request.injectedError = n.rng.Float64() < request.fault.Errors
+	request.answerLost = n.rng.Float64() < request.fault.LostAnswers
+	request.queueFull = n.inFlight >= n.capacity.Cores+n.capacity.Queue
 	n.inFlight++
 	seconds := float64(work) / n.capacity.Speed / n.capacityFraction() * request.fault.Slow
 	request.work = time.Duration(seconds * (minWorkFactor + workJitter*n.rng.Float64()))
 	return request
 }
 
-func (n *Node) end() {
+func (n *Node) endRequest() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.inFlight--
 }
 
-// finish counts an executed request and frees its slot.
-func (n *Node) finish(w http.ResponseWriter, request *nodeRequest, duration time.Duration) {
+// completeExecution counts an executed request, frees its core and writes the load header unless the answer is lost.
+func (n *Node) completeExecution(w http.ResponseWriter, request *nodeRequest, duration time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.updateBusy()
@@ -121,12 +121,13 @@
 	n.serviceMillis = (1-serviceTimeSmoothing)*n.serviceMillis + serviceTimeSmoothing*float64(millis)
 	n.counters.add(true, millis)
 	<-request.slots
-	if !request.lost {
+	if !request.answerLost {
 		n.writeLoadHeader(w)
 	}
 }
 
 // writeLoadHeader writes the load values in thousandths: busy fraction, requests in flight, recent service time in ms.
+// The caller holds the lock.
 func (n *Node) writeLoadHeader(w http.ResponseWriter) {
 	w.Header().Set(headerLoad, fmt.Sprintf("%.0f,%d,%.0f",
 		loadUnit*n.busyFraction, loadUnit*n.inFlight, loadUnit*n.serviceMillis))
@@ -135,7 +136,8 @@
 // abort closes the connection without an answer.
 func abort() { panic(http.ErrAbortHandler) }
 
-// hang closes the connection without an answer when the process dies, the caller leaves or the timeout ends.
+// hang blocks until the process dies, the caller disconnects or hangTimeout has passed, and then closes the connection
+// without an answer.
 func (r *nodeRequest) hang(request *http.Request) {
 	select {
 	case <-r.crashed:
@@ -157,7 +159,7 @@
 	}
 }
 
-// waitForSlot waits for a core. A request whose caller has left by then is not begun.
+// waitForSlot waits for a core. A request whose caller has disconnected by then is not executed.
 func (r *nodeRequest) waitForSlot(request *http.Request) {
 	select {
 	case r.slots <- struct{}{}:
@@ -170,7 +172,7 @@
 	}
 }
 
-// execute works until the work is done or the process dies.
+// execute blocks for the duration of the request's work, or until the process dies.
 func (r *nodeRequest) execute() {
 	timer := time.NewTimer(r.work)
 	defer timer.Stop()
--- a/internal/testing/fakes/runtimesession.go
+++ b/internal/testing/fakes/runtimesession.go
@@ -14,21 +14,21 @@
 const (
 	// readBufferSize is the size in bytes of a session's read buffer.
 	readBufferSize = 1 << 16
-	// epochBase is the base in which epochs are written.
+	// epochBase is the numeral base of epochs in versions and lease entries.
 	epochBase = 36
 )
 
-// runtimeSession is one session of the runtime socket.
+// runtimeSession is a connection to the runtime socket.
 type runtimeSession struct {
-	id         string
-	conn       net.Conn
-	since      time.Time
-	commands   int
-	ended      bool            // by "shutdown session"
-	stateRead  bool            // "show servers state" was answered
-	touched    map[string]bool // servers that the present requests changed
-	controller string          // whose lease entry was written last
-	epoch      uint64          // of that entry
+	id             string
+	conn           net.Conn
+	since          time.Time
+	commands       int
+	ended          bool            // closed by "shutdown session"
+	stateRead      bool            // has executed "show servers state"
+	changedServers map[string]bool // by the commands since the last read
+	controller     string          // name in the last lease entry written
+	epoch          uint64          // of that lease entry
 }
 
 // accept serves sessions until the listener is closed.
@@ -46,10 +46,10 @@
 		}
 		p.lastSession++
 		s := &runtimeSession{
-			id:      fmt.Sprintf("0x%08x", p.lastSession),
-			conn:    conn,
-			since:   time.Now(),
-			touched: map[string]bool{},
+			id:             fmt.Sprintf("0x%08x", p.lastSession),
+			conn:           conn,
+			since:          time.Now(),
+			changedServers: map[string]bool{},
 		}
 		p.conns[conn] = s
 		p.mu.Unlock()
@@ -57,15 +57,16 @@
 	}
 }
 
-// serveSession answers one session until it ends.
+// serveSession answers the commands of a session until it ends. A controller counts as connected once it has read the
+// servers' state and the map.
 func (p *Proxy) serveSession(s *runtimeSession) {
-	joined := false
+	connected := false
 	defer func() {
 		_ = s.conn.Close()
 		p.mu.Lock()
 		delete(p.conns, s.conn)
 		p.mu.Unlock()
-		if joined {
+		if connected {
 			p.watch.Disconnected(p.Name)
 		}
 	}()
@@ -83,19 +84,19 @@
 		}
 		read += n
 		reply, done := protocol.Feed(buffer[:n])
-		if len(s.touched) > 0 {
-			p.watch.Message(p.Name, len(s.touched))
-			clear(s.touched)
+		if len(s.changedServers) > 0 {
+			p.watch.Message(p.Name, len(s.changedServers))
+			clear(s.changedServers)
 		}
 		if cutAfter >= 0 && read >= cutAfter {
-			p.cutDone()
+			p.finishCut()
 			return
 		}
 		if _, err := s.conn.Write(reply); err != nil || done {
 			return
 		}
-		if !joined && s.stateRead && bytes.Contains(buffer[:n], []byte("show map")) {
-			joined = true
+		if !connected && s.stateRead && bytes.Contains(buffer[:n], []byte("show map")) {
+			connected = true
 			if s.controller != "" {
 				p.watch.Owner(p.Name, s.controller)
 			}
@@ -104,7 +105,7 @@
 	}
 }
 
-// answer answers one command after the configured delay.
+// answer executes a command after the configured delay and returns the answer. An unresponsive proxy never returns.
 func (p *Proxy) answer(command haproxyapi.Command, s *runtimeSession) []byte {
 	if p.Unresponsive {
 		select {}
@@ -116,7 +117,8 @@
 	return p.execute(command, s)
 }
 
-// waitWhileStalled waits and returns after how many bytes sessions are to be cut, negative for never.
+// waitWhileStalled waits until the proxy's stall ends, and returns the number of bytes after which the session must be
+// closed, negative for never.
 func (p *Proxy) waitWhileStalled() (cutAfter int) {
 	p.mu.Lock()
 	cutAfter = p.cutAfter
@@ -126,8 +128,8 @@
 	return cutAfter
 }
 
-// cutDone ends the cuts if only one was asked for.
-func (p *Proxy) cutDone() {
+// finishCut disables further cuts if only one was requested.
+func (p *Proxy) finishCut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cutOnce {
@@ -135,7 +137,7 @@
 	}
 }
 
-// isOlderVersion reports whether a version, EPOCH.COUNT/DIGEST with the epoch in base 36, is older than another one.
+// isOlderVersion reports whether a version, EPOCH.COUNT/DIGEST with the epoch in base 36, precedes another one.
 func isOlderVersion(version, than string) bool {
 	epoch, count := parseVersion(version)
 	otherEpoch, otherCount := parseVersion(than)
@@ -150,8 +152,9 @@
 	return epoch, count
 }
 
-// noteLease notes which controller's session it is, by the lease entry that it writes.
-func (s *runtimeSession) noteLease(key, value string) {
+// recordLease takes the session's controller and epoch from a lease entry that it writes. Other map entries are
+// ignored.
+func (s *runtimeSession) recordLease(key, value string) {
 	controller, ok := strings.CutPrefix(key, "cressknot.lease.")
 	if !ok {
 		return
--- a/internal/testing/fakes/weights_test.go
+++ b/internal/testing/fakes/weights_test.go
@@ -15,11 +15,12 @@
 var requests = flag.Int(
 	"requests",
 	12_000,
-	"requests of the test of weights; 100,000 for the stated bound of two percent",
+	"number of requests in the weight test; at 100,000 the tolerance is 2%",
 )
 
-// TestRequestsFollowWeights checks that nodes get requests in proportion to their weights: within two percent of each
-// at 100,000 requests, and as much more as chance needs at fewer.
+// TestRequestsFollowWeights checks that nodes receive requests in proportion to their weights. The tolerance is 2% of
+// each node's share at 100,000 requests. It grows with the inverse square root of a smaller number of requests, as
+// their random variation does.
 func TestRequestsFollowWeights(t *testing.T) {
 	weights := []int{256, 192, 128, 224, 160}
 	proxy := startProxyWithWeights(t, weights)
@@ -50,13 +51,14 @@
 		want := float64(weight) / float64(sum) * float64(*requests)
 		worst = max(worst, math.Abs(float64(received[fmt.Sprintf("n%d", i)])/want-1))
 	}
-	t.Logf("%d requests, %.0f per second: the worst part is off by %.2f%%", *requests, rate, 100*worst)
+	t.Logf("%d requests, %.0f per second: largest deviation from a weighted share %.2f%%", *requests, rate, 100*worst)
 	if allowed := 0.02 * math.Sqrt(1e5/float64(*requests)); worst > allowed {
-		t.Errorf("a part is off by %.2f%%, %.2f%% is allowed: %v", 100*worst, 100*allowed, received)
+		t.Errorf("largest deviation from a weighted share %.2f%%, limit %.2f%%; requests by node: %v",
+			100*worst, 100*allowed, received)
 	}
 }
 
-// startProxyWithWeights starts a proxy and a node n0, n1, … for each weight.
+// startProxyWithWeights starts a proxy and, for each weight, a node named n0, n1, and so on.
 func startProxyWithWeights(t *testing.T, weights []int) *Proxy {
 	t.Helper()
 	watch := invariants.NewWatch()
--- a/internal/testing/invariants/duplicates.go
+++ b/internal/testing/invariants/duplicates.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// judgeDuplicates finds requests whose effect happened twice, and attempts that could have led to that.
-func (w *Watch) judgeDuplicates(f Figures) Verdict {
+// checkDuplicates finds requests whose side effect happened twice, and retries that could have caused that.
+func (w *Watch) checkDuplicates(f Figures) Verdict {
 	v := Verdict{Rule: RuleNoDuplicates}
 	classes := map[string]Class{}
 	for _, class := range f.Classes {
 		classes[class.Name] = class
 	}
-	effects, repeatedEffects := w.judgeExecutions(&v, classes)
-	repeatedAttempts := w.judgeAttempts(&v, classes)
-	v.Seen = fmt.Sprintf("%d effects, %d repeated tries, %d effects again inside their window",
+	effects, repeatedEffects := w.checkExecutions(&v, classes)
+	repeatedAttempts := w.checkAttempts(&v, classes)
+	v.Seen = fmt.Sprintf("%d requests with side effects executed, %d attempts repeated, %d executions repeated",
 		effects, repeatedAttempts, repeatedEffects)
 	return v
 }
 
-// judgeExecutions returns the number of requests that were executed, and of their repetitions.
-func (w *Watch) judgeExecutions(v *Verdict, classes map[string]Class) (effects, repeated int) {
+// checkExecutions finds repeated executions that the class does not allow. It returns how many requests of classes with
+// side effects were executed, and how many executions repeated an earlier one.
+func (w *Watch) checkExecutions(v *Verdict, classes map[string]Class) (effects, repeated int) {
 	first := map[uint64]execution{}
 	for _, e := range w.executions {
 		class := classes[e.class]
@@ -35,15 +36,16 @@
 		}
 		repeated++
 		if class.Idempotency == NotIdempotent || e.at > earlier.at+class.DeduplicationWindow {
-			v.violate(e.at, "visit %d of class %s ran at %s and again at %s %.2f s later",
-				e.request, e.class, earlier.node, e.node, (e.at - earlier.at).Seconds())
+			v.violate(e.at, "request %d of class %s executed by node %s and again by node %s %.2f s later; %s",
+				e.request, e.class, earlier.node, e.node, (e.at - earlier.at).Seconds(), class.repetitionLimit())
 		}
 	}
 	return len(first), repeated
 }
 
-// judgeAttempts returns the number of repeated attempts.
-func (w *Watch) judgeAttempts(v *Verdict, classes map[string]Class) (repeated int) {
+// checkAttempts finds retries after an attempt that may have been executed, in classes that do not allow them. It
+// returns the number of retries in all classes.
+func (w *Watch) checkAttempts(v *Verdict, classes map[string]Class) (repeated int) {
 	firstSent := map[uint64]time.Duration{}
 	for _, a := range w.attempts {
 		class := classes[a.class]
@@ -58,10 +60,11 @@
 		if a.mayHaveRun && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentWithKey && afterWindow) {
 			v.violate(
 				a.at,
-				"proxy %s sent visit %d of class %s again after a try that may have run",
+				"proxy %s retried request %d of class %s after an attempt that may have been executed; %s",
 				a.proxy,
 				a.request,
 				a.class,
+				class.repetitionLimit(),
 			)
 		}
 	}
