--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -204,7 +204,7 @@
 		"explain\n":                     {"expects one server name"},
 		"set server look/n1 weight 3\n": {"Unknown command: 'set server look/n1 weight 3'", "show orders"},
 		"prompt\nhelp\nquit\n":          {"> ", "explain"},
-		"show \x01\n":                   {"byte 5: the control character 0x01"},
+		"show \x01\n":                   {"byte 5: invalid control character 0x01"},
 		"show orders;get weight n9\n":   {"It is in no weight table."},
 	} {
 		answer := ask(text)
--- a/internal/haproxyapi/answer.go
+++ b/internal/haproxyapi/answer.go
@@ -51,7 +51,7 @@
 	a.buffer = append(a.buffer[:0], a.buffer[start:]...)
 	a.scanned = max(0, a.scanned-start)
 	if a.failed == nil && len(a.buffer) > MaxAnswerLength {
-		a.failed = &SyntaxError{a.offset + MaxAnswerLength, fmt.Sprintf("an answer of over %d bytes", MaxAnswerLength)}
+		a.failed = &SyntaxError{a.offset + MaxAnswerLength, fmt.Sprintf("answer exceeds %d bytes", MaxAnswerLength)}
 	}
 	return a.failed
 }
--- a/internal/haproxyapi/haproxyapi_test.go
+++ b/internal/haproxyapi/haproxyapi_test.go
@@ -84,7 +84,7 @@
 		{"show info;show stat\n", "show+info\n\nshow+stat\n\n", true},
 		{"prompt\nshow info\n", "\n> show+info\n\n> ", false},
 		{"prompt i\nshow info\nquit\nshow info\n", "\nshow+info\n\n", true},
-		{"prompt\nset\x02\n", "\n> Can't read the request: byte 10: the control character 0x02.\n\n", true},
+		{"prompt\nset\x02\n", "\n> Invalid request: byte 10: invalid control character 0x02.\n\n", true},
 	} {
 		s := Session{Answer: echo}
 		var out []byte
@@ -155,12 +155,12 @@
 		read func() error
 		want string
 	}{
-		{func() error { return ReadStat([]byte("<html>\n"), nil) }, "line 1: no header"},
-		{func() error { return ReadStat([]byte(stat+"a,b,UP,-1\n"), nil) }, `line 2: column "scur": "-1" is no count`},
-		{func() error { return ReadStat([]byte(stat+"a,b,UP,1\n"), nil) }, `line 2: column "stot" is missing`},
-		{func() error { return ReadStat([]byte("# pxname,svname,status\n"), nil) }, `line 1: no column "scur"`},
-		{func() error { return ReadServersState([]byte("2\n"), nil) }, "line 1: format"},
-		{func() error { return ReadServersState([]byte("1\n# a b\n"), nil) }, `line 2: no column "be_name"`},
+		{func() error { return ReadStat([]byte("<html>\n"), nil) }, `line 1: expected the header of "show stat"`},
+		{func() error { return ReadStat([]byte(stat+"a,b,UP,-1\n"), nil) }, `line 2: column "scur": invalid count "-1"`},
+		{func() error { return ReadStat([]byte(stat+"a,b,UP,1\n"), nil) }, `line 2: row has 4 fields: column "stot" is missing`},
+		{func() error { return ReadStat([]byte("# pxname,svname,status\n"), nil) }, `line 1: header has no column "scur"`},
+		{func() error { return ReadServersState([]byte("2\n"), nil) }, "line 1: unsupported format version"},
+		{func() error { return ReadServersState([]byte("1\n# a b\n"), nil) }, `line 2: header has no column "be_name"`},
 		{func() error { return ReadMap([]byte("0x1 a b\nnonsense\n"), func(_, _ []byte) error { return nil }) }, "line 2:"},
 		{func() error { return ReadTable([]byte("0x1: key=a gpc0=x\n"), nil) }, "line 1: gpc0"},
 		{func() error { return ReadInfo([]byte("no pair\n"), nil) }, "line 1:"},
--- a/internal/haproxyapi/request.go
+++ b/internal/haproxyapi/request.go
@@ -117,7 +117,7 @@
 		return handle(p.commands)
 	}
 	if len(p.payload)+len(line) >= MaxPayloadLength {
-		return &SyntaxError{offset, fmt.Sprintf("a payload of over %d bytes", MaxPayloadLength)}
+		return &SyntaxError{offset, fmt.Sprintf("payload exceeds %d bytes", MaxPayloadLength)}
 	}
 	p.payload = append(p.payload, line...)
 	p.payload = append(p.payload, '\n')
@@ -125,5 +125,5 @@
 }
 
 func lineTooLong(offset int64) error {
-	return &SyntaxError{offset + MaxLineLength, fmt.Sprintf("a line of over %d bytes", MaxLineLength)}
+	return &SyntaxError{offset + MaxLineLength, fmt.Sprintf("line exceeds %d bytes", MaxLineLength)}
 }
--- a/internal/haproxyapi/rows.go
+++ b/internal/haproxyapi/rows.go
@@ -60,7 +60,7 @@
 			}
 		}
 		if c.positions[i] < 0 {
-			return fmt.Errorf("no column %q", name)
+			return fmt.Errorf("header has no column %q", name)
 		}
 	}
 	return nil
@@ -71,14 +71,14 @@
 	for i := range c.names {
 		position := c.positions[i]
 		if position >= len(fields) {
-			return fmt.Errorf("column %q is missing", c.names[i])
+			return fmt.Errorf("row has %d fields: column %q is missing", len(fields), c.names[i])
 		}
 		if i < c.textColumns {
 			continue
 		}
 		count, ok := parseCount(fields[position])
 		if !ok {
-			return fmt.Errorf("column %q: %.40q is no count", c.names[i], fields[position])
+			return fmt.Errorf("column %q: invalid count %.40q", c.names[i], fields[position])
 		}
 		c.counts[i] = count
 	}
--- a/internal/haproxyapi/serverstate.go
+++ b/internal/haproxyapi/serverstate.go
@@ -42,7 +42,7 @@
 		switch number {
 		case 1:
 			if string(line) != stateFormat {
-				return fmt.Errorf("format %.40q of \"show servers state\" is not known, only %s is", line, stateFormat)
+				return fmt.Errorf("unsupported format version %.40q of \"show servers state\", want %s", line, stateFormat)
 			}
 			return nil
 		case 2:
@@ -67,7 +67,7 @@
 // readStateHeader locates the columns. The first field of the header is a mark that rows don't have.
 func readStateHeader(table *columns, line []byte, fields [][]byte) error {
 	if string(fields[0]) != "#" {
-		return fmt.Errorf("no header of \"show servers state\" (%.40q)", line)
+		return fmt.Errorf("expected the header of \"show servers state\", got %.40q", line)
 	}
 	return table.locate(fields[1:])
 }
--- a/internal/haproxyapi/session.go
+++ b/internal/haproxyapi/session.go
@@ -25,7 +25,7 @@
 		return nil
 	})
 	if err != nil {
-		s.out = AppendAnswer(s.out, fmt.Appendf(nil, "Can't read the request: %v.\n", err))
+		s.out = AppendAnswer(s.out, fmt.Appendf(nil, "Invalid request: %v.\n", err))
 		done = true
 	}
 	return s.out, done
--- a/internal/haproxyapi/stat.go
+++ b/internal/haproxyapi/stat.go
@@ -56,7 +56,7 @@
 	return rows(text, ',', func(number int, line []byte, fields [][]byte) error {
 		if number == 1 {
 			if len(line) < 2 || line[0] != '#' {
-				return fmt.Errorf("no header of \"show stat\" (%.40q)", line)
+				return fmt.Errorf("expected the header of \"show stat\", got %.40q", line)
 			}
 			fields[0] = bytes.TrimLeft(fields[0], "# ")
 			return table.locate(fields)
--- a/internal/haproxyapi/tables.go
+++ b/internal/haproxyapi/tables.go
@@ -13,7 +13,7 @@
 	return rows(text, '\n', func(_ int, line []byte, _ [][]byte) error {
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok {
-			return fmt.Errorf("%.40q is no \"name: value\"", line)
+			return fmt.Errorf("expected \"name: value\", got %.40q", line)
 		}
 		return handle(name, bytes.TrimSpace(value))
 	})
@@ -23,7 +23,7 @@
 func ReadMap(text []byte, handle func(key, value []byte) error) error {
 	return rows(text, ' ', func(_ int, line []byte, fields [][]byte) error {
 		if len(fields) < 3 || !bytes.HasPrefix(fields[0], []byte(entryPrefix)) {
-			return fmt.Errorf("%.40q is no entry of a map", line)
+			return fmt.Errorf("invalid map entry %.40q", line)
 		}
 		value := line[len(fields[0])+len(fields[1])+2:]
 		return handle(fields[1], value)
@@ -48,7 +48,7 @@
 			return nil
 		}
 		if !bytes.HasPrefix(fields[0], []byte(entryPrefix)) {
-			return fmt.Errorf("%.40q is no entry of a table", line)
+			return fmt.Errorf("invalid stick table entry %.40q", line)
 		}
 		row = StickEntry{}
 		for _, field := range fields[1:] {
@@ -57,7 +57,7 @@
 			}
 		}
 		if row.Key == nil {
-			return fmt.Errorf("%.40q has no key", line)
+			return fmt.Errorf("stick table entry %.40q has no key", line)
 		}
 		return handle(&row)
 	})
@@ -86,7 +86,7 @@
 	}
 	*count, ok = parseCount(value)
 	if !ok {
-		return fmt.Errorf("%s: %.40q is no count", name, value)
+		return fmt.Errorf("%s: invalid count %.40q", name, value)
 	}
 	return nil
 }
--- a/internal/haproxyapi/words.go
+++ b/internal/haproxyapi/words.go
@@ -14,7 +14,7 @@
 		}
 		switch {
 		case char < ' ' || char == 0x7f: // escaped or not: no word could be written again with it
-			return nil, &SyntaxError{offset + int64(i), fmt.Sprintf("the control character %#02x", char)}
+			return nil, &SyntaxError{offset + int64(i), fmt.Sprintf("invalid control character %#02x", char)}
 		case char == ' ' && !escaped:
 			s.endWord()
 		case char == ';' && !escaped:
@@ -62,7 +62,7 @@
 }
 
 func tooManyWords(offset int64) error {
-	return &SyntaxError{offset, fmt.Sprintf("a command of over %d words", MaxWords)}
+	return &SyntaxError{offset, fmt.Sprintf("command exceeds %d words", MaxWords)}
 }
 
 // AppendWord appends a word and escapes what would be read as syntax.
--- a/internal/transport/files/acknowledge.go
+++ b/internal/transport/files/acknowledge.go
@@ -55,13 +55,13 @@
 		return nil, err
 	}
 	if ack.Proxy != f.proxy.Name {
-		return nil, fmt.Errorf("%s: the proxy there calls itself %.40q", AckFile, ack.Proxy)
+		return nil, fmt.Errorf("%s: proxy reports the name %.40q", filepath.Join(f.path, AckFile), ack.Proxy)
 	}
 	f.lastSeen = time.Now()
 	var events []transport.Event
 	if f.connected && ack.Started != f.started {
 		f.connected = false
-		restarted := errors.New("the proxy has started anew")
+		restarted := errors.New("proxy restarted")
 		events = append(events, transport.Disconnected{Proxy: f.proxy.ID, Stream: f.stream, Err: restarted})
 	}
 	if !f.connected {
--- a/internal/transport/files/admission.go
+++ b/internal/transport/files/admission.go
@@ -50,14 +50,14 @@
 		return Admissions{}, err
 	}
 	if len(r.Resources) != 1 {
-		return Admissions{}, fmt.Errorf("%s: has %d resources, not one", AdmissionFile, len(r.Resources))
+		return Admissions{}, fmt.Errorf("%s: got %d resources, want 1", AdmissionFile, len(r.Resources))
 	}
 	var layer runtimeLayer
 	if err := json.Unmarshal(r.Resources[0], &layer); err != nil {
 		return Admissions{}, fmt.Errorf("%s: resources[0]: %w", AdmissionFile, err)
 	}
 	if layer.Type != runtimeType {
-		return Admissions{}, fmt.Errorf("%s: resources[0]: is no %s", AdmissionFile, runtimeType)
+		return Admissions{}, fmt.Errorf("%s: resources[0]: got type %.80q, want %q", AdmissionFile, layer.Type, runtimeType)
 	}
 	a := Admissions{Version: r.Version, Values: map[string]int{}, Stamps: map[string]string{}}
 	for key, value := range layer.Layer {
@@ -69,7 +69,7 @@
 		case float64:
 			a.Values[key] = int(value)
 		default:
-			return Admissions{}, fmt.Errorf("%s: resources[0].layer.%s: is neither number nor text", AdmissionFile, key)
+			return Admissions{}, fmt.Errorf("%s: resources[0].layer.%s: want a number or a string", AdmissionFile, key)
 		}
 	}
 	return a, nil
--- a/internal/transport/files/folder.go
+++ b/internal/transport/files/folder.go
@@ -1,7 +1,6 @@
 package files
 
 import (
-	"errors"
 	"fmt"
 	"path/filepath"
 	"sync"
@@ -134,7 +133,7 @@
 // posted after.
 func (f *folder) reportWriteFailure(err error) {
 	t := f.transport
-	reason := fmt.Errorf("its files were not written and will be again: %w", err)
+	reason := fmt.Errorf("writing its files failed and will be retried: %w", err)
 	t.running.Add(1)
 	go func() {
 		defer t.running.Done()
@@ -215,7 +214,8 @@
 	event := transport.Disconnected{
 		Proxy:  f.proxy.ID,
 		Stream: f.stream,
-		Err:    errors.New("it writes no counters any more"),
+		Err: fmt.Errorf("proxy wrote neither %s nor %s within %v", StatFile, AckFile,
+			time.Duration(reconcile.SilenceTimeout)),
 	}
 	f.disconnect()
 	f.mu.Unlock()
--- a/internal/transport/files/format.go
+++ b/internal/transport/files/format.go
@@ -42,7 +42,7 @@
 		return fmt.Errorf("%s: byte %d: %w", file, decoder.InputOffset(), err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return fmt.Errorf("%s: byte %d: more after its end", file, decoder.InputOffset())
+		return fmt.Errorf("%s: byte %d: unexpected data after the JSON value", file, decoder.InputOffset())
 	}
 	return nil
 }
@@ -63,7 +63,7 @@
 		return ack, err
 	}
 	if ack.Proxy == "" || ack.Started == "" {
-		return ack, fmt.Errorf("%s: wants proxy and started", AckFile)
+		return ack, fmt.Errorf("%s: fields proxy and started are required", AckFile)
 	}
 	return ack, nil
 }
--- a/internal/transport/files/replace.go
+++ b/internal/transport/files/replace.go
@@ -19,7 +19,7 @@
 )
 
 // ErrCut simulates a crash in the middle of replacing a file: nothing is cleaned up after it.
-var ErrCut = errors.New("cut")
+var ErrCut = errors.New("simulated crash")
 
 // replacer replaces files atomically. The fault function, nil for none, is called before each step; an error ends the
 // replacement there, as a crash or a full disk would.
@@ -40,7 +40,7 @@
 	folder := filepath.Dir(path)
 	file, err := os.CreateTemp(folder, filepath.Base(path)+temporaryMark+"*")
 	if err != nil {
-		return fmt.Errorf("writing aside: %w", err)
+		return fmt.Errorf("create temporary file: %w", err)
 	}
 	if err := r.fill(file, path, text); err != nil {
 		_ = file.Close()
@@ -62,22 +62,22 @@
 		return err
 	}
 	if _, err := file.Write(text); err != nil {
-		return fmt.Errorf("writing aside: %w", err)
+		return fmt.Errorf("write temporary file: %w", err)
 	}
 	if err := r.begin(path, stepSync); err != nil {
 		return err
 	}
 	if err := file.Sync(); err != nil {
-		return fmt.Errorf("syncing: %w", err)
+		return fmt.Errorf("sync temporary file: %w", err)
 	}
 	if err := file.Close(); err != nil {
-		return fmt.Errorf("syncing: %w", err)
+		return fmt.Errorf("close temporary file: %w", err)
 	}
 	if err := r.begin(path, stepRename); err != nil {
 		return err
 	}
 	if err := os.Rename(file.Name(), path); err != nil {
-		return fmt.Errorf("renaming: %w", err)
+		return fmt.Errorf("rename temporary file: %w", err)
 	}
 	return nil
 }
@@ -93,11 +93,11 @@
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
-		return fmt.Errorf("syncing the folder: %w", err)
+		return fmt.Errorf("open folder to sync: %w", err)
 	}
 	defer func() { _ = folder.Close() }()
 	if err := folder.Sync(); err != nil {
-		return fmt.Errorf("syncing the folder: %w", err)
+		return fmt.Errorf("sync folder: %w", err)
 	}
 	return nil
 }
@@ -130,7 +130,7 @@
 		return nil, err
 	}
 	if len(text) > maxFileSize {
-		return nil, fmt.Errorf("%s is over %d bytes", path, maxFileSize)
+		return nil, fmt.Errorf("%s exceeds %d bytes", path, maxFileSize)
 	}
 	return text, nil
 }
--- a/internal/transport/files/tables.go
+++ b/internal/transport/files/tables.go
@@ -120,7 +120,8 @@
 			return Tables{}, fmt.Errorf("%s: %w", place, err)
 		}
 		if a.Type != tablesType || a.Cluster == "" {
-			return Tables{}, fmt.Errorf("%s: is no named %s", place, tablesType)
+			return Tables{}, fmt.Errorf("%s: got type %.80q and cluster_name %.80q, want type %q and a cluster_name",
+				place, a.Type, a.Cluster, tablesType)
 		}
 		entries, err := decodeEndpoints(place, a.Endpoints)
 		if err != nil {
@@ -137,7 +138,9 @@
 		for i, e := range group.Endpoints {
 			socket := e.Endpoint.Address.Socket
 			if e.Endpoint.Hostname == "" || e.Weight < 1 || socket.Port < 1 || socket.Port > maxPort {
-				return nil, fmt.Errorf("%s.endpoints[%d]: wants a hostname, a weight from 1 and a port", place, i)
+				return nil, fmt.Errorf("%s.endpoints[%d]: hostname %.80q, weight %d, port %d: "+
+					"want a hostname, a weight of at least 1 and a port from 1 to %d",
+					place, i, e.Endpoint.Hostname, e.Weight, socket.Port, maxPort)
 			}
 			entries = append(entries, Endpoint{
 				Name:   e.Endpoint.Hostname,
--- a/internal/transport/haproxy/answers.go
+++ b/internal/transport/haproxy/answers.go
@@ -75,7 +75,7 @@
 		return nil
 	})
 	if err == nil && len(node) > 0 && string(node) != s.link.proxy.Name {
-		err = fmt.Errorf("the proxy there calls itself %.40q", node)
+		err = fmt.Errorf("proxy at %s reports the name %.40q", s.link.proxy.Addr, node)
 	}
 	return err
 }
@@ -125,7 +125,7 @@
 	return transport.Connected{Proxy: s.link.proxy.ID, Stream: s.stream, Snapshot: s.snapshot}, nil
 }
 
-func (s *session) noMapError() error { return fmt.Errorf("the proxy has no map %s", s.options().Map) }
+func (s *session) noMapError() error { return fmt.Errorf("proxy has no map %s", s.options().Map) }
 
 // readMapEntry takes an entry of the map that belongs to the snapshot: "class.share", "class.rate", "class.retry" or
 // "class.version".
--- a/internal/transport/haproxy/lease.go
+++ b/internal/transport/haproxy/lease.go
@@ -29,8 +29,8 @@
 )
 
 var (
-	errLeaseLost  = errors.New("another governor serves it")
-	errHandedOver = errors.New("handed on to another governor")
+	errLeaseLost  = errors.New("another controller holds the lease")
+	errHandedOver = errors.New("lease released for another controller")
 )
 
 // readEntries reads the lease entries of all controllers and the keys of the map that belong to them.
@@ -229,7 +229,7 @@
 		number++
 		id, fields, ok := strings.Cut(string(bytes.TrimSpace(line)), ": ")
 		if !ok || !strings.HasPrefix(id, "0x") {
-			return nil, fmt.Errorf("answer to \"show sess\": line %d: %.60q", number, line)
+			return nil, fmt.Errorf("answer to \"show sess\": line %d: expected a session, got %.60q", number, line)
 		}
 		for _, field := range strings.Fields(fields) {
 			if field == runtimeSessionField {
--- a/internal/transport/haproxy/link.go
+++ b/internal/transport/haproxy/link.go
@@ -82,7 +82,7 @@
 	c, err := nbio.NBConn(conn)
 	if err != nil {
 		_ = conn.Close()
-		return fmt.Errorf("proxy %s: %w", l.proxy.Name, err)
+		return fmt.Errorf("duplicate the connection descriptor: %w", err)
 	}
 	s := l.newSession(c, predecessor)
 	s.mu.Lock() // until it has begun: events of a proxy that writes or closes at once have to wait for that
@@ -94,7 +94,7 @@
 		s.mu.Unlock()
 		l.transport.sessions.Delete(c)
 		_ = c.Close()
-		return fmt.Errorf("proxy %s: %w", l.proxy.Name, err)
+		return fmt.Errorf("add connection to the event loop: %w", err)
 	}
 	s.begin()
 	s.mu.Unlock()
--- a/internal/transport/haproxy/session.go
+++ b/internal/transport/haproxy/session.go
@@ -18,8 +18,6 @@
 // managedKey in the map marks a proxy that has had messages of a controller since its start.
 const managedKey = "cressknot.steered"
 
-var errAnswerTimeout = errors.New("no answer in time")
-
 // session is one connection to a proxy's runtime socket.
 type session struct {
 	link   *link
@@ -95,7 +93,9 @@
 	}
 }
 
-func (s *session) answerTimedOut() { s.close(errAnswerTimeout) }
+func (s *session) answerTimedOut() {
+	s.close(fmt.Errorf("no answer within %v", s.link.transport.answerTimeout))
+}
 
 // close closes the connection; connectionClosed reports the first reason.
 func (s *session) close(reason error) {
@@ -180,7 +180,7 @@
 	progress := false
 	err := s.answers.Feed(data, func(text []byte) error {
 		if len(s.expected) == 0 {
-			return fmt.Errorf("an answer to nothing: %.60q", text)
+			return fmt.Errorf("unexpected answer without an outstanding command: %.60q", text)
 		}
 		expected := s.expected[0]
 		s.expected = s.expected[1:]
--- a/internal/transport/haproxy/transport.go
+++ b/internal/transport/haproxy/transport.go
@@ -29,7 +29,7 @@
 )
 
 // errDroppedByController ends a session that the controller asked to drop.
-var errDroppedByController = errors.New("broken off by the governor")
+var errDroppedByController = errors.New("connection closed by the controller")
 
 // Options configure the transport; docs/operate/proxies.md describes the proxies' side.
 type Options struct {
@@ -124,7 +124,7 @@
 		}
 	})
 	if err := t.engine.Start(); err != nil {
-		return fmt.Errorf("starting the event loops: %w", err)
+		return fmt.Errorf("start event loops: %w", err)
 	}
 	for _, l := range t.links {
 		t.dialers.Add(1)
@@ -191,7 +191,7 @@
 		t.Drop(id)
 	}
 	if err := t.engine.Shutdown(context.WithoutCancel(ctx)); err != nil {
-		return fmt.Errorf("closing the event loops: %w", err)
+		return fmt.Errorf("stop event loops: %w", err)
 	}
 	return ctx.Err()
 }
