--- a/internal/haproxyapi/answer.go
+++ b/internal/haproxyapi/answer.go
@@ -14,22 +14,22 @@
 	buffer  []byte
 	scanned int   // length of the buffer's beginning that has no end of an answer
 	offset  int64 // of the buffer's first byte in the stream
-	failed  error
+	err     error
 }
 
 // Feed takes the next bytes and calls handle for each complete answer, without its empty line. The text is valid until
 // handle returns. After an error the stream can't be followed any more.
 func (a *AnswerParser) Feed(data []byte, handle func([]byte) error) error {
-	if a.failed != nil {
-		return a.failed
+	if a.err != nil {
+		return a.err
 	}
 	a.buffer = append(a.buffer, data...)
 	start := 0
-	for a.failed == nil {
+	for a.err == nil {
 		body := skipPrompts(a.buffer[start:])
 		bodyStart := len(a.buffer) - len(body)
 		if len(body) > 0 && body[0] == '\n' { // an answer without text
-			a.failed = handle(nil)
+			a.err = handle(nil)
 			start = bodyStart + 1
 			a.scanned = start
 			continue
@@ -43,17 +43,17 @@
 			a.scanned = len(a.buffer)
 			break
 		}
-		a.failed = handle(body[:from+end+1])
+		a.err = handle(body[:from+end+1])
 		start = bodyStart + from + end + 2
 		a.scanned = start
 	}
 	a.offset += int64(start)
 	a.buffer = append(a.buffer[:0], a.buffer[start:]...)
 	a.scanned = max(0, a.scanned-start)
-	if a.failed == nil && len(a.buffer) > MaxAnswerLength {
-		a.failed = &SyntaxError{a.offset + MaxAnswerLength, fmt.Sprintf("answer exceeds %d bytes", MaxAnswerLength)}
+	if a.err == nil && len(a.buffer) > MaxAnswerLength {
+		a.err = &SyntaxError{a.offset + MaxAnswerLength, fmt.Sprintf("answer exceeds %d bytes", MaxAnswerLength)}
 	}
-	return a.failed
+	return a.err
 }
 
 func skipPrompts(text []byte) []byte {
--- a/internal/haproxyapi/request.go
+++ b/internal/haproxyapi/request.go
@@ -24,9 +24,9 @@
 	MaxWords = 64
 )
 
-// payloadMark begins the last word of a line that a payload follows; the rest of the word is the line that ends the
+// payloadPrefix begins the last word of a line that a payload follows; the rest of the word is the line that ends the
 // payload.
-const payloadMark = "<<"
+const payloadPrefix = "<<"
 
 // Command is one command of a request line. Words and Payload are valid until the next Feed.
 type Command struct {
@@ -47,7 +47,7 @@
 type RequestParser struct {
 	buffer     []byte
 	offset     int64 // of the buffer's first byte in the stream
-	failed     error
+	err        error
 	inPayload  bool
 	commands   []Command // the commands of the line whose payload is being read
 	terminator []byte    // the line that ends the payload
@@ -57,8 +57,8 @@
 // Feed takes the next bytes and calls handle once for every request line that is complete with its payload.
 // After an error the stream can't be followed any more; every further call returns the same error.
 func (p *RequestParser) Feed(data []byte, handle func([]Command) error) error {
-	if p.failed != nil {
-		return p.failed
+	if p.err != nil {
+		return p.err
 	}
 	p.buffer = append(p.buffer, data...)
 	start := 0
@@ -69,7 +69,7 @@
 		}
 		line := bytes.TrimSuffix(p.buffer[start:start+end], []byte("\r"))
 		if err := p.parseLine(line, p.offset+int64(start), handle); err != nil {
-			p.failed = err
+			p.err = err
 			return err
 		}
 		start += end + 1
@@ -77,9 +77,9 @@
 	p.offset += int64(start)
 	p.buffer = append(p.buffer[:0], p.buffer[start:]...)
 	if len(p.buffer) > MaxLineLength {
-		p.failed = lineTooLong(p.offset)
+		p.err = lineTooLong(p.offset)
 	}
-	return p.failed
+	return p.err
 }
 
 // Partial reports whether a line or a payload has begun and is not complete.
@@ -98,8 +98,8 @@
 		return err
 	}
 	last := &commands[len(commands)-1]
-	terminator, announced := strings.CutPrefix(last.Words[len(last.Words)-1], payloadMark)
-	if len(last.Words) == 1 || !announced {
+	terminator, hasPayload := strings.CutPrefix(last.Words[len(last.Words)-1], payloadPrefix)
+	if len(last.Words) == 1 || !hasPayload {
 		return handle(commands)
 	}
 	last.Words = last.Words[:len(last.Words)-1]
--- a/internal/haproxyapi/rows.go
+++ b/internal/haproxyapi/rows.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// rows calls handle for every line of a text with the line's number from 1 and its fields, which are valid until handle
+// forEachRow calls handle for every line of a text with the line's number from 1 and its fields, which are valid until handle
 // returns. It is the base of the readers of tables and allocates nothing per line.
-func rows(text []byte, separator byte, handle func(number int, line []byte, fields [][]byte) error) error {
+func forEachRow(text []byte, separator byte, handle func(number int, line []byte, fields [][]byte) error) error {
 	var fields [][]byte
 	number := 0
 	for len(text) > 0 {
@@ -42,8 +42,8 @@
 // maxColumns is the largest number of columns that a reader asks for.
 const maxColumns = 16
 
-// columns finds the columns of a table by its header. The first textColumns names are texts, the others counts.
-type columns struct {
+// columnReader finds the columnReader of a table by its header. The first textColumns names are texts, the others counts.
+type columnReader struct {
 	names       []string
 	textColumns int
 	positions   [maxColumns]int    // by name: the place of the column in a row
@@ -51,7 +51,7 @@
 }
 
 // locate reads the header.
-func (c *columns) locate(header [][]byte) error {
+func (c *columnReader) locate(header [][]byte) error {
 	for i, name := range c.names {
 		c.positions[i] = -1
 		for position, field := range header {
@@ -67,7 +67,7 @@
 }
 
 // read takes a row and parses its counts.
-func (c *columns) read(fields [][]byte) error {
+func (c *columnReader) read(fields [][]byte) error {
 	for i := range c.names {
 		position := c.positions[i]
 		if position >= len(fields) {
--- a/internal/haproxyapi/serverstate.go
+++ b/internal/haproxyapi/serverstate.go
@@ -36,9 +36,9 @@
 // ReadServersState reads "show servers state": a line with the format's version, a header and a line for each server.
 // The row is valid until handle returns.
 func ReadServersState(text []byte, handle func(*ServerState) error) error {
-	table := columns{names: stateColumns, textColumns: stateTextColumns}
+	table := columnReader{names: stateColumns, textColumns: stateTextColumns}
 	var row ServerState
-	return rows(text, ' ', func(number int, line []byte, fields [][]byte) error {
+	return forEachRow(text, ' ', func(number int, line []byte, fields [][]byte) error {
 		switch number {
 		case 1:
 			if string(line) != stateFormat {
@@ -65,7 +65,7 @@
 }
 
 // readStateHeader locates the columns. The first field of the header is a mark that rows don't have.
-func readStateHeader(table *columns, line []byte, fields [][]byte) error {
+func readStateHeader(table *columnReader, line []byte, fields [][]byte) error {
 	if string(fields[0]) != "#" {
 		return fmt.Errorf("expected the header of \"show servers state\", got %.40q", line)
 	}
--- a/internal/haproxyapi/stat.go
+++ b/internal/haproxyapi/stat.go
@@ -30,8 +30,8 @@
 	statCurrentSessions
 	statSessions
 	statDenied
-	statConnFailed
-	statRespFailed
+	statConnectErrors
+	statResponseErrors
 	statRetries
 	statWeight
 	stat1xx
@@ -51,9 +51,9 @@
 // ReadStat reads the CSV of "show stat" by its header, whatever further columns it has. The row is valid until handle
 // returns.
 func ReadStat(text []byte, handle func(*Stat) error) error {
-	table := columns{names: statColumns, textColumns: statTextColumns}
+	table := columnReader{names: statColumns, textColumns: statTextColumns}
 	var row Stat
-	return rows(text, ',', func(number int, line []byte, fields [][]byte) error {
+	return forEachRow(text, ',', func(number int, line []byte, fields [][]byte) error {
 		if number == 1 {
 			if len(line) < 2 || line[0] != '#' {
 				return fmt.Errorf("expected the header of \"show stat\", got %.40q", line)
@@ -72,8 +72,8 @@
 			CurrentSessions: counts[statCurrentSessions],
 			Sessions:        counts[statSessions],
 			Denied:          counts[statDenied],
-			ConnectErrors:   counts[statConnFailed],
-			ResponseErrors:  counts[statRespFailed],
+			ConnectErrors:   counts[statConnectErrors],
+			ResponseErrors:  counts[statResponseErrors],
 			Retries:         counts[statRetries],
 			Weight:          counts[statWeight],
 			Successes:       counts[stat1xx] + counts[stat2xx] + counts[stat3xx] + counts[stat4xx],
--- a/internal/haproxyapi/tables.go
+++ b/internal/haproxyapi/tables.go
@@ -10,7 +10,7 @@
 
 // ReadInfo reads "show info": lines of the form "name: value".
 func ReadInfo(text []byte, handle func(name, value []byte) error) error {
-	return rows(text, '\n', func(_ int, line []byte, _ [][]byte) error {
+	return forEachRow(text, '\n', func(_ int, line []byte, _ [][]byte) error {
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok {
 			return fmt.Errorf("expected \"name: value\", got %.40q", line)
@@ -21,7 +21,7 @@
 
 // ReadMap reads "show map <map>": a line with a reference, a key and a value for each entry.
 func ReadMap(text []byte, handle func(key, value []byte) error) error {
-	return rows(text, ' ', func(_ int, line []byte, fields [][]byte) error {
+	return forEachRow(text, ' ', func(_ int, line []byte, fields [][]byte) error {
 		if len(fields) < 3 || !bytes.HasPrefix(fields[0], []byte(entryPrefix)) {
 			return fmt.Errorf("invalid map entry %.40q", line)
 		}
@@ -43,7 +43,7 @@
 // ReadTable reads "show table <name>". The row is valid until handle returns.
 func ReadTable(text []byte, handle func(*StickEntry) error) error {
 	var row StickEntry
-	return rows(text, ' ', func(_ int, line []byte, fields [][]byte) error {
+	return forEachRow(text, ' ', func(_ int, line []byte, fields [][]byte) error {
 		if len(line) == 0 || line[0] == '#' {
 			return nil
 		}
--- a/internal/transport/admission.go
+++ b/internal/transport/admission.go
@@ -41,8 +41,8 @@
 	return unlimitedShare
 }
 
-// DrainUntilIdle waits until busy returns false or the context ends.
-func DrainUntilIdle(ctx context.Context, busy func() bool) {
+// WaitUntilIdle waits until busy returns false or the context ends.
+func WaitUntilIdle(ctx context.Context, busy func() bool) {
 	tick := time.NewTicker(idlePollInterval)
 	defer tick.Stop()
 	for busy() && ctx.Err() == nil {
--- a/internal/transport/files/acknowledge.go
+++ b/internal/transport/files/acknowledge.go
@@ -19,8 +19,8 @@
 	healthMaintenance: reconcile.StateMaintenance,
 }
 
-// fileChanged handles a change of a file.
-func (f *folder) fileChanged(name string) {
+// handleFileChange handles a change of a file.
+func (f *folder) handleFileChange(name string) {
 	if f.transport.ctx.Err() != nil {
 		return
 	}
@@ -29,9 +29,9 @@
 	var err error
 	switch name {
 	case AckFile:
-		events, err = f.readAck()
+		events, err = f.handleAck()
 	case StatFile:
-		events, err = f.statWritten()
+		events, err = f.handleCountersFile()
 	case TablesFile, AdmissionFile:
 		f.restore(name)
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-// readAck handles the proxy's acknowledgement.
-func (f *folder) readAck() ([]transport.Event, error) {
+// handleAck handles the proxy's acknowledgement.
+func (f *folder) handleAck() ([]transport.Event, error) {
 	text, err := readFile(filepath.Join(f.path, AckFile))
 	if err != nil {
 		return nil, err
@@ -59,21 +59,21 @@
 	}
 	f.lastSeen = time.Now()
 	var events []transport.Event
-	if f.connected && ack.Started != f.started {
+	if f.connected && ack.Started != f.connectedRun {
 		f.connected = false
 		restarted := errors.New("proxy restarted")
 		events = append(events, transport.Disconnected{Proxy: f.proxy.ID, Stream: f.stream, Err: restarted})
 	}
 	if !f.connected {
-		if string(text) == f.closedAck && !f.usesPresentFiles(ack) {
+		if string(text) == f.ackAtDisconnect && !f.usesCurrentFiles(ack) {
 			return events, nil
 		}
 		return append(events, f.connect(ack)), nil
 	}
 	if ack.Error != "" { // the proxy could not accept a file: write both again
 		events = append(events, transport.Unreachable{Proxy: f.proxy.ID, Err: errors.New(ack.Error)})
-		f.written[TablesFile] = nil
-		f.written[AdmissionFile] = nil
+		f.lastWritten[TablesFile] = nil
+		f.lastWritten[AdmissionFile] = nil
 		f.dirty = true
 		f.write()
 	}
@@ -100,9 +100,9 @@
 	return events
 }
 
-// usesPresentFiles reports whether a proxy uses the files that are in the folder. A stream that was dropped, say
+// usesCurrentFiles reports whether a proxy uses the files that are in the folder. A stream that was dropped, say
 // because a disk was slow, begins again then, though the acknowledgement has not changed.
-func (f *folder) usesPresentFiles(ack Ack) bool {
+func (f *folder) usesCurrentFiles(ack Ack) bool {
 	text, err := readFile(filepath.Join(f.path, TablesFile))
 	if err != nil {
 		return false
@@ -124,15 +124,15 @@
 	classes := f.transport.options.Classes
 	f.stream++
 	f.connected = true
-	f.started = ack.Started
-	f.closedAck = ""
+	f.connectedRun = ack.Started
+	f.ackAtDisconnect = ""
 	f.unacknowledged = nil
 	f.polling = false
 	f.tables = map[string]map[string]Endpoint{}
 	f.published = map[string]bool{}
 	f.admissions = map[string]int{}
 	f.versionStamps = map[string]string{}
-	f.written = map[string][]byte{}
+	f.lastWritten = map[string][]byte{}
 	for _, class := range classes {
 		f.tables[class.Backend] = map[string]Endpoint{}
 	}
@@ -197,13 +197,13 @@
 	}
 }
 
-// statWritten handles new counters. They show that the proxy runs, and its acknowledgement may match the files by now.
-func (f *folder) statWritten() ([]transport.Event, error) {
+// handleCountersFile handles new counters. They show that the proxy runs, and its acknowledgement may match the files by now.
+func (f *folder) handleCountersFile() ([]transport.Event, error) {
 	var events []transport.Event
 	var err error
 	f.lastSeen = time.Now()
 	if !f.connected {
-		events, err = f.readAck()
+		events, err = f.handleAck()
 	}
 	if !f.connected || !f.polling {
 		return events, err
--- a/internal/transport/files/admission.go
+++ b/internal/transport/files/admission.go
@@ -40,13 +40,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return encode(response{a.Version, []json.RawMessage{text}})
+	return encodeResponse(response{a.Version, []json.RawMessage{text}})
 }
 
 // DecodeAdmissions reads AdmissionFile.
 func DecodeAdmissions(text []byte) (Admissions, error) {
 	var r response
-	if err := decode(AdmissionFile, text, &r); err != nil {
+	if err := decodeJSON(AdmissionFile, text, &r); err != nil {
 		return Admissions{}, err
 	}
 	if len(r.Resources) != 1 {
--- a/internal/transport/files/folder.go
+++ b/internal/transport/files/folder.go
@@ -17,13 +17,13 @@
 	proxy     transport.Proxy
 	path      string
 
-	mu        sync.Mutex
-	stream    uint64
-	connected bool
-	started   string    // of the proxy's run that is connected
-	closedAck string    // the acknowledgement when the stream ended: only another one begins a new stream
-	lastSeen  time.Time // when the proxy last wrote a file
-	polling   bool
+	mu              sync.Mutex
+	stream          uint64
+	connected       bool
+	connectedRun    string    // of the proxy's run that is connected
+	ackAtDisconnect string    // the acknowledgement when the stream ended: only another one begins a new stream
+	lastSeen        time.Time // when the proxy last wrote a file
+	polling         bool
 
 	// What the files are to contain.
 	version          uint64
@@ -35,7 +35,7 @@
 
 	unacknowledged []sentMessage     // oldest first
 	dirty          bool              // the files are older than their wanted content
-	written        map[string][]byte // by file name: what was written last
+	lastWritten    map[string][]byte // by file name: what was written last
 	backoff        reconcile.DialBackoff
 	retryTimer     *time.Timer // nil: no write has failed
 }
@@ -179,19 +179,19 @@
 	if err != nil {
 		return err
 	}
-	if string(f.written[name]) == string(text) {
+	if string(f.lastWritten[name]) == string(text) {
 		return nil
 	}
 	if err := f.transport.files.replace(filepath.Join(f.path, name), text); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	f.written[name] = text
+	f.lastWritten[name] = text
 	return nil
 }
 
 // restore writes a file again that somebody else has removed or changed.
 func (f *folder) restore(name string) {
-	want := f.written[name]
+	want := f.lastWritten[name]
 	if !f.connected || want == nil {
 		return
 	}
@@ -200,7 +200,7 @@
 		return
 	}
 	f.dirty = true
-	f.written[name] = nil
+	f.lastWritten[name] = nil
 	f.write()
 }
 
@@ -235,7 +235,7 @@
 func (f *folder) disconnect() {
 	ack, _ := readFile(filepath.Join(f.path, AckFile)) // one that can't be read never matches
 	f.connected = false
-	f.closedAck = string(ack)
+	f.ackAtDisconnect = string(ack)
 	f.unacknowledged = nil
 	if f.retryTimer != nil {
 		f.retryTimer.Stop()
--- a/internal/transport/files/format.go
+++ b/internal/transport/files/format.go
@@ -30,13 +30,13 @@
 	Resources []json.RawMessage `json:"resources"`
 }
 
-func encode(r response) ([]byte, error) {
+func encodeResponse(r response) ([]byte, error) {
 	text, err := json.Marshal(r)
 	return append(text, '\n'), err
 }
 
-// decode reads a JSON value that fills its file.
-func decode(file string, text []byte, into any) error {
+// decodeJSON reads a JSON value that fills its file.
+func decodeJSON(file string, text []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if err := decoder.Decode(into); err != nil {
 		return fmt.Errorf("%s: byte %d: %w", file, decoder.InputOffset(), err)
@@ -59,7 +59,7 @@
 // DecodeAck reads an acknowledgement.
 func DecodeAck(text []byte) (Ack, error) {
 	var ack Ack
-	if err := decode(AckFile, text, &ack); err != nil {
+	if err := decodeJSON(AckFile, text, &ack); err != nil {
 		return ack, err
 	}
 	if ack.Proxy == "" || ack.Started == "" {
--- a/internal/transport/files/replace.go
+++ b/internal/transport/files/replace.go
@@ -34,7 +34,7 @@
 // replace writes a temporary file, syncs it, renames it over the present one and syncs the folder. Whatever step
 // fails, the file in place is complete: the old or the new.
 func (r replacer) replace(path string, text []byte) error {
-	if err := r.begin(path, stepCreate); err != nil {
+	if err := r.beforeStep(path, stepCreate); err != nil {
 		return err
 	}
 	folder := filepath.Dir(path)
@@ -42,29 +42,29 @@
 	if err != nil {
 		return fmt.Errorf("create temporary file: %w", err)
 	}
-	if err := r.fill(file, path, text); err != nil {
+	if err := r.writeAndRename(file, path, text); err != nil {
 		_ = file.Close()
 		if !errors.Is(err, ErrCut) { // what a crash leaves is removed at the next start
 			_ = os.Remove(file.Name())
 		}
 		return err
 	}
-	if err := r.begin(path, stepSyncFolder); err != nil {
+	if err := r.beforeStep(path, stepSyncFolder); err != nil {
 		return err
 	}
 	return syncFolder(folder)
 }
 
-// fill writes and syncs the temporary file and renames it to the path.
-func (r replacer) fill(file *os.File, path string, text []byte) error {
-	if err := r.begin(path, stepWrite); err != nil {
+// writeAndRename writes and syncs the temporary file and renames it to the path.
+func (r replacer) writeAndRename(file *os.File, path string, text []byte) error {
+	if err := r.beforeStep(path, stepWrite); err != nil {
 		_, _ = file.Write(text[:len(text)/2]) // a part, as a full disk leaves it
 		return err
 	}
 	if _, err := file.Write(text); err != nil {
 		return fmt.Errorf("write temporary file: %w", err)
 	}
-	if err := r.begin(path, stepSync); err != nil {
+	if err := r.beforeStep(path, stepSync); err != nil {
 		return err
 	}
 	if err := file.Sync(); err != nil {
@@ -73,7 +73,7 @@
 	if err := file.Close(); err != nil {
 		return fmt.Errorf("close temporary file: %w", err)
 	}
-	if err := r.begin(path, stepRename); err != nil {
+	if err := r.beforeStep(path, stepRename); err != nil {
 		return err
 	}
 	if err := os.Rename(file.Name(), path); err != nil {
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// begin asks the fault function before a step.
-func (r replacer) begin(path string, step int) error {
+// beforeStep asks the fault function before a step.
+func (r replacer) beforeStep(path string, step int) error {
 	if r.fault == nil {
 		return nil
 	}
--- a/internal/transport/files/tables.go
+++ b/internal/transport/files/tables.go
@@ -81,7 +81,7 @@
 		}
 		r.Resources = append(r.Resources, text)
 	}
-	return encode(r)
+	return encodeResponse(r)
 }
 
 func encodeEndpoints(entries []Endpoint) (locality, error) {
@@ -109,7 +109,7 @@
 // DecodeTables reads TablesFile.
 func DecodeTables(text []byte) (Tables, error) {
 	var r response
-	if err := decode(TablesFile, text, &r); err != nil {
+	if err := decodeJSON(TablesFile, text, &r); err != nil {
 		return Tables{}, err
 	}
 	t := Tables{Version: r.Version, Backends: map[string][]Endpoint{}}
--- a/internal/transport/files/transport.go
+++ b/internal/transport/files/transport.go
@@ -25,7 +25,7 @@
 const (
 	silenceCheckInterval = time.Second
 	folderMode           = 0o755
-	versionBase          = 36 // of the epoch in versions
+	epochBase            = 36 // of the epoch in versions
 )
 
 // Options configure the transport; Addr of a proxy is its folder.
@@ -64,7 +64,7 @@
 		classByBackend: map[string]fleet.ClassID{},
 		folders:        map[string]*folder{},
 		byProxy:        map[fleet.ProxyID]*folder{},
-		epoch:          strconv.FormatInt(time.Now().UnixNano(), versionBase),
+		epoch:          strconv.FormatInt(time.Now().UnixNano(), epochBase),
 	}
 	for i, class := range options.Classes {
 		t.classByBackend[class.Backend] = fleet.ClassID(i)
@@ -72,11 +72,11 @@
 	seed := maphash.MakeSeed()
 	for _, proxy := range options.Proxies {
 		f := &folder{
-			transport: t,
-			proxy:     proxy,
-			path:      filepath.Clean(proxy.Addr),
-			written:   map[string][]byte{},
-			backoff:   reconcile.NewDialBackoff(maphash.String(seed, proxy.Name)),
+			transport:   t,
+			proxy:       proxy,
+			path:        filepath.Clean(proxy.Addr),
+			lastWritten: map[string][]byte{},
+			backoff:     reconcile.NewDialBackoff(maphash.String(seed, proxy.Name)),
 		}
 		t.folders[f.path] = f
 		t.byProxy[proxy.ID] = f
@@ -107,7 +107,7 @@
 	t.running.Add(1)
 	go t.run()
 	for _, f := range t.folders {
-		f.fileChanged(AckFile)
+		f.handleFileChange(AckFile)
 	}
 	return nil
 }
@@ -125,7 +125,7 @@
 		case event := <-t.watcher.Events:
 			f := t.folders[filepath.Dir(event.Name)]
 			if f != nil && !strings.Contains(event.Name, temporaryMark) && !event.Has(fsnotify.Chmod) {
-				f.fileChanged(filepath.Base(event.Name))
+				f.handleFileChange(filepath.Base(event.Name))
 			}
 		case err := <-t.watcher.Errors:
 			if err != nil { // events were lost
@@ -142,7 +142,7 @@
 func (t *Transport) readAll() {
 	for _, f := range t.folders {
 		for _, name := range []string{AckFile, StatFile, TablesFile, AdmissionFile} {
-			f.fileChanged(name)
+			f.handleFileChange(name)
 		}
 	}
 }
@@ -174,7 +174,7 @@
 
 // Stop waits for acknowledgements until the context ends. The files stay: proxies go on to use them.
 func (t *Transport) Stop(ctx context.Context) error {
-	transport.DrainUntilIdle(ctx, t.busy)
+	transport.WaitUntilIdle(ctx, t.busy)
 	t.cancel()
 	for _, f := range t.folders {
 		f.drop()
--- a/internal/transport/haproxy/encode.go
+++ b/internal/transport/haproxy/encode.go
@@ -23,85 +23,85 @@
 	commands    int
 }
 
-// change writes the commands of one change.
-func (e *encoder) change(change *reconcile.Change) {
+// appendChange writes the commands of one appendChange.
+func (e *encoder) appendChange(change *reconcile.Change) {
 	switch change.Kind {
 	case reconcile.UpdateAdmission:
-		e.admission(change)
+		e.appendAdmission(change)
 	case reconcile.UpdateVersion:
-		e.mapEntry(e.className(change)+transport.VersionKey, change.VersionStamp)
+		e.appendMapEntry(e.className(change)+transport.VersionKey, change.VersionStamp)
 	case reconcile.AddEntry:
-		e.add(change)
+		e.appendAdd(change)
 	case reconcile.DeleteEntry:
 		name, _ := e.session.options().Names.Lookup(change.Server)
-		e.command("del server ", change.Class, name)
+		e.beginServerCommand("del server ", change.Class, name)
 	default:
-		e.update(change)
+		e.appendUpdate(change)
 	}
 }
 
-func (e *encoder) admission(change *reconcile.Change) {
+func (e *encoder) appendAdmission(change *reconcile.Change) {
 	limit := change.Admission.Limit
 	if limit < 0 {
 		limit = e.session.unlimitedAdmission()
 	}
 	class := e.className(change)
-	e.mapEntry(e.session.admissionKey(class), strconv.Itoa(int(limit)))
-	e.mapEntry(class+transport.RetryKey, strconv.Itoa(int(change.Admission.Retry)))
+	e.appendMapEntry(e.session.admissionKey(class), strconv.Itoa(int(limit)))
+	e.appendMapEntry(class+transport.RetryKey, strconv.Itoa(int(change.Admission.Retry)))
 }
 
 func (e *encoder) className(change *reconcile.Change) string {
 	return e.session.options().Classes[change.Class].Name
 }
 
-func (e *encoder) add(change *reconcile.Change) {
+func (e *encoder) appendAdd(change *reconcile.Change) {
 	name, addr := e.session.options().Names.Lookup(change.Server)
-	e.command("add server ", change.Class, name)
+	e.beginServerCommand("add server ", change.Class, name)
 	e.out = append(e.out, ' ')
 	e.out = haproxyapi.AppendWord(e.out, addr)
 	e.out = append(e.out, " weight "...)
 	e.out = strconv.AppendInt(e.out, int64(change.Weight), 10)
-	e.state(change.Class, name, change.State) // a new server is in maintenance
+	e.appendState(change.Class, name, change.State) // a new server is in maintenance
 }
 
-// update writes a change of an entry that exists. A state that stops traffic goes before the weight, one that lets
+// appendUpdate writes a change of an entry that exists. A state that stops traffic goes before the weight, one that lets
 // traffic in after it.
-func (e *encoder) update(change *reconcile.Change) {
+func (e *encoder) appendUpdate(change *reconcile.Change) {
 	name, addr := e.session.options().Names.Lookup(change.Server)
 	if change.AddressChanged {
-		e.address(change.Class, name, addr)
+		e.appendAddress(change.Class, name, addr)
 	}
 	if change.State != reconcile.StateUnchanged && change.State != reconcile.StateReady {
-		e.state(change.Class, name, change.State)
+		e.appendState(change.Class, name, change.State)
 	}
 	if change.Weight >= 0 {
-		e.weight(change.Class, name, change.Weight)
+		e.appendWeight(change.Class, name, change.Weight)
 	}
 	if change.State == reconcile.StateReady {
-		e.state(change.Class, name, change.State)
+		e.appendState(change.Class, name, change.State)
 	}
 }
 
-func (e *encoder) address(class fleet.ClassID, name, addr string) {
+func (e *encoder) appendAddress(class fleet.ClassID, name, addr string) {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return
 	}
-	e.command("set server ", class, name)
+	e.beginServerCommand("set server ", class, name)
 	e.out = append(e.out, " addr "...)
 	e.out = haproxyapi.AppendWord(e.out, host)
 	e.out = append(e.out, " port "...)
 	e.out = haproxyapi.AppendWord(e.out, port)
 }
 
-func (e *encoder) weight(class fleet.ClassID, name string, weight int16) {
-	e.command("set server ", class, name)
+func (e *encoder) appendWeight(class fleet.ClassID, name string, weight int16) {
+	e.beginServerCommand("set server ", class, name)
 	e.out = append(e.out, " weight "...)
 	e.out = strconv.AppendInt(e.out, int64(weight), 10)
 }
 
-func (e *encoder) state(class fleet.ClassID, name string, state reconcile.State) {
-	e.command("set server ", class, name)
+func (e *encoder) appendState(class fleet.ClassID, name string, state reconcile.State) {
+	e.beginServerCommand("set server ", class, name)
 	switch state {
 	case reconcile.StateReady:
 		e.out = append(e.out, " state ready"...)
@@ -112,7 +112,7 @@
 	}
 }
 
-func (e *encoder) mapEntry(key, value string) {
+func (e *encoder) appendMapEntry(key, value string) {
 	e.beginCommand(key)
 	verb := "add map "
 	if e.session.mapKeys[key] {
@@ -126,8 +126,8 @@
 	e.out = haproxyapi.AppendWord(e.out, value)
 }
 
-// command begins a command on a server of a class.
-func (e *encoder) command(verb string, class fleet.ClassID, name string) {
+// beginServerCommand begins a beginServerCommand on a server of a class.
+func (e *encoder) beginServerCommand(verb string, class fleet.ClassID, name string) {
 	e.beginCommand("")
 	e.out = append(e.out, verb...)
 	e.out = haproxyapi.AppendWord(e.out, e.session.options().Classes[class].Backend)
--- a/internal/transport/haproxy/encode_test.go
+++ b/internal/transport/haproxy/encode_test.go
@@ -44,7 +44,7 @@
 		s.expected = s.expected[:0]
 		for i := range m.Changes {
 			e.changeIndex = i
-			e.change(&m.Changes[i])
+			e.appendChange(&m.Changes[i])
 		}
 		s.out = e.out
 		b.SetBytes(int64(len(e.out)))
--- a/internal/transport/haproxy/lease.go
+++ b/internal/transport/haproxy/lease.go
@@ -20,10 +20,10 @@
 // lists the sessions of the runtime socket, "shutdown session" ends them.
 
 const (
-	// leaseKey and the controller's name are the key of its lease entry.
-	leaseKey = "cressknot.lease."
-	// claimKey and the controller's name are the key of the heartbeat with which it asks for the proxy.
-	claimKey = "cressknot.want."
+	// leaseKeyPrefix and the controller's name are the key of its lease entry.
+	leaseKeyPrefix = "cressknot.lease."
+	// requestKeyPrefix and the controller's name are the key of the heartbeat with which it asks for the proxy.
+	requestKeyPrefix = "cressknot.want."
 	// runtimeSessionField marks a session of the runtime socket in "show sess".
 	runtimeSessionField = "fe=GLOBAL"
 )
@@ -36,26 +36,26 @@
 // readEntries reads the lease entries of all controllers and the keys of the map that belong to them.
 func readEntries(text []byte) (entries []lease.Entry, keys map[string]bool, err error) {
 	keys = map[string]bool{}
-	claims := map[string]string{}
+	requests := map[string]string{}
 	err = haproxyapi.ReadMap(text, func(key, value []byte) error {
 		name := string(key)
-		if controller, ok := strings.CutPrefix(name, leaseKey); ok {
+		if controller, ok := strings.CutPrefix(name, leaseKeyPrefix); ok {
 			entries = append(entries, lease.ParseEntry(controller, string(value)))
 			keys[name] = true
-		} else if controller, ok := strings.CutPrefix(name, claimKey); ok {
-			claims[controller] = string(value)
+		} else if controller, ok := strings.CutPrefix(name, requestKeyPrefix); ok {
+			requests[controller] = string(value)
 			keys[name] = true
 		}
 		return nil
 	})
 	for i := range entries {
 		entry := &entries[i]
-		entry.Want, entry.WantManual = lease.ParseWant(claims[entry.Controller])
-		delete(claims, entry.Controller)
+		entry.Want, entry.WantManual = lease.ParseWant(requests[entry.Controller])
+		delete(requests, entry.Controller)
 	}
-	for controller, claim := range claims {
+	for controller, request := range requests {
 		entry := lease.Entry{Controller: controller}
-		entry.Want, entry.WantManual = lease.ParseWant(claim)
+		entry.Want, entry.WantManual = lease.ParseWant(request)
 		entries = append(entries, entry)
 	}
 	return entries, keys, answerError("show map", err)
@@ -77,7 +77,7 @@
 	s.expect(kind)
 }
 
-func (s *session) ownLeaseKey() string { return leaseKey + s.options().Controller }
+func (s *session) ownLeaseKey() string { return leaseKeyPrefix + s.options().Controller }
 
 // observeAgain reads the lease entries once more.
 func (s *session) observeAgain() {
@@ -166,17 +166,17 @@
 		return err
 	}
 	s.mapKeys = keys
-	held := s.link.lease
-	action, observeAt := held.Check(now, entries)
+	proxyLease := s.link.lease
+	action, observeAt := proxyLease.Check(now, entries)
 	switch action {
 	case lease.ActionClaim:
-		own := held.BeginTakeover(now, entries)
+		own := proxyLease.BeginTakeover(now, entries)
 		s.writeMapEntry(s.ownLeaseKey(), own.String(), leaseEntryAnswer)
 		s.out = append(s.out, "show sess\n"...)
 		s.expect(sessionsAnswer)
 		return nil
 	case lease.ActionRequest:
-		s.writeMapEntry(claimKey+s.options().Controller, held.Request(), heartbeatAnswer)
+		s.writeMapEntry(requestKeyPrefix+s.options().Controller, proxyLease.Request(), heartbeatAnswer)
 	}
 	s.observeTimer = time.AfterFunc(time.Duration(max(1, observeAt-now)), s.observeAgain)
 	return nil
--- a/internal/transport/haproxy/session.go
+++ b/internal/transport/haproxy/session.go
@@ -127,12 +127,12 @@
 
 	l := s.link
 	l.mu.Lock()
-	succeeded := l.current != s // by the session that completes the takeover
-	if !succeeded {
+	superseded := l.current != s // by the session that completes the takeover
+	if !superseded {
 		l.current = nil
 	}
 	l.mu.Unlock()
-	if s.observing && succeeded {
+	if s.observing && superseded {
 		return
 	}
 	l.dropLease()
@@ -151,8 +151,8 @@
 	}
 }
 
-// awaitsChanges reports whether changes, or a hand-over, are not answered yet.
-func (s *session) awaitsChanges() bool {
+// hasUnansweredChanges reports whether changes, or a hand-over, are not answered yet.
+func (s *session) hasUnansweredChanges() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, expected := range s.expected {
@@ -241,11 +241,11 @@
 	e := encoder{session: s, sequence: m.Sequence, out: s.out[:0]}
 	for i := range m.Changes {
 		e.changeIndex = i
-		e.change(&m.Changes[i])
+		e.appendChange(&m.Changes[i])
 	}
 	if !s.mapKeys[managedKey] { // at the end of the first message: the proxy's tables are no longer its initial ones
 		e.changeIndex = -1
-		e.mapEntry(managedKey, "1")
+		e.appendMapEntry(managedKey, "1")
 	}
 	if len(s.expected) == 0 || e.commands == 0 {
 		return // an empty message; package reconcile sends none
--- a/internal/transport/haproxy/transcript_test.go
+++ b/internal/transport/haproxy/transcript_test.go
@@ -30,7 +30,7 @@
 		{Kind: reconcile.UpdateVersion, Class: 1, VersionStamp: "3.4/00ff"},
 	} {
 		e.changeIndex = i
-		e.change(&change)
+		e.appendChange(&change)
 	}
 	const want = `add server be\ look/node\ 1 127.0.0.1:8080 weight 7;` +
 		`set server be\ look/node\ 1 state ready;del server book/node-0;` +
--- a/internal/transport/haproxy/transport.go
+++ b/internal/transport/haproxy/transport.go
@@ -178,7 +178,7 @@
 // Stop waits until what was sent is answered or the context ends, then closes all sessions.
 func (t *Transport) Stop(ctx context.Context) error {
 	t.stopping.Store(true)
-	transport.DrainUntilIdle(ctx, t.busy)
+	transport.WaitUntilIdle(ctx, t.busy)
 	t.cancel()
 	t.dialers.Wait()
 	for id, l := range t.links {
@@ -186,7 +186,7 @@
 			s.handOver() // another controller need not wait for the lease to expire
 		}
 	}
-	transport.DrainUntilIdle(ctx, t.busy)
+	transport.WaitUntilIdle(ctx, t.busy)
 	for id := range t.links {
 		t.Drop(id)
 	}
@@ -198,7 +198,7 @@
 
 func (t *Transport) busy() bool {
 	for id := range t.links {
-		if s := t.currentSession(id); s != nil && s.awaitsChanges() {
+		if s := t.currentSession(id); s != nil && s.hasUnansweredChanges() {
 			return true
 		}
 	}
