--- a/internal/haproxyapi/answer.go
+++ b/internal/haproxyapi/answer.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// Prompt is what an interactive session shows before each request.
+// Prompt is written before each request of an interactive session.
 const Prompt = "> "
 
-// AnswerParser parses a stream of answers: each is some lines followed by an empty one; in interactive sessions a
-// prompt goes before it. The zero value is ready for use.
+// AnswerParser parses a stream of answers. An answer consists of lines and ends with an empty line; in interactive
+// sessions a prompt precedes it. The zero value is ready for use.
 type AnswerParser struct {
 	buffer  []byte
-	scanned int   // length of the buffer's beginning that has no end of an answer
-	offset  int64 // of the buffer's first byte in the stream
+	scanned int   // number of leading bytes of buffer known to hold no end of an answer
+	offset  int64 // position of the first byte of buffer in the stream
 	err     error
 }
 
-// Feed takes the next bytes and calls handle for each complete answer, without its empty line. The text is valid until
-// handle returns. After an error the stream can't be followed any more.
+// Feed parses the next bytes and calls handle for each complete answer, without its final empty line. The text is valid
+// until handle returns. Errors, including those of handle, are final: every later call returns the same error.
 func (a *AnswerParser) Feed(data []byte, handle func([]byte) error) error {
 	if a.err != nil {
 		return a.err
@@ -66,8 +66,8 @@
 	}
 }
 
-// AppendAnswer appends an answer's text with the empty line that ends it. Empty lines inside would end it early and are
-// left out.
+// AppendAnswer appends the text of an answer and the empty line that ends it. Empty lines within the text are omitted,
+// since the first one would end the answer.
 func AppendAnswer(dst, text []byte) []byte {
 	for line := range bytes.Lines(text) {
 		line = bytes.TrimRight(line, "\r\n")
--- a/internal/haproxyapi/haproxyapi_test.go
+++ b/internal/haproxyapi/haproxyapi_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// feed parses a stream of requests in two pieces, cut at the given byte, and returns the words of each command.
+// feed parses a stream of requests in two pieces, split at the given byte, and returns the words of each command.
 func feed(t *testing.T, text string, cut int) (lines [][]string, err error) {
 	t.Helper()
 	var r RequestParser
@@ -36,7 +36,7 @@
 		{"set", "map", "m", "k", "payload=x\n\ny\n"}, {"quit"}}
 	for cut := range len(text) + 1 {
 		if got, err := feed(t, text, cut); err != nil || !reflect.DeepEqual(got, want) {
-			t.Fatalf("cut at byte %d: %v, %q", cut, err, got)
+			t.Fatalf("split at byte %d: error %v, commands %q", cut, err, got)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 		_, err := feed(t, text, len(text)/2)
 		var syntax *SyntaxError
 		if !errors.As(err, &syntax) || syntax.Offset != at {
-			t.Errorf("%.20q: %v, want byte %d", text, err, at)
+			t.Errorf("%.20q: error %v, want one at byte %d", text, err, at)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 				}
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Fatalf("cut at %d and %d: %q", cut, second, got)
+				t.Fatalf("split at bytes %d and %d: answers %q, want %q", cut, second, got, want)
 			}
 		}
 	}
@@ -97,7 +97,7 @@
 			}
 		}
 		if string(out) != c.out || done != c.done {
-			t.Errorf("%q: %q, done %v", c.in, out, done)
+			t.Errorf("%q: reply %q, done %v; want %q, %v", c.in, out, done, c.out, c.done)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 	text := AppendStat(AppendStatHeader(nil), &stat)
 	if err := ReadStat(text, func(s *Stat) error {
 		if !reflect.DeepEqual(*s, stat) {
-			t.Errorf("stat %+v", *s)
+			t.Errorf("stat %+v, want %+v", *s, stat)
 		}
 		return nil
 	}); err != nil {
@@ -131,17 +131,23 @@
 	text = AppendServerState(AppendServersStateHeader(nil), 3, 1, &state)
 	if err := ReadServersState(text, func(s *ServerState) error {
 		if !reflect.DeepEqual(*s, state) {
-			t.Errorf("state %+v", *s)
+			t.Errorf("state %+v, want %+v", *s, state)
 		}
 		return nil
 	}); err != nil {
 		t.Error(err)
 	}
-	tracked := StickEntry{Key: []byte("n1"), SuccessMillis: 1234, Successes: 9, Load: [4]uint64{1, 2, 3, 4}, HasLoad: true}
+	tracked := StickEntry{
+		Key:           []byte("n1"),
+		SuccessMillis: 1234,
+		Successes:     9,
+		Load:          [4]uint64{1, 2, 3, 4},
+		HasLoad:       true,
+	}
 	if err := ReadTable(AppendTracked([]byte("# table: nodes, type: string, size:1024, used:1\n"), 7, &tracked),
 		func(row *StickEntry) error {
 			if !reflect.DeepEqual(*row, tracked) {
-				t.Errorf("table %+v", *row)
+				t.Errorf("entry %+v, want %+v", *row, tracked)
 			}
 			return nil
 		}); err != nil {
@@ -157,7 +163,10 @@
 	}{
 		{func() error { return ReadStat([]byte("<html>\n"), nil) }, `line 1: expected the header of "show stat"`},
 		{func() error { return ReadStat([]byte(stat+"a,b,UP,-1\n"), nil) }, `line 2: column "scur": invalid count "-1"`},
-		{func() error { return ReadStat([]byte(stat+"a,b,UP,1\n"), nil) }, `line 2: row has 4 fields: column "stot" is missing`},
+		{
+			func() error { return ReadStat([]byte(stat+"a,b,UP,1\n"), nil) },
+			`line 2: row has 4 fields: column "stot" is missing`,
+		},
 		{func() error { return ReadStat([]byte("# pxname,svname,status\n"), nil) }, `line 1: header has no column "scur"`},
 		{func() error { return ReadServersState([]byte("2\n"), nil) }, "line 1: unsupported format version"},
 		{func() error { return ReadServersState([]byte("1\n# a b\n"), nil) }, `line 2: header has no column "be_name"`},
@@ -166,13 +175,13 @@
 		{func() error { return ReadInfo([]byte("no pair\n"), nil) }, "line 1:"},
 	} {
 		if err := c.read(); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%v, want %q", err, c.want)
+			t.Errorf("error %v, want one with %q", err, c.want)
 		}
 	}
 }
 
-// FuzzRequests checks that a stream parses the same in one piece and in two, and that commands written again parse back
-// to the same words.
+// FuzzRequests checks that a stream parses the same in one piece and in two, and that a command written by
+// AppendCommand parses to the same words.
 func FuzzRequests(f *testing.F) {
 	f.Add([]byte("show stat;set weight a/b 3\n"), 3)
 	f.Add([]byte("add map #1 <<\nk v\n\nprompt\n"), 14)
@@ -182,7 +191,7 @@
 		complete, completeErr := feed(t, string(text), len(text))
 		pieces, piecesErr := feed(t, string(text), cut)
 		if !reflect.DeepEqual(complete, pieces) || fmt.Sprint(completeErr) != fmt.Sprint(piecesErr) {
-			t.Fatalf("in one piece %q (%v), cut at %d %q (%v)", complete, completeErr, cut, pieces, piecesErr)
+			t.Fatalf("in one piece: %q (%v); split at byte %d: %q (%v)", complete, completeErr, cut, pieces, piecesErr)
 		}
 		for _, words := range complete {
 			line := AppendCommand(nil, words...)
@@ -191,7 +200,7 @@
 			}
 			again, err := Split(line, 0)
 			if err != nil || len(again) != 1 || !reflect.DeepEqual(again[0].Words, words) {
-				t.Fatalf("%q printed as %q reads %v (%v)", words, line, again, err)
+				t.Fatalf("%q, written as %q, parses to %v (%v)", words, line, again, err)
 			}
 		}
 	})
--- a/internal/haproxyapi/listen.go
+++ b/internal/haproxyapi/listen.go
@@ -11,12 +11,13 @@
 const (
 	// socketUmask gives Unix sockets the mode 0600.
 	socketUmask = 0o177
-	// liveSocketTimeout is how long a process on an existing Unix socket has to accept a connection.
+	// liveSocketTimeout is how long the owner of an existing Unix socket may take to accept a connection before the
+	// socket is considered stale.
 	liveSocketTimeout = time.Second
 )
 
-// Listen listens for the text protocol: on host:port, or on a Unix socket of mode 0600. It replaces a socket on which
-// no process listens any more, as a killed process leaves one.
+// Listen listens on a TCP address, host:port, or on a Unix socket with mode 0600. It replaces a stale Unix socket,
+// which a killed process leaves behind. It changes the umask of the process while it creates a socket.
 func Listen(network, addr string) (net.Listener, error) {
 	if network != "unix" {
 		return net.Listen(network, addr)
--- a/internal/haproxyapi/request.go
+++ b/internal/haproxyapi/request.go
@@ -1,8 +1,8 @@
-// Package haproxyapi implements the text protocol of a proxy's runtime socket, in the manner of HAProxy's, as the
-// management guide of that program publishes it ("9.3. Unix Socket commands"): request lines with commands separated
-// by ";", words separated by spaces, backslashes that escape a space or a semicolon, a payload after "<<", answers
-// that end with an empty line, and the tables in such answers. Except for Listen it does no I/O: bytes come in by
-// Feed in whatever pieces they arrive, bytes go out by the Append functions.
+// Package haproxyapi implements the text protocol of HAProxy's runtime API as described in its management guide
+// ("9.3. Unix Socket commands"): request lines with commands separated by ";", words separated by spaces, backslashes
+// that escape a space or a semicolon, a payload after "<<", answers that end with an empty line, and the tables in
+// such answers. Except for Listen it performs no I/O: callers pass received bytes, split anywhere, to Feed and send the
+// bytes that the Append functions produce.
 package haproxyapi
 
 import (
@@ -12,30 +12,30 @@
 )
 
 const (
-	// MaxLineLength is the largest length of a request line in bytes: the specification stores a line in one buffer of
-	// 16 kB (tune.bufsize).
+	// MaxLineLength is the maximum length of a request line in bytes. HAProxy stores a line in one buffer of 16 kB
+	// (tune.bufsize).
 	MaxLineLength = 16384
-	// MaxPayloadLength is the largest length of a payload in bytes: the same buffer.
+	// MaxPayloadLength is the maximum length of a payload in bytes, limited by the same buffer.
 	MaxPayloadLength = 16384
-	// MaxAnswerLength is the largest length of one answer in bytes: 700 servers in 16 classes take some 5 MB of "show
-	// stat".
+	// MaxAnswerLength is the maximum length of one answer in bytes. "show stat" of 700 servers in 16 classes takes
+	// about 5 MB.
 	MaxAnswerLength = 64 << 20
-	// MaxWords is the largest number of words of a command, as in the specification (MAX_CLI_ARGS).
+	// MaxWords is the maximum number of words of a command, as in HAProxy (MAX_CLI_ARGS).
 	MaxWords = 64
 )
 
-// payloadPrefix begins the last word of a line that a payload follows; the rest of the word is the line that ends the
-// payload.
+// payloadPrefix begins the last word of a line that is followed by a payload. The rest of that word is the terminator:
+// the line that ends the payload.
 const payloadPrefix = "<<"
 
 // Command is one command of a request line. Words and Payload are valid until the next Feed.
 type Command struct {
 	Words   []string
 	Payload []byte
-	Offset  int64 // the byte of the stream at which the command's line begins
+	Offset  int64 // position in the stream at which the line of the command begins, in bytes
 }
 
-// SyntaxError reports which byte of a stream could not be parsed, and why.
+// SyntaxError reports the position in bytes at which a stream could not be parsed, and why.
 type SyntaxError struct {
 	Offset int64
 	Reason string
@@ -46,16 +46,16 @@
 // RequestParser parses a stream of requests. The zero value is ready for use.
 type RequestParser struct {
 	buffer     []byte
-	offset     int64 // of the buffer's first byte in the stream
+	offset     int64 // position of the first byte of buffer in the stream
 	err        error
 	inPayload  bool
-	commands   []Command // the commands of the line whose payload is being read
-	terminator []byte    // the line that ends the payload
+	commands   []Command // commands of the line whose payload is being read
+	terminator []byte    // line that ends the payload
 	payload    []byte
 }
 
-// Feed takes the next bytes and calls handle once for every request line that is complete with its payload.
-// After an error the stream can't be followed any more; every further call returns the same error.
+// Feed parses the next bytes and calls handle once for every request line that is complete, including its payload.
+// Errors, including those of handle, are final: every later call returns the same error.
 func (p *RequestParser) Feed(data []byte, handle func([]Command) error) error {
 	if p.err != nil {
 		return p.err
@@ -82,10 +82,10 @@
 	return p.err
 }
 
-// Partial reports whether a line or a payload has begun and is not complete.
+// Partial reports whether the input so far ends within a line or a payload.
 func (p *RequestParser) Partial() bool { return len(p.buffer) > 0 || p.inPayload }
 
-// parseLine takes one line that begins at the given offset of the stream.
+// parseLine parses one line, which begins at the given offset of the stream.
 func (p *RequestParser) parseLine(line []byte, offset int64, handle func([]Command) error) error {
 	if len(line) > MaxLineLength {
 		return lineTooLong(offset)
--- a/internal/haproxyapi/results.go
+++ b/internal/haproxyapi/results.go
@@ -1,6 +1,6 @@
 package haproxyapi
 
-// Texts with which a proxy answers a command: that it was carried out, or why it was not.
+// Answers of a proxy to a command: success, or the reason for the failure.
 const (
 	Success          = ""
 	Registered       = "New server registered.\n"
@@ -16,16 +16,16 @@
 	NoTable          = "No such table.\n"
 	BadWeight        = "Absolute weight can only be between 0 and 256 inclusive.\n"
 	BadState         = "'set server <srv> state' expects 'ready', 'drain' and 'maint'.\n"
-	AddrChanged      = "IP changed"        // a prefix; the old and the new address follow
-	AddrUnchanged    = "no need to change" // a prefix; the server had that address already
+	AddrChanged      = "IP changed"        // prefix, followed by the old and the new address
+	AddrUnchanged    = "no need to change" // prefix; the server already had that address
 	UnknownPrefix    = "Unknown command: "
 )
 
-// MaxWeight is the largest weight of a server.
+// MaxWeight is the maximum weight of a server.
 const MaxWeight = 256
 
-// Admin states of a server, as bits of srv_admin_state in "show servers state".
+// Administrative states of a server: bits of srv_admin_state in "show servers state".
 const (
-	AdminMaint = 0x01 // SRV_ADMF_FMAINT: forced into maintenance by the socket
-	AdminDrain = 0x08 // SRV_ADMF_FDRAIN: forced into draining by the socket
+	AdminMaint = 0x01 // SRV_ADMF_FMAINT: put into maintenance through the runtime API
+	AdminDrain = 0x08 // SRV_ADMF_FDRAIN: put into drain through the runtime API
 )
--- a/internal/haproxyapi/rows.go
+++ b/internal/haproxyapi/rows.go
@@ -5,8 +5,9 @@
 	"fmt"
 )
 
-// forEachRow calls handle for every line of a text with the line's number from 1 and its fields, which are valid until handle
-// returns. It is the base of the readers of tables and allocates nothing per line.
+// forEachRow calls handle for every line of a text, with the line number, counted from 1, and the fields of the line,
+// which are valid until handle returns. An error of handle ends the loop and is returned with the line number. It
+// allocates nothing per line.
 func forEachRow(text []byte, separator byte, handle func(number int, line []byte, fields [][]byte) error) error {
 	var fields [][]byte
 	number := 0
@@ -39,18 +40,19 @@
 	return append(fields, line)
 }
 
-// maxColumns is the largest number of columns that a reader asks for.
+// maxColumns is the maximum number of columns that a columnReader reads.
 const maxColumns = 16
 
-// columnReader finds the columnReader of a table by its header. The first textColumns names are texts, the others counts.
+// columnReader reads the named columns of a table, at the positions given by its header. The first textColumns names
+// are columns of text, the others of counts.
 type columnReader struct {
 	names       []string
 	textColumns int
-	positions   [maxColumns]int    // by name: the place of the column in a row
-	counts      [maxColumns]uint64 // by name: of the row read last; 0 for texts
+	positions   [maxColumns]int    // index in a row, by index in names
+	counts      [maxColumns]uint64 // of the latest row, by index in names; 0 for text
 }
 
-// locate reads the header.
+// locate finds the positions of all columns in the header.
 func (c *columnReader) locate(header [][]byte) error {
 	for i, name := range c.names {
 		c.positions[i] = -1
@@ -66,7 +68,7 @@
 	return nil
 }
 
-// read takes a row and parses its counts.
+// read checks that a row has all columns, and parses its counts.
 func (c *columnReader) read(fields [][]byte) error {
 	for i := range c.names {
 		position := c.positions[i]
@@ -85,10 +87,10 @@
 	return nil
 }
 
-// maxCountDigits is the largest number of digits that fit a uint64 whatever they are.
+// maxCountDigits is the number of decimal digits that always fit a uint64.
 const maxCountDigits = 19
 
-// parseCount reads a count; an empty field is 0, as columns that don't apply are empty.
+// parseCount parses a decimal count. An empty field counts as 0, since HAProxy leaves inapplicable columns empty.
 func parseCount(text []byte) (count uint64, ok bool) {
 	if len(text) > maxCountDigits {
 		return 0, false
--- a/internal/haproxyapi/session.go
+++ b/internal/haproxyapi/session.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Session is the answering end of one connection: it parses requests, has them answered in order and applies the
-// modes that the specification gives a connection.
+// Session is the server side of one connection. It parses requests, answers them in order and keeps the mode of the
+// connection: interactive or not, with or without a prompt.
 type Session struct {
-	// Answer answers one command; the text needs no empty line at its end.
+	// Answer returns the answer to one command, without the empty line that ends it.
 	Answer      func(Command) []byte
 	requests    RequestParser
 	interactive bool
@@ -13,9 +13,9 @@
 	out         []byte
 }
 
-// Feed takes the next bytes of the connection and returns what to write; that is valid until the next Feed.
-// Done means that the connection is to be closed after that: one line was answered out of interactive mode, the caller
-// sent "quit", or a request could not be parsed, which the reply reports.
+// Feed parses the next bytes of the connection and returns the reply, which is valid until the next Feed. If done is
+// true the caller must write the reply and close the connection: a line was answered outside interactive mode, the
+// client sent "quit", or a request could not be parsed, which the reply reports.
 func (s *Session) Feed(data []byte) (reply []byte, done bool) {
 	s.out = s.out[:0]
 	err := s.requests.Feed(data, func(commands []Command) error {
@@ -50,8 +50,8 @@
 	return !s.interactive
 }
 
-// setPrompt carries out "prompt": without a word it toggles, "n" leaves interactive mode, "i" enters it without a
-// prompt, "p" with one.
+// setPrompt executes "prompt". Without arguments it toggles interactive mode with a prompt; "n" leaves interactive
+// mode, "i" enters it without a prompt, "p" with one.
 func (s *Session) setPrompt(words []string) {
 	if len(words) == 0 {
 		s.interactive = !s.prompt
--- a/internal/haproxyapi/stat.go
+++ b/internal/haproxyapi/stat.go
@@ -6,11 +6,11 @@
 	"strconv"
 )
 
-// Stat is a line of "show stat": the counters that a controller reads.
+// Stat is one row of "show stat", reduced to the columns that a controller reads.
 type Stat struct {
 	Proxy           []byte // pxname
-	Server          []byte // svname; BACKEND for the sum of a backend
-	Status          []byte // status: UP, MAINT, DRAIN and others
+	Server          []byte // svname; BACKEND in the row with the totals of a backend
+	Status          []byte // status: UP, MAINT, DRAIN, ...
 	Sessions        uint64 // stot
 	CurrentSessions uint64 // scur
 	Denied          uint64 // dreq
@@ -22,7 +22,7 @@
 	Successes       uint64 // hrsp_1xx to hrsp_4xx
 }
 
-// Positions in statColumns.
+// Indexes of statColumns.
 const (
 	statProxy = iota
 	statServer
@@ -48,8 +48,8 @@
 	"hrsp_1xx", "hrsp_2xx", "hrsp_3xx", "hrsp_4xx", "hrsp_5xx",
 }
 
-// ReadStat reads the CSV of "show stat" by its header, whatever further columns it has. The row is valid until handle
-// returns.
+// ReadStat parses the CSV answer to "show stat" and calls handle for each row, which is valid until handle returns.
+// Columns are located by the header; unknown ones are ignored.
 func ReadStat(text []byte, handle func(*Stat) error) error {
 	table := columnReader{names: statColumns, textColumns: statTextColumns}
 	var row Stat
@@ -83,7 +83,7 @@
 	})
 }
 
-// AppendStatHeader writes the header of "show stat".
+// AppendStatHeader appends the header of "show stat", with the columns that AppendStat writes.
 func AppendStatHeader(dst []byte) []byte {
 	dst = append(dst, "# "...)
 	for _, name := range statColumns {
@@ -93,7 +93,7 @@
 	return append(dst, '\n')
 }
 
-// AppendStat writes one line of "show stat". Good answers all count as 2xx.
+// AppendStat appends one row of "show stat". All successful responses are written as hrsp_2xx.
 func AppendStat(dst []byte, s *Stat) []byte {
 	for _, text := range [...][]byte{s.Proxy, s.Server, s.Status} {
 		dst = append(dst, text...)
--- a/internal/haproxyapi/tables.go
+++ b/internal/haproxyapi/tables.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// entryPrefix begins each entry of a map or a stick table: a reference in hexadecimal.
+// entryPrefix begins each entry of a map or a stick table: the hexadecimal reference of the entry.
 const entryPrefix = "0x"
 
-// ReadInfo reads "show info": lines of the form "name: value".
+// ReadInfo parses the answer to "show info" and calls handle for each line "name: value".
 func ReadInfo(text []byte, handle func(name, value []byte) error) error {
 	return forEachRow(text, '\n', func(_ int, line []byte, _ [][]byte) error {
 		name, value, ok := bytes.Cut(line, []byte(":"))
@@ -19,7 +19,7 @@
 	})
 }
 
-// ReadMap reads "show map <map>": a line with a reference, a key and a value for each entry.
+// ReadMap parses the answer to "show map <map>" and calls handle for each entry, a line "<reference> <key> <value>".
 func ReadMap(text []byte, handle func(key, value []byte) error) error {
 	return forEachRow(text, ' ', func(_ int, line []byte, fields [][]byte) error {
 		if len(fields) < 3 || !bytes.HasPrefix(fields[0], []byte(entryPrefix)) {
@@ -30,17 +30,18 @@
 	})
 }
 
-// StickEntry is an entry of "show table": what a proxy counts of a server's answers. The operators' manual describes
-// how a real proxy is configured to count it.
+// StickEntry is an entry of "show table": the counters of one server's responses at a proxy. The operators' manual
+// describes the HAProxy configuration that maintains them.
 type StickEntry struct {
 	Key           []byte
-	SuccessMillis uint64    // gpc0: sum of the times of successful answers, milliseconds
-	Successes     uint64    // gpc1: number of successful answers
-	Load          [4]uint64 // gpt0 to gpt3: the load values of the newest answer, in thousandths
+	SuccessMillis uint64    // gpc0: sum of the response times of successful responses, in milliseconds
+	Successes     uint64    // gpc1: number of successful responses
+	Load          [4]uint64 // gpt0 to gpt3: load values of the latest response, in thousandths
 	HasLoad       bool      // the entry has load values
 }
 
-// ReadTable reads "show table <name>". The row is valid until handle returns.
+// ReadTable parses the answer to "show table <name>" and calls handle for each entry, which is valid until handle
+// returns.
 func ReadTable(text []byte, handle func(*StickEntry) error) error {
 	var row StickEntry
 	return forEachRow(text, ' ', func(_ int, line []byte, fields [][]byte) error {
@@ -63,7 +64,7 @@
 	})
 }
 
-// readField takes one "name=value" of an entry; fields of other names are skipped.
+// readField parses one "name=value" field of an entry. Fields with other names are ignored.
 func (t *StickEntry) readField(field []byte) error {
 	name, value, ok := bytes.Cut(field, []byte("="))
 	if !ok {
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// AppendTracked writes one entry of "show table".
+// AppendTracked appends one entry of "show table".
 func AppendTracked(dst []byte, reference int, t *StickEntry) []byte {
 	dst = fmt.Appendf(dst, "%s%06x: key=%s use=0 exp=0 shard=0", entryPrefix, reference, t.Key)
 	if t.HasLoad {
--- a/internal/haproxyapi/words.go
+++ b/internal/haproxyapi/words.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Split parses one request line, without its line end. The offset is that of the line in its stream.
+// Split parses one request line, without its line end, into commands. The offset, in bytes, is that of the line in its
+// stream.
 func Split(line []byte, offset int64) ([]Command, error) {
 	s := splitter{offset: offset}
 	for i := 0; i < len(line); i++ {
@@ -13,7 +14,7 @@
 			char = line[i]
 		}
 		switch {
-		case char < ' ' || char == 0x7f: // escaped or not: no word could be written again with it
+		case char < ' ' || char == 0x7f: // not allowed even if escaped: AppendWord could not write it
 			return nil, &SyntaxError{offset + int64(i), fmt.Sprintf("invalid control character %#02x", char)}
 		case char == ' ' && !escaped:
 			s.endWord()
@@ -34,12 +35,12 @@
 	return s.commands, nil
 }
 
-// splitter is the state of Split within a line.
+// splitter holds the state of Split.
 type splitter struct {
 	offset       int64 // of the line
 	commands     []Command
-	words        []string // of the present command
-	word         []byte   // the present word
+	words        []string // of the current command
+	word         []byte   // the current word, unescaped
 	inWord       bool
 	tooManyWords bool
 }
@@ -65,7 +66,7 @@
 	return &SyntaxError{offset, fmt.Sprintf("command exceeds %d words", MaxWords)}
 }
 
-// AppendWord appends a word and escapes what would be read as syntax.
+// AppendWord appends a word and escapes spaces, semicolons and backslashes.
 func AppendWord(dst []byte, word string) []byte {
 	for i := range len(word) {
 		if c := word[i]; c == ' ' || c == ';' || c == '\\' {
@@ -76,7 +77,7 @@
 	return dst
 }
 
-// AppendCommand appends words as one command, without separator or line end.
+// AppendCommand appends words as one command, without a trailing separator or line end.
 func AppendCommand(dst []byte, words ...string) []byte {
 	for i, word := range words {
 		if i > 0 {
--- a/internal/transport/admission.go
+++ b/internal/transport/admission.go
@@ -7,13 +7,13 @@
 	"cressknot/internal/fleet"
 )
 
-// Suffixes of the keys under which proxies find what belongs to a class: the retry mode and the version of its table.
+// Suffixes of the keys, at proxies, of a class's retry mode and of the version of its weight table.
 const (
 	RetryKey   = ".retry"
 	VersionKey = ".version"
 )
 
-// Suffixes of the keys of admission limits, and the values that stand for no limit. A share is in thousandths of the
+// Suffixes of the keys of admission limits, and the values that mean no limit. A share is in thousandths of the
 // requests, a rate in thousandths of a request per second.
 const (
 	shareKey       = ".share"
@@ -22,10 +22,10 @@
 	unlimitedRate  = 1_000_000_000
 )
 
-// idlePollInterval is the time between two looks at whether answers are outstanding while a transport stops.
+// idlePollInterval is the time between two calls of the busy function in WaitUntilIdle.
 const idlePollInterval = 10 * time.Millisecond
 
-// AdmissionKey returns the key of a class's admission limit.
+// AdmissionKey returns the key, at proxies, of a class's admission limit.
 func AdmissionKey(mode fleet.AdmissionMode, class string) string {
 	if mode == fleet.AdmissionRate {
 		return class + rateKey
@@ -33,7 +33,7 @@
 	return class + shareKey
 }
 
-// UnlimitedAdmission returns the limit that admits every request.
+// UnlimitedAdmission returns the limit, in the unit of the mode, that admits every request.
 func UnlimitedAdmission(mode fleet.AdmissionMode) int32 {
 	if mode == fleet.AdmissionRate {
 		return unlimitedRate
@@ -41,7 +41,7 @@
 	return unlimitedShare
 }
 
-// WaitUntilIdle waits until busy returns false or the context ends.
+// WaitUntilIdle polls busy until it returns false or the context ends.
 func WaitUntilIdle(ctx context.Context, busy func() bool) {
 	tick := time.NewTicker(idlePollInterval)
 	defer tick.Stop()
--- a/internal/transport/files/acknowledge.go
+++ b/internal/transport/files/acknowledge.go
@@ -19,7 +19,7 @@
 	healthMaintenance: reconcile.StateMaintenance,
 }
 
-// handleFileChange handles a change of a file.
+// handleFileChange processes a change of a file in the folder.
 func (f *folder) handleFileChange(name string) {
 	if f.transport.ctx.Err() != nil {
 		return
@@ -44,7 +44,7 @@
 	}
 }
 
-// handleAck handles the proxy's acknowledgement.
+// handleAck processes the proxy's acknowledgement.
 func (f *folder) handleAck() ([]transport.Event, error) {
 	text, err := readFile(filepath.Join(f.path, AckFile))
 	if err != nil {
@@ -70,7 +70,7 @@
 		}
 		return append(events, f.connect(ack)), nil
 	}
-	if ack.Error != "" { // the proxy could not accept a file: write both again
+	if ack.Error != "" { // the proxy did not accept a file: write both again
 		events = append(events, transport.Unreachable{Proxy: f.proxy.ID, Err: errors.New(ack.Error)})
 		f.lastWritten[TablesFile] = nil
 		f.lastWritten[AdmissionFile] = nil
@@ -80,7 +80,7 @@
 	return append(events, f.acknowledge(ack)...), nil
 }
 
-// acknowledge returns the answers of the messages that an acknowledgement covers.
+// acknowledge returns an Answered event for each message that an acknowledgement covers.
 func (f *folder) acknowledge(ack Ack) []transport.Event {
 	var events []transport.Event
 	tables := f.transport.parseVersion(ack.Tables)
@@ -100,8 +100,8 @@
 	return events
 }
 
-// usesCurrentFiles reports whether a proxy uses the files that are in the folder. A stream that was dropped, say
-// because a disk was slow, begins again then, though the acknowledgement has not changed.
+// usesCurrentFiles reports whether the acknowledgement names the versions of the files in the folder. In that case a
+// stream that was dropped, for example because of a slow disk, begins again although the acknowledgement is unchanged.
 func (f *folder) usesCurrentFiles(ack Ack) bool {
 	text, err := readFile(filepath.Join(f.path, TablesFile))
 	if err != nil {
@@ -119,7 +119,7 @@
 	return err == nil && admissions.Version == ack.Admissions
 }
 
-// connect begins a stream. The proxy has what the files say, if it acknowledges those versions.
+// connect begins a stream. The snapshot has the content of each file whose version the proxy acknowledges.
 func (f *folder) connect(ack Ack) transport.Event {
 	classes := f.transport.options.Classes
 	f.stream++
@@ -147,8 +147,8 @@
 	return transport.Connected{Proxy: f.proxy.ID, Stream: f.stream, Snapshot: snapshot}
 }
 
-// readCurrentTables takes over the proxy's tables. Where they can't be read or are of another version, all is sent
-// anew.
+// readCurrentTables adds the proxy's tables to the snapshot. If their file is unreadable or of another version than the
+// acknowledged one, the snapshot stays empty and all entries are sent again.
 func (f *folder) readCurrentTables(ack Ack, snapshot *reconcile.Snapshot) {
 	text, err := readFile(filepath.Join(f.path, CurrentTablesFile))
 	if err != nil {
@@ -179,7 +179,7 @@
 	}
 }
 
-// readCurrentAdmissions takes over the admission limits if the proxy uses those of the file.
+// readCurrentAdmissions adds the admission limits to the snapshot if the proxy uses the version in the file.
 func (f *folder) readCurrentAdmissions(ack Ack, snapshot *reconcile.Snapshot) {
 	text, err := readFile(filepath.Join(f.path, AdmissionFile))
 	if err != nil {
@@ -197,7 +197,8 @@
 	}
 }
 
-// handleCountersFile handles new counters. They show that the proxy runs, and its acknowledgement may match the files by now.
+// handleCountersFile processes new counters. They show that the proxy runs. Without a stream, its acknowledgement is
+// read again, as it may match the files by now.
 func (f *folder) handleCountersFile() ([]transport.Event, error) {
 	var events []transport.Event
 	var err error
@@ -226,7 +227,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", StatFile, err)
 	}
-	reading.Entries = nil // they may be older than what was acknowledged; the files are watched themselves
+	reading.Entries = nil // may be older than the acknowledged tables; changes of the files are watched directly
 	text, err = readFile(filepath.Join(f.path, ServersFile))
 	if err == nil {
 		if err := reading.AddTracked(text, options.Names.Server); err != nil {
--- a/internal/transport/files/admission.go
+++ b/internal/transport/files/admission.go
@@ -10,24 +10,24 @@
 
 const (
 	runtimeType = "type.googleapis.com/envoy.service.runtime.v3.Runtime"
-	// runtimeLayerName is the name of the runtime layer with the admission limits.
+	// runtimeLayerName is the name of the runtime layer that holds the admission limits.
 	runtimeLayerName = "cressknot"
 )
 
 // Admissions is the content of AdmissionFile.
 type Admissions struct {
 	Version string
-	Values  map[string]int    // admission limits and retry modes by key, as package transport has them
-	Stamps  map[string]string // by class: version and digest of its table
+	Values  map[string]int    // admission limits and retry modes, by the keys of package transport
+	Stamps  map[string]string // version and digest of the weight table, by class
 }
 
 type runtimeLayer struct {
 	Type  string         `json:"@type"`
 	Name  string         `json:"name"`
-	Layer map[string]any `json:"layer"` // numbers and texts
+	Layer map[string]any `json:"layer"` // values are numbers or strings
 }
 
-// EncodeAdmissions writes AdmissionFile.
+// EncodeAdmissions returns the content of AdmissionFile.
 func EncodeAdmissions(a Admissions) ([]byte, error) {
 	layer := map[string]any{}
 	for key, value := range a.Values {
@@ -43,7 +43,7 @@
 	return encodeResponse(response{a.Version, []json.RawMessage{text}})
 }
 
-// DecodeAdmissions reads AdmissionFile.
+// DecodeAdmissions parses the content of AdmissionFile. Errors name the file and the invalid field.
 func DecodeAdmissions(text []byte) (Admissions, error) {
 	var r response
 	if err := decodeJSON(AdmissionFile, text, &r); err != nil {
@@ -57,7 +57,8 @@
 		return Admissions{}, fmt.Errorf("%s: resources[0]: %w", AdmissionFile, err)
 	}
 	if layer.Type != runtimeType {
-		return Admissions{}, fmt.Errorf("%s: resources[0]: got type %.80q, want %q", AdmissionFile, layer.Type, runtimeType)
+		return Admissions{}, fmt.Errorf("%s: resources[0]: got type %.80q, want %q",
+			AdmissionFile, layer.Type, runtimeType)
 	}
 	a := Admissions{Version: r.Version, Values: map[string]int{}, Stamps: map[string]string{}}
 	for key, value := range layer.Layer {
--- a/internal/transport/files/folder.go
+++ b/internal/transport/files/folder.go
@@ -11,7 +11,7 @@
 	"cressknot/internal/transport"
 )
 
-// folder is the folder of one proxy.
+// folder exchanges files with one proxy through its folder.
 type folder struct {
 	transport *Transport
 	proxy     transport.Proxy
@@ -20,27 +20,27 @@
 	mu              sync.Mutex
 	stream          uint64
 	connected       bool
-	connectedRun    string    // of the proxy's run that is connected
-	ackAtDisconnect string    // the acknowledgement when the stream ended: only another one begins a new stream
+	connectedRun    string    // Ack.Started of the connected run of the proxy
+	ackAtDisconnect string    // acknowledgement at the end of the previous stream
 	lastSeen        time.Time // when the proxy last wrote a file
 	polling         bool
 
-	// What the files are to contain.
+	// Wanted content of the files.
 	version          uint64
 	admissionVersion uint64
 	tables           map[string]map[string]Endpoint // by backend and server
-	published        map[string]bool                // backends in the files; others stay as the proxy has them
+	published        map[string]bool                // backends in the files; the proxy keeps its tables of others
 	admissions       map[string]int
-	versionStamps    map[string]string // by class: version and digest of its table
+	versionStamps    map[string]string // version and digest of the weight table, by class
 
 	unacknowledged []sentMessage     // oldest first
-	dirty          bool              // the files are older than their wanted content
-	lastWritten    map[string][]byte // by file name: what was written last
+	dirty          bool              // the files may differ from their wanted content
+	lastWritten    map[string][]byte // latest content written, by file name
 	backoff        reconcile.DialBackoff
 	retryTimer     *time.Timer // nil: no write has failed
 }
 
-// sentMessage is a message that is acknowledged by these versions.
+// sentMessage is a message that counts as answered once the proxy acknowledges these versions.
 type sentMessage struct {
 	sequence         uint64
 	tablesVersion    uint64
@@ -109,7 +109,7 @@
 	table[name] = entry
 }
 
-// write brings the files up to date. If that fails it is retried with backoff, and the reason is reported.
+// write updates the files if they are dirty. A failure is reported and retried with backoff.
 func (f *folder) write() {
 	if !f.dirty || !f.connected || f.retryTimer != nil {
 		return
@@ -129,8 +129,8 @@
 	})
 }
 
-// reportWriteFailure posts from a goroutine of its own, because the folder is locked. Stop waits for it: nothing is
-// posted after.
+// reportWriteFailure posts the failure from a separate goroutine, because the caller holds the folder's lock. Stop
+// waits for that goroutine, so that nothing is posted afterwards.
 func (f *folder) reportWriteFailure(err error) {
 	t := f.transport
 	reason := fmt.Errorf("writing its files failed and will be retried: %w", err)
@@ -155,7 +155,7 @@
 	})
 }
 
-// wantedTables returns the published tables. An entry of weight 0 has no form in the file and is left out.
+// wantedTables returns the published tables without entries of weight 0, which the file format cannot represent.
 func (f *folder) wantedTables() Tables {
 	tables := Tables{Version: f.transport.formatVersion(f.version), Backends: map[string][]Endpoint{}}
 	for backend, published := range f.published {
@@ -173,7 +173,7 @@
 	return tables
 }
 
-// writeFile replaces a file unless it was written with the same content already.
+// writeFile replaces a file unless its latest written content is the same.
 func (f *folder) writeFile(name string, encode func() ([]byte, error)) error {
 	text, err := encode()
 	if err != nil {
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// restore writes a file again that somebody else has removed or changed.
+// restore writes a file again if another program has removed or changed it.
 func (f *folder) restore(name string) {
 	want := f.lastWritten[name]
 	if !f.connected || want == nil {
@@ -204,7 +204,7 @@
 	f.write()
 }
 
-// checkSilence ends a stream whose proxy has written nothing for long.
+// checkSilence ends the stream if the proxy has written no file for reconcile.SilenceTimeout.
 func (f *folder) checkSilence(now time.Time) {
 	f.mu.Lock()
 	if !f.connected || now.Sub(f.lastSeen) < time.Duration(reconcile.SilenceTimeout) {
@@ -222,7 +222,7 @@
 	f.transport.sink(event)
 }
 
-// drop ends the stream if there is one.
+// drop ends the stream, if there is one, without posting an event.
 func (f *folder) drop() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -231,9 +231,10 @@
 	}
 }
 
-// disconnect ends the stream until the proxy's acknowledgement changes. The folder is locked.
+// disconnect ends the stream. A new one begins when the acknowledgement changes or matches the files in the folder. The
+// caller holds the folder's lock.
 func (f *folder) disconnect() {
-	ack, _ := readFile(filepath.Join(f.path, AckFile)) // one that can't be read never matches
+	ack, _ := readFile(filepath.Join(f.path, AckFile)) // "" if unreadable: matches no acknowledgement
 	f.connected = false
 	f.ackAtDisconnect = string(ack)
 	f.unacknowledged = nil
@@ -249,7 +250,7 @@
 	return len(f.unacknowledged) > 0
 }
 
-// admission reads a class's admission limit out of the values of AdmissionFile.
+// admission returns the admission limit and retry mode of a class from the values of AdmissionFile.
 func (f *folder) admission(class string, values map[string]int) reconcile.Admission {
 	limit, hasLimit := values[f.transport.admissionKey(class)]
 	retry, hasRetry := values[class+transport.RetryKey]
--- a/internal/transport/files/format.go
+++ b/internal/transport/files/format.go
@@ -8,20 +8,20 @@
 	"io"
 )
 
-// Names of the files in a proxy's folder. The controller writes the first two, the proxy the others; every one is
-// written to a temporary file and renamed, so that no reader ever sees a part of one.
+// Names of the files in a proxy's folder. The controller writes the first two, the proxy the others. Each is written to
+// a temporary file that is then renamed, so that readers never see partial content.
 const (
 	TablesFile        = "eds.json"  // endpoints of all classes, as an xDS DiscoveryResponse of ClusterLoadAssignments
 	AdmissionFile     = "rtds.json" // admission limits, as a DiscoveryResponse of one Runtime layer
-	AckFile           = "ack.json"  // which versions of these the proxy uses
-	CurrentTablesFile = "held.json" // the tables that the proxy has, in the form of TablesFile
-	StatFile          = "stat.csv"  // its counters, as "show stat" prints them
-	ServersFile       = "nodes.txt" // what it counts of servers' answers, as "show table" prints it
+	AckFile           = "ack.json"  // versions of these files that the proxy uses
+	CurrentTablesFile = "held.json" // tables in use at the proxy, in the format of TablesFile
+	StatFile          = "stat.csv"  // counters, in the format of "show stat"
+	ServersFile       = "nodes.txt" // counters of servers' responses, in the format of "show table"
 )
 
 const (
-	maxFileSize   = 64 << 20  // bytes of any file
-	temporaryMark = ".aside-" // in the names of files that are not renamed yet
+	maxFileSize   = 64 << 20  // maximum size of a file in bytes
+	temporaryMark = ".aside-" // part of the name of a file that is not renamed yet
 )
 
 // response is an xDS DiscoveryResponse.
@@ -35,7 +35,7 @@
 	return append(text, '\n'), err
 }
 
-// decodeJSON reads a JSON value that fills its file.
+// decodeJSON parses a file that holds exactly one JSON value. Errors name the file and the byte.
 func decodeJSON(file string, text []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if err := decoder.Decode(into); err != nil {
@@ -47,16 +47,16 @@
 	return nil
 }
 
-// Ack is a proxy's acknowledgement of the files that it uses.
+// Ack is the content of AckFile: a proxy's acknowledgement of the files that it uses.
 type Ack struct {
 	Proxy      string `json:"proxy"`
-	Started    string `json:"started"` // distinguishes runs of the proxy
-	Tables     string `json:"tables"`  // version of the tables that it uses, "" for its initial ones
-	Admissions string `json:"levels"`
-	Error      string `json:"error,omitempty"` // why a newer file was not accepted
+	Started    string `json:"started"`         // identifies the run of the proxy; changes when it restarts
+	Tables     string `json:"tables"`          // version of the tables in use, "" for the initial ones
+	Admissions string `json:"levels"`          // version of the admission limits in use
+	Error      string `json:"error,omitempty"` // why a newer file was not accepted, "" if none was refused
 }
 
-// DecodeAck reads an acknowledgement.
+// DecodeAck parses the content of AckFile. The fields proxy and started are required.
 func DecodeAck(text []byte) (Ack, error) {
 	var ack Ack
 	if err := decodeJSON(AckFile, text, &ack); err != nil {
--- a/internal/transport/files/replace.go
+++ b/internal/transport/files/replace.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// The steps of replacing a file, in their order.
+// Steps of replacing a file, in order.
 const (
 	stepCreate = iota
 	stepWrite
@@ -18,21 +18,22 @@
 	stepSyncFolder
 )
 
-// ErrCut simulates a crash in the middle of replacing a file: nothing is cleaned up after it.
+// ErrCut simulates a crash during the replacement of a file, if Options.Fault returns it: the temporary file is left
+// behind.
 var ErrCut = errors.New("simulated crash")
 
-// replacer replaces files atomically. The fault function, nil for none, is called before each step; an error ends the
-// replacement there, as a crash or a full disk would.
+// replacer replaces files atomically. The fault function, nil for none, is called before each step. Its error aborts
+// the replacement at that step, as a crash or a full disk would.
 type replacer struct {
 	fault func(path string, step int) error
 }
 
-// ReplaceFile is how every file of a folder is written, by controllers and proxies alike: a reader sees the old
-// content or the new, never a part.
+// ReplaceFile replaces a file atomically: readers see the old content or the new, never a part of it. Controllers and
+// proxies write all files of a folder with it.
 func ReplaceFile(path string, text []byte) error { return replacer{}.replace(path, text) }
 
-// replace writes a temporary file, syncs it, renames it over the present one and syncs the folder. Whatever step
-// fails, the file in place is complete: the old or the new.
+// replace writes a temporary file, syncs it, renames it to the path and syncs the folder. If a step fails, the file at
+// the path is complete: either the old or the new one.
 func (r replacer) replace(path string, text []byte) error {
 	if err := r.beforeStep(path, stepCreate); err != nil {
 		return err
@@ -44,7 +45,7 @@
 	}
 	if err := r.writeAndRename(file, path, text); err != nil {
 		_ = file.Close()
-		if !errors.Is(err, ErrCut) { // what a crash leaves is removed at the next start
+		if !errors.Is(err, ErrCut) { // after a crash the next start removes the temporary file
 			_ = os.Remove(file.Name())
 		}
 		return err
@@ -58,7 +59,7 @@
 // writeAndRename writes and syncs the temporary file and renames it to the path.
 func (r replacer) writeAndRename(file *os.File, path string, text []byte) error {
 	if err := r.beforeStep(path, stepWrite); err != nil {
-		_, _ = file.Write(text[:len(text)/2]) // a part, as a full disk leaves it
+		_, _ = file.Write(text[:len(text)/2]) // partial content, as after a write to a full disk
 		return err
 	}
 	if _, err := file.Write(text); err != nil {
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// beforeStep asks the fault function before a step.
+// beforeStep returns the error of the fault function for a step, nil if there is no function.
 func (r replacer) beforeStep(path string, step int) error {
 	if r.fault == nil {
 		return nil
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// removeTemporaries removes temporary files that an earlier run left in a folder.
+// removeTemporaries removes the temporary files that an earlier process left in a folder.
 func removeTemporaries(folder string) error {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
@@ -118,7 +119,7 @@
 	return err
 }
 
-// readFile reads a file of at most maxFileSize.
+// readFile returns the content of a file. It returns an error if the file exceeds maxFileSize.
 func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/transport/files/tables.go
+++ b/internal/transport/files/tables.go
@@ -22,7 +22,7 @@
 	healthDraining    = "DRAINING"
 )
 
-// Endpoint is one entry of a class's table.
+// Endpoint is one entry of the weight table of a class.
 type Endpoint struct {
 	Name   string
 	Addr   string // host:port
@@ -30,7 +30,7 @@
 	Weight int    // 1 to 256
 }
 
-// Tables is the content of TablesFile: entries by backend.
+// Tables is the content of TablesFile: table entries by backend.
 type Tables struct {
 	Version  string
 	Backends map[string][]Endpoint
@@ -66,8 +66,8 @@
 	Port    int    `json:"port_value"`
 }
 
-// EncodeTables writes TablesFile. Backends and entries are in order of their names, so that the same tables give the
-// same bytes.
+// EncodeTables returns the content of TablesFile. Backends and entries are sorted by name, so that equal tables give
+// equal bytes.
 func EncodeTables(t Tables) ([]byte, error) {
 	r := response{Version: t.Version, Resources: []json.RawMessage{}}
 	for _, backend := range slices.Sorted(maps.Keys(t.Backends)) {
@@ -106,7 +106,7 @@
 	return group, nil
 }
 
-// DecodeTables reads TablesFile.
+// DecodeTables parses the content of TablesFile. Errors name the file and the invalid resource.
 func DecodeTables(text []byte) (Tables, error) {
 	var r response
 	if err := decodeJSON(TablesFile, text, &r); err != nil {
--- a/internal/transport/files/transport.go
+++ b/internal/transport/files/transport.go
@@ -1,7 +1,7 @@
-// Package files is the transport that writes files and replaces them atomically: for each proxy a folder, in it the
-// tables as an xDS response of endpoints and the admission limits as a runtime layer, in the JSON form that proxies
-// of that family read from their file system. The proxy acknowledges by files of its own which versions it uses and
-// what it counted. docs/design/files.md compares the alternatives.
+// Package files is the transport that exchanges files with proxies, in one folder per proxy. The controller writes the
+// weight tables as an xDS response of endpoints and the admission limits as a runtime layer, in the JSON format that
+// xDS proxies read from the file system. The proxy writes files that acknowledge the versions in use and report its
+// counters. All files are replaced atomically. docs/design/files.md compares the alternatives.
 package files
 
 import (
@@ -25,28 +25,28 @@
 const (
 	silenceCheckInterval = time.Second
 	folderMode           = 0o755
-	epochBase            = 36 // of the epoch in versions
+	epochBase            = 36 // number base of the epoch in versions
 )
 
-// Options configure the transport; Addr of a proxy is its folder.
+// Options configure the transport. The Addr of a proxy is the path of its folder.
 type Options struct {
 	Proxies   []transport.Proxy
 	Classes   []transport.Class
 	Admission fleet.AdmissionMode
 	Names     transport.ServerNames
-	// Fault, in tests, is called before each step of replacing a file (0 to 4: create, write, sync, rename, sync the
-	// folder) and fails it: as a full disk does, or, with ErrCut, as a crash does.
+	// Fault, set in tests only, is called before each step of replacing a file (0 to 4: create, write, sync, rename,
+	// sync the folder). An error makes the step fail, as on a full disk; ErrCut simulates a crash.
 	Fault func(path string, step int) error
 }
 
-// Transport carries messages by files.
+// Transport carries messages through files. Its methods may be called from any goroutine after Start.
 type Transport struct {
 	options        Options
 	files          replacer
 	classByBackend map[string]fleet.ClassID
 	folders        map[string]*folder // by path
 	byProxy        map[fleet.ProxyID]*folder
-	epoch          string // of this run: distinguishes its versions from those of an earlier run
+	epoch          string // distinguishes the versions of this process from those of earlier ones
 	watcher        *fsnotify.Watcher
 	sink           transport.Sink
 	ctx            context.Context
@@ -56,7 +56,7 @@
 
 var _ transport.Transport = (*Transport)(nil)
 
-// New makes a transport. It writes nothing before Start.
+// New returns a transport that writes no files before Start.
 func New(options Options) *Transport {
 	t := &Transport{
 		options:        options,
@@ -84,7 +84,7 @@
 	return t
 }
 
-// Start makes the folders, removes what a crash left there, and watches them.
+// Start creates missing folders, removes temporary files left by a crash, and watches the folders until Stop.
 func (t *Transport) Start(ctx context.Context, sink transport.Sink) error {
 	t.sink = sink
 	t.ctx, t.cancel = context.WithCancel(ctx)
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// run handles changes of files until the transport stops.
+// run processes changes of files until the transport stops.
 func (t *Transport) run() {
 	defer t.running.Done()
 	silenceCheck := time.NewTicker(silenceCheckInterval)
@@ -147,14 +147,14 @@
 	}
 }
 
-// Send applies a message's changes to the files.
+// Send applies the changes of a message to the files of its proxy. It drops the message if the proxy is not connected.
 func (t *Transport) Send(m reconcile.Message) {
 	if f := t.byProxy[m.Proxy]; f != nil {
 		f.send(m)
 	}
 }
 
-// Poll asks for the counters: those that the proxy writes next.
+// Poll makes the next counters that the proxy writes be reported as CountersPolled.
 func (t *Transport) Poll(id fleet.ProxyID) {
 	f := t.byProxy[id]
 	if f == nil {
@@ -165,14 +165,16 @@
 	f.polling = f.connected
 }
 
-// Drop ends a proxy's stream; a new one begins when the proxy's acknowledgement changes.
+// Drop ends the stream of a proxy. A new one begins when the acknowledgement changes or matches the files in the
+// folder.
 func (t *Transport) Drop(id fleet.ProxyID) {
 	if f := t.byProxy[id]; f != nil {
 		f.drop()
 	}
 }
 
-// Stop waits for acknowledgements until the context ends. The files stay: proxies go on to use them.
+// Stop waits until all messages are acknowledged or the context ends, then ends all streams. The files remain, and
+// proxies continue to use them.
 func (t *Transport) Stop(ctx context.Context) error {
 	transport.WaitUntilIdle(ctx, t.busy)
 	t.cancel()
@@ -200,12 +202,12 @@
 	return int(transport.UnlimitedAdmission(t.options.Admission))
 }
 
-// formatVersion returns the version of this run with a number.
+// formatVersion returns the version string for a version number of this process: the epoch, a dot and the number.
 func (t *Transport) formatVersion(number uint64) string {
 	return t.epoch + "." + strconv.FormatUint(number, 10)
 }
 
-// parseVersion returns the number of a version of this run, 0 for any other.
+// parseVersion returns the number of a version that this process wrote, 0 for any other.
 func (t *Transport) parseVersion(version string) uint64 {
 	epoch, text, ok := strings.Cut(version, ".")
 	number, err := strconv.ParseUint(text, 10, 64)
--- a/internal/transport/haproxy/answers.go
+++ b/internal/transport/haproxy/answers.go
@@ -14,7 +14,7 @@
 	"cressknot/internal/transport"
 )
 
-// answerKind says which command an answer belongs to.
+// answerKind identifies the command that an answer belongs to.
 type answerKind uint8
 
 const (
@@ -25,25 +25,25 @@
 	statAnswer
 	tableAnswer
 	changeAnswer
-	shutdownSessionAnswer // the end of another session
-	observedEntriesAnswer // lease entries, before a takeover
+	shutdownSessionAnswer // another session was shut down
+	observedEntriesAnswer // lease entries, read while another controller may hold the lease
 	leaseEntryAnswer      // this controller's lease entry was written for a takeover
-	sessionsAnswer        // the sessions at the proxy
-	heldEntriesAnswer     // lease entries, with a heartbeat
-	heartbeatAnswer
-	handOverAnswer // this controller's lease entry was given up
+	sessionsAnswer        // sessions at the proxy
+	heldEntriesAnswer     // lease entries, read with each heartbeat
+	heartbeatAnswer       // a heartbeat or a request for the lease was written
+	handOverAnswer        // this controller's lease entry was released
 )
 
-// expectedAnswer is one answer that is to come.
+// expectedAnswer describes the answer to a command that was sent.
 type expectedAnswer struct {
 	kind        answerKind
-	sequence    uint64 // of the message
-	changeIndex int    // of the change in its message
-	last        bool   // of its message
-	key         string // of the map entry that was written
+	sequence    uint64 // sequence number of the message
+	changeIndex int    // index of the change in its message
+	last        bool   // the last answer to its message
+	key         string // key of the map entry that the command writes, "" for none
 }
 
-// handleAnswer handles one answer; it returns the event to report, nil for none. The session is locked.
+// handleAnswer processes one answer and returns the event to post, nil for none. The caller holds the session's lock.
 func (s *session) handleAnswer(expected expectedAnswer, text []byte) (transport.Event, error) {
 	switch expected.kind {
 	case promptAnswer:
@@ -65,7 +65,7 @@
 	}
 }
 
-// checkName fails if the proxy states another name than the configured one; it may state none.
+// checkName returns an error if "show info" reports a name other than the configured one. A missing name is accepted.
 func (s *session) checkName(text []byte) error {
 	var node []byte
 	err := haproxyapi.ReadInfo(text, func(name, value []byte) error {
@@ -80,7 +80,7 @@
 	return err
 }
 
-// addSnapshotEntry adds a server of the proxy to the snapshot.
+// addSnapshotEntry adds a server entry of the proxy to the snapshot. Entries of unknown backends are ignored.
 func (s *session) addSnapshotEntry(row *haproxyapi.ServerState) error {
 	class, known := s.link.transport.classByBackend[string(row.Backend)]
 	if !known {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// handleMap completes the snapshot and so establishes the session.
+// handleMap completes the snapshot from the map entries and thereby establishes the session.
 func (s *session) handleMap(text []byte) (transport.Event, error) {
 	if string(text) == haproxyapi.NoMap {
 		return nil, s.noMapError()
@@ -127,8 +127,8 @@
 
 func (s *session) noMapError() error { return fmt.Errorf("proxy has no map %s", s.options().Map) }
 
-// readMapEntry takes an entry of the map that belongs to the snapshot: "class.share", "class.rate", "class.retry" or
-// "class.version".
+// readMapEntry adds an entry of the map to the snapshot, if it belongs there: "class.share", "class.rate",
+// "class.retry", "class.version" or managedKey.
 func (s *session) readMapEntry(key string, value []byte) {
 	s.mapKeys[key] = true
 	if key == managedKey {
@@ -195,7 +195,7 @@
 	return transport.CountersPolled{Proxy: s.link.proxy.ID, Stream: s.stream, Reading: reading}
 }
 
-// handleChange records the outcome of one command of a message; it returns an event for the last one.
+// handleChange records the result of one command of a message. It returns an event for the last one, otherwise nil.
 func (s *session) handleChange(expected expectedAnswer, text []byte) transport.Event {
 	if kind, failed := changeFailure(text); failed {
 		s.failures = append(s.failures, reconcile.Failure{
@@ -222,7 +222,7 @@
 	}
 }
 
-// changeFailure reports whether a change failed, and of which kind the failure is.
+// changeFailure reports whether the answer to a change means that it failed, and the kind of the failure.
 func changeFailure(text []byte) (kind reconcile.FailureKind, failed bool) {
 	if bytes.HasPrefix(text, []byte(haproxyapi.AddrChanged)) || bytes.HasPrefix(text, []byte(haproxyapi.AddrUnchanged)) {
 		return 0, false
@@ -240,7 +240,7 @@
 	return reconcile.FailureOther, true
 }
 
-// answerError wraps an error of an answer with the command; nil stays nil.
+// answerError adds the command to an error in its answer. It returns nil if err is nil.
 func answerError(command string, err error) error {
 	if err != nil {
 		return fmt.Errorf("answer to %q: %w", command, err)
--- a/internal/transport/haproxy/encode.go
+++ b/internal/transport/haproxy/encode.go
@@ -10,20 +10,20 @@
 	"cressknot/internal/transport"
 )
 
-// commandReserve is the room in bytes that a line must have left for one more command.
+// commandReserve is the space in bytes that a line must have left to take another command.
 const commandReserve = 1024
 
-// encoder writes changes as commands. It allocates only when its buffers grow.
+// encoder writes the changes of a message as commands. It allocates only when its buffers grow.
 type encoder struct {
 	session     *session
-	sequence    uint64 // of the message
-	changeIndex int
+	sequence    uint64 // sequence number of the message
+	changeIndex int    // index of the change in its message
 	out         []byte
-	lineStart   int // where the present line begins in out
+	lineStart   int // index in out at which the current line begins
 	commands    int
 }
 
-// appendChange writes the commands of one appendChange.
+// appendChange appends the commands of one change.
 func (e *encoder) appendChange(change *reconcile.Change) {
 	switch change.Kind {
 	case reconcile.UpdateAdmission:
@@ -61,11 +61,11 @@
 	e.out = haproxyapi.AppendWord(e.out, addr)
 	e.out = append(e.out, " weight "...)
 	e.out = strconv.AppendInt(e.out, int64(change.Weight), 10)
-	e.appendState(change.Class, name, change.State) // a new server is in maintenance
+	e.appendState(change.Class, name, change.State) // HAProxy adds servers in maintenance
 }
 
-// appendUpdate writes a change of an entry that exists. A state that stops traffic goes before the weight, one that lets
-// traffic in after it.
+// appendUpdate appends the commands that change an existing entry. A state that stops traffic is set before the weight,
+// one that admits traffic after it.
 func (e *encoder) appendUpdate(change *reconcile.Change) {
 	name, addr := e.session.options().Names.Lookup(change.Server)
 	if change.AddressChanged {
@@ -126,7 +126,7 @@
 	e.out = haproxyapi.AppendWord(e.out, value)
 }
 
-// beginServerCommand begins a beginServerCommand on a server of a class.
+// beginServerCommand begins a command for a server in the backend of a class.
 func (e *encoder) beginServerCommand(verb string, class fleet.ClassID, name string) {
 	e.beginCommand("")
 	e.out = append(e.out, verb...)
@@ -135,8 +135,8 @@
 	e.out = haproxyapi.AppendWord(e.out, name)
 }
 
-// beginCommand begins a command, on a new line where the present one has no room for it. The key is that of the map
-// entry that the command writes, if any.
+// beginCommand begins a command, on a new line if the current one lacks space for it. The key is that of the map entry
+// that the command writes, "" for none.
 func (e *encoder) beginCommand(key string) {
 	switch {
 	case e.commands == 0:
--- a/internal/transport/haproxy/encode_test.go
+++ b/internal/transport/haproxy/encode_test.go
@@ -9,7 +9,7 @@
 	"cressknot/internal/transport"
 )
 
-// fixedNames names servers by their ids; all have the same address.
+// fixedNames holds the names of servers by id. All servers have the same address.
 type fixedNames []string
 
 func (n fixedNames) Server(string) (fleet.ServerID, bool)      { return 0, false }
--- a/internal/transport/haproxy/lease.go
+++ b/internal/transport/haproxy/lease.go
@@ -15,14 +15,15 @@
 	"cressknot/internal/transport"
 )
 
-// Controllers agree at a proxy who serves it: package lease decides, this file carries the decisions out by the
-// commands of the runtime API. Entries are in the proxy's map, each controller's under keys of its own; "show sess"
-// lists the sessions of the runtime socket, "shutdown session" ends them.
+// Controllers that share a proxy use a lease at the proxy to determine which one serves it. Package lease makes the
+// decisions, and this file executes them by commands of the runtime API. The lease entries are in the proxy's map,
+// those of each controller under its own keys. "show sess" lists the sessions of the runtime socket and "shutdown
+// session" ends them.
 
 const (
-	// leaseKeyPrefix and the controller's name are the key of its lease entry.
+	// leaseKeyPrefix is followed by the controller's name in the key of its lease entry.
 	leaseKeyPrefix = "cressknot.lease."
-	// requestKeyPrefix and the controller's name are the key of the heartbeat with which it asks for the proxy.
+	// requestKeyPrefix is followed by the controller's name in the key of its request for the lease.
 	requestKeyPrefix = "cressknot.want."
 	// runtimeSessionField marks a session of the runtime socket in "show sess".
 	runtimeSessionField = "fe=GLOBAL"
@@ -33,7 +34,7 @@
 	errHandedOver = errors.New("lease released for another controller")
 )
 
-// readEntries reads the lease entries of all controllers and the keys of the map that belong to them.
+// readEntries parses the lease entries of all controllers and returns them with their keys in the map.
 func readEntries(text []byte) (entries []lease.Entry, keys map[string]bool, err error) {
 	keys = map[string]bool{}
 	requests := map[string]string{}
@@ -61,7 +62,7 @@
 	return entries, keys, answerError("show map", err)
 }
 
-// writeMapEntry adds or replaces an entry of the map.
+// writeMapEntry appends the command that adds or replaces an entry of the map. The kind is that of the expected answer.
 func (s *session) writeMapEntry(key, value string, kind answerKind) {
 	verb := "add"
 	if s.mapKeys[key] {
@@ -79,7 +80,7 @@
 
 func (s *session) ownLeaseKey() string { return leaseKeyPrefix + s.options().Controller }
 
-// observeAgain reads the lease entries once more.
+// observeAgain requests the lease entries again.
 func (s *session) observeAgain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,8 +93,8 @@
 	s.flush()
 }
 
-// completeTakeover ends the sessions that existed when this controller's entry had been written, and writes the entry
-// again.
+// completeTakeover appends the commands that shut down the sessions that existed when this controller's lease entry was
+// written, and write the entry again.
 func (s *session) completeTakeover() {
 	l := s.link
 	l.leaseMutex.Lock()
@@ -109,8 +110,8 @@
 	s.writeMapEntry(s.ownLeaseKey(), next.String(), leaseEntryAnswer)
 }
 
-// confirmLease checks the entries that were read after the other sessions had been ended; it returns errLeaseLost if
-// another controller holds the lease.
+// confirmLease checks the lease entries that were read after the other sessions were shut down. It returns errLeaseLost
+// if another controller holds the lease.
 func (s *session) confirmLease(text []byte) error {
 	l := s.link
 	if l.lease == nil {
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// handleLeaseAnswer handles an answer to a command of the lease protocol.
+// handleLeaseAnswer processes the answer to a command of the lease protocol.
 func (s *session) handleLeaseAnswer(expected expectedAnswer, text []byte) (transport.Event, error) {
 	l := s.link
 	l.leaseMutex.Lock()
@@ -155,8 +156,8 @@
 	return nil, nil
 }
 
-// handleObservedEntries lets the lease decide whether to claim the proxy, to ask for it, or to observe on. Session and
-// lease are locked, here and in the other handlers.
+// handleObservedEntries begins a takeover, requests the lease or keeps observing, as the lease decides. The caller
+// holds the locks of the session and of the lease; the same applies to the other handlers.
 func (s *session) handleObservedEntries(now fleet.Time, text []byte) error {
 	if string(text) == haproxyapi.NoMap {
 		return s.noMapError()
@@ -182,6 +183,7 @@
 	return nil
 }
 
+// beginTakeover records the sessions to shut down and opens the session that completes the takeover.
 func (s *session) beginTakeover(text []byte) error {
 	ids, err := readSessions(text)
 	if err != nil {
@@ -192,6 +194,7 @@
 	return nil
 }
 
+// handleHeldEntries renews the lease. It returns errLeaseLost if another controller has taken the lease over.
 func (s *session) handleHeldEntries(now fleet.Time, text []byte) error {
 	entries, _, err := readEntries(text)
 	if err != nil {
@@ -210,7 +213,7 @@
 	return nil
 }
 
-// handleEntryWritten fails with errLeaseLost if another controller has removed this one's entry.
+// handleEntryWritten returns errLeaseLost if another controller has removed this controller's entry.
 func (s *session) handleEntryWritten(expected expectedAnswer, text []byte) error {
 	if string(text) != haproxyapi.NoKey {
 		return nil
@@ -222,7 +225,7 @@
 	return nil
 }
 
-// readSessions reads the ids of the sessions of the runtime socket from "show sess".
+// readSessions returns the ids of the sessions of the runtime socket in the answer to "show sess".
 func readSessions(text []byte) (ids []string, err error) {
 	number := 0
 	for line := range bytes.Lines(text) {
@@ -240,7 +243,7 @@
 	return ids, nil
 }
 
-// writeHeartbeat writes the next heartbeat of a lease and asks for all entries; it accompanies each poll.
+// writeHeartbeat appends the commands that write the next heartbeat and read all lease entries. Every poll includes it.
 func (s *session) writeHeartbeat() {
 	l := s.link
 	if l.lease == nil {
@@ -253,13 +256,14 @@
 	s.requestMap(heldEntriesAnswer)
 }
 
-// releaseLease gives the lease entry up and sends nothing more. The proxy reads it after all that was sent before.
+// releaseLease appends the command that releases the lease. The session sends nothing after it, and the proxy executes
+// all earlier commands first.
 func (s *session) releaseLease(entry lease.Entry) {
 	s.handingOver = true
 	s.writeMapEntry(s.ownLeaseKey(), entry.String(), handOverAnswer)
 }
 
-// handOver lets another controller serve the proxy, because this one stops.
+// handOver releases the lease because this controller stops, so that another one can take the proxy over.
 func (s *session) handOver() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -275,7 +279,7 @@
 	s.flush()
 }
 
-// Retire hands over all proxies, a bounded number at a time, or ends that.
+// Retire hands over all proxies, a limited number at a time, if on is true, and ends that otherwise.
 func (t *Transport) Retire(on bool) {
 	for _, l := range t.links {
 		if l.lease != nil {
@@ -286,7 +290,8 @@
 	}
 }
 
-// Take assigns a proxy to this controller by hand, or ends that; it returns false if no such proxy is shared.
+// Take assigns a proxy to this controller regardless of the plan if on is true, and ends that otherwise. It returns
+// false if the proxy is unknown or not shared.
 func (t *Transport) Take(id fleet.ProxyID, on bool) bool {
 	l := t.links[id]
 	if l == nil || l.lease == nil {
@@ -298,7 +303,7 @@
 	return true
 }
 
-// Holders returns who serves each proxy, in order of the proxies' ids.
+// Holders returns the lease holder of each shared proxy, sorted by the proxies' ids.
 func (t *Transport) Holders() []transport.LeaseHolder {
 	var holders []transport.LeaseHolder
 	for id, l := range t.links {
--- a/internal/transport/haproxy/link.go
+++ b/internal/transport/haproxy/link.go
@@ -15,23 +15,23 @@
 	"cressknot/internal/transport"
 )
 
-// link is the lasting relation to one proxy; its sessions come and go.
+// link keeps a session with one proxy open, by dialing the proxy again whenever a session ends.
 type link struct {
 	transport    *Transport
 	proxy        transport.Proxy
-	backoff      reconcile.DialBackoff // of the dialing goroutine only
-	established  atomic.Bool           // the last session could be read back
+	backoff      reconcile.DialBackoff // used by the dialing goroutine only
+	established  atomic.Bool           // the latest session read the proxy's state
 	sessionEnded chan struct{}
 
 	leaseMutex    sync.Mutex
-	lease         *lease.Lease // nil: no other controller serves the proxy
-	staleSessions []string     // sessions at the proxy that the next session ends when it takes over
+	lease         *lease.Lease // nil: the proxy is not shared with other controllers
+	staleSessions []string     // ids of sessions that the next session shuts down to complete a takeover
 
 	mu      sync.Mutex
 	current *session
 }
 
-// run dials the proxy, waits for the session's end, and dials again.
+// run dials the proxy, waits for the end of the session, and dials again after a backoff, until the transport stops.
 func (l *link) run() {
 	t := l.transport
 	defer t.dialers.Done()
@@ -59,7 +59,7 @@
 	}
 }
 
-// connect dials the proxy and opens a session; with a predecessor, one that completes its takeover.
+// connect dials the proxy and opens a session. If predecessor is not nil, the session completes its takeover.
 func (l *link) connect(predecessor *session) error {
 	dialer := net.Dialer{Timeout: time.Duration(reconcile.DialTimeout)}
 	conn, err := dialer.DialContext(l.transport.ctx, networkOf(l.proxy.Addr), l.proxy.Addr)
@@ -69,7 +69,7 @@
 	return l.openSession(conn, predecessor)
 }
 
-// networkOf distinguishes a Unix socket's path from host:port.
+// networkOf returns "unix" for the path of a Unix socket and "tcp" for host:port.
 func networkOf(addr string) string {
 	if strings.Contains(addr, "/") {
 		return "unix"
@@ -85,7 +85,7 @@
 		return fmt.Errorf("duplicate the connection descriptor: %w", err)
 	}
 	s := l.newSession(c, predecessor)
-	s.mu.Lock() // until it has begun: events of a proxy that writes or closes at once have to wait for that
+	s.mu.Lock() // events of a proxy that writes or closes at once must wait until the session has begun
 	l.transport.sessions.Store(c, s)
 	l.mu.Lock()
 	l.current = s
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// newSession makes a session that has not begun. Its watchdog exists from the start, because the connection may close
-// before the session has begun.
+// newSession returns a session that has not begun. Its watchdog is created here, because the connection may close
+// before the session begins.
 func (l *link) newSession(c *nbio.Conn, predecessor *session) *session {
 	s := &session{
 		link:        l,
@@ -115,13 +115,13 @@
 	return s
 }
 
-// takeOver opens the session that completes a takeover while the one that began it is still open: so the proxy can't
-// give both the same id.
+// takeOver opens the session that completes a takeover. The session that began it is still open, so the proxy can't
+// assign the same id to both.
 func (l *link) takeOver(predecessor *session) {
 	predecessor.mu.Lock()
 	ended := predecessor.ended
 	predecessor.mu.Unlock()
-	if ended { // the takeover ended with it; the next observation begins a new one
+	if ended { // this takeover is abandoned; a later session begins a new one
 		return
 	}
 	if err := l.connect(predecessor); err != nil {
--- a/internal/transport/haproxy/session.go
+++ b/internal/transport/haproxy/session.go
@@ -15,7 +15,7 @@
 	"cressknot/internal/transport"
 )
 
-// managedKey in the map marks a proxy that has had messages of a controller since its start.
+// managedKey is present in the map of a proxy that a controller has sent messages to since the proxy's start.
 const managedKey = "cressknot.steered"
 
 // session is one connection to a proxy's runtime socket.
@@ -25,29 +25,29 @@
 	stream uint64
 
 	mu          sync.Mutex
-	established bool // the proxy's state was read back
+	established bool // the proxy's state was read
 	ended       bool
-	endReason   error // why this end closed it, nil if it did not
+	endReason   error // why this controller closed the connection, nil if it did not
 	watchdog    *time.Timer
 
 	answers  haproxyapi.AnswerParser
-	expected []expectedAnswer // oldest first
+	expected []expectedAnswer // answers to come, oldest first
 	out      []byte           // commands to write
-	mapKeys  map[string]bool  // keys that the proxy's map has
+	mapKeys  map[string]bool  // keys present in the proxy's map
 	failures []reconcile.Failure
 	snapshot reconcile.Snapshot
 	reading  *counters.Reading
 	polling  bool
 
-	predecessor  *session // began the takeover that this session completes
-	observing    bool     // only reads lease entries
+	predecessor  *session // the session that began the takeover that this one completes; nil for none
+	observing    bool     // reads lease entries only; the lease is not held
 	observeTimer *time.Timer
-	handingOver  bool // sends nothing more
+	handingOver  bool // the lease is being released; nothing more is sent
 }
 
 func (s *session) options() *Options { return &s.link.transport.options }
 
-// begin asks for the proxy's state. The session is locked.
+// begin requests the proxy's state or, if the proxy is shared, first the lease entries. The caller holds the lock.
 func (s *session) begin() {
 	s.out = append(s.out[:0], "prompt\nshow info\n"...)
 	s.expect(promptAnswer)
@@ -79,14 +79,14 @@
 	s.expected = append(s.expected, expectedAnswer{kind: kind})
 }
 
-// flush writes the gathered commands; a failed write closes the connection, which connectionClosed reports.
+// flush sends the buffered commands. A failed write closes the connection, which connectionClosed reports.
 func (s *session) flush() {
 	if len(s.out) > 0 {
 		_, _ = s.conn.Write(s.out)
 	}
 }
 
-// startWatchdog begins the wait for an answer unless one is expected already.
+// startWatchdog starts the answer timeout unless an answer is expected already.
 func (s *session) startWatchdog() {
 	if len(s.expected) == 0 {
 		s.watchdog.Reset(s.link.transport.answerTimeout)
@@ -97,7 +97,7 @@
 	s.close(fmt.Errorf("no answer within %v", s.link.transport.answerTimeout))
 }
 
-// close closes the connection; connectionClosed reports the first reason.
+// close closes the connection. Of several reasons, connectionClosed reports the first.
 func (s *session) close(reason error) {
 	s.mu.Lock()
 	if s.endReason == nil {
@@ -107,7 +107,7 @@
 	_ = s.conn.Close()
 }
 
-// connectionClosed reports the session's end and lets the link dial again.
+// connectionClosed posts the end of the session and makes the link dial again.
 func (s *session) connectionClosed(err error) {
 	s.mu.Lock()
 	if s.ended {
@@ -127,7 +127,7 @@
 
 	l := s.link
 	l.mu.Lock()
-	superseded := l.current != s // by the session that completes the takeover
+	superseded := l.current != s // by the session that completes its takeover
 	if !superseded {
 		l.current = nil
 	}
@@ -151,7 +151,7 @@
 	}
 }
 
-// hasUnansweredChanges reports whether changes, or a hand-over, are not answered yet.
+// hasUnansweredChanges reports whether answers to changes or to the release of the lease are outstanding.
 func (s *session) hasUnansweredChanges() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,17 +163,17 @@
 	return false
 }
 
-// serving reports whether messages go to the proxy over this session.
+// serving reports whether the session accepts messages for the proxy.
 func (s *session) serving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.acceptsRequests()
 }
 
-// acceptsRequests reports the same as serving. The session is locked.
+// acceptsRequests returns the same as serving. The caller holds the lock.
 func (s *session) acceptsRequests() bool { return s.established && !s.ended && !s.handingOver }
 
-// receive takes bytes from the proxy.
+// receive processes bytes from the proxy and posts the resulting events.
 func (s *session) receive(data []byte) {
 	s.mu.Lock()
 	var events []transport.Event
@@ -210,7 +210,7 @@
 	}
 }
 
-// poll asks for the counters unless an earlier poll has no answer yet.
+// poll requests the counters, unless the answer to an earlier poll is outstanding.
 func (s *session) poll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,7 +230,7 @@
 	s.flush()
 }
 
-// send writes a message as commands, as many in a line as the protocol allows.
+// send sends a message as commands, as many in a line as the protocol allows.
 func (s *session) send(m reconcile.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,12 +243,12 @@
 		e.changeIndex = i
 		e.appendChange(&m.Changes[i])
 	}
-	if !s.mapKeys[managedKey] { // at the end of the first message: the proxy's tables are no longer its initial ones
+	if !s.mapKeys[managedKey] { // after the first message the proxy's tables are no longer its initial ones
 		e.changeIndex = -1
 		e.appendMapEntry(managedKey, "1")
 	}
 	if len(s.expected) == 0 || e.commands == 0 {
-		return // an empty message; package reconcile sends none
+		return // the message has no changes, which package reconcile never sends
 	}
 	s.expected[len(s.expected)-1].last = true
 	s.out = append(e.out, '\n')
--- a/internal/transport/haproxy/session_test.go
+++ b/internal/transport/haproxy/session_test.go
@@ -7,8 +7,8 @@
 	"cressknot/internal/transport"
 )
 
-// TestConnectionClosedBeforeBegin checks that a connection that is closed before its session has begun is reported, and
-// that the session is not left locked.
+// TestConnectionClosedBeforeBegin checks that a connection that closes before its session has begun is reported and
+// leaves the session unlocked.
 func TestConnectionClosedBeforeBegin(t *testing.T) {
 	tr := New(Options{})
 	var events []transport.Event
@@ -17,6 +17,6 @@
 	s := l.newSession(nil, nil)
 	s.connectionClosed(errors.New("gone"))
 	if !s.mu.TryLock() || len(events) != 1 {
-		t.Errorf("events %v", events)
+		t.Errorf("session is locked, or events are %v, want one", events)
 	}
 }
--- a/internal/transport/haproxy/transcript_test.go
+++ b/internal/transport/haproxy/transcript_test.go
@@ -9,7 +9,7 @@
 	"cressknot/internal/transport"
 )
 
-// TestEncoderWritesTheseCommands checks the text of the commands for each kind of change.
+// TestEncoderWritesTheseCommands checks the commands written for each kind of change.
 func TestEncoderWritesTheseCommands(t *testing.T) {
 	tr := New(Options{
 		Classes: []transport.Class{{Name: "look", Backend: "be look"}, {Name: "book", Backend: "book"}},
@@ -41,7 +41,7 @@
 	if got := string(e.out); !strings.HasPrefix(got, want) {
 		t.Errorf("commands\n%s\nwant\n%s", got, want)
 	} else if rest := got[len(want):]; rest != mapCommands {
-		t.Errorf("of the map\n%s\nwant\n%s", rest, mapCommands)
+		t.Errorf("map commands\n%s\nwant\n%s", rest, mapCommands)
 	}
 }
 
--- a/internal/transport/haproxy/transport.go
+++ b/internal/transport/haproxy/transport.go
@@ -1,6 +1,6 @@
-// Package haproxy is the transport that dials each proxy's runtime socket and speaks the text protocol of package
-// haproxyapi, as the management guide of HAProxy publishes it. It carries out messages and reads counters; what to
-// send, when, and what a missing answer means is decided in packages reconcile and counters.
+// Package haproxy is the transport that connects to the runtime API of each proxy, whose text protocol package
+// haproxyapi implements. It sends messages as commands and reads counters. Packages reconcile and counters decide what
+// to send and when, and what a missing answer means.
 package haproxy
 
 import (
@@ -24,38 +24,39 @@
 const (
 	// readBufferSize is the size in bytes of the event loops' read buffers.
 	readBufferSize = 64 << 10
-	// maxUnsentBytes is how much may wait to be written to one proxy.
+	// maxUnsentBytes is the maximum size in bytes of the write buffer of one proxy.
 	maxUnsentBytes = 64 << 20
 )
 
-// errDroppedByController ends a session that the controller asked to drop.
+// errDroppedByController is the reason of the end of a session that was closed by Drop.
 var errDroppedByController = errors.New("connection closed by the controller")
 
-// Options configure the transport; docs/operate/proxies.md describes the proxies' side.
+// Options configure the transport. docs/operate/proxies.md describes the configuration of the proxies.
 type Options struct {
 	Proxies   []transport.Proxy
 	Classes   []transport.Class
-	Map       string // file or #id of the map with admission limits and lease entries
-	Table     string // stick table that counts successful answers and their load, "" for none
+	Map       string // file or #id, at the proxies, of the map with admission limits and lease entries
+	Table     string // stick table with response counters and load values, "" for none
 	Admission fleet.AdmissionMode
 	Names     transport.ServerNames
-	Pollers   int // event loops of sockets; 0: the library's default
+	Pollers   int // number of event loops; 0: the default of nbio
 
-	// Me is the name of this controller, where several may serve a proxy.
+	// Controller is the name of this controller in leases. It is unused without Lease.
 	Controller string
-	// Lease returns this controller's part of the lease protocol at a proxy, nil if no other controller serves it.
+	// Lease returns the lease of a proxy, nil if the proxy is not shared with other controllers. A nil function means
+	// that no proxy is shared.
 	Lease func(transport.Proxy) *lease.Lease
-	// Clock returns the time by which leases are decided.
+	// Clock returns the current time for lease decisions. It is unused without Lease.
 	Clock func() fleet.Time
 }
 
-// Transport carries messages over runtime sockets.
+// Transport connects to the runtime APIs of proxies. Its methods may be called from any goroutine after Start.
 type Transport struct {
 	options        Options
 	classByBackend map[string]fleet.ClassID
 	links          map[fleet.ProxyID]*link
 	sink           transport.Sink
-	answerTimeout  time.Duration // reconcile.AnswerTimeout, except in tests
+	answerTimeout  time.Duration // maximum time without an answer to commands that were sent
 
 	engine     *nbio.Engine
 	sessions   sync.Map // *nbio.Conn to *session
@@ -75,9 +76,9 @@
 	_ transport.LeaseTransport = (*Transport)(nil)
 )
 
-// New makes a transport. It dials nothing before Start.
+// New returns a transport that connects to the proxies once Start is called.
 func New(options Options) *Transport {
-	logging.SetLevel(logging.LevelNone) // the library's own log; errors are returned as well
+	logging.SetLevel(logging.LevelNone) // nbio returns the errors that it logs
 	t := &Transport{
 		options:        options,
 		answerTimeout:  time.Duration(reconcile.AnswerTimeout),
@@ -102,7 +103,7 @@
 	return t
 }
 
-// Start dials all proxies, again after each failure, until Stop.
+// Start connects to all proxies and reconnects after failures until Stop.
 func (t *Transport) Start(ctx context.Context, sink transport.Sink) error {
 	t.sink = sink
 	t.ctx, t.cancel = context.WithCancel(ctx)
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// sessionOf returns the session of a connection. A map of this package orders what the dialing goroutine wrote before
-// what the event loop reads, which the library's own place for it does not.
+// sessionOf returns the session of a connection, nil for none. It uses a synchronized map rather than the session field
+// of nbio.Conn, which does not order the writes of the dialing goroutine before the reads of the event loop.
 func (t *Transport) sessionOf(c *nbio.Conn) *session {
 	s, ok := t.sessions.Load(c)
 	if !ok {
@@ -143,7 +144,7 @@
 	return s.(*session)
 }
 
-// currentSession returns the present session of a proxy, nil for none.
+// currentSession returns the current session of a proxy, nil for none.
 func (t *Transport) currentSession(id fleet.ProxyID) *session {
 	l := t.links[id]
 	if l == nil {
@@ -154,28 +155,29 @@
 	return l.current
 }
 
-// Send carries a message over the proxy's present session.
+// Send sends a message over the current session of its proxy. It drops the message if there is none.
 func (t *Transport) Send(m reconcile.Message) {
 	if s := t.currentSession(m.Proxy); s != nil {
 		s.send(m)
 	}
 }
 
-// Poll asks a proxy for its counters.
+// Poll requests the counters of a proxy, unless the answer to an earlier poll is outstanding.
 func (t *Transport) Poll(id fleet.ProxyID) {
 	if s := t.currentSession(id); s != nil {
 		s.poll()
 	}
 }
 
-// Drop ends the session of a proxy.
+// Drop closes the session of a proxy, which is then dialed again.
 func (t *Transport) Drop(id fleet.ProxyID) {
 	if s := t.currentSession(id); s != nil {
 		s.close(errDroppedByController)
 	}
 }
 
-// Stop waits until what was sent is answered or the context ends, then closes all sessions.
+// Stop waits until all changes are answered, releases the leases and closes all sessions. If the context ends first, it
+// closes the sessions at once and returns the error of the context.
 func (t *Transport) Stop(ctx context.Context) error {
 	t.stopping.Store(true)
 	transport.WaitUntilIdle(ctx, t.busy)
@@ -183,7 +185,7 @@
 	t.dialers.Wait()
 	for id, l := range t.links {
 		if s := t.currentSession(id); s != nil && l.lease != nil && ctx.Err() == nil {
-			s.handOver() // another controller need not wait for the lease to expire
+			s.handOver() // spares other controllers the wait until the lease expires
 		}
 	}
 	transport.WaitUntilIdle(ctx, t.busy)
--- a/internal/transport/mux.go
+++ b/internal/transport/mux.go
@@ -8,16 +8,16 @@
 	"cressknot/internal/reconcile"
 )
 
-// Mux routes each proxy to its transport.
+// Mux is a transport that forwards each call to the transport of the proxy concerned.
 type Mux struct {
-	Default Transport                   // serves the proxies that ByProxy does not name
+	Default Transport                   // of the proxies that ByProxy does not contain
 	ByProxy map[fleet.ProxyID]Transport // several proxies may share one transport
 	started []Transport
 }
 
 var _ Transport = (*Mux)(nil)
 
-// Start starts each transport once. After a failure those already started are stopped.
+// Start starts each distinct transport once. If one fails, those already started are stopped.
 func (m *Mux) Start(ctx context.Context, sink Sink) error {
 	seen := map[Transport]bool{}
 	for _, t := range m.transports() {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// transports lists the default transport and then that of each named proxy, with repetitions.
+// transports returns the default transport and those of ByProxy. A transport may occur more than once.
 func (m *Mux) transports() []Transport {
 	all := []Transport{m.Default}
 	for _, t := range m.ByProxy {
@@ -42,16 +42,16 @@
 	return all
 }
 
-// Send carries a message over the transport of its proxy.
+// Send sends a message over the transport of its proxy.
 func (m *Mux) Send(message reconcile.Message) { m.forProxy(message.Proxy).Send(message) }
 
-// Poll asks a proxy for its counters.
+// Poll requests the counters of a proxy over its transport.
 func (m *Mux) Poll(id fleet.ProxyID) { m.forProxy(id).Poll(id) }
 
-// Drop closes a proxy's stream.
+// Drop closes the stream of a proxy, whose transport then reconnects.
 func (m *Mux) Drop(id fleet.ProxyID) { m.forProxy(id).Drop(id) }
 
-// Stop stops each transport that was started.
+// Stop stops each transport that was started, and returns their errors joined.
 func (m *Mux) Stop(ctx context.Context) error {
 	var err error
 	for _, t := range m.started {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport defines how the controller's messages reach proxies and how their answers come back. The
-// controller's loop owns all state; a transport posts events to it and takes no decision.
+// Package transport defines the interface between the controller and the transports that carry its messages to proxies
+// and report their answers. The control loop owns all state; a transport posts events to it and makes no decisions.
 package transport
 
 import (
@@ -10,41 +10,42 @@
 	"cressknot/internal/reconcile"
 )
 
-// Event is something that a transport reports to the controller.
+// Event is reported by a transport to the controller. It is one of the types below.
 type Event interface{ transportEvent() }
 
 // The events of a transport.
 type (
-	// Connected reports that a proxy's stream is open, and the state that was read back from the proxy.
+	// Connected reports that a proxy's stream is open, with the state that was read from the proxy.
 	Connected struct {
 		Proxy    fleet.ProxyID
-		Stream   uint64 // number of the stream; events of an older one are dropped
+		Stream   uint64 // number of the stream; the controller drops events of older streams
 		Snapshot reconcile.Snapshot
 	}
-	// Disconnected reports that a stream is closed, and why.
+	// Disconnected reports that a stream was closed, and why.
 	Disconnected struct {
 		Proxy  fleet.ProxyID
 		Stream uint64
 		Err    error
 	}
-	// Unreachable reports that a proxy could not be reached or read back, and why; the transport retries by itself.
+	// Unreachable reports that a proxy could not be reached or its state could not be read, and why. The transport
+	// retries without being asked.
 	Unreachable struct {
 		Proxy fleet.ProxyID
 		Err   error
 	}
-	// Progress reports that some answer to a message arrived.
+	// Progress reports that an answer of the proxy arrived.
 	Progress struct {
 		Proxy  fleet.ProxyID
 		Stream uint64
 	}
-	// Answered reports that every change of a message has been answered.
+	// Answered reports that every change of a message was answered, with the changes that failed.
 	Answered struct {
 		Proxy    fleet.ProxyID
 		Stream   uint64
 		Sequence uint64
 		Failures []reconcile.Failure
 	}
-	// CountersPolled carries a reading of a proxy's counters. They are sums since the proxy's start, so that a newer
+	// CountersPolled carries a reading of a proxy's counters. They are totals since the proxy's start, so a newer
 	// reading replaces an older one.
 	CountersPolled struct {
 		Proxy   fleet.ProxyID
@@ -60,49 +61,51 @@
 func (Answered) transportEvent()       {}
 func (CountersPolled) transportEvent() {}
 
-// Sink takes events; it never blocks for long and may be called from any goroutine.
+// Sink receives events. It may be called from any goroutine and must not block for long.
 type Sink func(Event)
 
 // Transport carries messages to proxies.
 type Transport interface {
-	// Start begins to connect to the proxies and posts events to the sink until Stop.
+	// Start connects to the proxies in the background and posts events to the sink until Stop.
 	Start(ctx context.Context, sink Sink) error
-	// Send carries a message. A failure is reported by Disconnected, not here.
+	// Send sends a message. Failures are reported by events.
 	Send(m reconcile.Message)
-	// Poll asks a proxy for its counters.
+	// Poll requests the counters of a proxy, which CountersPolled reports.
 	Poll(id fleet.ProxyID)
-	// Drop closes a proxy's stream; the transport reconnects by itself.
+	// Drop closes the stream of a proxy. The transport reconnects without being asked.
 	Drop(id fleet.ProxyID)
 	// Stop waits for outstanding answers until the context ends, then closes all streams.
 	Stop(ctx context.Context) error
 }
 
-// LeaseHolder is the controller that serves a proxy, as it was last read at that proxy.
+// LeaseHolder is the controller that holds the lease of a proxy, as last read from the proxy.
 type LeaseHolder struct {
 	Proxy         fleet.ProxyID
 	Controller    string // "" for none
 	Epoch         uint64
-	LastHeartbeat fleet.Time // when a heartbeat of the holder was last seen, on this controller's clock; 0: never
+	LastHeartbeat fleet.Time // when the holder's entry was last seen to change, on this controller's clock; 0: never
 	Own           bool       // this controller is the holder
 }
 
-// LeaseTransport is a transport whose proxies may be served by other controllers, too.
+// LeaseTransport is a transport to proxies that several controllers share by leases.
 type LeaseTransport interface {
-	// Retire hands over all proxies and takes none that another controller would serve, or ends that.
+	// Retire hands all proxies over to other controllers, and takes none that another controller can serve, if on is
+	// true. It ends that otherwise.
 	Retire(on bool)
-	// Take assigns a proxy to this controller against the plan, or ends that; it returns false if no such proxy is shared.
+	// Take assigns a proxy to this controller regardless of the plan if on is true, and ends that otherwise. It returns
+	// false if the proxy is unknown or not shared.
 	Take(id fleet.ProxyID, on bool) bool
-	// Holders returns who serves each proxy.
+	// Holders returns the lease holder of each shared proxy.
 	Holders() []LeaseHolder
 }
 
-// ServerNames translates between ids of servers and their names and addresses at proxies.
+// ServerNames maps server ids to the names and addresses of servers at proxies, and back.
 type ServerNames interface {
-	// Server returns the id of a server name, and whether it is known; a name never changes its id.
+	// Server returns the id of a server name, and whether it is known. The id of a name never changes.
 	Server(name string) (fleet.ServerID, bool)
 	// Learn returns the id of a server name that was read from a proxy, and assigns one if the name is new.
 	Learn(name, addr string) fleet.ServerID
-	// Of returns the name and the address, host:port, of a server.
+	// Lookup returns the name and the address, host:port, of a server.
 	Lookup(id fleet.ServerID) (name, addr string)
 }
 
@@ -111,11 +114,11 @@
 	ID          fleet.ProxyID
 	Name        string
 	Zone        fleet.ZoneID
-	RequestRate float64 // usual requests per second
-	Addr        string  // of its runtime socket: host:port or the path of a Unix socket
+	RequestRate float64 // usual rate in requests per second
+	Addr        string  // host:port or Unix socket path of its runtime API; with transport files, its folder
 }
 
-// Class is the name of a request class and of its backend at proxies.
+// Class is a request class: its name, and that of its backend at proxies.
 type Class struct {
 	Name    string
 	Backend string
