--- a/internal/transport/files/tables.go
+++ b/internal/transport/files/tables.go
@@ -22,7 +22,7 @@
 	healthDraining    = "DRAINING"
 )
 
-// Endpoint is one entry of a class's table.
+// Endpoint is one entry of the weight table of a class.
 type Endpoint struct {
 	Name   string
 	Addr   string // host:port
@@ -30,7 +30,7 @@
 	Weight int    // 1 to 256
 }
 
-// Tables is the content of TablesFile: entries by backend.
+// Tables is the content of TablesFile: table entries by backend.
 type Tables struct {
 	Version  string
 	Backends map[string][]Endpoint
@@ -66,8 +66,8 @@
 	Port    int    `json:"port_value"`
 }
 
-// EncodeTables writes TablesFile. Backends and entries are in order of their names, so that the same tables give the
-// same bytes.
+// EncodeTables returns the content of TablesFile. Backends and entries are sorted by name, so that equal tables give
+// equal bytes.
 func EncodeTables(t Tables) ([]byte, error) {
 	r := response{Version: t.Version, Resources: []json.RawMessage{}}
 	for _, backend := range slices.Sorted(maps.Keys(t.Backends)) {
@@ -81,7 +81,7 @@
 		}
 		r.Resources = append(r.Resources, text)
 	}
-	return encode(r)
+	return encodeResponse(r)
 }
 
 func encodeEndpoints(entries []Endpoint) (locality, error) {
@@ -106,10 +106,10 @@
 	return group, nil
 }
 
-// DecodeTables reads TablesFile.
+// DecodeTables parses the content of TablesFile. Errors name the file and the invalid resource.
 func DecodeTables(text []byte) (Tables, error) {
 	var r response
-	if err := decode(TablesFile, text, &r); err != nil {
+	if err := decodeJSON(TablesFile, text, &r); err != nil {
 		return Tables{}, err
 	}
 	t := Tables{Version: r.Version, Backends: map[string][]Endpoint{}}
@@ -120,7 +120,8 @@
 			return Tables{}, fmt.Errorf("%s: %w", place, err)
 		}
 		if a.Type != tablesType || a.Cluster == "" {
-			return Tables{}, fmt.Errorf("%s: is no named %s", place, tablesType)
+			return Tables{}, fmt.Errorf("%s: got type %.80q and cluster_name %.80q, want type %q and a cluster_name",
+				place, a.Type, a.Cluster, tablesType)
 		}
 		entries, err := decodeEndpoints(place, a.Endpoints)
 		if err != nil {
@@ -137,7 +138,9 @@
 		for i, e := range group.Endpoints {
 			socket := e.Endpoint.Address.Socket
 			if e.Endpoint.Hostname == "" || e.Weight < 1 || socket.Port < 1 || socket.Port > maxPort {
-				return nil, fmt.Errorf("%s.endpoints[%d]: wants a hostname, a weight from 1 and a port", place, i)
+				return nil, fmt.Errorf("%s.endpoints[%d]: hostname %.80q, weight %d, port %d: "+
+					"want a hostname, a weight of at least 1 and a port from 1 to %d",
+					place, i, e.Endpoint.Hostname, e.Weight, socket.Port, maxPort)
 			}
 			entries = append(entries, Endpoint{
 				Name:   e.Endpoint.Hostname,
--- a/internal/transport/haproxy/encode_test.go
+++ b/internal/transport/haproxy/encode_test.go
@@ -9,7 +9,7 @@
 	"cressknot/internal/transport"
 )
 
-// fixedNames names servers by their ids; all have the same address.
+// fixedNames holds the names of servers by id. All servers have the same address.
 type fixedNames []string
 
 func (n fixedNames) Server(string) (fleet.ServerID, bool)      { return 0, false }
@@ -44,7 +44,7 @@
 		s.expected = s.expected[:0]
 		for i := range m.Changes {
 			e.changeIndex = i
-			e.change(&m.Changes[i])
+			e.appendChange(&m.Changes[i])
 		}
 		s.out = e.out
 		b.SetBytes(int64(len(e.out)))
--- a/internal/transport/haproxy/transcript_test.go
+++ b/internal/transport/haproxy/transcript_test.go
@@ -9,7 +9,7 @@
 	"cressknot/internal/transport"
 )
 
-// TestEncoderWritesTheseCommands checks the text of the commands for each kind of change.
+// TestEncoderWritesTheseCommands checks the commands written for each kind of change.
 func TestEncoderWritesTheseCommands(t *testing.T) {
 	tr := New(Options{
 		Classes: []transport.Class{{Name: "look", Backend: "be look"}, {Name: "book", Backend: "book"}},
@@ -30,7 +30,7 @@
 		{Kind: reconcile.UpdateVersion, Class: 1, VersionStamp: "3.4/00ff"},
 	} {
 		e.changeIndex = i
-		e.change(&change)
+		e.appendChange(&change)
 	}
 	const want = `add server be\ look/node\ 1 127.0.0.1:8080 weight 7;` +
 		`set server be\ look/node\ 1 state ready;del server book/node-0;` +
@@ -41,7 +41,7 @@
 	if got := string(e.out); !strings.HasPrefix(got, want) {
 		t.Errorf("commands\n%s\nwant\n%s", got, want)
 	} else if rest := got[len(want):]; rest != mapCommands {
-		t.Errorf("of the map\n%s\nwant\n%s", rest, mapCommands)
+		t.Errorf("map commands\n%s\nwant\n%s", rest, mapCommands)
 	}
 }
 
