--- a/cmd/cressknot/guard.go
+++ b/cmd/cressknot/guard.go
@@ -12,7 +12,7 @@
 )
 
 func guardCommand() *cobra.Command {
-	c := &cobra.Command{Use: "guard", Short: "Ask the guard", Args: positionalArgs(cobra.NoArgs)}
+	c := &cobra.Command{Use: "guard", Short: "Check tables against the guard's rules", Args: positionalArgs(cobra.NoArgs)}
 	c.AddCommand(guardCheckCommand())
 	return c
 }
@@ -21,23 +21,23 @@
 	var table, state string
 	c := &cobra.Command{
 		Use:   "check --table FILE --state FILE",
-		Short: "Judge a table against a state, offline",
-		Long: `Judge a table file against a state file and say in plain words who would be harmed. Exit code 1 when
-the table is harmful. docs/operate/guard.md has the files' form.`,
+		Short: "Check a table file against a state file, offline",
+		Long: `Check a table file against a state file with the guard's rules and print each violation. The exit code is 1
+if there is one. docs/operate/guard.md describes the format of both files.`,
 		Args: positionalArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if table == "" || state == "" {
-				return usageError{errors.New("guard check needs --table FILE and --state FILE")}
+				return usageError{errors.New("guard check requires --table FILE and --state FILE")}
 			}
 			return checkTable(c.OutOrStdout(), table, state)
 		},
 	}
-	c.Flags().StringVar(&table, "table", "", "the table")
-	c.Flags().StringVar(&state, "state", "", "what it is judged against")
+	c.Flags().StringVar(&table, "table", "", "table file (JSON)")
+	c.Flags().StringVar(&state, "state", "", "state file (JSON): servers and demand of the class")
 	return c
 }
 
-// checkTable prints the harm that a table would do; it fails if there is any.
+// checkTable prints the violations of the guard's rules by a table, and returns an error if there are any.
 func checkTable(out io.Writer, tablePath, statePath string) error {
 	table, err := os.ReadFile(tablePath)
 	if err != nil {
@@ -47,15 +47,15 @@
 	if err != nil {
 		return err
 	}
-	harms, err := safety.Check(tablePath, table, statePath, state)
+	violations, err := safety.Check(tablePath, table, statePath, state)
 	if err != nil {
 		return err
 	}
-	for _, harm := range harms {
-		printLine(out, harm)
+	for _, violation := range violations {
+		printLine(out, violation)
 	}
-	if len(harms) > 0 {
-		return fmt.Errorf("%d harms", len(harms))
+	if len(violations) > 0 {
+		return fmt.Errorf("%s: %d violations of the guard's rules", tablePath, len(violations))
 	}
 	printLine(out, "harmless")
 	return nil
--- a/cmd/cressknot/leases.go
+++ b/cmd/cressknot/leases.go
@@ -18,23 +18,26 @@
 	"cressknot/internal/rollingrestart"
 )
 
-// socketVariable is the environment variable with the socket of the controller to restart.
+// socketVariable is the environment variable that gives the restart command of "rolling" the operators' socket of the
+// controller to restart.
 const socketVariable = "CRESSKNOT_SOCKET"
 
 func retireCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "retire on|off",
-		Short: "Hand all proxies on to other governors, or take part again",
-		Long: `Hand all proxies of a governor on to those that it shares them with, some each second; it goes on
-running and takes only what nobody else does. 'show members' tells how far that is.`,
+		Short: "Hand over all proxies to other controllers, or serve proxies again",
+		Long: `With 'on', hand over all proxies of a controller to the controllers that share them, a limited number
+each second. The controller keeps running, but only serves proxies that no other controller serves.
+'show members' reports the progress. With 'off', the controller serves its planned proxies again.`,
 		Args: positionalArgs(cobra.ExactArgs(1)),
 	}
-	wait := c.Flags().Duration("wait", 0, "with on: wait so long until it holds no proxy; exit code 1 if it still does")
+	wait := c.Flags().Duration("wait", 0,
+		"with on: time limit for the controller to hand over all proxies; exit code 1 after it (0: no wait)")
 	socket := socketFlag(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
 		mode := args[0]
 		if mode != "on" && mode != "off" {
-			return usageError{fmt.Errorf("retire on or off, not %q", mode)}
+			return usageError{fmt.Errorf("retire: mode %q is not on or off", mode)}
 		}
 		err := ask(c.OutOrStdout(), socket, "retire", mode)
 		if err != nil || *wait == 0 || mode == "off" {
@@ -52,9 +55,10 @@
 func takeCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "take PROXY on|off",
-		Short: "Move a proxy to a governor by hand, or end that",
-		Long: `Ask the governor that is to have the proxy. It keeps it, though the plan has another one, until 'off' or
-its restart; when it dies the others take the proxy as any.`,
+		Short: "Assign a proxy to a controller by hand, or end the assignment",
+		Long: `Send this to the operators' socket of the controller that is to serve the proxy. The assignment overrides
+the plan until 'off' or the controller's restart. If the controller fails, another one takes over the
+proxy as usual.`,
 		Args: positionalArgs(cobra.ExactArgs(2)),
 	}
 	socket := socketFlag(c)
@@ -67,12 +71,12 @@
 func planCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "plan FILE",
-		Short: "Print which governor should serve which proxy, from settings, offline",
+		Short: "Print the planned controllers of each proxy for a settings file, offline",
 		Args:  positionalArgs(cobra.ExactArgs(1)),
 	}
 	without := c.Flags().StringSlice("without", nil,
-		"governors that are left out: the plan then, and how many proxies move")
-	with := c.Flags().StringSlice("with", nil, "governors that are added: the same")
+		"controllers to leave out of the plan; prints how many proxies move")
+	with := c.Flags().StringSlice("with", nil, "controllers to add to the plan; prints how many proxies move")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		settings, err := config.Load(args[0])
 		if err != nil {
@@ -80,7 +84,7 @@
 		}
 		configured := settings.Sharing.Controllers
 		if len(configured) == 0 {
-			return fmt.Errorf("%s: sharing.governors names nobody", args[0])
+			return fmt.Errorf("%s: sharing.governors: is empty; expected the names of the controllers", args[0])
 		}
 		planned, err := plannedControllers(configured, *without, *with)
 		if err != nil {
@@ -92,60 +96,63 @@
 	return c
 }
 
-// plannedControllers returns the configured controllers with some left out and some added.
+// plannedControllers returns the configured controllers minus those in without, plus those in with. A name in without
+// that is not configured, and an empty result, are usage errors.
 func plannedControllers(configured, without, with []string) ([]string, error) {
 	for _, name := range without {
 		if !slices.Contains(configured, name) {
-			return nil, usageError{fmt.Errorf("--without: %q is none of %s", name, strings.Join(configured, ", "))}
+			return nil, usageError{fmt.Errorf("--without: unknown controller %q, expected one of %s",
+				name, strings.Join(configured, ", "))}
 		}
 	}
 	planned := append(slices.Clone(configured), with...)
 	planned = slices.DeleteFunc(planned, func(name string) bool { return slices.Contains(without, name) })
 	if len(planned) == 0 {
-		return nil, usageError{errors.New("nobody is left")}
+		return nil, usageError{errors.New("--without: no controller is left")}
 	}
 	return planned, nil
 }
 
-// printPlan prints the controllers of each proxy in the order in which they take over, the load of each controller,
-// and how many proxies move from the configured plan.
-func printPlan(out io.Writer, shares []lease.ProxyLoad, configured, planned []string) {
-	before := lease.Plan(shares, configured)
-	after := lease.Plan(shares, planned)
+// printPlan prints the controllers of each proxy in order of preference, the load of each controller, and how many
+// proxies have another preferred controller than with the configured ones.
+func printPlan(out io.Writer, proxyLoads []lease.ProxyLoad, configured, planned []string) {
+	before := lease.Plan(proxyLoads, configured)
+	after := lease.Plan(proxyLoads, planned)
 	requestRates := map[string]float64{}
-	proxies := map[string]int{}
+	proxyCounts := map[string]int{}
 	moved := 0
-	for _, share := range shares {
-		controller := after[share.Proxy][0]
-		proxies[controller]++
-		requestRates[controller] += share.RequestRate
-		if before[share.Proxy][0] != controller {
+	for _, load := range proxyLoads {
+		controller := after[load.Proxy][0]
+		proxyCounts[controller]++
+		requestRates[controller] += load.RequestRate
+		if before[load.Proxy][0] != controller {
 			moved++
 		}
-		printf(out, "%s %s\n", share.Proxy, strings.Join(after[share.Proxy], " "))
+		printf(out, "%s %s\n", load.Proxy, strings.Join(after[load.Proxy], " "))
 	}
 	for _, controller := range planned {
-		printf(out, "# %s: %d proxies, %.1f visits a second\n", controller, proxies[controller], requestRates[controller])
+		printf(out, "# %s: %d proxies, %.1f requests per second\n",
+			controller, proxyCounts[controller], requestRates[controller])
 	}
-	printf(out, "# %d of %d proxies move\n", moved, len(shares))
+	printf(out, "# %d of %d proxies move\n", moved, len(proxyLoads))
 }
 
 func rollingCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "rolling --sockets A,B,... -- COMMAND [ARG ...]",
-		Short: "Restart governors one after the other, each when that is safe",
-		Long: `For each governor in turn: wait until every proxy has a governor, let this one hand its proxies on, run
-the command that restarts it (CRESSKNOT_SOCKET has its socket), wait until it answers and every
-proxy has a governor again. Anything that does not come to pass in time ends it there, with the
-governor that it stopped at named.`,
+		Short: "Restart controllers one after the other without leaving a proxy unserved",
+		Long: `For each controller in turn: wait until every proxy has a controller, make this controller hand over its
+proxies, run the command that restarts it (the environment variable CRESSKNOT_SOCKET holds its operators'
+socket), then wait until it answers and every proxy has a controller again. The first step that fails or
+exceeds --within ends the command with an error that names the controller's socket.`,
 		Args: positionalArgs(cobra.MinimumNArgs(1)),
 	}
 	sockets := c.Flags().StringSlice("sockets", nil,
-		"operators' sockets of the governors, in the order of their restarts")
-	timeout := c.Flags().Duration("within", time.Minute, "longest wait for each step")
+		"operators' sockets of the controllers, in restart order")
+	timeout := c.Flags().Duration("within", time.Minute, "time limit of each step")
 	c.RunE = func(c *cobra.Command, command []string) error {
 		if len(*sockets) == 0 {
-			return usageError{errors.New("rolling needs --sockets")}
+			return usageError{errors.New("rolling requires --sockets")}
 		}
 		return rollingrestart.Restart(c.Context(), *sockets, *timeout, func(ctx context.Context, socket string) error {
 			return runRestart(ctx, c.OutOrStdout(), command, socket)
@@ -154,14 +161,14 @@
 	return c
 }
 
-// runRestart runs the command that restarts one controller.
+// runRestart runs the command that restarts the controller at an operators' socket.
 func runRestart(ctx context.Context, out io.Writer, command []string, socket string) error {
 	run := exec.CommandContext(ctx, command[0], command[1:]...)
 	run.Env = append(os.Environ(), socketVariable+"="+socket)
 	run.Stdout = out
 	run.Stderr = os.Stderr
 	if err := run.Run(); err != nil {
-		return fmt.Errorf("%s: %w", command[0], err)
+		return fmt.Errorf("restart command %s: %w", command[0], err)
 	}
 	printLine(out, socket+": restarted")
 	return nil
--- a/cmd/cressknot/main.go
+++ b/cmd/cressknot/main.go
@@ -1,5 +1,5 @@
-// Command cressknot is the control service: it assigns servers to plain proxies by weight tables over their runtime
-// sockets.
+// Command cressknot is the control service: it distributes the requests of proxies over servers by weight tables, which
+// it sends to the proxies. Its other commands query and operate a running controller, or work on its files.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	exitUsage  = 2
 )
 
-// usageError is an error of the command line itself; the program exits with exitUsage then.
+// usageError is an error in the command line: the program exits with exitUsage instead of exitFailed.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
@@ -38,10 +38,10 @@
 	os.Exit(exitFailed)
 }
 
-// isUnknownCommand recognizes the error of an unknown command by its text, because cobra has no type for it.
+// isUnknownCommand recognizes an unknown command by the error's text, because cobra has no error type for it.
 func isUnknownCommand(err error) bool { return strings.HasPrefix(err.Error(), "unknown command") }
 
-// positionalArgs makes errors of a check of arguments usage errors.
+// positionalArgs turns the errors of an argument check into usage errors.
 func positionalArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
@@ -54,11 +54,11 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "cressknot",
-		Short: "Steers plain proxies: which servers each sends its visits to",
-		Long: `Cressknot runs a governor: it hears what proxies met at each server, and keeps the weights of
-their tables right while servers, proxies and governors fail.
+		Short: "Control service that distributes the requests of proxies over servers",
+		Long: `Cressknot runs a controller, which collects from proxies how each server performs, and keeps the weights of
+their tables up to date while servers, proxies and controllers fail.
 
-Exit codes: 0 done, 1 failed, 2 the command line was wrong.`,
+Exit codes: 0 success, 1 failure, 2 invalid command line.`,
 		Example: `  cressknot check governor.cue
   cressknot serve --config governor.cue
   cressknot show servers --socket /run/cressknot.sock
@@ -91,7 +91,7 @@
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
-		Short: "Print the version",
+		Short: "Print the program's version",
 		Args:  positionalArgs(cobra.NoArgs),
 		Run:   func(c *cobra.Command, _ []string) { printLine(c.OutOrStdout(), server.Version) },
 	}
--- a/cmd/cressknot/operators.go
+++ b/cmd/cressknot/operators.go
@@ -13,18 +13,18 @@
 	"cressknot/internal/rollingrestart"
 )
 
-// socketFlag adds the flags that name the operators' socket and returns a function that finds it: by flag, else by the
-// settings.
+// socketFlag adds the flags --socket and --config, and returns a function that returns the address of the operators'
+// socket: from --socket, else from the settings file of --config.
 func socketFlag(c *cobra.Command) func() (string, error) {
 	var socket, path string
-	c.Flags().StringVarP(&socket, "socket", "s", "", "operators' socket: path or host:port")
-	c.Flags().StringVarP(&path, "config", "c", "", "settings that name the socket")
+	c.Flags().StringVarP(&socket, "socket", "s", "", "operators' socket of the controller: path or host:port")
+	c.Flags().StringVarP(&path, "config", "c", "", "settings file of the controller, to read the socket from")
 	return func() (string, error) {
 		if socket != "" {
 			return socket, nil
 		}
 		if path == "" {
-			return "", usageError{errors.New("needs --socket PATH or --config FILE")}
+			return "", usageError{errors.New("--socket ADDRESS or --config FILE is required")}
 		}
 		settings, err := config.Load(path)
 		if err != nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-// ask sends one command to a controller and prints its answer.
+// ask sends one command to a controller's operators' socket and prints the answer.
 func ask(out io.Writer, socket func() (string, error), words ...string) error {
 	addr, err := socket()
 	if err != nil {
@@ -61,20 +61,21 @@
 	c := &cobra.Command{
 		Use: "show info|servers|tables|proxies|orders|log|refusals|doubts|peers|members [proxies]|reports|intake|" +
 			"series SERVER [MINUTES]",
-		Short:     "Show what a running governor holds",
+		Short:     "Show the state of a running controller",
 		ValidArgs: showTopics,
 	}
-	stale := c.Flags().Bool("stale", false, "with reports: only servers and proxies that something is wrong with")
+	stale := c.Flags().Bool("stale", false,
+		"with reports: only servers that are not healthy and proxies with outdated counters")
 	c.Args = positionalArgs(func(c *cobra.Command, args []string) error {
 		switch {
 		case len(args) == 0 || !slices.Contains(showTopics, args[0]):
-			return fmt.Errorf("show what? %s", strings.Join(showTopics, ", "))
+			return fmt.Errorf("show requires a topic, one of %s", strings.Join(showTopics, ", "))
 		case args[0] == "members" && len(args) == 2 && args[1] == "proxies":
 			return nil
 		case args[0] == "series":
 			return cobra.RangeArgs(2, 3)(c, args)
 		case *stale && args[0] != "reports":
-			return errors.New("--stale goes with reports")
+			return errors.New("--stale is only valid with reports")
 		}
 		return cobra.ExactArgs(1)(c, args)
 	})
@@ -92,7 +93,7 @@
 func topCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "top servers age|load|failures [N]",
-		Short: "Show the servers that stand out",
+		Short: "Rank servers by age of their reports, load or failures",
 		Args:  positionalArgs(cobra.RangeArgs(2, 3)),
 	}
 	socket := socketFlag(c)
@@ -105,7 +106,7 @@
 func explainCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "explain SERVER",
-		Short: "Tell why a server's weight is what it is",
+		Short: "Explain how a server's weight was determined",
 		Args:  positionalArgs(cobra.ExactArgs(1)),
 	}
 	socket := socketFlag(c)
@@ -115,26 +116,26 @@
 	return c
 }
 
-// tableSubcommand is a subcommand of "table", which passes its arguments to the controller.
+// tableSubcommand is a subcommand of "table". Its arguments are sent to the controller as they are.
 type tableSubcommand struct {
 	use, short       string
 	minArgs, maxArgs int
 }
 
 var tableSubcommands = []tableSubcommand{
-	{"history TABLE", "The versions that are kept: when, digest, lines changed, why", 1, 1},
-	{"show TABLE [VERSION]", "The lines of a version, of the present one if none is named", 1, 2},
-	{"diff TABLE VERSION [VERSION]", "What differs between two versions, or from one to the present", 2, 3},
-	{"rollback TABLE VERSION [TIME]", "Go back to the content of a version, pinned for a time (5m)", 2, 3},
-	{"pin TABLE [TIME]", "Hold a table against the module for a time (5m)", 1, 2},
-	{"unpin TABLE", "Let the module's table count again", 1, 1},
-	{"proxies", "Which version each proxy was told, and whether it is the newest", 0, 0},
+	{"history TABLE", "List the stored versions: time, digest, number of changed entries, reason", 1, 1},
+	{"show TABLE [VERSION]", "Print the entries of a version; default: the current one", 1, 2},
+	{"diff TABLE VERSION [VERSION]", "Compare two versions, or a version and the current one", 2, 3},
+	{"rollback TABLE VERSION [TIME]", "Restore the content of a version and pin it (default: 5m)", 2, 3},
+	{"pin TABLE [TIME]", "Keep a table unchanged by the balancer (default: 5m)", 1, 2},
+	{"unpin TABLE", "Let the balancer change the table again", 1, 1},
+	{"proxies", "Show which version each proxy was sent, and whether it is the latest", 0, 0},
 }
 
 func tableCommand() *cobra.Command {
 	table := &cobra.Command{
 		Use:   "table",
-		Short: "Versions of a table: history, a way back, pins",
+		Short: "Manage the versions of weight tables: history, rollback, pins",
 		Args:  positionalArgs(cobra.NoArgs),
 	}
 	for _, subcommand := range tableSubcommands {
--- a/cmd/cressknot/store.go
+++ b/cmd/cressknot/store.go
@@ -12,17 +12,17 @@
 	"cressknot/internal/store"
 )
 
-// storeCommand examines or copies the store of a controller that is stopped.
+// storeCommand returns the commands that check, print and copy the store of a stopped controller.
 func storeCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "store",
-		Short: "Check, print, compact, back up or restore what a governor keeps",
+		Short: "Check, print, compact, back up or restore the store of a stopped controller",
 		Args:  positionalArgs(cobra.NoArgs),
 	}
 	c.AddCommand(
 		&cobra.Command{
 			Use:   "check FOLDER",
-			Short: "Read all records and their checksums; exit code 1 if any can't be believed",
+			Short: "Verify the checksums of all records; exit code 1 if a record is damaged",
 			Args:  positionalArgs(cobra.ExactArgs(1)),
 			RunE:  func(c *cobra.Command, args []string) error { return checkStore(c.OutOrStdout(), args[0]) },
 		},
@@ -34,19 +34,19 @@
 		},
 		&cobra.Command{
 			Use:   "compact FOLDER",
-			Short: "Rewrite a store without what was replaced",
+			Short: "Rewrite a store without its replaced records",
 			Args:  positionalArgs(cobra.ExactArgs(1)),
 			RunE:  func(c *cobra.Command, args []string) error { return compactStore(c.OutOrStdout(), args[0]) },
 		},
 		&cobra.Command{
 			Use:   "backup FOLDER COPY",
-			Short: "Copy a store to a folder that isn't there yet",
+			Short: "Copy a store to a folder that must not exist yet",
 			Args:  positionalArgs(cobra.ExactArgs(2)),
 			RunE:  func(_ *cobra.Command, args []string) error { return backupStore(args[0], args[1]) },
 		},
 		&cobra.Command{
 			Use:   "restore COPY FOLDER",
-			Short: "Check a copy and put it where a governor finds it; the folder must not be there",
+			Short: "Verify a backup and copy it to a folder that must not exist yet",
 			Args:  positionalArgs(cobra.ExactArgs(2)),
 			RunE:  func(_ *cobra.Command, args []string) error { return restoreStore(args[0], args[1]) },
 		},
@@ -54,10 +54,11 @@
 	return c
 }
 
-// withStore opens a store for one function and closes it again.
+// withStore opens an existing store, calls do with it and closes it. The error of do takes precedence over that of the
+// close.
 func withStore(folder string, readOnly bool, do func(*store.Store) error) error {
 	if !store.Exists(folder) {
-		return fmt.Errorf("%s holds no store", folder)
+		return fmt.Errorf("%s: no store in this folder", folder)
 	}
 	opened, err := store.Open(store.Options{Directory: folder, ReadOnly: readOnly})
 	if err != nil {
@@ -70,7 +71,8 @@
 	return err
 }
 
-// readStore reads all records and fails if some are damaged.
+// readStore calls handle for each intact record, and returns the number of these and the bytes of their payloads.
+// Damaged records are an error.
 func readStore(
 	s *store.Store,
 	handle func(key string, payload []byte) error,
@@ -81,7 +83,7 @@
 		return handle(key, payload)
 	})
 	if err == nil && len(damage) > 0 {
-		err = fmt.Errorf("%d damaged records, the first is %s", len(damage), damage[0])
+		err = fmt.Errorf("%d damaged records, first: %s", len(damage), damage[0])
 	}
 	return records, size, err
 }
@@ -90,14 +92,14 @@
 	return withStore(folder, true, func(s *store.Store) error {
 		records, size, err := readStore(s, func(key string, payload []byte) error {
 			if !json.Valid(payload) {
-				return fmt.Errorf("record %s can't be read", key)
+				return fmt.Errorf("record %s: payload of %d bytes is not valid JSON", key, len(payload))
 			}
 			return nil
 		})
 		if err != nil {
 			return err
 		}
-		printf(out, "%d records, %d bytes, %d bytes on disk: all whole\n", records, size, s.Statistics().OnDisk)
+		printf(out, "%d records, %d bytes, %d bytes on disk: no damage\n", records, size, s.Statistics().OnDisk)
 		return nil
 	})
 }
@@ -122,21 +124,21 @@
 		if err := s.Compact(); err != nil {
 			return err
 		}
-		printf(out, "%d bytes were %d\n", s.Statistics().OnDisk, before)
+		printf(out, "compacted from %d to %d bytes\n", before, s.Statistics().OnDisk)
 		return nil
 	})
 }
 
-func backupStore(folder, copied string) error {
-	return withStore(folder, false, func(s *store.Store) error { return s.Backup(copied) })
+func backupStore(folder, backup string) error {
+	return withStore(folder, false, func(s *store.Store) error { return s.Backup(backup) })
 }
 
-// restoreStore copies a store to a folder that must not exist, if no record is damaged.
-func restoreStore(copied, folder string) error {
+// restoreStore copies a backup to a folder that must not exist. It copies nothing if a record is damaged.
+func restoreStore(backup, folder string) error {
 	if _, err := os.Stat(folder); err == nil {
-		return fmt.Errorf("%s is there already; move it away first", folder)
+		return fmt.Errorf("%s already exists; move or remove it first", folder)
 	}
-	return withStore(copied, false, func(s *store.Store) error {
+	return withStore(backup, false, func(s *store.Store) error {
 		_, _, err := readStore(s, func(string, []byte) error { return nil })
 		if err != nil {
 			return err
--- a/cmd/faultdrill/main.go
+++ b/cmd/faultdrill/main.go
@@ -1,5 +1,5 @@
-// Command faultdrill plays fault scenarios: simulated nodes, proxies, callers and list service on loopback, real
-// controllers as processes of their own, and the invariants judged from what passed on the sockets.
+// Command faultdrill runs fault scenarios: simulated servers, proxies, callers and list service on loopback, with each
+// controller as a real, separate process. The invariants are checked by the traffic on the simulated parts' sockets.
 package main
 
 import (
@@ -19,10 +19,10 @@
 	"cressknot/internal/testing/scenario"
 )
 
-// defaultScenario is played if none is named.
+// defaultScenario is the scenario that is run if none is given.
 const defaultScenario = "default"
 
-var errInvariantBroken = errors.New("a rule broke")
+var errRunFailed = errors.New("an invariant was violated or the scenario did not run as planned; see the report")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
@@ -33,7 +33,7 @@
 	}
 }
 
-// flags are the flags of the root command.
+// flags are the flags of the root command. Zero and empty values leave the scenario as it is.
 type flags struct {
 	json        bool
 	quiet       bool
@@ -51,9 +51,10 @@
 	var f flags
 	c := &cobra.Command{
 		Use:   "drill [DAY]",
-		Short: "Play a scripted bad day through real governors and judge the rules",
-		Long: `Play a day: one that the program holds (` + strings.Join(scenario.Names(), ", ") + `) or a day file.
-Stand-ins and governors run on loopback only and end with the day. Exit code 1 when a rule broke.`,
+		Short: "Run a fault scenario with real controllers and check the invariants",
+		Long: `Run a scenario (DAY): a built-in one (` + strings.Join(scenario.Names(), ", ") + `) or a scenario file.
+The simulated parts and the controllers run on loopback only and stop when the scenario ends. The exit code
+is 1 if an invariant was violated or the scenario did not run as planned.`,
 		Args:          cobra.MaximumNArgs(1),
 		SilenceErrors: true,
 		SilenceUsage:  true,
@@ -62,7 +63,7 @@
 			if len(args) > 0 {
 				name = args[0]
 			}
-			return f.play(c.Context(), c.OutOrStdout(), name)
+			return f.run(c.Context(), c.OutOrStdout(), name)
 		},
 	}
 	f.register(c)
@@ -70,7 +71,8 @@
 	return c
 }
 
-// controllerCommand runs a controller; the program starts itself with it.
+// controllerCommand returns the hidden command that runs one controller. The program starts itself with this command to
+// get each controller as a separate process.
 func controllerCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "governor CONFIG",
@@ -83,19 +85,20 @@
 func (f *flags) register(c *cobra.Command) {
 	set := c.Flags()
 	set.BoolVar(&f.json, "json", false, "print the report as JSON")
-	set.BoolVarP(&f.quiet, "quiet", "q", false, "no progress line")
-	set.BoolVar(&f.records, "records", false, "let governors record events and orders, for replay")
-	set.BoolVar(&f.noGuard, "no-guard", false, "governors go without their guard, to see what it keeps away")
-	set.StringVar(&f.keep, "keep", "", "folder that keeps settings, logs and records")
-	set.StringVar(&f.transport, "front", "", "runtime or files, in place of the day's")
-	set.IntVar(&f.nodes, "nodes", 0, "nodes, in place of the day's")
-	set.IntVar(&f.proxies, "proxies", 0, "proxies, in place of the day's")
-	set.IntVar(&f.controllers, "governors", 0, "governors, in place of the day's")
-	set.Float64Var(&f.requestRate, "visits", 0, "visits a second, in place of the day's")
+	set.BoolVarP(&f.quiet, "quiet", "q", false, "print no progress line")
+	set.BoolVar(&f.records, "records", false, "make the controllers record events and orders, for 'cressknot replay'")
+	set.BoolVar(&f.noGuard, "no-guard", false,
+		"disable the controllers' guard, to see the harmful tables that it prevents")
+	set.StringVar(&f.keep, "keep", "", "folder in which to keep settings, logs and records; default: a temporary one")
+	set.StringVar(&f.transport, "front", "", "override the proxies' transport: runtime or files")
+	set.IntVar(&f.nodes, "nodes", 0, "override the number of servers")
+	set.IntVar(&f.proxies, "proxies", 0, "override the number of proxies")
+	set.IntVar(&f.controllers, "governors", 0, "override the number of controllers")
+	set.Float64Var(&f.requestRate, "visits", 0, "override the request rate, in requests per second")
 }
 
-// play plays a scenario and prints its report.
-func (f *flags) play(ctx context.Context, out io.Writer, name string) error {
+// run runs a scenario and prints its report. It returns errRunFailed if the report says so.
+func (f *flags) run(ctx context.Context, out io.Writer, name string) error {
 	spec, err := scenario.Load(name)
 	if err != nil {
 		return err
@@ -125,12 +128,12 @@
 		return err
 	}
 	if !report.Passed() {
-		return errInvariantBroken
+		return errRunFailed
 	}
 	return nil
 }
 
-// override replaces settings of the scenario by those of the flags.
+// override applies the flags to the scenario. The guard can only be switched off.
 func (f *flags) override(spec *scenario.Spec) {
 	if f.nodes > 0 {
 		spec.Nodes = f.nodes
--- a/internal/testing/scenario/operatorfaults.go
+++ b/internal/testing/scenario/operatorfaults.go
@@ -87,7 +87,7 @@
 		history, err := ask(c.socket, "table history 0\n")
 		lines := strings.Split(strings.TrimSpace(history), "\n")
 		if err != nil || len(lines) < 2 {
-			r.reportProblem("%s has no history: %v %s", c.name, err, history)
+			r.reportProblem("%s: table history has no version to roll back to: error %v, answer %q", c.name, err, history)
 			return
 		}
 		good := strings.Fields(lines[len(lines)-1])[1]
@@ -123,7 +123,7 @@
 	_, rest, ok := strings.Cut(answer, "as version ")
 	version, _, _ := strings.Cut(rest, ",")
 	if err != nil || !ok {
-		r.reportProblem("%s: rollback: %v %s", c.name, err, answer)
+		r.reportProblem("%s: rollback to version %s: error %v, answer %q", c.name, good, err, answer)
 		return
 	}
 	waiting := map[int]bool{}
@@ -142,7 +142,8 @@
 		sleep(ctx, checkInterval/2)
 	}
 	if len(waiting) > 0 {
-		r.reportProblem("%d proxies of %s did not come to version %s", len(waiting), c.name, version)
+		r.reportProblem("%d proxies of %s did not get version %s within %s of the rollback",
+			len(waiting), c.name, version, rollbackTimeout)
 	}
 }
 
--- a/internal/testing/scenario/outage.go
+++ b/internal/testing/scenario/outage.go
@@ -168,7 +168,7 @@
 func ageCache(path string) error {
 	cached, problems := discovery.ReadCache(path)
 	if len(cached) == 0 {
-		return fmt.Errorf("no list was kept at %s: %v", path, problems)
+		return fmt.Errorf("%s: no cached endpoint list: %v", path, problems)
 	}
 	list := discovery.EndpointList{Revision: cached[0].Revision}
 	index := 0
--- a/internal/testing/scenario/print.go
+++ b/internal/testing/scenario/print.go
@@ -9,16 +9,14 @@
 )
 
 const (
-	// maxPrintedBreaks bounds the violations that are printed of a rule.
-	maxPrintedBreaks = 5
-	// maxPrintedNodes bounds the nodes whose weights are printed.
-	maxPrintedNodes = 40
+	maxPrintedViolations = 5  // of each invariant
+	maxPrintedServers    = 40 // in the table of weights
 )
 
-// Print writes the report as a table.
+// Print writes the report as plain text for a reader. It ignores write errors.
 func (r *Report) Print(out io.Writer) {
 	p := &printer{}
-	p.rules(r)
+	p.invariants(r)
 	p.classes(r)
 	p.weights(r)
 	p.controllers(r)
@@ -38,15 +36,15 @@
 
 func (p *printer) printf(format string, args ...any) { fmt.Fprintf(&p.Builder, format, args...) }
 
-func (p *printer) rules(r *Report) {
-	p.printf("day %s, %.0f s\n\n%-30s %9s  %s\n", r.Scenario, r.Length, "rule", "tried", "seen")
+func (p *printer) invariants(r *Report) {
+	p.printf("scenario %s, %.0f s\n\n%-30s %9s  %s\n", r.Scenario, r.Length, "invariant", "checks", "result")
 	for _, v := range r.Rules {
-		result := "kept"
+		result := "held"
 		if len(v.Breaks) > 0 {
-			result = fmt.Sprintf("BROKEN %d times", len(v.Breaks))
+			result = fmt.Sprintf("VIOLATED %d times", len(v.Breaks))
 		}
 		p.printf("%-30s %9d  %s: %s\n", v.Rule, v.Tested, result, v.Seen)
-		for _, b := range v.Breaks[:min(maxPrintedBreaks, len(v.Breaks))] {
+		for _, b := range v.Breaks[:min(maxPrintedViolations, len(v.Breaks))] {
 			p.printf("%42s %.2f s: %s\n", "", b.At.Seconds(), b.What)
 		}
 	}
@@ -54,7 +52,7 @@
 
 func (p *printer) classes(r *Report) {
 	p.printf("\n%-16s %8s %9s %7s %8s %7s %9s %9s\n",
-		"class", "visits", "in time", "late", "refused", "failed", "p50 ms", "p99 ms")
+		"class", "requests", "in time", "late", "rejected", "failed", "p50 ms", "p99 ms")
 	for _, c := range r.Classes {
 		percent := 100 / float64(max(1, c.Requests))
 		p.printf("%-16s %8d %8.1f%% %6.1f%% %7.1f%% %6.1f%% %9.1f %9.1f\n", c.Name, c.Requests,
@@ -64,7 +62,7 @@
 }
 
 func (p *printer) weights(r *Report) {
-	p.printf("\nshares of the first class over time (1 is even)\n%-12s", "at s")
+	p.printf("\nweights of the first class over time, relative to an equal share\n%-12s", "time in s")
 	names := map[string]bool{}
 	for _, sample := range r.Weights {
 		p.printf("%6.0f", sample.At)
@@ -73,20 +71,20 @@
 		}
 	}
 	order := slices.Sorted(maps.Keys(names))
-	for _, name := range order[:min(maxPrintedNodes, len(order))] {
+	for _, name := range order[:min(maxPrintedServers, len(order))] {
 		p.printf("\n%-12s", name)
 		for _, sample := range r.Weights {
 			p.printf("%6.2f", sample.Share[name])
 		}
 	}
-	if len(order) > maxPrintedNodes {
-		p.printf("\n(%d more)", len(order)-maxPrintedNodes)
+	if len(order) > maxPrintedServers {
+		p.printf("\n(%d more servers)", len(order)-maxPrintedServers)
 	}
 }
 
 func (p *printer) controllers(r *Report) {
 	p.printf("\n\n%-14s %7s %8s %8s %9s %9s %9s %10s %10s %9s\n",
-		"governor", "cpu s", "rss MiB", "turns", "p50 us", "p99 us", "most us", "lines", "messages", "replaced")
+		"controller", "CPU s", "RSS MiB", "steps", "p50 us", "p99 us", "max us", "entries", "messages", "replaced")
 	for _, c := range r.Controllers {
 		p.printf("%-14s %7.2f %8.1f %8s %9s %9s %9s %10s %10s %9s\n", c.Name, c.CPU, c.RSS, c.Info["Turns"],
 			c.Info["Turn_p50_us"], c.Info["Turn_p99_us"], c.Info["Turn_most_us"], c.Info["Lines_sent"],
@@ -97,24 +95,24 @@
 // operations prints withdrawals and weights set by hand.
 func (p *printer) operations(r *Report) {
 	if pairs := len(r.Withdrawals.FromCrash); pairs > 0 {
-		p.printf("\nfrom a node's fall until a proxy had shut it out: p50 %.3f s, p99 %.3f s "+
-			"(from the list's word: p50 %.3f s, p99 %.3f s; %d pairs)\n",
+		p.printf("\ntime from a server's crash until a proxy had withdrawn it: p50 %.3f s, p99 %.3f s "+
+			"(from the endpoint list's update: p50 %.3f s, p99 %.3f s); %d withdrawals\n",
 			quantile(r.Withdrawals.FromCrash, 0.5), quantile(r.Withdrawals.FromCrash, 0.99),
 			quantile(r.Withdrawals.FromNotification, 0.5), quantile(r.Withdrawals.FromNotification, 0.99), pairs)
 	}
 	if r.PushesAccepted+r.PushesRejected > 0 {
-		p.printf("\nweights set by hand: %d taken, %d refused\n", r.PushesAccepted, r.PushesRejected)
+		p.printf("\nweights set by hand: %d accepted, %d rejected\n", r.PushesAccepted, r.PushesRejected)
 	}
 }
 
 func (p *printer) loadReports(r *Report) {
 	if r.Flood != [3]int64{} {
-		p.printf("flood: %d reports taken, %d refused, %d batches lost\n", r.Flood[0], r.Flood[1], r.Flood[2])
+		p.printf("flood of load reports: %d accepted, %d rejected, %d batches lost\n", r.Flood[0], r.Flood[1], r.Flood[2])
 	}
 	if count := len(r.SilenceDetections) + r.UndetectedSilences; count > 0 {
 		slices.Sort(r.SilenceDetections)
-		p.printf("servers whose reports stopped while they served: told apart after %.1f s (p50), %.1f s (most), "+
-			"%d never; of %d\n",
+		p.printf("servers that stopped reporting while serving: detected after %.1f s (p50), %.1f s (max); "+
+			"%d of %d not detected\n",
 			quantile(r.SilenceDetections, 0.5), quantile(r.SilenceDetections, 1), r.UndetectedSilences, count)
 	}
 	for _, c := range r.Controllers {
@@ -122,8 +120,8 @@
 		if info["Pushed_records"] == "" || info["Pushed_records"] == "0" {
 			continue
 		}
-		p.printf("intake of %s: %s records pushed, %s thinned, %s odd, %s unbelieved; "+
-			"tries counted %s, told %s, waiting %s, aged %s, unheard %s; %s deadlines missed\n",
+		p.printf("load reports to %s: %s records, %s thinned, %s invalid, %s untrusted; "+
+			"attempts: %s counted, %s reported, %s pending, %s too old, %s of removed servers; %s deadlines missed\n",
 			c.Name, info["Pushed_records"], info["Pushed_thinned"], info["Pushed_odd"], info["Pushed_unbelieved"],
 			info["Tries_counted"], info["Tries_told"], info["Tries_waiting"], info["Tries_aged"], info["Tries_unheard"],
 			info["Deadlines_missed"])
@@ -132,18 +130,19 @@
 
 func (p *printer) leases(r *Report) {
 	if count := len(r.UnservedGaps); count > 0 {
-		p.printf("proxies without a governor between two sessions: p50 %.3f s, p99 %.3f s, most %.3f s; %d times\n",
+		p.printf("time that proxies had no controller between two sessions: p50 %.3f s, p99 %.3f s, max %.3f s; %d times\n",
 			quantile(r.UnservedGaps, 0.5), quantile(r.UnservedGaps, 0.99), r.UnservedGaps[count-1], count)
 	}
 	if r.RollingRestart > 0 {
-		p.printf("rolling restart of all governors: %.1f s\n", r.RollingRestart)
+		p.printf("rolling restart of all controllers: %.1f s\n", r.RollingRestart)
 	}
 }
 
 func (p *printer) clientPrograms(r *Report) {
 	for _, program := range r.ClientPrograms {
 		attemptsPerRequest := float64(program.Attempts) / float64(max(1, program.Requests))
-		p.printf("%s over %s: %d visits, %.3f tries each, %d further ones kept back; followed %d times, %.1f s without\n",
+		p.printf("%s over %s: %d requests, %.3f attempts per request, %d retries denied; "+
+			"%d watches, %.1f s without a watch\n",
 			program.Name, program.Protocol, program.Requests, attemptsPerRequest, program.Denied, program.Watches,
 			program.UnwatchedSeconds)
 	}
@@ -153,26 +152,26 @@
 	if d == nil || len(d.Served) == 0 || len(d.LiveAfter) == 0 {
 		return
 	}
-	p.printf("without the list's source: proxies held tables after %.1f s (p50), %.1f s (most), %d never; "+
-		"%.1f%% in time after 10 s; %d lines of ghosts then\n",
+	p.printf("start without the endpoint source: proxies had tables after %.1f s (p50), %.1f s (max), %d never; "+
+		"after 10 s %.1f%% of the requests were answered in time and %d table entries were stale\n",
 		quantile(d.Served, 0.5), d.Served[len(d.Served)-1], d.NeverServed, 100*d.InTimeFraction, d.StaleEntries)
-	p.printf("its list counted %.2f s after its return; within a second at most %.1f%% of the visits moved, "+
-		"a server gained at most %.2f even shares\n",
+	p.printf("return of the endpoint source: its list was in use after %.2f s; within a second at most %.1f%% of the "+
+		"requests moved, and a server gained at most %.2f equal shares\n",
 		d.LiveAfter[len(d.LiveAfter)-1], 100*d.MaxShift, d.MaxGain)
 }
 
 func (p *printer) versions(r *Report) {
 	if count := len(r.Rollbacks); count > 0 {
-		p.printf("from the command to go back until a proxy held that version: p50 %.3f s, p99 %.3f s, most %.3f s; "+
+		p.printf("time from the rollback command until a proxy had that version: p50 %.3f s, p99 %.3f s, max %.3f s; "+
 			"%d proxies\n",
 			quantile(r.Rollbacks, 0.5), quantile(r.Rollbacks, 0.99), r.Rollbacks[count-1], count)
 	}
 	if len(r.Versions) == 0 {
 		return
 	}
-	p.printf("versions that proxies ended on:")
+	p.printf("proxies by last table version:")
 	for _, version := range slices.Sorted(maps.Keys(r.Versions)) {
-		p.printf(" %s %d", version, r.Versions[version])
+		p.printf(" %s: %d", version, r.Versions[version])
 	}
 	p.printf("\n")
 }
@@ -182,18 +181,19 @@
 		if c.Info["Guard_stopped"] == "" {
 			continue
 		}
-		p.printf("guard of %s: %s proposals passed, %s held back or lowered; %s versions, a delta is %s%% of the whole\n",
+		p.printf("guard of %s: %s changes passed, %s stopped or limited; "+
+			"%s table versions, deltas take %s%% of full tables\n",
 			c.Name, c.Info["Guard_passed"], c.Info["Guard_stopped"], c.Info["Versions"], c.Info["Delta_share_percent"])
 	}
 }
 
 func (p *printer) conclusion(r *Report) {
 	for _, problem := range r.Problems {
-		p.printf("\nthe drill itself: %s", problem)
+		p.printf("\nproblem of the drill: %s", problem)
 	}
 	if r.Passed() {
-		p.printf("\nall rules kept\n")
+		p.printf("\nall invariants held\n")
 	} else {
-		p.printf("\nA RULE BROKE or the drill failed: the run counts for nothing\n")
+		p.printf("\nFAILED: an invariant was violated or the drill had problems; discard the figures of this run\n")
 	}
 }
--- a/internal/testing/scenario/runner.go
+++ b/internal/testing/scenario/runner.go
@@ -168,7 +168,7 @@
 	r.closeClientPrograms()
 	for _, c := range r.controllers {
 		if err := c.stop(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
-			r.reportProblem("stopping %v", err)
+			r.reportProblem("stop controller: %v", err)
 		}
 	}
 	figures := r.figures()
@@ -204,7 +204,7 @@
 	}
 	text, err := ask(c.socket, "show info;show intake\n")
 	if err != nil {
-		r.reportProblem("%s did not answer: %v", c.name, err)
+		r.reportProblem("%s: read counters from the operators' socket: %v", c.name, err)
 		return usage
 	}
 	for line := range strings.SplitSeq(text, "\n") {
--- a/internal/testing/scenario/scenario_test.go
+++ b/internal/testing/scenario/scenario_test.go
@@ -69,7 +69,7 @@
 	r := playScenario(t, "small", func(o *Options) { dir = o.Keep })
 	for _, v := range r.Rules {
 		if len(v.Breaks) > 0 || v.Tested == 0 {
-			t.Errorf("%s: tried %d times, %v", v.Rule, v.Tested, v.Breaks)
+			t.Errorf("%s: checked %d times, violations %v", v.Rule, v.Tested, v.Breaks)
 		}
 	}
 	if len(r.Problems) > 0 {
@@ -82,7 +82,7 @@
 	defer func() { _ = f.Close() }()
 	steps, orders, err := eventlog.Replay("records", f)
 	if err != nil || steps < 20 || orders < 20 {
-		t.Errorf("replayed %d steps, %d orders: %v", steps, orders, err)
+		t.Errorf("replayed %d steps and %d orders, error %v; want at least 20 of each", steps, orders, err)
 	}
 	if t.Failed() {
 		var b strings.Builder
@@ -158,7 +158,7 @@
 			})
 			for _, v := range r.Rules {
 				if v.Rule == rule && len(v.Breaks) == 0 {
-					t.Errorf("not detected: %s", v.Seen)
+					t.Errorf("violation not detected: %s", v.Seen)
 				}
 			}
 		})
@@ -177,7 +177,7 @@
 	})
 	expectRulesHeld(t, r)
 	if len(r.SilenceDetections) != 4 || r.UndetectedSilences != 0 || r.Flood[0]+r.Flood[1] == 0 {
-		t.Errorf("noticed %v, %d not; flood %v", r.SilenceDetections, r.UndetectedSilences, r.Flood)
+		t.Errorf("silent reporters detected after %v s, %d not detected; flood %v", r.SilenceDetections, r.UndetectedSilences, r.Flood)
 	}
 	for _, g := range r.Controllers {
 		if g.Info["Pushed_thinned"] == "" || g.Info["Pushed_thinned"] == "0" || g.Info["Tries_told"] == "0" {
@@ -203,7 +203,7 @@
 		d.InTimeFraction < 0.8 ||
 		len(d.LiveAfter) != 2 ||
 		d.MaxShift > 0.25 {
-		t.Errorf("%+v %v", d, r.Problems)
+		t.Errorf("outage %+v, problems %v", d, r.Problems)
 	}
 }
 
@@ -266,12 +266,12 @@
 		judged = judged || v.Rule == invariants.RuleSingleController && v.Tested > 0
 	}
 	if !judged || len(r.Problems) > 0 {
-		t.Errorf("judged %v, %v", judged, r.Problems)
+		t.Errorf("invariant of a single controller checked: %v, problems %v", judged, r.Problems)
 	}
 }
 
 // kills is the number of crashes that TestRepeatedCrashesKeepInvariants plays; -kills 100 for the long run.
-var kills = flag.Int("kills", 10, "kills of a governor to play")
+var kills = flag.Int("kills", 10, "number of controller crashes to play")
 
 // TestRepeatedCrashesKeepInvariants crashes a controller ten times: the rules hold, and it continues from the
 // versions in its store each time.
@@ -308,6 +308,7 @@
 	damaged := strings.Contains(string(log), "stored record is damaged")
 	hasList := strings.Contains(string(log), `"list":true`)
 	if starts != *kills+1 || damaged || !hasList {
-		t.Errorf("started %d times from the store, in\n%s", starts, log)
+		t.Errorf("restored state from the store %d times, want %d; damaged records: %v, endpoint list restored: %v; log:\n%s",
+			starts, *kills+1, damaged, hasList, log)
 	}
 }
--- a/internal/testing/scenario/spec.go
+++ b/internal/testing/scenario/spec.go
@@ -102,18 +102,18 @@
 		text, err = os.ReadFile(name)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("day %s: %w; the program holds %s", name, err, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("scenario %s: %w; built-in scenarios: %s", name, err, strings.Join(Names(), ", "))
 	}
 	ctx := cuecontext.New()
 	form := ctx.CompileString(schema, cue.Filename("day.cue")).LookupPath(cue.ParsePath("#Day"))
 	content := ctx.CompileBytes(text, cue.Filename(name))
 	complete := form.Unify(content)
 	if err := errors.Join(content.Err(), complete.Validate(cue.Concrete(true), cue.Final())); err != nil {
-		return nil, fmt.Errorf("day %s:\n%s", name, cueerrors.Details(err, nil))
+		return nil, fmt.Errorf("scenario %s:\n%s", name, cueerrors.Details(err, nil))
 	}
 	spec := &Spec{}
 	if err := complete.Decode(spec); err != nil {
-		return nil, fmt.Errorf("day %s: %w", name, err)
+		return nil, fmt.Errorf("scenario %s: %w", name, err)
 	}
 	return spec, nil
 }
--- a/internal/testing/scenario/tally.go
+++ b/internal/testing/scenario/tally.go
@@ -67,7 +67,7 @@
 func (t *tally) summary() string {
 	inTime, requests := t.sums()
 	percent := 100 * float64(inTime) / float64(max(1, requests))
-	return fmt.Sprintf("%d visits, %.1f%% handled in time", requests, percent)
+	return fmt.Sprintf("%d requests, %.1f%% answered in time", requests, percent)
 }
 
 // classes returns the rows of a report.
