--- a/cmd/cressknot/leases.go
+++ b/cmd/cressknot/leases.go
@@ -39,7 +39,7 @@
 		if mode != "on" && mode != "off" {
 			return usageError{fmt.Errorf("retire: mode %q is not on or off", mode)}
 		}
-		err := ask(c.OutOrStdout(), socket, "retire", mode)
+		err := sendCommand(c.OutOrStdout(), socket, "retire", mode)
 		if err != nil || *wait == 0 || mode == "off" {
 			return err
 		}
@@ -63,7 +63,7 @@
 	}
 	socket := socketFlag(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
-		return ask(c.OutOrStdout(), socket, "take", args[0], args[1])
+		return sendCommand(c.OutOrStdout(), socket, "take", args[0], args[1])
 	}
 	return c
 }
@@ -140,7 +140,7 @@
 func rollingCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "rolling --sockets A,B,... -- COMMAND [ARG ...]",
-		Short: "Restart controllers one after the other without leaving a proxy unserved",
+		Short: "Restart controllers one after the other, each after handing over its proxies",
 		Long: `For each controller in turn: wait until every proxy has a controller, make this controller hand over its
 proxies, run the command that restarts it (the environment variable CRESSKNOT_SOCKET holds its operators'
 socket), then wait until it answers and every proxy has a controller again. The first step that fails or
--- a/cmd/cressknot/operators.go
+++ b/cmd/cressknot/operators.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// ask sends one command to a controller's operators' socket and prints the answer.
-func ask(out io.Writer, socket func() (string, error), words ...string) error {
+// sendCommand sends one command to a controller's operators' socket and prints the answer.
+func sendCommand(out io.Writer, socket func() (string, error), words ...string) error {
 	addr, err := socket()
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 		if *stale {
 			words = append(words, "stale")
 		}
-		return ask(c.OutOrStdout(), socket, words...)
+		return sendCommand(c.OutOrStdout(), socket, words...)
 	}
 	return c
 }
@@ -98,7 +98,7 @@
 	}
 	socket := socketFlag(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
-		return ask(c.OutOrStdout(), socket, append([]string{"top"}, args...)...)
+		return sendCommand(c.OutOrStdout(), socket, append([]string{"top"}, args...)...)
 	}
 	return c
 }
@@ -111,7 +111,7 @@
 	}
 	socket := socketFlag(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
-		return ask(c.OutOrStdout(), socket, "explain", args[0])
+		return sendCommand(c.OutOrStdout(), socket, "explain", args[0])
 	}
 	return c
 }
@@ -153,7 +153,7 @@
 	}
 	socket := socketFlag(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
-		return ask(c.OutOrStdout(), socket, append([]string{"table", verb}, args...)...)
+		return sendCommand(c.OutOrStdout(), socket, append([]string{"table", verb}, args...)...)
 	}
 	return c
 }
--- a/cmd/faultdrill/main.go
+++ b/cmd/faultdrill/main.go
@@ -19,7 +19,7 @@
 	"cressknot/internal/testing/scenario"
 )
 
-// defaultScenario is the scenario that is run if none is given.
+// defaultScenario is the name of the scenario that is run if no argument is given.
 const defaultScenario = "default"
 
 var errRunFailed = errors.New("an invariant was violated or the scenario did not run as planned; see the report")
@@ -33,18 +33,18 @@
 	}
 }
 
-// flags are the flags of the root command. Zero and empty values leave the scenario as it is.
+// flags holds the values of the root command's flags. Zero and empty values leave the scenario unchanged.
 type flags struct {
-	json        bool
-	quiet       bool
-	records     bool
-	noGuard     bool
-	keep        string
-	transport   string
-	nodes       int
-	proxies     int
-	controllers int
-	requestRate float64
+	json         bool
+	quiet        bool
+	recordEvents bool
+	noGuard      bool
+	outputDir    string
+	transport    string
+	nodes        int
+	proxies      int
+	controllers  int
+	requestRate  float64
 }
 
 func rootCommand() *cobra.Command {
@@ -52,7 +52,9 @@
 	c := &cobra.Command{
 		Use:   "drill [DAY]",
 		Short: "Run a fault scenario with real controllers and check the invariants",
-		Long: `Run a scenario (DAY): a built-in one (` + strings.Join(scenario.Names(), ", ") + `) or a scenario file.
+		Long: `Run a scenario (DAY): a scenario file or a built-in one of these:
+` + strings.Join(scenario.Names(), ", ") + `
+
 The simulated parts and the controllers run on loopback only and stop when the scenario ends. The exit code
 is 1 if an invariant was violated or the scenario did not run as planned.`,
 		Args:          cobra.MaximumNArgs(1),
@@ -86,10 +88,10 @@
 	set := c.Flags()
 	set.BoolVar(&f.json, "json", false, "print the report as JSON")
 	set.BoolVarP(&f.quiet, "quiet", "q", false, "print no progress line")
-	set.BoolVar(&f.records, "records", false, "make the controllers record events and orders, for 'cressknot replay'")
+	set.BoolVar(&f.recordEvents, "records", false, "make the controllers record events and orders, for 'cressknot replay'")
 	set.BoolVar(&f.noGuard, "no-guard", false,
 		"disable the controllers' guard, to see the harmful tables that it prevents")
-	set.StringVar(&f.keep, "keep", "", "folder in which to keep settings, logs and records; default: a temporary one")
+	set.StringVar(&f.outputDir, "keep", "", "folder in which to keep settings, logs and records (default: none are kept)")
 	set.StringVar(&f.transport, "front", "", "override the proxies' transport: runtime or files")
 	set.IntVar(&f.nodes, "nodes", 0, "override the number of servers")
 	set.IntVar(&f.proxies, "proxies", 0, "override the number of proxies")
@@ -109,15 +111,15 @@
 		return err
 	}
 	options := scenario.Options{
-		Spec:    spec,
-		Keep:    f.keep,
-		Records: f.records,
-		Launch:  func(config string) *exec.Cmd { return exec.Command(self, "governor", config) },
+		Spec:         spec,
+		OutputDir:    f.outputDir,
+		RecordEvents: f.recordEvents,
+		Launch:       func(config string) *exec.Cmd { return exec.Command(self, "governor", config) },
 	}
 	if !f.quiet {
 		options.Progress = os.Stderr
 	}
-	report, err := scenario.Play(ctx, options)
+	report, err := scenario.Run(ctx, options)
 	if !f.quiet {
 		fmt.Fprintln(os.Stderr)
 	}
--- a/internal/testing/scenario/callers.go
+++ b/internal/testing/scenario/callers.go
@@ -12,34 +12,35 @@
 )
 
 const (
-	// callTimeout is the longest time that any call to a simulated part lasts.
+	// callTimeout bounds each HTTP request to a simulated proxy.
 	callTimeout = 60 * time.Second
-	// callerIdleConnections and callerIdleTimeout bound the connections to proxies that are kept open.
+	// callerIdleConnections (per proxy) and callerIdleTimeout bound the idle connections to proxies.
 	callerIdleConnections = 256
 	callerIdleTimeout     = 10 * time.Second
-	// callerRandomStream and programRandomStream distinguish random numbers of callers from others of the same seed.
+	// callerRandomStream and programRandomStream are the first random number streams of the callers and the client
+	// programs. Different streams are independent although they use the scenario's seed.
 	callerRandomStream  = 100
 	programRandomStream = 300
-	// minCallerFactor and callerSpread spread the rates of proxies' callers.
+	// minCallerFactor and callerSpread define the range of the callers' rates per proxy, relative to the mean rate.
 	minCallerFactor = 0.4
 	callerSpread    = 1.2
-	// samples is how many times the weights are sampled, the first time after half an interval.
-	samples = 10
-	// progressInterval is the time between two progress lines.
+	// weightSampleCount is the number of weight samples in a scenario. The first is taken after half an interval.
+	weightSampleCount = 10
+	// progressInterval is the interval between progress lines.
 	progressInterval = time.Second
 )
 
-// meanRate is the mean request rate of a proxy's callers or a client program.
+// meanRate returns the mean request rate per proxy or client program, in requests per second.
 func (r *runner) meanRate() float64 {
 	return r.Spec.RequestRate / float64(r.Spec.Proxies+r.Spec.ClientPrograms)
 }
 
-// loadFloat reads a float that is stored by its bits.
+// loadFloat reads a float64 that is stored as its bits.
 func loadFloat(bits interface{ Load() uint64 }) float64 { return math.Float64frombits(bits.Load()) }
 
-// arrivals calls handle at random times (a Poisson process) with the present rate per second until the context ends,
-// whatever becomes of earlier calls.
-func arrivals(ctx context.Context, rng *rand.Rand, rate func() float64, handle func()) {
+// poissonArrivals calls handle at the times of a Poisson process with the current rate per second until the context
+// ends. Delays in handling don't reduce the rate: late arrivals follow without a pause.
+func poissonArrivals(ctx context.Context, rng *rand.Rand, rate func() float64, handle func()) {
 	next := time.Now()
 	for {
 		next = next.Add(time.Duration(rng.ExpFloat64() / rate() * float64(time.Second)))
@@ -53,7 +54,7 @@
 	}
 }
 
-// startCallers lets requests come to each proxy at random times.
+// startCallers sends requests to each proxy as a Poisson process.
 func (r *runner) startCallers(ctx context.Context) {
 	client := &http.Client{
 		Timeout: callTimeout,
@@ -73,7 +74,7 @@
 			return rate
 		}
 		r.runInBackground(func() {
-			arrivals(ctx, rng, rate, func() {
+			poissonArrivals(ctx, rng, rate, func() {
 				class := r.drawClass(rng)
 				id := r.requestIDs.Add(1)
 				r.runInBackground(func() { r.call(ctx, client, i, class, id) })
@@ -82,7 +83,7 @@
 	}
 }
 
-// drawClass draws a class by its share of the requests.
+// drawClass draws the index of a class with a probability proportional to its share of the requests.
 func (r *runner) drawClass(rng *rand.Rand) int {
 	sum := 0.0
 	for _, class := range r.Spec.Classes {
@@ -99,7 +100,8 @@
 	return last
 }
 
-// call sends a request to a proxy. It ends by itself, after the scenario's end if need be.
+// call sends a request to a proxy and counts its outcome. A request in flight at the end of the scenario is not
+// canceled; it ends at the class's hard stop at the latest.
 func (r *runner) call(ctx context.Context, client *http.Client, proxy, class int, id uint64) {
 	spec := r.Spec.Classes[class]
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Duration(spec.HardStop))
@@ -121,27 +123,27 @@
 	r.tally.count(class, status, time.Since(began), time.Duration(spec.Expected))
 }
 
-// startSampling samples the weights some times during the scenario, and prints progress.
+// startSampling starts to sample the weights periodically and to print progress.
 func (r *runner) startSampling(ctx context.Context) {
 	r.runInBackground(func() {
 		length := time.Duration(r.Spec.Length)
-		next := length / samples / 2
+		next := length / weightSampleCount / 2
 		for sleep(ctx, progressInterval) {
 			at := time.Since(r.started)
 			if r.Progress != nil {
 				_, _ = fmt.Fprintf(r.Progress, "\r%4.0f s of %.0f s  %s", at.Seconds(), length.Seconds(), r.tally.summary())
 			}
 			if at >= next {
-				next += length / samples
+				next += length / weightSampleCount
 				r.sampleWeights(at)
 			}
 		}
 	})
 }
 
-// sampleWeights adds the mean weights of the first class to the report.
+// sampleWeights adds the mean weights of the first class over all proxies to the report.
 func (r *runner) sampleWeights(at time.Duration) {
-	row := Weights{At: at.Seconds(), Share: map[string]float64{}}
+	row := WeightSample{At: at.Seconds(), Share: map[string]float64{}}
 	for _, proxy := range r.proxies {
 		for name, part := range proxy.Weights(r.firstClass()) {
 			row.Share[name] += part * float64(len(r.nodes)) / float64(len(r.proxies))
--- a/internal/testing/scenario/clientprogram.go
+++ b/internal/testing/scenario/clientprogram.go
@@ -18,13 +18,14 @@
 )
 
 const (
-	// programIdleConnections, programIdleTimeout and programDialTimeout configure connections to nodes.
+	// programIdleConnections (per server), programIdleTimeout and programDialTimeout configure connections to servers.
 	programIdleConnections = 64
 	programIdleTimeout     = 15 * time.Second
 	programDialTimeout     = 400 * time.Millisecond
 )
 
-// clientProgram is a program that sends its requests itself, by the client library; to the invariants it is a proxy.
+// clientProgram is a program that sends its requests to servers with the client library instead of through a proxy. The
+// invariants treat it as a proxy.
 type clientProgram struct {
 	name     string
 	zone     string
@@ -32,23 +33,23 @@
 	client   *client.Client
 	http     http.Client
 
-	watches        atomic.Int64 // number of watches that began
-	unwatched      atomic.Int64 // nanoseconds without a watch
-	unwatchedSince atomic.Int64 // nanoseconds since the scenario's start; 0: a controller is watched
+	watches        atomic.Int64 // number of watches that were started
+	unwatched      atomic.Int64 // nanoseconds without a watch, in total
+	unwatchedSince atomic.Int64 // when the watch was lost, in nanoseconds since the scenario's start; 0: it is open
 }
 
-// ClientProgramRow is the result of a client program.
-type ClientProgramRow struct {
+// ClientProgramResult counts the requests, attempts and watches of a client program.
+type ClientProgramResult struct {
 	Name             string  `json:"name"`
 	Protocol         string  `json:"over"`
 	Requests         uint64  `json:"visits"`
 	Attempts         uint64  `json:"tries"`
-	Denied           uint64  `json:"denied"`
+	Denied           uint64  `json:"denied"` // retries and hedged requests that the library's budget did not allow
 	Watches          int64   `json:"follows"`
-	UnwatchedSeconds float64 `json:"without_s"`
+	UnwatchedSeconds float64 `json:"without_s"` // total time without a watch
 }
 
-// startClientPrograms starts the client programs, over both protocols in turn, and their requests.
+// startClientPrograms starts the client programs, alternately over gRPC and the text protocol, and their requests.
 func (r *runner) startClientPrograms(ctx context.Context) error {
 	for i := range r.Spec.ClientPrograms {
 		program, err := r.newClientProgram(i) //nolint:contextcheck // a client lives until Close, not for a context
@@ -94,7 +95,7 @@
 	return program, err
 }
 
-// watchChanged records that a program's watch began or ended.
+// watchChanged records that a program's watch was opened or lost.
 func (r *runner) watchChanged(program *clientProgram, up bool) {
 	at := int64(time.Since(r.started))
 	if !up {
@@ -109,7 +110,7 @@
 	}
 }
 
-// watchEndpoints reports to the watch whether a program has an endpoint for each class.
+// watchEndpoints records periodically whether a program has an endpoint for each class, for the availability invariant.
 func (r *runner) watchEndpoints(ctx context.Context, program *clientProgram) {
 	for sleep(ctx, 2*checkInterval) {
 		for _, class := range r.Spec.Classes {
@@ -118,21 +119,22 @@
 	}
 }
 
-// sendRequests lets a program send requests at random times.
+// sendRequests sends a program's requests as a Poisson process, once it has received endpoints.
 func (r *runner) sendRequests(ctx context.Context, program *clientProgram, index uint64) {
 	if program.client.Ready(ctx) != nil {
 		return
 	}
 	rng := rand.New(rand.NewPCG(r.Spec.Seed, programRandomStream+index))
 	rate := func() float64 { return r.meanRate() * loadFloat(&r.rateFactor) }
-	arrivals(ctx, rng, rate, func() {
+	poissonArrivals(ctx, rng, rate, func() {
 		class := r.drawClass(rng)
 		id := r.requestIDs.Add(1)
 		r.runInBackground(func() { r.sendRequest(ctx, program, class, id) })
 	})
 }
 
-// sendRequest sends one request. It ends by itself, after the scenario's end if need be.
+// sendRequest sends one request with its retries and counts its outcome. A request in flight at the end of the scenario
+// is not canceled.
 func (r *runner) sendRequest(ctx context.Context, program *clientProgram, class int, id uint64) {
 	spec := r.Spec.Classes[class]
 	position, err := program.client.Class(spec.Name)
@@ -156,6 +158,7 @@
 	r.tally.count(class, status, time.Since(began), time.Duration(spec.Expected))
 }
 
+// clientResult converts the outcome of a simulated request to the client library's result.
 func clientResult(outcome fakes.RequestOutcome) client.Result {
 	result := client.Result{Outcome: client.Failed, Load: outcome.Load, Err: outcome.Err}
 	switch {
@@ -167,11 +170,11 @@
 	return result
 }
 
-// closeClientPrograms ends the programs and reports their results.
+// closeClientPrograms closes the programs and adds their results to the report.
 func (r *runner) closeClientPrograms() {
 	for _, program := range r.clientPrograms {
 		counts := program.client.Counts()
-		r.report.ClientPrograms = append(r.report.ClientPrograms, ClientProgramRow{
+		r.report.ClientPrograms = append(r.report.ClientPrograms, ClientProgramResult{
 			Name:             program.name,
 			Protocol:         program.protocol,
 			Requests:         counts.Requests,
--- a/internal/testing/scenario/controllerfaults.go
+++ b/internal/testing/scenario/controllerfaults.go
@@ -16,7 +16,7 @@
 	rollingDownTime = time.Second / 2
 )
 
-// rolling restarts all controllers one after the other, as the command of that name does.
+// rolling restarts all controllers one after the other, like the command "cressknot rolling".
 func (r *runner) rolling(ctx context.Context, _ FaultSpec) {
 	var sockets []string
 	for _, c := range r.controllers {
@@ -39,8 +39,8 @@
 	r.report.RollingRestart = time.Since(began).Seconds()
 }
 
-// controllerCrash kills controllers and restarts them. Proxies that read files can't see that their controller is
-// down: they count as disconnected meanwhile.
+// controllerCrash kills controllers and restarts them after the fault's duration. Proxies that read files have no
+// session that would end, so they are recorded as disconnected until the restart.
 func (r *runner) controllerCrash(ctx context.Context, spec FaultSpec) {
 	controllers := r.pickControllers(spec.Fraction)
 	forFileProxies := func(do func(proxy string)) {
@@ -59,8 +59,9 @@
 	r.restartControllers(controllers)
 }
 
+// kill ends a controller's process with SIGKILL.
 func (r *runner) kill(c *controllerProcess) {
-	c.usage() // the largest memory is not known after the end
+	c.usage() // peak memory can only be read while the process runs
 	if err := c.stop(syscall.SIGKILL); err != nil {
 		r.reportProblem("%v", err)
 	}
@@ -74,6 +75,7 @@
 	}
 }
 
+// controllerStall repeatedly stops controllers with SIGSTOP and continues them after a time.
 func (r *runner) controllerStall(ctx context.Context, spec FaultSpec) {
 	stall := millis(orDefault(spec.Size, defaultStallMillis))
 	controllers := r.pickControllers(spec.Fraction)
@@ -101,7 +103,7 @@
 	r.lister.Delay(0)
 }
 
-// listDownForSome lets the list service fail some controllers.
+// listDownForSome makes the list service answer some controllers with errors.
 func (r *runner) listDownForSome(ctx context.Context, spec FaultSpec) {
 	for _, c := range r.pickControllers(spec.Fraction) {
 		r.lister.FailFor(c.name, true)
--- a/internal/testing/scenario/day.cue
+++ b/internal/testing/scenario/day.cue
@@ -1,11 +1,11 @@
-// A day of a drill: how large, who calls, and what goes wrong when.
+// Schema of the scenario files of faultdrill: size of the fleet, traffic, and faults.
 
 #Time: =~"^[0-9]+(\\.[0-9]+)?(ms|s|m)$"
 
 #Class: {
 	name:     =~"^[a-z0-9-]+$"
 	share:    number & >0
-	work:     #Time // on a core of speed 1
+	work:     #Time // processing time of a request on a core of speed 1
 	effect:   *"safe" | "keyed" | "unsafe"
 	window:   #Time | *"5s"
 	expected: #Time
@@ -20,11 +20,11 @@
 		"shared-slow" | "heavy-tail" | "answers-lost" | "class-fails" | "one-sided" | "slow-link" | "reports-late" |
 		"burst" | "hot-caller" | "proxy-restart" | "proxy-stall" | "governor-kill" | "governor-stall" | "list-down" |
 		"list-late" | "cut" | "slow-reader" | "push" | "bad-table" | "flood" | "mute" | "dark" | "rolling" | "list-dark"
-	part:  number & >=0 & <=1 | *0 // of the nodes, proxies or governors; 0: one of them
-	size:  number & >=0 | *0       // times slower, share that fails, times the visits, reports a second
-	every: #Time | *"1s"           // pauses, flapping, stalls: between two
+	part:  number & >=0 & <=1 | *0 // fraction of the servers, proxies or controllers; 0: one of them
+	size:  number & >=0 | *0       // factor, fraction that fails, duration or reports/s, by kind; 0: default
+	every: #Time | *"1s"           // interval of repeated faults: pauses, flapping, stalls
 	class: string | *""
-	push:  *"" | "empty" | "drained" | "crowd" // what staff push: all lines to 0, a drained node back, a cold one alone
+	push:  *"" | "empty" | "drained" | "crowd" // by hand: all weights 0, draining servers up, all on one in slow start
 }
 
 #Day: {
@@ -35,17 +35,17 @@
 	nodes:     int & >=1 & <=400
 	proxies:   int & >=1 & <=400
 	governors: int & >=1 & <=16 | *1
-	peers:     bool | *false // governors hear each other
-	sharing:   bool | *false // all governors may serve all proxies, and agree at them
-	libraries: int & >=0 & <=400 | *0 // programs that send visits themselves, by the client libraries in turn
-	visits:    number & >0 // a second, all proxies together
+	peers:     bool | *false // controllers exchange state by gossip
+	sharing:   bool | *false // controllers share all proxies by leases
+	libraries: int & >=0 & <=400 | *0 // programs that send requests with the client libraries, gRPC and text in turn
+	visits:    number & >0 // requests per second in total
 	front:     *"runtime" | "files"
 	admission: *"all" | "share"
 	guard:     bool | *true
-	faults: [...string] | *[] // of the governors, as their settings have them
-	standing:  int & >=1 | *10 // servers in a proxy's own table
-	pushed:    bool | *false // nodes push reports to all governors, which take load figures from there
-	store:     bool | *true // governors keep what must last over their deaths
+	faults: [...string] | *[] // faults of the controllers, as in their settings
+	standing:  int & >=1 | *10 // servers in a proxy's own initial table
+	pushed:    bool | *false // servers push load reports to all controllers, which use the load figures in them
+	store:     bool | *true // controllers persist their state in a store
 	lineDelay: =~"^[0-9]+us$" | *"30us"
 	classes:   [#Class, ...#Class] | *[
 		#Class & {name: "slot-look", share: 0.4, work: "60ms", expected: "500ms", hardStop: "2s", value: 3},
--- a/internal/testing/scenario/days/bad-table.cue
+++ b/internal/testing/scenario/days/bad-table.cue
@@ -1,4 +1,4 @@
-// A poor table on a busy evening: staff force nearly all visits on one node, service falls, and they go back.
+// Operators set weights that send nearly all requests to one server under high load, and roll the table back.
 name:      "bad-table"
 length:    "26s"
 nodes:     12
--- a/internal/testing/scenario/days/default.cue
+++ b/internal/testing/scenario/days/default.cue
@@ -1,4 +1,4 @@
-// The default day: a minute in which most of what can fail does.
+// The default scenario: most kinds of faults within a minute.
 name:      "default"
 length:    "60s"
 nodes:     24
--- a/internal/testing/scenario/days/flood.cue
+++ b/internal/testing/scenario/days/flood.cue
@@ -1,4 +1,4 @@
-// A crowd of reporters that nobody asked for, while a node dies, another one's reporter breaks, and a third goes slow.
+// A flood of unexpected load reports, while servers crash, stop reporting or become slow.
 name:      "flood"
 length:    "40s"
 nodes:     12
--- a/internal/testing/scenario/days/harm.cue
+++ b/internal/testing/scenario/days/harm.cue
@@ -1,5 +1,5 @@
-// Harmful tables: staff push some through the operators' socket, and a governor's module goes without its bound on cold
-// servers. With the guard no harm reaches a proxy; --no-guard shows what it keeps away.
+// Harmful tables: operators set weights by hand, and the balancer doesn't limit the load of servers in slow start. With
+// the guard no harmful table reaches a proxy; --no-guard shows the effect without it.
 name:      "harm"
 length:    "32s"
 nodes:     8
--- a/internal/testing/scenario/days/kills.cue
+++ b/internal/testing/scenario/days/kills.cue
@@ -1,4 +1,4 @@
-// A governor killed outright ten times at odd moments, while nodes come and go.
+// A controller is killed ten times at irregular intervals while servers crash and drain.
 name:      "kills"
 length:    "24s"
 nodes:     10
--- a/internal/testing/scenario/days/kinds.cue
+++ b/internal/testing/scenario/days/kinds.cue
@@ -1,4 +1,4 @@
-// Every kind of trouble that the bench's day reports name, one after the other and in part together.
+// Every kind of fault that the reports of the bench name, one after the other with some overlap.
 name:      "kinds"
 length:    "110s"
 nodes:     16
--- a/internal/testing/scenario/days/large.cue
+++ b/internal/testing/scenario/days/large.cue
@@ -1,4 +1,4 @@
-// What one machine can carry: 150 nodes, 200 proxies. Too long for the tests.
+// The largest fleet that one machine can run: 150 servers and 200 proxies. Takes too long for the tests.
 name:      "large"
 length:    "60s"
 nodes:     150
--- a/internal/testing/scenario/days/library.cue
+++ b/internal/testing/scenario/days/library.cue
@@ -1,4 +1,4 @@
-// Programs that send their visits themselves, by the client libraries, beside two proxies; what can go wrong for them does.
+// Programs that send requests with the client libraries, beside two proxies, with the faults that affect them.
 name:      "library"
 length:    "40s"
 nodes:     12
--- a/internal/testing/scenario/days/peers.cue
+++ b/internal/testing/scenario/days/peers.cue
@@ -1,4 +1,5 @@
-// The list's source fails one of two governors for most of the day, while servers drain and die; they hear each other.
+// The endpoint source fails for one of two controllers for most of the scenario while servers drain and crash. The
+// controllers exchange state by gossip.
 name:      "peers"
 length:    "60s"
 nodes:     16
--- a/internal/testing/scenario/days/rolling.cue
+++ b/internal/testing/scenario/days/rolling.cue
@@ -1,4 +1,4 @@
-// Three governors that share all proxies are restarted one after the other, then all killed at once.
+// Three controllers that share all proxies are restarted one after the other, then all killed at once.
 name:      "rolling"
 length:    "75s"
 nodes:     16
--- a/internal/testing/scenario/days/sharing.cue
+++ b/internal/testing/scenario/days/sharing.cue
@@ -1,4 +1,5 @@
-// Three governors that may all serve all proxies: they die, stand still, come back one after the other.
+// Three controllers that share all proxies; one crashes, and one stalls for longer than its leases last,
+// while servers and proxies fail too.
 name:      "sharing"
 length:    "70s"
 nodes:     16
--- a/internal/testing/scenario/days/small.cue
+++ b/internal/testing/scenario/days/small.cue
@@ -1,4 +1,4 @@
-// A short day for the tests: the hardest of the default one.
+// A short scenario for the tests with the most severe faults of the default one.
 name:      "small"
 length:    "14s"
 nodes:     8
--- a/internal/testing/scenario/faults.go
+++ b/internal/testing/scenario/faults.go
@@ -8,13 +8,13 @@
 	"cressknot/internal/testing/fakes"
 )
 
-// faultHandler carries out one fault until its end.
+// faultHandler injects one fault and returns when the fault has ended.
 type faultHandler func(r *runner, ctx context.Context, spec FaultSpec)
 
-// preemptNotice is the time between the notice of a preemption and the end of the node.
+// preemptNotice is the time between the notice of a preemption and the end of the server.
 const preemptNotice = 3 * time.Second
 
-// Sizes of faults whose specification has none.
+// Default sizes of faults; scenario files override them with "size".
 const (
 	defaultSlowFactor     = 5
 	defaultSharedFactor   = 2
@@ -34,9 +34,10 @@
 	minProxyDownMillis    = 500
 )
 
-// faultKinds are the kinds of faults by their names in scenario files; docs/operate/fault-drills.md describes them.
+// faultKinds holds the fault handlers by the names that scenario files use; docs/operate/fault-drills.md describes
+// them.
 var faultKinds = map[string]faultHandler{
-	// Of nodes.
+	// Faults of servers.
 	"crash":    (*runner).crash,
 	"flapping": (*runner).flapping,
 	"drain": func(r *runner, ctx context.Context, spec FaultSpec) {
@@ -74,7 +75,7 @@
 	"flood": (*runner).flood,
 	"mute":  (*runner).stopReports,
 
-	// Of callers and proxies.
+	// Faults of callers and proxies.
 	"reports-late":  (*runner).reportsLate,
 	"burst":         (*runner).burst,
 	"hot-caller":    (*runner).hotCaller,
@@ -83,7 +84,7 @@
 	"cut":           (*runner).cutSessions,
 	"slow-reader":   (*runner).slowReader,
 
-	// Of controllers and the list service.
+	// Faults of controllers and the list service.
 	"governor-kill":  (*runner).controllerCrash,
 	"governor-stall": (*runner).controllerStall,
 	"rolling":        (*runner).rolling,
@@ -92,7 +93,7 @@
 	"list-dark":      (*runner).listDownForSome,
 	"dark":           (*runner).discoveryOutage,
 
-	// Of operators.
+	// Mistakes of operators.
 	"push":      (*runner).pushTables,
 	"bad-table": (*runner).badTable,
 }
@@ -127,12 +128,13 @@
 	}
 }
 
-// countOf returns a fraction of a number, at least 1.
+// countOf returns a fraction of a number, rounded, but at least 1 and at most the number.
 func countOf(fraction float64, number int) int {
 	return min(number, max(1, int(math.Round(fraction*float64(number)))))
 }
 
-// pickNodes draws nodes without another fault; a fraction of 1 means all nodes. Release ends the fault's claim on them.
+// pickNodes draws servers that have no other fault, and reserves them for a fault until release is called. A fraction
+// of 1 means all servers, also those with another fault.
 func (r *runner) pickNodes(fraction float64) (nodes []*fakes.Node, release func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,19 +155,19 @@
 	}
 }
 
-// pickProxies draws indexes of proxies.
+// pickProxies draws a fraction of the proxies, at least one, and returns their indexes.
 func (r *runner) pickProxies(fraction float64) []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.Perm(len(r.proxies))[:countOf(fraction, len(r.proxies))]
 }
 
-// pickControllers returns the first controllers.
+// pickControllers returns the first controllers: a fraction of all, at least one.
 func (r *runner) pickControllers(fraction float64) []*controllerProcess {
 	return r.controllers[:countOf(fraction, len(r.controllers))]
 }
 
-// class returns the class that a fault concerns.
+// class returns the class that a fault affects: the specified one, else the first.
 func (r *runner) class(spec FaultSpec) string {
 	if spec.Class != "" {
 		return spec.Class
--- a/internal/testing/scenario/fleet.go
+++ b/internal/testing/scenario/fleet.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// proxyMap and trackedTable are names of the map and the stick table of proxies.
+	// proxyMap and trackedTable are the names of the proxies' map and stick table.
 	proxyMap     = "cressknot"
 	trackedTable = "nodes"
-	// proxyEjectionDuration is how long a proxy ejects a server.
+	// proxyEjectionDuration is how long a proxy ejects a server after outlierFailures failures in a row.
 	proxyEjectionDuration = 4 * time.Second
 
 	nodeCores       = 2
@@ -24,16 +24,16 @@
 	speedSpread     = 0.2
 	nodeSeedFactor  = 1000
 	proxySeedFactor = 2000
-	// minNodesPerZone is how many nodes a zone needs for its proxies to have initial entries of the zone only.
+	// minNodesPerZone is the mean number of servers per zone from which on a proxy's initial entries are only of its zone.
 	minNodesPerZone = 3
-	// maxWeight is the largest weight of a server.
+	// maxWeight is the maximum weight that the proxies' runtime API accepts.
 	maxWeight = 256
 )
 
-// nodeSpeeds are the speeds of the kinds of nodes.
+// nodeSpeeds are the relative speeds of the servers, assigned in turn.
 var nodeSpeeds = []float64{1.5, 1, 0.6}
 
-// startFleet starts all simulated parts and controllers.
+// startFleet starts the list service, the servers, the proxies and the controllers.
 func (r *runner) startFleet() error {
 	lister, err := fakes.NewLister(r.watch)
 	if err != nil {
@@ -52,6 +52,7 @@
 	return r.startControllers()
 }
 
+// startNodes starts the simulated servers and returns their entries for the endpoint list.
 func (r *runner) startNodes() ([]fakes.Entry, error) {
 	spec := r.Spec
 	work := map[string]time.Duration{}
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// initialEntries draws the entries of a proxy's own configuration, from its zone if that has enough nodes.
+// initialEntries draws the entries of a proxy's own configuration, from its zone if the zones have enough servers.
 func (r *runner) initialEntries(entries []fakes.Entry, zone string) []fakes.Entry {
 	var initial []fakes.Entry
 	anyZone := r.Spec.Nodes < minNodesPerZone*len(r.Spec.Zones)
@@ -141,7 +142,7 @@
 	return initial
 }
 
-// folder returns a proxy's folder if proxies read files.
+// folder returns the folder from which a proxy reads its tables, "" if proxies don't read files.
 func (r *runner) folder(i int) string {
 	if r.Spec.Transport != "files" {
 		return ""
@@ -149,7 +150,7 @@
 	return filepath.Join(r.dir, fmt.Sprintf("p%d", i+1))
 }
 
-// startControllers starts the controllers; each serves the proxies of some zones.
+// startControllers assigns the proxies to controllers by zone, and starts the controllers.
 func (r *runner) startControllers() error {
 	for i := range r.Spec.Controllers {
 		r.controllers = append(r.controllers, &controllerProcess{name: fmt.Sprintf("governor-%d", i+1)})
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// startReports lets nodes send load reports.
+// startReports makes servers send load reports to all controllers that accept them.
 func (r *runner) startReports(ctx context.Context) {
 	var urls []string
 	for _, c := range r.controllers {
@@ -195,14 +196,14 @@
 	}
 }
 
-// newestNode returns the node that started last.
+// newestNode returns the server that was started last.
 func (r *runner) newestNode() *fakes.Node {
 	return slices.MaxFunc(r.nodes, func(a, b *fakes.Node) int { return a.Started().Compare(b.Started()) })
 }
 
-// forceCommands makes proxies follow a broken controller's commands.
+// forceCommands repeatedly executes commands at the proxies that a broken controller would send.
 func (r *runner) forceCommands(ctx context.Context) {
-	if len(r.ForcedCommands) == 0 && !r.CrowdNewestNode {
+	if len(r.ForcedCommands) == 0 && !r.OverloadNewestNode {
 		return
 	}
 	r.runInBackground(func() {
@@ -212,23 +213,23 @@
 					proxy.Execute(strings.Fields(command)...)
 				}
 			}
-			if r.CrowdNewestNode {
-				r.crowdNewestNode()
+			if r.OverloadNewestNode {
+				r.overloadNewestNode()
 			}
 		}
 	})
 }
 
-// crowdNewestNode sends all requests to the newest node during its slow start, once the controllers were notified of
-// it: what comes before would be no controller's command.
-func (r *runner) crowdNewestNode() {
+// overloadNewestNode gives all weight to the newest server during its slow start. It waits until the controllers have
+// been notified of the server, since the invariant only covers commands of controllers that know of the start.
+func (r *runner) overloadNewestNode() {
 	newest := r.newestNode()
 	age := time.Since(newest.Started())
 	if newest.Started().IsZero() || age < 2*startNoticeDelay || age > time.Duration(r.Spec.Servers.ColdFor) {
 		return
 	}
 	for _, proxy := range r.proxies {
-		r.watch.Message(proxy.Name, len(r.nodes)) // as if its controller had sent this
+		r.watch.Message(proxy.Name, len(r.nodes)) // recorded as a message of its controller
 		for _, class := range r.Spec.Classes {
 			for _, node := range r.nodes {
 				target := class.Name + "/" + node.Name
--- a/internal/testing/scenario/nodefaults.go
+++ b/internal/testing/scenario/nodefaults.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// withdrawalTimeout bounds the measurement of a withdrawal.
+	// withdrawalTimeout bounds the measurement of a withdrawal. Later withdrawals are not in the report.
 	withdrawalTimeout = 8 * time.Second
-	// ageingSteps is the number of steps in which an ageing node becomes slower.
+	// ageingSteps is the number of steps in which an ageing server becomes slower.
 	ageingSteps = 10
-	// ageingRestartDelay is the time between the crash and the restart of an aged node.
+	// ageingRestartDelay is the time between the crash and the restart of an aged server.
 	ageingRestartDelay = 4 * time.Second
-	// floodedFraction is the part of the nodes whose names false reports use: their own reports are lost among these.
+	// floodedFraction is the fraction of the servers in whose names a flood sends reports. The servers' own reports are
+	// lost among these.
 	floodedFraction = 0.25
-	// silenceCheckInterval is the time between two checks of whether a controller has detected silent reporters.
+	// silenceCheckInterval is the interval at which a controller is polled for detected silent reporters.
 	silenceCheckInterval = 5 * checkInterval
 )
 
-// injectFault injects a fault into some nodes.
+// injectFault injects a fault into some servers for the fault's duration.
 func (r *runner) injectFault(ctx context.Context, spec FaultSpec, fault fakes.Fault) {
 	nodes, release := r.pickNodes(spec.Fraction)
 	defer release()
@@ -31,7 +32,8 @@
 	wait(ctx, spec.Duration)
 }
 
-// injectRepeatedly injects a fault into some nodes again and again, each time for a duration.
+// injectRepeatedly injects a fault into some servers for a duration, then pauses for the fault's interval, and repeats
+// this until the fault ends.
 func (r *runner) injectRepeatedly(ctx context.Context, spec FaultSpec, fault fakes.Fault, duration time.Duration) {
 	nodes, release := r.pickNodes(spec.Fraction)
 	defer release()
@@ -63,7 +65,7 @@
 	r.injectFault(ctx, spec, fakes.Fault{Slow: orDefault(spec.Size, defaultSharedFactor)})
 }
 
-// oneSided lets nodes fail for the proxies of the first controller only.
+// oneSided makes servers fail for the proxies of the first controller only.
 func (r *runner) oneSided(ctx context.Context, spec FaultSpec) {
 	proxies := map[string]bool{}
 	for i, proxy := range r.proxies {
@@ -75,7 +77,7 @@
 	r.injectFault(ctx, spec, fault)
 }
 
-// slowLink delays requests from the last zone's proxies to the first zone's nodes.
+// slowLink delays requests from the last zone's proxies to the first zone's servers.
 func (r *runner) slowLink(ctx context.Context, spec FaultSpec) {
 	zones := r.Spec.Zones
 	proxies := map[string]bool{}
@@ -93,7 +95,8 @@
 	wait(ctx, spec.Duration)
 }
 
-// crashNodes ends nodes at once; the list notices it later. It measures when each proxy has withdrawn them.
+// crashNodes ends servers at once; the list service notices it after deathNoticeDelay. It measures when each proxy has
+// withdrawn them.
 func (r *runner) crashNodes(ctx context.Context, nodes []*fakes.Node) {
 	crashed := time.Now()
 	for _, node := range nodes {
@@ -107,7 +110,7 @@
 	}
 }
 
-// measureWithdrawal measures when the proxies that used a node at its crash have withdrawn it.
+// measureWithdrawal measures when each proxy that used a server at its crash has withdrawn it.
 func (r *runner) measureWithdrawal(ctx context.Context, node string, crashed time.Time) {
 	using := map[int]bool{}
 	for i, proxy := range r.proxies {
@@ -126,8 +129,8 @@
 	}
 }
 
-// recordWithdrawal records a withdrawal. Without a notification the controller withdrew the node by its own
-// observations.
+// recordWithdrawal records a withdrawal. If the controller was not notified before, it withdrew the server because of
+// its own measurements, and only the time from the crash is recorded.
 func (r *runner) recordWithdrawal(proxy, node string, crashed time.Time) {
 	notifiedAt, notified := r.watch.NotifiedSince(proxy, node, crashed)
 	r.mu.Lock()
@@ -139,7 +142,7 @@
 	}
 }
 
-// restartNodes starts nodes again, with a slow start.
+// restartNodes starts servers again, with a slow start. The list service notices it after startNoticeDelay.
 func (r *runner) restartNodes(ctx context.Context, nodes []*fakes.Node) {
 	for _, node := range nodes {
 		if err := node.Up(); err != nil {
@@ -152,6 +155,7 @@
 	}
 }
 
+// crash crashes servers and restarts them after the fault's duration.
 func (r *runner) crash(ctx context.Context, spec FaultSpec) {
 	nodes, release := r.pickNodes(spec.Fraction)
 	defer release()
@@ -160,6 +164,7 @@
 	r.restartNodes(ctx, nodes)
 }
 
+// flapping crashes and restarts servers in turn.
 func (r *runner) flapping(ctx context.Context, spec FaultSpec) {
 	nodes, release := r.pickNodes(spec.Fraction)
 	defer release()
@@ -171,7 +176,7 @@
 	})
 }
 
-// drain lists nodes as draining, ends them after a time, and restarts them at the end.
+// drain lists servers as draining, ends them after a time, and restarts them at the end of the fault.
 func (r *runner) drain(ctx context.Context, spec FaultSpec, after time.Duration) {
 	nodes, release := r.pickNodes(spec.Fraction)
 	defer release()
@@ -187,7 +192,7 @@
 	r.restartNodes(ctx, nodes)
 }
 
-// ageing slows nodes down step by step until they crash.
+// ageing slows servers down step by step, crashes them, and restarts them after ageingRestartDelay.
 func (r *runner) ageing(ctx context.Context, spec FaultSpec) {
 	nodes, release := r.pickNodes(spec.Fraction)
 	defer release()
@@ -205,7 +210,7 @@
 	r.restartNodes(ctx, nodes)
 }
 
-// flood sends unexpected load reports to all controllers.
+// flood sends unexpected load reports in the names of some servers to all controllers, at a high rate.
 func (r *runner) flood(ctx context.Context, spec FaultSpec) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(spec.Duration))
 	defer cancel()
@@ -228,7 +233,8 @@
 	r.report.Flood = [3]int64{flood.Accepted.Load(), flood.Rejected.Load(), flood.Failed.Load()}
 }
 
-// stopReports stops the reports of nodes that continue to serve, and measures when each controller has detected it.
+// stopReports stops the load reports of servers that continue to serve, and measures when each controller has detected
+// it.
 func (r *runner) stopReports(ctx context.Context, spec FaultSpec) {
 	nodes, release := r.pickNodes(spec.Fraction)
 	defer release()
@@ -243,6 +249,7 @@
 	wait(ctx, spec.Duration)
 }
 
+// measureSilenceDetection polls a controller until it shows all given servers as silent reporters.
 func (r *runner) measureSilenceDetection(
 	ctx context.Context,
 	c *controllerProcess,
@@ -255,7 +262,7 @@
 		undetected[node.Name] = true
 	}
 	for len(undetected) > 0 && time.Since(stopped) < timeout && sleep(ctx, silenceCheckInterval) {
-		text, err := ask(c.socket, "show reports stale\n")
+		text, err := sendCommand(c.socket, "show reports stale\n")
 		if err != nil {
 			continue
 		}
--- a/internal/testing/scenario/operatorfaults.go
+++ b/internal/testing/scenario/operatorfaults.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// pushInterval is the time between two rounds of weights set by hand.
+	// pushInterval is the pause between two rounds of weights set by hand.
 	pushInterval = 300 * time.Millisecond
 	// rollbackTimeout bounds the measurement of a rollback.
 	rollbackTimeout = 10 * time.Second
-	// noPush leaves a node's weight alone.
+	// noPush stands for a weight that is not set.
 	noPush = -1
 )
 
-// Kinds of weights that are set by hand.
+// Kinds of weights that are set by hand, by their names in scenario files.
 const (
-	pushEmpty   = "empty"   // withdraws all nodes
-	pushDrained = "drained" // gives draining and dead nodes the largest weight
-	pushCrowd   = "crowd"   // gives all requests to a node in slow start
+	pushEmpty   = "empty"   // withdraws all servers
+	pushDrained = "drained" // gives draining and dead servers the maximum weight
+	pushCrowd   = "crowd"   // gives all weight to a server in slow start
 )
 
-// pushTables sets weights by hand through the operators' sockets again and again, and counts what was rejected.
+// pushTables repeatedly sets weights by hand through the operators' sockets, and counts the accepted and the rejected
+// ones. It clears them at the end.
 func (r *runner) pushTables(ctx context.Context, spec FaultSpec) {
 	repeat(ctx, spec.Duration, func() {
 		r.pushWeights(spec.Push)
@@ -33,7 +34,7 @@
 	})
 	for _, c := range r.controllers {
 		for _, node := range r.nodes {
-			_, _ = ask(c.socket, fmt.Sprintf("clear weight 0/%s\n", node.Name))
+			_, _ = sendCommand(c.socket, fmt.Sprintf("clear weight 0/%s\n", node.Name))
 		}
 	}
 }
@@ -46,7 +47,7 @@
 			if weight == noPush {
 				continue
 			}
-			answer, err := ask(c.socket, fmt.Sprintf("set weight 0/%s %d\n", node.Name, weight))
+			answer, err := sendCommand(c.socket, fmt.Sprintf("set weight 0/%s %d\n", node.Name, weight))
 			if err == nil {
 				r.countPush(!strings.HasPrefix(answer, "Refused"))
 			}
@@ -54,7 +55,7 @@
 	}
 }
 
-// pushedWeight returns the weight to set for a node, noPush for none.
+// pushedWeight returns the weight to set by hand for a server, or noPush.
 func (r *runner) pushedWeight(kind string, node, newest *fakes.Node) int {
 	slowStart := time.Since(newest.Started()) < time.Duration(r.Spec.Servers.ColdFor)
 	switch {
@@ -80,11 +81,11 @@
 	}
 }
 
-// badTable forces a poor table on each controller and rolls it back after a while. It measures how long it takes from
-// the command until each proxy has the version that was rolled back to.
+// badTable sets weights by hand on each controller that give most requests to one server, and rolls the table back
+// after the fault's duration.
 func (r *runner) badTable(ctx context.Context, spec FaultSpec) {
 	for i, c := range r.controllers {
-		history, err := ask(c.socket, "table history 0\n")
+		history, err := sendCommand(c.socket, "table history 0\n")
 		lines := strings.Split(strings.TrimSpace(history), "\n")
 		if err != nil || len(lines) < 2 {
 			r.reportProblem("%s: table history has no version to roll back to: error %v, answer %q", c.name, err, history)
@@ -106,20 +107,22 @@
 	}
 }
 
-// setWeight sets a weight by hand, with the forced command where one is offered.
+// setWeight sets a weight by hand. If the guard rejects it and offers a command that overrides the guard, it sends that
+// command.
 func (r *runner) setWeight(c *controllerProcess, node string, weight int) {
-	answer, err := ask(c.socket, fmt.Sprintf("set weight 0/%s %d\n", node, weight))
+	answer, err := sendCommand(c.socket, fmt.Sprintf("set weight 0/%s %d\n", node, weight))
 	if _, forced, offered := strings.Cut(answer, "within 30 s: "); err == nil && offered {
-		answer, err = ask(c.socket, strings.TrimSpace(forced)+"\n")
+		answer, err = sendCommand(c.socket, strings.TrimSpace(forced)+"\n")
 	}
 	r.countPush(err == nil && strings.TrimSpace(answer) == "")
 }
 
-// measureRollback rolls a controller's table back and measures when each of its proxies has the version.
+// measureRollback rolls a controller's table back, and measures the time from the command until each of the
+// controller's proxies has that version.
 func (r *runner) measureRollback(ctx context.Context, index int, good string) {
 	c := r.controllers[index]
 	began := time.Now()
-	answer, err := ask(c.socket, "table rollback 0 "+good+" 5m\n")
+	answer, err := sendCommand(c.socket, "table rollback 0 "+good+" 5m\n")
 	_, rest, ok := strings.Cut(answer, "as version ")
 	version, _, _ := strings.Cut(rest, ",")
 	if err != nil || !ok {
--- a/internal/testing/scenario/outage.go
+++ b/internal/testing/scenario/outage.go
@@ -15,29 +15,32 @@
 )
 
 const (
-	// cacheAge is the age that cached lists get.
+	// cacheAge is the age that the cached endpoint lists are given.
 	cacheAge = 24 * time.Hour
-	// serveTimeout is how long a start without discovery may take.
+	// serveTimeout bounds the time from a start without the endpoint source until proxies have tables. The stale entries
+	// and the requests are measured from then on.
 	serveTimeout = 10 * time.Second
 	// proxyDownTime is how long the proxies are down.
 	proxyDownTime = time.Second
-	// outageCheckInterval and shiftInterval are the times between two checks during and after the outage.
+	// outageCheckInterval and shiftInterval are the intervals of checks during the outage and after it.
 	outageCheckInterval = 5 * checkInterval
 	shiftInterval       = 10 * checkInterval
-	// shiftSamples is how many times the shift of weights is sampled, shiftDistance how many samples apart it is compared.
+	// shiftSamples is the number of weight samples after the outage. Each is compared with the one shiftDistance samples
+	// before, so that shiftDistance*shiftInterval is one second.
 	shiftSamples  = 100
 	shiftDistance = 10
-	// staleAddrPrefix begins addresses on which no server listens.
+	// staleAddrPrefix is the prefix of addresses on which no server listens.
 	staleAddrPrefix = "127.0.1."
-	// reusedAddrInterval is every how many stale entries one has the address of a present server.
+	// reusedAddrInterval: every n-th stale entry has the address of a running server.
 	reusedAddrInterval = 4
-	// damagedBytes is how much is cut from the end of a cached list.
-	damagedBytes = 10
+	// truncatedBytes is the number of bytes that are cut from the end of a cached list.
+	truncatedBytes = 10
 )
 
-// discoveryOutage kills all controllers while the endpoint source is down and makes their cached lists a day old,
-// with as many stale entries and a damaged end. It restarts all proxies with their initial tables, then the
-// controllers. It measures how they fare, and what happens when the source returns.
+// discoveryOutage restarts all controllers and proxies while the endpoint source is down. It kills the controllers,
+// makes their cached lists a day old with as many stale entries as valid ones and a damaged end, restarts all proxies
+// with their initial tables, and then starts the controllers. It measures when proxies get tables, and how the weights
+// change when the source returns.
 func (r *runner) discoveryOutage(ctx context.Context, spec FaultSpec) {
 	result := &DiscoveryOutage{}
 	defer func() {
@@ -60,7 +63,7 @@
 	r.measureOutage(ctx, began, time.Duration(spec.Duration), result)
 	returned := time.Now()
 	r.lister.Fail(false)
-	r.measureReturn(ctx, returned, result)
+	r.measureSourceReturn(ctx, returned, result)
 	r.measureShift(ctx, result)
 }
 
@@ -76,7 +79,8 @@
 	}
 }
 
-// measureOutage measures when proxies get tables, what these have, and how requests fare.
+// measureOutage measures when proxies get tables, and after serveTimeout the stale entries in them and the fraction of
+// requests that are answered in time.
 func (r *runner) measureOutage(
 	ctx context.Context,
 	began time.Time,
@@ -107,7 +111,7 @@
 	}
 }
 
-// countStaleEntries counts usable entries of servers that are gone.
+// countStaleEntries counts the entries with a weight above 0 whose address is that of a stale entry.
 func (r *runner) countStaleEntries() int {
 	count := 0
 	for _, proxy := range r.proxies {
@@ -120,11 +124,11 @@
 	return count
 }
 
-// measureReturn measures when each controller uses the list of the source that has returned.
-func (r *runner) measureReturn(ctx context.Context, returned time.Time, result *DiscoveryOutage) {
+// measureSourceReturn measures when each controller uses the list of the endpoint source again.
+func (r *runner) measureSourceReturn(ctx context.Context, returned time.Time, result *DiscoveryOutage) {
 	for _, c := range r.controllers {
 		for sleep(ctx, checkInterval) {
-			text, err := ask(c.socket, "show log\n")
+			text, err := sendCommand(c.socket, "show log\n")
 			if err == nil && strings.Contains(text, "source is back") {
 				result.LiveAfter = append(result.LiveAfter, time.Since(returned).Seconds())
 				break
@@ -133,7 +137,7 @@
 	}
 }
 
-// measureShift measures for ten seconds how weights move within a second.
+// measureShift measures for ten seconds how much the weights change within a second.
 func (r *runner) measureShift(ctx context.Context, result *DiscoveryOutage) {
 	var history []map[string]float64
 	for range shiftSamples {
@@ -153,7 +157,7 @@
 	}
 }
 
-// addShift compares the parts of servers at two times.
+// addShift compares the servers' parts of the requests at two times and updates the maximum of the changes.
 func (d *DiscoveryOutage) addShift(before, after map[string]float64, nodes int) {
 	sum := 0.0
 	for name, part := range after {
@@ -164,7 +168,7 @@
 	d.MaxShift = max(d.MaxShift, sum)
 }
 
-// ageCache makes a cached list a day old, with a stale entry for each server and a damaged end.
+// ageCache makes a cached list a day old, adds a stale entry for each server, and cuts the end off.
 func ageCache(path string) error {
 	cached, problems := discovery.ReadCache(path)
 	if len(cached) == 0 {
@@ -186,7 +190,7 @@
 	if err := discovery.WriteCache(path, list, writtenAt); err != nil {
 		return err
 	}
-	// The previous file has the true list.
+	// The backup of the previous file holds the unmodified list.
 	if err := os.Remove(path + ".before"); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
@@ -194,10 +198,11 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(path, text[:len(text)-damagedBytes], fileMode)
+	return os.WriteFile(path, text[:len(text)-truncatedBytes], fileMode)
 }
 
-// staleEndpoint returns an endpoint of a server that is gone. Some have the address of a present server.
+// staleEndpoint returns an endpoint of a server that no longer exists. One in reusedAddrInterval has the address of a
+// running server.
 func staleEndpoint(present discovery.Endpoint, index int) discovery.Endpoint {
 	stale := present
 	stale.Name = "ghost-" + present.Name
--- a/internal/testing/scenario/print.go
+++ b/internal/testing/scenario/print.go
@@ -20,7 +20,7 @@
 	p.classes(r)
 	p.weights(r)
 	p.controllers(r)
-	p.operations(r)
+	p.operatorActions(r)
 	p.loadReports(r)
 	p.leases(r)
 	p.clientPrograms(r)
@@ -31,7 +31,7 @@
 	_, _ = io.WriteString(out, p.String())
 }
 
-// printer formats the sections of a report.
+// printer collects the formatted sections of a report.
 type printer struct{ strings.Builder }
 
 func (p *printer) printf(format string, args ...any) { fmt.Fprintf(&p.Builder, format, args...) }
@@ -92,8 +92,8 @@
 	}
 }
 
-// operations prints withdrawals and weights set by hand.
-func (p *printer) operations(r *Report) {
+// operatorActions prints withdrawals and weights set by hand.
+func (p *printer) operatorActions(r *Report) {
 	if pairs := len(r.Withdrawals.FromCrash); pairs > 0 {
 		p.printf("\ntime from a server's crash until a proxy had withdrawn it: p50 %.3f s, p99 %.3f s "+
 			"(from the endpoint list's update: p50 %.3f s, p99 %.3f s); %d withdrawals\n",
@@ -141,7 +141,7 @@
 func (p *printer) clientPrograms(r *Report) {
 	for _, program := range r.ClientPrograms {
 		attemptsPerRequest := float64(program.Attempts) / float64(max(1, program.Requests))
-		p.printf("%s over %s: %d requests, %.3f attempts per request, %d retries denied; "+
+		p.printf("%s over %s: %d requests, %.3f attempts per request, %d retries or hedged requests denied; "+
 			"%d watches, %.1f s without a watch\n",
 			program.Name, program.Protocol, program.Requests, attemptsPerRequest, program.Denied, program.Watches,
 			program.UnwatchedSeconds)
--- a/internal/testing/scenario/process.go
+++ b/internal/testing/scenario/process.go
@@ -13,30 +13,32 @@
 )
 
 const (
-	// stopTimeout is how long a process has to stop before it is killed.
+	// stopTimeout is how long a process may take to stop before it is killed.
 	stopTimeout = 10 * time.Second
-	// clockTick is the unit of processor times in /proc.
+	// clockTick is the unit of CPU times in /proc/PID/stat.
 	clockTick = 10 * time.Millisecond
-	// firstTimeField and afterTimeFields bound utime and stime in /proc/PID/stat, counted after the command's name.
+	// firstTimeField and afterTimeFields are the index of utime and the index after stime among the fields that follow
+	// the command's name in /proc/PID/stat.
 	firstTimeField  = 11
 	afterTimeFields = 13
 	fileMode        = 0o644
 	folderMode      = 0o755
 )
 
-// controllerProcess is a controller as a process of its own.
+// controllerProcess is a controller that runs as a separate process and may be restarted.
 type controllerProcess struct {
 	name, config, socket, log string
-	reports                   string // host:port for nodes' load reports, "" for none
-	peers                     string // host:port for other controllers, "" for none
-	rpc, text                 string // addresses for client programs, "" for none
+	reports                   string // host:port for load reports; "": none
+	peers                     string // host:port for gossip with other controllers; "": none
+	rpc, text                 string // addresses for client programs over gRPC and text; "": none
 
 	mu         sync.Mutex
 	cmd        *exec.Cmd
-	pastCPU    time.Duration // of processes that ended
+	pastCPU    time.Duration // of the processes that have ended
 	peakMemory int64         // bytes
 }
 
+// start starts the process. Its standard error is appended to the log file's name plus ".err".
 func (c *controllerProcess) start(launch func(string) *exec.Cmd) error {
 	cmd := launch(c.config)
 	stderr, err := os.OpenFile(c.log+".err", os.O_WRONLY|os.O_CREATE|os.O_APPEND, fileMode)
@@ -45,7 +47,7 @@
 	}
 	defer func() { _ = stderr.Close() }()
 	cmd.Stderr = stderr
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives a scenario that fails
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends the process if this program dies
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", c.name, err)
 	}
@@ -55,7 +57,7 @@
 	return nil
 }
 
-// usage returns the processor time of the running process and the largest memory in bytes of all.
+// usage returns the CPU time of the running process, and the peak memory in bytes of all processes so far.
 func (c *controllerProcess) usage() (cpu time.Duration, peakMemory int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +75,7 @@
 	return parseCPUTime(stat), c.peakMemory
 }
 
-// parsePeakMemory reads /proc/PID/status.
+// parsePeakMemory returns the peak resident memory in bytes from /proc/PID/status, 0 if it is missing.
 func parsePeakMemory(status string) int64 {
 	for line := range strings.Lines(status) {
 		var kilobytes int64
@@ -84,7 +86,7 @@
 	return 0
 }
 
-// parseCPUTime reads /proc/PID/stat.
+// parseCPUTime returns the user and system time from /proc/PID/stat.
 func parseCPUTime(stat []byte) time.Duration {
 	afterName := stat[slices.Index(stat, ')')+1:]
 	fields := strings.Fields(string(afterName))
@@ -96,7 +98,8 @@
 	return time.Duration(ticks) * clockTick
 }
 
-// stop sends a signal and waits for the end of the process.
+// stop sends a signal and waits until the process has ended; after stopTimeout it kills the process. Without a running
+// process it does nothing.
 func (c *controllerProcess) stop(signal syscall.Signal) error {
 	c.mu.Lock()
 	cmd := c.cmd
@@ -120,7 +123,7 @@
 	return nil
 }
 
-// signal sends a signal to the process if it runs.
+// signal sends a signal to the process if it is running.
 func (c *controllerProcess) signal(signal syscall.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testing/scenario/proxyfaults.go
+++ b/internal/testing/scenario/proxyfaults.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// slowReaderDelay is how long a slow proxy waits before each command.
+	// slowReaderDelay is the delay of a slow proxy before each command.
 	slowReaderDelay = 50 * time.Millisecond
-	// cutInterval is the time between two cuts of sessions.
+	// cutInterval is the pause between two cuts of sessions.
 	cutInterval = 700 * time.Millisecond
-	// minCutBytes and cutBytesSpread bound after how many bytes a session is cut.
+	// minCutBytes and cutBytesSpread define the range of the number of bytes after which a session is cut.
 	minCutBytes    = 60
 	cutBytesSpread = 2000
-	// noCut ends the cuts.
+	// noCut makes CutSessions end the cuts.
 	noCut = -1
 )
 
@@ -37,7 +37,7 @@
 	r.rateFactor.Store(math.Float64bits(1))
 }
 
-// hotCaller gives one proxy more requests.
+// hotCaller sends one proxy more requests, by a fraction of the scenario's request rate.
 func (r *runner) hotCaller(ctx context.Context, spec FaultSpec) {
 	r.hotFactor.Store(math.Float64bits(orDefault(spec.Size, defaultHotFactor)))
 	r.hotProxy.Store(int64(r.pickProxies(0)[0]))
@@ -69,8 +69,8 @@
 	})
 }
 
-// cutSessions closes the runtime sessions of proxies again and again, each after some bytes of a request. Of a proxy
-// that reads files it removes or truncates the tables' file.
+// cutSessions repeatedly closes the runtime sessions of proxies, and each later session after some bytes of its
+// commands. For proxies that read files, it removes or truncates the tables' file instead.
 func (r *runner) cutSessions(ctx context.Context, spec FaultSpec) {
 	picked := r.pickProxies(spec.Fraction)
 	repeat(ctx, spec.Duration, func() {
--- a/internal/testing/scenario/report.go
+++ b/internal/testing/scenario/report.go
@@ -10,46 +10,49 @@
 )
 
 const (
-	// askDialTimeout and askTimeout bound a question to a controller's operators' socket.
-	askDialTimeout = time.Second
-	askTimeout     = 3 * time.Second
+	// commandDialTimeout and commandTimeout bound a command to a controller's operators' socket.
+	commandDialTimeout = time.Second
+	commandTimeout     = 3 * time.Second
 )
 
-// Report is the result of a scenario.
+// Report is the result of a scenario. Fields of faults that the scenario doesn't have are empty. Times are in seconds.
 type Report struct {
 	Scenario    string               `json:"day"`
 	Length      float64              `json:"length_s"`
 	Rules       []invariants.Verdict `json:"rules"`
-	Classes     []Class              `json:"classes"`
-	Weights     []Weights            `json:"weights"`
+	Classes     []ClassResult        `json:"classes"`
+	Weights     []WeightSample       `json:"weights"`
 	Controllers []ControllerUsage    `json:"governors"`
 	Withdrawals Withdrawals          `json:"falls"`
-	// Flood counts unexpected load reports: accepted, rejected, and batches lost.
+	// Flood counts the load reports of a flood: accepted, rejected, and batches lost.
 	Flood [3]int64 `json:"flood,omitempty"`
-	// SilenceDetections are the times from the end of a node's reports until a controller distinguished it from a dead
-	// one.
+	// SilenceDetections are the times from the end of a server's load reports until a controller showed it as a silent
+	// reporter rather than a dead server.
 	SilenceDetections []float64 `json:"mutes_s,omitempty"`
-	// UndetectedSilences counts those that a controller did not detect.
+	// UndetectedSilences counts the pairs of a silent server and a controller that did not detect it.
 	UndetectedSilences int `json:"unnoticed,omitempty"`
-	// Rollbacks are the times from a rollback until a proxy had the version, sorted.
+	// Rollbacks are the times from a rollback command until a proxy had the version, sorted.
 	Rollbacks []float64 `json:"backs_s,omitempty"`
-	// UnservedGaps are the times that proxies were without a controller's session between two, sorted.
+	// UnservedGaps are the times that proxies had no controller between two sessions, sorted. Only set for scenarios in
+	// which controllers share the proxies.
 	UnservedGaps []float64 `json:"unattended_s,omitempty"`
-	// RollingRestart is the duration of a rolling restart of all controllers.
-	RollingRestart  float64            `json:"rolled_s,omitempty"`
-	ClientPrograms  []ClientProgramRow `json:"libraries,omitempty"`
-	DiscoveryOutage *DiscoveryOutage   `json:"dark,omitempty"`
-	// Versions counts the proxies by the last version of the first class's table.
+	// RollingRestart is the duration of a rolling restart of all controllers; 0: there was none.
+	RollingRestart  float64               `json:"rolled_s,omitempty"`
+	ClientPrograms  []ClientProgramResult `json:"libraries,omitempty"`
+	DiscoveryOutage *DiscoveryOutage      `json:"dark,omitempty"`
+	// Versions counts the proxies by their last version of the first class's table.
 	Versions map[string]int `json:"versions"`
-	// PushesAccepted and PushesRejected count weights that were set by hand.
+	// PushesAccepted and PushesRejected count the commands that set a weight by hand.
 	PushesAccepted int `json:"PushesTaken"`
 	PushesRejected int `json:"PushesRefused"`
-	// Problems are those of the scenario itself: such a run does not count.
+	// Problems are errors of the scenario itself, as opposed to violations by a controller. With any, the figures of the
+	// run are not valid.
 	Problems []string `json:"troubles,omitempty"`
 }
 
-// Class counts the outcomes of a class's requests.
-type Class struct {
+// ClassResult counts the outcomes of a class's requests as callers see them. P50 and P99 are latencies of successful
+// requests in milliseconds.
+type ClassResult struct {
 	Name     string  `json:"name"`
 	Requests int     `json:"visits"`
 	InTime   int     `json:"in_time"`
@@ -60,13 +63,15 @@
 	P99      float64 `json:"p99_ms"`
 }
 
-// Weights is a sample of the nodes' weights of the first class; 1 is an equal part.
-type Weights struct {
+// WeightSample holds the servers' weights of the first class at a time in seconds, as means over all proxies. 1 is an
+// equal share of the requests.
+type WeightSample struct {
 	At    float64            `json:"at_s"`
 	Share map[string]float64 `json:"share"`
 }
 
-// ControllerUsage is what a controller used and counted.
+// ControllerUsage holds the CPU time in seconds, the peak memory in MiB and the counters of a controller. Info holds
+// the fields of "show info" and "show intake" by name.
 type ControllerUsage struct {
 	Name string            `json:"name"`
 	CPU  float64           `json:"cpu_s"`
@@ -74,45 +79,50 @@
 	Info map[string]string `json:"info"`
 }
 
-// Withdrawals are the times in seconds until a proxy had withdrawn a dead node, sorted: from its crash, and from the
-// list's notification.
+// Withdrawals holds the sorted times in seconds until a proxy had withdrawn a crashed server, from the crash and from
+// the notification by the endpoint list. FromNotification leaves out withdrawals before the notification.
 type Withdrawals struct {
 	FromCrash        []float64 `json:"from_fall_s"`
 	FromNotification []float64 `json:"from_told_s"`
 }
 
-// DiscoveryOutage is the result of controllers that started without the endpoint source, from lists of a day before.
+// DiscoveryOutage is the result of a start of all controllers without the endpoint source, from cached lists that are a
+// day old.
 type DiscoveryOutage struct {
-	// Served are the times from the start until each proxy had tables, sorted.
+	// Served are the times from the controllers' start until a proxy had tables, sorted.
 	Served []float64 `json:"served_s"`
-	// NeverServed counts the proxies that got none while the source was down.
+	// NeverServed counts the proxies that got no tables while the source was down.
 	NeverServed int `json:"unheld"`
-	// InTimeFraction is the part of requests answered in time, from ten seconds after the start until the source's return.
+	// InTimeFraction is the fraction of requests that were answered in time, from ten seconds after the start until the
+	// source's return.
 	InTimeFraction float64 `json:"in_time"`
-	// StaleEntries counts entries of servers that are gone, in tables of proxies ten seconds after the start.
+	// StaleEntries counts the entries of servers that no longer exist in the proxies' tables ten seconds after the start.
 	StaleEntries int `json:"ghosts"`
-	// LiveAfter are the times from the source's return until a controller used its list.
+	// LiveAfter are the times from the source's return until a controller used its list, sorted.
 	LiveAfter []float64 `json:"live_s"`
-	// MaxShift is the largest part of all requests that moved within a second, in the ten seconds after that.
+	// MaxShift is the maximum fraction of all requests that moved to other servers within a second, in the ten seconds
+	// after all controllers used the list.
 	MaxShift float64 `json:"moved"`
-	// MaxGain is the largest gain of one server within a second, in equal parts.
+	// MaxGain is the maximum gain of one server within a second, in the same ten seconds. 1 is an equal share of the
+	// requests.
 	MaxGain float64 `json:"moved_one"`
 }
 
-// Passed reports whether all rules held and the scenario itself went well.
+// Passed reports whether all invariants held and the scenario itself had no problems.
 func (r *Report) Passed() bool {
 	broken := slices.ContainsFunc(r.Rules, func(v invariants.Verdict) bool { return len(v.Breaks) > 0 })
 	return len(r.Problems) == 0 && !broken
 }
 
-// ask sends one line to a controller's operators' socket.
-func ask(socket, line string) (string, error) {
-	conn, err := net.DialTimeout("unix", socket, askDialTimeout)
+// sendCommand sends one line, which must end with a line break, to a controller's operators' socket and returns the
+// answer.
+func sendCommand(socket, line string) (string, error) {
+	conn, err := net.DialTimeout("unix", socket, commandDialTimeout)
 	if err != nil {
 		return "", err
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(askTimeout))
+	_ = conn.SetDeadline(time.Now().Add(commandTimeout))
 	if _, err := io.WriteString(conn, line); err != nil {
 		return "", err
 	}
--- a/internal/testing/scenario/runner.go
+++ b/internal/testing/scenario/runner.go
@@ -21,36 +21,38 @@
 )
 
 const (
-	// deathNoticeDelay and startNoticeDelay are how much later the list service notices a death and a start.
+	// deathNoticeDelay and startNoticeDelay are the delays after which the list service notices a server's crash or start.
 	deathNoticeDelay = 800 * time.Millisecond
 	startNoticeDelay = 200 * time.Millisecond
-	// checkInterval is the time between two checks of what a measurement waits for.
+	// checkInterval is the polling interval of measurements.
 	checkInterval = 10 * time.Millisecond
-	// runnerRandomStream distinguishes the runner's random numbers from others of the same seed.
+	// runnerRandomStream is the random number stream of the runner, independent of the others with the same seed.
 	runnerRandomStream = 7
-	// judgedMessageWindow, judgedMessageHead and judgedSlack are figures of the invariants.
-	judgedMessageWindow = 10 * time.Second
-	judgedMessageHead   = 6
-	judgedSlack         = 250 * time.Millisecond
+	// messageWindow is the time over which the invariants limit the messages to a proxy.
+	messageWindow = 10 * time.Second
+	// messageOverheadEntries is what a message costs in the backlog, in entries, in addition to the entries in it.
+	messageOverheadEntries = 6
+	// timingSlack is the tolerance of the invariants for delays of a loaded machine.
+	timingSlack = 250 * time.Millisecond
 )
 
-// Options configure how a scenario is played.
+// Options configure how a scenario is run. Spec and Launch are required.
 type Options struct {
 	Spec          *Spec
-	Launch        func(config string) *exec.Cmd // returns a controller's process
-	Progress      io.Writer                     // gets a line while it runs; nil: none
-	Keep          string                        // folder for settings, logs and records; "": a temporary one
-	AlterSettings func(settings map[string]any) // breaks a controller on purpose, for tests of the invariants
-	AlterFigures  func(*invariants.Figures)     // changes the limits, for tests of the invariants
-	Records       bool                          // controllers record their events and orders
+	Launch        func(config string) *exec.Cmd // returns the command that runs a controller with a settings file
+	Progress      io.Writer                     // receives a progress line each second; nil: none
+	OutputDir     string                        // folder for settings, logs and records; "": a temporary one
+	AlterSettings func(settings map[string]any) // modifies the controllers' settings, for tests of the invariants
+	AlterFigures  func(*invariants.Figures)     // modifies the limits, for tests of the invariants
+	RecordEvents  bool                          // controllers record their events and orders
 
 	// Faults that a broken controller would cause, for tests of the invariants.
-	FrozenList      bool     // controllers get no change of the list, though the watch records all as sent
-	ForcedCommands  []string // commands that every proxy follows again and again as if its controller had sent them
-	CrowdNewestNode bool     // every proxy sends all requests to the node that started last
+	FrozenList         bool     // controllers get their first list only, but updates are recorded as sent
+	ForcedCommands     []string // commands that are repeatedly executed at every proxy
+	OverloadNewestNode bool     // every proxy sends all requests to the server that was started last
 }
 
-// runner plays one scenario.
+// runner runs one scenario.
 type runner struct {
 	Options
 	dir         string
@@ -65,12 +67,12 @@
 	background  sync.WaitGroup
 
 	controllers    []*controllerProcess
-	ownerByProxy   []int // index of the controller
+	ownerByProxy   []int // index of the controller that serves each proxy at first
 	clientPrograms []*clientProgram
 
-	rateFactor atomic.Uint64 // bits of a float: of all callers
-	hotProxy   atomic.Int64  // index of the proxy that gets more, -1: none
-	hotFactor  atomic.Uint64 // bits of a float: of all requests
+	rateFactor atomic.Uint64 // bits of a float64: factor of all callers' rates
+	hotProxy   atomic.Int64  // index of the proxy with additional requests; -1: none
+	hotFactor  atomic.Uint64 // bits of a float64: additional requests, as a fraction of the scenario's rate
 	requestIDs atomic.Uint64
 
 	mu          sync.Mutex
@@ -79,8 +81,10 @@
 	report      *Report
 }
 
-// Play plays a scenario and judges it.
-func Play(ctx context.Context, options Options) (*Report, error) {
+// Run runs a scenario and checks the invariants. It returns after the scenario's length plus the time for requests in
+// flight and the controllers' shutdown. Violations and problems during the run are in the report; the error is that of
+// the preparation or the context.
+func Run(ctx context.Context, options Options) (*Report, error) {
 	r := &runner{
 		Options:     options,
 		watch:       invariants.NewWatch(),
@@ -95,7 +99,7 @@
 	if err := r.makeFolder(); err != nil {
 		return nil, err
 	}
-	if options.Keep == "" {
+	if options.OutputDir == "" {
 		defer func() { _ = os.RemoveAll(r.dir) }()
 	}
 	defer r.close()
@@ -121,10 +125,10 @@
 	return r.report, nil
 }
 
-// makeFolder makes the folder for settings, logs and records.
+// makeFolder creates the folder for settings, logs and records.
 func (r *runner) makeFolder() error {
-	if r.Keep != "" {
-		r.dir = r.Keep
+	if r.OutputDir != "" {
+		r.dir = r.OutputDir
 		return os.MkdirAll(r.dir, folderMode)
 	}
 	dir, err := os.MkdirTemp("", "drill")
@@ -132,7 +136,7 @@
 	return err
 }
 
-// close ends all processes and simulated parts.
+// close stops all processes and simulated parts.
 func (r *runner) close() {
 	for _, c := range r.controllers {
 		_ = c.stop(syscall.SIGKILL)
@@ -150,7 +154,7 @@
 	}
 }
 
-// runInBackground runs a function that ends with the scenario.
+// runInBackground runs a function in a goroutine for which finish and close wait.
 func (r *runner) runInBackground(f func()) {
 	r.background.Add(1)
 	go func() {
@@ -159,7 +163,7 @@
 	}()
 }
 
-// finish waits for requests in flight, reads the controllers' counters, stops them and judges.
+// finish reads the controllers' counters, waits for requests in flight, stops the controllers and completes the report.
 func (r *runner) finish() {
 	for _, c := range r.controllers {
 		r.report.Controllers = append(r.report.Controllers, r.controllerUsage(c))
@@ -193,7 +197,7 @@
 	slices.Sort(report.Withdrawals.FromNotification)
 }
 
-// controllerUsage reads what a controller used and counted.
+// controllerUsage reads the CPU time, memory and counters of a controller.
 func (r *runner) controllerUsage(c *controllerProcess) ControllerUsage {
 	cpu, memory := c.usage()
 	usage := ControllerUsage{
@@ -202,7 +206,7 @@
 		RSS:  float64(memory) / (1 << 20),
 		Info: map[string]string{},
 	}
-	text, err := ask(c.socket, "show info;show intake\n")
+	text, err := sendCommand(c.socket, "show info;show intake\n")
 	if err != nil {
 		r.reportProblem("%s: read counters from the operators' socket: %v", c.name, err)
 		return usage
@@ -215,7 +219,7 @@
 	return usage
 }
 
-// figures returns the limits of the invariants.
+// figures returns the limits of the invariants for the scenario.
 func (r *runner) figures() invariants.Figures {
 	idempotency := map[string]invariants.Idempotency{
 		"safe":   invariants.Idempotent,
@@ -232,9 +236,9 @@
 		OverloadWindow:    time.Duration(spec.Servers.FallFor),
 		EntriesPerSecond:  spec.Channel.LinesPerS,
 		Backlog:           spec.Channel.Backlog,
-		MessageOverhead:   judgedMessageHead,
-		MessagesOver:      judgedMessageWindow,
-		Slack:             judgedSlack,
+		MessageOverhead:   messageOverheadEntries,
+		MessagesOver:      messageWindow,
+		Slack:             timingSlack,
 	}
 	for _, class := range spec.Classes {
 		figures.Classes = append(figures.Classes, invariants.Class{
@@ -246,22 +250,23 @@
 	return figures
 }
 
-// reportProblem records that the scenario itself went wrong.
+// reportProblem adds a problem of the scenario itself to the report.
 func (r *runner) reportProblem(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Problems = append(r.report.Problems, fmt.Sprintf(format, args...))
 }
 
-// firstClass is the class by which tables are compared.
+// firstClass returns the class whose tables are measured and reported.
 func (r *runner) firstClass() string { return r.Spec.Classes[0].Name }
 
-// versionKey is the key of the first class's version in the proxies' maps.
+// versionKey returns the key in the proxies' maps that holds the version of the first class's table.
 func (r *runner) versionKey() string { return r.firstClass() + ".version" }
 
-// wait waits; it returns false if the scenario ends before.
+// wait waits for a duration. It returns false if the context ends first.
 func wait(ctx context.Context, d Duration) bool { return sleep(ctx, time.Duration(d)) }
 
+// sleep waits for a duration. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/testing/scenario/scenario_test.go
+++ b/internal/testing/scenario/scenario_test.go
@@ -17,7 +17,8 @@
 	"cressknot/internal/testing/invariants"
 )
 
-// TestMain lets the test binary be a controller's process.
+// TestMain runs a controller instead of the tests if DRILL_GOVERNOR holds the path of a settings file, so that the test
+// binary can serve as the controllers' program.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("DRILL_GOVERNOR"); path != "" {
 		if err := server.RunController(path); err != nil {
@@ -35,25 +36,25 @@
 	return cmd
 }
 
-// playScenario plays a scenario that change may alter.
-func playScenario(t *testing.T, name string, change func(*Options)) *Report {
+// runScenario runs a built-in scenario after change has modified its options; nil: unmodified.
+func runScenario(t *testing.T, name string, change func(*Options)) *Report {
 	t.Helper()
 	spec, err := Load(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := Options{Spec: spec, Launch: launchController, Keep: t.TempDir(), Records: true}
+	o := Options{Spec: spec, Launch: launchController, OutputDir: t.TempDir(), RecordEvents: true}
 	if change != nil {
 		change(&o)
 	}
-	r, err := Play(context.Background(), o)
+	r, err := Run(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// expectRulesHeld fails the test for each violation of a rule.
+// expectRulesHeld fails the test if an invariant was violated.
 func expectRulesHeld(t *testing.T, r *Report) {
 	t.Helper()
 	for _, v := range r.Rules {
@@ -63,10 +64,11 @@
 	}
 }
 
-// TestSmallScenarioKeepsInvariants plays a short scenario in which a controller crashes, and replays the records.
+// TestSmallScenarioKeepsInvariants runs a short scenario in which a controller crashes. All invariants must be checked
+// and hold, and the recorded event log must replay to the same orders.
 func TestSmallScenarioKeepsInvariants(t *testing.T) {
 	var dir string
-	r := playScenario(t, "small", func(o *Options) { dir = o.Keep })
+	r := runScenario(t, "small", func(o *Options) { dir = o.OutputDir })
 	for _, v := range r.Rules {
 		if len(v.Breaks) > 0 || v.Tested == 0 {
 			t.Errorf("%s: checked %d times, violations %v", v.Rule, v.Tested, v.Breaks)
@@ -91,12 +93,13 @@
 	}
 }
 
-// TestGuardPreventsHarmfulTables plays a scenario of harmful tables with the guard and without it.
+// TestGuardPreventsHarmfulTables runs a scenario with harmful tables. With the guard all invariants must hold; without
+// it some must be violated, which shows that the tables are harmful.
 func TestGuardPreventsHarmfulTables(t *testing.T) {
 	for _, guarded := range []bool{true, false} {
 		t.Run(map[bool]string{true: "guarded", false: "unguarded"}[guarded], func(t *testing.T) {
 			t.Parallel()
-			r := playScenario(t, "harm", func(o *Options) { o.Spec.Guard = guarded })
+			r := runScenario(t, "harm", func(o *Options) { o.Spec.Guard = guarded })
 			breaks := 0
 			for _, v := range r.Rules {
 				breaks += len(v.Breaks)
@@ -110,40 +113,40 @@
 	}
 }
 
-// TestBrokenControllersAreDetected checks for each rule that a controller that breaks it is detected.
+// TestBrokenControllersAreDetected checks for each invariant that a violation by a broken controller is detected.
 func TestBrokenControllersAreDetected(t *testing.T) {
 	broken := map[string]func(*Options){
-		// A controller that ignores drains: it gets no change of its list, though the watch records them as sent.
+		// A controller that ignores drains: it receives no list updates, but they are recorded as sent.
 		invariants.RuleDrain: func(o *Options) {
 			o.Spec.FaultSpecs = []FaultSpec{
 				{At: Duration(2 * time.Second), Duration: Duration(8 * time.Second), Kind: "drain"},
 			}
 			o.FrozenList = true
 		},
-		// One that lets proxies retry after any failure, whatever the class.
+		// A controller that lets proxies retry after any failure, also for classes that are not idempotent.
 		invariants.RuleNoDuplicates: func(o *Options) {
 			o.Spec.FaultSpecs = []FaultSpec{
 				{At: Duration(time.Second), Duration: Duration(6 * time.Second), Kind: "answers-lost", Fraction: 1, Size: 0.6},
 			}
 			o.ForcedCommands = []string{"add map cressknot bag-issue.retry 2", "set map cressknot bag-issue.retry 2"}
 		},
-		// One that withdraws every server of a class.
+		// A controller that withdraws every server of a class.
 		invariants.RuleAvailability: func(o *Options) {
 			o.Spec.FaultSpecs = nil
 			for i := range o.Spec.Nodes {
 				o.ForcedCommands = append(o.ForcedCommands, "set server slot-look/"+nodeName(i)+" state maint")
 			}
-			o.AlterSettings = func(settings map[string]any) { // and that reads its proxies too seldom to correct that
+			o.AlterSettings = func(settings map[string]any) { // polls the proxies too seldom to correct the state
 				settings["reports"] = map[string]any{"every": "60s"}
 			}
 		},
-		// One that sends all requests to a server in slow start.
+		// A controller that sends all requests to a server in slow start.
 		invariants.RuleSlowStart: func(o *Options) {
 			o.Spec.FaultSpecs = []FaultSpec{{At: Duration(time.Second), Duration: Duration(2 * time.Second), Kind: "crash"}}
 			o.Spec.RequestRate = 160
-			o.CrowdNewestNode = true
+			o.OverloadNewestNode = true
 		},
-		// One whose updates exceed the backlog.
+		// A controller whose updates exceed the backlog, here by a lower limit.
 		invariants.RuleQueue: func(o *Options) {
 			o.Spec.FaultSpecs = nil
 			o.AlterFigures = func(f *invariants.Figures) { f.Backlog = 20 }
@@ -152,7 +155,7 @@
 	for rule, change := range broken {
 		t.Run(rule, func(t *testing.T) {
 			t.Parallel()
-			r := playScenario(t, "small", func(o *Options) {
+			r := runScenario(t, "small", func(o *Options) {
 				o.Spec.Length = Duration(12 * time.Second)
 				change(o)
 			})
@@ -165,10 +168,11 @@
 	}
 }
 
-// TestFloodedControllersDetectSilentReporters floods two controllers with unexpected reports while the reports of some
-// nodes that serve stop: the rules hold, and both controllers distinguish those nodes from dead ones.
+// TestFloodedControllersDetectSilentReporters floods two controllers with unexpected load reports while some servers
+// stop reporting but continue to serve. The invariants must hold, and both controllers must distinguish those servers
+// from dead ones.
 func TestFloodedControllersDetectSilentReporters(t *testing.T) {
-	r := playScenario(t, "flood", func(o *Options) {
+	r := runScenario(t, "flood", func(o *Options) {
 		o.Spec.Length = Duration(14 * time.Second)
 		o.Spec.FaultSpecs = []FaultSpec{
 			{At: Duration(2 * time.Second), Duration: Duration(10 * time.Second), Kind: "flood", Size: 10_000},
@@ -177,7 +181,8 @@
 	})
 	expectRulesHeld(t, r)
 	if len(r.SilenceDetections) != 4 || r.UndetectedSilences != 0 || r.Flood[0]+r.Flood[1] == 0 {
-		t.Errorf("silent reporters detected after %v s, %d not detected; flood %v", r.SilenceDetections, r.UndetectedSilences, r.Flood)
+		t.Errorf("silent reporters detected after %v s, %d not detected; flood %v",
+			r.SilenceDetections, r.UndetectedSilences, r.Flood)
 	}
 	for _, g := range r.Controllers {
 		if g.Info["Pushed_thinned"] == "" || g.Info["Pushed_thinned"] == "0" || g.Info["Tries_told"] == "0" {
@@ -186,11 +191,11 @@
 	}
 }
 
-// TestStartWithoutDiscovery restarts two controllers and all proxies without the endpoint source, from cached lists
-// of a day before of which half is stale and the end damaged: proxies have tables within ten seconds, without the
-// stale servers, and the source's return moves few requests.
+// TestStartWithoutDiscovery restarts two controllers and all proxies while the endpoint source is down, from cached
+// lists that are a day old, half stale and damaged at the end. Proxies must have tables without the stale servers
+// within ten seconds, and the source's return must move few requests.
 func TestStartWithoutDiscovery(t *testing.T) {
-	r := playScenario(t, "dark", func(o *Options) {
+	r := runScenario(t, "dark", func(o *Options) {
 		o.Spec.Length = Duration(34 * time.Second)
 		o.Spec.FaultSpecs = []FaultSpec{
 			{At: Duration(3 * time.Second), Duration: Duration(14 * time.Second), Kind: "dark"},
@@ -207,10 +212,10 @@
 	}
 }
 
-// TestClientProgramsKeepInvariants plays a short scenario of programs that use the client library over both protocols,
-// with crashes of a controller and of nodes, a drain and lost answers.
+// TestClientProgramsKeepInvariants runs a short scenario with programs that use the client library over both protocols,
+// with crashes of a controller and of servers, a drain and lost answers.
 func TestClientProgramsKeepInvariants(t *testing.T) {
-	r := playScenario(t, "library", func(o *Options) {
+	r := runScenario(t, "library", func(o *Options) {
 		o.Spec.Length = Duration(18 * time.Second)
 		o.Spec.FaultSpecs = []FaultSpec{
 			{At: Duration(5 * time.Second), Duration: Duration(4 * time.Second), Kind: "crash"},
@@ -240,10 +245,11 @@
 	}
 }
 
-// TestControllersShareProxies plays a scenario of three controllers that may all serve all proxies, of which one
-// crashes and one stalls past its lease: the rules hold, and no proxy follows a controller after a later one.
+// TestControllersShareProxies runs three controllers that share all proxies. One crashes, and one stalls for longer
+// than its leases last. The invariants must hold; in particular, no proxy may follow a controller after one with a
+// later lease.
 func TestControllersShareProxies(t *testing.T) {
-	r := playScenario(t, "sharing", func(o *Options) {
+	r := runScenario(t, "sharing", func(o *Options) {
 		o.Spec.Length = Duration(30 * time.Second)
 		o.Spec.Nodes, o.Spec.Proxies, o.Spec.RequestRate = 8, 8, 80
 		o.Spec.FaultSpecs = []FaultSpec{
@@ -270,15 +276,15 @@
 	}
 }
 
-// kills is the number of crashes that TestRepeatedCrashesKeepInvariants plays; -kills 100 for the long run.
-var kills = flag.Int("kills", 10, "number of controller crashes to play")
+// kills is the number of crashes in TestRepeatedCrashesKeepInvariants; use -kills 100 for a long run.
+var kills = flag.Int("kills", 10, "number of controller crashes in TestRepeatedCrashesKeepInvariants")
 
-// TestRepeatedCrashesKeepInvariants crashes a controller ten times: the rules hold, and it continues from the
-// versions in its store each time.
+// TestRepeatedCrashesKeepInvariants crashes a controller repeatedly, ten times by default. The invariants must hold,
+// and the controller must restore its state from the store at each start, without damaged records.
 func TestRepeatedCrashesKeepInvariants(t *testing.T) {
 	var dir string
-	r := playScenario(t, "kills", func(o *Options) {
-		if dir = o.Keep; *kills != 10 {
+	r := runScenario(t, "kills", func(o *Options) {
+		if dir = o.OutputDir; *kills != 10 {
 			rng := rand.New(rand.NewPCG(7, 7))
 			at := 2 * time.Second
 			o.Spec.FaultSpecs = slices.DeleteFunc(
--- a/internal/testing/scenario/settings.go
+++ b/internal/testing/scenario/settings.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// outlierFailures is the number of failures in a row after which a proxy ejects a server.
+// outlierFailures is the number of consecutive failures after which a proxy ejects a server.
 const outlierFailures = 3
 
-// writeSettings writes a controller's settings file.
+// writeSettings writes a controller's settings file and sets the paths and addresses in its controllerProcess.
 func (r *runner) writeSettings(index int) error {
 	c := r.controllers[index]
 	c.config = filepath.Join(r.dir, c.name+".json")
@@ -32,7 +32,7 @@
 	return os.WriteFile(c.config, text, fileMode)
 }
 
-// baseSettings returns the settings that every controller has, in the form of a settings file.
+// baseSettings returns the settings that every scenario needs, in the structure of a settings file.
 func (r *runner) baseSettings(index int, c *controllerProcess) map[string]any {
 	spec := r.Spec
 	return map[string]any{
@@ -74,7 +74,7 @@
 	}
 }
 
-// cachePath is the file in which a controller caches the endpoint list.
+// cachePath returns the file in which a controller caches the endpoint list.
 func (r *runner) cachePath(c *controllerProcess) string { return filepath.Join(r.dir, c.name+".list") }
 
 func (r *runner) classSettings() []map[string]any {
@@ -92,7 +92,7 @@
 	return classes
 }
 
-// proxySettings returns the proxies that a controller may serve.
+// proxySettings returns the proxies that a controller may serve: its own, or all if they are shared.
 func (r *runner) proxySettings(index int) []map[string]any {
 	var proxies []map[string]any
 	for i, proxy := range r.proxies {
@@ -113,7 +113,7 @@
 	return proxies
 }
 
-// addOptionalSettings adds what only some scenarios have.
+// addOptionalSettings adds the settings that depend on options of the scenario.
 func (r *runner) addOptionalSettings(settings map[string]any, index int, c *controllerProcess) error {
 	spec := r.Spec
 	if spec.Store {
@@ -144,12 +144,13 @@
 		settings["reports"] = map[string]any{"load": "pushed", "listen": addr}
 		settings["front"].(map[string]any)["table"] = trackedTable
 	}
-	if r.Records {
+	if r.RecordEvents {
 		settings["records"] = filepath.Join(r.dir, c.name+".records")
 	}
 	return nil
 }
 
+// addServiceSettings adds the service to which client programs connect.
 func (r *runner) addServiceSettings(settings map[string]any, index int, c *controllerProcess) error {
 	addr, err := freePort()
 	if err != nil {
@@ -164,7 +165,7 @@
 	return nil
 }
 
-// freePort returns a loopback address that is free now.
+// freePort returns a loopback address whose port is free at the moment. Another process may take it before it is used.
 func freePort() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/testing/scenario/spec.go
+++ b/internal/testing/scenario/spec.go
@@ -1,5 +1,6 @@
-// Package scenario plays fault scenarios: simulated nodes, proxies, callers and list service on loopback, real
-// controllers as processes of their own, and the invariants judged from what passed on the sockets.
+// Package scenario runs fault scenarios: simulated servers, proxies, callers and list service on loopback, with each
+// controller as a real, separate process. The invariants are checked by the traffic on the simulated parts' sockets.
+// Servers are called nodes in scenario files and in identifiers.
 package scenario
 
 import (
@@ -24,10 +25,11 @@
 //go:embed days/*.cue
 var specFiles embed.FS
 
-// Duration is a time with its unit, for example "2s".
+// Duration is a time.Duration that is written with its unit, for example "2s".
 type Duration = config.Duration
 
-// FaultSpec is one fault of a scenario.
+// FaultSpec is one fault of a scenario; #Trouble in day.cue describes its fields. Zero values of Fraction and Size mean
+// one part and the default size of the kind.
 type FaultSpec struct {
 	At       Duration `json:"at"`
 	Duration Duration `json:"for"`
@@ -39,7 +41,7 @@
 	Push     string   `json:"push"`
 }
 
-// Spec is the content of a scenario file; day.cue defines its form.
+// Spec is the content of a scenario file. #Day in day.cue describes its fields and defaults.
 type Spec struct {
 	Name           string   `json:"name"`
 	Seed           uint64   `json:"seed"`
@@ -95,7 +97,8 @@
 	return names
 }
 
-// Load reads a scenario: a built-in one, or a file.
+// Load reads the built-in scenario of a name or, if there is none, the scenario file at that path. The content must
+// satisfy the schema in day.cue.
 func Load(name string) (*Spec, error) {
 	text, err := specFiles.ReadFile("days/" + name + ".cue")
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/testing/scenario/tally.go
+++ b/internal/testing/scenario/tally.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxRecordedDuration and durationDigits bound the recorded durations and their precision.
+	// maxRecordedDuration is the longest duration that is recorded, durationDigits the precision in decimal digits.
 	maxRecordedDuration = time.Minute
 	durationDigits      = 3
 	microsPerMilli      = 1000
@@ -19,16 +19,17 @@
 // classTally counts the outcomes of a class's requests.
 type classTally struct {
 	requests, inTime, late, rejected, failed int
-	durations                                *hdrhistogram.Histogram // microseconds of answered requests; nil: none
+	durations                                *hdrhistogram.Histogram // microseconds of successful requests; nil: none
 }
 
-// tally counts the outcomes of requests as their callers see them.
+// tally counts the outcomes of requests as callers see them. It is safe for concurrent use.
 type tally struct {
 	mu      sync.Mutex
 	byClass []classTally
 }
 
-// count counts a request by the status of its answer.
+// count counts a request by the status of its response; 0 stands for no response. Objective is the latency up to which
+// a success counts as in time.
 func (t *tally) count(class, status int, duration, objective time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,7 +53,7 @@
 	}
 }
 
-// sums returns how many requests were answered in time, and how many there were.
+// sums returns the number of requests that were answered in time, and of all requests.
 func (t *tally) sums() (inTime, requests int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -63,20 +64,20 @@
 	return inTime, requests
 }
 
-// summary is a progress line.
+// summary returns the text of a progress line.
 func (t *tally) summary() string {
 	inTime, requests := t.sums()
 	percent := 100 * float64(inTime) / float64(max(1, requests))
 	return fmt.Sprintf("%d requests, %.1f%% answered in time", requests, percent)
 }
 
-// classes returns the rows of a report.
-func (t *tally) classes(spec *Spec) []Class {
+// classes returns the results of all classes for the report.
+func (t *tally) classes(spec *Spec) []ClassResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var rows []Class
+	var rows []ClassResult
 	for i, c := range t.byClass {
-		row := Class{
+		row := ClassResult{
 			Name:     spec.Classes[i].Name,
 			Requests: c.requests,
 			InTime:   c.inTime,
@@ -93,7 +94,7 @@
 	return rows
 }
 
-// quantile returns a quantile of sorted values.
+// quantile returns a quantile of values in ascending order, 0 if there are none.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
