--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -111,7 +111,7 @@
 func (h *host) addEvent(id fleet.ControllerID, event fleet.Event) error {
 	target := h.instances[id]
 	if target == nil {
-		return fmt.Errorf("received %T before enlist", event)
+		return fmt.Errorf("received %T before the enlist message, which starts an instance", event)
 	}
 	if !target.scheduled {
 		target.scheduled = true
--- a/cmd/wirehost/host_test.go
+++ b/cmd/wirehost/host_test.go
@@ -13,7 +13,7 @@
 	"familyInfo": {"mostWaiting": 30000, "egressPerS": 15000, "envelope": 6, "unservedMaxMs": 5800},
 	"rules": {"coldFrom": 0.16, "coldMs": 18000, "drainGraceMs": 3500, "fallMs": 2000, "overloadFactor": 4}}`
 
-// Codes of the protocol's specification.
+// Record codes of the simulator protocol, as in its specification.
 const (
 	codeStop  = 257
 	codeTimer = 258
@@ -87,7 +87,11 @@
 		name, want string
 		records    []byte
 	}{
-		{"event before start", "controller 3: received fleet.TimerFired before enlist", timerRecord(3)},
+		{
+			"event before start",
+			"controller 3: received fleet.TimerFired before the enlist message, which starts an instance",
+			timerRecord(3),
+		},
 		{"missing settings", "controller 3: settings: key discovery", startRecord(3, "{}")},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -13,7 +13,8 @@
 import "cressknot/internal/fleet"
 
 const (
-	// balanceInterval is the shortest interval of measurement. Weights change once per interval.
+	// balanceInterval is the shortest interval of measurement. Weights change once per interval, as specified by the
+	// balancer's design, docs/design/decisions.md.
 	balanceInterval = 2 * fleet.Second
 	// estimateInterval is the time between two estimates of demand and capacity. It is close to the interval of load
 	// reports, so that admission follows demand.
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -17,7 +17,8 @@
 	minBackoffJitter = 0.5
 	// goneServerRetention is how long the state of a gone server is kept after its withdrawal.
 	goneServerRetention = 16 * fleet.Second
-	// remotePartitionWeight is the initial weight, over all partitions, of a server in partitions other than its own.
+	// remotePartitionWeight, divided by the number of partitions, is the initial weight of a server in each table of
+	// a partition other than its own. minWeight is the lower bound.
 	remotePartitionWeight = 0.1
 )
 
--- a/internal/balancer/outliers.go
+++ b/internal/balancer/outliers.go
@@ -37,12 +37,14 @@
 	// ejecting it.
 	overloadedUtilization = 0.9
 
-	// maxLatencyFactor is the highest accepted ratio of the latency of an idle server to its best latency.
+	// maxLatencyFactor is the highest accepted ratio of the latency of an idle server to its best latency, as specified
+	// by the balancer's design, docs/design/decisions.md.
 	maxLatencyFactor = 1.5
 	// minIdleFraction limits by how much a high utilization raises the accepted latency.
 	minIdleFraction = 0.05
 
-	// maxEjectedFraction is the largest fraction of the servers that may be ejected at a time.
+	// maxEjectedFraction is the largest fraction of the servers that may be ejected at a time, as specified by the
+	// balancer's design, docs/design/decisions.md.
 	maxEjectedFraction = 1.0 / 3
 	// minEjectionDuration is the duration of the first ejection. Each further one doubles it.
 	minEjectionDuration = balanceInterval
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -14,7 +14,8 @@
 )
 
 // balanceWeights balances the load: in each table it cuts the weights of servers above their target, spreads the load
-// that was cut evenly over the others and normalizes the weights.
+// that was cut evenly over the others and normalizes the weights. The balancer's design, docs/design/decisions.md,
+// specifies this rule.
 func (b *Balancer) balanceWeights() {
 	round := b.newBalancingRound()
 	for t := range b.tables {
--- a/internal/controller/operators_weights.go
+++ b/internal/controller/operators_weights.go
@@ -162,7 +162,8 @@
 	}
 	token, ok := q.core.overrides.issue(q.now, command)
 	if !ok {
-		fmt.Fprintf(&b, "It can't be forced now: %d other weights await confirmation; repeat the command in %.0f s.\n",
+		fmt.Fprintf(&b, "The weight can't be forced now: %d other weights await confirmation; "+
+			"repeat the command in %.0f s.\n",
 			safety.MaxForces, safety.ForceTimeout.Seconds())
 		return commandError(b.String())
 	}
--- a/internal/discovery/verification/verifier.go
+++ b/internal/discovery/verification/verifier.go
@@ -86,7 +86,7 @@
 	failuresSinceSuccess float64    // failed requests to all servers since then
 
 	changed    bool             // there were observations since the last plan
-	nextWake   fleet.Time       // Wake of the last plan
+	nextWake   fleet.Time       // when the last plan asked for the next call of NextPlan; 0: after an observation
 	restored   []WeightFraction // full weights of servers that are no longer candidates, for the next plan
 	notices    []Notice         // for the next plan
 	summarized bool             // summarize has reported
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -61,7 +61,7 @@
 	// Barrier requests a BarrierReached event from each proxy that receives orders of the same step.
 	Barrier struct {
 		ID         BarrierID `json:"ID"`
-		AllProxies bool      `json:"All"` // requests it from all other proxies, too
+		AllProxies bool      `json:"All"` // also requests a BarrierReached event from all other proxies
 	}
 )
 
--- a/internal/gossip/override.go
+++ b/internal/gossip/override.go
@@ -134,7 +134,8 @@
 	return changes
 }
 
-// describeOverride returns the state of an overridden server for a notice.
+// describeOverride returns, for a notice, the state by which a peer's endpoint list overrides that of the local list.
+// A ready server whose start time differs from the local one counts as restarted.
 func describeOverride(server, ours LocalServer) string {
 	if server.State == fleet.ServerReady && server.Started != ours.Started {
 		return "restarted"
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -76,7 +76,7 @@
 			violations = append(violations, Violation{
 				Reason: ReasonServerNotReady,
 				Server: entry.Server,
-				Text:   fmt.Sprintf("a weight of %.4g would send it requests", entry.Weight),
+				Text:   fmt.Sprintf("it must not receive requests, but its weight is %.4g", entry.Weight),
 			})
 		} else if server.State == fleet.ServerReady {
 			ready = append(ready, entry)
--- a/internal/safety/table_test.go
+++ b/internal/safety/table_test.go
@@ -60,7 +60,7 @@
 		"servers": [{"name": "a", "capacity": 30}, {"name": "b", "capacity": 30, "state": "draining"},
 		{"name": "c", "started": "2026-12-01T12:00:08Z"}, {"name": "d", "capacity": 30}]}`
 	drainingAndWarming := "[server b: " + ReasonServerNotReady +
-		": a weight of 1 would send it requests server c: " + ReasonWarmingOverload
+		": it must not receive requests, but its weight is 1 server c: " + ReasonWarmingOverload
 	for table, want := range map[string]string{
 		`{"lines": [{"server": "a", "weight": 1}, {"server": "d", "weight": 1}]}`: "[]",
 		`{"lines": [{"server": "a", "weight": 1}, {"server": "b", "weight": 1},
--- a/internal/service/text/commands.go
+++ b/internal/service/text/commands.go
@@ -34,8 +34,8 @@
 }
 
 // commandList lists the commands in the answer to an unknown one.
-const commandList = "hello VERSION NAME, get table Z, watch table Z [VERSION], report Z SESSION SEQ, get server S, " +
-	"get history Z CLASS N, get summary, quit"
+const commandList = "hello VERSION NAME, get table ZONE, watch table ZONE [VERSION], report ZONE SESSION SEQ, " +
+	"get server SERVER, get history ZONE CLASS COUNT, get summary, quit"
 
 func (h *handler) matches(words []string) bool {
 	if len(words) != len(h.pattern) {
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// beginRecord writes the header of a record and the instance.
+// beginRecord writes the header of a record and the ID of the controller that the record is from.
 func (w *Writer) beginRecord(code uint16, controller fleet.ControllerID) {
 	w.recordStart = len(w.frame)
 	w.uint16(code)
--- a/internal/transport/relay/calls.go
+++ b/internal/transport/relay/calls.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// callTimeout exceeds the relay's answer time of 50 ms by the time for which this process, which may use only a
-	// part of a core, may not be scheduled.
+	// callTimeout is the relay's answer time of 50 ms plus an allowance for scheduling delays: this process may be
+	// limited to a fraction of a core.
 	callTimeout = 300 * time.Millisecond
 
 	// maxAnswerSize is in bytes.
