--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -251,13 +251,13 @@
 	for _, in := range inputs {
 		c.handle(now, in, &out)
 	}
-	messages, _, _, next = c.reconciler.Next(now)
+	messages, _, _, next = c.reconciler.NextMessages(now)
 	return messages, cmp.Or(next, now+maxStepInterval), c.reconciler.Idle()
 }
 
 // reconcile collects from the reconciler the messages that may be sent now and the events that result from answers.
 func (c *Core) reconcile(now fleet.Time, out *Output) (due fleet.Time) {
-	messages, events, drops, due := c.reconciler.Next(now)
+	messages, events, drops, due := c.reconciler.NextMessages(now)
 	out.Messages = messages
 	out.Drops = drops
 	c.events.current = append(c.events.current, c.events.deferred...)
@@ -324,7 +324,7 @@
 	out.Events = c.events.current
 	out.Orders = orders
 	c.applyOrders(now, orders, out)
-	messages, events, drops, due := c.reconciler.Next(now)
+	messages, events, drops, due := c.reconciler.NextMessages(now)
 	out.Messages = append(out.Messages, messages...)
 	out.Drops = append(out.Drops, drops...)
 	for _, event := range events { // completed without a message, as nothing had to be sent
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -74,11 +74,11 @@
 		c.handleUnreachable(now, event, out)
 	case transport.Progress:
 		if c.currentStream(event.Proxy, event.Stream) {
-			c.reconciler.Progress(now, event.Proxy)
+			c.reconciler.RecordProgress(now, event.Proxy)
 		}
 	case transport.Answered:
 		if c.currentStream(event.Proxy, event.Stream) {
-			c.reconciler.Acknowledge(now, event.Proxy, event.Sequence, event.Failures)
+			c.reconciler.RecordAcknowledgement(now, event.Proxy, event.Sequence, event.Failures)
 		}
 	case transport.CountersPolled:
 		c.handleCounters(now, CountersPolled(event))
--- a/internal/controller/operators_show.go
+++ b/internal/controller/operators_show.go
@@ -171,7 +171,7 @@
 		p := c.proxies.configured[v.ID]
 		fmt.Fprintf(&b, "%s %s %s up %s %d %d %d %d %.1f\n", p.Name, c.site.Zones[v.Zone], p.Addr,
 			cmp.Or(strings.Join(assigned, ","), "own"), v.Entries, v.Waiting, v.InFlight, v.Written,
-			float64(v.AnswerDelay)/float64(fleet.Millisecond))
+			float64(v.AcknowledgeDelay)/float64(fleet.Millisecond))
 	}
 	var disconnected []string
 	for id, p := range c.proxies.configured {
--- a/internal/controller/operators_tables.go
+++ b/internal/controller/operators_tables.go
@@ -220,7 +220,7 @@
 	var b strings.Builder
 	b.WriteString("# proxy class version/digest newest\n")
 	c := q.core
-	c.reconciler.VersionStamps(func(id fleet.ProxyID, class fleet.ClassID, stamp string, newest bool) {
+	c.reconciler.ForEachVersionStamp(func(id fleet.ProxyID, class fleet.ClassID, stamp string, newest bool) {
 		proxy := c.proxies.configured[id].Name
 		fmt.Fprintf(&b, "%s %s %s %v\n", proxy, c.site.Classes[class].Name, cmp.Or(stamp, "-"), newest)
 	})
--- a/internal/controller/operators_weights.go
+++ b/internal/controller/operators_weights.go
@@ -208,7 +208,7 @@
 		entries = append(entries, safety.TableLine{Server: server, Weight: float64(weight), Withdrawn: withdrawn})
 	}
 	demand := 0.0
-	c.reconciler.EachAssignment(table, func(proxy fleet.ProxyID, class fleet.ClassID) {
+	c.reconciler.ForEachAssignment(table, func(proxy fleet.ProxyID, class fleet.ClassID) {
 		demand += c.guard.Demand(proxy, class)
 	})
 	return c.guard.CheckTable(now, entries, demand)
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -70,7 +70,7 @@
 			weights = append(weights, service.ClassWeight{
 				Zone:   zone.Name,
 				Class:  requestClass.Name,
-				Weight: int(c.reconciler.Published(table, id)),
+				Weight: int(c.reconciler.PublishedWeight(table, id)),
 			})
 		}
 	}
--- a/internal/controller/simulated_fleet_test.go
+++ b/internal/controller/simulated_fleet_test.go
@@ -149,7 +149,7 @@
 	tick := time.NewTicker(2 * time.Millisecond)
 	defer tick.Stop()
 	for {
-		out, _, drops, _ := sim.reconciler.Next(sim.now())
+		out, _, drops, _ := sim.reconciler.NextMessages(sim.now())
 		for _, m := range out {
 			sim.transport.Send(m)
 		}
@@ -186,12 +186,12 @@
 	case transport.Unreachable:
 		sim.lastErrors[e.Proxy] = e.Err.Error()
 	case transport.Progress:
-		sim.reconciler.Progress(sim.now(), e.Proxy)
+		sim.reconciler.RecordProgress(sim.now(), e.Proxy)
 	case transport.CountersPolled:
 		sim.reconciler.ObserveEntries(sim.now(), e.Proxy, e.Reading.Entries)
 	case transport.Answered:
 		if sim.streams[e.Proxy] == e.Stream {
-			sim.reconciler.Acknowledge(sim.now(), e.Proxy, e.Sequence, e.Failures)
+			sim.reconciler.RecordAcknowledgement(sim.now(), e.Proxy, e.Sequence, e.Failures)
 		}
 	}
 }
--- a/internal/reconcile/acknowledge.go
+++ b/internal/reconcile/acknowledge.go
@@ -12,17 +12,17 @@
 	maxRetryBackoff     = 32 * fleet.Second
 )
 
-// Progress records that a proxy has answered something, which restarts its stuck timeout. Unknown proxies are
+// RecordProgress records that a proxy has answered something, which restarts its stuck timeout. Unknown proxies are
 // ignored.
-func (r *Reconciler) Progress(now fleet.Time, id fleet.ProxyID) {
+func (r *Reconciler) RecordProgress(now fleet.Time, id fleet.ProxyID) {
 	if proxy := r.proxies[id]; proxy != nil {
 		proxy.progressAt = now
 	}
 }
 
-// Acknowledge records that a proxy has answered a message completely. failures lists the changes that were not
-// applied; they are retried. A sequence that is not in flight is ignored.
-func (r *Reconciler) Acknowledge(now fleet.Time, id fleet.ProxyID, sequence uint64, failures []Failure) {
+// RecordAcknowledgement records that a proxy has answered a message completely. failures lists the changes that were
+// not applied; they are retried. A sequence that is not in flight is ignored.
+func (r *Reconciler) RecordAcknowledgement(now fleet.Time, id fleet.ProxyID, sequence uint64, failures []Failure) {
 	proxy := r.proxies[id]
 	if proxy == nil {
 		return
--- a/internal/reconcile/acknowledge_test.go
+++ b/internal/reconcile/acknowledge_test.go
@@ -26,7 +26,7 @@
 	admissionFailed := false
 	run := func() (sent int) {
 		for range 400 {
-			messages, _, _, _ := r.Next(now)
+			messages, _, _, _ := r.NextMessages(now)
 			for _, message := range messages {
 				sent++
 				failures := proxy.apply(message, math.MaxInt)
@@ -37,7 +37,7 @@
 						failures = append(failures, Failure{Index: i, Text: "entry not found."})
 					}
 				}
-				r.Acknowledge(now, 0, message.Sequence, failures)
+				r.RecordAcknowledgement(now, 0, message.Sequence, failures)
 			}
 			now += 10 * fleet.Millisecond
 		}
@@ -80,7 +80,7 @@
 	var sentAt []fleet.Time
 	notices := 0
 	for now < 60*fleet.Second {
-		messages, _, _, _ := r.Next(now)
+		messages, _, _, _ := r.NextMessages(now)
 		for _, message := range messages {
 			sentAt = append(sentAt, now)
 			var failures []Failure
@@ -90,7 +90,7 @@
 			if len(sentAt) > 5 {
 				failures = nil
 			}
-			r.Acknowledge(now, message.Proxy, message.Sequence, failures)
+			r.RecordAcknowledgement(now, message.Proxy, message.Sequence, failures)
 		}
 		notices += len(r.Notices())
 		now += 50 * fleet.Millisecond
@@ -113,7 +113,7 @@
 	r.Apply(now, []fleet.Order{fleet.WithdrawServer{Server: 2, Withdrawn: true}, fleet.SetWeight{Server: 2}})
 	attempts := 0
 	for now < 200*fleet.Second && attempts < 4 {
-		messages, _, _, _ := r.Next(now)
+		messages, _, _, _ := r.NextMessages(now)
 		for _, message := range messages {
 			var failures []Failure
 			for i, change := range message.Changes {
@@ -125,7 +125,7 @@
 					failures = append(failures, Failure{Index: i, Kind: FailureEntryInUse, Text: "in use"})
 				}
 			}
-			r.Acknowledge(now, message.Proxy, message.Sequence, failures)
+			r.RecordAcknowledgement(now, message.Proxy, message.Sequence, failures)
 		}
 		now += 500 * fleet.Millisecond
 	}
--- a/internal/reconcile/arrange.go
+++ b/internal/reconcile/arrange.go
@@ -76,12 +76,12 @@
 	remaining := slices.Clone(plan.EntryCounts)
 	for i := range plan.Proposals {
 		proposal := &plan.Proposals[i]
-		if proposal.Kind == UpdateAdmission || proposal.HoldReason != "" {
+		if proposal.Kind == UpdateAdmission || proposal.RefusalReason != "" {
 			continue
 		}
 		class := proposal.Class
 		removesLast := proposal.EntryDelta() < 0 && remaining[class] == 1 ||
-			!proposal.Ready && proposal.Have.Usable() && remaining[class] == 0
+			!proposal.Ready && proposal.Current.Usable() && remaining[class] == 0
 		if removesLast && proposal.rank() == rankUrgent {
 			moveAddedEntryForward(plan.Proposals, i)
 		}
--- a/internal/reconcile/helpers_test.go
+++ b/internal/reconcile/helpers_test.go
@@ -70,9 +70,9 @@
 // runUntilIdle acknowledges all messages until the reconciler is idle.
 func runUntilIdle(r *Reconciler, now *fleet.Time) {
 	for range 1_000_000 {
-		messages, _, _, _ := r.Next(*now)
+		messages, _, _, _ := r.NextMessages(*now)
 		for _, message := range messages {
-			r.Acknowledge(*now, message.Proxy, message.Sequence, nil)
+			r.RecordAcknowledgement(*now, message.Proxy, message.Sequence, nil)
 		}
 		if *now += 10 * fleet.Millisecond; r.Idle() {
 			return
@@ -83,9 +83,9 @@
 // runFor acknowledges all messages for the given number of seconds.
 func runFor(r *Reconciler, now *fleet.Time, seconds float64) {
 	for end := *now + fleet.Second.Scale(seconds); *now < end; *now += 20 * fleet.Millisecond {
-		messages, _, _, _ := r.Next(*now)
+		messages, _, _, _ := r.NextMessages(*now)
 		for _, message := range messages {
-			r.Acknowledge(*now, message.Proxy, message.Sequence, nil)
+			r.RecordAcknowledgement(*now, message.Proxy, message.Sequence, nil)
 		}
 	}
 }
--- a/internal/reconcile/message.go
+++ b/internal/reconcile/message.go
@@ -28,7 +28,7 @@
 }
 
 // Message is a batch of changes for one proxy. Entries is its cost in the update channel, in table entries without
-// overhead. The transport passes Sequence back to Acknowledge.
+// overhead. The transport passes Sequence back to RecordAcknowledgement.
 type Message struct {
 	Proxy    fleet.ProxyID
 	Sequence uint64
--- a/internal/reconcile/plan.go
+++ b/internal/reconcile/plan.go
@@ -7,22 +7,22 @@
 )
 
 // Proposal is one change of a planned message, with the state of the entry before and after it. A safety check
-// refuses it by setting HoldReason, or reduces its weight with LowerWeight.
+// refuses it by setting RefusalReason, or reduces its weight with LowerWeight.
 type Proposal struct {
 	Change
-	Have, Want  EntryState // of the entry before and after; not used for UpdateAdmission
-	Ready       bool       // the server is listed as ready
-	Warming     bool       // the server is warming up
-	Urgent      bool       // sent ahead of ordinary changes, such as a withdrawal
-	HoldReason  string     // why the safety check refuses it; "": not refused
-	LowerReason string     // why the safety check lowered its weight; "": not lowered
-	item        itemKey
-	index       int // of the entry in proxyState.sent
+	Current, Desired EntryState // of the entry before and after; not used for UpdateAdmission
+	Ready            bool       // the server is listed as ready
+	Warming          bool       // the server is warming up
+	Urgent           bool       // sent ahead of ordinary changes, such as a withdrawal
+	RefusalReason    string     // why the safety check refuses it; "": not refused
+	LowerReason      string     // why the safety check lowered its weight; "": not lowered
+	item             itemKey
+	index            int // of the entry in proxyState.sent
 }
 
 // isEntryOfReadyServer reports whether the proposal changes an entry of a ready server and is not refused.
 func (p *Proposal) isEntryOfReadyServer() bool {
-	return p.Ready && p.Kind != UpdateAdmission && p.HoldReason == ""
+	return p.Ready && p.Kind != UpdateAdmission && p.RefusalReason == ""
 }
 
 // EntryDelta returns the change in the number of usable entries of ready servers: 1, 0 or -1. It is 0 for a refused
@@ -31,9 +31,9 @@
 	switch {
 	case !p.isEntryOfReadyServer():
 		return 0
-	case p.Want.Usable() && !p.Have.Usable():
+	case p.Desired.Usable() && !p.Current.Usable():
 		return 1
-	case p.Have.Usable() && !p.Want.Usable():
+	case p.Current.Usable() && !p.Desired.Usable():
 		return -1
 	}
 	return 0
@@ -45,13 +45,13 @@
 	if !p.isEntryOfReadyServer() {
 		return 0
 	}
-	return p.Want.usableWeight() - p.Have.usableWeight()
+	return p.Desired.usableWeight() - p.Current.usableWeight()
 }
 
 // LowerWeight replaces the weight of a proposal by a lower one, 0 to 256. Only a SafetyCheck may call it.
 func (p *Proposal) LowerWeight(weight int16, reason string) {
-	p.Want.Weight = weight
-	p.Change = changeBetween(p.Class, p.Server, p.Have, p.Want)
+	p.Desired.Weight = weight
+	p.Change = changeBetween(p.Class, p.Server, p.Current, p.Desired)
 	p.LowerReason = reason
 }
 
@@ -96,8 +96,8 @@
 	want.Weight = weight
 	p.Proposals = append(p.Proposals, Proposal{
 		Change:      Change{Kind: UpdateEntry, Class: entry.Class, Server: entry.Server, Weight: weight},
-		Have:        entry.State,
-		Want:        want,
+		Current:     entry.State,
+		Desired:     want,
 		Ready:       true,
 		Warming:     true,
 		Urgent:      true,
@@ -153,8 +153,8 @@
 		}
 		plan.Proposals = append(plan.Proposals, Proposal{
 			Change:  changeBetween(fleet.ClassID(class), server.id, have, want),
-			Have:    have,
-			Want:    want,
+			Current: have,
+			Desired: want,
 			Ready:   r.isReady(item.server),
 			Warming: r.isWarmingUp(server, now),
 			Urgent:  urgent,
@@ -208,20 +208,20 @@
 func (r *Reconciler) commitPlan(now fleet.Time, proxy *proxyState, message *queuedMessage, plan *UpdatePlan) {
 	for i := range plan.Proposals {
 		proposal := &plan.Proposals[i]
-		if reason := cmp.Or(proposal.HoldReason, proposal.LowerReason); reason != "" {
+		if reason := cmp.Or(proposal.RefusalReason, proposal.LowerReason); reason != "" {
 			r.recordRefusal(now, proxy, proposal, reason)
 		} else {
 			r.clearRefusal(proxy, proposal.item)
 		}
 		switch {
-		case proposal.HoldReason != "":
+		case proposal.RefusalReason != "":
 			continue
 		case proposal.Kind == UpdateAdmission:
 			proxy.admissions[proposal.Class] = proposal.Admission
-		case proposal.Want == proposal.Have:
+		case proposal.Desired == proposal.Current:
 			continue // the lowered weight is what the proxy already has
 		default:
-			r.setSent(proxy, proposal.index, proposal.Want)
+			r.setSent(proxy, proposal.index, proposal.Desired)
 		}
 		message.changes = append(message.changes, proposal.Change)
 		message.items = append(message.items, proposal.item)
--- a/internal/reconcile/queue.go
+++ b/internal/reconcile/queue.go
@@ -96,10 +96,10 @@
 	}
 }
 
-// Next returns the messages to send now, the events for the balancer, the proxies whose sessions the transport must
-// close because they are stuck, and the time of the next call. A wake time of 0 means that no call is due before the
-// next input.
-func (r *Reconciler) Next(now fleet.Time) (
+// NextMessages returns the messages to send now, the events for the balancer, the proxies whose sessions the transport
+// must close because they are stuck, and the time of the next call. A wake time of 0 means that no call is due before
+// the next input.
+func (r *Reconciler) NextMessages(now fleet.Time) (
 	messages []Message, events []fleet.Event, disconnects []fleet.ProxyID, wake fleet.Time,
 ) {
 	r.sweep(now)
--- a/internal/reconcile/queue_test.go
+++ b/internal/reconcile/queue_test.go
@@ -23,13 +23,13 @@
 				fleet.Barrier{ID: fleet.BarrierID(i + 1)},
 			})
 		}
-		messages, events, disconnects, _ := r.Next(now)
+		messages, events, disconnects, _ := r.NextMessages(now)
 		for _, message := range messages {
 			if message.Proxy == 1 {
 				messagesToSlowProxy++
 				continue
 			}
-			r.Acknowledge(now, message.Proxy, message.Sequence, nil)
+			r.RecordAcknowledgement(now, message.Proxy, message.Sequence, nil)
 		}
 		for _, event := range events {
 			_, reached := event.(fleet.BarrierReached)
@@ -75,7 +75,7 @@
 	now += fleet.Millisecond
 	var first Message
 	for first.Sequence == 0 {
-		messages, _, _, _ := r.Next(now)
+		messages, _, _, _ := r.NextMessages(now)
 		if len(messages) > 0 {
 			first = messages[0]
 		}
@@ -84,18 +84,18 @@
 	if change := first.Changes[0]; change.Server != 30 || change.State != StateMaintenance {
 		t.Errorf("first change is %+v, want the withdrawal of server 30", change)
 	}
-	r.Acknowledge(now, 0, first.Sequence, nil)
+	r.RecordAcknowledgement(now, 0, first.Sequence, nil)
 	sent := map[fleet.ServerID]int{}
 	for _, change := range first.Changes {
 		sent[change.Server]++
 	}
 	for range 200 {
-		messages, _, _, _ := r.Next(now)
+		messages, _, _, _ := r.NextMessages(now)
 		for _, message := range messages {
 			for _, change := range message.Changes {
 				sent[change.Server]++
 			}
-			r.Acknowledge(now, 0, message.Sequence, nil)
+			r.RecordAcknowledgement(now, 0, message.Sequence, nil)
 		}
 		now += 10 * fleet.Millisecond
 	}
@@ -123,7 +123,7 @@
 			}
 			r.Apply(now, orders)
 		}
-		messages, _, _, _ := r.Next(now)
+		messages, _, _, _ := r.NextMessages(now)
 		if r.Backlog() > site.MaxBacklog {
 			t.Fatalf("backlog is %.0f entries, limit %.0f", r.Backlog(), site.MaxBacklog)
 		}
@@ -139,7 +139,7 @@
 				t.Fatalf("%d messages to proxy %d within %v s, limit %d",
 					recent, message.Proxy, site.MessageWindow.Seconds(), site.MaxMessages)
 			}
-			r.Acknowledge(now, message.Proxy, message.Sequence, nil)
+			r.RecordAcknowledgement(now, message.Proxy, message.Sequence, nil)
 		}
 		now += 20 * fleet.Millisecond
 	}
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -1,8 +1,8 @@
 // Package reconcile compares the desired state of each proxy with the state that was sent to it, and sends the
 // differences through one rate-limited queue, the update channel.
 //
-// Apply takes the balancer's orders. Join, Leave, Acknowledge, Progress and ObserveEntries take the transports'
-// reports. Next returns the messages to send.
+// Apply takes the balancer's orders. Join, Leave, RecordAcknowledgement, RecordProgress and ObserveEntries take the
+// transports' reports. NextMessages returns the messages to send.
 //
 // The package uses no sockets, clocks or goroutines: the same calls yield the same messages. See
 // docs/design/controller.md for the alternatives considered.
@@ -41,7 +41,7 @@
 	sweptAt          fleet.Time
 	counters         counters
 
-	// Output for the next call of Next or Notices.
+	// Output for the next call of NextMessages or Notices.
 	events      []fleet.Event
 	disconnects []fleet.ProxyID
 	notices     []Notice
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -73,7 +73,7 @@
 
 // next collects the output of the reconciler and checks its rate.
 func (s *simulation) next() {
-	messages, events, disconnects, _ := s.r.Next(s.now)
+	messages, events, disconnects, _ := s.r.NextMessages(s.now)
 	for _, message := range messages {
 		s.proxies[message.Proxy].inbox = append(s.proxies[message.Proxy].inbox, message)
 		s.entries += float64(message.Entries)
@@ -110,7 +110,7 @@
 		s.leave(i)
 		return
 	}
-	s.r.Acknowledge(s.now, fleet.ProxyID(i), message.Sequence, proxy.apply(message, limit))
+	s.r.RecordAcknowledgement(s.now, fleet.ProxyID(i), message.Sequence, proxy.apply(message, limit))
 }
 
 func (s *simulation) drawTable() fleet.TableID {
--- a/internal/reconcile/versions.go
+++ b/internal/reconcile/versions.go
@@ -188,9 +188,9 @@
 	}
 }
 
-// VersionStamps calls fn for each proxy and class with the version stamp last sent, "" if none was. newest reports
-// whether it is the current version and no message to the proxy is in flight.
-func (r *Reconciler) VersionStamps(fn func(id fleet.ProxyID, class fleet.ClassID, stamp string, newest bool)) {
+// ForEachVersionStamp calls fn for each proxy and class with the version stamp last sent, "" if none was. newest
+// reports whether it is the current version and no message to the proxy is in flight.
+func (r *Reconciler) ForEachVersionStamp(fn func(id fleet.ProxyID, class fleet.ClassID, stamp string, newest bool)) {
 	for _, proxy := range r.proxyOrder {
 		for class, stamp := range proxy.versionStamps {
 			newest := stamp != "" && stamp == r.versionStamp(proxy, class) && len(proxy.inFlight) == 0
--- a/internal/reconcile/views.go
+++ b/internal/reconcile/views.go
@@ -9,16 +9,16 @@
 
 // ProxyView is the state of a proxy as shown to operators.
 type ProxyView struct {
-	ID          fleet.ProxyID
-	Zone        fleet.ZoneID
-	Tables      []fleet.TableID // by class
-	Assigned    []bool          // by class
-	Fresh       bool            // it had only its standing tables at the join
-	Waiting     int             // items that are not sent yet
-	InFlight    int             // messages that were sent and not acknowledged
-	Written     int             // messages sent since the join
-	AnswerDelay fleet.Time      // of the last acknowledged message
-	Entries     int             // ready entries with a positive weight
+	ID               fleet.ProxyID
+	Zone             fleet.ZoneID
+	Tables           []fleet.TableID // by class
+	Assigned         []bool          // by class
+	Fresh            bool            // it had only its standing tables at the join
+	Waiting          int             // items that are not sent yet
+	InFlight         int             // messages that were sent and not acknowledged
+	Written          int             // messages sent since the join
+	AcknowledgeDelay fleet.Time      // of the last acknowledged message
+	Entries          int             // ready entries with a positive weight
 }
 
 // Proxies returns the state of all proxies with a session, sorted by ID.
@@ -26,15 +26,15 @@
 	var views []ProxyView
 	for _, proxy := range r.proxyOrder {
 		view := ProxyView{
-			ID:          proxy.id,
-			Zone:        proxy.zone,
-			Tables:      slices.Clone(proxy.tables),
-			Assigned:    slices.Clone(proxy.assigned),
-			Fresh:       proxy.fresh,
-			Waiting:     len(proxy.dirty),
-			InFlight:    len(proxy.inFlight),
-			Written:     proxy.written,
-			AnswerDelay: proxy.acknowledgeDelay,
+			ID:               proxy.id,
+			Zone:             proxy.zone,
+			Tables:           slices.Clone(proxy.tables),
+			Assigned:         slices.Clone(proxy.assigned),
+			Fresh:            proxy.fresh,
+			Waiting:          len(proxy.dirty),
+			InFlight:         len(proxy.inFlight),
+			Written:          proxy.written,
+			AcknowledgeDelay: proxy.acknowledgeDelay,
 		}
 		for _, entry := range proxy.sent {
 			if entry.Present && entry.Weight > 0 && entry.State == StateReady {
@@ -93,8 +93,8 @@
 	return proxy.tables[class], proxy.assigned[class]
 }
 
-// EachAssignment calls fn for each proxy and class that a table is assigned to.
-func (r *Reconciler) EachAssignment(table fleet.TableID, fn func(fleet.ProxyID, fleet.ClassID)) {
+// ForEachAssignment calls fn for each proxy and class that a table is assigned to.
+func (r *Reconciler) ForEachAssignment(table fleet.TableID, fn func(fleet.ProxyID, fleet.ClassID)) {
 	for _, proxy := range r.proxyOrder {
 		for class, assigned := range proxy.tables {
 			if proxy.assigned[class] && assigned == table {
@@ -104,9 +104,9 @@
 	}
 }
 
-// Published returns the weight, 0 to 256, of a server that is sent to proxies with the table. It is 0 for an unknown
-// table or server.
-func (r *Reconciler) Published(table fleet.TableID, id fleet.ServerID) int16 {
+// PublishedWeight returns the weight, 0 to 256, of a server that is sent to proxies with the table. It is 0 for an
+// unknown table or server.
+func (r *Reconciler) PublishedWeight(table fleet.TableID, id fleet.ServerID) int16 {
 	state := r.tables[table]
 	i, known := r.endpoints.index[id]
 	if state == nil || !known {
--- a/internal/safety/guard.go
+++ b/internal/safety/guard.go
@@ -239,7 +239,7 @@
 	refuseEmptyClasses(plan)
 	c.limitWarming(now, plan)
 	for i := range plan.Proposals {
-		if plan.Proposals[i].HoldReason != "" || plan.Proposals[i].LowerReason != "" {
+		if plan.Proposals[i].RefusalReason != "" || plan.Proposals[i].LowerReason != "" {
 			c.stopped++
 		} else {
 			c.passed++
--- a/internal/safety/helpers_test.go
+++ b/internal/safety/helpers_test.go
@@ -96,10 +96,10 @@
 // acknowledgeAll acknowledges all messages that are sent within 400 ms and returns their changes.
 func acknowledgeAll(reconciler *reconcile.Reconciler, from fleet.Time) (changes []reconcile.Change) {
 	for at := from; at < from+400*fleet.Millisecond; at += 50 * fleet.Millisecond {
-		messages, _, _, _ := reconciler.Next(at)
+		messages, _, _, _ := reconciler.NextMessages(at)
 		for _, message := range messages {
 			changes = append(changes, message.Changes...)
-			reconciler.Acknowledge(at, message.Proxy, message.Sequence, nil)
+			reconciler.RecordAcknowledgement(at, message.Proxy, message.Sequence, nil)
 		}
 	}
 	return changes
--- a/internal/safety/oracle_test.go
+++ b/internal/safety/oracle_test.go
@@ -160,8 +160,8 @@
 				Server: fleet.ServerID(server),
 				Weight: want.Weight,
 			},
-			Have:    latest[class][server],
-			Want:    want,
+			Current: latest[class][server],
+			Desired: want,
 			Ready:   o.isReady(server),
 			Warming: o.isWarmingUp(server),
 			Urgent:  want.State != reconcile.StateReady,
@@ -173,8 +173,8 @@
 // tablesAfter returns the table of a proxy after each of the accepted proposals in their order.
 func tablesAfter(table entryTable, proposals []reconcile.Proposal) (tables []entryTable) {
 	for _, proposal := range proposals {
-		if proposal.HoldReason == "" {
-			table[proposal.Class][proposal.Server] = proposal.Want
+		if proposal.RefusalReason == "" {
+			table[proposal.Class][proposal.Server] = proposal.Desired
 			tables = append(tables, table)
 		}
 	}
@@ -196,8 +196,8 @@
 // proxies may have while messages arrive, without the code of the checker.
 func (o *oracle) violation(proxy int, proposals []reconcile.Proposal, tables []entryTable) string {
 	for _, proposal := range proposals {
-		becomesUsable := proposal.Want.Usable() && !proposal.Have.Usable()
-		if proposal.HoldReason == "" && !o.isReady(int(proposal.Server)) && becomesUsable {
+		becomesUsable := proposal.Desired.Usable() && !proposal.Current.Usable()
+		if proposal.RefusalReason == "" && !o.isReady(int(proposal.Server)) && becomesUsable {
 			return ReasonServerNotReady
 		}
 	}
@@ -324,7 +324,7 @@
 	}
 	o.checker.CheckPlan(now, checked)
 	isStopped := slices.ContainsFunc(checked.Proposals, func(proposal reconcile.Proposal) bool {
-		return proposal.HoldReason != "" || proposal.LowerReason != ""
+		return proposal.RefusalReason != "" || proposal.LowerReason != ""
 	})
 	counts.checked++
 	counts.byReason[violation]++
--- a/internal/safety/rates.go
+++ b/internal/safety/rates.go
@@ -34,9 +34,9 @@
 		if !changesWarmingEntry(proposal) {
 			continue
 		}
-		result := proposal.Want
-		if proposal.HoldReason != "" {
-			result = proposal.Have
+		result := proposal.Desired
+		if proposal.RefusalReason != "" {
+			result = proposal.Current
 		}
 		weight := 0
 		if result.Usable() {
@@ -59,7 +59,7 @@
 }
 
 func newWarmingEntry(proposal *reconcile.Proposal) warmingEntry {
-	entry := reconcile.WarmingEntry{Class: proposal.Class, Server: proposal.Server, State: proposal.Want}
+	entry := reconcile.WarmingEntry{Class: proposal.Class, Server: proposal.Server, State: proposal.Desired}
 	return warmingEntry{WarmingEntry: entry, proposal: -1}
 }
 
--- a/internal/safety/rules.go
+++ b/internal/safety/rules.go
@@ -10,9 +10,9 @@
 
 // refuseUnready refuses a proposal that would make the entry of a draining or gone server usable.
 func (c *Checker) refuseUnready(proposal *reconcile.Proposal) {
-	becomesUsable := proposal.Want.Usable() && !proposal.Have.Usable()
+	becomesUsable := proposal.Desired.Usable() && !proposal.Current.Usable()
 	if !proposal.Ready && becomesUsable && c.isExcluded(proposal.Server) {
-		proposal.HoldReason = ReasonServerNotReady
+		proposal.RefusalReason = ReasonServerNotReady
 	}
 }
 
@@ -47,7 +47,7 @@
 			}
 		}
 		if remaining <= 0 && best >= 0 {
-			plan.Proposals[best].HoldReason = ReasonNoEndpoints
+			plan.Proposals[best].RefusalReason = ReasonNoEndpoints
 		}
 	}
 }
@@ -57,7 +57,7 @@
 	if a.Warming != b.Warming {
 		return !a.Warming
 	}
-	return a.Have.Weight > b.Have.Weight
+	return a.Current.Weight > b.Current.Weight
 }
 
 // limitRetries lowers the retry mode of a class to the maximum that cannot execute a request twice.
--- a/internal/safety/warming.go
+++ b/internal/safety/warming.go
@@ -176,8 +176,8 @@
 		return true
 	}
 	proposal := &plan.Proposals[entry.proposal]
-	if weight == 0 && !proposal.Have.Usable() {
-		proposal.HoldReason = ReasonWarmingOverload
+	if weight == 0 && !proposal.Current.Usable() {
+		proposal.RefusalReason = ReasonWarmingOverload
 	} else {
 		proposal.LowerWeight(int16(weight), ReasonWarmingOverload)
 	}
@@ -190,7 +190,7 @@
 	for i := range plan.Proposals {
 		proposal := &plan.Proposals[i]
 		if proposal.Class == class && proposal.Kind != reconcile.UpdateAdmission && proposal.WeightDelta() != 0 {
-			proposal.HoldReason = ReasonWarmingOverload
+			proposal.RefusalReason = ReasonWarmingOverload
 		}
 	}
 }
--- a/internal/safety/warming_test.go
+++ b/internal/safety/warming_test.go
@@ -106,10 +106,10 @@
 					plan.Proposals = plan.Proposals[:0]
 					for class := range 3 {
 						plan.Proposals = append(plan.Proposals, reconcile.Proposal{
-							Change: reconcile.Change{Class: fleet.ClassID(class), Server: 650, Weight: 90},
-							Have:   have,
-							Want:   want,
-							Ready:  true,
+							Change:  reconcile.Change{Class: fleet.ClassID(class), Server: 650, Weight: 90},
+							Current: have,
+							Desired: want,
+							Ready:   true,
 						})
 					}
 					checker.CheckPlan(now, plan)
