--- a/internal/ingest/collector/connection.go
+++ b/internal/ingest/collector/connection.go
@@ -161,7 +161,7 @@
 	}
 	var report Report
 	if err == nil {
-		report, err = c.server.options.Vocabulary.parseReport(&m)
+		report, err = c.server.options.ReportSchema.parseReport(&m)
 	}
 	if err != nil {
 		return c.handleMalformed(text, err)
@@ -190,7 +190,7 @@
 	}
 	zone := 0
 	if err == nil {
-		zone = m.nameIndex("locality", c.server.options.Vocabulary.Zones)
+		zone = m.nameIndex("locality", c.server.options.ReportSchema.Zones)
 		err = m.fieldErr
 	}
 	if err != nil {
--- a/internal/ingest/collector/report.go
+++ b/internal/ingest/collector/report.go
@@ -31,8 +31,8 @@
 // missingLoad marks a load figure that a report does not contain.
 const missingLoad = -1
 
-// Vocabulary holds the names that reports may use. Zones and Classes are indexed by ID.
-type Vocabulary struct {
+// ReportSchema holds the names that reports may use. Zones and Classes are indexed by ID.
+type ReportSchema struct {
 	Zones      []string
 	Classes    []string
 	ProxyCount int               // proxy IDs are below it
@@ -59,15 +59,15 @@
 }
 
 // parseReport converts a message to an outcome or demand report.
-func (v *Vocabulary) parseReport(m *message) (Report, error) {
+func (s *ReportSchema) parseReport(m *message) (Report, error) {
 	var report Report
 	switch m.kind {
 	case kindOutcome:
 		report.Server = m.requiredText("endpoint")
-		report.Outcome = v.parseOutcome(m)
+		report.Outcome = s.parseOutcome(m)
 	case kindDemand:
 		report.IsDemand = true
-		report.Demand = v.parseDemand(m)
+		report.Demand = s.parseDemand(m)
 	default:
 		m.fail("unknown message kind %.40q", m.kind)
 	}
@@ -75,12 +75,12 @@
 }
 
 // parseOutcome parses an outcome report. The latency is optional only if all attempts failed.
-func (v *Vocabulary) parseOutcome(m *message) fleet.OutcomeReport {
+func (s *ReportSchema) parseOutcome(m *message) fleet.OutcomeReport {
 	outcome := fleet.OutcomeReport{
 		Attempts: m.count("total", maxReportedCount),
 		Failures: m.count("errors", maxReportedCount),
 		Interval: parseInterval(m),
-		Zone:     fleet.ZoneID(m.nameIndex("locality", v.Zones)),
+		Zone:     fleet.ZoneID(m.nameIndex("locality", s.Zones)),
 	}
 	if outcome.Failures > outcome.Attempts {
 		m.fail("field errors: %d failures exceed the %d attempts in field total", outcome.Failures, outcome.Attempts)
@@ -90,20 +90,20 @@
 		outcome.Latency = fleet.Milliseconds(m.number("rtt", 0, maxReportedLatency))
 	}
 	if load, _ := m.value("metrics"); load != "" {
-		outcome.Load = v.parseLoad(m, load)
+		outcome.Load = s.parseLoad(m, load)
 	}
 	return outcome
 }
 
 // parseDemand parses a demand report. The number of unanswered requests may exceed that of requests, since some of them
 // were received in an earlier interval.
-func (v *Vocabulary) parseDemand(m *message) fleet.DemandReport {
+func (s *ReportSchema) parseDemand(m *message) fleet.DemandReport {
 	return fleet.DemandReport{
 		Requests:   m.count("total", maxReportedCount),
 		Unanswered: m.count("errors", maxReportedCount),
 		Interval:   parseInterval(m),
-		Proxy:      fleet.ProxyID(m.count("node", float64(v.ProxyCount-1))),
-		Class:      fleet.ClassID(m.nameIndex("route", v.Classes)),
+		Proxy:      fleet.ProxyID(m.count("node", float64(s.ProxyCount-1))),
+		Class:      fleet.ClassID(m.nameIndex("route", s.Classes)),
 	}
 }
 
@@ -114,8 +114,8 @@
 
 // parseLoad returns the load figures in the order of LoadFields, with missingLoad for those that the text does not
 // contain. Figures that are not in LoadFields are validated and dropped.
-func (v *Vocabulary) parseLoad(m *message, text string) []float32 {
-	load := make([]float32, len(v.LoadFields))
+func (s *ReportSchema) parseLoad(m *message, text string) []float32 {
+	load := make([]float32, len(s.LoadFields))
 	for i := range load {
 		load[i] = missingLoad
 	}
@@ -132,7 +132,7 @@
 			m.fail("field metrics: %.40q is not name:value with a number from 0 to %g", part, maximum)
 			return nil
 		}
-		if i := slices.Index(v.LoadFields, loadField); known && i >= 0 {
+		if i := slices.Index(s.LoadFields, loadField); known && i >= 0 {
 			load[i] = float32(figure)
 		}
 	}
--- a/internal/ingest/collector/report_test.go
+++ b/internal/ingest/collector/report_test.go
@@ -8,7 +8,7 @@
 	"cressknot/internal/fleet"
 )
 
-var testVocabulary = Vocabulary{
+var testSchema = ReportSchema{
 	Zones:      []string{"a", "b"},
 	Classes:    []string{"look", "book"},
 	ProxyCount: 20,
@@ -20,7 +20,7 @@
 	if err != nil {
 		return Report{}, err
 	}
-	return testVocabulary.parseReport(&m)
+	return testSchema.parseReport(&m)
 }
 
 func TestParseReport(t *testing.T) {
--- a/internal/ingest/collector/server.go
+++ b/internal/ingest/collector/server.go
@@ -39,8 +39,8 @@
 // Options configure a Server.
 type Options struct {
 	// Addr is the host:port to listen on. Port 0 lets the system choose a port.
-	Addr       string
-	Vocabulary Vocabulary
+	Addr         string
+	ReportSchema ReportSchema
 	// MaxSockets is the number of file descriptors that the process may use.
 	MaxSockets int
 	// OnReport receives each report. It is called by the event loop and must not block.
--- a/internal/ingest/collector/server_test.go
+++ b/internal/ingest/collector/server_test.go
@@ -22,11 +22,11 @@
 	t.Helper()
 	reports := make(chan Report, 1000)
 	s, err := Listen(Options{
-		Addr:       "127.0.0.1:0",
-		Vocabulary: testVocabulary,
-		MaxSockets: maxSockets,
-		Log:        zerolog.Nop(),
-		OnReport:   func(r Report) { reports <- r },
+		Addr:         "127.0.0.1:0",
+		ReportSchema: testSchema,
+		MaxSockets:   maxSockets,
+		Log:          zerolog.Nop(),
+		OnReport:     func(r Report) { reports <- r },
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/ingest/push/decode.go
+++ b/internal/ingest/push/decode.go
@@ -25,7 +25,7 @@
 	maxNameSize = 64
 )
 
-// Field keys of a line. Load figures are further fields, whose keys are in the Vocabulary.
+// Field keys of a line. Load figures are further fields, whose keys are in the Schema.
 const (
 	fieldAttempts      = "tries"
 	fieldFailures      = "failed"
@@ -37,10 +37,12 @@
 var errStarted = errors.New(
 	"field started must be an integer number of nanoseconds since 1970, such as 1733071000000000000i")
 
-// Vocabulary defines the names that lines may use.
-type Vocabulary struct {
-	Loads  []string                                 // field keys of the load figures, in the order of ingest.Record.Load
-	Lookup func(name []byte) (fleet.ServerID, bool) // returns the ID of a known server; must not retain name
+// Schema defines the names that lines may use.
+type Schema struct {
+	// LoadFields are the field keys of the load figures, in the order of ingest.Record.Load.
+	LoadFields []string
+	// Lookup returns the ID of a known server. It must not retain name.
+	Lookup func(name []byte) (fleet.ServerID, bool)
 }
 
 // Ignored counts the skipped lines of a batch.
@@ -70,11 +72,11 @@
 // Unknown fields are skipped. Times of lines are in the given unit and become Record.Stated, which stays 0 for a line
 // without a time. now becomes Record.Arrived.
 func Decode(
-	records []ingest.Record, body []byte, vocabulary *Vocabulary, unit lineprotocol.Precision, now fleet.Time,
+	records []ingest.Record, body []byte, schema *Schema, unit lineprotocol.Precision, now fleet.Time,
 ) ([]ingest.Record, Ignored, error) {
 	var ignored Ignored
 	before := records
-	decoder := lineDecoder{Decoder: lineprotocol.NewDecoderWithBytes(body), vocabulary: vocabulary, unit: unit}
+	decoder := lineDecoder{Decoder: lineprotocol.NewDecoderWithBytes(body), schema: schema, unit: unit}
 	for number := 1; decoder.Next(); number++ {
 		decoder.record = ingest.Record{Arrived: now}
 		kind, err := decoder.decodeLine()
@@ -117,9 +119,9 @@
 // lineDecoder decodes one line at a time into record.
 type lineDecoder struct {
 	*lineprotocol.Decoder
-	vocabulary *Vocabulary
-	unit       lineprotocol.Precision
-	record     ingest.Record
+	schema *Schema
+	unit   lineprotocol.Precision
+	record ingest.Record
 }
 
 func (d *lineDecoder) decodeLine() (lineKind, error) {
@@ -161,7 +163,7 @@
 			return otherMeasurement, fmt.Errorf("tag %s must have 1 to %d bytes, got %d", nameTag, maxNameSize, len(value))
 		}
 		kind = unknownServer
-		server, known := d.vocabulary.Lookup(value)
+		server, known := d.schema.Lookup(value)
 		if known {
 			kind = knownServer
 		}
@@ -204,7 +206,7 @@
 	case fieldStarted:
 		return d.decodeStarted(key, value)
 	}
-	for i, name := range d.vocabulary.Loads {
+	for i, name := range d.schema.LoadFields {
 		if string(key) != name {
 			continue
 		}
--- a/internal/ingest/push/decode_test.go
+++ b/internal/ingest/push/decode_test.go
@@ -16,8 +16,8 @@
 // testServers is the number of known servers, whose names are "node-" and the server ID.
 const testServers = 1000
 
-var testVocabulary = Vocabulary{
-	Loads: []string{"busy", "held"},
+var testSchema = Schema{
+	LoadFields: []string{"busy", "held"},
 	Lookup: func(name []byte) (fleet.ServerID, bool) {
 		var id fleet.ServerID
 		n, err := fmt.Sscanf(string(name), "node-%d", &id)
@@ -31,7 +31,7 @@
 const validLine = "server,name=node-1 tries=1i\n"
 
 func decode(text string) ([]ingest.Record, Ignored, error) {
-	return Decode(nil, []byte(text), &testVocabulary, lineprotocol.Nanosecond, arrival)
+	return Decode(nil, []byte(text), &testSchema, lineprotocol.Nanosecond, arrival)
 }
 
 func TestDecode(t *testing.T) {
@@ -111,8 +111,8 @@
 		fmt.Fprintf(&body, "server,name=%s started=1733071000000000000i,tries=1200i,failed=3i,good=1190i,"+
 			"good_ms=238000i,busy=0.61,held=4 1733071234000000000\n", name)
 	}
-	vocabulary := testVocabulary
-	vocabulary.Lookup = func(name []byte) (fleet.ServerID, bool) {
+	schema := testSchema
+	schema.Lookup = func(name []byte) (fleet.ServerID, bool) {
 		id, ok := ids[string(name)]
 		return id, ok
 	}
@@ -120,7 +120,7 @@
 	b.ReportAllocs()
 	for n := 0; n < b.N; n += lines {
 		var err error
-		records, _, err = Decode(records[:0], body.Bytes(), &vocabulary, lineprotocol.Nanosecond, arrival)
+		records, _, err = Decode(records[:0], body.Bytes(), &schema, lineprotocol.Nanosecond, arrival)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/ingest/push/server.go
+++ b/internal/ingest/push/server.go
@@ -73,7 +73,7 @@
 // 204.
 type Server struct {
 	sink          Sink
-	vocabulary    Vocabulary
+	schema        Schema
 	http          *http.Server
 	bytesInFlight *semaphore.Weighted
 	addr          net.Addr
@@ -87,14 +87,14 @@
 }
 
 // Listen starts a Server at addr, a host:port. The caller must call Close.
-func Listen(addr string, sink Sink, vocabulary Vocabulary) (*Server, error) {
+func Listen(addr string, sink Sink, schema Schema) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("load report listener: %w", err)
 	}
 	s := &Server{
 		sink:          sink,
-		vocabulary:    vocabulary,
+		schema:        schema,
 		bytesInFlight: semaphore.NewWeighted(maxBytesInFlight),
 		addr:          listener.Addr(),
 	}
@@ -181,7 +181,7 @@
 		s.reject(w, invalid(err.status, err))
 		return
 	}
-	records, ignored, err := Decode(pooled.records[:0], pooled.body.Bytes(), &s.vocabulary, unit, s.sink.Now())
+	records, ignored, err := Decode(pooled.records[:0], pooled.body.Bytes(), &s.schema, unit, s.sink.Now())
 	pooled.records = records[:0]
 	if err != nil {
 		s.reject(w, invalid(http.StatusBadRequest, fmt.Errorf("%w; the whole batch was rejected", err)))
--- a/internal/ingest/push/server_test.go
+++ b/internal/ingest/push/server_test.go
@@ -36,7 +36,7 @@
 
 func listen(t testing.TB, sink Sink) *Server {
 	t.Helper()
-	s, err := Listen("127.0.0.1:0", sink, testVocabulary)
+	s, err := Listen("127.0.0.1:0", sink, testSchema)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/loop.go
+++ b/internal/platform/loop.go
@@ -32,18 +32,18 @@
 
 // Options configure Run. All fields are required.
 type Options struct {
-	Controller *Controller
-	Mailbox    *Mailbox
-	Relay      RelayClient
-	Endpoints  EndpointWatcher
-	Clock      clock.Clock
-	Tick       fleet.Time // shortest time between two steps
-	Log        zerolog.Logger
+	Controller      *Controller
+	Mailbox         *Mailbox
+	Relay           RelayClient
+	Endpoints       EndpointWatcher
+	Clock           clock.Clock
+	MinStepInterval fleet.Time // shortest time between two steps
+	Log             zerolog.Logger
 }
 
 // Run steps the controller until the context is cancelled, then closes the mailbox. No other goroutine may use the
-// controller while Run is active. A step runs when the mailbox has input or a timer is due, but no sooner than Tick
-// after the previous step; input that arrives in between is handled as one batch.
+// controller while Run is active. A step runs when the mailbox has input or a timer is due, but no sooner than
+// MinStepInterval after the previous step; input that arrives in between is handled as one batch.
 func Run(ctx context.Context, options Options) {
 	defer options.Mailbox.Close()
 	l := loop{Options: options, lastEstimateLog: options.Clock.Now()}
@@ -64,7 +64,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Duration(options.Tick) - time.Duration(options.Clock.Now()-now)):
+		case <-time.After(time.Duration(options.MinStepInterval) - time.Duration(options.Clock.Now()-now)):
 		}
 	}
 }
--- a/internal/server/controller_sockets.go
+++ b/internal/server/controller_sockets.go
@@ -151,8 +151,8 @@
 	if addr == "" {
 		return nil
 	}
-	vocabulary := push.Vocabulary{Loads: p.settings.Reports.LoadFields, Lookup: p.names.ServerBytes}
-	server, err := push.Listen(addr, p.currentLoop(), vocabulary)
+	schema := push.Schema{LoadFields: p.settings.Reports.LoadFields, Lookup: p.names.ServerBytes}
+	server, err := push.Listen(addr, p.currentLoop(), schema)
 	if err != nil {
 		return err
 	}
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -142,13 +142,13 @@
 		return err
 	}
 	options := platform.Options{
-		Controller: platform.NewController(s.settings.Site, s.settings.Seed, s.settings.KnownEndpoints),
-		Mailbox:    s.mailbox,
-		Relay:      s.relay,
-		Endpoints:  s.endpoints,
-		Clock:      clock.New(),
-		Tick:       s.settings.Site.Tick,
-		Log:        s.log,
+		Controller:      platform.NewController(s.settings.Site, s.settings.Seed, s.settings.KnownEndpoints),
+		Mailbox:         s.mailbox,
+		Relay:           s.relay,
+		Endpoints:       s.endpoints,
+		Clock:           clock.New(),
+		MinStepInterval: s.settings.Site.Tick,
+		Log:             s.log,
 	}
 	go func() {
 		defer close(s.loopDone)
@@ -234,7 +234,7 @@
 		MaxSockets: s.settings.MaxSockets,
 		Log:        s.log,
 		OnReport:   s.mailbox.PostReport,
-		Vocabulary: collector.Vocabulary{
+		ReportSchema: collector.ReportSchema{
 			Zones:      s.settings.Site.Zones,
 			Classes:    s.settings.ClassNames(),
 			ProxyCount: s.settings.Site.ProxyCount,
