--- a/internal/controller/operators_weights.go
+++ b/internal/controller/operators_weights.go
@@ -58,19 +58,19 @@
 	return known && confirmation.command == command && now < confirmation.until
 }
 
-// issue returns a new token for a command. It returns false if safety.MaxForces tokens are valid already.
+// issue returns a new token for a command. It returns false if safety.MaxPendingOverrides tokens are valid already.
 func (o *overrideConfirmations) issue(now fleet.Time, command string) (token string, ok bool) {
 	for token, confirmation := range o.byToken {
 		if now >= confirmation.until {
 			delete(o.byToken, token)
 		}
 	}
-	if len(o.byToken) >= safety.MaxForces {
+	if len(o.byToken) >= safety.MaxPendingOverrides {
 		return "", false
 	}
 	o.issued++
 	token = fmt.Sprintf("f%d", o.issued)
-	o.byToken[token] = overrideConfirmation{command, now + safety.ForceTimeout}
+	o.byToken[token] = overrideConfirmation{command, now + safety.OverrideTimeout}
 	return token, true
 }
 
@@ -126,14 +126,14 @@
 	violations := c.weightViolations(q.now, a.table, a.server, a.weight)
 	if a.forced && !c.overrides.redeem(q.now, a.token, a.command) {
 		return "", commandErrorf("Refused: the token is unknown, older than %.0f s or for another weight; "+
-			"repeat 'set weight %s' to get a new one.\n", safety.ForceTimeout.Seconds(), a.command)
+			"repeat 'set weight %s' to get a new one.\n", safety.OverrideTimeout.Seconds(), a.command)
 	}
-	forcible := true
+	overridable := true
 	for _, violation := range violations {
-		forcible = forcible && violation.Forcible
+		overridable = overridable && violation.Overridable
 	}
-	if len(violations) > 0 && (!forcible || !a.forced) {
-		return "", q.refuseWeight(a.command, violations, forcible)
+	if len(violations) > 0 && (!overridable || !a.forced) {
+		return "", q.refuseWeight(a.command, violations, overridable)
 	}
 	c.reconciler.SetManualWeight(q.now, a.table, a.server, int16(a.weight), q.now+reconcile.ManualWeightDuration)
 	suffix := ""
@@ -147,16 +147,16 @@
 
 // refuseWeight returns the error that says why a weight is refused. If the weight may be forced, its last line is the
 // command for that, with a token.
-func (q *query) refuseWeight(command string, violations []safety.Violation, forcible bool) error {
+func (q *query) refuseWeight(command string, violations []safety.Violation, overridable bool) error {
 	var b strings.Builder
 	for _, violation := range violations {
 		subject := ""
-		if !violation.NoServer {
+		if !violation.WholeTable {
 			subject = q.core.serverName(violation.Server) + ": "
 		}
 		fmt.Fprintf(&b, "Refused: %s%s: %s.\n", subject, violation.Reason, violation.Text)
 	}
-	if !forcible {
+	if !overridable {
 		b.WriteString("This weight can't be forced.\n")
 		return commandError(b.String())
 	}
@@ -164,11 +164,11 @@
 	if !ok {
 		fmt.Fprintf(&b, "The weight can't be forced now: %d other weights await confirmation; "+
 			"repeat the command in %.0f s.\n",
-			safety.MaxForces, safety.ForceTimeout.Seconds())
+			safety.MaxPendingOverrides, safety.OverrideTimeout.Seconds())
 		return commandError(b.String())
 	}
 	fmt.Fprintf(&b, "To force it, send this command within %.0f s: set weight %s force %s\n",
-		safety.ForceTimeout.Seconds(), command, token)
+		safety.OverrideTimeout.Seconds(), command, token)
 	return commandError(b.String())
 }
 
@@ -205,7 +205,7 @@
 	}
 	if !found {
 		withdrawn := c.reconciler.Withdrawn(server)
-		entries = append(entries, safety.TableLine{Server: server, Weight: float64(weight), Withdrawn: withdrawn})
+		entries = append(entries, safety.TableEntry{Server: server, Weight: float64(weight), Withdrawn: withdrawn})
 	}
 	demand := 0.0
 	c.reconciler.ForEachAssignment(table, func(proxy fleet.ProxyID, class fleet.ClassID) {
@@ -215,7 +215,7 @@
 }
 
 // tableWithManualWeights returns the entries of a table as published, but with its current manual weights.
-func (c *Core) tableWithManualWeights(table fleet.TableID) (entries []safety.TableLine) {
+func (c *Core) tableWithManualWeights(table fleet.TableID) (entries []safety.TableEntry) {
 	manual := map[fleet.ServerID]int16{}
 	for _, m := range c.reconciler.ManualWeights() {
 		if m.Table == table {
@@ -230,7 +230,7 @@
 		if w, isManual := manual[e.Server]; isManual {
 			weight = w
 		}
-		entries = append(entries, safety.TableLine{Server: e.Server, Weight: float64(weight), Withdrawn: e.Withdrawn})
+		entries = append(entries, safety.TableEntry{Server: e.Server, Weight: float64(weight), Withdrawn: e.Withdrawn})
 	}
 	return entries
 }
--- a/internal/safety/file.go
+++ b/internal/safety/file.go
@@ -84,7 +84,7 @@
 	var texts []string
 	for _, violation := range checker.CheckTable(now, entries, stateFile.Demand) {
 		text := violation.Reason + ": " + violation.Text
-		if !violation.NoServer {
+		if !violation.WholeTable {
 			text = "server " + names.name(violation.Server) + ": " + text
 		}
 		texts = append(texts, text)
@@ -158,14 +158,14 @@
 
 // entries returns the entries of the file. Servers that are not in the state file get new ids, which the checker
 // does not know.
-func (f *TableFile) entries(names *serverNames, fileName string) ([]TableLine, error) {
-	var entries []TableLine
+func (f *TableFile) entries(names *serverNames, fileName string) ([]TableEntry, error) {
+	var entries []TableEntry
 	for i, entry := range f.Entries {
 		id := names.id(entry.Server)
 		if entry.Weight < 0 {
 			return nil, fmt.Errorf("%s: lines[%d].weight: %v is negative", fileName, i, entry.Weight)
 		}
-		entries = append(entries, TableLine{id, entry.Weight, entry.Withdrawn})
+		entries = append(entries, TableEntry{id, entry.Weight, entry.Withdrawn})
 	}
 	return entries, nil
 }
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -8,33 +8,33 @@
 
 // Limits for operators who force a refused change.
 const (
-	// ForceTimeout is the time after a refusal in which it may be forced. Later the state that the refusal was based on
+	// OverrideTimeout is the time after a refusal in which it may be forced. Later the state that the refusal was based on
 	// may have changed.
-	ForceTimeout = 30 * fleet.Second
-	// MaxForces is the maximum number of refusals that can wait to be forced at a time.
-	MaxForces = 64
+	OverrideTimeout = 30 * fleet.Second
+	// MaxPendingOverrides is the maximum number of refusals that can wait to be forced at a time.
+	MaxPendingOverrides = 64
 )
 
 // maxTableUtilization is the maximum demand on a table, as a fraction of the capacity of its servers.
 const maxTableUtilization = 1.0
 
-// TableLine is an entry of a complete table for Checker.CheckTable. Entries of weight 0 and withdrawn ones get no
+// TableEntry is an entry of a complete table for Checker.CheckTable. Entries of weight 0 and withdrawn ones get no
 // requests.
-type TableLine struct {
+type TableEntry struct {
 	Server    fleet.ServerID
 	Weight    float64
 	Withdrawn bool
 }
 
-func (l TableLine) usable() bool { return l.Weight > 0 && !l.Withdrawn }
+func (e TableEntry) usable() bool { return e.Weight > 0 && !e.Withdrawn }
 
 // Violation is a rule that a table violates.
 type Violation struct {
-	Reason   string // one of the Reason constants
-	Server   fleet.ServerID
-	NoServer bool   // it concerns the whole table; Server is not set
-	Text     string // details with the values met
-	Forcible bool   // operators may force the table after confirmation
+	Reason      string // one of the Reason constants
+	Server      fleet.ServerID
+	WholeTable  bool   // it concerns the whole table; Server is not set
+	Text        string // details with the values met
+	Overridable bool   // operators may force the table after confirmation
 }
 
 // readyCapacity is the capacity of all servers that are listed as ready.
@@ -64,8 +64,8 @@
 
 // CheckTable checks a complete table for classes with a total demand in requests per second, and returns the rules that
 // it violates. It informs operators in advance; each message is checked by CheckPlan nevertheless.
-func (c *Checker) CheckTable(now fleet.Time, entries []TableLine, demand float64) (violations []Violation) {
-	var ready []TableLine
+func (c *Checker) CheckTable(now fleet.Time, entries []TableEntry, demand float64) (violations []Violation) {
+	var ready []TableEntry
 	weightSum, capacity := 0.0, 0.0
 	for _, entry := range entries {
 		if !entry.usable() {
@@ -88,7 +88,7 @@
 	all := c.readyCapacity(now)
 	if len(ready) == 0 {
 		text := fmt.Sprintf("no ready server has a usable entry; %d ready servers past slow start are listed", all.warm)
-		return append(violations, Violation{Reason: ReasonNoEndpoints, NoServer: true, Text: text})
+		return append(violations, Violation{Reason: ReasonNoEndpoints, WholeTable: true, Text: text})
 	}
 	for _, entry := range ready {
 		if violation, overloaded := c.checkWarming(now, entry, demand, weightSum); overloaded {
@@ -97,9 +97,9 @@
 	}
 	if all.known && demand > maxTableUtilization*capacity && all.total > capacity {
 		violations = append(violations, Violation{
-			Reason:   ReasonInsufficientCapacity,
-			NoServer: true,
-			Forcible: true,
+			Reason:      ReasonInsufficientCapacity,
+			WholeTable:  true,
+			Overridable: true,
 			Text: fmt.Sprintf(
 				"demand is %.1f requests/s, capacity is %.1f requests/s in this table and %.1f requests/s on all ready servers",
 				demand, capacity, all.total),
@@ -109,7 +109,7 @@
 }
 
 // checkWarming returns the violation if an entry would overload a warming server.
-func (c *Checker) checkWarming(now fleet.Time, entry TableLine, demand, weightSum float64) (Violation, bool) {
+func (c *Checker) checkWarming(now fleet.Time, entry TableEntry, demand, weightSum float64) (Violation, bool) {
 	rate := demand * entry.Weight / weightSum
 	limit := c.rateLimit(now, entry.Server)
 	if rate <= limit {
--- a/internal/safety/table_test.go
+++ b/internal/safety/table_test.go
@@ -36,10 +36,10 @@
 		{map[fleet.ServerID]float64{1: 1, 2: 1, 4: 2}, 35, []string{ReasonWarmingOverload}},
 		{map[fleet.ServerID]float64{1: 1, 9: 1}, 35, []string{ReasonServerNotReady, ReasonInsufficientCapacity}},
 	} {
-		var entries []TableLine
+		var entries []TableEntry
 		for id := range fleet.ServerID(10) {
 			if weight, listed := test.weights[id]; listed {
-				entries = append(entries, TableLine{Server: id, Weight: weight})
+				entries = append(entries, TableEntry{Server: id, Weight: weight})
 			}
 		}
 		var got []string
