--- a/internal/lease/entry.go
+++ b/internal/lease/entry.go
@@ -19,13 +19,13 @@
 // Entry is the lease entry of one controller in the map of a proxy, together with its request for the lease, which is
 // stored under a key of its own.
 type Entry struct {
-	Controller string
-	Epoch      uint64 // epoch of its takeover; 0: it holds no lease
-	Heartbeat  uint64 // number of heartbeats since the takeover
-	Want       uint64 // number of its requests for the lease; 0: none
-	Retired    bool   // it takes or keeps the lease only while no other controller does
-	Manual     bool   // operators assigned the lease to it: others request it only on behalf of operators
-	WantManual bool   // its request is on behalf of operators
+	Controller    string
+	Epoch         uint64 // epoch of its takeover; 0: it holds no lease
+	Heartbeat     uint64 // number of heartbeats since the takeover
+	RequestCount  uint64 // number of its requests for the lease; 0: none
+	Retired       bool   // it takes or keeps the lease only while no other controller does
+	Manual        bool   // operators assigned the lease to it: others request it only on behalf of operators
+	ManualRequest bool   // its request is on behalf of operators
 }
 
 // String returns the stored value of an entry: EPOCH.BEAT, the epoch in base 36 and the heartbeat count in base 10,
@@ -56,9 +56,9 @@
 	return Entry{Controller: controller, Epoch: epoch, Heartbeat: heartbeat, Retired: retired, Manual: manual}
 }
 
-// ParseWant parses the stored value of a request for the lease: the number of requests so far, and whether operators
+// ParseRequest parses the stored value of a request for the lease: the number of requests so far, and whether operators
 // want the controller to hold the lease. An invalid value gives 0, which is no request.
-func ParseWant(value string) (count uint64, manual bool) {
+func ParseRequest(value string) (count uint64, manual bool) {
 	value, manual = strings.CutSuffix(value, manualSuffix)
 	count, err := strconv.ParseUint(value, 10, 64)
 	if err != nil {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// Retire makes the controller hand the lease over and take it only while no other controller does, until one requests
-// it. Retire(false) ends that.
-func (l *Lease) Retire(on bool) {
+// SetRetired makes the controller hand the lease over and take it only while no other controller does, until one
+// requests it. SetRetired(false) ends that.
+func (l *Lease) SetRetired(on bool) {
 	l.retired = on
 	l.handingOver = on && l.heldSince > 0
 }
@@ -144,7 +144,7 @@
 	if l.manual {
 		delay = 0
 	} else if slices.ContainsFunc(entries, func(entry Entry) bool {
-		return entry.WantManual && entry.Controller != l.self
+		return entry.ManualRequest && entry.Controller != l.self
 	}) {
 		delay += rankDelay // the proxy is being handed over to that controller
 	}
@@ -179,7 +179,7 @@
 	leaving := map[string]bool{}
 	for _, entry := range entries {
 		leaving[entry.Controller] = entry.Retired && entry.Epoch == 0
-		if entry.Want > 0 && l.rank(entry.Controller) < rank {
+		if entry.RequestCount > 0 && l.rank(entry.Controller) < rank {
 			preferredRequests = true
 		}
 	}
@@ -194,8 +194,8 @@
 	return count
 }
 
-// Request returns the value to store as the next request for the lease.
-func (l *Lease) Request() string {
+// NextRequest returns the value to store as the next request for the lease.
+func (l *Lease) NextRequest() string {
 	l.requestCount++
 	l.hasRequested = true
 	value := strconv.FormatUint(l.requestCount, 10)
@@ -225,8 +225,8 @@
 	return true
 }
 
-// Next counts one more heartbeat and returns the entry to store for it.
-func (l *Lease) Next() Entry {
+// NextHeartbeat counts one more heartbeat and returns the entry to store for it.
+func (l *Lease) NextHeartbeat() Entry {
 	l.heartbeats++
 	return l.entry()
 }
@@ -236,20 +236,20 @@
 }
 
 // Renew decides, from the entries read with a heartbeat, whether to keep the lease, to hand it over or to yield it to
-// another controller. It is handed over only as fast as moves allows.
-func (l *Lease) Renew(now fleet.Time, entries []Entry, moves *Moves) Action {
+// another controller. It is handed over only as fast as the limiter permits.
+func (l *Lease) Renew(now fleet.Time, entries []Entry, handovers *HandoverLimiter) Action {
 	l.recordHolder(now, entries)
 	if !HoldsLease(l.self, l.epoch, entries) {
 		return ActionYield
 	}
-	if l.handingOver && moves.Allow(now) {
+	if l.handingOver && handovers.Allow(now) {
 		return ActionRelease
 	}
 	for _, entry := range entries {
 		if !l.isLiveRequest(entry) {
 			continue
 		}
-		if (entry.WantManual || now >= l.heldSince+minHoldDuration) && moves.Allow(now) {
+		if (entry.ManualRequest || now >= l.heldSince+minHoldDuration) && handovers.Allow(now) {
 			return ActionRelease
 		}
 	}
@@ -260,12 +260,12 @@
 // request must have changed since the last read: a constant one may be left over from a controller that is gone.
 func (l *Lease) isLiveRequest(entry Entry) bool {
 	preferred := !l.manual && l.rank(entry.Controller) < l.rank(l.self)
-	if entry.Want == 0 || !entry.WantManual && !preferred {
+	if entry.RequestCount == 0 || !entry.ManualRequest && !preferred {
 		return false
 	}
 	last, known := l.lastRequests[entry.Controller]
-	l.lastRequests[entry.Controller] = entry.Want
-	return known && last != entry.Want
+	l.lastRequests[entry.Controller] = entry.RequestCount
+	return known && last != entry.RequestCount
 }
 
 // ReleaseEntry returns the entry to store when the lease is handed over. It has no epoch. A controller that retires,
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -21,7 +21,7 @@
 	dead          map[string]bool
 	clockOffset   map[string]fleet.Time // of a controller's clock from now
 	now           fleet.Time
-	moves         Moves
+	handovers     HandoverLimiter
 	checkOrder    []string // in which controllers check within a second
 	holderChanges int
 	lastHolder    string
@@ -78,16 +78,16 @@
 
 // store replaces the entry of a controller. Its request is stored under another key and is kept.
 func (p *simulatedProxy) store(controller string, entry Entry) {
-	entry.Want = p.entries[controller].Want
-	entry.WantManual = p.entries[controller].WantManual
+	entry.RequestCount = p.entries[controller].RequestCount
+	entry.ManualRequest = p.entries[controller].ManualRequest
 	p.entries[controller] = entry
 }
 
 // renew sends a heartbeat of a controller that holds the lease and carries out the resulting action.
 func (p *simulatedProxy) renew(controller string) {
 	lease := p.leases[controller]
-	p.store(controller, lease.Next())
-	switch lease.Renew(p.clock(controller), p.read(), &p.moves) {
+	p.store(controller, lease.NextHeartbeat())
+	switch lease.Renew(p.clock(controller), p.read(), &p.handovers) {
 	case ActionYield:
 		p.holds[controller] = false
 		lease.Drop()
@@ -105,14 +105,14 @@
 	switch action, _ := lease.Check(now, p.read()); action {
 	case ActionClaim:
 		entry := lease.BeginTakeover(now, p.read())
-		entry.Want = p.entries[controller].Want
+		entry.RequestCount = p.entries[controller].RequestCount
 		p.entries[controller] = entry
 		p.endOtherSessions(controller)
 		p.holds[controller] = lease.ConfirmTakeover(now, p.read())
 	case ActionRequest:
 		entry := p.entries[controller]
 		entry.Controller = controller
-		entry.Want, entry.WantManual = ParseWant(lease.Request())
+		entry.RequestCount, entry.ManualRequest = ParseRequest(lease.NextRequest())
 		p.entries[controller] = entry
 	}
 }
@@ -232,7 +232,7 @@
 	p.dead[ranked[0]] = true
 	p.dead[ranked[1]] = true
 	p.runUntil(t, ranked[2], 12)
-	p.entries[ranked[0]] = Entry{Controller: ranked[0], Want: 77}
+	p.entries[ranked[0]] = Entry{Controller: ranked[0], RequestCount: 77}
 	p.runStable(t, 30, ranked[2])
 }
 
@@ -243,7 +243,7 @@
 	if epoch := lease.BeginTakeover(0, nil).Epoch; epoch != 1 {
 		t.Errorf("first epoch %d, want 1", epoch)
 	}
-	if action := lease.Renew(0, []Entry{{Controller: "a", Epoch: 2}}, &Moves{}); action != ActionYield {
+	if action := lease.Renew(0, []Entry{{Controller: "a", Epoch: 2}}, &HandoverLimiter{}); action != ActionYield {
 		t.Errorf("action %d, want ActionYield", action)
 	}
 }
@@ -298,7 +298,7 @@
 	ranked := testRanked()
 	p := newSimulatedProxy()
 	p.tick()
-	p.leases[ranked[0]].Retire(true)
+	p.leases[ranked[0]].SetRetired(true)
 	p.run(t, 2, ranked[1]) // others do not wait for a retired controller
 	p.run(t, 8, ranked[1])
 	holder, changedAt := p.leases[ranked[2]].LastHolder()
@@ -317,7 +317,7 @@
 	if holder := p.holder(); holder == ranked[0] || holder == "" {
 		t.Errorf("%q holds the lease, want another controller than %s", holder, ranked[0])
 	}
-	p.leases[ranked[0]].Retire(false)
+	p.leases[ranked[0]].SetRetired(false)
 	p.run(t, 20, ranked[0])
 }
 
@@ -339,19 +339,19 @@
 	p.run(t, 16, ranked[0])
 }
 
-// TestMovesAreLimited checks that moves are allowed at movesPerSecond after the initial burst, however often they are
-// requested.
+// TestMovesAreLimited checks that handovers are allowed at handoversPerSecond after the initial burst, however often
+// they are requested.
 func TestMovesAreLimited(t *testing.T) {
-	moves := Moves{}
+	handovers := HandoverLimiter{}
 	now := 10 * fleet.Second
 	for range 10 {
 		for range 1000 {
-			moves.Allow(now)
+			handovers.Allow(now)
 		}
 		now += fleet.Second
 	}
-	if moves.Allowed > maxMovesBurst+9*movesPerSecond+1 || moves.Allowed < 9*movesPerSecond {
-		t.Errorf("%d moves in ten seconds", moves.Allowed)
+	if handovers.Allowed > maxHandoverBurst+9*handoversPerSecond+1 || handovers.Allowed < 9*handoversPerSecond {
+		t.Errorf("%d handovers in ten seconds", handovers.Allowed)
 	}
 }
 
--- a/internal/transport/haproxy/lease.go
+++ b/internal/transport/haproxy/lease.go
@@ -51,12 +51,12 @@
 	})
 	for i := range entries {
 		entry := &entries[i]
-		entry.Want, entry.WantManual = lease.ParseWant(requests[entry.Controller])
+		entry.RequestCount, entry.ManualRequest = lease.ParseRequest(requests[entry.Controller])
 		delete(requests, entry.Controller)
 	}
 	for controller, request := range requests {
 		entry := lease.Entry{Controller: controller}
-		entry.Want, entry.WantManual = lease.ParseWant(request)
+		entry.RequestCount, entry.ManualRequest = lease.ParseRequest(request)
 		entries = append(entries, entry)
 	}
 	return entries, keys, answerError("show map", err)
@@ -98,7 +98,7 @@
 func (s *session) completeTakeover() {
 	l := s.link
 	l.leaseMutex.Lock()
-	next := l.lease.Next()
+	next := l.lease.NextHeartbeat()
 	staleSessions := l.staleSessions
 	l.staleSessions = nil
 	l.leaseMutex.Unlock()
@@ -177,7 +177,7 @@
 		s.expect(sessionsAnswer)
 		return nil
 	case lease.ActionRequest:
-		s.writeMapEntry(requestKeyPrefix+s.options().Controller, proxyLease.Request(), heartbeatAnswer)
+		s.writeMapEntry(requestKeyPrefix+s.options().Controller, proxyLease.NextRequest(), heartbeatAnswer)
 	}
 	s.observeTimer = time.AfterFunc(time.Duration(max(1, observeAt-now)), s.observeAgain)
 	return nil
@@ -202,7 +202,7 @@
 	}
 	t := s.link.transport
 	t.movesMutex.Lock()
-	action := s.link.lease.Renew(now, entries, &t.moves)
+	action := s.link.lease.Renew(now, entries, &t.handovers)
 	t.movesMutex.Unlock()
 	switch action {
 	case lease.ActionYield:
@@ -250,7 +250,7 @@
 		return
 	}
 	l.leaseMutex.Lock()
-	next := l.lease.Next()
+	next := l.lease.NextHeartbeat()
 	l.leaseMutex.Unlock()
 	s.writeMapEntry(s.ownLeaseKey(), next.String(), heartbeatAnswer)
 	s.requestMap(heldEntriesAnswer)
@@ -284,7 +284,7 @@
 	for _, l := range t.links {
 		if l.lease != nil {
 			l.leaseMutex.Lock()
-			l.lease.Retire(on)
+			l.lease.SetRetired(on)
 			l.leaseMutex.Unlock()
 		}
 	}
--- a/internal/transport/haproxy/transport.go
+++ b/internal/transport/haproxy/transport.go
@@ -68,7 +68,7 @@
 	stopping atomic.Bool
 
 	movesMutex sync.Mutex
-	moves      lease.Moves
+	handovers  lease.HandoverLimiter
 }
 
 var (
