--- a/client/testcontroller_test.go
+++ b/client/testcontroller_test.go
@@ -38,7 +38,7 @@
 	_, err := fmt.Sscanf(name, "s%d", &id)
 	return fleet.ServerID(id), err == nil && id < n.n
 }
-func (n serverNames) Learn(name, _ string) fleet.ServerID { id, _ := n.Server(name); return id }
+func (n serverNames) GetOrAssign(name, _ string) fleet.ServerID { id, _ := n.Server(name); return id }
 func (n serverNames) Lookup(id fleet.ServerID) (string, string) {
 	return fmt.Sprint("s", id), fmt.Sprint("127.0.0.1:", 7000+id)
 }
--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -92,18 +92,18 @@
 	var estimates []fleet.ServerEstimate
 	for _, server := range b.endpoints.ready {
 		estimates = append(estimates, fleet.ServerEstimate{
-			Server:       server.Server,
-			State:        server.State,
-			WarmingUp:    b.warmingUp(server),
-			Withdrawn:    server.withdrawn,
-			Attempts:     server.longWindow.attempts,
-			Failures:     server.longWindow.attempts - server.longWindow.successes,
-			Utilization:  server.longWindow.utilization,
-			Latency:      server.longWindow.latency,
-			Capacity:     server.capacity,
-			RequestRate:  server.requestRate,
-			HealthFactor: server.healthFactor,
-			Fractions:    b.tableFractions(server),
+			Server:         server.Server,
+			State:          server.State,
+			WarmingUp:      b.warmingUp(server),
+			Withdrawn:      server.withdrawn,
+			Attempts:       server.longWindow.attempts,
+			Failures:       server.longWindow.attempts - server.longWindow.successes,
+			Utilization:    server.longWindow.utilization,
+			Latency:        server.longWindow.latency,
+			Capacity:       server.capacity,
+			RequestRate:    server.requestRate,
+			HealthFactor:   server.healthFactor,
+			TableFractions: b.tableFractions(server),
 		})
 	}
 	return estimates
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -89,7 +89,7 @@
 	Admission            string   `json:"admission"`
 	ProxyCount           int      `json:"proxies"`
 	JoinByZone           bool     `json:"joinByZone"`
-	StandingTableSize    int      `json:"standing"`
+	MaxStandingTableSize int      `json:"standing"`
 	DefaultRetry         uint8    `json:"retryDefault"`
 	AttemptTimeoutFactor float64  `json:"perTry"`
 	OutlierFailures      int      `json:"outlierAfter"`
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -63,7 +63,7 @@
 		Admission:            admissionModes[s.Transport.Admission],
 		ProxyCount:           max(s.Transport.ProxyCount, len(s.Proxies)) + len(s.ClientProxies()),
 		JoinByZone:           s.Transport.JoinByZone,
-		StandingTableSize:    s.Transport.StandingTableSize,
+		MaxStandingTableSize: s.Transport.MaxStandingTableSize,
 		AttemptTimeoutFactor: s.Transport.AttemptTimeoutFactor,
 		DefaultRetry:         fleet.RetryMode(s.Transport.DefaultRetry),
 		ProxyOutlierFailures: s.Transport.OutlierFailures,
@@ -87,11 +87,11 @@
 			OverloadFactor: s.Servers.OverloadFactor,
 			Duration:       fleet.Time(s.Servers.RecoveryDuration),
 		},
-		DrainTimeout:      fleet.Time(s.Servers.DrainTimeout),
-		MaxPollInterval:   fleet.Time(s.List.MaxPollInterval),
-		RemovalNotBinding: !s.Servers.RemovalBinding,
-		WorstClassWeight:  s.Goal.WorstClassWeight,
-		OverallWeight:     s.Goal.OverallWeight,
+		DrainTimeout:              fleet.Time(s.Servers.DrainTimeout),
+		MaxPollInterval:           fleet.Time(s.List.MaxPollInterval),
+		IgnoreRemoval:             !s.Servers.RemovalBinding,
+		ObjectiveWorstClassWeight: s.Goal.WorstClassWeight,
+		ObjectiveOverallWeight:    s.Goal.OverallWeight,
 	}
 	for _, field := range s.Reports.LoadFields {
 		site.LoadFields = append(site.LoadFields, loadFields[field])
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -33,11 +33,11 @@
 	Site    fleet.Site
 	Seed    uint64 // of the balancer's random number generator
 	Proxies []transport.Proxy
-	Names   *Names
+	Names   *ServerNames
 	// SafetyChecks makes the controller check every message before it is sent.
 	SafetyChecks bool
-	// PushedLoads makes the load that servers push take precedence over the load in their answers.
-	PushedLoads bool
+	// UsePushedLoads makes the load that servers push take precedence over the load in their answers.
+	UsePushedLoads bool
 	// Faults are injected for fault drills; the only one is FaultUnboundedSlowStart.
 	Faults []string
 }
@@ -46,7 +46,7 @@
 // after the first Step only the goroutine that calls Step may access it.
 type Core struct {
 	site       fleet.Site
-	names      *Names
+	names      *ServerNames
 	balancer   *balancer.Balancer
 	reconciler *reconcile.Reconciler
 	pipeline   *ingest.Pipeline
@@ -118,8 +118,8 @@
 	Orders          []fleet.Order
 }
 
-// NewCore returns a Core without endpoints, proxies or tables. Restore, EnableGossip and ServeZones, where used, are
-// called before the first Step.
+// NewCore returns a Core without endpoints, proxies or tables. Restore, EnableGossip and SetClientZones, where used,
+// are called before the first Step.
 func NewCore(o CoreOptions) *Core {
 	c := &Core{
 		site:       o.Site,
@@ -149,8 +149,8 @@
 	if o.SafetyChecks {
 		c.reconciler.UseSafetyCheck(c.guard)
 	}
-	if o.PushedLoads {
-		c.pipeline.PushedLoads()
+	if o.UsePushedLoads {
+		c.pipeline.UsePushedLoads()
 	}
 	return c
 }
@@ -165,8 +165,8 @@
 	}
 }
 
-// ServeZones sets the zones whose clients query the service.
-func (c *Core) ServeZones(zones []service.Zone) { c.published.zones = zones }
+// SetClientZones sets the zones whose clients query the service.
+func (c *Core) SetClientZones(zones []service.Zone) { c.published.zones = zones }
 
 // ProxyViews returns the state of the connected proxies, as operators see it.
 func (c *Core) ProxyViews() []reconcile.ProxyView { return c.reconciler.Proxies() }
--- a/internal/controller/crash_recovery_test.go
+++ b/internal/controller/crash_recovery_test.go
@@ -75,7 +75,7 @@
 	site.Controllers = 1
 	site.LoadFields = []fleet.LoadField{fleet.LoadFieldUtilization}
 	startController := func(seed uint64) (loop *controller.Loop, kill func()) {
-		names := controller.NewNames()
+		names := controller.NewServerNames()
 		proxyTransport := haproxy.New(haproxy.Options{
 			Proxies:   addresses,
 			Classes:   []transport.Class{{Name: backend, Backend: backend}},
--- a/internal/controller/discovery_outage_test.go
+++ b/internal/controller/discovery_outage_test.go
@@ -55,7 +55,7 @@
 		Site:    site,
 		Seed:    1,
 		Proxies: []transport.Proxy{{ID: 0, Name: "p0"}, {ID: 1, Name: "p1"}},
-		Names:   NewNames(),
+		Names:   NewServerNames(),
 	})
 	return sim
 }
@@ -225,7 +225,7 @@
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Server", c.reportedName)
 		}))
-		names := NewNames()
+		names := NewServerNames()
 		id, _ := names.SetAddress(name, strings.TrimPrefix(server.URL, "http://"))
 		if c.down {
 			server.Close()
@@ -246,7 +246,7 @@
 // TestGossipFloodKeepsNewestOfEachController checks that a step handles only the newest message of each controller, for
 // at most gossip.MaxControllers controllers, however many messages arrive between two steps.
 func TestGossipFloodKeepsNewestOfEachController(t *testing.T) {
-	loop := NewLoop(Options{Core: newSimulation(nil).core, Names: NewNames()})
+	loop := NewLoop(Options{Core: newSimulation(nil).core, Names: NewServerNames()})
 	for seq := range uint64(1000) {
 		for g := range 200 {
 			loop.ReceiveGossip(gossip.Message{Controller: fmt.Sprint("g", g), Epoch: 1, Sequence: (seq*7)%1000 + 1})
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -245,11 +245,11 @@
 	if list.Scope != fleet.ListDelta {
 		for id := range c.names.Count() {
 			if _, listed := c.endpoints.listed[fleet.ServerID(id)]; !listed {
-				c.pipeline.Listed(fleet.ServerID(id), true)
+				c.pipeline.SetListed(fleet.ServerID(id), true)
 			}
 		}
 	}
 	for _, e := range list.Endpoints {
-		c.pipeline.Listed(e.Server, e.State == fleet.ServerGone)
+		c.pipeline.SetListed(e.Server, e.State == fleet.ServerGone)
 	}
 }
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -37,7 +37,7 @@
 // Loop runs a Core in one goroutine, with a mailbox for its inputs, a clock and a timer.
 type Loop struct {
 	core     *Core
-	names    *Names
+	names    *ServerNames
 	mailbox  *mailbox
 	clock    clock.Clock
 	log      zerolog.Logger
@@ -70,7 +70,7 @@
 // Options configures a Loop.
 type Options struct {
 	Core             *Core
-	Names            *Names
+	Names            *ServerNames
 	Transport        transport.Transport
 	Source           discovery.EndpointSource
 	Log              zerolog.Logger
@@ -156,8 +156,8 @@
 // ReceiveGossip queues a message of another controller. It may be called from any goroutine.
 func (l *Loop) ReceiveGossip(message gossip.Message) { l.mailbox.putGossip(message) }
 
-// Notice writes an entry to the process log. Operators' "show log" does not include it.
-func (l *Loop) Notice(level Level, source, text string) {
+// LogNotice writes an entry to the process log. Operators' "show log" does not include it.
+func (l *Loop) LogNotice(level Level, source, text string) {
 	l.writeLog(LogEntry{l.Now(), level, source, text})
 }
 
@@ -211,11 +211,11 @@
 
 // step runs one step of the core and executes its output. It returns the time at which the next step is due.
 func (l *Loop) step() fleet.Time {
-	inputs, more := l.mailbox.collect(l.core.pipeline.TurnLimits())
+	inputs, more := l.mailbox.collect(l.core.pipeline.StepLimits())
 	now := l.Now()
 	out := l.core.Step(now, inputs)
 	duration := l.Now() - now
-	l.core.pipeline.TurnEnded(now, duration)
+	l.core.pipeline.StepEnded(now, duration)
 	l.timings.add(duration)
 	l.execute(&out)
 	if out.BalancerStepped {
@@ -233,7 +233,7 @@
 // execute performs the actions of a step outside the core, except recording and persisting.
 func (l *Loop) execute(out *Output) {
 	for _, id := range out.TrustChanges {
-		l.mailbox.pushed.Distrust(id, l.core.pipeline.UntrustedUntil(id))
+		l.mailbox.pushed.SetUntrusted(id, l.core.pipeline.UntrustedUntil(id))
 	}
 	l.sendToProxies(out)
 	l.startProbes(out)
--- a/internal/controller/loop_bench_test.go
+++ b/internal/controller/loop_bench_test.go
@@ -57,7 +57,7 @@
 						Idempotency:      fleet.NotIdempotent,
 					}},
 			}
-			names := NewNames()
+			names := NewServerNames()
 			var all []transport.Proxy
 			for i := range proxies {
 				all = append(all, transport.Proxy{
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -105,7 +105,7 @@
 		inputs = append(inputs, PushedRecords(m.records))
 	}
 	m.inputs = inputs
-	waiting, _, _ := m.pushed.Waiting()
+	waiting, _, _ := m.pushed.Stats()
 	return inputs, more || waiting > 0
 }
 
--- a/internal/controller/operators_reports.go
+++ b/internal/controller/operators_reports.go
@@ -54,7 +54,7 @@
 	var b strings.Builder
 	b.WriteString("# server sight since_s report_age_s met_age_s tries failed served erred clock_off_s believed\n")
 	for _, v := range q.core.pipeline.Views(q.now) {
-		if !staleOnly || v.Verdict != ingest.Healthy || v.Distrust != 0 {
+		if !staleOnly || v.Verdict != ingest.Healthy || v.UntrustedUntil != 0 {
 			b.WriteString(q.formatSource(v))
 		}
 	}
@@ -78,7 +78,7 @@
 // formatSource formats the row of a server in "show reports".
 func (q *query) formatSource(v ingest.View) string {
 	age := "-"
-	if v.Reports {
+	if v.HasReported {
 		age = fmt.Sprintf("%.1f", v.Age.Seconds())
 	}
 	since := "-"
@@ -86,21 +86,21 @@
 		since = formatSeconds(q.now - v.Since)
 	}
 	believed := "yes"
-	if v.Distrust > 0 {
-		believed = fmt.Sprintf("in %.0f s", (v.Distrust - q.now).Seconds())
+	if v.UntrustedUntil > 0 {
+		believed = fmt.Sprintf("in %.0f s", (v.UntrustedUntil - q.now).Seconds())
 	}
 	return fmt.Sprintf("%s %s %s %s %s %d %d %d %d %.1f %s\n",
 		q.core.serverName(v.Server), v.Verdict, since, age, formatSeconds(v.PolledAge),
-		v.Attempts, v.Failed, v.Served, v.OwnFailures, -v.ClockOffset.Seconds(), believed)
+		v.Attempts, v.Failed, v.OwnAttempts, v.OwnFailures, -v.ClockOffset.Seconds(), believed)
 }
 
 func (q *query) showIngest() (string, error) {
 	p := q.core.pipeline
 	totals := p.Totals()
-	waiting, oldest := p.Waiting(q.now)
-	sources, records, thinned := q.loop.mailbox.pushed.Waiting()
+	waiting, oldest := p.PendingReports(q.now)
+	sources, records, thinned := q.loop.mailbox.pushed.Stats()
 	violations, repeated, odd, unbelieved := p.Violations()
-	level, misses, shedText := p.Shedding()
+	level, misses, shedText := p.SheddingLevel()
 	var b strings.Builder
 	b.WriteString(formatInfo([]infoField{
 		{"Tries_counted", totals.Counted},
--- a/internal/controller/operators_show.go
+++ b/internal/controller/operators_show.go
@@ -67,7 +67,7 @@
 	durations, steps := q.loop.StepDurations(50, 99, 100)
 	passed, stopped := c.guard.Counts()
 	versions, deltaPercent := c.versionTotals()
-	reportsWaiting, _ := c.pipeline.Waiting(q.now)
+	reportsWaiting, _ := c.pipeline.PendingReports(q.now)
 	return formatInfo([]infoField{
 		{"Name", "cressknot"},
 		{"Version", q.version},
--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -60,7 +60,7 @@
 func (fakeSource) Fetch()     {}
 
 func testLoop(t *testing.T) *Loop {
-	names := NewNames()
+	names := NewServerNames()
 	site := fleet.Site{
 		Zones:               []string{"a"},
 		Classes:             []fleet.RequestClass{{Name: "look", PriorityWeight: 1, LatencyObjective: fleet.Second}},
@@ -151,7 +151,7 @@
 		Stream: 1,
 		Snapshot: reconcile.Snapshot{Entries: []reconcile.SnapshotEntry{
 			{
-				Server: loop.names.Learn("n9", "127.0.0.1:9"),
+				Server: loop.names.GetOrAssign("n9", "127.0.0.1:9"),
 				State:  reconcile.EntryState{Weight: 3, State: reconcile.StateReady},
 			}}},
 	})
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -9,8 +9,8 @@
 
 // TestOrderTextIsStable checks the format of each kind of order in "show orders", which operators' scripts parse.
 func TestOrderTextIsStable(t *testing.T) {
-	names := NewNames()
-	server := names.Learn("n1", "127.0.0.1:1")
+	names := NewServerNames()
+	server := names.GetOrAssign("n1", "127.0.0.1:1")
 	core := NewCore(CoreOptions{
 		Site:    fleet.Site{Zones: []string{"a"}, Classes: make([]fleet.RequestClass, 1)},
 		Seed:    1,
--- a/internal/controller/persist.go
+++ b/internal/controller/persist.go
@@ -128,7 +128,7 @@
 func (c *Core) tableEntries(named []persistedEntry) []tableversion.Entry {
 	entries := make([]tableversion.Entry, len(named))
 	for i, e := range named {
-		entries[i] = tableversion.Entry{Server: c.names.Learn(e.Server, ""), Weight: e.Weight, Previous: e.Previous}
+		entries[i] = tableversion.Entry{Server: c.names.GetOrAssign(e.Server, ""), Weight: e.Weight, Previous: e.Previous}
 	}
 	return entries
 }
--- a/internal/controller/persist_test.go
+++ b/internal/controller/persist_test.go
@@ -41,7 +41,7 @@
 				MaxBacklog:       1e6,
 			},
 			Seed:  1,
-			Names: NewNames(),
+			Names: NewServerNames(),
 		}),
 	}
 	before := persistedEpoch{}
@@ -124,7 +124,7 @@
 					now += 13 * 3600 * fleet.Second
 				}
 				id := fleet.TableID(rng.IntN(2))
-				server := stored.core.names.Learn(fmt.Sprint("s", rng.IntN(12)), "x:1")
+				server := stored.core.names.GetOrAssign(fmt.Sprint("s", rng.IntN(12)), "x:1")
 				switch rng.IntN(8) {
 				case 0:
 					stored.core.reconciler.SetManualWeight(now, id, server, int16(rng.IntN(256)), now+reconcile.ManualWeightDuration)
@@ -230,7 +230,7 @@
 				MaxBacklog:       1e9,
 			},
 			Seed:  1,
-			Names: NewNames(),
+			Names: NewServerNames(),
 		})
 	}
 	c := core()
@@ -258,7 +258,7 @@
 			for j := range 20 {
 				orders = append(orders, fleet.SetWeight{
 					Table:  fleet.TableID(t),
-					Server: c.names.Learn(fmt.Sprintf("node-%04d", (i*7+j*35)%700), ""),
+					Server: c.names.GetOrAssign(fmt.Sprintf("node-%04d", (i*7+j*35)%700), ""),
 					Weight: float32(1+(i+j)%9) / 9,
 				})
 			}
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -31,7 +31,7 @@
 
 // prober probes and verifies servers over the network. Each call takes at most reconcile.DialTimeout.
 type prober struct {
-	names            *Names
+	names            *ServerNames
 	path             string // of the probe URL
 	verificationMode string
 }
--- a/internal/controller/recording.go
+++ b/internal/controller/recording.go
@@ -38,7 +38,7 @@
 
 // record writes a step, if an event log is open. An error ends the recording: it is returned once and nothing more is
 // recorded.
-func (r *stepRecorder) record(now fleet.Time, out Output, names *Names) error {
+func (r *stepRecorder) record(now fleet.Time, out Output, names *ServerNames) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.writer == nil {
--- a/internal/controller/report_flood_test.go
+++ b/internal/controller/report_flood_test.go
@@ -43,7 +43,7 @@
 			{PriorityWeight: 2, LatencyObjective: s, Deadline: 4 * s, Idempotency: fleet.NotIdempotent},
 		},
 	}
-	names := NewNames()
+	names := NewServerNames()
 	rng := rand.New(rand.NewPCG(4, 4))
 	var all []transport.Proxy
 	for i := range proxies {
@@ -54,7 +54,7 @@
 			RequestRate: 20,
 		})
 	}
-	core := NewCore(CoreOptions{Site: site, Seed: 1, Proxies: all, Names: names, SafetyChecks: true, PushedLoads: true})
+	core := NewCore(CoreOptions{Site: site, Seed: 1, Proxies: all, Names: names, SafetyChecks: true, UsePushedLoads: true})
 	queue := &ingest.Queue{}
 	now := 1000 * s
 	list := discovery.EndpointList{Revision: 1}
@@ -140,7 +140,7 @@
 			}
 			queue.Put(now, []ingest.Record{r})
 		}
-		pushed, _ := core.pipeline.TurnLimits()
+		pushed, _ := core.pipeline.StepLimits()
 		taken = queue.Take(pushed, taken[:0])
 		for _, r := range taken {
 			if r.Server < servers && r.Stated == r.Arrived {
--- a/internal/controller/restore.go
+++ b/internal/controller/restore.go
@@ -191,7 +191,7 @@
 		}
 		c.reconciler.RestoreManualWeight(reconcile.ManualWeight{
 			Table:  table,
-			Server: c.names.Learn(name, ""),
+			Server: c.names.GetOrAssign(name, ""),
 			Weight: w.Weight,
 			Until:  w.Until,
 		})
--- a/internal/controller/server_names.go
+++ b/internal/controller/server_names.go
@@ -7,9 +7,9 @@
 	"cressknot/internal/transport"
 )
 
-// Names assigns ids to server names and holds the servers' addresses. Ids are valid for the lifetime of the process. It
-// is safe for concurrent use.
-type Names struct {
+// ServerNames assigns ids to server names and holds the servers' addresses. Ids are valid for the lifetime of the
+// process. It is safe for concurrent use.
+type ServerNames struct {
 	mu      sync.RWMutex
 	byName  map[string]fleet.ServerID
 	servers []namedServer // by id
@@ -17,13 +17,13 @@
 
 type namedServer struct{ name, addr string }
 
-var _ transport.ServerNames = (*Names)(nil)
+var _ transport.ServerNames = (*ServerNames)(nil)
 
-// NewNames returns an empty register; ids start at 0.
-func NewNames() *Names { return &Names{byName: map[string]fleet.ServerID{}} }
+// NewServerNames returns an empty register; ids start at 0.
+func NewServerNames() *ServerNames { return &ServerNames{byName: map[string]fleet.ServerID{}} }
 
 // Server returns the id of a name, and whether the name is known.
-func (n *Names) Server(name string) (fleet.ServerID, bool) {
+func (n *ServerNames) Server(name string) (fleet.ServerID, bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	id, ok := n.byName[name]
@@ -31,27 +31,27 @@
 }
 
 // ServerBytes is like Server for a name in a buffer; it does not allocate.
-func (n *Names) ServerBytes(name []byte) (fleet.ServerID, bool) {
+func (n *ServerNames) ServerBytes(name []byte) (fleet.ServerID, bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	id, ok := n.byName[string(name)]
 	return id, ok
 }
 
-// Learn returns the id of a name, and assigns one to a new name. The address, "" for none, is only used if the server's
-// address is not known yet.
-func (n *Names) Learn(name, addr string) fleet.ServerID {
+// GetOrAssign returns the id of a name, and assigns one to a new name. The address, "" for none, is only used if the
+// server's address is not known yet.
+func (n *ServerNames) GetOrAssign(name, addr string) fleet.ServerID {
 	id, _ := n.register(name, addr, false)
 	return id
 }
 
-// SetAddress returns the id of a name, and assigns one to a new name. Unlike with Learn, the address replaces the known
-// one, unless it is "". changed reports that a different address was known before.
-func (n *Names) SetAddress(name, addr string) (id fleet.ServerID, changed bool) {
+// SetAddress returns the id of a name, and assigns one to a new name. Unlike with GetOrAssign, the address replaces the
+// known one, unless it is "". changed reports that a different address was known before.
+func (n *ServerNames) SetAddress(name, addr string) (id fleet.ServerID, changed bool) {
 	return n.register(name, addr, true)
 }
 
-func (n *Names) register(name, addr string, replace bool) (id fleet.ServerID, changed bool) {
+func (n *ServerNames) register(name, addr string, replace bool) (id fleet.ServerID, changed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	id, ok := n.byName[name]
@@ -70,7 +70,7 @@
 }
 
 // Lookup returns the name and the address, host:port, of a server. Both are "" for an unknown id.
-func (n *Names) Lookup(id fleet.ServerID) (name, addr string) {
+func (n *ServerNames) Lookup(id fleet.ServerID) (name, addr string) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	if int(id) >= len(n.servers) {
@@ -81,7 +81,7 @@
 }
 
 // Count returns the number of names. Ids range from 0 to Count()-1.
-func (n *Names) Count() int {
+func (n *ServerNames) Count() int {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	return len(n.servers)
--- a/internal/controller/shrink_gate_test.go
+++ b/internal/controller/shrink_gate_test.go
@@ -51,7 +51,7 @@
 				MaxBacklog:       1e6,
 			},
 			Seed:  1,
-			Names: NewNames(),
+			Names: NewServerNames(),
 		})
 		now := 100 * s
 		fetches := 0
--- a/internal/controller/simulated_fleet_test.go
+++ b/internal/controller/simulated_fleet_test.go
@@ -31,7 +31,7 @@
 type simulatedFleet struct {
 	t          *testing.T
 	reconciler *reconcile.Reconciler
-	names      *controller.Names
+	names      *controller.ServerNames
 	transport  transport.Transport
 	dir        string
 	addresses  []transport.Proxy
@@ -77,7 +77,7 @@
 	return &simulatedFleet{
 		t:          t,
 		reconciler: reconcile.New(testSite()),
-		names:      controller.NewNames(),
+		names:      controller.NewServerNames(),
 		events:     make(chan transport.Event, eventCapacity),
 		streams:    map[fleet.ProxyID]uint64{},
 		lastErrors: map[fleet.ProxyID]string{},
--- a/internal/controller/storeddata_test.go
+++ b/internal/controller/storeddata_test.go
@@ -51,7 +51,7 @@
 	for i := range 12 {
 		now += 2 * fleet.Second
 		for table := range fleet.TableID(2) {
-			server := stored.core.names.Learn(fmt.Sprint("node-", (i+int(table))%4), "10.0.0.9:80")
+			server := stored.core.names.GetOrAssign(fmt.Sprint("node-", (i+int(table))%4), "10.0.0.9:80")
 			stored.core.reconciler.Apply(now, []fleet.Order{fleet.SetWeight{
 				Table:  table,
 				Server: server,
@@ -164,7 +164,7 @@
 		EntriesPerSecond: 1e6,
 		MaxBacklog:       1e6,
 	}
-	stored := &storedController{store: s, core: NewCore(CoreOptions{Site: site, Seed: 1, Names: NewNames()})}
+	stored := &storedController{store: s, core: NewCore(CoreOptions{Site: site, Seed: 1, Names: NewServerNames()})}
 	stored.restored, err = stored.core.Restore(storedNow+fleet.Second, s)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -60,7 +60,7 @@
 		Admission:            fleet.AdmissionRate,
 		ProxyCount:           6,
 		JoinByZone:           true,
-		StandingTableSize:    3,
+		MaxStandingTableSize: 3,
 		ExclusiveSlices:      true,
 		WriteLeaseDuration:   7 * ms,
 		MaxWriteDuration:     8 * ms,
@@ -87,11 +87,11 @@
 			OverloadFactor: 3,
 			Duration:       1500 * ms,
 		},
-		DrainTimeout:      2 * fleet.Second,
-		MaxPollInterval:   10 * fleet.Second,
-		RemovalNotBinding: true,
-		WorstClassWeight:  0.3,
-		OverallWeight:     0.7,
+		DrainTimeout:              2 * fleet.Second,
+		MaxPollInterval:           10 * fleet.Second,
+		IgnoreRemoval:             true,
+		ObjectiveWorstClassWeight: 0.3,
+		ObjectiveOverallWeight:    0.7,
 	}
 }
 
--- a/internal/eventlog/replay.go
+++ b/internal/eventlog/replay.go
@@ -20,12 +20,12 @@
 	Line     int // from 1; the header is line 1
 	Order    int // index in the orders of the line
 	Recorded Item
-	Given    Item
+	Emitted  Item
 }
 
 func (e *DifferenceError) Error() string {
 	return fmt.Sprintf("%s:%d: order %d: the log has %s, the replay emits %s",
-		e.File, e.Line, e.Order, describe(e.Recorded), describe(e.Given))
+		e.File, e.Line, e.Order, describe(e.Recorded), describe(e.Emitted))
 }
 
 // describe returns the kind and value of an order, for errors.
@@ -76,7 +76,7 @@
 			recordedItem = recorded[i]
 		}
 		if !sameOrder(givenItem, recordedItem) {
-			return i, &DifferenceError{File: r.name, Line: r.line, Order: i, Recorded: recordedItem, Given: givenItem}
+			return i, &DifferenceError{File: r.name, Line: r.line, Order: i, Recorded: recordedItem, Emitted: givenItem}
 		}
 	}
 	return max(len(given), len(recorded)), nil
--- a/internal/fleet/site.go
+++ b/internal/fleet/site.go
@@ -129,12 +129,12 @@
 	ProbesAllowed bool           `json:"Probes"`
 	PeersAllowed  bool           `json:"Peers"` // messages between controllers are allowed
 
-	Admission         AdmissionMode `json:"Admission"`
-	ProxyCount        int           `json:"Proxies"` // of all controllers
-	JoinByZone        bool          `json:"JoinByZone"`
-	StandingTableSize int           `json:"Standing"`  // maximum number of servers in a proxy's own, standing table
-	SliceCount        int           `json:"Slices"`    // 0: no slices; proxies join one controller at a time
-	ExclusiveSlices   bool          `json:"Exclusive"` // each slice has a single owner
+	Admission            AdmissionMode `json:"Admission"`
+	ProxyCount           int           `json:"Proxies"` // of all controllers
+	JoinByZone           bool          `json:"JoinByZone"`
+	MaxStandingTableSize int           `json:"Standing"`  // maximum number of servers in a proxy's own, standing table
+	SliceCount           int           `json:"Slices"`    // 0: no slices; proxies join one controller at a time
+	ExclusiveSlices      bool          `json:"Exclusive"` // each slice has a single owner
 	// WriteLeaseDuration is the time for which a proxy sends writes for an exclusive slice without its controller.
 	WriteLeaseDuration Time `json:"Tenure"`
 	MaxWriteDuration   Time `json:"InFlightMost"` // maximum duration of a write in flight
@@ -163,9 +163,9 @@
 	// MaxPollInterval is the longest time between polls of an endpoint list that is sent on request: a controller that
 	// has not polled for so long counts as notified.
 	MaxPollInterval Time `json:"AskWithin"`
-	// RemovalNotBinding means that only a draining entry obliges the controller to stop requests to a server; a removed
+	// IgnoreRemoval means that only a draining entry obliges the controller to stop requests to a server; a removed
 	// entry does not.
-	RemovalNotBinding bool    `json:"GoneDoesNot"`
-	WorstClassWeight  float64 `json:"WorstClassPay"` // weight of the worst class in the objective
-	OverallWeight     float64 `json:"WholePay"`      // weight of all classes together in the objective
+	IgnoreRemoval             bool    `json:"GoneDoesNot"`
+	ObjectiveWorstClassWeight float64 `json:"WorstClassPay"` // weight of the worst class in the objective
+	ObjectiveOverallWeight    float64 `json:"WholePay"`      // weight of all classes together in the objective
 }
--- a/internal/ingest/clock_test.go
+++ b/internal/ingest/clock_test.go
@@ -19,8 +19,8 @@
 
 func newClockRun() *clockRun {
 	r := &clockRun{pipeline: New(testSite()), proxy: newFakeProxy()}
-	r.pipeline.PushedLoads()
-	r.pipeline.Listed(1, false)
+	r.pipeline.UsePushedLoads()
+	r.pipeline.SetListed(1, false)
 	r.pipeline.Join(0, 1, 0, true)
 	return r
 }
--- a/internal/ingest/conservation_test.go
+++ b/internal/ingest/conservation_test.go
@@ -66,7 +66,7 @@
 	case 6:
 		server := fleet.ServerID(rapid.IntRange(0, testServers-1).Draw(t, "listed"))
 		r.gone[server] = rapid.Bool().Draw(t, "gone")
-		r.pipeline.Listed(server, r.gone[server])
+		r.pipeline.SetListed(server, r.gone[server])
 	default:
 		r.checkReports(t)
 	}
@@ -146,7 +146,7 @@
 			run.now += second
 			run.checkReports(t)
 		}
-		if pending, _ := run.pipeline.Waiting(run.now); pending != 0 || run.pipeline.totals.Pending != 0 {
+		if pending, _ := run.pipeline.PendingReports(run.now); pending != 0 || run.pipeline.totals.Pending != 0 {
 			t.Fatalf("%d reports remain pending: %+v", pending, run.pipeline.totals)
 		}
 	})
--- a/internal/ingest/fakes_test.go
+++ b/internal/ingest/fakes_test.go
@@ -87,7 +87,7 @@
 // listAll lists the first count servers.
 func listAll(p *Pipeline, count int) {
 	for server := range fleet.ServerID(count) {
-		p.Listed(server, false)
+		p.SetListed(server, false)
 	}
 }
 
--- a/internal/ingest/pipeline.go
+++ b/internal/ingest/pipeline.go
@@ -81,8 +81,8 @@
 	return p
 }
 
-// PushedLoads makes the load that servers push take precedence over the load in their responses to proxies.
-func (p *Pipeline) PushedLoads() { p.usePushedLoad = true }
+// UsePushedLoads makes the load that servers push take precedence over the load in their responses to proxies.
+func (p *Pipeline) UsePushedLoads() { p.usePushedLoad = true }
 
 // Observe sets a function that is called with each increase of counters, for time series. It runs in the goroutine that
 // calls AddReading.
@@ -98,7 +98,7 @@
 
 // UntrustedUntil returns the time until which the reports of a server are ignored, which may have passed; 0 if they
 // were never ignored.
-func (p *Pipeline) UntrustedUntil(id fleet.ServerID) fleet.Time { return p.source(id).distrustedUntil }
+func (p *Pipeline) UntrustedUntil(id fleet.ServerID) fleet.Time { return p.source(id).untrustedUntil }
 
 // Violations returns the latest violations, oldest first, and the numbers of records since the start that were
 // repeated, invalid, or from an untrusted source. The caller must not modify the slice.
--- a/internal/ingest/queue.go
+++ b/internal/ingest/queue.go
@@ -37,10 +37,10 @@
 
 // queuedSource is the state of a source in a Queue.
 type queuedSource struct {
-	record          Record
-	queued          bool
-	bucket          tokenBucket
-	distrustedUntil fleet.Time
+	record         Record
+	queued         bool
+	bucket         tokenBucket
+	untrustedUntil fleet.Time
 }
 
 // Reply is the result of adding a batch, for its sender. Text explains a rejection and is empty otherwise.
@@ -75,8 +75,8 @@
 
 func (q *Queue) put(now fleet.Time, record *Record, reply *Reply) {
 	source := q.source(record.Server)
-	if source.distrustedUntil > now {
-		reply.UntrustedUntil = max(reply.UntrustedUntil, source.distrustedUntil)
+	if source.untrustedUntil > now {
+		reply.UntrustedUntil = max(reply.UntrustedUntil, source.untrustedUntil)
 	}
 	source.bucket.refill(now, sourceRate, sourceBurst)
 	switch {
@@ -145,18 +145,18 @@
 	}
 }
 
-// Distrust makes the replies to batches of a source state that its records are ignored until the given time. They are
-// queued nevertheless.
-func (q *Queue) Distrust(id fleet.ServerID, until fleet.Time) {
+// SetUntrusted makes the replies to batches of a source state that its records are ignored until the given time. They
+// are queued nevertheless.
+func (q *Queue) SetUntrusted(id fleet.ServerID, until fleet.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if int(id) < len(q.sources) {
-		q.sources[id].distrustedUntil = until
+		q.sources[id].untrustedUntil = until
 	}
 }
 
-// Waiting returns the number of queued sources, and the numbers of records received and dropped since the start.
-func (q *Queue) Waiting() (sources int, records, dropped uint64) {
+// Stats returns the number of queued sources, and the numbers of records received and dropped since the start.
+func (q *Queue) Stats() (sources int, records, dropped uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.order) - q.head, q.records, q.dropped
--- a/internal/ingest/queue_test.go
+++ b/internal/ingest/queue_test.go
@@ -68,7 +68,7 @@
 	for now := second; now < 11*second; now += floodTick {
 		flood(q, rng, now, perTick)
 		pushRegular(q, now)
-		limit, _ := p.TurnLimits()
+		limit, _ := p.StepLimits()
 		records = q.Take(limit, records[:0])
 		for _, record := range records {
 			p.AddRecord(now, record)
@@ -85,7 +85,7 @@
 			proxy.attempt(1, 20, 2)
 			p.AddReading(now, 1, proxy.reading(now))
 		}
-		queued, _, _ := q.Waiting()
+		queued, _, _ := q.Stats()
 		result.queued = max(result.queued, queued)
 		p.Reports(now)
 		p.Examine(now)
@@ -133,7 +133,7 @@
 			t.Errorf("%+v", reply)
 		}
 	}
-	if sources, records, dropped := q.Waiting(); sources != 1 || records != 20 || dropped != 12 {
+	if sources, records, dropped := q.Stats(); sources != 1 || records != 20 || dropped != 12 {
 		t.Errorf("%d sources queued, %d records received, %d dropped", sources, records, dropped)
 	}
 }
--- a/internal/ingest/reports.go
+++ b/internal/ingest/reports.go
@@ -237,8 +237,8 @@
 
 func clamped(count uint64) uint32 { return uint32(min(count, math.MaxUint32)) }
 
-// Waiting returns the number of pending reports, and how long the oldest one has been pending.
-func (p *Pipeline) Waiting(now fleet.Time) (reports int, oldest fleet.Time) {
+// PendingReports returns the number of pending reports, and how long the oldest one has been pending.
+func (p *Pipeline) PendingReports(now fleet.Time) (reports int, oldest fleet.Time) {
 	for _, report := range p.due {
 		oldest = max(oldest, now-report.pendingAt)
 	}
--- a/internal/ingest/shedding.go
+++ b/internal/ingest/shedding.go
@@ -46,18 +46,18 @@
 	notices   []Notice
 }
 
-// TurnEnded adapts the shedding level to the duration of a step of the control loop. It is called after each step.
-func (p *Pipeline) TurnEnded(now, duration fleet.Time) { p.shedder.stepEnded(now, duration) }
+// StepEnded adapts the shedding level to the duration of a step of the control loop. It is called after each step.
+func (p *Pipeline) StepEnded(now, duration fleet.Time) { p.shedder.stepEnded(now, duration) }
 
-// TurnLimits returns the largest numbers of pushed records and counter rows that the next step may process.
-func (p *Pipeline) TurnLimits() (records, rows int) {
+// StepLimits returns the largest numbers of pushed records and counter rows that the next step may process.
+func (p *Pipeline) StepLimits() (records, rows int) {
 	share := sheddingLevels[p.shedder.level].pushed
 	return max(1, int(maxRecordsPerStep*share)), maxRowsPerStep
 }
 
-// Shedding returns the shedding level (0: none), the number of missed deadlines since the start, and a description of
-// the level for operators.
-func (p *Pipeline) Shedding() (level int, misses uint64, text string) {
+// SheddingLevel returns the shedding level (0: none), the number of missed deadlines since the start, and a description
+// of the level for operators.
+func (p *Pipeline) SheddingLevel() (level int, misses uint64, text string) {
 	return p.shedder.level, p.shedder.misses, sheddingLevels[p.shedder.level].text
 }
 
--- a/internal/ingest/shedding_test.go
+++ b/internal/ingest/shedding_test.go
@@ -18,8 +18,8 @@
 	var periods, raisedAt []fleet.Time
 	now := second
 	for ; now < 4*second; now += stepInterval {
-		p.TurnEnded(now, 80*millisecond)
-		records, rows := p.TurnLimits()
+		p.StepEnded(now, 80*millisecond)
+		records, rows := p.StepLimits()
 		if n := len(limits); n == 0 || limits[n-1] != records {
 			limits = append(limits, records)
 			periods = append(periods, p.pollPeriod())
@@ -39,9 +39,9 @@
 		t.Errorf("level raised at %v", raisedAt)
 	}
 	for ; now < 30*second; now += stepInterval {
-		p.TurnEnded(now, millisecond)
+		p.StepEnded(now, millisecond)
 	}
-	level, misses, _ := p.Shedding()
+	level, misses, _ := p.SheddingLevel()
 	notices := p.Examine(now)
 	if level != 0 || misses != 30 || len(notices) != 6 ||
 		!strings.Contains(notices[0].Text, "control loop steps took up to 80 ms (deadline 50 ms)") {
--- a/internal/ingest/source.go
+++ b/internal/ingest/source.go
@@ -27,7 +27,7 @@
 	violations      int  // since violationWindow began
 	lastViolation   fleet.Time
 	distrustPeriod  fleet.Time // the latest one; 0: none, or reset
-	distrustedUntil fleet.Time
+	untrustedUntil  fleet.Time
 
 	outcomes           [examinationCount]pollOutcomes // by examination, the latest one first
 	ownAttemptsHistory [examinationCount]uint64       // ownAttempts by examination, the latest one first
@@ -45,9 +45,9 @@
 	return &p.sources[id]
 }
 
-// Listed records that the endpoint list contains a server, or that the server is gone. Nothing is reported to the
+// SetListed records that the endpoint list contains a server, or that the server is gone. Nothing is reported to the
 // balancer about a server that is gone.
-func (p *Pipeline) Listed(id fleet.ServerID, gone bool) {
+func (p *Pipeline) SetListed(id fleet.ServerID, gone bool) {
 	s := p.source(id)
 	s.listed = !gone
 	s.gone = gone
--- a/internal/ingest/validator.go
+++ b/internal/ingest/validator.go
@@ -63,7 +63,7 @@
 // check decides whether a record is accepted. For an accepted one it prepares the base from which the increases of the
 // source's counters are computed: the record itself for a new source or one that was untrusted, 0 after a restart.
 func (v *recordValidator) check(now fleet.Time, s *source, record *Record) recordDecision {
-	if s.distrustedUntil > now {
+	if s.untrustedUntil > now {
 		v.untrusted++
 		s.needsBase = true // increases while the source is untrusted never count
 		return recordRejected
@@ -196,8 +196,8 @@
 	if s.violations >= maxViolations {
 		s.violations = 0
 		s.distrustPeriod = min(maxDistrustPeriod, max(minDistrustPeriod, 2*s.distrustPeriod))
-		s.distrustedUntil = now + s.distrustPeriod
-		entry.Until = s.distrustedUntil
+		s.untrustedUntil = now + s.distrustPeriod
+		entry.Until = s.untrustedUntil
 	}
 	v.add(entry)
 }
--- a/internal/ingest/validator_test.go
+++ b/internal/ingest/validator_test.go
@@ -47,7 +47,7 @@
 func TestImpossibleRecordsAreRejected(t *testing.T) {
 	p := New(testSite())
 	listAll(p, 50)
-	p.Listed(3, true)
+	p.SetListed(3, true)
 	for i, record := range []Record{
 		{HasLoad: true, Load: [4]float32{float32(math.NaN())}},
 		{HasLoad: true, Load: [4]float32{-1}},
--- a/internal/ingest/view.go
+++ b/internal/ingest/view.go
@@ -4,20 +4,20 @@
 
 // View is the state of a server as a source of load reports, as shown to operators.
 type View struct {
-	Server      fleet.ServerID
-	Verdict     HealthVerdict
-	Since       fleet.Time // when Verdict last changed
-	Reports     bool       // the server has pushed a report
-	Age         fleet.Time // of its newest report
-	PolledAge   fleet.Time // since polls last showed attempts; 0: never
-	Attempts    uint64     // counted by proxies in the last 3 s
-	Failed      uint64     // counted by proxies in the last 3 s
-	Served      uint64     // attempts counted by the server itself, since the controller's start
-	OwnFailures uint64     // failures counted by the server itself, since the controller's start
-	Load        [4]float32
-	HasLoad     bool
-	Distrust    fleet.Time // its reports are ignored until then; 0: they are accepted
-	ClockOffset fleet.Time // positive if its clock is behind the controller's
+	Server         fleet.ServerID
+	Verdict        HealthVerdict
+	Since          fleet.Time // when Verdict last changed
+	HasReported    bool       // the server has pushed a report
+	Age            fleet.Time // of its newest report
+	PolledAge      fleet.Time // since polls last showed attempts; 0: never
+	Attempts       uint64     // counted by proxies in the last 3 s
+	Failed         uint64     // counted by proxies in the last 3 s
+	OwnAttempts    uint64     // attempts counted by the server itself, since the controller's start
+	OwnFailures    uint64     // failures counted by the server itself, since the controller's start
+	Load           [4]float32
+	HasLoad        bool
+	UntrustedUntil fleet.Time // its reports are ignored until then; 0: they are accepted
+	ClockOffset    fleet.Time // positive if its clock is behind the controller's
 }
 
 // Verdict returns the current health verdict on a server, Healthy for an unknown one.
@@ -41,10 +41,10 @@
 		Server:      server,
 		Verdict:     s.health.verdict,
 		Since:       s.health.since,
-		Reports:     s.hasReported(),
+		HasReported: s.hasReported(),
 		Attempts:    outcomes.attempts,
 		Failed:      outcomes.failures,
-		Served:      s.ownAttempts,
+		OwnAttempts: s.ownAttempts,
 		OwnFailures: s.ownFailures,
 		Load:        s.last.Load,
 		HasLoad:     s.last.HasLoad,
@@ -56,8 +56,8 @@
 	if s.polledAt > 0 {
 		view.PolledAge = max(1, now-s.polledAt)
 	}
-	if s.distrustedUntil > now {
-		view.Distrust = s.distrustedUntil
+	if s.untrustedUntil > now {
+		view.UntrustedUntil = s.untrustedUntil
 	}
 	if !view.HasLoad {
 		view.Load, view.HasLoad = p.reportedLoad(server, view.Load)
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -30,7 +30,7 @@
 
 func describeEstimate(name string, estimate fleet.ServerEstimate) string {
 	var weights []string
-	for _, fraction := range estimate.Fractions {
+	for _, fraction := range estimate.TableFractions {
 		weights = append(weights, strconv.Itoa(int(1000*fraction+0.5)))
 	}
 	flags := ""
--- a/internal/safety/rules.go
+++ b/internal/safety/rules.go
@@ -23,7 +23,7 @@
 	if server == nil {
 		return false
 	}
-	return server.State == fleet.ServerDraining || server.State == fleet.ServerGone && !c.site.RemovalNotBinding
+	return server.State == fleet.ServerDraining || server.State == fleet.ServerGone && !c.site.IgnoreRemoval
 }
 
 // refuseEmptyClasses refuses one removal in each class that would lose its last ready server. Of the entries that the
--- a/internal/server/controller.go
+++ b/internal/server/controller.go
@@ -74,7 +74,7 @@
 	settings      *config.Settings // those at the start; reloads do not change them
 	log           zerolog.Logger
 	site          fleet.Site
-	names         *controller.Names
+	names         *controller.ServerNames
 	proxies       []transport.Proxy
 	clientProxies []transport.Proxy // each represents the service clients of one zone
 	core          *controller.Core
@@ -91,7 +91,7 @@
 		settings:      settings,
 		log:           log,
 		site:          settings.Site(),
-		names:         controller.NewNames(),
+		names:         controller.NewServerNames(),
 		proxies:       settings.TransportProxies(),
 		clientProxies: settings.ClientProxies(),
 		signals:       newSignalHandler(),
@@ -155,13 +155,13 @@
 		p.log.Warn().Str("fault", fault).Msg("fault injection is enabled; use this only in fault drills")
 	}
 	p.core = controller.NewCore(controller.CoreOptions{
-		Site:         p.site,
-		Seed:         s.Seed,
-		Proxies:      append(slices.Clone(p.proxies), p.clientProxies...),
-		Names:        p.names,
-		SafetyChecks: s.SafetyChecks,
-		PushedLoads:  s.PushedLoads(),
-		Faults:       s.Faults,
+		Site:           p.site,
+		Seed:           s.Seed,
+		Proxies:        append(slices.Clone(p.proxies), p.clientProxies...),
+		Names:          p.names,
+		SafetyChecks:   s.SafetyChecks,
+		UsePushedLoads: s.PushedLoads(),
+		Faults:         s.Faults,
 	})
 }
 
--- a/internal/server/controller_build.go
+++ b/internal/server/controller_build.go
@@ -58,7 +58,7 @@
 // newTransport returns the transport to the proxies that the settings select. If controllers share the proxies, the
 // runtime transport uses a lease for each proxy.
 func newTransport(
-	s *config.Settings, site fleet.Site, proxies []transport.Proxy, names *controller.Names,
+	s *config.Settings, site fleet.Site, proxies []transport.Proxy, names *controller.ServerNames,
 ) transport.Transport {
 	if s.Transport.Kind != "runtime" {
 		return files.New(files.Options{
--- a/internal/server/controller_sockets.go
+++ b/internal/server/controller_sockets.go
@@ -59,7 +59,7 @@
 	}
 	notice := func(level controller.Level, text string) {
 		if loop := p.currentLoop(); loop != nil {
-			loop.Notice(level, "peers", text)
+			loop.LogNotice(level, "peers", text)
 		}
 	}
 	options.OnMessage = func(message gossip.Message) {
@@ -99,7 +99,7 @@
 			RequestRate: proxy.RequestRate,
 		})
 	}
-	p.core.ServeZones(options.Zones)
+	p.core.SetClientZones(options.Zones)
 	p.core.BeginEpoch(uint64(wallClock.Now()))
 	options.Epoch = p.core.Epoch()
 	p.hub = service.NewHub(options)
--- a/internal/service/hub_test.go
+++ b/internal/service/hub_test.go
@@ -20,7 +20,7 @@
 	_, err := fmt.Sscanf(name, "s%d", &id)
 	return fleet.ServerID(id), err == nil && id < 1000
 }
-func (n numberedNames) Learn(name, _ string) fleet.ServerID { id, _ := n.Server(name); return id }
+func (n numberedNames) GetOrAssign(name, _ string) fleet.ServerID { id, _ := n.Server(name); return id }
 func (numberedNames) Lookup(id fleet.ServerID) (name, addr string) {
 	return fmt.Sprint("s", id), fmt.Sprint("x:", id)
 }
--- a/internal/service/text/transcript_test.go
+++ b/internal/service/text/transcript_test.go
@@ -29,7 +29,7 @@
 	return 0, false
 }
 
-func (n names) Learn(name, _ string) fleet.ServerID {
+func (n names) GetOrAssign(name, _ string) fleet.ServerID {
 	id, _ := n.Server(name)
 	return id
 }
--- a/internal/simwire/site.go
+++ b/internal/simwire/site.go
@@ -41,13 +41,13 @@
 		How    string   `json:"how"`
 	} `json:"report"`
 	Rules struct {
-		AskWithinMs       float64  `json:"askWithinMs"`
-		ColdFrom          *float64 `json:"coldFrom"`
-		ColdMs            *float64 `json:"coldMs"`
-		DrainGraceMs      *float64 `json:"drainGraceMs"`
-		FallMs            *float64 `json:"fallMs"`
-		OverloadFactor    *float64 `json:"overloadFactor"`
-		RemovalNotBinding bool     `json:"removalNotBinding"`
+		AskWithinMs    float64  `json:"askWithinMs"`
+		ColdFrom       *float64 `json:"coldFrom"`
+		ColdMs         *float64 `json:"coldMs"`
+		DrainGraceMs   *float64 `json:"drainGraceMs"`
+		FallMs         *float64 `json:"fallMs"`
+		OverloadFactor *float64 `json:"overloadFactor"`
+		IgnoreRemoval  bool     `json:"removalNotBinding"`
 	} `json:"rules"`
 	Goal struct {
 		Whole      float64 `json:"whole"`
@@ -116,7 +116,7 @@
 		Admission:            enumValue(c, "familyInfo.admission", family.Admission, admissionModeByName),
 		ProxyCount:           family.Agents,
 		JoinByZone:           family.ByZone,
-		StandingTableSize:    family.Bootstrap,
+		MaxStandingTableSize: family.Bootstrap,
 		SliceCount:           family.Shards,
 		ExclusiveSlices:      family.Exclusive,
 		WriteLeaseDuration:   fleet.Milliseconds(family.TenureMs),
@@ -144,11 +144,11 @@
 			OverloadFactor: c.required("rules.overloadFactor", o.Rules.OverloadFactor),
 			Duration:       c.requiredMilliseconds("rules.fallMs", o.Rules.FallMs),
 		},
-		DrainTimeout:      c.requiredMilliseconds("rules.drainGraceMs", o.Rules.DrainGraceMs),
-		MaxPollInterval:   fleet.Milliseconds(o.Rules.AskWithinMs),
-		RemovalNotBinding: o.Rules.RemovalNotBinding,
-		WorstClassWeight:  o.Goal.WorstClass,
-		OverallWeight:     o.Goal.Whole,
+		DrainTimeout:              c.requiredMilliseconds("rules.drainGraceMs", o.Rules.DrainGraceMs),
+		MaxPollInterval:           fleet.Milliseconds(o.Rules.AskWithinMs),
+		IgnoreRemoval:             o.Rules.IgnoreRemoval,
+		ObjectiveWorstClassWeight: o.Goal.WorstClass,
+		ObjectiveOverallWeight:    o.Goal.Whole,
 	}
 }
 
--- a/internal/transport/files/acknowledge.go
+++ b/internal/transport/files/acknowledge.go
@@ -168,7 +168,7 @@
 			f.tables[backend][entry.Name] = entry
 			snapshot.Entries = append(snapshot.Entries, reconcile.SnapshotEntry{
 				Class:  class,
-				Server: f.transport.options.Names.Learn(entry.Name, entry.Addr),
+				Server: f.transport.options.Names.GetOrAssign(entry.Name, entry.Addr),
 				State: reconcile.EntryState{
 					Present: true,
 					Weight:  int16(min(entry.Weight, haproxyapi.MaxWeight)),
--- a/internal/transport/haproxy/answers.go
+++ b/internal/transport/haproxy/answers.go
@@ -87,7 +87,7 @@
 		return nil
 	}
 	presentAddr := net.JoinHostPort(string(row.Addr), strconv.FormatUint(row.Port, 10))
-	server := s.options().Names.Learn(string(row.Server), presentAddr)
+	server := s.options().Names.GetOrAssign(string(row.Server), presentAddr)
 	_, wantedAddr := s.options().Names.Lookup(server)
 	entry := reconcile.EntryState{
 		Present:      true,
--- a/internal/transport/haproxy/encode_test.go
+++ b/internal/transport/haproxy/encode_test.go
@@ -13,7 +13,7 @@
 type fixedNames []string
 
 func (n fixedNames) Server(string) (fleet.ServerID, bool)      { return 0, false }
-func (n fixedNames) Learn(string, string) fleet.ServerID       { return 0 }
+func (n fixedNames) GetOrAssign(string, string) fleet.ServerID { return 0 }
 func (n fixedNames) Lookup(id fleet.ServerID) (string, string) { return n[id], "127.0.0.1:8080" }
 
 // BenchmarkEncode encodes a table of 700 entries in three classes.
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -103,8 +103,8 @@
 type ServerNames interface {
 	// Server returns the id of a server name, and whether it is known. The id of a name never changes.
 	Server(name string) (fleet.ServerID, bool)
-	// Learn returns the id of a server name that was read from a proxy, and assigns one if the name is new.
-	Learn(name, addr string) fleet.ServerID
+	// GetOrAssign returns the id of a server name that was read from a proxy, and assigns one if the name is new.
+	GetOrAssign(name, addr string) fleet.ServerID
 	// Lookup returns the name and the address, host:port, of a server.
 	Lookup(id fleet.ServerID) (name, addr string)
 }
