--- a/client/runtime/runtime.go
+++ b/client/runtime/runtime.go
@@ -151,7 +151,7 @@
 	message = append(message, text.FormatReport(r)...)
 	message = append(message, payloadEnd+"\n"...)
 	answer, err := c.query(ctx, message)
-	return parse(answer, err, text.ParseCounted)
+	return parse(answer, err, text.ParseReportReply)
 }
 
 // Server returns the state of a server by name.
--- a/internal/controller/crash_recovery_test.go
+++ b/internal/controller/crash_recovery_test.go
@@ -47,10 +47,10 @@
 	var proxies []*fakes.Proxy
 	for i := range 3 {
 		p := newProxy(t, dir, fmt.Sprintf("p%d", i), watch, 3)
-		if err := p.Up(); err != nil {
+		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(p.Down)
+		t.Cleanup(p.Stop)
 		proxies = append(proxies, p)
 		addresses = append(addresses, transport.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Addr: p.Runtime, RequestRate: 1})
 		watch.Owner(p.Name, "g")
@@ -142,15 +142,15 @@
 			t.Errorf("%s was sent %d commands for tables that it already held: %q", p.Name, n, log)
 		}
 	}
-	for _, v := range watch.Judge(invariants.Figures{
+	for _, v := range watch.Check(invariants.Limits{
 		MaxUnusable:      time.Millisecond,
 		DrainTimeout:     time.Second,
 		EntriesPerSecond: 1e6,
 		Backlog:          1e6,
 		MessageOverhead:  4,
 	}) {
-		if len(v.Breaks) > 0 {
-			t.Errorf("%s: %v", v.Rule, v.Breaks)
+		if len(v.Violations) > 0 {
+			t.Errorf("%s: %v", v.Rule, v.Violations)
 		}
 	}
 }
--- a/internal/controller/faulty_proxies_test.go
+++ b/internal/controller/faulty_proxies_test.go
@@ -48,10 +48,10 @@
 		return transport.Proxy{Name: name, Addr: path}
 	}
 	working := newProxy(t, dir, "sound", invariants.NewWatch(), 3)
-	if err := working.Up(); err != nil {
+	if err := working.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(working.Down)
+	t.Cleanup(working.Stop)
 	state := "1\n# be_id be_name srv_id srv_name srv_addr srv_op_state srv_admin_state srv_uweight srv_port\n\n"
 	proxies := []transport.Proxy{
 		scriptedProxy("garbage", "\n> HTTP/1.1 400 Bad request\n\n"),
--- a/internal/controller/files_transport_test.go
+++ b/internal/controller/files_transport_test.go
@@ -34,7 +34,7 @@
 				}
 				dead = dead || swaps > nth && s == step
 				if dead {
-					return files.ErrCut
+					return files.ErrSimulatedCrash
 				}
 				return nil
 			})
@@ -69,7 +69,7 @@
 			if len(left) > 0 {
 				t.Errorf("step %d: temporary files were not removed: %v", step, left)
 			}
-			sim.proxies[0].Down()
+			sim.proxies[0].Stop()
 		}
 	}
 }
@@ -184,8 +184,8 @@
 	sim.waitUntil("the other proxy is served", func() bool { return sim.hasTable(sim.proxies[1], servers) })
 	sim.waitUntil("dropped", func() bool { return len(sim.reconciler.Proxies()) == 1 })
 	sim.proxies[0].StopAcknowledging(false)
-	sim.proxies[0].Down()
-	if err := sim.proxies[0].Up(); err != nil {
+	sim.proxies[0].Stop()
+	if err := sim.proxies[0].Start(); err != nil {
 		t.Fatal(err)
 	}
 	sim.waitUntil("connected again", func() bool { return sim.joins[0] == 2 })
--- a/internal/controller/operators_show.go
+++ b/internal/controller/operators_show.go
@@ -195,7 +195,7 @@
 func (q *query) showVerification() (string, error) {
 	var b strings.Builder
 	b.WriteString("# server sight part out why\n")
-	for _, v := range q.core.endpoints.verifier.Views() {
+	for _, v := range q.core.endpoints.verifier.Statuses() {
 		reason := cmp.Or(v.Reason, "-")
 		fmt.Fprintf(&b, "%s %s %.2f %v %s\n", q.core.serverName(v.Server), v.Verdict, v.WeightFraction, v.Ejected, reason)
 	}
--- a/internal/controller/persist_test.go
+++ b/internal/controller/persist_test.go
@@ -190,7 +190,7 @@
 		_ = stored.store.Close()
 		mem = clone
 		next := startController(t, mem, 10*fleet.Second)
-		got, ok := verification.Choose(10*fleet.Second, next.restored.Lists)
+		got, ok := verification.ChooseGeneration(10*fleet.Second, next.restored.Lists)
 		if !ok || got.Revision != rev || len(got.Entries) != servers || len(next.restored.Unreadable) != unreadable ||
 			len(got.Unverified) != unverified || (len(got.Notices) > 0) != (unverified > 0) {
 			t.Errorf("restored %+v, unreadable %v", got, next.restored.Unreadable)
--- a/internal/controller/simulated_fleet_test.go
+++ b/internal/controller/simulated_fleet_test.go
@@ -58,9 +58,9 @@
 	}
 }
 
-func testEndpoints(n int) (entries []fakes.Entry) {
+func testEndpoints(n int) (entries []fakes.ListedServer) {
 	for i := range n {
-		entries = append(entries, fakes.Entry{Name: fmt.Sprintf("n%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 9000+i)})
+		entries = append(entries, fakes.ListedServer{Name: fmt.Sprintf("n%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 9000+i)})
 	}
 	return entries
 }
@@ -106,10 +106,10 @@
 		if prepare != nil {
 			prepare(i, p)
 		}
-		if err := p.Up(); err != nil {
+		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(p.Down)
+		t.Cleanup(p.Stop)
 		sim.proxies = append(sim.proxies, p)
 		addresses = append(addresses, transport.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Addr: p.Runtime})
 	}
@@ -265,10 +265,10 @@
 				Backend:  backend,
 				Deadline: time.Second,
 			}}}, testEndpoints(min(3, servers)), sim.watch, 1)
-		if err := p.Up(); err != nil {
+		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(p.Down)
+		t.Cleanup(p.Stop)
 		sim.proxies = append(sim.proxies, p)
 		sim.addresses = append(sim.addresses, transport.Proxy{ID: fleet.ProxyID(i), Name: name, Addr: p.Folder})
 	}
--- a/internal/controller/update_delivery_test.go
+++ b/internal/controller/update_delivery_test.go
@@ -87,9 +87,9 @@
 	sim.applyTable(30)
 	sim.waitUntil("half of the update applied",
 		func() bool { return sim.proxies[0].EntryState(backend, "n8") != "No such server." })
-	sim.proxies[0].Down()
+	sim.proxies[0].Stop()
 	sim.proxies[0].ReadSlowly(0)
-	if err := sim.proxies[0].Up(); err != nil {
+	if err := sim.proxies[0].Start(); err != nil {
 		t.Fatal(err)
 	}
 	sim.waitUntil("connected again", func() bool { return sim.joins[0] == 2 })
--- a/internal/controller/verification.go
+++ b/internal/controller/verification.go
@@ -27,10 +27,10 @@
 	}
 	c.applyList(now, update, out)
 	age, known := verification.Age(now, update.ConfirmedAt)
-	var named []verification.NamedEndpoint
+	var named []verification.AddressedEndpoint
 	for id, e := range c.endpoints.listed {
 		name, addr := c.names.Lookup(id)
-		named = append(named, verification.NamedEndpoint{Endpoint: e, Addr: addr, Unverified: update.Unverified[name]})
+		named = append(named, verification.AddressedEndpoint{Endpoint: e, Addr: addr, Unverified: update.Unverified[name]})
 	}
 	c.endpoints.verifier.Begin(now, age, named)
 	text := fmt.Sprintf("starting from a cached endpoint list of %d servers, confirmed %.0f s ago",
@@ -38,7 +38,7 @@
 	if !known {
 		text = fmt.Sprintf("starting from a cached endpoint list of %d servers of unknown age", len(named))
 	}
-	text = fmt.Sprintf("%s; weight factor of unverified servers: %.2f", text, verification.Trust(age))
+	text = fmt.Sprintf("%s; weight factor of unverified servers: %.2f", text, verification.UnverifiedWeightFactor(age))
 	c.log(out, LogEntry{now, LevelInfo, "list", text})
 }
 
--- a/internal/controller/version_convergence_test.go
+++ b/internal/controller/version_convergence_test.go
@@ -53,8 +53,8 @@
 					p.CutOnce(100 + rng.IntN(200))
 					sim.transport.Drop(fleet.ProxyID(rng.IntN(proxies)))
 				case 1:
-					p.Down()
-					if err := p.Up(); err != nil {
+					p.Stop()
+					if err := p.Start(); err != nil {
 						t.Fatal(err)
 					}
 				case 2:
--- a/internal/discovery/cache_test.go
+++ b/internal/discovery/cache_test.go
@@ -98,7 +98,7 @@
 		return
 	}
 	d.checkNewer(t, generations[0], len(text), at)
-	chosen, ok := verification.Choose(10*fleet.Second, generations)
+	chosen, ok := verification.ChooseGeneration(10*fleet.Second, generations)
 	if !ok || len(chosen.Entries) < 5 {
 		t.Fatalf("byte %d: chosen %+v, want 5 or more entries", at, chosen)
 	}
--- a/internal/discovery/verification/age.go
+++ b/internal/discovery/verification/age.go
@@ -10,12 +10,12 @@
 	// freshDuration is the age up to which a list counts as just confirmed: a restart takes seconds.
 	freshDuration = 60 * fleet.Second
 
-	// trustHalfLife is the time in which the trust in an older list halves. Fleets are replaced within a day, by which
-	// time the trust has reached minTrust.
-	trustHalfLife = 3600 * fleet.Second
+	// unverifiedHalfLife is the increase in a list's age that halves the weight factor of its unverified servers. Fleets
+	// are replaced within a day, by which time the factor has reached minUnverifiedFactor.
+	unverifiedHalfLife = 3600 * fleet.Second
 
-	// minTrust is the minimum trust in a server, however old its list is.
-	minTrust = 0.05
+	// minUnverifiedFactor is the minimum weight factor of a server, however old its list is.
+	minUnverifiedFactor = 0.05
 
 	// maxClockSkew is the difference allowed between the clocks of a site.
 	maxClockSkew = 60 * fleet.Second
@@ -37,11 +37,11 @@
 	return max(0, now-confirmed), true
 }
 
-// Trust returns the weight factor of an unverified server of a list of the given age. It is 1 up to freshDuration, then
-// halves in each trustHalfLife down to minTrust.
-func Trust(age fleet.Time) float64 {
+// UnverifiedWeightFactor returns the weight factor of an unverified server of a list of the given age. It is 1 up to
+// freshDuration, then halves in each unverifiedHalfLife down to minUnverifiedFactor.
+func UnverifiedWeightFactor(age fleet.Time) float64 {
 	if age <= freshDuration {
 		return 1
 	}
-	return max(minTrust, math.Exp2(-(age-freshDuration).Seconds()/trustHalfLife.Seconds()))
+	return max(minUnverifiedFactor, math.Exp2(-(age-freshDuration).Seconds()/unverifiedHalfLife.Seconds()))
 }
--- a/internal/discovery/verification/generation.go
+++ b/internal/discovery/verification/generation.go
@@ -22,17 +22,17 @@
 // lost returns the number of declared entries that are not intact. Negative: there are more entries than declared.
 func (g *Generation[T]) lost() int { return g.DeclaredSize - len(g.Entries) }
 
-// Chosen is the list to start from, as selected by Choose.
-type Chosen[T any] struct {
+// ChosenGeneration is the list to start from, as selected by ChooseGeneration.
+type ChosenGeneration[T any] struct {
 	Generation[T]
 	Unverified map[string]bool // names of entries added from an older list; these servers may be gone
 	Notices    []string        // messages for operators
 }
 
-// Choose returns the list that was confirmed last. If some of its entries are lost, entries that only the next older
-// list contains are added, as the lost ones may be among them. A list without intact entries is never chosen; ok is
-// false if there is no other.
-func Choose[T any](now fleet.Time, generations []Generation[T]) (chosen Chosen[T], ok bool) {
+// ChooseGeneration returns the list that was confirmed last. If some of its entries are lost, entries that only the
+// next older list contains are added, as the lost ones may be among them. A list without intact entries is never
+// chosen; ok is false if there is no other.
+func ChooseGeneration[T any](now fleet.Time, generations []Generation[T]) (chosen ChosenGeneration[T], ok bool) {
 	for _, generation := range newestFirst(now, generations) {
 		switch {
 		case len(generation.Entries) == 0:
@@ -69,19 +69,19 @@
 }
 
 // notice adds a message for operators.
-func (c *Chosen[T]) notice(format string, args ...any) {
+func (c *ChosenGeneration[T]) notice(format string, args ...any) {
 	c.Notices = append(c.Notices, fmt.Sprintf(format, args...))
 }
 
 // skipEmpty reports that a stored list has no intact entry.
-func (c *Chosen[T]) skipEmpty(g Generation[T]) {
+func (c *ChosenGeneration[T]) skipEmpty(g Generation[T]) {
 	if g.DeclaredSize > 0 || g.Revision > 0 {
 		c.notice("%s: list revision %d has no intact entry", g.Source, g.Revision)
 	}
 }
 
 // start chooses a list, and reports lost entries and an unknown age.
-func (c *Chosen[T]) start(now fleet.Time, g Generation[T]) {
+func (c *ChosenGeneration[T]) start(now fleet.Time, g Generation[T]) {
 	c.Generation = g
 	c.Unverified = map[string]bool{}
 	if !g.Complete || g.lost() != 0 {
@@ -95,7 +95,7 @@
 }
 
 // addMissing adds the entries of an older list that the chosen list does not contain.
-func (c *Chosen[T]) addMissing(older Generation[T]) {
+func (c *ChosenGeneration[T]) addMissing(older Generation[T]) {
 	for name, entry := range older.Entries {
 		if _, present := c.Entries[name]; !present {
 			c.Entries[name] = entry
--- a/internal/discovery/verification/generation_test.go
+++ b/internal/discovery/verification/generation_test.go
@@ -84,7 +84,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, ok := Choose(now, test.generations)
+			got, ok := ChooseGeneration(now, test.generations)
 			if ok != (test.source != "") || got.Source != test.source || len(got.Entries) != test.entries {
 				t.Errorf("chosen: %v, %+v, want %d entries of %q", ok, got, test.entries, test.source)
 			}
@@ -103,15 +103,16 @@
 func TestTrustFallsWithAge(t *testing.T) {
 	last := 2.0
 	for age := fleet.Time(0); age < 2*day; age += 10 * minute {
-		trust := Trust(age)
-		if trust > last || trust < minTrust {
-			t.Errorf("age %.0f s: trust %v after %v", age.Seconds(), trust, last)
+		factor := UnverifiedWeightFactor(age)
+		if factor > last || factor < minUnverifiedFactor {
+			t.Errorf("age %.0f s: factor %v after %v", age.Seconds(), factor, last)
 			continue
 		}
-		last = trust
+		last = factor
 	}
-	if Trust(30*second) != 1 || Trust(day) != minTrust || Trust(2*hour) > 0.26 {
-		t.Error(Trust(30*second), Trust(2*hour), Trust(day))
+	if UnverifiedWeightFactor(30*second) != 1 || UnverifiedWeightFactor(day) != minUnverifiedFactor ||
+		UnverifiedWeightFactor(2*hour) > 0.26 {
+		t.Error(UnverifiedWeightFactor(30*second), UnverifiedWeightFactor(2*hour), UnverifiedWeightFactor(day))
 	}
 }
 
--- a/internal/discovery/verification/plan.go
+++ b/internal/discovery/verification/plan.go
@@ -150,7 +150,7 @@
 // planServers plans ejections and weight factors. It ends the verification of confirmed servers at full weight.
 func (v *Verifier) planServers(now fleet.Time, plan *Plan) {
 	bounds := v.newUnknownWeightBounds()
-	highest := minTrust
+	highest := minUnverifiedFactor
 	for _, c := range v.candidates {
 		if c.usable() {
 			highest = max(highest, v.targetFactor(c, bounds))
@@ -237,8 +237,8 @@
 		counts[VerdictProven], counts[VerdictReachable], counts[VerdictRefuted])})
 }
 
-// View is the state of a server under verification, for operators.
-type View struct {
+// ServerStatus is the state of a server under verification, for operators.
+type ServerStatus struct {
 	Server         fleet.ServerID
 	Verdict        HealthVerdict
 	WeightFraction float64 // planned last; above 0, at most 1
@@ -246,11 +246,11 @@
 	Reason         string  // why the verdict is VerdictRefuted; empty for other verdicts
 }
 
-// Views returns the servers under verification, sorted by server ID.
-func (v *Verifier) Views() []View {
-	var views []View
+// Statuses returns the servers under verification, sorted by server ID.
+func (v *Verifier) Statuses() []ServerStatus {
+	var statuses []ServerStatus
 	for _, c := range v.candidates {
-		views = append(views, View{
+		statuses = append(statuses, ServerStatus{
 			Server:         c.Endpoint.Server,
 			Verdict:        c.verdict,
 			WeightFraction: c.factor,
@@ -258,5 +258,5 @@
 			Reason:         c.reason,
 		})
 	}
-	return views
+	return statuses
 }
--- a/internal/discovery/verification/simulation_test.go
+++ b/internal/discovery/verification/simulation_test.go
@@ -47,9 +47,9 @@
 }
 
 // namedEndpoints returns ready servers, alternating between two zones.
-func namedEndpoints(count int) (endpoints []NamedEndpoint) {
+func namedEndpoints(count int) (endpoints []AddressedEndpoint) {
 	for i := range count {
-		endpoints = append(endpoints, NamedEndpoint{
+		endpoints = append(endpoints, AddressedEndpoint{
 			Endpoint: fleet.Endpoint{Server: fleet.ServerID(i), Zone: fleet.ZoneID(i % 2)},
 			Addr:     string(rune('a' + i)),
 		})
--- a/internal/discovery/verification/verifier.go
+++ b/internal/discovery/verification/verifier.go
@@ -39,8 +39,8 @@
 	return [...]string{"untried", "reached", "proven", "refuted", "told"}[v]
 }
 
-// NamedEndpoint is one server of a cached list, with its address.
-type NamedEndpoint struct {
+// AddressedEndpoint is one server of a cached list, with its address.
+type AddressedEndpoint struct {
 	Endpoint   fleet.Endpoint
 	Addr       string // host:port; empty: unknown
 	Unverified bool   // taken from an older list than the others
@@ -48,10 +48,10 @@
 
 // candidate is a server under verification.
 type candidate struct {
-	NamedEndpoint
+	AddressedEndpoint
 	verdict          HealthVerdict
 	reason           string     // set with VerdictRefuted
-	trust            float64    // weight factor while the verdict is VerdictUnknown
+	unverifiedFactor float64    // weight factor while the verdict is VerdictUnknown
 	sharesAddress    *candidate // another candidate with the same address and start time, or nil
 	successes        float64    // successful requests since the verdict changed
 	failures         float64    // failed requests since the verdict changed or a request succeeded
@@ -101,7 +101,7 @@
 // Begin starts the verification of the ready servers of a cached list that was confirmed age ago. If two servers have
 // the same address, the one that started earlier is refuted; if their start times are equal or unknown, they share the
 // weight of one server.
-func (v *Verifier) Begin(now, age fleet.Time, endpoints []NamedEndpoint) {
+func (v *Verifier) Begin(now, age fleet.Time, endpoints []AddressedEndpoint) {
 	v.lastSuccess = now
 	v.changed = true
 	holders := map[string]*candidate{}
@@ -120,16 +120,16 @@
 }
 
 // newCandidate returns an unverified candidate of a list of the given age, with its full weight.
-func newCandidate(now, age fleet.Time, endpoint NamedEndpoint) *candidate {
+func newCandidate(now, age fleet.Time, endpoint AddressedEndpoint) *candidate {
 	c := &candidate{
-		NamedEndpoint:    endpoint,
-		trust:            Trust(age),
-		probeAt:          now + sourceGracePeriod,
-		ejectionDuration: minEjectionDuration,
-		factor:           1,
+		AddressedEndpoint: endpoint,
+		unverifiedFactor:  UnverifiedWeightFactor(age),
+		probeAt:           now + sourceGracePeriod,
+		ejectionDuration:  minEjectionDuration,
+		factor:            1,
 	}
 	if endpoint.Unverified {
-		c.trust = minTrust
+		c.unverifiedFactor = minUnverifiedFactor
 	}
 	return c
 }
--- a/internal/discovery/verification/verifier_test.go
+++ b/internal/discovery/verification/verifier_test.go
@@ -23,7 +23,7 @@
 	s.run(t, 5*second/2, true, nil)
 	for server, up := range s.up {
 		if s.ejected[server] == up {
-			t.Errorf("server %d: up %v, ejected %v: %+v", server, up, s.ejected[server], s.verifier.Views())
+			t.Errorf("server %d: up %v, ejected %v: %+v", server, up, s.ejected[server], s.verifier.Statuses())
 		}
 	}
 	if !strings.Contains(s.notices, "4 accept connections, 4 are refuted") ||
@@ -38,7 +38,7 @@
 	s.confirmAllExcept(3)
 	s.run(t, 10*second, true, nil)
 	if s.verifier.Active() || !strings.Contains(s.notices, "confirms 7 of the 8 servers") {
-		t.Errorf("%+v\n%s", s.verifier.Views(), s.notices)
+		t.Errorf("%+v\n%s", s.verifier.Statuses(), s.notices)
 	}
 	for server, factor := range s.factors {
 		if factor != 1 {
@@ -61,7 +61,7 @@
 		s.step(t, false)
 	}
 	if s.ejectedCount() != 1 || !s.ejected[3] {
-		t.Errorf("want only server 3 ejected: %+v", s.verifier.Views())
+		t.Errorf("want only server 3 ejected: %+v", s.verifier.Statuses())
 	}
 }
 
@@ -82,7 +82,7 @@
 		}
 	}
 	if s.ejectedCount() != 4 {
-		t.Errorf("%d servers are ejected, want 4: %+v", s.ejectedCount(), s.verifier.Views())
+		t.Errorf("%d servers are ejected, want 4: %+v", s.ejectedCount(), s.verifier.Statuses())
 	}
 	s.up[0] = false
 	readmitted := false
@@ -92,7 +92,7 @@
 		readmitted = readmitted || s.ejectedCount() == 0
 	}
 	if !readmitted {
-		t.Errorf("the ejected servers were not readmitted: %+v", s.verifier.Views())
+		t.Errorf("the ejected servers were not readmitted: %+v", s.verifier.Statuses())
 	}
 }
 
@@ -111,7 +111,7 @@
 // accepts connections while its requests fail.
 func TestVerifierEjectsServersOfOtherAddresses(t *testing.T) {
 	v := NewVerifier(fleet.Site{}, true)
-	v.Begin(0, day, []NamedEndpoint{
+	v.Begin(0, day, []AddressedEndpoint{
 		{Endpoint: fleet.Endpoint{Server: 1, Started: 5 * second}, Addr: "x"},
 		{Endpoint: fleet.Endpoint{Server: 2, Started: 9 * second}, Addr: "x"},
 		{Endpoint: fleet.Endpoint{Server: 3}, Addr: "y"},
@@ -139,13 +139,13 @@
 		}
 	}
 	if len(ejected) != 3 || !ejected[1] || !ejected[3] || !ejected[4] {
-		t.Errorf("ejected %v, want 1, 3 and 4: %+v", ejected, v.Views())
+		t.Errorf("ejected %v, want 1, 3 and 4: %+v", ejected, v.Statuses())
 	}
 }
 
 func TestServersThatShareAnAddressShareTheirWeight(t *testing.T) {
 	v := NewVerifier(fleet.Site{}, true)
-	v.Begin(0, 0, []NamedEndpoint{
+	v.Begin(0, 0, []AddressedEndpoint{
 		{Endpoint: fleet.Endpoint{Server: 1}, Addr: "x"},
 		{Endpoint: fleet.Endpoint{Server: 2}, Addr: "x"},
 		{Endpoint: fleet.Endpoint{Server: 3}, Addr: "y"},
@@ -196,7 +196,7 @@
 			for at := sourceGracePeriod; at < 20*second; at += second {
 				v.NextPlan(at)
 			}
-			views := v.Views()
+			views := v.Statuses()
 			expectFactor(t, views[0], test.want.proven)
 			expectFactor(t, views[test.proven], test.want.reachable)
 			expectFactor(t, views[servers-1], test.want.unknown)
@@ -204,11 +204,11 @@
 	}
 }
 
-func expectFactor(t *testing.T, view View, want float64) {
+func expectFactor(t *testing.T, status ServerStatus, want float64) {
 	t.Helper()
 	const tolerance = 0.12
-	if want > 0 && math.Abs(view.WeightFraction-want) > tolerance*want {
-		t.Errorf("server %d has the weight factor %.3f, want %.3f", view.Server, view.WeightFraction, want)
+	if want > 0 && math.Abs(status.WeightFraction-want) > tolerance*want {
+		t.Errorf("server %d has the weight factor %.3f, want %.3f", status.Server, status.WeightFraction, want)
 	}
 }
 
@@ -266,8 +266,8 @@
 	for at := 4 * second; at < 8*second; at += stepDuration {
 		plan := failingStep(v, at, EvidenceConnection)
 		probes += len(plan.Probes)
-		if len(plan.Ejected) > 0 || v.Views()[0].Verdict != VerdictProven {
-			t.Fatalf("a server that accepts connections is ejected or not proven: %+v %+v", plan, v.Views())
+		if len(plan.Ejected) > 0 || v.Statuses()[0].Verdict != VerdictProven {
+			t.Fatalf("a server that accepts connections is ejected or not proven: %+v %+v", plan, v.Statuses())
 		}
 	}
 	if probes < 2 || probes > 12 {
@@ -276,8 +276,8 @@
 	for at := 8 * second; at < 12*second; at += stepDuration {
 		failingStep(v, at, EvidenceNone)
 	}
-	if view := v.Views()[0]; view.Verdict != VerdictRefuted || !view.Ejected {
-		t.Errorf("a server that is gone is not ejected: %+v", view)
+	if status := v.Statuses()[0]; status.Verdict != VerdictRefuted || !status.Ejected {
+		t.Errorf("a server that is gone is not ejected: %+v", status)
 	}
 }
 
@@ -309,7 +309,7 @@
 			}
 			s.step(t, rapid.IntRange(0, 3).Draw(t, "reaches") > 0)
 			if s.ejectedCount() == len(up) {
-				t.Fatalf("all servers are ejected: %+v", s.verifier.Views())
+				t.Fatalf("all servers are ejected: %+v", s.verifier.Statuses())
 			}
 		}
 		s.confirmAllExcept(-1)
@@ -317,7 +317,7 @@
 			s.step(t, true)
 		}
 		if s.verifier.Active() || s.verifier.probesInFlight != 0 {
-			t.Fatalf("servers are still under verification: %+v", s.verifier.Views())
+			t.Fatalf("servers are still under verification: %+v", s.verifier.Statuses())
 		}
 		for server, factor := range s.factors {
 			if math.Abs(factor-1) > 1e-9 {
--- a/internal/discovery/verification/weights.go
+++ b/internal/discovery/verification/weights.go
@@ -1,9 +1,9 @@
 package verification
 
 const (
-	// reachableTrust is the minimum weight factor of a server whose address accepts connections. It is below 1 because a
+	// reachableFactor is the minimum weight factor of a server whose address accepts connections. It is below 1 because a
 	// different server may have taken over the address.
-	reachableTrust = 0.5
+	reachableFactor = 0.5
 
 	// maxUnknownShare is the maximum fraction of all requests for all unknown servers together.
 	maxUnknownShare = 0.25
@@ -43,12 +43,13 @@
 	}
 }
 
-// factor returns the weight factor of an unknown server with the given trust.
-func (b unknownWeightBounds) factor(trust float64) float64 {
+// factor returns the weight factor of an unknown server: the one that follows from the age of the list, within the
+// bounds.
+func (b unknownWeightBounds) factor(byAge float64) float64 {
 	if !b.bounded {
-		return trust
+		return byAge
 	}
-	return min(1, max(minTrust, b.lowest, min(trust, b.highest)))
+	return min(1, max(minUnverifiedFactor, b.lowest, min(byAge, b.highest)))
 }
 
 // targetFactor returns the weight factor that the server should have. It is halved while the server shares its address
@@ -69,11 +70,11 @@
 func (c *candidate) verdictFactor(bounds unknownWeightBounds) float64 {
 	switch c.verdict {
 	case VerdictRefuted:
-		return minTrust
+		return minUnverifiedFactor
 	case VerdictUnknown:
-		return bounds.factor(c.trust)
+		return bounds.factor(c.unverifiedFactor)
 	case VerdictReachable:
-		return max(reachableTrust, c.trust)
+		return max(reachableFactor, c.unverifiedFactor)
 	}
 	return 1
 }
--- a/internal/haproxyapi/haproxyapi_test.go
+++ b/internal/haproxyapi/haproxyapi_test.go
@@ -144,7 +144,7 @@
 		Load:          [4]uint64{1, 2, 3, 4},
 		HasLoad:       true,
 	}
-	if err := ReadTable(AppendTracked([]byte("# table: nodes, type: string, size:1024, used:1\n"), 7, &tracked),
+	if err := ReadStickTable(AppendStickEntry([]byte("# table: nodes, type: string, size:1024, used:1\n"), 7, &tracked),
 		func(row *StickEntry) error {
 			if !reflect.DeepEqual(*row, tracked) {
 				t.Errorf("entry %+v, want %+v", *row, tracked)
@@ -171,7 +171,7 @@
 		{func() error { return ReadServersState([]byte("2\n"), nil) }, "line 1: unsupported format version"},
 		{func() error { return ReadServersState([]byte("1\n# a b\n"), nil) }, `line 2: header has no column "be_name"`},
 		{func() error { return ReadMap([]byte("0x1 a b\nnonsense\n"), func(_, _ []byte) error { return nil }) }, "line 2:"},
-		{func() error { return ReadTable([]byte("0x1: key=a gpc0=x\n"), nil) }, "line 1: gpc0"},
+		{func() error { return ReadStickTable([]byte("0x1: key=a gpc0=x\n"), nil) }, "line 1: gpc0"},
 		{func() error { return ReadInfo([]byte("no pair\n"), nil) }, "line 1:"},
 	} {
 		if err := c.read(); err == nil || !strings.Contains(err.Error(), c.want) {
--- a/internal/haproxyapi/tables.go
+++ b/internal/haproxyapi/tables.go
@@ -40,9 +40,9 @@
 	HasLoad       bool      // the entry has load values
 }
 
-// ReadTable parses the answer to "show table <name>" and calls handle for each entry, which is valid until handle
+// ReadStickTable parses the answer to "show table <name>" and calls handle for each entry, which is valid until handle
 // returns.
-func ReadTable(text []byte, handle func(*StickEntry) error) error {
+func ReadStickTable(text []byte, handle func(*StickEntry) error) error {
 	var row StickEntry
 	return forEachRow(text, ' ', func(_ int, line []byte, fields [][]byte) error {
 		if len(line) == 0 || line[0] == '#' {
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// AppendTracked appends one entry of "show table".
-func AppendTracked(dst []byte, reference int, t *StickEntry) []byte {
+// AppendStickEntry appends one entry of "show table".
+func AppendStickEntry(dst []byte, reference int, t *StickEntry) []byte {
 	dst = fmt.Appendf(dst, "%s%06x: key=%s use=0 exp=0 shard=0", entryPrefix, reference, t.Key)
 	if t.HasLoad {
 		for i, load := range t.Load {
--- a/internal/ingest/counters/parse.go
+++ b/internal/ingest/counters/parse.go
@@ -73,7 +73,7 @@
 // answers, and the load that the newest answers reported. Servers without a row, and those for which lookup returns
 // false, are skipped.
 func (r *Reading) AddTracked(text []byte, lookup func(string) (fleet.ServerID, bool)) error {
-	return haproxyapi.ReadTable(text, func(tracked *haproxyapi.StickEntry) error {
+	return haproxyapi.ReadStickTable(text, func(tracked *haproxyapi.StickEntry) error {
 		server, known := lookup(string(tracked.Key))
 		if !known || !r.hasRow(server) {
 			return nil
--- a/internal/server/controller_restore.go
+++ b/internal/server/controller_restore.go
@@ -21,8 +21,8 @@
 // to open it, the controller runs without a store.
 func (p *controllerProcess) openStore() ([]verification.Generation[discovery.Endpoint], error) {
 	stateStore, err := store.Open(store.Options{Directory: p.settings.Store.Directory, OnHealthChange: p.logStoreHealth})
-	var newerErr *store.NewerError
-	var busyErr *store.BusyError
+	var newerErr *store.NewerFormatError
+	var busyErr *store.LockedError
 	switch {
 	case errors.As(err, &newerErr), errors.As(err, &busyErr):
 		return nil, err
@@ -70,7 +70,7 @@
 // chooseCachedList selects the endpoint list to start from among those in the cache and the store. It returns nil if
 // there is none.
 func chooseCachedList(lists []verification.Generation[discovery.Endpoint], log zerolog.Logger) *discovery.Update {
-	chosen, ok := verification.Choose(fleet.Time(time.Now().UnixNano()), lists)
+	chosen, ok := verification.ChooseGeneration(fleet.Time(time.Now().UnixNano()), lists)
 	for _, notice := range chosen.Notices {
 		log.Warn().Str("source", "list").Str("notice", notice).Msg("cached endpoint lists differ")
 	}
--- a/internal/service/text/commands.go
+++ b/internal/service/text/commands.go
@@ -120,7 +120,7 @@
 		return
 	}
 	counted, serviceErr := c.server.service.Report(c.caller, batch)
-	reply(c, counted, serviceErr, FormatCounted)
+	reply(c, counted, serviceErr, FormatReportReply)
 }
 
 func getServer(ctx context.Context, c *connection, command haproxyapi.Command) {
--- a/internal/service/text/format.go
+++ b/internal/service/text/format.go
@@ -138,8 +138,8 @@
 	return w.bytes()
 }
 
-// FormatCounted formats the answer to a report: the sequence number of the newest batch that was counted.
-func FormatCounted(sequence uint64) []byte {
+// FormatReportReply formats the answer to a report: the sequence number of the newest batch that was counted.
+func FormatReportReply(sequence uint64) []byte {
 	return newAnswer("counted").count("seq", sequence).bytes()
 }
 
--- a/internal/service/text/parse.go
+++ b/internal/service/text/parse.go
@@ -237,8 +237,8 @@
 	return h, err
 }
 
-// ParseCounted parses the answer to a report: the sequence number of the newest batch that was counted.
-func ParseCounted(text []byte) (sequence uint64, err error) {
+// ParseReportReply parses the answer to a report: the sequence number of the newest batch that was counted.
+func ParseReportReply(text []byte) (sequence uint64, err error) {
 	err = parseAnswer(text, "counted", func(r row) { sequence = r.count("seq", 64) })
 	return sequence, err
 }
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -10,7 +10,7 @@
 )
 
 // Format is the version of the on-disk format that this program writes. Open migrates stores of older formats, and
-// returns a NewerError for newer ones without modifying them.
+// returns a NewerFormatError for newer ones without modifying them.
 const Format = 2
 
 const (
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -14,30 +14,30 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// NewerError reports that a newer program version wrote the store. The store was not modified.
-type NewerError struct {
+// NewerFormatError reports that a newer program version wrote the store. The store was not modified.
+type NewerFormatError struct {
 	Directory string
 	Format    int // of the store
 }
 
-func (e *NewerError) Error() string {
+func (e *NewerFormatError) Error() string {
 	return fmt.Sprintf("store %s has format %d, newer than the supported format %d; it was not modified",
 		e.Directory, e.Format, Format)
 }
 
-// BusyError reports that the lock of the directory could not be acquired, usually because another process has the store
-// open.
-type BusyError struct {
+// LockedError reports that the lock of the directory could not be acquired, usually because another process has the
+// store open.
+type LockedError struct {
 	Directory string
 	Err       error
 }
 
-func (e *BusyError) Error() string {
+func (e *LockedError) Error() string {
 	return fmt.Sprintf("store %s: locked by another process, or the lock could not be acquired: %v", e.Directory, e.Err)
 }
 
 // Unwrap returns the error of the attempt to lock the directory.
-func (e *BusyError) Unwrap() error { return e.Err }
+func (e *LockedError) Unwrap() error { return e.Err }
 
 // Options configure a store.
 type Options struct {
@@ -71,7 +71,7 @@
 }
 
 // Open opens a store, creates it if it does not exist, and migrates it to the current format. The error is a
-// *NewerError if a newer program version wrote the store, or a *BusyError if the directory cannot be locked.
+// *NewerFormatError if a newer program version wrote the store, or a *LockedError if the directory cannot be locked.
 func Open(options Options) (*Store, error) {
 	if options.FS == nil {
 		options.FS = vfs.Default
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	if format > Format { // checked before anything is modified
-		return nil, &NewerError{options.Directory, format}
+		return nil, &NewerFormatError{options.Directory, format}
 	}
 	s := &Store{
 		options: options,
@@ -99,7 +99,7 @@
 	}
 	s.lock, err = pebble.LockDirectory(options.Directory, options.FS)
 	if err != nil {
-		return nil, &BusyError{options.Directory, err}
+		return nil, &LockedError{options.Directory, err}
 	}
 	s.db, err = s.openDatabase()
 	if err == nil && !options.ReadOnly {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -145,9 +145,9 @@
 func TestOpenReportsLockedDirectory(t *testing.T) {
 	fs, s := newTestStore(t)
 	defer mustClose(t, s)
-	var busy *BusyError
+	var busy *LockedError
 	if _, err := Open(Options{Directory: testDirectory, FS: fs}); !errors.As(err, &busy) {
-		t.Errorf("opening a locked store: %v, want a BusyError", err)
+		t.Errorf("opening a locked store: %v, want a LockedError", err)
 	}
 }
 
@@ -223,9 +223,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var newer *NewerError
+	var newer *NewerFormatError
 	if _, err := Open(Options{Directory: testDirectory, FS: fs}); !errors.As(err, &newer) || newer.Format != 9 {
-		t.Errorf("opening a store of format 9: %v, want a NewerError", err)
+		t.Errorf("opening a store of format 9: %v, want a NewerFormatError", err)
 	}
 	after, err := fs.List(testDirectory)
 	if err != nil {
--- a/internal/testing/fakes/commands.go
+++ b/internal/testing/fakes/commands.go
@@ -215,7 +215,7 @@
 func (p *Proxy) trackedTable(name string) []byte {
 	out := fmt.Appendf(nil, "# table: %s, type: string, size:10240, used:%d\n", name, len(p.trackedNames))
 	for i, server := range p.trackedNames {
-		out = haproxyapi.AppendTracked(out, i+1, p.tracked[server])
+		out = haproxyapi.AppendStickEntry(out, i+1, p.tracked[server])
 	}
 	return out
 }
--- a/internal/testing/fakes/files.go
+++ b/internal/testing/fakes/files.go
@@ -53,7 +53,7 @@
 	p.files.acksStopped = stop
 }
 
-// watchFolder applies files that change in the proxy's folder until Down. Files written before the proxy's start are
+// watchFolder applies files that change in the proxy's folder until Stop. Files written before the proxy's start are
 // not read until they change.
 func (p *Proxy) watchFolder() error {
 	if err := os.MkdirAll(p.Folder, folderMode); err != nil {
@@ -198,7 +198,7 @@
 			p.mapEntries[key] = strconv.Itoa(value)
 		}
 		for class, stamp := range admissions.Stamps {
-			p.mapEntries[class+transport.VersionKey] = stamp
+			p.mapEntries[class+transport.VersionKeySuffix] = stamp
 		}
 	}
 	p.mu.Unlock()
--- a/internal/testing/fakes/lister.go
+++ b/internal/testing/fakes/lister.go
@@ -21,9 +21,9 @@
 	stateGone  = "gone"
 )
 
-// Entry is a server of the endpoint list, in the format that package discovery reads. An empty state means ready; a
-// zero start time means that the server is warmed up.
-type Entry struct {
+// ListedServer is a server of the endpoint list, in the format that package discovery reads. An empty state means
+// ready; a zero start time means that the server is warmed up.
+type ListedServer struct {
 	Name    string    `json:"name"`
 	Addr    string    `json:"addr"`
 	Zone    string    `json:"zone"`
@@ -34,21 +34,21 @@
 
 // listAnswer is an answer of the endpoint list service: a complete list, or the changes since a revision.
 type listAnswer struct {
-	Revision uint64  `json:"rev"`
-	Changes  bool    `json:"changes"`
-	Servers  []Entry `json:"servers"`
+	Revision uint64         `json:"rev"`
+	Changes  bool           `json:"changes"`
+	Servers  []ListedServer `json:"servers"`
 }
 
-// Lister is a simulated endpoint list service with long polls: GET /list?governor=G&rev=N&wait=S. G is the name of the
-// controller, N the revision that it has and S the longest wait for a change in seconds.
-type Lister struct {
+// ListService is a simulated endpoint list service with long polls: GET /list?governor=G&rev=N&wait=S. G is the name of
+// the controller, N the revision that it has and S the longest wait for a change in seconds.
+type ListService struct {
 	URL    string
 	watch  *invariants.Watch
 	server *http.Server
 
 	mu         sync.Mutex
 	revision   uint64
-	entries    map[string]Entry
+	entries    map[string]ListedServer
 	changed    map[string]uint64 // revision of each server's last change; removed servers stay in it
 	nextChange chan struct{}     // closed at the next change
 
@@ -58,16 +58,16 @@
 	frozen     bool
 }
 
-// NewLister starts the service with an empty list on a free loopback port.
-func NewLister(watch *invariants.Watch) (*Lister, error) {
+// NewListService starts the service with an empty list on a free loopback port.
+func NewListService(watch *invariants.Watch) (*ListService, error) {
 	listener, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
 		return nil, fmt.Errorf("list service: %w", err)
 	}
-	s := &Lister{
+	s := &ListService{
 		URL:        "http://" + listener.Addr().String() + "/list",
 		watch:      watch,
-		entries:    map[string]Entry{},
+		entries:    map[string]ListedServer{},
 		changed:    map[string]uint64{},
 		failingFor: map[string]bool{},
 		nextChange: make(chan struct{}),
@@ -78,10 +78,10 @@
 }
 
 // Close ends the service and all its connections.
-func (s *Lister) Close() { _ = s.server.Close() }
+func (s *ListService) Close() { _ = s.server.Close() }
 
 // Put adds or replaces servers in the list after the service's delay. Servers in state "gone" are removed.
-func (s *Lister) Put(entries ...Entry) {
+func (s *ListService) Put(entries ...ListedServer) {
 	s.mu.Lock()
 	delay := s.delay
 	s.mu.Unlock()
@@ -92,7 +92,7 @@
 	time.AfterFunc(delay, func() { s.apply(entries) })
 }
 
-func (s *Lister) apply(entries []Entry) {
+func (s *ListService) apply(entries []ListedServer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -108,13 +108,13 @@
 }
 
 // notifyPolls wakes all waiting polls. The caller holds the lock.
-func (s *Lister) notifyPolls() {
+func (s *ListService) notifyPolls() {
 	close(s.nextChange)
 	s.nextChange = make(chan struct{})
 }
 
 // State returns the state of a server as listed, "gone" if it is not in the list.
-func (s *Lister) State(name string) string {
+func (s *ListService) State(name string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entry, listed := s.entries[name]
@@ -124,32 +124,32 @@
 	return entry.State
 }
 
-// Fail sets whether the service answers every poll with status 503.
-func (s *Lister) Fail(down bool) {
+// SetDown sets whether the service answers every poll with status 503.
+func (s *ListService) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 	s.notifyPolls()
 }
 
-// FailFor sets whether the service answers the polls of one controller with status 503.
-func (s *Lister) FailFor(controller string, down bool) {
+// SetDownFor sets whether the service answers the polls of one controller with status 503.
+func (s *ListService) SetDownFor(controller string, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failingFor[controller] = down
 	s.notifyPolls()
 }
 
-// Freeze sets whether the service leaves all changes out of its answers, so that controllers keep their first list. The
-// watch records the changes as sent nevertheless.
-func (s *Lister) Freeze(frozen bool) {
+// SetFrozen sets whether the service leaves all changes out of its answers, so that controllers keep their first list.
+// The watch records the changes as sent nevertheless.
+func (s *ListService) SetFrozen(frozen bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.frozen = frozen
 }
 
-// Delay sets the time until later changes are applied; 0: at once.
-func (s *Lister) Delay(delay time.Duration) {
+// SetDelay sets the time until later changes are applied; 0: at once.
+func (s *ListService) SetDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = delay
@@ -157,7 +157,7 @@
 
 // serve answers a poll: at once if the caller's revision is not the current one, otherwise at the next change, or with
 // status 304 when the wait ends.
-func (s *Lister) serve(w http.ResponseWriter, r *http.Request) {
+func (s *ListService) serve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	controller := query.Get("governor")
 	revision, _ := strconv.ParseUint(query.Get("rev"), 10, 64)
@@ -196,11 +196,11 @@
 
 // answer returns the changes since a revision, or the complete list if the revision is 0 or newer than the list. The
 // caller holds the lock.
-func (s *Lister) answer(controller string, revision uint64) listAnswer {
+func (s *ListService) answer(controller string, revision uint64) listAnswer {
 	answer := listAnswer{
 		Revision: s.revision,
 		Changes:  revision > 0 && revision < s.revision,
-		Servers:  []Entry{},
+		Servers:  []ListedServer{},
 	}
 	for name, changedAt := range s.changed {
 		if answer.Changes && changedAt <= revision {
@@ -211,10 +211,10 @@
 		case listed:
 			answer.Servers = append(answer.Servers, entry)
 		case answer.Changes:
-			answer.Servers = append(answer.Servers, Entry{Name: name, State: stateGone})
+			answer.Servers = append(answer.Servers, ListedServer{Name: name, State: stateGone})
 		}
 	}
-	slices.SortFunc(answer.Servers, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(answer.Servers, func(a, b ListedServer) int { return strings.Compare(a.Name, b.Name) })
 	s.recordNotifications(controller)
 	if s.frozen && answer.Changes {
 		answer.Servers = answer.Servers[:0]
@@ -223,7 +223,7 @@
 }
 
 // recordNotifications reports to the watch the state of all servers as sent to a controller. The caller holds the lock.
-func (s *Lister) recordNotifications(controller string) {
+func (s *ListService) recordNotifications(controller string) {
 	for name := range s.changed {
 		entry, listed := s.entries[name]
 		if !listed {
--- a/internal/testing/fakes/node.go
+++ b/internal/testing/fakes/node.go
@@ -41,7 +41,7 @@
 	Work              map[string]time.Duration // duration of a request by class, on a core of speed 1
 }
 
-// Node is a simulated server, with HTTP on loopback. Name and Addr are set once. Its methods other than Up may be
+// Node is a simulated server, with HTTP on loopback. Name and Addr are set once. Its methods other than Start may be
 // called from any goroutine.
 type Node struct {
 	Name     string
@@ -88,8 +88,8 @@
 	}
 }
 
-// Up starts the node: the first time on a free port and warmed up, later on the same address and with a slow start.
-func (n *Node) Up() error {
+// Start starts the node: the first time on a free port and warmed up, later on the same address and with a slow start.
+func (n *Node) Start() error {
 	addr := n.Addr
 	first := addr == ""
 	if first {
--- a/internal/testing/fakes/proxy.go
+++ b/internal/testing/fakes/proxy.go
@@ -74,16 +74,16 @@
 
 // Proxy is a simulated proxy with HAProxy's runtime API. It picks servers by weight, ejects them after consecutive
 // failures, stalls for each entry that changes, retries according to its map and enforces admission limits. Its methods
-// other than Up and Down may be called from any goroutine.
+// other than Start and Stop may be called from any goroutine.
 type Proxy struct {
 	ProxySetup
-	RequestAddr string // address for callers; empty before the first Up
+	RequestAddr string // address for callers; empty before the first Start
 	watch       *invariants.Watch
 	http        http.Client // to nodes
 
 	mu             sync.Mutex
 	rng            *rand.Rand
-	initialEntries []Entry
+	initialEntries []ListedServer
 	nextID         int
 	started        time.Time
 	requestServer  *http.Server
@@ -112,7 +112,7 @@
 
 // NewProxy returns a proxy that has not been started. It has the initial entries in each backend after every start, as
 // from its own configuration file.
-func NewProxy(setup ProxySetup, initial []Entry, watch *invariants.Watch, seed uint64) *Proxy {
+func NewProxy(setup ProxySetup, initial []ListedServer, watch *invariants.Watch, seed uint64) *Proxy {
 	p := &Proxy{
 		ProxySetup:     setup,
 		watch:          watch,
@@ -129,9 +129,9 @@
 	return p
 }
 
-// Up starts the proxy with its initial entries, an empty map and zero counters. The request address is kept across
+// Start starts the proxy with its initial entries, an empty map and zero counters. The request address is kept across
 // restarts.
-func (p *Proxy) Up() error {
+func (p *Proxy) Start() error {
 	var runtimeListener net.Listener
 	if p.Folder == "" {
 		_ = os.Remove(p.Runtime)
@@ -200,8 +200,8 @@
 	})
 }
 
-// Down ends the proxy at once and closes all its connections. It does nothing if the proxy is down.
-func (p *Proxy) Down() {
+// Stop ends the proxy at once and closes all its connections. It does nothing if the proxy is down.
+func (p *Proxy) Stop() {
 	p.mu.Lock()
 	runtimeListener := p.runtimeListener
 	requestServer := p.requestServer
--- a/internal/testing/fakes/weights_test.go
+++ b/internal/testing/fakes/weights_test.go
@@ -63,14 +63,14 @@
 	t.Helper()
 	watch := invariants.NewWatch()
 	capacity := NodeCapacity{Cores: 64, Speed: 1, Queue: 1000, Work: map[string]time.Duration{"look": 0}}
-	var entries []Entry
+	var entries []ListedServer
 	for i := range weights {
 		node := NewNode(fmt.Sprintf("n%d", i), capacity, watch, uint64(i))
-		if err := node.Up(); err != nil {
+		if err := node.Start(); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(node.Crash)
-		entries = append(entries, Entry{Name: node.Name, Addr: node.Addr})
+		entries = append(entries, ListedServer{Name: node.Name, Addr: node.Addr})
 	}
 	setup := ProxySetup{
 		Name:              "p",
@@ -81,10 +81,10 @@
 		Classes:           []ProxyClass{{Name: "look", Backend: "look", Deadline: 10 * time.Second}},
 	}
 	proxy := NewProxy(setup, entries, watch, 3)
-	if err := proxy.Up(); err != nil {
+	if err := proxy.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(proxy.Down)
+	t.Cleanup(proxy.Stop)
 	for i, weight := range weights {
 		proxy.Execute("set", "server", fmt.Sprintf("look/n%d", i), "weight", strconv.Itoa(weight))
 	}
--- a/internal/testing/invariants/availability.go
+++ b/internal/testing/invariants/availability.go
@@ -12,8 +12,8 @@
 
 // checkAvailability finds connected proxies that had no usable entry for a class while their controller's endpoint list
 // had a warmed-up server.
-func (w *Watch) checkAvailability(f Figures) Verdict {
-	v := Verdict{Rule: RuleAvailability, Tested: w.usabilityChecks}
+func (w *Watch) checkAvailability(limits Limits) RuleResult {
+	v := RuleResult{Rule: RuleAvailability, Tested: w.usabilityChecks}
 	end := w.now()
 	longest := time.Duration(0)
 	place := ""
@@ -28,26 +28,26 @@
 			if to <= from {
 				continue
 			}
-			unserved := w.longestReadyPeriod(w.owner(period.proxy, from), from, to, f)
+			unserved := w.longestReadyPeriod(w.owner(period.proxy, from), from, to, limits)
 			if unserved > longest {
 				longest = unserved
 				place = fmt.Sprintf(" (proxy %s, class %s, at %.2f s)", period.proxy, period.class, from.Seconds())
 			}
-			if unserved > f.MaxUnusable+f.Slack {
+			if unserved > limits.MaxUnusable+limits.Slack {
 				v.violate(from, "proxy %s had no usable entry for class %s for %.2f s while a warmed-up server was listed; "+
 					"limit %.2f s plus %.2f s slack",
-					period.proxy, period.class, unserved.Seconds(), f.MaxUnusable.Seconds(), f.Slack.Seconds())
+					period.proxy, period.class, unserved.Seconds(), limits.MaxUnusable.Seconds(), limits.Slack.Seconds())
 			}
 		}
 	}
-	v.Seen = fmt.Sprintf("longest time without a usable entry %.3f s, limit %.2f s%s; %d periods without one",
-		longest.Seconds(), f.MaxUnusable.Seconds(), place, len(w.unusable))
+	v.Observed = fmt.Sprintf("longest time without a usable entry %.3f s, limit %.2f s%s; %d periods without one",
+		longest.Seconds(), limits.MaxUnusable.Seconds(), place, len(w.unusable))
 	return v
 }
 
 // longestReadyPeriod returns the longest continuous time within [from, to) in which the controller's endpoint list had
 // a warmed-up, ready node.
-func (w *Watch) longestReadyPeriod(controller string, from, to time.Duration, f Figures) time.Duration {
+func (w *Watch) longestReadyPeriod(controller string, from, to time.Duration, limits Limits) time.Duration {
 	nodes := map[string]bool{}
 	for _, n := range w.notifications {
 		if n.controller == controller {
@@ -61,7 +61,7 @@
 	longest := time.Duration(0)
 	ready := time.Duration(0)
 	for at := from; at < to; at += readinessResolution {
-		if slices.ContainsFunc(histories, func(h []notification) bool { return isWarmAndReady(h, at, f) }) {
+		if slices.ContainsFunc(histories, func(h []notification) bool { return isWarmAndReady(h, at, limits) }) {
 			ready += readinessResolution
 		} else {
 			ready = 0
@@ -73,7 +73,7 @@
 
 // isWarmAndReady reports whether a node was listed as ready and past its slow start at a time. The history is sorted
 // by time.
-func isWarmAndReady(history []notification, at time.Duration, f Figures) bool {
+func isWarmAndReady(history []notification, at time.Duration, limits Limits) bool {
 	next, _ := slices.BinarySearchFunc(history, at, func(n notification, at time.Duration) int {
 		return cmp.Compare(n.at, at)
 	})
@@ -81,5 +81,5 @@
 		return false
 	}
 	last := history[next-1]
-	return last.state == stateReady && (!last.slowStart || at >= last.started+f.SlowStartDuration)
+	return last.state == stateReady && (!last.slowStart || at >= last.started+limits.SlowStartDuration)
 }
--- a/internal/testing/invariants/drain.go
+++ b/internal/testing/invariants/drain.go
@@ -16,8 +16,8 @@
 
 // checkDrain finds attempts that proxies sent to a node more than the drain timeout after their controller was notified
 // that the node is not ready. Time without a session between proxy and controller does not count.
-func (w *Watch) checkDrain(f Figures) Verdict {
-	v := Verdict{Rule: RuleDrain}
+func (w *Watch) checkDrain(limits Limits) RuleResult {
+	v := RuleResult{Rule: RuleDrain}
 	notReady := w.notReadyIntervals()
 	for _, intervals := range notReady {
 		v.Tested += len(intervals)
@@ -39,16 +39,16 @@
 				}
 				delay := a.at - max(drained.from, connected.from)
 				latest = max(latest, delay)
-				if delay > f.DrainTimeout+f.Slack {
+				if delay > limits.DrainTimeout+limits.Slack {
 					v.violate(a.at, "proxy %s sent an attempt to node %s %.2f s after its connected controller was notified "+
 						"that the node is not ready; limit %.2f s plus %.2f s slack",
-						a.proxy, a.node, delay.Seconds(), f.DrainTimeout.Seconds(), f.Slack.Seconds())
+						a.proxy, a.node, delay.Seconds(), limits.DrainTimeout.Seconds(), limits.Slack.Seconds())
 				}
 			}
 		}
 	}
-	v.Seen = fmt.Sprintf("%d drains and losses notified; latest attempt %.2f s after the notification, limit %.2f s",
-		v.Tested, latest.Seconds(), f.DrainTimeout.Seconds())
+	v.Observed = fmt.Sprintf("%d drains and losses notified; latest attempt %.2f s after the notification, limit %.2f s",
+		v.Tested, latest.Seconds(), limits.DrainTimeout.Seconds())
 	return v
 }
 
--- a/internal/testing/invariants/duplicates.go
+++ b/internal/testing/invariants/duplicates.go
@@ -6,22 +6,22 @@
 )
 
 // checkDuplicates finds requests whose side effect happened twice, and retries that could have caused that.
-func (w *Watch) checkDuplicates(f Figures) Verdict {
-	v := Verdict{Rule: RuleNoDuplicates}
+func (w *Watch) checkDuplicates(limits Limits) RuleResult {
+	v := RuleResult{Rule: RuleNoDuplicates}
 	classes := map[string]Class{}
-	for _, class := range f.Classes {
+	for _, class := range limits.Classes {
 		classes[class.Name] = class
 	}
 	effects, repeatedEffects := w.checkExecutions(&v, classes)
 	repeatedAttempts := w.checkAttempts(&v, classes)
-	v.Seen = fmt.Sprintf("%d requests with side effects executed, %d attempts repeated, %d executions repeated",
+	v.Observed = fmt.Sprintf("%d requests with side effects executed, %d attempts repeated, %d executions repeated",
 		effects, repeatedAttempts, repeatedEffects)
 	return v
 }
 
 // checkExecutions finds repeated executions that the class does not allow. It returns how many requests of classes with
 // side effects were executed, and how many executions repeated an earlier one.
-func (w *Watch) checkExecutions(v *Verdict, classes map[string]Class) (effects, repeated int) {
+func (w *Watch) checkExecutions(v *RuleResult, classes map[string]Class) (effects, repeated int) {
 	first := map[uint64]execution{}
 	for _, e := range w.executions {
 		class := classes[e.class]
@@ -45,7 +45,7 @@
 
 // checkAttempts finds retries after an attempt that may have been executed, in classes that do not allow them. It
 // returns the number of retries in all classes.
-func (w *Watch) checkAttempts(v *Verdict, classes map[string]Class) (repeated int) {
+func (w *Watch) checkAttempts(v *RuleResult, classes map[string]Class) (repeated int) {
 	firstSent := map[uint64]time.Duration{}
 	for _, a := range w.attempts {
 		class := classes[a.class]
--- a/internal/testing/invariants/judge.go
+++ b/internal/testing/invariants/judge.go
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("deduplication window %.2f s", c.DeduplicationWindow.Seconds())
 }
 
-// Figures are the limits of the rules, and the properties of the simulated servers and update channels behind them.
-type Figures struct {
+// Limits are the limits of the rules, and the properties of the simulated servers and update channels behind them.
+type Limits struct {
 	Classes           []Class
 	MaxUnusable       time.Duration // longest time a connected proxy may be without a usable entry for a class
 	DrainTimeout      time.Duration // after a notification, until a drain or a slow start must be applied
@@ -49,22 +49,22 @@
 
 // Violation is one violation of a rule.
 type Violation struct {
-	Rule string        // name of the rule
-	At   time.Duration // since the watch's start
-	What string        // the value met and the limit
+	Rule   string        // name of the rule
+	At     time.Duration // since the watch's start
+	Detail string        `json:"What"` // the value met and the limit
 }
 
-// Verdict is the result of checking one rule.
-type Verdict struct {
-	Rule   string      `json:"rule"`
-	Tested int         `json:"tried"`  // observations that the rule was checked on
-	Seen   string      `json:"seen"`   // the most extreme values observed
-	Breaks []Violation `json:"breaks"` // empty: the rule held
+// RuleResult is the result of checking one rule.
+type RuleResult struct {
+	Rule       string      `json:"rule"`
+	Tested     int         `json:"tried"`  // observations that the rule was checked on
+	Observed   string      `json:"seen"`   // the most extreme values observed
+	Violations []Violation `json:"breaks"` // empty: the rule held
 }
 
 // violate adds a violation.
-func (v *Verdict) violate(at time.Duration, format string, args ...any) {
-	v.Breaks = append(v.Breaks, Violation{v.Rule, at, fmt.Sprintf(format, args...)})
+func (v *RuleResult) violate(at time.Duration, format string, args ...any) {
+	v.Violations = append(v.Violations, Violation{v.Rule, at, fmt.Sprintf(format, args...)})
 }
 
 // Names of the rules, as written to reports.
@@ -78,32 +78,32 @@
 	RuleNoRollback       = "versions never go back" // of a table at a proxy; checked if proxies received versions
 )
 
-// Judge checks all rules on the observations until now. Rules that have nothing to check in this setup are left out.
-func (w *Watch) Judge(f Figures) []Verdict {
+// Check checks all rules on the observations until now. Rules that have nothing to check in this setup are left out.
+func (w *Watch) Check(limits Limits) []RuleResult {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	verdicts := []Verdict{
-		w.checkAvailability(f),
-		w.checkDuplicates(f),
-		w.checkDrain(f),
-		w.checkSlowStart(f),
-		w.checkQueue(f),
+	results := []RuleResult{
+		w.checkAvailability(limits),
+		w.checkDuplicates(limits),
+		w.checkDrain(limits),
+		w.checkSlowStart(limits),
+		w.checkQueue(limits),
 	}
 	if w.commands > 0 {
-		verdicts = append(verdicts, Verdict{
-			Rule:   RuleSingleController,
-			Tested: w.commands,
-			Seen:   fmt.Sprintf("%d commands executed at %d proxies", w.commands, len(w.epochs)),
-			Breaks: w.outdatedCommands,
+		results = append(results, RuleResult{
+			Rule:       RuleSingleController,
+			Tested:     w.commands,
+			Observed:   fmt.Sprintf("%d commands executed at %d proxies", w.commands, len(w.epochs)),
+			Violations: w.outdatedCommands,
 		})
 	}
 	if w.versions > 0 {
-		verdicts = append(verdicts, Verdict{
-			Rule:   RuleNoRollback,
-			Tested: w.versions,
-			Seen:   fmt.Sprintf("%d versions received", w.versions),
-			Breaks: w.rollbacks,
+		results = append(results, RuleResult{
+			Rule:       RuleNoRollback,
+			Tested:     w.versions,
+			Observed:   fmt.Sprintf("%d versions received", w.versions),
+			Violations: w.rollbacks,
 		})
 	}
-	return verdicts
+	return results
 }
--- a/internal/testing/invariants/queue.go
+++ b/internal/testing/invariants/queue.go
@@ -6,8 +6,8 @@
 )
 
 // checkQueue finds controllers whose update queue was too long, and proxies that received more messages than allowed.
-func (w *Watch) checkQueue(f Figures) Verdict {
-	v := Verdict{Rule: RuleQueue, Tested: len(w.messages)}
+func (w *Watch) checkQueue(limits Limits) RuleResult {
+	v := RuleResult{Rule: RuleQueue, Tested: len(w.messages)}
 	byController := map[string][]message{}
 	byProxy := map[string][]message{}
 	for _, m := range w.messages {
@@ -17,14 +17,14 @@
 	}
 	longestBurst := 0.0
 	for controller, messages := range byController {
-		longestBurst = max(longestBurst, checkBursts(&v, controller, messages, f))
+		longestBurst = max(longestBurst, checkBursts(&v, controller, messages, limits))
 	}
 	mostMessages := 0
 	for proxy, messages := range byProxy {
-		mostMessages = max(mostMessages, checkMessageRate(&v, proxy, messages, f))
+		mostMessages = max(mostMessages, checkMessageRate(&v, proxy, messages, limits))
 	}
-	v.Seen = fmt.Sprintf("largest burst %.0f entries, limit %.0f entries; most messages to one proxy within %s: %d",
-		longestBurst, f.Backlog, f.MessagesOver, mostMessages)
+	v.Observed = fmt.Sprintf("largest burst %.0f entries, limit %.0f entries; most messages to one proxy within %s: %d",
+		longestBurst, limits.Backlog, limits.MessagesOver, mostMessages)
 	return v
 }
 
@@ -40,15 +40,15 @@
 // checkBursts finds bursts of more entries than may be queued. A burst is a sequence of messages that a controller sent
 // without a pause at about the full rate of its channel; had all its entries been ready when it began, they would have
 // been queued. It returns the largest burst in entries.
-func checkBursts(v *Verdict, controller string, messages []message, f Figures) float64 {
+func checkBursts(v *RuleResult, controller string, messages []message, limits Limits) float64 {
 	longest := 0.0
 	burstStart := time.Duration(-1)
 	entries := 0.0
 	for i, m := range messages {
-		cost := f.MessageOverhead + float64(m.entries)
+		cost := limits.MessageOverhead + float64(m.entries)
 		if i > 0 {
 			pause := (m.at - messages[i-1].at).Seconds()
-			if pause*f.EntriesPerSecond > maxPauseFactor*cost+f.EntriesPerSecond*burstPauseSeconds {
+			if pause*limits.EntriesPerSecond > maxPauseFactor*cost+limits.EntriesPerSecond*burstPauseSeconds {
 				burstStart = -1
 				entries = 0
 			}
@@ -59,10 +59,10 @@
 		entries += cost
 		longest = max(longest, entries)
 		duration := (m.at - burstStart).Seconds()
-		if entries > f.Backlog && entries > duration*f.EntriesPerSecond*minBurstRateFraction {
+		if entries > limits.Backlog && entries > duration*limits.EntriesPerSecond*minBurstRateFraction {
 			v.violate(m.at, "controller %s sent %.0f entries, message overhead included, in a burst of %.2f s; "+
 				"limit %.0f entries",
-				controller, entries, duration, f.Backlog)
+				controller, entries, duration, limits.Backlog)
 			burstStart = -1
 			entries = 0
 		}
@@ -72,16 +72,17 @@
 
 // checkMessageRate finds a proxy that received too many messages within the window. It returns the largest number of
 // messages within one window up to the first violation.
-func checkMessageRate(v *Verdict, proxy string, messages []message, f Figures) int {
+func checkMessageRate(v *RuleResult, proxy string, messages []message, limits Limits) int {
 	largest := 0
 	for i, m := range messages {
 		recent := 0
-		for j := i; j >= 0 && messages[j].at > m.at-f.MessagesOver; j-- {
+		for j := i; j >= 0 && messages[j].at > m.at-limits.MessagesOver; j-- {
 			recent++
 		}
 		largest = max(largest, recent)
-		if f.Messages > 0 && recent > f.Messages {
-			v.violate(m.at, "proxy %s received %d messages within %s; limit %d", proxy, recent, f.MessagesOver, f.Messages)
+		if limits.Messages > 0 && recent > limits.Messages {
+			v.violate(m.at, "proxy %s received %d messages within %s; limit %d",
+				proxy, recent, limits.MessagesOver, limits.Messages)
 			break
 		}
 	}
--- a/internal/testing/invariants/slowstart.go
+++ b/internal/testing/invariants/slowstart.go
@@ -14,14 +14,14 @@
 )
 
 // checkSlowStart finds nodes that were overloaded during slow start by proxies whose controller was notified of it.
-func (w *Watch) checkSlowStart(f Figures) Verdict {
-	v := Verdict{Rule: RuleSlowStart, Tested: w.slowStartRequests}
+func (w *Watch) checkSlowStart(limits Limits) RuleResult {
+	v := RuleResult{Rule: RuleSlowStart, Tested: w.slowStartRequests}
 	for _, o := range w.overloads {
 		totalWork := 0.0
 		notifiedWork := 0.0
 		for proxy, work := range o.workByProxy {
 			totalWork += work
-			if w.wasNotifiedOfStart(proxy, o, f) {
+			if w.wasNotifiedOfStart(proxy, o, limits) {
 				notifiedWork += work
 			}
 		}
@@ -31,13 +31,13 @@
 				o.node, (o.at - o.started).Seconds(), 100*notifiedWork/totalWork, 100*maxNotifiedFraction)
 		}
 	}
-	v.Seen = fmt.Sprintf("%d requests at nodes in slow start, %d overloads", w.slowStartRequests, len(w.overloads))
+	v.Observed = fmt.Sprintf("%d requests at nodes in slow start, %d overloads", w.slowStartRequests, len(w.overloads))
 	return v
 }
 
 // wasNotifiedOfStart reports whether a proxy's controller was notified of a node's start at least the drain timeout
 // before the overload, or sent the proxy a message between the notification and the overload.
-func (w *Watch) wasNotifiedOfStart(proxy string, o overload, f Figures) bool {
+func (w *Watch) wasNotifiedOfStart(proxy string, o overload, limits Limits) bool {
 	lastMessage := time.Duration(-1)
 	for _, m := range w.messages {
 		if m.proxy == proxy && m.at <= o.at {
@@ -48,7 +48,7 @@
 		if !n.slowStart || n.started < o.started-startTolerance {
 			continue
 		}
-		if n.at+f.DrainTimeout <= o.at || lastMessage > n.at {
+		if n.at+limits.DrainTimeout <= o.at || lastMessage > n.at {
 			return true
 		}
 	}
--- a/internal/testing/invariants/watch.go
+++ b/internal/testing/invariants/watch.go
@@ -1,6 +1,6 @@
 // Package invariants checks the safety rules of controllers. Its input is what simulated proxies and nodes observed on
 // their sockets and what the endpoint list service answered, never a controller's own records. The simulated parts
-// record into a Watch while they run; Watch.Judge evaluates the rules afterwards.
+// record into a Watch while they run; Watch.Check evaluates the rules afterwards.
 package invariants
 
 import (
--- a/internal/testing/scenario/controllerfaults.go
+++ b/internal/testing/scenario/controllerfaults.go
@@ -92,22 +92,22 @@
 }
 
 func (r *runner) listDown(ctx context.Context, spec FaultSpec) {
-	r.lister.Fail(true)
+	r.listService.SetDown(true)
 	wait(ctx, spec.Duration)
-	r.lister.Fail(false)
+	r.listService.SetDown(false)
 }
 
 func (r *runner) listLate(ctx context.Context, spec FaultSpec) {
-	r.lister.Delay(seconds(orDefault(spec.Size, defaultListDelay)))
+	r.listService.SetDelay(seconds(orDefault(spec.Size, defaultListDelay)))
 	wait(ctx, spec.Duration)
-	r.lister.Delay(0)
+	r.listService.SetDelay(0)
 }
 
 // listDownForSome makes the list service answer some controllers with errors.
 func (r *runner) listDownForSome(ctx context.Context, spec FaultSpec) {
 	for _, c := range r.pickControllers(spec.Fraction) {
-		r.lister.FailFor(c.name, true)
-		defer r.lister.FailFor(c.name, false)
+		r.listService.SetDownFor(c.name, true)
+		defer r.listService.SetDownFor(c.name, false)
 	}
 	wait(ctx, spec.Duration)
 }
--- a/internal/testing/scenario/fleet.go
+++ b/internal/testing/scenario/fleet.go
@@ -35,17 +35,17 @@
 
 // startFleet starts the list service, the servers, the proxies and the controllers.
 func (r *runner) startFleet() error {
-	lister, err := fakes.NewLister(r.watch)
+	listService, err := fakes.NewListService(r.watch)
 	if err != nil {
 		return err
 	}
-	r.lister = lister
+	r.listService = listService
 	entries, err := r.startNodes()
 	if err != nil {
 		return err
 	}
-	r.lister.Put(entries...)
-	r.lister.Freeze(r.FrozenList)
+	r.listService.Put(entries...)
+	r.listService.SetFrozen(r.FrozenList)
 	if err := r.startProxies(entries); err != nil {
 		return err
 	}
@@ -53,13 +53,13 @@
 }
 
 // startNodes starts the simulated servers and returns their entries for the endpoint list.
-func (r *runner) startNodes() ([]fakes.Entry, error) {
+func (r *runner) startNodes() ([]fakes.ListedServer, error) {
 	spec := r.Spec
 	work := map[string]time.Duration{}
 	for _, class := range spec.Classes {
 		work[class.Name] = time.Duration(class.Work)
 	}
-	var entries []fakes.Entry
+	var entries []fakes.ListedServer
 	for i := range spec.Nodes {
 		capacity := fakes.NodeCapacity{
 			Cores:             nodeCores,
@@ -72,7 +72,7 @@
 			Work:              work,
 		}
 		node := fakes.NewNode(nodeName(i), capacity, r.watch, spec.Seed*nodeSeedFactor+uint64(i))
-		if err := node.Up(); err != nil {
+		if err := node.Start(); err != nil {
 			return nil, err
 		}
 		r.nodes = append(r.nodes, node)
@@ -84,8 +84,8 @@
 
 func nodeName(i int) string { return fmt.Sprintf("node-%02d", i+1) }
 
-func (r *runner) listEntry(node *fakes.Node, state string) fakes.Entry {
-	return fakes.Entry{
+func (r *runner) listEntry(node *fakes.Node, state string) fakes.ListedServer {
+	return fakes.ListedServer{
 		Name:    node.Name,
 		Addr:    node.Addr,
 		Zone:    r.zoneByNode[node.Name],
@@ -94,7 +94,7 @@
 	}
 }
 
-func (r *runner) startProxies(entries []fakes.Entry) error {
+func (r *runner) startProxies(entries []fakes.ListedServer) error {
 	spec := r.Spec
 	var classes []fakes.ProxyClass
 	for _, class := range spec.Classes {
@@ -120,7 +120,7 @@
 			Folder:            r.folder(i),
 		}
 		proxy := fakes.NewProxy(setup, r.initialEntries(entries, zone), r.watch, spec.Seed*proxySeedFactor+uint64(i))
-		if err := proxy.Up(); err != nil {
+		if err := proxy.Start(); err != nil {
 			return err
 		}
 		r.proxies = append(r.proxies, proxy)
@@ -130,8 +130,8 @@
 }
 
 // initialEntries draws the entries of a proxy's own configuration, from its zone if the zones have enough servers.
-func (r *runner) initialEntries(entries []fakes.Entry, zone string) []fakes.Entry {
-	var initial []fakes.Entry
+func (r *runner) initialEntries(entries []fakes.ListedServer, zone string) []fakes.ListedServer {
+	var initial []fakes.ListedServer
 	anyZone := r.Spec.Nodes < minNodesPerZone*len(r.Spec.Zones)
 	for _, i := range r.rng.Perm(len(entries)) {
 		entry := entries[i]
--- a/internal/testing/scenario/nodefaults.go
+++ b/internal/testing/scenario/nodefaults.go
@@ -105,7 +105,7 @@
 	}
 	if sleep(ctx, deathNoticeDelay) {
 		for _, node := range nodes {
-			r.lister.Put(r.listEntry(node, "gone"))
+			r.listService.Put(r.listEntry(node, "gone"))
 		}
 	}
 }
@@ -145,13 +145,13 @@
 // restartNodes starts servers again, with a slow start. The list service notices it after startNoticeDelay.
 func (r *runner) restartNodes(ctx context.Context, nodes []*fakes.Node) {
 	for _, node := range nodes {
-		if err := node.Up(); err != nil {
+		if err := node.Start(); err != nil {
 			r.reportProblem("%v", err)
 		}
 	}
 	sleep(ctx, startNoticeDelay)
 	for _, node := range nodes {
-		r.lister.Put(r.listEntry(node, "ready"))
+		r.listService.Put(r.listEntry(node, "ready"))
 	}
 }
 
@@ -181,11 +181,11 @@
 	nodes, release := r.pickNodes(spec.Fraction)
 	defer release()
 	for _, node := range nodes {
-		r.lister.Put(r.listEntry(node, "draining"))
+		r.listService.Put(r.listEntry(node, "draining"))
 	}
 	sleep(ctx, after)
 	for _, node := range nodes {
-		r.lister.Put(r.listEntry(node, "gone"))
+		r.listService.Put(r.listEntry(node, "gone"))
 		node.Crash()
 	}
 	sleep(ctx, time.Duration(spec.Duration)-after)
--- a/internal/testing/scenario/operatorfaults.go
+++ b/internal/testing/scenario/operatorfaults.go
@@ -61,7 +61,7 @@
 	switch {
 	case kind == pushEmpty:
 		return 0
-	case kind == pushDrained && r.lister.State(node.Name) != "ready":
+	case kind == pushDrained && r.listService.State(node.Name) != "ready":
 		return maxWeight
 	case kind == pushCrowd && slowStart && node == newest:
 		return maxWeight
--- a/internal/testing/scenario/outage.go
+++ b/internal/testing/scenario/outage.go
@@ -50,7 +50,7 @@
 		defer r.mu.Unlock()
 		r.report.DiscoveryOutage = result
 	}()
-	r.lister.Fail(true)
+	r.listService.SetDown(true)
 	for _, c := range r.controllers {
 		r.kill(c)
 		if err := ageCache(r.cachePath(c)); err != nil {
@@ -62,18 +62,18 @@
 	r.restartControllers(r.controllers)
 	r.measureOutage(ctx, began, time.Duration(spec.Duration), result)
 	returned := time.Now()
-	r.lister.Fail(false)
+	r.listService.SetDown(false)
 	r.measureSourceReturn(ctx, returned, result)
 	r.measureShift(ctx, result)
 }
 
 func (r *runner) restartProxies(ctx context.Context) {
 	for _, proxy := range r.proxies {
-		proxy.Down()
+		proxy.Stop()
 	}
 	sleep(ctx, proxyDownTime)
 	for _, proxy := range r.proxies {
-		if err := proxy.Up(); err != nil {
+		if err := proxy.Start(); err != nil {
 			r.reportProblem("%v", err)
 		}
 	}
--- a/internal/testing/scenario/print.go
+++ b/internal/testing/scenario/print.go
@@ -40,12 +40,12 @@
 	p.printf("scenario %s, %.0f s\n\n%-30s %9s  %s\n", r.Scenario, r.Length, "invariant", "checks", "result")
 	for _, v := range r.Rules {
 		result := "held"
-		if len(v.Breaks) > 0 {
-			result = fmt.Sprintf("VIOLATED %d times", len(v.Breaks))
+		if len(v.Violations) > 0 {
+			result = fmt.Sprintf("VIOLATED %d times", len(v.Violations))
 		}
-		p.printf("%-30s %9d  %s: %s\n", v.Rule, v.Tested, result, v.Seen)
-		for _, b := range v.Breaks[:min(maxPrintedViolations, len(v.Breaks))] {
-			p.printf("%42s %.2f s: %s\n", "", b.At.Seconds(), b.What)
+		p.printf("%-30s %9d  %s: %s\n", v.Rule, v.Tested, result, v.Observed)
+		for _, b := range v.Violations[:min(maxPrintedViolations, len(v.Violations))] {
+			p.printf("%42s %.2f s: %s\n", "", b.At.Seconds(), b.Detail)
 		}
 	}
 }
--- a/internal/testing/scenario/proxyfaults.go
+++ b/internal/testing/scenario/proxyfaults.go
@@ -48,11 +48,11 @@
 func (r *runner) proxyRestart(ctx context.Context, spec FaultSpec) {
 	picked := r.pickProxies(spec.Fraction)
 	for _, i := range picked {
-		r.proxies[i].Down()
+		r.proxies[i].Stop()
 	}
 	sleep(ctx, max(millis(minProxyDownMillis), time.Duration(spec.Duration)))
 	for _, i := range picked {
-		if err := r.proxies[i].Up(); err != nil {
+		if err := r.proxies[i].Start(); err != nil {
 			r.reportProblem("%v", err)
 		}
 	}
--- a/internal/testing/scenario/report.go
+++ b/internal/testing/scenario/report.go
@@ -17,13 +17,13 @@
 
 // Report is the result of a scenario. Fields of faults that the scenario doesn't have are empty. Times are in seconds.
 type Report struct {
-	Scenario    string               `json:"day"`
-	Length      float64              `json:"length_s"`
-	Rules       []invariants.Verdict `json:"rules"`
-	Classes     []ClassResult        `json:"classes"`
-	Weights     []WeightSample       `json:"weights"`
-	Controllers []ControllerUsage    `json:"governors"`
-	Withdrawals Withdrawals          `json:"falls"`
+	Scenario    string                  `json:"day"`
+	Length      float64                 `json:"length_s"`
+	Rules       []invariants.RuleResult `json:"rules"`
+	Classes     []ClassResult           `json:"classes"`
+	Weights     []WeightSample          `json:"weights"`
+	Controllers []ControllerUsage       `json:"governors"`
+	Withdrawals Withdrawals             `json:"falls"`
 	// Flood counts the load reports of a flood: accepted, rejected, and batches lost.
 	Flood [3]int64 `json:"flood,omitempty"`
 	// SilenceDetections are the times from the end of a server's load reports until a controller showed it as a silent
@@ -110,7 +110,7 @@
 
 // Passed reports whether all invariants held and the scenario itself had no problems.
 func (r *Report) Passed() bool {
-	broken := slices.ContainsFunc(r.Rules, func(v invariants.Verdict) bool { return len(v.Breaks) > 0 })
+	broken := slices.ContainsFunc(r.Rules, func(v invariants.RuleResult) bool { return len(v.Violations) > 0 })
 	return len(r.Problems) == 0 && !broken
 }
 
--- a/internal/testing/scenario/runner.go
+++ b/internal/testing/scenario/runner.go
@@ -43,7 +43,7 @@
 	Progress      io.Writer                     // receives a progress line each second; nil: none
 	OutputDir     string                        // folder for settings, logs and records; "": a temporary one
 	AlterSettings func(settings map[string]any) // modifies the controllers' settings, for tests of the invariants
-	AlterFigures  func(*invariants.Figures)     // modifies the limits, for tests of the invariants
+	AlterLimits   func(*invariants.Limits)      // modifies the limits, for tests of the invariants
 	RecordEvents  bool                          // controllers record their events and orders
 
 	// Faults that a broken controller would cause, for tests of the invariants.
@@ -57,7 +57,7 @@
 	Options
 	dir         string
 	watch       *invariants.Watch
-	lister      *fakes.Lister
+	listService *fakes.ListService
 	nodes       []*fakes.Node
 	zoneByNode  map[string]string
 	proxies     []*fakes.Proxy
@@ -144,13 +144,13 @@
 	r.background.Wait()
 	r.closeClientPrograms()
 	for _, proxy := range r.proxies {
-		proxy.Down()
+		proxy.Stop()
 	}
 	for _, node := range r.nodes {
 		node.Crash()
 	}
-	if r.lister != nil {
-		r.lister.Close()
+	if r.listService != nil {
+		r.listService.Close()
 	}
 }
 
@@ -175,12 +175,12 @@
 			r.reportProblem("stop controller: %v", err)
 		}
 	}
-	figures := r.figures()
-	if r.AlterFigures != nil {
-		r.AlterFigures(&figures)
+	limits := r.limits()
+	if r.AlterLimits != nil {
+		r.AlterLimits(&limits)
 	}
 	report := r.report
-	report.Rules = r.watch.Judge(figures)
+	report.Rules = r.watch.Check(limits)
 	report.Length = time.Duration(r.Spec.Length).Seconds()
 	report.Classes = r.tally.classes(r.Spec)
 	slices.Sort(report.Rollbacks)
@@ -219,15 +219,15 @@
 	return usage
 }
 
-// figures returns the limits of the invariants for the scenario.
-func (r *runner) figures() invariants.Figures {
+// limits returns the limits of the invariants for the scenario.
+func (r *runner) limits() invariants.Limits {
 	idempotency := map[string]invariants.Idempotency{
 		"safe":   invariants.Idempotent,
 		"keyed":  invariants.IdempotentWithKey,
 		"unsafe": invariants.NotIdempotent,
 	}
 	spec := r.Spec
-	figures := invariants.Figures{
+	limits := invariants.Limits{
 		MaxUnusable:       time.Duration(spec.Channel.Bare),
 		DrainTimeout:      time.Duration(spec.Servers.Grace),
 		SlowStartDuration: time.Duration(spec.Servers.ColdFor),
@@ -241,13 +241,13 @@
 		Slack:             timingSlack,
 	}
 	for _, class := range spec.Classes {
-		figures.Classes = append(figures.Classes, invariants.Class{
+		limits.Classes = append(limits.Classes, invariants.Class{
 			Name:                class.Name,
 			Idempotency:         idempotency[class.Effect],
 			DeduplicationWindow: time.Duration(class.Window),
 		})
 	}
-	return figures
+	return limits
 }
 
 // reportProblem adds a problem of the scenario itself to the report.
--- a/internal/testing/scenario/scenario_test.go
+++ b/internal/testing/scenario/scenario_test.go
@@ -58,8 +58,8 @@
 func expectRulesHeld(t *testing.T, r *Report) {
 	t.Helper()
 	for _, v := range r.Rules {
-		if len(v.Breaks) > 0 {
-			t.Errorf("%s: %v", v.Rule, v.Breaks)
+		if len(v.Violations) > 0 {
+			t.Errorf("%s: %v", v.Rule, v.Violations)
 		}
 	}
 }
@@ -70,8 +70,8 @@
 	var dir string
 	r := runScenario(t, "small", func(o *Options) { dir = o.OutputDir })
 	for _, v := range r.Rules {
-		if len(v.Breaks) > 0 || v.Tested == 0 {
-			t.Errorf("%s: checked %d times, violations %v", v.Rule, v.Tested, v.Breaks)
+		if len(v.Violations) > 0 || v.Tested == 0 {
+			t.Errorf("%s: checked %d times, violations %v", v.Rule, v.Tested, v.Violations)
 		}
 	}
 	if len(r.Problems) > 0 {
@@ -102,7 +102,7 @@
 			r := runScenario(t, "harm", func(o *Options) { o.Spec.Guard = guarded })
 			breaks := 0
 			for _, v := range r.Rules {
-				breaks += len(v.Breaks)
+				breaks += len(v.Violations)
 			}
 			if guarded && (breaks > 0 || r.PushesRejected == 0) || !guarded && breaks == 0 || len(r.Problems) > 0 {
 				var b strings.Builder
@@ -149,7 +149,7 @@
 		// A controller whose updates exceed the backlog, here by a lower limit.
 		invariants.RuleQueue: func(o *Options) {
 			o.Spec.FaultSpecs = nil
-			o.AlterFigures = func(f *invariants.Figures) { f.Backlog = 20 }
+			o.AlterLimits = func(f *invariants.Limits) { f.Backlog = 20 }
 		},
 	}
 	for rule, change := range broken {
@@ -160,8 +160,8 @@
 				change(o)
 			})
 			for _, v := range r.Rules {
-				if v.Rule == rule && len(v.Breaks) == 0 {
-					t.Errorf("violation not detected: %s", v.Seen)
+				if v.Rule == rule && len(v.Violations) == 0 {
+					t.Errorf("violation not detected: %s", v.Observed)
 				}
 			}
 		})
@@ -266,8 +266,8 @@
 	})
 	judged := false
 	for _, v := range r.Rules {
-		if len(v.Breaks) > 0 {
-			t.Errorf("%s: %v", v.Rule, v.Breaks)
+		if len(v.Violations) > 0 {
+			t.Errorf("%s: %v", v.Rule, v.Violations)
 		}
 		judged = judged || v.Rule == invariants.RuleSingleController && v.Tested > 0
 	}
--- a/internal/testing/scenario/settings.go
+++ b/internal/testing/scenario/settings.go
@@ -45,7 +45,7 @@
 		"proxies":   r.proxySettings(index),
 		"list": map[string]any{
 			"source": "http",
-			"url":    r.lister.URL + "?governor=" + c.name,
+			"url":    r.listService.URL + "?governor=" + c.name,
 			"cache":  r.cachePath(c),
 		},
 		"front": map[string]any{
--- a/internal/transport/admission.go
+++ b/internal/transport/admission.go
@@ -9,8 +9,8 @@
 
 // Suffixes of the keys, at proxies, of a class's retry mode and of the version of its weight table.
 const (
-	RetryKey   = ".retry"
-	VersionKey = ".version"
+	RetryKeySuffix   = ".retry"
+	VersionKeySuffix = ".version"
 )
 
 // Suffixes of the keys of admission limits, and the values that mean no limit. A share is in thousandths of the
--- a/internal/transport/files/admission.go
+++ b/internal/transport/files/admission.go
@@ -34,7 +34,7 @@
 		layer[key] = value
 	}
 	for class, stamp := range a.Stamps {
-		layer[class+transport.VersionKey] = stamp
+		layer[class+transport.VersionKeySuffix] = stamp
 	}
 	text, err := json.Marshal(runtimeLayer{runtimeType, runtimeLayerName, layer})
 	if err != nil {
@@ -64,7 +64,7 @@
 	for key, value := range layer.Layer {
 		switch value := value.(type) {
 		case string:
-			if class, ok := strings.CutSuffix(key, transport.VersionKey); ok {
+			if class, ok := strings.CutSuffix(key, transport.VersionKeySuffix); ok {
 				a.Stamps[class] = value
 			}
 		case float64:
--- a/internal/transport/files/folder.go
+++ b/internal/transport/files/folder.go
@@ -82,7 +82,7 @@
 			limit = t.unlimitedAdmission()
 		}
 		f.admissions[t.admissionKey(class.Name)] = limit
-		f.admissions[class.Name+transport.RetryKey] = int(change.Admission.Retry)
+		f.admissions[class.Name+transport.RetryKeySuffix] = int(change.Admission.Retry)
 		f.admissionVersion = f.version
 	default:
 		f.applyEntry(class.Backend, change)
@@ -253,7 +253,7 @@
 // admission returns the admission limit and retry mode of a class from the values of AdmissionFile.
 func (f *folder) admission(class string, values map[string]int) reconcile.Admission {
 	limit, hasLimit := values[f.transport.admissionKey(class)]
-	retry, hasRetry := values[class+transport.RetryKey]
+	retry, hasRetry := values[class+transport.RetryKeySuffix]
 	if limit == f.transport.unlimitedAdmission() {
 		limit = -1
 	}
--- a/internal/transport/files/replace.go
+++ b/internal/transport/files/replace.go
@@ -18,9 +18,9 @@
 	stepSyncFolder
 )
 
-// ErrCut simulates a crash during the replacement of a file, if Options.Fault returns it: the temporary file is left
-// behind.
-var ErrCut = errors.New("simulated crash")
+// ErrSimulatedCrash simulates a crash during the replacement of a file, if Options.Fault returns it: the temporary file
+// is left behind.
+var ErrSimulatedCrash = errors.New("simulated crash")
 
 // replacer replaces files atomically. The fault function, nil for none, is called before each step. Its error aborts
 // the replacement at that step, as a crash or a full disk would.
@@ -45,7 +45,7 @@
 	}
 	if err := r.writeAndRename(file, path, text); err != nil {
 		_ = file.Close()
-		if !errors.Is(err, ErrCut) { // after a crash the next start removes the temporary file
+		if !errors.Is(err, ErrSimulatedCrash) { // after a crash the next start removes the temporary file
 			_ = os.Remove(file.Name())
 		}
 		return err
--- a/internal/transport/files/transport.go
+++ b/internal/transport/files/transport.go
@@ -35,7 +35,7 @@
 	Admission fleet.AdmissionMode
 	Names     transport.ServerNames
 	// Fault, set in tests only, is called before each step of replacing a file (0 to 4: create, write, sync, rename,
-	// sync the folder). An error makes the step fail, as on a full disk; ErrCut simulates a crash.
+	// sync the folder). An error makes the step fail, as on a full disk; ErrSimulatedCrash simulates a crash.
 	Fault func(path string, step int) error
 }
 
--- a/internal/transport/haproxy/answers.go
+++ b/internal/transport/haproxy/answers.go
@@ -135,7 +135,7 @@
 		s.snapshot.Fresh = false
 		return
 	}
-	if name, ok := strings.CutSuffix(key, transport.VersionKey); ok {
+	if name, ok := strings.CutSuffix(key, transport.VersionKeySuffix); ok {
 		for i, class := range s.options().Classes {
 			if class.Name == name {
 				s.snapshot.VersionStamps[i] = string(value)
@@ -147,7 +147,7 @@
 	for i, class := range s.options().Classes {
 		admission := &s.snapshot.Admissions[i]
 		limitKey := s.admissionKey(class.Name)
-		retryKey := class.Name + transport.RetryKey
+		retryKey := class.Name + transport.RetryKeySuffix
 		switch {
 		case err != nil:
 		case key == limitKey:
--- a/internal/transport/haproxy/encode.go
+++ b/internal/transport/haproxy/encode.go
@@ -29,7 +29,7 @@
 	case reconcile.UpdateAdmission:
 		e.appendAdmission(change)
 	case reconcile.UpdateVersion:
-		e.appendMapEntry(e.className(change)+transport.VersionKey, change.VersionStamp)
+		e.appendMapEntry(e.className(change)+transport.VersionKeySuffix, change.VersionStamp)
 	case reconcile.AddEntry:
 		e.appendAdd(change)
 	case reconcile.DeleteEntry:
@@ -47,7 +47,7 @@
 	}
 	class := e.className(change)
 	e.appendMapEntry(e.session.admissionKey(class), strconv.Itoa(int(limit)))
-	e.appendMapEntry(class+transport.RetryKey, strconv.Itoa(int(change.Admission.Retry)))
+	e.appendMapEntry(class+transport.RetryKeySuffix, strconv.Itoa(int(change.Admission.Retry)))
 }
 
 func (e *encoder) className(change *reconcile.Change) string {
--- a/internal/transport/haproxy/transcript_test.go
+++ b/internal/transport/haproxy/transcript_test.go
@@ -16,7 +16,7 @@
 		Map:     "cressknot",
 		Names:   fixedNames{"node-0", "node 1"},
 	})
-	s := &session{link: &link{transport: tr}, mapKeys: map[string]bool{"book" + transport.RetryKey: true}}
+	s := &session{link: &link{transport: tr}, mapKeys: map[string]bool{"book" + transport.RetryKeySuffix: true}}
 	e := encoder{session: s, sequence: 1}
 	for i, change := range []reconcile.Change{
 		{Kind: reconcile.AddEntry, Class: 0, Server: 1, Weight: 7, State: reconcile.StateReady},
