--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -60,7 +60,7 @@
 		{`"agents":60`, `"agents":65537`, "familyInfo.agents"},
 		{`"dcs":["a"`, `"dcs":["` + strings.Repeat("z", 300) + `","a"`, "dcs[0]"},
 		{`"in_service"`, `"odd"`, "known: targets[0]"},
-		{`"rev":41,`, ``, "known: key rev"},
+		{`"rev":41,`, ``, `known: key "rev" is missing`},
 		{`"cores":1.0`, `"cores":`, "byte "},
 	} {
 		text := strings.Replace(platformConfiguration, test.old, test.replacement, 1)
