--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -106,7 +106,7 @@
 	b.shedding.load = load * capacity
 	b.emit(fleet.LogMessage{Text: fmt.Sprintf(
 		"class %d restricted by load shedding: demand is %.2f times the capacity of %.1f warm servers, "+
-			"mean utilization %.2f, low-priority servers: %d",
+			"mean utilization %.2f, servers left to low-priority classes: %d",
 		class, load, capacity, b.estimates.meanUtilization, serverCount)})
 }
 
