--- a/internal/controller/operators_show.go
+++ b/internal/controller/operators_show.go
@@ -67,7 +67,7 @@
 	durations, steps := q.loop.StepDurations(50, 99, 100)
 	passed, stopped := c.guard.Counts()
 	versions, deltaPercent := c.versionTotals()
-	reportsWaiting, _ := c.pipeline.Waiting(q.now)
+	reportsWaiting, _ := c.pipeline.PendingReports(q.now)
 	return formatInfo([]infoField{
 		{"Name", "cressknot"},
 		{"Version", q.version},
@@ -171,7 +171,7 @@
 		p := c.proxies.configured[v.ID]
 		fmt.Fprintf(&b, "%s %s %s up %s %d %d %d %d %.1f\n", p.Name, c.site.Zones[v.Zone], p.Addr,
 			cmp.Or(strings.Join(assigned, ","), "own"), v.Entries, v.Waiting, v.InFlight, v.Written,
-			float64(v.AnswerDelay)/float64(fleet.Millisecond))
+			float64(v.AcknowledgeDelay)/float64(fleet.Millisecond))
 	}
 	var disconnected []string
 	for id, p := range c.proxies.configured {
@@ -195,7 +195,7 @@
 func (q *query) showVerification() (string, error) {
 	var b strings.Builder
 	b.WriteString("# server sight part out why\n")
-	for _, v := range q.core.endpoints.verifier.Views() {
+	for _, v := range q.core.endpoints.verifier.Statuses() {
 		reason := cmp.Or(v.Reason, "-")
 		fmt.Fprintf(&b, "%s %s %.2f %v %s\n", q.core.serverName(v.Server), v.Verdict, v.WeightFraction, v.Ejected, reason)
 	}
--- a/internal/controller/simulated_fleet_test.go
+++ b/internal/controller/simulated_fleet_test.go
@@ -31,7 +31,7 @@
 type simulatedFleet struct {
 	t          *testing.T
 	reconciler *reconcile.Reconciler
-	names      *controller.Names
+	names      *controller.ServerNames
 	transport  transport.Transport
 	dir        string
 	addresses  []transport.Proxy
@@ -58,9 +58,9 @@
 	}
 }
 
-func testEndpoints(n int) (entries []fakes.Entry) {
+func testEndpoints(n int) (entries []fakes.ListedServer) {
 	for i := range n {
-		entries = append(entries, fakes.Entry{Name: fmt.Sprintf("n%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 9000+i)})
+		entries = append(entries, fakes.ListedServer{Name: fmt.Sprintf("n%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 9000+i)})
 	}
 	return entries
 }
@@ -77,7 +77,7 @@
 	return &simulatedFleet{
 		t:          t,
 		reconciler: reconcile.New(testSite()),
-		names:      controller.NewNames(),
+		names:      controller.NewServerNames(),
 		events:     make(chan transport.Event, eventCapacity),
 		streams:    map[fleet.ProxyID]uint64{},
 		lastErrors: map[fleet.ProxyID]string{},
@@ -106,10 +106,10 @@
 		if prepare != nil {
 			prepare(i, p)
 		}
-		if err := p.Up(); err != nil {
+		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(p.Down)
+		t.Cleanup(p.Stop)
 		sim.proxies = append(sim.proxies, p)
 		addresses = append(addresses, transport.Proxy{ID: fleet.ProxyID(i), Name: p.Name, Addr: p.Runtime})
 	}
@@ -149,7 +149,7 @@
 	tick := time.NewTicker(2 * time.Millisecond)
 	defer tick.Stop()
 	for {
-		out, _, drops, _ := sim.reconciler.Next(sim.now())
+		out, _, drops, _ := sim.reconciler.NextMessages(sim.now())
 		for _, m := range out {
 			sim.transport.Send(m)
 		}
@@ -186,12 +186,12 @@
 	case transport.Unreachable:
 		sim.lastErrors[e.Proxy] = e.Err.Error()
 	case transport.Progress:
-		sim.reconciler.Progress(sim.now(), e.Proxy)
+		sim.reconciler.RecordProgress(sim.now(), e.Proxy)
 	case transport.CountersPolled:
 		sim.reconciler.ObserveEntries(sim.now(), e.Proxy, e.Reading.Entries)
 	case transport.Answered:
 		if sim.streams[e.Proxy] == e.Stream {
-			sim.reconciler.Acknowledge(sim.now(), e.Proxy, e.Sequence, e.Failures)
+			sim.reconciler.RecordAcknowledgement(sim.now(), e.Proxy, e.Sequence, e.Failures)
 		}
 	}
 }
@@ -265,10 +265,10 @@
 				Backend:  backend,
 				Deadline: time.Second,
 			}}}, testEndpoints(min(3, servers)), sim.watch, 1)
-		if err := p.Up(); err != nil {
+		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(p.Down)
+		t.Cleanup(p.Stop)
 		sim.proxies = append(sim.proxies, p)
 		sim.addresses = append(sim.addresses, transport.Proxy{ID: fleet.ProxyID(i), Name: name, Addr: p.Folder})
 	}
