--- a/internal/controller/operators.go
+++ b/internal/controller/operators.go
@@ -33,7 +33,7 @@
 
 // ServeOperators starts to serve commands to a loop. An address with a slash is the path of a Unix socket, which gets
 // mode 0600; any other is host:port. The version is that of the program, for "show info". An address that another
-// process listens on is an error; a Unix socket that nobody listens on any more is replaced.
+// process listens on is an error; a Unix socket that no process listens on is replaced.
 func ServeOperators(loop *Loop, addr, version string) (*Operators, error) {
 	o := &Operators{loop: loop, version: version}
 	logging.SetLevel(logging.LevelNone) // nbio reports what matters as errors, too
--- a/internal/ingest/collector/connection.go
+++ b/internal/ingest/collector/connection.go
@@ -20,7 +20,8 @@
 	// maxMessageSize, in bytes, is specified by the platform.
 	maxMessageSize = 1 << 20
 
-	// maxConsecutiveMalformed is the number of consecutive malformed messages at which a connection is closed.
+	// maxConsecutiveMalformed is the number of consecutive malformed messages at which a connection is closed:
+	// such a series shows that the connection is of no further use.
 	maxConsecutiveMalformed = 16
 
 	// maxPings is the number of pings that one connection may send. Pings are occasional health checks.
--- a/internal/lease/entry.go
+++ b/internal/lease/entry.go
@@ -43,7 +43,7 @@
 }
 
 // ParseEntry parses the stored value of a controller's entry. An invalid value gives an entry that holds no lease,
-// whoever wrote it.
+// regardless of who wrote it.
 func ParseEntry(controller, value string) Entry {
 	value, manual := strings.CutSuffix(value, manualSuffix)
 	value, retired := strings.CutSuffix(value, retiredSuffix)
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -190,7 +190,7 @@
 	served   bool // a takeover succeeded in some state
 }
 
-// search visits all reachable states, up to the first violation.
+// search explores all reachable states, up to the first violation.
 func search(variant modelVariant) (result searchResult) {
 	seen := map[modelState]bool{{}: true}
 	stack := []modelState{{}}
--- a/internal/simwire/endpoints.go
+++ b/internal/simwire/endpoints.go
@@ -3,7 +3,7 @@
 import "cressknot/internal/fleet"
 
 // registerList reads an endpoint list that later records refer to. Events keep references to earlier lists, so each one
-// is allocated anew.
+// gets its own allocation.
 func (r *Reader) registerList(c *cursor) {
 	number := c.listNumber()
 	count := c.count("entries", endpointBytes)
