--- a/client/client.go
+++ b/client/client.go
@@ -225,7 +225,7 @@
 
 func (c *Client) nowNanos() int64 { return int64(c.config.Clock()) }
 
-// Class returns the position of a class by name, as Pick and Do take it. Positions stay valid until the client is
+// Class returns the index of the class with a name, for calls of Pick and Do. Indexes stay valid until the client is
 // closed. The error wraps ErrNoClass, also while no controller has been connected yet.
 func (c *Client) Class(name string) (int, error) {
 	if classes := c.classes.Load(); classes != nil {
@@ -255,9 +255,9 @@
 	return found, nil
 }
 
-// Pick returns a server for a request of the class at the given position. Ejected servers are returned only if all
-// servers of the class are ejected. Pick does not count or report anything; use Do to send a request with retries. The
-// error is ErrNoTable, ErrNoClass, ErrStale or ErrNoServer.
+// Pick returns a server for a request of the class with the given index, as returned by Client.Class. Ejected servers
+// are returned only if all servers of the class are ejected. Pick does not count or report anything; use Do to send a
+// request with retries. The error is ErrNoTable, ErrNoClass, ErrStale or ErrNoServer.
 func (c *Client) Pick(class int) (*Server, error) {
 	table, err := c.lookup(class)
 	if err != nil {
--- a/client/request.go
+++ b/client/request.go
@@ -36,10 +36,10 @@
 // cancelled.
 type SendFunc = func(context.Context, Attempt) Result
 
-// Do sends one request of the class at the given position. It picks a server, calls send for the attempt, and retries
-// where that is safe, the controller's retry mode allows it and the retry budget suffices. A request that may have been
-// executed is sent again only if its class is idempotent, or within the class's deduplication window if it has
-// idempotency keys.
+// Do sends one request of the class with the given index, as returned by Client.Class. It picks a server, calls send
+// for the attempt, and retries where that is safe, the controller's retry mode allows it and the retry budget suffices.
+// A request that may have been executed is sent again only if its class is idempotent, or within the class's
+// deduplication window if the class has idempotency keys.
 //
 // Do returns nil when an attempt succeeds, and an error when no attempt may follow or as soon as the context or the
 // class's deadline ends. The error is one of Pick's, ErrRejected if the admission limit of the class rejected the
--- a/internal/balancer/proxies.go
+++ b/internal/balancer/proxies.go
@@ -166,8 +166,9 @@
 	return assigned
 }
 
-// updateAssignmentEntries counts the entries that each table sends to a newly assigned proxy: its weights and the
-// withdrawals of its servers, including those ordered in this step.
+// updateAssignmentEntries counts, for each table, the entries that a newly assigned proxy is sent: one for each server
+// with a positive weight in the table, and one more if the server is withdrawn, including weights and withdrawals
+// ordered in this step.
 func (b *Balancer) updateAssignmentEntries() {
 	for t := range b.tables {
 		for _, server := range b.endpoints.all {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -119,7 +119,7 @@
 	}
 	seed, err := strconv.ParseUint(file.Seed, seedBase, 64)
 	if err != nil {
-		return nil, fmt.Errorf("key seed: is %.40q; expected a 64-bit hexadecimal number without 0x", file.Seed)
+		return nil, fmt.Errorf("key \"seed\": is %.40q; expected a 64-bit hexadecimal number without 0x", file.Seed)
 	}
 	site, err := simwire.ParseSite(file.Settings)
 	if err != nil {
@@ -130,7 +130,7 @@
 	}
 	known, err := parseKnownEndpoints(file.Known, site)
 	if err != nil {
-		return nil, fmt.Errorf("key known: %w", err)
+		return nil, fmt.Errorf("key \"known\": %w", err)
 	}
 	return &Platform{
 		Name:           file.Name,
@@ -170,19 +170,19 @@
 		{"store.address", file.Store.Address},
 	} {
 		if _, err := netip.ParseAddrPort(address.value); err != nil {
-			return fmt.Errorf("key %s: is %.60q; expected IP address:port", address.key, address.value)
+			return fmt.Errorf("key %q: is %.60q; expected IP address:port", address.key, address.value)
 		}
 	}
 	switch {
 	case file.Name == "":
-		return errors.New("key name is missing and RELAY_NAME is not set")
+		return errors.New("key \"name\" is missing and RELAY_NAME is not set")
 	case !(file.Limits.MemoryMB >= minMemoryMB && file.Limits.MemoryMB < math.MaxInt32):
-		return fmt.Errorf("key limits.memory_mb: is %g; expected at least %d and less than %d (MiB)",
+		return fmt.Errorf("key \"limits.memory_mb\": is %g; expected at least %d and less than %d (MiB)",
 			file.Limits.MemoryMB, minMemoryMB, math.MaxInt32)
 	case file.Limits.Sockets < minSockets || file.Limits.Sockets > maxSockets:
-		return fmt.Errorf("key limits.sockets: is %d; expected %d to %d", file.Limits.Sockets, minSockets, maxSockets)
+		return fmt.Errorf("key \"limits.sockets\": is %d; expected %d to %d", file.Limits.Sockets, minSockets, maxSockets)
 	case len(file.Settings) == 0:
-		return errors.New("key settings is missing")
+		return errors.New("key \"settings\" is missing")
 	}
 	return nil
 }
@@ -217,7 +217,7 @@
 		{"familyInfo.mostWaiting", site.MaxBacklog, "entries", 1, maxChannelValue},
 	} {
 		if !isBetween(bound.value, bound.min, bound.max) {
-			return fmt.Errorf("key %s: is %g %s; expected %g to %g", bound.key, bound.value, bound.unit, bound.min, bound.max)
+			return fmt.Errorf("key %q: is %g %s; expected %g to %g", bound.key, bound.value, bound.unit, bound.min, bound.max)
 		}
 	}
 	if err := validateNames("dcs", site.Zones); err != nil {
@@ -229,7 +229,7 @@
 func validateNames(key string, names []string) error {
 	for i, name := range names {
 		if len(name) > maxSiteNameBytes {
-			return fmt.Errorf("key %s[%d]: name has %d bytes; expected at most %d", key, i, len(name), maxSiteNameBytes)
+			return fmt.Errorf("key \"%s[%d]\": name has %d bytes; expected at most %d", key, i, len(name), maxSiteNameBytes)
 		}
 	}
 	return nil
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -59,8 +59,8 @@
 		{`"egressPerS":15000`, `"shards":8,"egressPerS":15000`, "familyInfo.shards"},
 		{`"agents":60`, `"agents":65537`, "familyInfo.agents"},
 		{`"dcs":["a"`, `"dcs":["` + strings.Repeat("z", 300) + `","a"`, "dcs[0]"},
-		{`"in_service"`, `"odd"`, "known: targets[0]"},
-		{`"rev":41,`, ``, `known: key "rev" is missing`},
+		{`"in_service"`, `"odd"`, `key "known": targets[0]`},
+		{`"rev":41,`, ``, `key "known": key "rev" is missing`},
 		{`"cores":1.0`, `"cores":`, "byte "},
 	} {
 		text := strings.Replace(platformConfiguration, test.old, test.replacement, 1)
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -314,7 +314,8 @@
 // stepBalancer runs one step of the balancer and applies its orders.
 func (c *Core) stepBalancer(now fleet.Time, out *Output) (reconcileDue fleet.Time) {
 	for _, event := range c.events.current {
-		if _, isList := event.(fleet.EndpointList); !isList { // distributeEndpoints has passed these to the guard
+		// distributeEndpoints has already passed the endpoint lists to the safety checker.
+		if _, isList := event.(fleet.EndpointList); !isList {
 			c.guard.Observe(now, event)
 		}
 	}
--- a/internal/controller/faulty_proxies_test.go
+++ b/internal/controller/faulty_proxies_test.go
@@ -77,7 +77,7 @@
 	}
 	defer func() { _ = sim.transport.Stop(context.Background()) }()
 	want := map[fleet.ProxyID]string{0: "expected \"name: value\"", 1: "header has no column \"be_name\"",
-		2: "reports the name \"sound\"", 3: "has no map cressknot",
+		2: "reports the name \"sound\", want \"twin\"", 3: "has no map cressknot",
 		4: "unexpected answer without an outstanding command", 6: "no such file"}
 	if p := proxies[0]; p.Name != "garbage" {
 		t.Fatal(p)
--- a/internal/controller/files_transport_test.go
+++ b/internal/controller/files_transport_test.go
@@ -59,7 +59,8 @@
 			sim.restartController(servers, nil)
 			connections := 0
 			sim.waitUntil(fmt.Sprintf("step %d of swap %d: in the desired state", step, nth), func() bool {
-				if connections < sim.joins[0] { // on a slow disk it may connect twice; each stream needs an assignment
+				// On a slow disk the proxy may connect twice, and it needs an assignment on each stream.
+				if connections < sim.joins[0] {
 					connections = sim.joins[0]
 					sim.applyTable(servers)
 				}
--- a/internal/controller/persist_test.go
+++ b/internal/controller/persist_test.go
@@ -120,7 +120,8 @@
 			stored.persist(t, stored.core.Step(now, nil).Persist)
 			for range rng.IntN(150) {
 				now += fleet.Second / 10
-				if rng.IntN(60) == 0 { // more than half a day, so that the oldest versions are deleted
+				// Versions are kept for a day: two advances of the clock by 13 hours make the oldest ones expire.
+				if rng.IntN(60) == 0 {
 					now += 13 * 3600 * fleet.Second
 				}
 				id := fleet.TableID(rng.IntN(2))
--- a/internal/eventlog/format.go
+++ b/internal/eventlog/format.go
@@ -46,7 +46,7 @@
 type UnknownKindError struct{ Value any }
 
 func (e *UnknownKindError) Error() string {
-	return fmt.Sprintf("event log: type %T has no kind", e.Value)
+	return fmt.Sprintf("event log: cannot encode a value of type %T: it has no record kind", e.Value)
 }
 
 // Kinds of events.
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -7,7 +7,7 @@
 const (
 	ServerReady    ServerState = iota // accepts requests
 	ServerDraining                    // finishes the requests it has and must not receive new ones
-	ServerGone                        // removed from the list
+	ServerGone                        // removed from the endpoint list
 )
 
 // ListScope is the meaning of the endpoints in an EndpointList.
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -90,7 +90,8 @@
 	for i, observation := range m.Observations {
 		if observation.Name == "" || len(observation.Name) > maxNameSize || observation.Failures > observation.Attempts {
 			return fmt.Errorf("gossip from controller %q: observations[%d] is invalid: "+
-				"name %.40q of %d bytes (want 1 to %d), %d failures in %d attempts",
+				"name %.40q of %d bytes (want 1 to %d), "+
+				"%d failures in %d attempts (want at most as many failures as attempts)",
 				m.Controller, i, observation.Name, len(observation.Name), maxNameSize,
 				observation.Failures, observation.Attempts)
 		}
--- a/internal/ingest/collector/server_test.go
+++ b/internal/ingest/collector/server_test.go
@@ -252,7 +252,7 @@
 	c := awaitConnections(t, s, 1)[0]
 	c.rejectUnregistered(errNotRegistered)
 	awaitEmptyRegistry(t, s)
-	c.register(0) // the message was received before the rejection
+	c.register(0) // as if the registration had been received before the connection was rejected
 	s.registry.mu.Lock()
 	defer s.registry.mu.Unlock()
 	if len(s.registry.collectors[0]) > 0 || len(s.registry.unregistered) > 0 {
--- a/internal/safety/guard.go
+++ b/internal/safety/guard.go
@@ -194,8 +194,8 @@
 }
 
 // restart resets a server's measurements after it started again, possibly during its slow start. The rates that
-// proxies may send it are kept, because proxies still have the same entries. Only the rates of proxies that left more
-// than a slow start ago are cleared.
+// proxies may send it are kept, because proxies still have the same entries. Only the rates of proxies that
+// disconnected longer ago than the duration of a slow start are cleared.
 func (c *Checker) restart(now fleet.Time, server *server) {
 	server.outcomes = nil
 	server.limitAt = 0
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -117,6 +117,7 @@
 	}
 	limitWeight := max(0, limit/max(epsilon, demand-limit)*(weightSum-entry.Weight))
 	return Violation{Reason: ReasonWarmingOverload, Server: entry.Server, Text: fmt.Sprintf(
-		"it would get %.1f requests/s, above its present limit of %.1f requests/s, a weight of %.4g in this table",
+		"it would get %.1f requests/s, above its present limit of %.1f requests/s, "+
+			"which corresponds to a weight of %.4g in this table",
 		rate, limit, limitWeight)}, true
 }
--- a/internal/safety/warming.go
+++ b/internal/safety/warming.go
@@ -99,7 +99,9 @@
 	for _, entry := range entries {
 		available := max(0, c.rateLimit(now, entry.Server)-c.otherProxiesRate(entry.Server, proxy))
 		rate := load.peaks[entry.Server]
-		if before := load.before[entry.Server]; before > available { // overloaded already: the rate after the decrease counts
+		// If the proxy already exceeds its available rate before the message, the rate from the last decrease of the
+		// server's weight on is compared with the available rate, not the peak, which includes the rate before it.
+		if before := load.before[entry.Server]; before > available {
 			rate = load.afterDecrease[entry.Server]
 			if server := c.servers[entry.Server]; server != nil && server.totalRate > 0 {
 				// The other proxies are lowered too, so each proxy keeps its share of the limit.
--- a/internal/safety/warming_test.go
+++ b/internal/safety/warming_test.go
@@ -58,7 +58,8 @@
 }
 
 // TestAcknowledgedDecreaseFreesCapacity checks that a proxy that acknowledged the removal of an entry leaves its part
-// of the server's rate limit to the other proxies, and that a proxy that left counts for the duration of a slow start.
+// of the server's rate limit to the other proxies, and that a proxy that disconnected is counted for the
+// duration of a slow start.
 func TestAcknowledgedDecreaseFreesCapacity(t *testing.T) {
 	checker := New(testSite())
 	checker.Observe(now, fleet.EndpointList{Endpoints: []fleet.Endpoint{{Server: 1}, {Server: 2, Started: now}}})
@@ -80,7 +81,7 @@
 		t.Error("a proxy that just left may still send requests, but is not counted")
 	}
 	if restart(now + 11*fleet.Second); checker.otherProxiesRate(2, 9) != 0 {
-		t.Error("a proxy that left more than a slow start ago is counted")
+		t.Error("a proxy that disconnected longer ago than the duration of a slow start is counted")
 	}
 	checker.ProxyJoined(now, plan)
 	plan.Warming = nil
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -24,8 +24,8 @@
 	maxHistoryVersions = 1000
 )
 
-// Service answers the queries of both protocols. Its methods may be called from any goroutine. Their caller argument is
-// the name by which a client's queries are rate-limited.
+// Service answers the queries of both protocols, gRPC and the text protocol. Its methods may be called from any
+// goroutine. Their caller argument is the name by which a client's queries are rate-limited.
 type Service struct {
 	Hub     *Hub
 	queries QueryHandler
--- a/internal/tableversion/table.go
+++ b/internal/tableversion/table.go
@@ -35,7 +35,8 @@
 	historyEntries int     // total number of entries in history
 	limits         HistoryLimits
 
-	// updates holds the planned updates to version, shared by followers with the same state.
+	// updates holds the planned updates that bring followers (proxies with this table) to the current version.
+	// Followers with the same state share an update.
 	updates map[followerState]update
 }
 
--- a/internal/testing/fakes/requests.go
+++ b/internal/testing/fakes/requests.go
@@ -25,7 +25,7 @@
 	headerNotExecuted = "X-Never-Ran"
 )
 
-// Retry modes, as values of the proxy's map.
+// Retry modes, as values of the proxy's map of retry modes and admission limits.
 const (
 	retryNever         = 0
 	retryIfNotExecuted = 1
--- a/internal/testing/invariants/judge.go
+++ b/internal/testing/invariants/judge.go
@@ -74,8 +74,8 @@
 	RuleDrain            = "drains kept"
 	RuleSlowStart        = "no cold server pushed over"
 	RuleQueue            = "a short queue"
-	RuleSingleController = "one governor at a time" // checked if proxies executed commands with a controller's epoch
-	RuleNoRollback       = "versions never go back" // of a table at a proxy; checked if proxies received versions
+	RuleSingleController = "one governor at a time" // checked only if proxies executed commands with a controller's epoch
+	RuleNoRollback       = "versions never go back" // of a table at a proxy; checked only if proxies received versions
 )
 
 // Check checks all rules on the observations until now. Rules that have nothing to check in this setup are left out.
--- a/internal/testing/scenario/print.go
+++ b/internal/testing/scenario/print.go
@@ -120,8 +120,9 @@
 		if info["Pushed_records"] == "" || info["Pushed_records"] == "0" {
 			continue
 		}
-		p.printf("load reports to %s: %s records, %s thinned, %s invalid, %s untrusted; "+
-			"attempts: %s counted, %s reported, %s pending, %s too old, %s of removed servers; %s deadlines missed\n",
+		p.printf("load reports to %s: %s records, %s dropped by rate limits, %s invalid, %s untrusted; "+
+			"attempts: %s counted, %s reported, %s pending, %s too old, %s of removed servers; "+
+			"%s steps of the control loop exceeded the deadline\n",
 			c.Name, info["Pushed_records"], info["Pushed_thinned"], info["Pushed_odd"], info["Pushed_unbelieved"],
 			info["Tries_counted"], info["Tries_told"], info["Tries_waiting"], info["Tries_aged"], info["Tries_unheard"],
 			info["Deadlines_missed"])
@@ -162,8 +163,8 @@
 
 func (p *printer) versions(r *Report) {
 	if count := len(r.Rollbacks); count > 0 {
-		p.printf("time from the rollback command until a proxy had that version: p50 %.3f s, p99 %.3f s, max %.3f s; "+
-			"%d proxies\n",
+		p.printf("time from the rollback command until a proxy had the restored version: "+
+			"p50 %.3f s, p99 %.3f s, max %.3f s; %d proxies\n",
 			quantile(r.Rollbacks, 0.5), quantile(r.Rollbacks, 0.99), r.Rollbacks[count-1], count)
 	}
 	if len(r.Versions) == 0 {
@@ -181,8 +182,8 @@
 		if c.Info["Guard_stopped"] == "" {
 			continue
 		}
-		p.printf("guard of %s: %s changes passed, %s stopped or limited; "+
-			"%s table versions, deltas take %s%% of full tables\n",
+		p.printf("safety check of %s: %s changes passed, %s refused or lowered; "+
+			"%s table versions, deltas have %s%% of the entries of full tables\n",
 			c.Name, c.Info["Guard_passed"], c.Info["Guard_stopped"], c.Info["Versions"], c.Info["Delta_share_percent"])
 	}
 }
--- a/internal/testing/scenario/report.go
+++ b/internal/testing/scenario/report.go
@@ -94,11 +94,11 @@
 	// NeverServed counts the proxies that got no tables while the source was down.
 	NeverServed int `json:"unheld"`
 	// InTimeFraction is the fraction of requests that were answered in time, from ten seconds after the start until the
-	// source's return.
+	// endpoint source returned.
 	InTimeFraction float64 `json:"in_time"`
 	// StaleEntries counts the entries of servers that no longer exist in the proxies' tables ten seconds after the start.
 	StaleEntries int `json:"ghosts"`
-	// LiveAfter are the times from the source's return until a controller used its list, sorted.
+	// LiveAfter are the times from the return of the endpoint source until a controller used its list, sorted.
 	LiveAfter []float64 `json:"live_s"`
 	// MaxShift is the maximum fraction of all requests that moved to other servers within a second, in the ten seconds
 	// after all controllers used the list.
--- a/internal/transport/files/acknowledge.go
+++ b/internal/transport/files/acknowledge.go
@@ -55,7 +55,8 @@
 		return nil, err
 	}
 	if ack.Proxy != f.proxy.Name {
-		return nil, fmt.Errorf("%s: proxy reports the name %.40q", filepath.Join(f.path, AckFile), ack.Proxy)
+		return nil, fmt.Errorf("%s: proxy reports the name %.40q, want %q",
+			filepath.Join(f.path, AckFile), ack.Proxy, f.proxy.Name)
 	}
 	f.lastSeen = time.Now()
 	var events []transport.Event
--- a/internal/transport/haproxy/answers.go
+++ b/internal/transport/haproxy/answers.go
@@ -75,7 +75,7 @@
 		return nil
 	})
 	if err == nil && len(node) > 0 && string(node) != s.link.proxy.Name {
-		err = fmt.Errorf("proxy at %s reports the name %.40q", s.link.proxy.Addr, node)
+		err = fmt.Errorf("proxy at %s reports the name %.40q, want %q", s.link.proxy.Addr, node, s.link.proxy.Name)
 	}
 	return err
 }
