--- a/internal/balancer/proxies.go
+++ b/internal/balancer/proxies.go
@@ -15,7 +15,7 @@
 	// repeatWithdrawalsDivisor divides the drain timeout to give the time after which a proxy that is out of sync causes
 	// earlier withdrawals to be sent again.
 	repeatWithdrawalsDivisor = 4
-	// repeatedWithdrawalAge is the maximum age of these withdrawals at the time when the proxy joined.
+	// repeatedWithdrawalAge is the maximum age of a repeated withdrawal at the time when the proxy joined.
 	repeatedWithdrawalAge = 3 * balanceInterval
 	// urgentAssignmentDivisor divides the drain timeout to give the time after which an assignment becomes urgent.
 	urgentAssignmentDivisor = 8
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -275,8 +275,8 @@
 	}
 }
 
-// collectReports adds the load reports that are due to the balancer's events, and passes their outcomes to gossip and
-// to the verifier.
+// collectReports adds the load reports that are now due to the events of the balancer, and passes the outcomes in the
+// reports to gossip and to the verifier.
 func (c *Core) collectReports(now fleet.Time) (due fleet.Time) {
 	reports, due := c.pipeline.Reports(now)
 	c.events.current = append(c.events.current, reports...)
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -71,7 +71,7 @@
 	Observations []Observation  `json:"v,omitempty"` // of servers that are unhealthy for the sender or a peer
 }
 
-// Check returns an error for the first invalid field of a message. Its text appears in "show log".
+// Check returns an error for the first invalid field of a message. The text of the error appears in "show log".
 func (m *Message) Check() error {
 	if m.Controller == "" || len(m.Controller) > maxNameSize {
 		return fmt.Errorf("gossip message: controller name of %d bytes, want 1 to %d", len(m.Controller), maxNameSize)
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -8,8 +8,8 @@
 
 // Limits for operators who force a refused change.
 const (
-	// OverrideTimeout is the time after a refusal in which it may be forced. Later the state that the refusal was based on
-	// may have changed.
+	// OverrideTimeout is the time after a refusal in which the refused change may be forced. Later the state that
+	// the refusal was based on may have changed.
 	OverrideTimeout = 30 * fleet.Second
 	// MaxPendingOverrides is the maximum number of refusals that can wait to be forced at a time.
 	MaxPendingOverrides = 64
--- a/internal/safety/warming.go
+++ b/internal/safety/warming.go
@@ -186,8 +186,8 @@
 	return true
 }
 
-// refuseClass refuses all weight changes of a message for a class. If there are none, the class has warming servers
-// only, and keeping endpoints takes precedence over their rate limits.
+// refuseClass refuses all weight changes of a message for a class. If the message has none, the class has warming
+// servers only, and keeping endpoints takes precedence over the rate limits of these servers.
 func refuseClass(plan *reconcile.UpdatePlan, class fleet.ClassID) {
 	for i := range plan.Proposals {
 		proposal := &plan.Proposals[i]
