--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -71,7 +71,7 @@
 	Observations []Observation  `json:"v,omitempty"` // of servers that are unhealthy for the sender or a peer
 }
 
-// Check returns an error for the first invalid field of a message. Its text appears in "show log".
+// Check returns an error for the first invalid field of a message. The text of the error appears in "show log".
 func (m *Message) Check() error {
 	if m.Controller == "" || len(m.Controller) > maxNameSize {
 		return fmt.Errorf("gossip message: controller name of %d bytes, want 1 to %d", len(m.Controller), maxNameSize)
@@ -90,7 +90,8 @@
 	for i, observation := range m.Observations {
 		if observation.Name == "" || len(observation.Name) > maxNameSize || observation.Failures > observation.Attempts {
 			return fmt.Errorf("gossip from controller %q: observations[%d] is invalid: "+
-				"name %.40q of %d bytes (want 1 to %d), %d failures in %d attempts",
+				"name %.40q of %d bytes (want 1 to %d), "+
+				"%d failures in %d attempts (want at most as many failures as attempts)",
 				m.Controller, i, observation.Name, len(observation.Name), maxNameSize,
 				observation.Failures, observation.Attempts)
 		}
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -8,8 +8,8 @@
 
 // Limits for operators who force a refused change.
 const (
-	// OverrideTimeout is the time after a refusal in which it may be forced. Later the state that the refusal was based on
-	// may have changed.
+	// OverrideTimeout is the time after a refusal in which the refused change may be forced. Later the state that
+	// the refusal was based on may have changed.
 	OverrideTimeout = 30 * fleet.Second
 	// MaxPendingOverrides is the maximum number of refusals that can wait to be forced at a time.
 	MaxPendingOverrides = 64
@@ -117,6 +117,7 @@
 	}
 	limitWeight := max(0, limit/max(epsilon, demand-limit)*(weightSum-entry.Weight))
 	return Violation{Reason: ReasonWarmingOverload, Server: entry.Server, Text: fmt.Sprintf(
-		"it would get %.1f requests/s, above its present limit of %.1f requests/s, a weight of %.4g in this table",
+		"it would get %.1f requests/s, above its present limit of %.1f requests/s, "+
+			"which corresponds to a weight of %.4g in this table",
 		rate, limit, limitWeight)}, true
 }
--- a/internal/safety/warming.go
+++ b/internal/safety/warming.go
@@ -99,7 +99,9 @@
 	for _, entry := range entries {
 		available := max(0, c.rateLimit(now, entry.Server)-c.otherProxiesRate(entry.Server, proxy))
 		rate := load.peaks[entry.Server]
-		if before := load.before[entry.Server]; before > available { // overloaded already: the rate after the decrease counts
+		// If the proxy already exceeds its available rate before the message, the rate from the last decrease of the
+		// server's weight on is compared with the available rate, not the peak, which includes the rate before it.
+		if before := load.before[entry.Server]; before > available {
 			rate = load.afterDecrease[entry.Server]
 			if server := c.servers[entry.Server]; server != nil && server.totalRate > 0 {
 				// The other proxies are lowered too, so each proxy keeps its share of the limit.
@@ -184,8 +186,8 @@
 	return true
 }
 
-// refuseClass refuses all weight changes of a message for a class. If there are none, the class has warming servers
-// only, and keeping endpoints takes precedence over their rate limits.
+// refuseClass refuses all weight changes of a message for a class. If the message has none, the class has warming
+// servers only, and keeping endpoints takes precedence over the rate limits of these servers.
 func refuseClass(plan *reconcile.UpdatePlan, class fleet.ClassID) {
 	for i := range plan.Proposals {
 		proposal := &plan.Proposals[i]
