--- a/client/cache.go
+++ b/client/cache.go
@@ -169,7 +169,8 @@
 	complete bool,
 ) (*cachedClass, updateVerdict, string) {
 	if table.Class == "" || len(table.Endpoints) > maxEndpoints || table.Retry > fleet.RetryTwice {
-		reason := fmt.Sprintf("classes[%d]: invalid class %q: %d endpoints (limit %d), retry mode %d (limit %d)",
+		reason := fmt.Sprintf(
+			"classes[%d]: invalid class %q (want a non-empty name): %d endpoints (at most %d), retry mode %d (at most %d)",
 			i, table.Class, len(table.Endpoints), maxEndpoints, table.Retry, fleet.RetryTwice)
 		return nil, updateInvalid, reason
 	}
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -19,7 +19,7 @@
 	// estimateInterval is the time between two estimates of demand and capacity. It is close to the interval of load
 	// reports, so that admission follows demand.
 	estimateInterval = balanceInterval / 2
-	// timerInterval is the time between two timers, which cause steps in the absence of other events.
+	// timerInterval is the time between two timer events. A timer event makes the balancer step without other events.
 	timerInterval = fleet.Second / 4
 	// maxObservationDuration is the longest wait for measurements before the first tables are assigned.
 	maxObservationDuration = 2 * balanceInterval
--- a/internal/balancer/channel.go
+++ b/internal/balancer/channel.go
@@ -92,7 +92,8 @@
 	return fleet.Barrier{ID: c.lastBarrier}
 }
 
-// messageCost returns the cost of a message in entries, apart from its weights: overhead, admission and a barrier.
+// messageCost returns the fixed cost of a message in entries, which excludes its weights: the overhead, one admission
+// limit per class and a barrier.
 func (b *Balancer) messageCost() float64 {
 	return b.site.MessageOverhead + float64(len(b.classes)) + barrierEntries
 }
--- a/internal/balancer/simulatedfleet_test.go
+++ b/internal/balancer/simulatedfleet_test.go
@@ -52,11 +52,13 @@
 	unresponsive   bool // it accepts requests but answers none
 }
 
+// fakeProxy is a simulated proxy. Until the balancer assigns tables, it uses its ownTables: standing tables when it
+// first joins, and later a copy of the tables that it used when it disconnected.
 type fakeProxy struct {
 	joined                bool
 	zone                  fleet.ZoneID
 	joinedAt              fleet.Time
-	ownTables             []map[fleet.ServerID]float64 // by class: standing or inherited table; nil: the proxy is new
+	ownTables             []map[fleet.ServerID]float64 // by class; nil: the proxy has not joined yet or has crashed
 	assignedTables        []int                        // by class: a table of the balancer, or noTable
 	withdrawn             map[fleet.ServerID]bool
 	withoutEndpointsSince []fleet.Time // by class; 0: it has endpoints
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -80,8 +80,9 @@
 	return document, document.Err()
 }
 
-// FieldsRequiringRestart returns the top-level keys whose values differ between two settings and that a running
-// controller cannot apply. All keys but log and records require a restart; which fields of log do, the caller decides.
+// FieldsRequiringRestart returns the top-level keys whose values differ between two settings and whose change requires
+// a restart of the controller. It never returns records, which a running controller can change, or log, some fields of
+// which it can change: the caller has to compare the fields of log.
 func FieldsRequiringRestart(old, updated *Settings) (fields []string) {
 	for _, field := range []struct {
 		name         string
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -43,7 +43,7 @@
 	v.checkSharing()
 	v.checkService()
 	if v.ControllerIndex >= v.Controllers {
-		v.addError("me", "is %d; expected an index from 0 to %d because governors is %d",
+		v.addError("me", "is %d; expected an index from 0 to %d because \"governors\" is %d",
 			v.ControllerIndex, v.Controllers-1, v.Controllers)
 	}
 	return v.errors
--- a/internal/controller/persist.go
+++ b/internal/controller/persist.go
@@ -124,7 +124,8 @@
 	return named
 }
 
-// tableEntries is the inverse of namedEntries. It assigns ids to unknown names.
+// tableEntries converts persisted entries to table entries: it replaces server names by ids, and assigns ids to unknown
+// names.
 func (c *Core) tableEntries(named []persistedEntry) []tableversion.Entry {
 	entries := make([]tableversion.Entry, len(named))
 	for i, e := range named {
--- a/internal/discovery/verification/weights.go
+++ b/internal/discovery/verification/weights.go
@@ -12,7 +12,8 @@
 	maxOverload = 2
 )
 
-// unknownWeightBounds are the bounds of the weight factor of a server with VerdictUnknown.
+// unknownWeightBounds are the bounds of the weight factor of an unknown server, one with VerdictUnknown. Servers with
+// VerdictReachable, VerdictProven or VerdictConfirmed are known; those with VerdictRefuted are neither.
 type unknownWeightBounds struct {
 	bounded bool    // lowest and highest apply: there are known and unknown servers
 	lowest  float64 // takes precedence over highest
--- a/internal/haproxyapi/tables.go
+++ b/internal/haproxyapi/tables.go
@@ -23,7 +23,7 @@
 func ReadMap(text []byte, handle func(key, value []byte) error) error {
 	return forEachRow(text, ' ', func(_ int, line []byte, fields [][]byte) error {
 		if len(fields) < 3 || !bytes.HasPrefix(fields[0], []byte(entryPrefix)) {
-			return fmt.Errorf("invalid map entry %.40q", line)
+			return fmt.Errorf("invalid map entry %.40q: want \"0x<reference> <key> <value>\"", line)
 		}
 		value := line[len(fields[0])+len(fields[1])+2:]
 		return handle(fields[1], value)
--- a/internal/ingest/queue.go
+++ b/internal/ingest/queue.go
@@ -32,7 +32,7 @@
 	head    int
 	bucket  tokenBucket
 	records uint64 // received since the start
-	dropped uint64 // of records: exceeded a rate limit
+	dropped uint64 // records dropped because they exceeded a rate limit
 }
 
 // queuedSource is the state of a source in a Queue.
--- a/internal/ingest/timeseries/store_test.go
+++ b/internal/ingest/timeseries/store_test.go
@@ -37,7 +37,9 @@
 	}
 }
 
-// check reads the rows that fill added.
+// check verifies that the rows that fill added within the retention can be read, except wantDamaged damaged ones, that
+// their sums and latency quantiles are those of the added measurements, and that a read of the last rows returns only
+// these.
 func check(t *testing.T, s *Store, wantDamaged int) {
 	t.Helper()
 	points, damaged, err := s.Read(1, 0)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -31,7 +31,7 @@
 	ActionRequest               // as ActionWait, and store a request for the lease
 	ActionClaim                 // begin a takeover
 	ActionKeep                  // keep the lease
-	ActionRelease               // hand the lease over: end what is in flight and store ReleaseEntry
+	ActionRelease               // hand the lease over: after the messages already sent, store ReleaseEntry; send no more
 	ActionYield                 // another controller took the lease over: send nothing more
 )
 
--- a/internal/reconcile/refusals.go
+++ b/internal/reconcile/refusals.go
@@ -52,7 +52,11 @@
 			Since:     now,
 		}
 		r.refusals[key] = refusal
-		r.notify(Notice{Proxy: proxy.id, Refused: refusal, Text: "the safety check refused or lowered a change: " + reason})
+		r.notify(Notice{
+			Proxy:   proxy.id,
+			Refused: refusal,
+			Text:    "the safety check refused a change or lowered its weight or retry mode: " + reason,
+		})
 	}
 	refusal.Proxies++
 }
--- a/internal/safety/table.go
+++ b/internal/safety/table.go
@@ -87,7 +87,8 @@
 	}
 	all := c.readyCapacity(now)
 	if len(ready) == 0 {
-		text := fmt.Sprintf("no ready server has a usable entry; %d ready servers past slow start are listed", all.warm)
+		text := fmt.Sprintf("no ready server has a usable entry; the endpoint list has %d ready servers past slow start",
+			all.warm)
 		return append(violations, Violation{Reason: ReasonNoEndpoints, WholeTable: true, Text: text})
 	}
 	for _, entry := range ready {
--- a/internal/safety/warming.go
+++ b/internal/safety/warming.go
@@ -231,7 +231,8 @@
 	return true
 }
 
-// updateRatesPerWeight computes, for each class, the rate that a weight of 1 gets after a message.
+// updateRatesPerWeight computes, for each class, the requests per second that the proxy sends per unit of weight once
+// the planned message is applied.
 func (c *Checker) updateRatesPerWeight(plan *reconcile.UpdatePlan) {
 	c.weightSums = append(c.weightSums[:0], plan.WeightSums...)
 	for i := range plan.Proposals {
--- a/internal/tableversion/replica.go
+++ b/internal/tableversion/replica.go
@@ -32,9 +32,10 @@
 func (r *Replica) Weights() map[string]int { return r.weights }
 
 // Apply applies a delta completely or not at all. The entries given are those of the delta with the servers' names. A
-// delta to the version of the copy or an older one changes nothing and is no error; only one to the same version with
-// another digest is treated like a newer one. A delta that starts at another version or digest than the copy's, or does
-// not lead to its ToDigest, returns a MismatchError. A delta from NoVersion is the complete table.
+// delta to an older version than the replica's, or to the same version with the same digest, changes nothing and
+// returns nil. Any other delta must start at the version and digest of the replica, unless it starts at NoVersion and
+// so is the complete table. If it starts elsewhere, or the result does not have its ToDigest, Apply returns a
+// MismatchError.
 func (r *Replica) Apply(delta Delta, entries []NamedEntry) error {
 	newer := delta.To.Compare(r.version) > 0
 	digestDiffers := delta.To == r.version && delta.ToDigest != r.digest
--- a/internal/transport/haproxy/lease.go
+++ b/internal/transport/haproxy/lease.go
@@ -34,7 +34,8 @@
 	errHandedOver = errors.New("lease released for another controller")
 )
 
-// readEntries parses the lease entries of all controllers and returns them with their keys in the map.
+// readEntries parses the entries of the proxy's HAProxy map and returns the lease entries of all controllers, and the
+// keys of that map that hold a lease entry or a request for the lease.
 func readEntries(text []byte) (entries []lease.Entry, keys map[string]bool, err error) {
 	keys = map[string]bool{}
 	requests := map[string]string{}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -92,7 +92,8 @@
 	// Retire hands all proxies over to other controllers, and takes none that another controller can serve, if on is
 	// true. It ends that otherwise.
 	Retire(on bool)
-	// Take assigns a proxy to this controller regardless of the plan if on is true, and ends that otherwise. It returns
+	// Take makes this controller request and keep the lease of a proxy if on is true, even if the proxy's order of
+	// preference (see lease.Plan) ranks other controllers first. If on is false, that order applies again. Take returns
 	// false if the proxy is unknown or not shared.
 	Take(id fleet.ProxyID, on bool) bool
 	// Holders returns the lease holder of each shared proxy.
